--- a/internal/roles/control/activation.go
+++ b/internal/roles/control/activation.go
@@ -27,7 +27,7 @@
 		d.reviewWaiting()
 		return
 	}
-	d.replica.Settle(func(err error) {
+	d.replica.AwaitCommit(func(err error) {
 		if err == nil {
 			d.loop.post(func() { d.beginActivation(epoch) })
 		}
--- a/internal/roles/store/accept.go
+++ b/internal/roles/store/accept.go
@@ -61,7 +61,7 @@
 // acceptKnown answers for a message that has a record already. The primary that wrote it may have ended before the others had it, so the
 // answer waits until all that is here is on enough disks.
 func (p *partition) acceptKnown(reply answer) {
-	p.replica.Settle(func(err error) {
+	p.replica.AwaitCommit(func(err error) {
 		status := protocol.AcceptStored
 		if err != nil {
 			status = protocol.AcceptUnknown
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -130,7 +130,7 @@
 	},
 	{
 		Promise: "a primary acts once its state is on enough disks", File: "internal/roles/control/activation.go",
-		Old:     "\td.replica.Settle(func(err error) {\n\t\tif err == nil {\n\t\t\td.loop.post(func() { d.beginActivation(epoch) })\n\t\t}\n\t})\n",
+		Old:     "\td.replica.AwaitCommit(func(err error) {\n\t\tif err == nil {\n\t\t\td.loop.post(func() { d.beginActivation(epoch) })\n\t\t}\n\t})\n",
 		New:     "\td.beginActivation(epoch)\n",
 		Package: "./internal/roles/control",
 	},
@@ -220,7 +220,7 @@
 	},
 	{
 		Promise: "a known message is answered once it is on enough disks", File: "internal/roles/store/accept.go",
-		Old:     "\tp.replica.Settle(func(err error) {\n",
+		Old:     "\tp.replica.AwaitCommit(func(err error) {\n",
 		New:     "\tfunc(settle func(error)) { settle(nil) }(func(err error) {\n",
 		Package: "./internal/roles/store",
 	},
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -62,7 +62,7 @@
 func (m *replicaModel) settleAt(id MemberID) *error {
 	answer := new(error)
 	*answer = errNoAnswer
-	m.nodes[id].replica.Settle(func(err error) { *answer = err })
+	m.nodes[id].replica.AwaitCommit(func(err error) { *answer = err })
 	return answer
 }
 
--- a/replication/settle.go
+++ b/replication/settle.go
@@ -6,10 +6,10 @@
 	done  func(error)
 }
 
-// Settle calls done(nil) once all records as they are now, with the writes under way, are on Copies disks: the own one, and those of peers
+// AwaitCommit calls done(nil) once all records as they are now, with the writes under way, are on Copies disks: the own one, and those of peers
 // that are equal. A primary with fewer members may be active before: it has what was acknowledged, and it may have more, which a loss of
 // its disk would take away. ErrNotPrimary comes at once; after ErrDeposed nothing is known. done is called on the owner's loop.
-func (r *Replica) Settle(done func(error)) {
+func (r *Replica) AwaitCommit(done func(error)) {
 	if r.lead == nil || r.disk.closed {
 		done(ErrNotPrimary)
 		return
