--- a/internal/roles/control/daemon.go
+++ b/internal/roles/control/daemon.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if member := d.peers.memberAt(address); member != "" {
-		d.replica.Linked(member, up)
+		d.replica.SetLinked(member, up)
 	}
 }
 
@@ -101,10 +101,10 @@
 		return
 	}
 	if before != "" {
-		d.replica.Linked(before, false)
+		d.replica.SetLinked(before, false)
 	}
 	if d.links.up(address) {
-		d.replica.Linked(member, true)
+		d.replica.SetLinked(member, true)
 	}
 }
 
--- a/internal/roles/store/peer.go
+++ b/internal/roles/store/peer.go
@@ -145,7 +145,7 @@
 	for member := range p.links {
 		if !view.Includes(member) {
 			delete(p.links, member)
-			p.replica.Linked(member, false)
+			p.replica.SetLinked(member, false)
 		}
 	}
 }
@@ -157,11 +157,11 @@
 	}
 	if p.links[member] != nil {
 		delete(p.links, member)
-		p.replica.Linked(member, false)
+		p.replica.SetLinked(member, false)
 	}
 	if conn != nil {
 		p.links[member] = conn
-		p.replica.Linked(member, true)
+		p.replica.SetLinked(member, true)
 	}
 }
 
--- a/replication/cluster_test.go
+++ b/replication/cluster_test.go
@@ -224,8 +224,8 @@
 			return
 		}
 		a.links[b.machine], b.links[a.machine] = b.member(), a.member()
-		a.do(func() { a.replica.Linked(b.member(), true) })
-		b.do(func() { b.replica.Linked(a.member(), true) })
+		a.do(func() { a.replica.SetLinked(b.member(), true) })
+		b.do(func() { b.replica.SetLinked(a.member(), true) })
 	})
 }
 
@@ -238,7 +238,7 @@
 	delete(a.links, b.machine)
 	a.later(c.between(time.Millisecond, 100*time.Millisecond), func() {
 		if a.links[b.machine] != member {
-			a.replica.Linked(member, false)
+			a.replica.SetLinked(member, false)
 		}
 	})
 }
--- a/replication/replica.go
+++ b/replication/replica.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// Linked tells that the link to a peer came up or broke. Each link that comes up begins anew.
-func (r *Replica) Linked(peer MemberID, up bool) {
+// SetLinked tells that the link to a peer came up or broke. Each link that comes up begins anew.
+func (r *Replica) SetLinked(peer MemberID, up bool) {
 	if up {
 		r.linked[peer] = true
 	} else {
--- a/replication/replica_model_test.go
+++ b/replication/replica_model_test.go
@@ -340,10 +340,10 @@
 
 func (m *replicaModel) tellLinked(a, b MemberID, up bool) {
 	if r := m.nodes[a].replica; r != nil {
-		r.Linked(b, up)
+		r.SetLinked(b, up)
 	}
 	if r := m.nodes[b].replica; r != nil {
-		r.Linked(a, up)
+		r.SetLinked(a, up)
 	}
 }
 
