--- a/internal/roles/control/membership.go
+++ b/internal/roles/control/membership.go
@@ -148,7 +148,7 @@
 	if !d.replica.IsActive() {
 		d.deactivate()
 	}
-	d.loop.post(func() { d.act(d.elector.Deposed(epoch, d.replica.Highest(), d.now())) })
+	d.loop.post(func() { d.act(d.elector.Deposed(epoch, d.replica.HighestEpoch(), d.now())) })
 }
 
 // Offer tells the elector of a learner that is equal.
--- a/internal/roles/control/recovery.go
+++ b/internal/roles/control/recovery.go
@@ -112,7 +112,7 @@
 		Partitions:    recovery.Known{Version: view.PartitionsVersion, Count: uint64(len(view.Partitions.Partitions))},
 	}
 	if d.elector != nil {
-		a.HighestEpoch, a.Installed = max(d.elector.HighestEpoch(), d.replica.Highest()), d.elector.Installed()
+		a.HighestEpoch, a.Installed = max(d.elector.HighestEpoch(), d.replica.HighestEpoch()), d.elector.Installed()
 		a.Records = d.recordsOnDisk()
 	}
 	for _, other := range view.Live(protocol.RoleControl) {
--- a/replication/cluster_test.go
+++ b/replication/cluster_test.go
@@ -452,7 +452,7 @@
 func (p *process) Deposed(epoch uint64) {
 	p.c.trace("%v %s deposed in epoch %d", p.c.now, p.member(), epoch)
 	p.active = 0
-	highest := p.replica.Highest()
+	highest := p.replica.HighestEpoch()
 	p.posted = append(p.posted, func() { p.act(p.elector.Deposed(epoch, highest, p.c.now)) })
 }
 
--- a/replication/replica.go
+++ b/replication/replica.go
@@ -198,8 +198,8 @@
 // Joined returns the epoch that this member has joined: it refuses everything of lower ones.
 func (r *Replica) Joined() uint64 { return r.joined.Epoch }
 
-// Highest returns the highest epoch that was seen here or reported by another member.
-func (r *Replica) Highest() uint64 { return r.highest }
+// HighestEpoch returns the highest epoch that was seen here or reported by another member.
+func (r *Replica) HighestEpoch() uint64 { return r.highest }
 
 // Blocked returns the members and offered learners that a write waits for without end, as things are: they have not joined or are
 // not equal.
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -152,7 +152,7 @@
 	r := m.nodes["n1"].replica
 	r.Prepare(View{Epoch: 4, Primary: "n1", Members: []MemberID{"n1", "n0"}}, func(uint64) { t.Fatal("ready in an epoch that is over") })
 	m.drain()
-	is.Equal(r.Highest(), uint64(5))
+	is.Equal(r.HighestEpoch(), uint64(5))
 	is.True(m.nodes["n0"].replica.IsActive())
 }
 
