--- a/internal/roles/control/recovery.go
+++ b/internal/roles/control/recovery.go
@@ -77,7 +77,7 @@
 func (d *daemon) snapshotOf(records []replication.Record, confirmed bool) []byte {
 	view := d.elector.View()
 	s := snapshot.Snapshot{
-		Node: d.agent.Node().Key, TakenAt: d.agent.ClusterTime(), Epoch: max(view.Epoch, d.replica.Joined()), Generation: d.elector.Generation(),
+		Node: d.agent.Node().Key, TakenAt: d.agent.ClusterTime(), Epoch: max(view.Epoch, d.replica.JoinedEpoch()), Generation: d.elector.Generation(),
 		Confirmed: confirmed, Records: records,
 	}
 	return s.Encode()
@@ -138,10 +138,10 @@
 // recordsOnDisk sums up the records of the group, nil without any.
 func (d *daemon) recordsOnDisk() *recovery.Records {
 	m, err := loadModel(d.storage)
-	if err != nil || d.replica.Joined() == 0 {
+	if err != nil || d.replica.JoinedEpoch() == 0 {
 		return nil
 	}
-	return &recovery.Records{Joined: d.replica.Joined(), Revision: revisionOf(m.configuration), Orders: len(m.taken)}
+	return &recovery.Records{Joined: d.replica.JoinedEpoch(), Revision: revisionOf(m.configuration), Orders: len(m.taken)}
 }
 
 // revisionOf returns the revision of a configuration, 0 without one.
--- a/internal/roles/store/table.go
+++ b/internal/roles/store/table.go
@@ -128,7 +128,7 @@
 // tableBehind reports whether some partition has joined an epoch that the partition table does not show yet.
 func (s *store) tableBehind() bool {
 	for _, p := range s.partitions {
-		if p.replica.Joined() > p.view.Epoch {
+		if p.replica.JoinedEpoch() > p.view.Epoch {
 			return true
 		}
 	}
--- a/replication/replica.go
+++ b/replication/replica.go
@@ -195,8 +195,8 @@
 // IsActive tells whether this replica is the primary of its view and all members have become equal to it.
 func (r *Replica) IsActive() bool { return r.lead != nil && r.lead.active }
 
-// Joined returns the epoch that this member has joined: it refuses everything of lower ones.
-func (r *Replica) Joined() uint64 { return r.joined.Epoch }
+// JoinedEpoch returns the epoch that this member has joined: it refuses everything of lower ones.
+func (r *Replica) JoinedEpoch() uint64 { return r.joined.Epoch }
 
 // HighestEpoch returns the highest epoch that was seen here or reported by another member.
 func (r *Replica) HighestEpoch() uint64 { return r.highest }
