--- a/internal/roles/control/status.go
+++ b/internal/roles/control/status.go
@@ -34,7 +34,7 @@
 	if d.elector != nil {
 		v := d.elector.View()
 		page.Epoch, page.Primary, page.Members = v.Epoch, v.Primary, v.Members
-		page.Learners, page.Witnesses, page.Blocked = v.Learners, v.Witnesses, d.replica.Blocked()
+		page.Learners, page.Witnesses, page.Blocked = v.Learners, v.Witnesses, d.replica.BlockingPeers()
 	}
 	page.LossesBorne = replication.ControlView{Witnesses: page.Witnesses}.LossesBorne()
 	page.LossesAsked = d.settings.Copies() - 1
--- a/internal/roles/control/takeover_test.go
+++ b/internal/roles/control/takeover_test.go
@@ -70,7 +70,7 @@
 	c.eventually(fmt.Sprintf("a view of %d members", members), func() bool {
 		whole := false
 		c.primary().onLoop(c, func(d *daemon) {
-			whole = d.primary != nil && len(d.elector.View().Members) == members && len(d.replica.Blocked()) == 0
+			whole = d.primary != nil && len(d.elector.View().Members) == members && len(d.replica.BlockingPeers()) == 0
 		})
 		return whole
 	})
--- a/internal/roles/store/partition.go
+++ b/internal/roles/store/partition.go
@@ -253,7 +253,7 @@
 
 // watchBlocked logs once when members hold up writes for long: control has not left them out yet.
 func (p *partition) watchBlocked(now time.Duration) {
-	blocked := p.replica.Blocked()
+	blocked := p.replica.BlockingPeers()
 	switch {
 	case !p.leading || len(blocked) == 0:
 		p.blockedSince, p.blockedLogged = 0, false
--- a/replication/replica.go
+++ b/replication/replica.go
@@ -201,9 +201,9 @@
 // HighestEpoch returns the highest epoch that was seen here or reported by another member.
 func (r *Replica) HighestEpoch() uint64 { return r.highest }
 
-// Blocked returns the members and offered learners that a write waits for without end, as things are: they have not joined or are
+// BlockingPeers returns the members and offered learners that a write waits for without end, as things are: they have not joined or are
 // not equal.
-func (r *Replica) Blocked() []MemberID {
+func (r *Replica) BlockingPeers() []MemberID {
 	if r.lead == nil {
 		return nil
 	}
--- a/replication/replica_steps_test.go
+++ b/replication/replica_steps_test.go
@@ -282,7 +282,7 @@
 	v := m.view()
 	p := m.nodes[v.Primary]
 	if !p.replica.IsActive() || p.replica.Pending() > 0 {
-		m.t.Fatalf("end: primary of %v active %v, %d writes pending, blocked by %v, %s", v, p.replica.IsActive(), p.replica.Pending(), p.replica.Blocked(), m.describe(p))
+		m.t.Fatalf("end: primary of %v active %v, %d writes pending, blocked by %v, %s", v, p.replica.IsActive(), p.replica.Pending(), p.replica.BlockingPeers(), m.describe(p))
 	}
 	for _, id := range v.Members {
 		if got := m.nodes[id].storage.durable[modelGroup]; !maps.EqualFunc(got, p.storage.durable[modelGroup], sameRecord) {
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -96,7 +96,7 @@
 	answer := m.put("n0", "k")
 	m.drain()
 	is.Equal(*answer, errNoAnswer)
-	is.Equal(m.nodes["n0"].replica.Blocked(), []MemberID{"n2"})
+	is.Equal(m.nodes["n0"].replica.BlockingPeers(), []MemberID{"n2"})
 	m.install(View{Epoch: 2, Primary: "n0", Members: []MemberID{"n0", "n1"}})
 	is.Equal(*answer, nil)
 }
@@ -260,7 +260,7 @@
 	m.cut("n0", "n1")
 	m.join("n0", "n1")
 	is.Equal(m.countMessages("n0", "n1"), 2) // Join and its reply
-	is.Equal(m.nodes["n0"].replica.Blocked(), nil)
+	is.Equal(m.nodes["n0"].replica.BlockingPeers(), nil)
 }
 
 func TestVersionNumbersAreReservedInTime(t *testing.T) {
