--- a/internal/roles/control/run.go
+++ b/internal/roles/control/run.go
@@ -129,7 +129,7 @@
 	}
 	o := replication.ElectorOptions{
 		Self: d.self, Seeds: s.SeedAddresses(), Bootstrap: s.Bootstrap, Tolerate: s.Copies() - 1, Random: rand.Int64N,
-		Blocked: func() []replication.MemberID { return d.replica.BlockingPeers() },
+		BlockingPeers: func() []replication.MemberID { return d.replica.BlockingPeers() },
 		Stalled: func() []replication.MemberID { return d.replica.Stalled() },
 	}
 	if found {
--- a/replication/candidacy.go
+++ b/replication/candidacy.go
@@ -184,10 +184,10 @@
 
 // leaveOutBlocked notes the members whose replicas did not join, so that the next view does without them.
 func (e *Elector) leaveOutBlocked() {
-	if e.o.Blocked == nil {
+	if e.o.BlockingPeers == nil {
 		return
 	}
-	for _, id := range e.o.Blocked() {
+	for _, id := range e.o.BlockingPeers() {
 		e.unjoinable[id] = e.now + unjoinableFor
 	}
 }
--- a/replication/elector.go
+++ b/replication/elector.go
@@ -15,7 +15,7 @@
 	Silence   time.Duration       // without word of the primary before a candidacy begins; 600 ms
 	RankDelay time.Duration       // more patience for each place in the order of candidates; 150 ms
 	Interval  time.Duration       // between two words of the primary; 150 ms
-	Blocked   func() []MemberID   // Replica.Blocked
+	BlockingPeers   func() []MemberID   // Replica.Blocked
 	Stalled   func() []MemberID   // Replica.Stalled
 	Random    func(n int64) int64 // a random number below n
 }
