--- a/replication/cluster_fault_test.go
+++ b/replication/cluster_fault_test.go
@@ -279,16 +279,16 @@
 	const paused = 1600 * time.Millisecond
 	r.Tick(100 * time.Millisecond)
 	r.Tick(paused)
-	is.Equal(len(r.Stalled()), 0)
+	is.Equal(len(r.StalledMembers()), 0)
 	now := paused
 	for ; now < paused+stallPatience; now += 50 * time.Millisecond {
 		r.Tick(now)
 	}
 	r.o.Self = "a"
-	is.Equal(r.Stalled(), []MemberID{"a"}) // its own disk, by now
+	is.Equal(r.StalledMembers(), []MemberID{"a"}) // its own disk, by now
 	r.disk.appends.finish(1)
 	r.Tick(now)
-	is.Equal(r.Stalled(), []MemberID{"b"})
+	is.Equal(r.StalledMembers(), []MemberID{"b"})
 }
 
 // TestPlannedEndRightAfterAStart ends one of four processes when it has just introduced itself, also as a member that the same view leaves out
--- a/replication/stall.go
+++ b/replication/stall.go
@@ -27,9 +27,9 @@
 
 func (w *stallWatch) stalled() bool { return w.ticked-w.since >= stallPatience }
 
-// Stalled returns, as of the last Tick, the members that writes wait for and that have confirmed nothing for a while, and this member itself where
+// StalledMembers returns, as of the last Tick, the members that writes wait for and that have confirmed nothing for a while, and this member itself where
 // its own disk is what finishes nothing. Only a primary tells.
-func (r *Replica) Stalled() []MemberID {
+func (r *Replica) StalledMembers() []MemberID {
 	if r.lead == nil {
 		return nil
 	}
