--- a/internal/roles/control/run.go
+++ b/internal/roles/control/run.go
@@ -130,7 +130,7 @@
 	o := replication.ElectorOptions{
 		Self: d.self, Seeds: s.SeedAddresses(), Bootstrap: s.Bootstrap, Tolerate: s.Copies() - 1, Random: rand.Int64N,
 		BlockingPeers: func() []replication.MemberID { return d.replica.BlockingPeers() },
-		Stalled: func() []replication.MemberID { return d.replica.StalledMembers() },
+		StalledMembers: func() []replication.MemberID { return d.replica.StalledMembers() },
 	}
 	if found {
 		o.Register = &register
--- a/replication/cluster_test.go
+++ b/replication/cluster_test.go
@@ -181,7 +181,7 @@
 		p.c.fail("NewReplica: %v", err)
 	}
 	p.replica = replica
-	o.BlockingPeers, o.Stalled = replica.BlockingPeers, replica.StalledMembers
+	o.BlockingPeers, o.StalledMembers = replica.BlockingPeers, replica.StalledMembers
 	p.elector = NewElector(o)
 	p.later(0, p.tick)
 	p.later(p.c.between(0, 10*time.Millisecond), p.write)
--- a/replication/elector.go
+++ b/replication/elector.go
@@ -16,7 +16,7 @@
 	RankDelay time.Duration       // more patience for each place in the order of candidates; 150 ms
 	Interval  time.Duration       // between two words of the primary; 150 ms
 	BlockingPeers   func() []MemberID   // Replica.Blocked
-	Stalled   func() []MemberID   // Replica.Stalled
+	StalledMembers   func() []MemberID   // Replica.Stalled
 	Random    func(n int64) int64 // a random number below n
 }
 
--- a/replication/tenure.go
+++ b/replication/tenure.go
@@ -156,10 +156,10 @@
 // leaveOutStalled has members that hold up all writes be learners, as long as enough others are left to write to. It tells whether this
 // primary's own disk is what holds them up.
 func (e *Elector) leaveOutStalled() (own bool) {
-	if e.o.Stalled == nil {
+	if e.o.StalledMembers == nil {
 		return false
 	}
-	stalled := e.o.Stalled()
+	stalled := e.o.StalledMembers()
 	v := &e.tenure.view
 	if slices.Contains(stalled, e.o.Self.Member) {
 		return true
