--- a/internal/roles/control/status.go
+++ b/internal/roles/control/status.go
@@ -36,7 +36,7 @@
 		page.Epoch, page.Primary, page.Members = v.Epoch, v.Primary, v.Members
 		page.Learners, page.Witnesses, page.Blocked = v.Learners, v.Witnesses, d.replica.BlockingPeers()
 	}
-	page.LossesBorne = replication.ControlView{Witnesses: page.Witnesses}.LossesBorne()
+	page.LossesBorne = replication.ControlView{Witnesses: page.Witnesses}.ToleratedLosses()
 	page.LossesAsked = d.settings.Copies() - 1
 	for _, n := range view.Nodes {
 		page.Nodes = append(page.Nodes, statuspage.Node{Key: n.Key, Role: n.Role.String(), Zone: n.Zone, Address: n.Address, Member: n.Member,
@@ -92,7 +92,7 @@
 		view := d.elector.View()
 		figures["control_epoch"] = float64(view.Epoch)
 		figures["control_witnesses"] = float64(len(view.Witnesses))
-		figures["control_losses_borne"] = float64(view.LossesBorne())
+		figures["control_losses_borne"] = float64(view.ToleratedLosses())
 		figures["control_writes_pending"] = float64(d.replica.Pending())
 	}
 	if p := d.primary; p != nil {
--- a/internal/roles/control/tolerance.go
+++ b/internal/roles/control/tolerance.go
@@ -49,8 +49,8 @@
 	d := p.daemon
 	view, asked := d.elector.View(), d.settings.Copies()-1
 	witnesses := zap.Strings("witnesses", view.Witnesses)
-	borne := zap.Int("losses_borne", view.LossesBorne())
-	switch p.tolerance.observe(now, view.LossesBorne(), asked, d.settings.Bounds.CatchUp()) {
+	borne := zap.Int("losses_borne", view.ToleratedLosses())
+	switch p.tolerance.observe(now, view.ToleratedLosses(), asked, d.settings.Bounds.CatchUp()) {
 	case toleranceLost:
 		d.logger.Warn("control: bears fewer losses than FaultTolerance asks for: run it on more machines with a disk", borne,
 			zap.Int("losses_asked", asked), zap.Int("machines_needed", replication.WitnessesFor(asked)), witnesses)
--- a/replication/controlview.go
+++ b/replication/controlview.go
@@ -47,8 +47,8 @@
 	return min(wanted, max(2, majority(len(v.Witnesses))))
 }
 
-// LossesBorne returns how many of the witnesses may be lost at once: those that are left are still a majority.
-func (v ControlView) LossesBorne() int { return max(0, spare(len(v.Witnesses), 0)) }
+// ToleratedLosses returns how many of the witnesses may be lost at once: those that are left are still a majority.
+func (v ControlView) ToleratedLosses() int { return max(0, spare(len(v.Witnesses), 0)) }
 
 // WitnessesFor returns how many witnesses bear so many losses at once.
 func WitnessesFor(losses int) int { return 2*losses + 1 }
--- a/replication/elector_test.go
+++ b/replication/elector_test.go
@@ -255,10 +255,10 @@
 func TestLossesBorne(t *testing.T) {
 	is := is.New(t)
 	for n, want := range []int{0, 0, 0, 1, 1, 2, 2, 3} {
-		is.Equal(ControlView{Witnesses: make([]MemberID, n)}.LossesBorne(), want)
+		is.Equal(ControlView{Witnesses: make([]MemberID, n)}.ToleratedLosses(), want)
 	}
 	for losses := range 5 {
-		is.Equal(ControlView{Witnesses: make([]MemberID, WitnessesFor(losses))}.LossesBorne(), losses)
+		is.Equal(ControlView{Witnesses: make([]MemberID, WitnessesFor(losses))}.ToleratedLosses(), losses)
 	}
 }
 
