--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -81,7 +81,7 @@
 	self := replication.Peer{Member: founder.Member, Address: founder.Address}
 	p := &Plan{
 		Founder: *founder, Source: source,
-		View: replication.FoundAnew(self, s.highest+replication.RecoveryEpochGap, s.generation()+1),
+		View: replication.FirstViewOfGeneration(self, s.highest+replication.RecoveryEpochGap, s.generation()+1),
 	}
 	for _, a := range s.accounts {
 		if a.Member != "" && a.Member != founder.Member {
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -54,7 +54,7 @@
 	is.Equal(p.Founder.Name, "b")
 	is.Equal(p.Source.Name, "b")
 	is.Equal(len(p.Join), 3)
-	is.Equal(p.View, replication.FoundAnew(replication.Peer{Member: "b/1", Address: "b"}, 7+replication.RecoveryEpochGap, 1))
+	is.Equal(p.View, replication.FirstViewOfGeneration(replication.Peer{Member: "b/1", Address: "b"}, 7+replication.RecoveryEpochGap, 1))
 	text := strings.Join(p.Findings, "\n")
 	is.True(strings.Contains(text, "all that was acknowledged, from b/control (revision 12, 5 orders taken)"))
 	is.True(strings.Contains(text, "witness c/1 does not answer"))
--- a/internal/roles/control/recovery_test.go
+++ b/internal/roles/control/recovery_test.go
@@ -236,13 +236,13 @@
 	plan, err := recovery.Make(accounts, recovery.Options{})
 	is.NoErr(err)
 	low := *plan
-	low.View = replication.FoundAnew(replication.Peer{Member: plan.Founder.Member, Address: plan.Founder.Address}, 1, 1)
+	low.View = replication.FirstViewOfGeneration(replication.Peer{Member: plan.Founder.Member, Address: plan.Founder.Address}, 1, 1)
 	low.Join = nil
 	var refused *operator.RefusedError
 	is.True(errors.As(c.client().Found(c.ctx, &low, nil), &refused))
 	is.Equal(refused.Status, http.StatusConflict)
 	other := *plan
-	other.View = replication.FoundAnew(replication.Peer{Member: "control-2/other", Address: plan.Founder.Address}, plan.View.Epoch, 1)
+	other.View = replication.FirstViewOfGeneration(replication.Peer{Member: "control-2/other", Address: plan.Founder.Address}, plan.View.Epoch, 1)
 	other.Join = nil
 	is.True(errors.As(c.client().Found(c.ctx, &other, nil), &refused))
 	is.Equal(refused.Status, http.StatusConflict)
--- a/replication/codec_test.go
+++ b/replication/codec_test.go
@@ -180,7 +180,7 @@
 	is := is.New(t)
 	for promised, campaigns := range map[uint64]bool{EpochLimit - 1: false, EpochLimit - 2: true} {
 		self := Peer{Member: "a/1", Address: "a"}
-		g := Register{Promised: promised, Candidate: "a/1", Installed: FoundAnew(self, promised, 0)}
+		g := Register{Promised: promised, Candidate: "a/1", Installed: FirstViewOfGeneration(self, promised, 0)}
 		e := NewElector(ElectorOptions{Self: self, Register: &g, Random: func(int64) int64 { return 0 }})
 		prepares := false
 		for now := time.Second; now < 3*time.Second; now += 50 * time.Millisecond {
--- a/replication/generation.go
+++ b/replication/generation.go
@@ -14,8 +14,8 @@
 // may have gone further.
 const RecoveryEpochGap = 1024
 
-// FoundAnew returns the first view of a generation: of one process, which others find by its address.
-func FoundAnew(founder Peer, epoch, generation uint64) ControlView {
+// FirstViewOfGeneration returns the first view of a generation: of one process, which others find by its address.
+func FirstViewOfGeneration(founder Peer, epoch, generation uint64) ControlView {
 	return ControlView{
 		View:      View{Epoch: epoch, Primary: founder.Member, Members: []MemberID{founder.Member}},
 		Witnesses: []MemberID{founder.Member}, Peers: []Peer{founder}, Generation: generation,
--- a/replication/generation_test.go
+++ b/replication/generation_test.go
@@ -13,7 +13,7 @@
 func (c *cluster) foundAnew(t *testing.T, founder *process, leftOut ...*process) ControlView {
 	t.Helper()
 	self := Peer{Member: founder.member(), Address: founder.machine}
-	view := FoundAnew(self, founder.elector.HighestEpoch()+RecoveryEpochGap, founder.elector.Generation()+1)
+	view := FirstViewOfGeneration(self, founder.elector.HighestEpoch()+RecoveryEpochGap, founder.elector.Generation()+1)
 	for _, p := range c.procs {
 		if p == founder || !p.running || slices.Contains(leftOut, p) {
 			continue
@@ -150,7 +150,7 @@
 	promised := Register{Promised: 5000, Candidate: "c/1", Installed: ControlView{View: View{Epoch: 7, Primary: "c/1", Members: []MemberID{"c/1"}},
 		Witnesses: []MemberID{"a/1", "c/1", "d/1"}}}
 	e := NewElector(ElectorOptions{Self: self, Register: &promised, Random: func(int64) int64 { return 0 }})
-	view := FoundAnew(founder, 1031, 1)
+	view := FirstViewOfGeneration(founder, 1031, 1)
 	joined, actions := e.JoinGeneration(view, time.Second)
 	is.True(joined)
 	is.True(!e.IsPersisted())
@@ -164,7 +164,7 @@
 	e.Persisted(register.Token, nil, time.Second)
 	is.True(e.IsPersisted())
 
-	joined, _ = e.JoinGeneration(FoundAnew(founder, 9000, 0), time.Second) // an earlier one is not joined
+	joined, _ = e.JoinGeneration(FirstViewOfGeneration(founder, 9000, 0), time.Second) // an earlier one is not joined
 	is.True(!joined)
 	is.Equal(e.Generation(), uint64(1))
 }
@@ -174,7 +174,7 @@
 	is := is.New(t)
 	self := Peer{Member: "a/1", Address: "a"}
 	e := NewElector(ElectorOptions{Self: self, Seeds: []string{"a"}, Random: func(int64) int64 { return 0 }})
-	view := FoundAnew(self, 1031, 1)
+	view := FirstViewOfGeneration(self, 1031, 1)
 	e.Receive(ElectionFrame{From: Peer{Member: "b/1", Address: "b"}, Message: &Introduced{Installed: view}}, time.Second)
 	is.Equal(e.Generation(), uint64(0))
 	is.Equal(e.HighestEpoch(), view.Epoch)
@@ -189,7 +189,7 @@
 // An earlier version writes views without a generation; a later one must be able to read its own.
 func TestGenerationIsKeptInViews(t *testing.T) {
 	is := is.New(t)
-	view := FoundAnew(Peer{Member: "a/1", Address: "a"}, 1031, 3)
+	view := FirstViewOfGeneration(Peer{Member: "a/1", Address: "a"}, 1031, 3)
 	register := Register{Promised: 1031, Candidate: "a/1", Installed: view}
 	var read Register
 	is.NoErr(read.Decode(register.Append(nil)))
@@ -203,7 +203,7 @@
 func TestFoundedVersionsAreNotDrawnAgain(t *testing.T) {
 	is := is.New(t)
 	storage := newMemoryStorage()
-	view := FoundAnew(Peer{Member: "a/1", Address: "a"}, 1031, 1)
+	view := FirstViewOfGeneration(Peer{Member: "a/1", Address: "a"}, 1031, 1)
 	storage.Append(LocalGroup, FoundingRecords(testGroup, view), nil)
 	entry, err := loadJoined(storage, testGroup)
 	is.NoErr(err)
