--- a/internal/roles/control/membership.go
+++ b/internal/roles/control/membership.go
@@ -34,8 +34,8 @@
 		case replication.JoinedGeneration:
 			d.logger.Warn("control: the group was founded anew by an operator; what this disk has of before counts no more",
 				zap.Uint64("generation", a.Generation))
-		case replication.Answer:
-			a.Call(a.Stands)
+		case replication.ConfirmResult:
+			a.Callback(a.Confirmed)
 		}
 	}
 }
--- a/replication/action.go
+++ b/replication/action.go
@@ -33,10 +33,10 @@
 // JoinedGeneration tells that the group was founded anew without this process: what its disk holds counts no more, see FoundAnew.
 type JoinedGeneration struct{ Generation uint64 }
 
-// Answer asks to call a function that was given to Confirm.
-type Answer struct {
-	Call   func(stands bool)
-	Stands bool
+// ConfirmResult asks to call a function that was given to Confirm.
+type ConfirmResult struct {
+	Callback   func(stands bool)
+	Confirmed bool
 }
 
 func (SendElection) action()     {}
@@ -46,4 +46,4 @@
 func (BecamePrimary) action()    {}
 func (LostPrimary) action()      {}
 func (JoinedGeneration) action() {}
-func (Answer) action()           {}
+func (ConfirmResult) action()           {}
--- a/replication/cluster_test.go
+++ b/replication/cluster_test.go
@@ -402,8 +402,8 @@
 			p.c.trace("%v %s lost epoch %d", p.c.now, p.member(), a.Epoch)
 			p.active = 0
 			p.replica.StepDown()
-		case Answer:
-			a.Call(a.Stands)
+		case ConfirmResult:
+			a.Callback(a.Confirmed)
 		}
 	}
 }
--- a/replication/confirm.go
+++ b/replication/confirm.go
@@ -13,7 +13,7 @@
 
 func (e *Elector) confirm(f func(stands bool)) {
 	if e.tenure == nil {
-		e.do(Answer{Call: f})
+		e.do(ConfirmResult{Callback: f})
 		return
 	}
 	e.beat()
@@ -35,7 +35,7 @@
 			c.stands[from] = true
 		}
 		if hasMajority(t.view.Witnesses, func(id MemberID) bool { return c.stands[id] }) {
-			e.do(Answer{Call: c.call, Stands: true})
+			e.do(ConfirmResult{Callback: c.call, Confirmed: true})
 			continue
 		}
 		kept = append(kept, c)
@@ -47,7 +47,7 @@
 	kept := e.confirms[:0]
 	for _, c := range e.confirms {
 		if e.now-c.started >= confirmDeadline {
-			e.do(Answer{Call: c.call})
+			e.do(ConfirmResult{Callback: c.call})
 			continue
 		}
 		kept = append(kept, c)
@@ -57,7 +57,7 @@
 
 func (e *Elector) failConfirms() {
 	for _, c := range e.confirms {
-		e.do(Answer{Call: c.call})
+		e.do(ConfirmResult{Callback: c.call})
 	}
 	e.confirms = nil
 }
--- a/replication/elector_test.go
+++ b/replication/elector_test.go
@@ -225,7 +225,7 @@
 	is.Equal(len(answer(2, AliveAnswer{Round: asked + 1, Stands: false})), 0) // knows of another
 	actions := answer(1, AliveAnswer{Round: asked + 1, Stands: true})
 	is.Equal(len(actions), 1) // a majority with the own witness
-	is.True(actions[0].(Answer).Stands)
+	is.True(actions[0].(ConfirmResult).Confirmed)
 }
 
 // Witnesses of two views are not counted together: neither may have a majority.
@@ -239,7 +239,7 @@
 	answer := func(from int, epoch uint64) int {
 		confirmed := 0
 		for _, a := range e.Receive(ElectionFrame{From: v.Peers[from], Message: &AliveAnswer{Epoch: epoch, Round: e.tenure.round, Stands: true}}, 0) {
-			if _, ok := a.(Answer); ok {
+			if _, ok := a.(ConfirmResult); ok {
 				confirmed++
 			}
 		}
