--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// newGroup returns a settled group of nodes n0, n1, ... whose first view has so many members.
+// newGroup returns a converged group of nodes n0, n1, ... whose first view has the given number of members.
 func newGroup(t *testing.T, nodes, members, copies int) *replicaModel {
 	m := newReplicaModel(t, 1, nodes, members, copies)
 	m.joinAll()
@@ -14,7 +14,7 @@
 	return m
 }
 
-// put writes a key at a node and returns where its answer will be.
+// put writes a key at a node and returns a pointer to its result.
 func (m *replicaModel) put(id MemberID, key string) *error {
 	answer := new(error)
 	*answer = errNoAnswer
@@ -29,11 +29,11 @@
 	m.drain()
 }
 
-func TestWriteAtABackupIsRefusedAtOnce(t *testing.T) {
+func TestWriteAtABackupIsRejectedImmediately(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 2, 2)
 	is.Equal(*m.put("n1", "k"), ErrNotPrimary)
-	is.Equal(*m.put("n0", "k"), errNoAnswer) // waits for the disks
+	is.Equal(*m.put("n0", "k"), errNoAnswer) // waits for the syncs
 }
 
 func TestWriteNeedsCopies(t *testing.T) {
@@ -43,11 +43,11 @@
 	m.drain()
 	is.Equal(*answer, errNoAnswer) // only one disk has it
 	m.install(View{Epoch: 2, Primary: "n0", Members: []MemberID{"n0"}, Learners: []MemberID{"n1"}})
-	is.Equal(*answer, nil) // went on in the new epoch
+	is.Equal(*answer, nil) // continued in the new epoch
 	is.Equal(m.nodes["n1"].storage.durable[modelGroup]["ak"].Value, []byte("k"))
 }
 
-func TestFewerCopiesLetWritesGoOn(t *testing.T) {
+func TestFewerCopiesUnblockWrites(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 1, 2)
 	answer := m.put("n0", "k")
@@ -58,38 +58,38 @@
 	is.Equal(*answer, nil)
 }
 
-// settle has a node settle and returns where its answer will be.
-func (m *replicaModel) settleAt(id MemberID) *error {
+// awaitCommitAt calls AwaitCommit at a node and returns a pointer to its result.
+func (m *replicaModel) awaitCommitAt(id MemberID) *error {
 	answer := new(error)
 	*answer = errNoAnswer
 	m.nodes[id].replica.AwaitCommit(func(err error) { *answer = err })
 	return answer
 }
 
-// A primary that is active with fewer members than copies may hold what nobody else has: it is settled once a learner is equal, not
-// when a learner has taken a later write.
-func TestSettledOnceEnoughHoldEverything(t *testing.T) {
+// A primary that is active with fewer members than Copies may hold writes that no other node has. They are committed once a learner is in
+// sync, not already when a learner has stored a later write.
+func TestAwaitCommitWaitsForEnoughCopies(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 1, 2)
 	is.True(m.nodes["n0"].replica.IsActive())
 	m.put("n0", "k")
-	answer := m.settleAt("n0")
+	answer := m.awaitCommitAt("n0")
 	m.drain()
 	is.Equal(*answer, errNoAnswer) // one disk has it
-	is.Equal(*m.settleAt("n1"), ErrNotPrimary)
+	is.Equal(*m.awaitCommitAt("n1"), ErrNotPrimary)
 
 	m.install(View{Epoch: 2, Primary: "n0", Members: []MemberID{"n0"}, Learners: []MemberID{"n1"}})
 	is.Equal(*answer, nil)
 	is.Equal(m.nodes["n1"].storage.durable[modelGroup]["ak"].Value, []byte("k"))
-	is.Equal(*m.settleAt("n0"), nil) // all is whole: at once
+	is.Equal(*m.awaitCommitAt("n0"), nil) // fully replicated: immediately
 
 	m.cut("n0", "n1")
-	answer = m.settleAt("n0")
+	answer = m.awaitCommitAt("n0")
 	m.nodes["n0"].replica.Install(View{Epoch: 3, Primary: "n1", Members: []MemberID{"n1"}})
 	is.Equal(*answer, ErrDeposed)
 }
 
-func TestMemberThatIsGoneBlocksWritesUntilAViewWithoutIt(t *testing.T) {
+func TestLostMemberBlocksWritesUntilAViewWithoutIt(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 3, 3, 2)
 	m.nodes["n2"].stop(0)
@@ -114,7 +114,7 @@
 	is.Equal(*answer, nil)
 }
 
-func TestDeposedPrimaryDoesNotKnowWhatBecomesOfItsWrites(t *testing.T) {
+func TestPendingWritesOfADeposedPrimaryFail(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 2, 2)
 	m.cut("n0", "n1")
@@ -125,11 +125,11 @@
 	is.Equal(*m.put("n0", "k"), ErrNotPrimary)
 	m.install(v)
 	is.True(m.nodes["n1"].replica.IsActive())
-	is.Equal(len(m.nodes["n0"].storage.durable[modelGroup]), 0) // what the new primary lacks is deleted
+	is.Equal(len(m.nodes["n0"].storage.durable[modelGroup]), 0) // records that the new primary lacks are deleted
 }
 
-// A prepared view is not decided: another member of the view before may still become primary without what is written now.
-func TestPreparedViewAnswersNothing(t *testing.T) {
+// A prepared view is not decided: another member of the previous view may still become primary without the writes made now.
+func TestPreparedViewAcknowledgesNoWrites(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 3, 3, 2)
 	answer := m.put("n0", "k")
@@ -137,7 +137,7 @@
 	v := View{Epoch: 2, Primary: "n0", Members: []MemberID{"n0", "n1"}}
 	m.nodes["n0"].replica.Prepare(v, func(epoch uint64) { ready = epoch })
 	m.drain()
-	is.Equal(ready, uint64(2)) // the others have joined and are equal
+	is.Equal(ready, uint64(2)) // the other members have joined and are in sync
 	is.Equal(*answer, errNoAnswer)
 	is.True(!m.nodes["n0"].replica.IsActive())
 	m.nodes["n0"].replica.Install(v)
@@ -150,15 +150,15 @@
 	m := newGroup(t, 2, 2, 2)
 	m.install(View{Epoch: 5, Primary: "n0", Members: []MemberID{"n0", "n1"}})
 	r := m.nodes["n1"].replica
-	r.Prepare(View{Epoch: 4, Primary: "n1", Members: []MemberID{"n1", "n0"}}, func(uint64) { t.Fatal("ready in an epoch that is over") })
+	r.Prepare(View{Epoch: 4, Primary: "n1", Members: []MemberID{"n1", "n0"}}, func(uint64) { t.Fatal("ready in an obsolete epoch") })
 	m.drain()
 	is.Equal(r.HighestEpoch(), uint64(5))
 	is.True(m.nodes["n0"].replica.IsActive())
 }
 
-// Without the newer epoch on its disk, a member that has dropped its records would find an old view in which it is the only member, and
-// begin with nothing.
-func TestDropJoinsTheEpochThatDoesWithoutThisMember(t *testing.T) {
+// Without the newer epoch on its disk, a member that has dropped its records could receive an old view in which it is the only member, and
+// become primary without records.
+func TestDropJoinsTheEpochWithoutThisMember(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 1, 1)
 	m.put("n0", "k")
@@ -187,7 +187,7 @@
 	is.Equal(got, ErrStillMember)
 }
 
-func TestGapInAStreamBeginsItAnew(t *testing.T) {
+func TestGapInAStreamRestartsIt(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 2, 2)
 	answer := m.put("n0", "lost")
@@ -199,8 +199,8 @@
 	is.Equal(len(m.nodes["n1"].storage.durable[modelGroup]), 4)
 }
 
-// The primary hears of a gap with the next batch, and need not wait for acks in vain.
-func TestGapInAStreamIsToldAtOnce(t *testing.T) {
+// The primary is notified of a gap with the next batch, and does not wait for acks until a time-out.
+func TestGapInAStreamIsReportedImmediately(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 2, 2)
 	m.put("n0", "lost")
@@ -211,7 +211,7 @@
 	is.Equal(m.nodes["n0"].replica.lead.peers["n1"].state, peerFailed)
 }
 
-// A primary that restarts in its epoch does not know which learners it offered before: whoever decides views may count on any of them.
+// A primary that restarts in its epoch does not know which learners it offered before: the next view may promote any of them.
 func TestResumedPrimaryWaitsForEveryLearner(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 3, 2, 2)
@@ -224,13 +224,13 @@
 	is.True(m.nodes["n0"].replica.IsActive())
 	answer := m.put("n0", "k")
 	m.drain()
-	is.Equal(*answer, errNoAnswer) // two disks have it, and n2 may become primary
+	is.Equal(*answer, errNoAnswer) // two disks have it, but n2 may become primary
 	m.nodes["n2"].start()
 	m.drain()
 	is.Equal(*answer, nil)
 }
 
-// countedLink runs until nothing happens and counts the messages between two nodes.
+// countMessages runs two nodes until nothing is pending, and counts the messages between them.
 func (m *replicaModel) countMessages(a, b MemberID) int {
 	count := 0
 	for moved := true; moved; {
@@ -250,7 +250,7 @@
 	return count
 }
 
-func TestEqualMemberNeedsOneRoundTrip(t *testing.T) {
+func TestMemberInSyncRejoinsInOneRoundTrip(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 2, 2, 2)
 	for _, key := range []string{"1", "2", "3"} {
@@ -272,15 +272,15 @@
 	m.put("n0", "k")
 	m.drain()
 	is.Equal(r.versions.reserved, reserved+versionBlock)
-	j, err := loadJoined(m.nodes["n0"].storage, modelGroup)
+	j, err := loadJoinState(m.nodes["n0"].storage, modelGroup)
 	is.NoErr(err)
 	is.Equal(j.Reserved, reserved+versionBlock)
 
 	r.versions.last = r.versions.reserved
-	is.Equal(*m.put("n0", "k"), ErrNotPrimary) // rather than a number that is not reserved
+	is.Equal(*m.put("n0", "k"), ErrNotPrimary) // a number that is not reserved must not be used
 }
 
-func TestResumedPrimaryDrawsOtherVersions(t *testing.T) {
+func TestResumedPrimaryAssignsNewVersions(t *testing.T) {
 	is := is.New(t)
 	m := newGroup(t, 1, 1, 1)
 	n := m.nodes["n0"]
--- a/replication/sequence.go
+++ b/replication/sequence.go
@@ -1,15 +1,15 @@
 package replication
 
-// sequence numbers operations from 1 and knows up to which all have finished, in whatever order they do.
+// sequence numbers operations from 1 and tracks the highest number up to which all have finished. Operations may finish in any order.
 type sequence struct {
-	begun    uint64
-	floor    uint64 // all up to here have finished
+	last     uint64
+	floor    uint64 // all operations up to this number have finished
 	finished map[uint64]struct{}
 }
 
 func (s *sequence) begin() uint64 {
-	s.begun++
-	return s.begun
+	s.last++
+	return s.last
 }
 
 func (s *sequence) finish(n uint64) {
--- a/replication/absorb_test.go
+++ b/replication/sourcemerge_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// newSplitGroup returns a group of three, n0 and n1 the members, whose second view is n0 alone: "old" is on n0 and n1, "new" on n0 and n2, and of "both"
-// n1 has the first version and n2 the second. Then the disk of n0 is lost.
+// newSplitGroup returns a group of three nodes, with n0 and n1 as members of the first view and n0 alone of the second: "old" is on n0 and
+// n1, "new" on n0 and n2, and "both" in its first version on n1 and in its second on n2. The disk of n0 is then lost.
 func newSplitGroup(t *testing.T) *replicaModel {
 	is := is.New(t)
 	m := newGroup(t, 3, 2, 2)
@@ -17,11 +17,11 @@
 	is.NoErr(*both)
 	m.nodes["n1"].stop(0)
 	m.install(View{Epoch: 2, Primary: "n0", Members: []MemberID{"n0"}, Learners: []MemberID{"n2", "n1"}})
-	for _, key := range []string{"aold", "zold"} { // as if the repair had not come to it
+	for _, key := range []string{"aold", "zold"} { // as if the repair had not reached them
 		delete(m.nodes["n2"].storage.index[modelGroup], key)
 		delete(m.nodes["n2"].storage.durable[modelGroup], key)
 	}
-	m.merges, m.merged = true, 1
+	m.allowMerges, m.mergeCount = true, 1
 	both, fresh := m.put("n0", "both"), m.put("n0", "new")
 	m.drain()
 	is.NoErr(*both)
@@ -36,7 +36,7 @@
 	return m.nodes[id].storage.durable[modelGroup][key].Version
 }
 
-func TestPrimaryTakesTheNewestVersionsFromItsSources(t *testing.T) {
+func TestPrimaryMergesTheNewestVersionsFromItsSources(t *testing.T) {
 	for primary, source := range map[MemberID]MemberID{"n1": "n2", "n2": "n1"} {
 		t.Run(primary, func(t *testing.T) {
 			is := is.New(t)
@@ -54,25 +54,26 @@
 	}
 }
 
-func TestNothingIsWrittenBeforeTheSourcesAreAbsorbed(t *testing.T) {
+func TestWritesAreRejectedBeforeSourcesAreMerged(t *testing.T) {
 	is := is.New(t)
 	m := newSplitGroup(t)
 	m.table = append(m.table, View{Epoch: 3, Primary: "n2", Members: []MemberID{"n2"}, Learners: []MemberID{"n1"}, Sources: []MemberID{"n1"}})
 	m.nodes["n2"].learnView(true)
-	m.drainAlone("n2")
+	m.drainNode("n2")
 	is.True(!m.nodes["n2"].replica.IsActive())
 	is.Equal(*m.put("n2", "early"), ErrNotPrimary)
 }
 
-// TestSourcesAreAbsorbedOnce has a primary delete a record that its source still holds, and go on in a view that names the source again.
-func TestSourcesAreAbsorbedOnce(t *testing.T) {
+// A primary deletes a record that its source still holds, and then continues in a view that names the source again. A second merge would
+// bring the record back.
+func TestSourcesAreMergedOnce(t *testing.T) {
 	is := is.New(t)
 	m := newSplitGroup(t)
 	v := View{Epoch: 3, Primary: "n2", Members: []MemberID{"n2"}, Learners: []MemberID{"n1"}, Sources: []MemberID{"n1"}}
 	m.install(v)
 	m.cut("n1", "n2")
 	m.nodes["n2"].replica.Write([]Record{{Key: "aold", Deleted: true}, {Key: "zold", Deleted: true}}, func(error) {})
-	m.drainAlone("n2")
+	m.drainNode("n2")
 	is.True(m.durableVersion("n1", "aold") > 0)
 	v.Epoch = 4
 	m.install(v)
@@ -81,8 +82,8 @@
 	is.Equal(m.durableVersion("n1", "aold"), uint64(0))
 }
 
-// drainAlone runs what a node has to do by itself.
-func (m *replicaModel) drainAlone(id MemberID) {
+// drainNode runs a node's posted functions and syncs, without delivering messages.
+func (m *replicaModel) drainNode(id MemberID) {
 	n := m.nodes[id]
 	for n.runPosted() || n.storage.sync() {
 	}
--- a/replication/stall.go
+++ b/replication/stall.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// stallPatience is how long the own disk may finish nothing, or a member confirm nothing that writes wait for, before the group goes on without.
-const stallPatience = time.Second
+// stallTimeout is how long the local disk may complete no append, or a peer acknowledge none that writes wait for, before it counts as
+// stalled and the group continues without it.
+const stallTimeout = time.Second
 
-// stallWatch notes, by regular ticks, since when the own disk has finished nothing of what it was given.
-type stallWatch struct {
-	ticked   time.Duration
+// stallDetector tracks, with regular ticks, since when the local disk has completed none of its outstanding appends.
+type stallDetector struct {
+	lastTick time.Duration
 	finished uint64
 	since    time.Duration
 }
 
-// tick looks at the disk, and returns how long this process itself stood still since the last look.
-func (w *stallWatch) tick(d *disk, now time.Duration) (pause time.Duration) {
-	if gap := now - w.ticked; gap > pauseGap {
+// tick checks the disk, and returns how long this process itself was paused since the last tick.
+func (w *stallDetector) tick(d *disk, now time.Duration) (pause time.Duration) {
+	if gap := now - w.lastTick; gap > pauseGap {
 		pause = gap
 	}
-	w.ticked = now
+	w.lastTick = now
 	w.since += pause
-	if d.appends.floor != w.finished || d.appends.floor == d.appends.begun {
+	if d.appends.floor != w.finished || d.appends.floor == d.appends.last {
 		w.finished, w.since = d.appends.floor, now
 	}
 	return pause
 }
 
-func (w *stallWatch) stalled() bool { return w.ticked-w.since >= stallPatience }
+func (w *stallDetector) isStalled() bool { return w.lastTick-w.since >= stallTimeout }
 
-// StalledMembers returns, as of the last Tick, the members that writes wait for and that have confirmed nothing for a while, and this member itself where
-// its own disk is what finishes nothing. Only a primary tells.
+// StalledMembers returns, as of the last Tick, the members and offered learners that writes wait for and that have acknowledged nothing
+// for stallTimeout, or only this member if its own disk is stalled. It is empty unless this replica is primary or candidate.
 func (r *Replica) StalledMembers() []MemberID {
 	if r.lead == nil {
 		return nil
 	}
-	if r.stall.stalled() {
+	if r.stall.isStalled() {
 		return []MemberID{r.o.Self}
 	}
 	var stalled []MemberID
 	for _, id := range r.lead.order {
-		if r.lead.mustHave(id) && r.lead.peers[id].stalled(r.stall.ticked) {
+		if r.lead.isRequired(id) && r.lead.peers[id].isStalled(r.stall.lastTick) {
 			stalled = append(stalled, id)
 		}
 	}
 	return stalled
 }
 
-// stalled tells whether a linked peer owes something and has not been heard of for a while, or its disk has refused all of it for so long.
-func (p *outbound) stalled(now time.Duration) bool {
-	if p.refuses && now-p.refusesSince >= stallPatience {
+// isStalled reports whether a linked peer with outstanding work has not responded for stallTimeout, or its disk has failed all writes
+// for that long.
+func (p *outbound) isStalled(now time.Duration) bool {
+	if p.diskFailing && now-p.diskFailingSince >= stallTimeout {
 		return true
 	}
-	return p.timed && p.busy() && now-p.idleSince-p.excused >= stallPatience
+	return p.timerStarted && p.hasOutstandingWork() && now-p.idleSince-p.pausedFor >= stallTimeout
 }
 
-// busy tells whether the peer has something to do before writes to it are done.
-func (p *outbound) busy() bool { return p.state != peerEqual || p.sent > p.acked }
+// hasOutstandingWork reports whether the peer has not caught up or has unacknowledged batches.
+func (p *outbound) hasOutstandingWork() bool { return p.state != peerInSync || p.sent > p.acked }
--- a/replication/storage_test.go
+++ b/replication/storage_test.go
@@ -7,12 +7,12 @@
 	"liftgauge/reconcile"
 )
 
-// memoryStorage is a storage whose syncs the test does one by one. What is not synced is lost in a crash, from some append on.
+// memoryStorage is an in-memory Storage. The test syncs its appends one by one; a crash loses the unsynced ones from some append on.
 type memoryStorage struct {
 	index   map[uint32]map[string]Record
 	durable map[uint32]map[string]Record
 	pending []pendingAppend
-	failing int // so many of the next syncs fail
+	failing int // number of the next syncs that fail
 }
 
 type pendingAppend struct {
@@ -86,7 +86,7 @@
 	return items
 }
 
-// sync brings the oldest append to disk, or fails it: the index then shows it or not, as a real one may.
+// sync makes the oldest append durable, or fails it. After a failure the index may or may not show it, as Storage permits.
 func (s *memoryStorage) sync() bool {
 	if len(s.pending) == 0 {
 		return false
@@ -106,7 +106,7 @@
 	return true
 }
 
-// rebuild makes the index what is on disk and what is under way.
+// rebuild recreates the index from the durable records and the pending appends.
 func (s *memoryStorage) rebuild() {
 	s.index = map[uint32]map[string]Record{}
 	for group, records := range s.durable {
@@ -117,7 +117,7 @@
 	}
 }
 
-// crash loses what is not synced but the first kept appends.
+// crash loses all unsynced appends except the first kept ones.
 func (s *memoryStorage) crash(kept int) {
 	for _, a := range s.pending[:min(kept, len(s.pending))] {
 		apply(s.durable, a)
--- a/replication/view.go
+++ b/replication/view.go
@@ -2,33 +2,34 @@
 
 import "slices"
 
-// MemberID names what outlives a process: a disk. A process that returns with an empty disk is another member.
+// MemberID identifies a disk, which outlives the process that uses it. A process that restarts with an empty disk is another member.
 type MemberID = string
 
-// View says who holds the records of a group in an epoch.
+// View is the configuration of a group in one epoch.
 //
-// Every member holds everything that was acknowledged. Learners are on their way there.
+// Every member holds all acknowledged writes. Learners are catching up.
 //
-// Where the last member's disk is lost before a learner was equal, no single disk holds everything, but those of the learners do together. A
-// view with Sources puts it together: its primary takes the newest version of each record from all of them before it is active.
+// When the last member's disk is lost before a learner has caught up, no single disk holds all acknowledged writes, but the disks of
+// the learners together do. A view with Sources merges them: before it becomes active, its primary takes the newest version of each
+// record from all sources.
 type View struct {
 	Epoch    uint64
 	Primary  MemberID // one of Members
 	Members  []MemberID
 	Learners []MemberID
-	Sources  []MemberID // of Learners; the primary holds everything only with what these hold
+	Sources  []MemberID // subset of Learners; the primary has all acknowledged writes only after merging theirs
 }
 
-// IsMember tells whether id is among the members.
+// IsMember reports whether id is a member.
 func (v View) IsMember(id MemberID) bool { return slices.Contains(v.Members, id) }
 
-// IsLearner tells whether id is among the learners.
+// IsLearner reports whether id is a learner.
 func (v View) IsLearner(id MemberID) bool { return slices.Contains(v.Learners, id) }
 
-// Includes tells whether id is a member or a learner.
+// Includes reports whether id is a member or a learner.
 func (v View) Includes(id MemberID) bool { return v.IsMember(id) || v.IsLearner(id) }
 
-// Clone returns a copy that shares nothing with v.
+// Clone returns a deep copy of v.
 func (v View) Clone() View {
 	v.Members = slices.Clone(v.Members)
 	v.Learners = slices.Clone(v.Learners)
--- a/replication/witness.go
+++ b/replication/witness.go
@@ -6,13 +6,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Register is what a witness keeps on its disk.
+// Register is the persistent state of a witness.
 type Register struct {
-	Promised  uint64      // no lower epoch is prepared or installed here
-	Candidate MemberID    // to whom Promised was promised
-	Installed ControlView // the newest view that was installed here
-	Founder   bool        // this disk began empty in a seed that was started with Bootstrap
-	Seeds     []string    // of a founder: the seeds of that first start
+	Promised  uint64      // no lower epoch is promised or accepted
+	Candidate MemberID    // candidate that Promised was promised to
+	Installed ControlView // newest view accepted by this witness
+	Founder   bool        // this disk was initialised by a seed started with Bootstrap
+	Seeds     []string    // seeds at that first start; founders only
 }
 
 // Append appends the encoded register to b.
@@ -35,12 +35,12 @@
 
 const registerKey = "witness/register"
 
-// RegisterRecord returns the record of LocalGroup that keeps a register.
+// RegisterRecord returns the record of LocalGroup that stores a register.
 func RegisterRecord(g Register) Record {
 	return Record{Key: registerKey, Version: g.Promised, Value: g.Append(nil)}
 }
 
-// LoadRegister reads the register from storage; found is false on a disk that never had one.
+// LoadRegister reads the register from storage; found is false if the disk has none.
 func LoadRegister(s Storage) (g Register, found bool, err error) {
 	record, found, err := s.Get(LocalGroup, registerKey)
 	if err != nil || !found {
@@ -49,60 +49,61 @@
 	return g, true, errors.Wrap(g.Decode(record.Value), "record "+registerKey)
 }
 
-// Witness decides about views by its register. Whoever holds it puts a changed register on disk before an answer is given away.
+// Witness is an acceptor: it votes on views according to its register. The owner must write a changed register to disk before it sends
+// the answer.
 type Witness struct {
 	Register Register
 }
 
-// Prepare promises an epoch to a candidate: nothing lower is prepared or installed here afterwards. The answer tells the view that is
-// installed. While a group is being founded, only founders promise: a seed that lost its disk may have promised before.
+// Prepare promises an epoch to a candidate: no lower epoch is promised or accepted afterwards. The answer carries the installed view.
+// While a group is being founded, only founders promise: a seed that lost its disk may have made a promise that it no longer knows of.
 func (w *Witness) Prepare(from MemberID, m *PrepareEpoch) (answer *PrepareAnswer, changed bool) {
-	g := &w.Register
-	founding := m.Founding && g.Installed.Epoch == 0
-	if w.permits(from, m.Epoch) && (!founding || g.Founder) {
-		changed = g.Promised != m.Epoch || g.Candidate != from
-		g.Promised, g.Candidate = m.Epoch, from
+	register := &w.Register
+	founding := m.Founding && register.Installed.Epoch == 0
+	if w.permits(from, m.Epoch) && (!founding || register.Founder) {
+		changed = register.Promised != m.Epoch || register.Candidate != from
+		register.Promised, register.Candidate = m.Epoch, from
 		answer = &PrepareAnswer{Epoch: m.Epoch, Granted: true}
 	} else {
 		answer = &PrepareAnswer{Epoch: m.Epoch}
 	}
-	answer.Promised = g.Promised
-	answer.Installed = g.Installed.Clone()
+	answer.Promised = register.Promised
+	answer.Installed = register.Installed.Clone()
 	return answer, changed
 }
 
-// Install takes a view of an epoch unless a higher one, or this one to somebody else, was promised.
+// Install accepts a view unless a higher epoch, or the same one to another candidate, was promised.
 func (w *Witness) Install(from MemberID, m *InstallEpoch) (answer *InstallAnswer, changed bool) {
 	epoch := m.View.Epoch
 	if m.View.Primary != from || !w.permits(from, epoch) {
 		return &InstallAnswer{Epoch: epoch, Promised: w.Register.Promised}, false
 	}
-	return &InstallAnswer{Epoch: epoch, Accepted: true, Promised: epoch}, w.take(m.View)
+	return &InstallAnswer{Epoch: epoch, Accepted: true, Promised: epoch}, w.store(m.View)
 }
 
-// Learn takes a view that is known to be decided.
+// Learn stores a view that is known to be decided.
 func (w *Witness) Learn(v ControlView) (changed bool) {
-	return v.Epoch > w.Register.Installed.Epoch && w.permits(v.Primary, v.Epoch) && w.take(v)
+	return v.Epoch > w.Register.Installed.Epoch && w.permits(v.Primary, v.Epoch) && w.store(v)
 }
 
-func (w *Witness) take(v ControlView) (changed bool) {
-	g := &w.Register
-	if g.Installed.Epoch == v.Epoch {
+func (w *Witness) store(v ControlView) (changed bool) {
+	register := &w.Register
+	if register.Installed.Epoch == v.Epoch {
 		return false
 	}
-	g.Promised, g.Candidate = v.Epoch, v.Primary
-	g.Installed = v.Clone()
+	register.Promised, register.Candidate = v.Epoch, v.Primary
+	register.Installed = v.Clone()
 	return true
 }
 
-// permits tells whether the epoch may still be this candidate's.
+// permits reports whether the promises made allow the epoch to this candidate.
 func (w *Witness) permits(candidate MemberID, epoch uint64) bool {
-	g := &w.Register
-	return epoch > g.Promised || epoch == g.Promised && epoch > 0 && g.Candidate == candidate
+	register := &w.Register
+	return epoch > register.Promised || epoch == register.Promised && epoch > 0 && register.Candidate == candidate
 }
 
-// stands tells whether no primary but this one can have been decided since its epoch, as far as this witness has a say.
-func (w *Witness) stands(primary MemberID, epoch uint64) bool {
-	g := &w.Register
-	return g.Installed.Epoch <= epoch && (g.Promised <= epoch || g.Candidate == primary)
+// isStillPrimary reports whether, as far as this witness's vote goes, no other primary can have been decided since the epoch.
+func (w *Witness) isStillPrimary(primary MemberID, epoch uint64) bool {
+	register := &w.Register
+	return register.Installed.Epoch <= epoch && (register.Promised <= epoch || register.Candidate == primary)
 }
--- a/replication/write.go
+++ b/replication/write.go
@@ -1,21 +1,21 @@
 package replication
 
-// write is a batch that is not done.
+// write is a batch that is not committed yet.
 type write struct {
-	index  uint64 // counts up through all epochs in which this replica is primary without a break
-	done   func(error)
-	failed error // the own storage failed
+	index uint64 // continues across consecutive epochs with this replica as primary
+	done  func(error)
+	err   error // failure of the local storage
 }
 
-// writeQueue holds the writes that are not done, in order.
+// writeQueue holds the uncommitted writes in order.
 type writeQueue struct {
-	pending  []*write
-	settling []settling
-	synced   sequence // on the own disk
+	pending []*write
+	waiters []commitWaiter
+	synced  sequence // on the local disk
 }
 
 // last returns the index of the newest write.
-func (q *writeQueue) last() uint64 { return q.synced.begun }
+func (q *writeQueue) last() uint64 { return q.synced.last }
 
 func (q *writeQueue) len() int { return len(q.pending) }
 
@@ -31,42 +31,42 @@
 	q.pending = q.pending[1:]
 }
 
-// fail answers all pending writes with an error.
+// fail completes all pending writes and commit waiters with an error.
 func (q *writeQueue) fail(err error) {
-	failed, settling := q.pending, q.settling
-	q.pending, q.settling = nil, nil
+	failed, waiters := q.pending, q.waiters
+	q.pending, q.waiters = nil, nil
 	for _, w := range failed {
 		w.done(err)
 	}
-	for _, s := range settling {
+	for _, s := range waiters {
 		s.done(err)
 	}
 }
 
-// Write replicates the records as one batch. done(nil) is called when it is on the own disk, on those of all members and of all
-// joined learners, and on Copies disks at least. ErrNotPrimary comes at once and means that nothing was written, also because there are
-// sources to absorb; after any other
-// error the fate is unknown. done is called on the owner's loop. Versions are drawn here and written into records.
+// Write replicates the records as one batch. done(nil) is called when the batch is on the local disk, on the disks of all members and
+// of all learners that have joined, and on at least Copies disks. ErrNotPrimary is returned immediately and means that nothing was
+// written, also when there are sources left to merge; after any other error the outcome is unknown. done is called on the owner's
+// loop. Write assigns the versions and stores them in records.
 func (r *Replica) Write(records []Record, done func(error)) {
-	if r.lead == nil || r.disk.closed || !r.versions.ready() || len(r.lead.sources) > 0 {
+	if r.lead == nil || r.disk.closed || !r.versions.canAssign() || len(r.lead.sources) > 0 {
 		done(ErrNotPrimary)
 		return
 	}
-	version := r.versions.draw()
+	version := r.versions.next()
 	for i := range records {
 		records[i].Version = version
 	}
-	if r.lead.joined && r.versions.low() {
-		r.reserve()
+	if r.lead.joined && r.versions.needsReservation() {
+		r.reserveVersions()
 	}
 	w := &write{index: r.writes.synced.begin(), done: done}
 	r.writes.pending = append(r.writes.pending, w)
 	r.disk.append(r.o.Group, records, func(err error) {
 		if err != nil {
-			w.failed = ErrStorage
+			w.err = ErrStorage
 		}
 		r.writes.synced.finish(w.index)
-		r.complete()
+		r.completeWrites()
 	})
 	for _, id := range r.lead.order {
 		if p := r.lead.peers[id]; p.streaming() {
