--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -3,7 +3,7 @@
 // recoveryPromises are the promises of founding control anew.
 var recoveryPromises = []Mutant{
 	{
-		Promise: "a primary of an earlier generation is told of the present one", File: "replication/tenure.go",
+		Promise: "a primary of an earlier generation is told of the present one", File: "replication/primarystate.go",
 		Old: "if m.Epoch < installed.Epoch && installed.Generation > 0 {", New: "if false {",
 		Package: "./replication",
 	},
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -207,7 +207,7 @@
 		Package: "./replication",
 	},
 	{
-		Promise: "what settles is on the disks of equal peers", File: "replication/settle.go",
+		Promise: "what settles is on the disks of equal peers", File: "replication/awaitcommit.go",
 		Old:     "return copies >= r.o.Copies",
 		New:     "return copies > 0",
 		Package: "./replication",
@@ -272,19 +272,19 @@
 		Package: "./internal/roles/dispatcher/stores",
 	},
 	{
-		Promise: "a member whose disk stalls is left out", File: "replication/tenure.go",
+		Promise: "a member whose disk stalls is left out", File: "replication/primarystate.go",
 		Old:     "\tfor _, id := range stalled {\n",
 		New:     "\tfor _, id := range stalled[:0] {\n",
 		Package: "./replication",
 	},
 	{
-		Promise: "a primary whose disk stalls hands over", File: "replication/tenure.go",
+		Promise: "a primary whose disk stalls hands over", File: "replication/primarystate.go",
 		Old:     "if (e.demoteStalled() || e.resigned) &&",
 		New:     "if (e.demoteStalled() && e.resigned || e.resigned) &&",
 		Package: "./replication",
 	},
 	{
-		Promise: "a process that was left out of a view is told of it", File: "replication/tenure.go",
+		Promise: "a process that was left out of a view is told of it", File: "replication/primarystate.go",
 		Old:     "\t\tprimary.noteRemoved(c.base.Peers)\n",
 		New:     "\t\tprimary.noteRemoved(nil)\n",
 		Package: "./replication",
