--- a/replication/cluster_fault_test.go
+++ b/replication/cluster_fault_test.go
@@ -37,35 +37,35 @@
 	if c.random.IntN(2) == 0 && c.primary() != nil {
 		p = c.primary()
 	}
-	back := c.between(50*time.Millisecond, 2*time.Second)
+	duration := c.between(50*time.Millisecond, 2*time.Second)
 	switch c.random.IntN(10) {
 	case 0:
 		p.stop(false)
-		c.after(back, p.start)
+		c.after(duration, p.start)
 		return "kill " + p.machine
 	case 1:
 		p.stop(true)
-		c.after(back, p.start)
+		c.after(duration, p.start)
 		return "power " + p.machine
 	case 2:
 		p.stop(true)
 		p.wipe()
-		c.after(back, p.start)
+		c.after(duration, p.start)
 		return "wipe " + p.machine
 	case 3:
-		p.pausedUntil = c.now + back
-		return fmt.Sprintf("pause %s for %v", p.machine, back)
+		p.pausedUntil = c.now + duration
+		return fmt.Sprintf("pause %s for %v", p.machine, duration)
 	case 4:
 		c.isolate(p, true, true)
-		c.after(back, func() { c.isolate(p, false, false) })
+		c.after(duration, func() { c.isolate(p, false, false) })
 		return "cut " + p.machine
 	case 5:
 		c.isolate(p, true, false)
-		c.after(back, func() { c.isolate(p, false, false) })
+		c.after(duration, func() { c.isolate(p, false, false) })
 		return "cut from " + p.machine
 	case 6:
 		c.isolate(p, false, true)
-		c.after(back, func() { c.isolate(p, false, false) })
+		c.after(duration, func() { c.isolate(p, false, false) })
 		return "cut towards " + p.machine
 	case 7:
 		for _, q := range c.procs {
@@ -74,8 +74,8 @@
 		}
 		return "power everywhere"
 	case 8:
-		p.stall(back)
-		return fmt.Sprintf("stall the disk of %s for %v", p.machine, back)
+		p.stall(duration)
+		return fmt.Sprintf("stall the disk of %s for %v", p.machine, duration)
 	}
 	p.do(func() { p.act(p.elector.Resign(c.now)) })
 	c.after(time.Second, func() { p.stop(false); c.after(100*time.Millisecond, p.start) })
@@ -168,7 +168,7 @@
 // period that a member would be given. One election message in a hundred is lost, so a few runs may take longer.
 func TestElectionDoesNotWaitForAPureWitness(t *testing.T) {
 	is := is.New(t)
-	const runs, late = 20, 2
+	const runs, maxLate = 20, 2
 	const within = gracePeriod + 35*time.Millisecond // after the last start: election timeout, a tick, some messages, a sync, but no grace period
 	elected := 0
 	for seed := range uint64(runs) {
@@ -191,7 +191,7 @@
 			elected++
 		}
 	}
-	is.True(elected >= runs-late)
+	is.True(elected >= runs-maxLate)
 }
 
 // A process that was down while the view changed becomes candidate after a power loss everywhere, while the first member of the new view
@@ -202,17 +202,17 @@
 	yielded := 0
 	for seed := range uint64(20) {
 		c := newRunningCluster(t, seed, 4, 3)
-		away := c.primary()
-		away.stop(false)
+		nonMember := c.primary()
+		nonMember.stop(false)
 		c.run(recoveryTime)
 		first := c.primary()
-		is.True(!slices.Contains(first.elector.View().Members, away.member()))
+		is.True(!slices.Contains(first.elector.View().Members, nonMember.member()))
 		for _, p := range c.procs {
 			if p.running {
 				p.stop(true)
 			}
 		}
-		away.campaigns = 0
+		nonMember.campaigns = 0
 		for _, p := range c.procs {
 			if p != first {
 				c.after(c.between(0, 40*time.Millisecond), p.start)
@@ -221,8 +221,8 @@
 		c.run(900 * time.Millisecond)
 		is.Equal(c.failure, "")
 		is.True(c.primary() != nil)
-		is.True(away.campaigns <= 1)
-		yielded += away.campaigns
+		is.True(nonMember.campaigns <= 1)
+		yielded += nonMember.campaigns
 	}
 	is.True(yielded > 0) // in some runs it became candidate before the members did
 }
@@ -231,7 +231,7 @@
 // first view, without waiting until the request is resent.
 func TestMemberThatStartsDuringAnElectionIsIncluded(t *testing.T) {
 	is := is.New(t)
-	const runs, late = 20, 2 // messages are lost now and then
+	const runs, maxLate = 20, 2 // messages are lost now and then
 	const third, within = startupElectionTimeout + 55*time.Millisecond, 45 * time.Millisecond
 	elected := 0
 	for seed := range uint64(runs) {
@@ -248,7 +248,7 @@
 			elected++
 		}
 	}
-	is.True(elected >= runs-late)
+	is.True(elected >= runs-maxLate)
 }
 
 // One disk, the primary's or a member's, stalls for a long time: the process votes and answers, but acknowledges no write.
@@ -309,10 +309,10 @@
 		c.run(400 * time.Millisecond)
 		is.Equal(c.failure, "")
 		is.True(!p.elector.IsNeeded()) // it was notified of its removal
-		left := c.primary().elector.View()
-		is.True(!left.IsWitness(p.member()))
+		view := c.primary().elector.View()
+		is.True(!view.IsWitness(p.member()))
 		c.run(500 * time.Millisecond)
-		is.Equal(c.primary().elector.View().Epoch, left.Epoch) // no further view change
+		is.Equal(c.primary().elector.View().Epoch, view.Epoch) // no further view change
 		p.stop(false)
 		p.start()
 		c.run(time.Second)
@@ -368,12 +368,12 @@
 				p.stop(true)
 			}
 		}
-		begun := c.now
-		for c.primary() == nil && c.now-begun < time.Minute && c.failure == "" {
+		start := c.now
+		for c.primary() == nil && c.now-start < time.Minute && c.failure == "" {
 			c.run(100 * time.Millisecond)
 		}
 		is.Equal(c.failure, "")
-		t.Logf("seed %d: elected after %v", seed, c.now-begun)
-		is.True(c.now-begun < 20*time.Second)
+		t.Logf("seed %d: elected after %v", seed, c.now-start)
+		is.True(c.now-start < 20*time.Second)
 	}
 }
--- a/replication/cluster_random_test.go
+++ b/replication/cluster_random_test.go
@@ -15,11 +15,11 @@
 func (c *cluster) injectRandomFault() string {
 	p := c.procs[c.random.IntN(len(c.procs))]
 	other := c.procs[c.random.IntN(len(c.procs))]
-	back := c.between(5*time.Millisecond, 1500*time.Millisecond)
+	duration := c.between(5*time.Millisecond, 1500*time.Millisecond)
 	switch kind := c.random.IntN(12); {
 	case kind < 2 && p.running:
 		p.stop(kind == 0)
-		c.after(back, func() { c.restart(p) })
+		c.after(duration, func() { c.restart(p) })
 		return "stop " + p.machine
 	case kind < 3:
 		for _, q := range c.procs {
@@ -30,15 +30,15 @@
 		}
 		return "power everywhere"
 	case kind < 5:
-		p.pausedUntil = c.now + back
-		return fmt.Sprintf("pause %s for %v", p.machine, back)
+		p.pausedUntil = c.now + duration
+		return fmt.Sprintf("pause %s for %v", p.machine, duration)
 	case kind < 8 && p != other:
 		c.block(p, other, true)
-		c.after(back, func() { c.block(p, other, false) })
-		return fmt.Sprintf("cut %s to %s for %v", p.machine, other.machine, back)
+		c.after(duration, func() { c.block(p, other, false) })
+		return fmt.Sprintf("cut %s to %s for %v", p.machine, other.machine, duration)
 	case kind < 9:
 		c.isolate(p, true, true)
-		c.after(back, func() { c.isolate(p, false, false) })
+		c.after(duration, func() { c.isolate(p, false, false) })
 		return "isolate " + p.machine
 	case kind < 10 && p.running:
 		p.do(func() { p.act(p.elector.Resign(c.now)) })
@@ -109,7 +109,7 @@
 // the test tries a range of moments.
 func TestPausedPrimaryActivatesAnObsoleteEpoch(t *testing.T) {
 	is := is.New(t)
-	late := 0
+	obsolete := 0
 	for moment := range 30 {
 		c := newRunningCluster(t, 1, 5, 3)
 		c.pauseDuringViewChange(time.Duration(moment) * time.Millisecond)
@@ -117,23 +117,23 @@
 		is.Equal(c.checkRecovered(), "")
 		for i, s := range c.initialStates[1:] {
 			if s.epoch < c.initialStates[i].epoch {
-				late++
+				obsolete++
 			}
 		}
 	}
-	is.True(late > 0) // some primary became active after one of a later epoch
+	is.True(obsolete > 0) // some primary became active after one of a later epoch
 }
 
 // pauseDuringViewChange isolates a member, which makes the primary change its view, and pauses the primary the given time after it started
 // to prepare the new view.
 func (c *cluster) pauseDuringViewChange(after time.Duration) {
-	old := c.primary()
-	member := c.procs[(slices.Index(c.procs, old)+1)%len(c.seeds)]
+	primary := c.primary()
+	member := c.procs[(slices.Index(c.procs, primary)+1)%len(c.seeds)]
 	prepared := false
 	c.trace = func(format string, args ...any) {
-		if !prepared && format == tracePrepares && args[1] == old.member() {
+		if !prepared && format == tracePrepares && args[1] == primary.member() {
 			prepared = true
-			c.after(after, func() { old.pausedUntil = c.now + 1500*time.Millisecond })
+			c.after(after, func() { primary.pausedUntil = c.now + 1500*time.Millisecond })
 		}
 	}
 	c.isolate(member, true, true)
--- a/replication/cluster_test.go
+++ b/replication/cluster_test.go
@@ -367,19 +367,19 @@
 	c.ackedIn[epoch][key] = max(c.ackedIn[epoch][key], version)
 	for _, s := range c.initialStates {
 		if s.epoch > epoch {
-			c.checkSeen(s, key, version)
+			c.checkInherited(s, key, version)
 		}
 	}
 }
 
-// checkSeen fails if a primary started without an acknowledged write of an earlier epoch. Writes of later epochs are ignored: a process
+// checkInherited fails if a primary started without an acknowledged write of an earlier epoch. Writes of later epochs are ignored: a process
 // that was paused may resume as primary of an epoch that is over.
-func (c *cluster) checkSeen(s initialState, key string, acked uint64) {
+func (c *cluster) checkInherited(s initialState, key string, acked uint64) {
 	if c.checksOff {
 		return
 	}
 	if s.versions[key] < acked {
-		c.fail("seen: epoch %d began with %s at %x, acknowledged %x", s.epoch, key, s.versions[key], acked)
+		c.fail("inherited: epoch %d began with %s at %x, acknowledged %x", s.epoch, key, s.versions[key], acked)
 	}
 }
 
@@ -444,7 +444,7 @@
 			continue
 		}
 		for key, version := range acked {
-			p.c.checkSeen(s, key, version)
+			p.c.checkInherited(s, key, version)
 		}
 	}
 }
--- a/replication/elector.go
+++ b/replication/elector.go
@@ -34,7 +34,7 @@
 	removalNoticePeriod    = time.Second     // how long peers that were removed from a view are notified of it
 	foundingPeriod         = time.Second     // to wait for all seeds before enough of them may found the group
 	witnessLostTimeout     = 3 * time.Second // before an unresponsive witness may be removed
-	unjoinablePeriod       = 3 * time.Second // how long a member whose replica did not join is only a learner, unless it catches up earlier
+	unjoinablePeriod       = 3 * time.Second // how long a member that did not join or stalled is only a learner, unless it catches up earlier
 	confirmDeadline        = 2 * time.Second
 )
 
@@ -292,7 +292,8 @@
 	}
 }
 
-// receivePrepare answers for the local witness once its register is on disk. While the primary is live, it refuses promises to others.
+// receivePrepare answers for the local witness once its register is on disk. While the primary is live, it refuses other candidates, unless
+// their request is forced.
 func (e *Elector) receivePrepare(from Peer, m *PrepareEpoch) {
 	e.highestEpoch = max(e.highestEpoch, m.Epoch)
 	if !m.Forced && e.isPrimaryLive() && from.Member != e.decided.Primary {
--- a/replication/elector_test.go
+++ b/replication/elector_test.go
@@ -215,15 +215,15 @@
 func TestConfirmCountsOnlyAnswersToLaterRounds(t *testing.T) {
 	is := is.New(t)
 	e, v := newPrimary()
-	asked := e.primary.round
+	currentRound := e.primary.round
 	e.Confirm(0, nil)
 	answer := func(from int, m HeartbeatAnswer) []Action {
 		m.Epoch = 7
 		return e.Receive(ElectionFrame{From: v.Peers[from], Message: &m}, 0)
 	}
-	is.Equal(len(answer(1, HeartbeatAnswer{Round: asked, StillPrimary: true})), 0)      // answers a heartbeat sent before
-	is.Equal(len(answer(2, HeartbeatAnswer{Round: asked + 1, StillPrimary: false})), 0) // has promised or installed another primary
-	actions := answer(1, HeartbeatAnswer{Round: asked + 1, StillPrimary: true})
+	is.Equal(len(answer(1, HeartbeatAnswer{Round: currentRound, StillPrimary: true})), 0)      // answers a heartbeat sent before
+	is.Equal(len(answer(2, HeartbeatAnswer{Round: currentRound + 1, StillPrimary: false})), 0) // has promised or installed another primary
+	actions := answer(1, HeartbeatAnswer{Round: currentRound + 1, StillPrimary: true})
 	is.Equal(len(actions), 1) // a majority, including the local witness
 	is.True(actions[0].(ConfirmResult).Confirmed)
 }
--- a/replication/leadership.go
+++ b/replication/leadership.go
@@ -10,7 +10,7 @@
 	active     bool
 	ready      func(epoch uint64) // callback of a candidate; nil once called
 	peers      map[MemberID]*outbound
-	order      []MemberID // order of peers
+	order      []MemberID // IDs of peers in the order of the view
 	offered    map[MemberID]bool
 	sources    map[MemberID]bool // not merged yet
 	lastStream uint64            // number of the last stream
--- a/replication/outbound.go
+++ b/replication/outbound.go
@@ -30,13 +30,13 @@
 
 // repairLimits bound a repair, in bytes.
 type repairLimits struct {
-	message int // per message
-	window  int // sent and not acknowledged
-	atomic  int // up to this size the repair of a member is one message, so that no intermediate state is ever visible
+	messageSize int // of one message
+	windowSize  int // of all unacknowledged messages
+	atomicSize  int // up to this size the repair of a member is one message, so that no intermediate state is ever visible
 }
 
 func defaultRepairLimits() repairLimits {
-	return repairLimits{message: 64 << 10, window: 256 << 10, atomic: 4 << 20}
+	return repairLimits{messageSize: 64 << 10, windowSize: 256 << 10, atomicSize: 4 << 20}
 }
 
 // outbound is a primary's stream to one other member.
@@ -109,7 +109,8 @@
 	return p.streaming() && index > p.beginIndex && index > p.syncedIndex
 }
 
-// needsRestart reports whether it is time to restart the stream, because it failed or made no progress for streamTimeout.
+// needsRestart reports whether it is time to restart the stream, because it failed or made no progress for streamTimeout. With progress, or
+// without outstanding work, it restarts the timer.
 func (p *outbound) needsRestart(now time.Duration) bool {
 	if !p.timerStarted || p.heardSinceTick || !p.hasOutstandingWork() {
 		p.timerStarted, p.heardSinceTick, p.idleSince, p.pausedFor = true, false, now, 0
@@ -229,12 +230,12 @@
 // reverse order. A member, or a learner that may have been promoted, gets all of them in one batch if possible: if this primary fails
 // in between, the peer may become primary with the records that it has, and must not expose half of a batch.
 func (r *Replica) repair(p *outbound) {
-	slice, window := r.limits.message, r.limits.window
+	messageSize, windowSize := r.limits.messageSize, r.limits.windowSize
 	if r.lead.isRequired(p.id) {
-		slice, window = r.limits.atomic, r.limits.atomic
+		messageSize, windowSize = r.limits.atomicSize, r.limits.atomicSize
 	}
-	for len(p.changed)+len(p.extra) > 0 && p.repairing < window {
-		records, size, err := r.nextSlice(p, slice)
+	for len(p.changed)+len(p.extra) > 0 && p.repairing < windowSize {
+		records, size, err := r.nextBatch(p, messageSize)
 		if err != nil {
 			p.fail()
 			return
@@ -249,8 +250,8 @@
 	r.checkInSync(p)
 }
 
-// nextSlice takes the next keys of the repair and reads their current records.
-func (r *Replica) nextSlice(p *outbound, limit int) (records []Record, size int, err error) {
+// nextBatch takes the next keys of the repair and reads their current records.
+func (r *Replica) nextBatch(p *outbound, limit int) (records []Record, size int, err error) {
 	for size < limit && len(p.changed)+len(p.extra) > 0 {
 		keys := &p.changed
 		if len(*keys) == 0 {
--- a/replication/replica_model_test.go
+++ b/replication/replica_model_test.go
@@ -10,34 +10,34 @@
 // The model runs replicas of one group on a few machines, with a table that decides views, and takes random steps: it delivers a message,
 // runs a posted function, syncs, writes, cuts a link, crashes a node, wipes a disk, or decides a new view. After each step it checks:
 //
-//   - held: every member of the newest decided view whose disk is not lost has all acknowledged writes, or newer ones, on disk;
-//   - whole: no member's disk shows half a batch;
-//   - seen: an active primary starts with all writes of earlier epochs that were acknowledged before, or are acknowledged later;
-//   - single: no epoch has two primaries, and no version has two contents.
+//   - durable: every member of the newest decided view whose disk is not lost has all acknowledged writes, or newer ones, on disk;
+//   - atomic: no member's disk shows half a batch;
+//   - inherited: an active primary starts with all writes of earlier epochs that were acknowledged before, or are acknowledged later;
+//   - unique: no epoch has two primaries, and no version has two contents.
 //
-// At the end all faults are removed, and the group must become active, complete every write, and have equal records on all disks.
+// At the end all faults are removed, and the group must converge: become active, complete every write, and have equal records on all disks.
 //
 // Mutants of the replica, and the check or test that catches each (each was tried, with 6000 runs of the model):
 //
-//	acknowledge an append before its sync                       held
-//	reply to Join before earlier appends are synced             held
-//	join an epoch in memory only                                held
-//	accept a Join of a lower epoch                              held
-//	do not wait for members that have not joined                held
-//	do not wait for an offered learner whose link broke         held
-//	do not wait for what was sent to a learner that has joined  held
-//	a primary that resumes forgets that it offered learners     held
-//	a primary that resumes reuses version numbers               single
-//	the primary does not wait for its own join                  held
-//	the primary does not wait for its own disk                  held
-//	a peer holds writes from before its stream started          held
-//	a repair reads records when it compares, not when it sends  equal at the end
-//	a peer is in sync as soon as the digests are equal          held
-//	a repair deletes nothing                                    equal at the end
-//	a repair of an offered learner is split into messages       whole
-//	streams keep their numbers across links                     held
-//	active before all members are in sync                       seen
-//	failed appends are forgotten                                held
+//	acknowledge an append before its sync                       durable
+//	reply to Join before earlier appends are synced             durable
+//	join an epoch in memory only                                durable
+//	accept a Join of a lower epoch                              durable
+//	do not wait for members that have not joined                durable
+//	do not wait for an offered learner whose link broke         durable
+//	do not wait for what was sent to a learner that has joined  durable
+//	a primary that resumes forgets that it offered learners     durable
+//	a primary that resumes reuses version numbers               unique
+//	the primary does not wait for its own join                  durable
+//	the primary does not wait for its own disk                  durable
+//	a peer holds writes from before its stream started          durable
+//	a repair reads records when it compares, not when it sends  converged
+//	a peer is in sync as soon as the digests are equal          durable
+//	a repair deletes nothing                                    converged
+//	a repair of an offered learner is split into messages       atomic
+//	streams keep their numbers across links                     durable
+//	active before all members are in sync                       inherited
+//	failed appends are forgotten                                durable
 //	Copies is ignored                                           TestWriteNeedsCopies
 //	Drop does not join the newer epoch                          TestDropJoinsTheEpochWithoutThisMember
 //	a prepared view acknowledges writes                         TestPreparedViewAcknowledgesNoWrites
@@ -56,7 +56,7 @@
 	incarnation    int // counts starts; callbacks of earlier lives are dropped
 	wiped          bool
 	clock          time.Duration
-	installedViews int // number of views of the table that were installed here
+	installedViews int // number of views that were installed here
 }
 
 type link struct{ from, to MemberID }
@@ -82,7 +82,7 @@
 	up            map[link]bool // both directions share one state
 	queues        map[link][][]byte
 	stale         []sentMessage // messages of broken links, which may still arrive
-	table         []View
+	views         []View
 	offers        map[MemberID]bool
 	writes        map[uint64]*issuedWrite // by version
 	acked         map[string]uint64       // newest acknowledged version by key
@@ -118,7 +118,7 @@
 		m.addNode(fmt.Sprintf("n%d", i))
 	}
 	v := View{Epoch: 1, Primary: m.order[0], Members: slices.Clone(m.order[:members])}
-	m.table = []View{v}
+	m.views = []View{v}
 	return m
 }
 
@@ -151,7 +151,7 @@
 	if err != nil {
 		n.model.t.Fatalf("NewReplica: %v", err)
 	}
-	r.limits.message, r.limits.window = 1, 2*recordOverhead
+	r.limits.messageSize, r.limits.windowSize = 1, 2*recordOverhead
 	n.replica = r
 }
 
@@ -167,7 +167,7 @@
 func (n *modelNode) Active(epoch uint64) {
 	m := n.model
 	if other, ok := m.leaders[epoch]; ok && other != n.id {
-		m.t.Fatalf("single: epoch %d active at %s and %s", epoch, other, n.id)
+		m.t.Fatalf("unique: epoch %d active at %s and %s", epoch, other, n.id)
 	}
 	m.leaders[epoch] = n.id
 	s := initialState{epoch: epoch, versions: map[string]uint64{}}
@@ -176,7 +176,7 @@
 	}
 	m.initialStates = append(m.initialStates, s)
 	for key := range m.acked {
-		m.checkSeen(s, key)
+		m.checkInherited(s, key)
 	}
 }
 
@@ -190,12 +190,12 @@
 
 func (n *modelNode) Applied([]Record) {}
 
-func (m *replicaModel) view() View { return m.table[len(m.table)-1] }
+func (m *replicaModel) view() View { return m.views[len(m.views)-1] }
 
-// checkSeen checks that a primary started with the writes acknowledged in earlier epochs. A write counts from the epoch in which it was
+// checkInherited checks that a primary started with the writes acknowledged in earlier epochs. A write counts from the epoch in which it was
 // issued. After a merge, it counts from the epoch in which it was acknowledged: the primary that merges may have been deposed without
 // being notified, and then acknowledges writes that were pending since an earlier epoch.
-func (m *replicaModel) checkSeen(s initialState, key string) {
+func (m *replicaModel) checkInherited(s initialState, key string) {
 	newest := m.acked[key]
 	if newest == 0 {
 		return
@@ -208,7 +208,7 @@
 		return
 	}
 	if !m.notOlder(key, s.versions[key], newest) {
-		m.t.Fatalf("seen: epoch %d began with %s at %x, acknowledged %x in epoch %d", s.epoch, key, s.versions[key], newest, m.writes[newest].epoch)
+		m.t.Fatalf("inherited: epoch %d began with %s at %x, acknowledged %x in epoch %d", s.epoch, key, s.versions[key], newest, m.writes[newest].epoch)
 	}
 }
 
@@ -241,7 +241,7 @@
 		disk := n.storage.durable[modelGroup]
 		for key, acked := range m.acked {
 			if !m.notOlder(key, disk[key].Version, acked) {
-				m.t.Fatalf("held: %s of view %v has %s at %x, acknowledged %x", id, v, key, disk[key].Version, acked)
+				m.t.Fatalf("durable: %s of view %v has %s at %x, acknowledged %x", id, v, key, disk[key].Version, acked)
 			}
 		}
 		for key, record := range disk {
@@ -249,7 +249,7 @@
 				break // half of a write that was not acknowledged may remain
 			}
 			if twin := disk[twinOf(key)]; twin.Version != record.Version {
-				m.t.Fatalf("whole: %s has %s at %x and %s at %x", id, key, record.Version, twinOf(key), twin.Version)
+				m.t.Fatalf("atomic: %s has %s at %x and %s at %x", id, key, record.Version, twinOf(key), twin.Version)
 			}
 		}
 	}
@@ -257,7 +257,7 @@
 		for key, record := range n.storage.index[modelGroup] {
 			name := fmt.Sprintf("%s %x", key, record.Version)
 			if had, ok := m.contents[name]; ok && had != string(record.Value) {
-				m.t.Fatalf("single: %s is %q and %q", name, had, record.Value)
+				m.t.Fatalf("unique: %s is %q and %q", name, had, record.Value)
 			}
 			m.contents[name] = string(record.Value)
 		}
@@ -296,7 +296,7 @@
 	}
 	version := records[0].Version
 	if _, twice := m.writes[version]; twice {
-		m.t.Fatalf("single: version %x drawn twice", version)
+		m.t.Fatalf("unique: version %x drawn twice", version)
 	}
 	w.epoch = version >> versionNumberBits
 	m.writes[version] = w
@@ -309,7 +309,7 @@
 		if record.Version > m.acked[record.Key] {
 			m.acked[record.Key] = record.Version
 			for _, s := range m.initialStates {
-				m.checkSeen(s, record.Key)
+				m.checkInherited(s, record.Key)
 			}
 		}
 	}
@@ -380,13 +380,13 @@
 
 // learnView installs the next view of the table that a node has not installed, or directly the newest one.
 func (n *modelNode) learnView(newest bool) bool {
-	if n.replica == nil || n.installedViews == len(n.model.table) {
+	if n.replica == nil || n.installedViews == len(n.model.views) {
 		return false
 	}
 	if newest {
-		n.installedViews = len(n.model.table) - 1
+		n.installedViews = len(n.model.views) - 1
 	}
-	n.replica.Install(n.model.table[n.installedViews])
+	n.replica.Install(n.model.views[n.installedViews])
 	n.installedViews++
 	return true
 }
--- a/replication/replica_steps_test.go
+++ b/replication/replica_steps_test.go
@@ -45,7 +45,7 @@
 	if m.allowMerges && len(v.Members) < m.copies {
 		m.keepHolders(old, &v)
 	}
-	m.table = append(m.table, v)
+	m.views = append(m.views, v)
 	m.offers = map[MemberID]bool{}
 }
 
@@ -84,7 +84,7 @@
 	v.Members = []MemberID{v.Primary}
 	v.Sources = slices.DeleteFunc(survivors, func(id MemberID) bool { return id == v.Primary })
 	v.Learners = slices.DeleteFunc(all, func(id MemberID) bool { return id == v.Primary })
-	m.table = append(m.table, v)
+	m.views = append(m.views, v)
 	m.offers = map[MemberID]bool{}
 	m.mergeCount++
 }
@@ -230,7 +230,7 @@
 	m.joinAll()
 	m.drain()
 	if v := m.view(); len(v.Members)+len(v.Learners) >= m.copies && !slices.ContainsFunc(slices.Concat(v.Members, v.Learners), func(id MemberID) bool { return m.nodes[id].wiped }) {
-		m.checkEnd()
+		m.checkConverged()
 	}
 	first := func(int) int { return 0 }
 	all := func(n int) int { return n - 1 }
@@ -280,15 +280,15 @@
 	}
 }
 
-func (m *replicaModel) checkEnd() {
+func (m *replicaModel) checkConverged() {
 	v := m.view()
 	p := m.nodes[v.Primary]
 	if !p.replica.IsActive() || p.replica.Pending() > 0 {
-		m.t.Fatalf("end: primary of %v active %v, %d writes pending, blocked by %v, %s", v, p.replica.IsActive(), p.replica.Pending(), p.replica.BlockingPeers(), m.describe(p))
+		m.t.Fatalf("converged: primary of %v active %v, %d writes pending, blocked by %v, %s", v, p.replica.IsActive(), p.replica.Pending(), p.replica.BlockingPeers(), m.describe(p))
 	}
 	for _, id := range v.Members {
 		if got := m.nodes[id].storage.durable[modelGroup]; !maps.EqualFunc(got, p.storage.durable[modelGroup], sameRecord) {
-			m.t.Fatalf("equal at the end: %s has %v, the primary %v", id, got, p.storage.durable[modelGroup])
+			m.t.Fatalf("converged: %s has %v, the primary %v", id, got, p.storage.durable[modelGroup])
 		}
 	}
 }
@@ -309,7 +309,7 @@
 		m.check()
 	}
 	m.converge()
-	m.checkEnd()
+	m.checkConverged()
 }
 
 func TestReplicaModel(t *testing.T) {
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -25,7 +25,7 @@
 var errNoAnswer = ErrMalformed
 
 func (m *replicaModel) install(v View) {
-	m.table = append(m.table, v)
+	m.views = append(m.views, v)
 	m.drain()
 }
 
@@ -170,7 +170,7 @@
 	is.Equal(len(m.nodes["n0"].storage.durable[modelGroup]), 0)
 	m.nodes["n0"].stop(0)
 	m.nodes["n0"].start()
-	m.nodes["n0"].replica.Install(m.table[1])
+	m.nodes["n0"].replica.Install(m.views[1])
 	for m.nodes["n0"].runPosted() || m.nodes["n0"].storage.sync() {
 	}
 	is.True(!m.nodes["n0"].replica.IsActive())
--- a/replication/sourcemerge.go
+++ b/replication/sourcemerge.go
@@ -50,7 +50,7 @@
 	reply := &RecordReply{Epoch: m.Epoch, Stream: m.Stream}
 	size := 0
 	for _, key := range m.Keys {
-		if size >= r.limits.message {
+		if size >= r.limits.messageSize {
 			break
 		}
 		record, found, err := r.o.Storage.Get(r.o.Group, key)
--- a/replication/sourcemerge_test.go
+++ b/replication/sourcemerge_test.go
@@ -57,7 +57,7 @@
 func TestWritesAreRejectedBeforeSourcesAreMerged(t *testing.T) {
 	is := is.New(t)
 	m := newSplitGroup(t)
-	m.table = append(m.table, View{Epoch: 3, Primary: "n2", Members: []MemberID{"n2"}, Learners: []MemberID{"n1"}, Sources: []MemberID{"n1"}})
+	m.views = append(m.views, View{Epoch: 3, Primary: "n2", Members: []MemberID{"n2"}, Learners: []MemberID{"n1"}, Sources: []MemberID{"n1"}})
 	m.nodes["n2"].learnView(true)
 	m.drainNode("n2")
 	is.True(!m.nodes["n2"].replica.IsActive())
