--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -99,7 +99,7 @@
 	a.accepted.Store(int64(o.SteadyClock()))
 	a.node.Store(&protocol.Node{
 		Key: protocol.NodeKey(s.NodeName, o.Role), Name: s.NodeName, Role: o.Role, Incarnation: o.Incarnation, Member: o.Member,
-		Zone: s.Zone, Region: s.Region, ControlPlane: s.BindAddresses.ControlPlane, Counts: s.CountsForQuorum,
+		Zone: s.Zone, Region: s.Region, ControlPlane: s.BindAddresses.ControlPlane, CountsForQuorum: s.CountsForQuorum,
 	})
 	a.session = newSession(o.HeartbeatEvery, a.Steady())
 	handler, limits := rpc.HandlerFunc(a.handle), o.RPC
@@ -208,7 +208,7 @@
 }
 
 // PublishFresh tells that the list of workers was read again, unchanged.
-func (a *Agent) PublishFresh(fresh protocol.WorkersFresh) {
+func (a *Agent) PublishFresh(fresh protocol.WorkersFreshness) {
 	a.loop.post(func() {
 		if a.takeFresh(fresh) && a.session.primary != "" && a.session.primary != a.Node().Address {
 			a.sendDigest(a.session.primary, true) // from there it reaches all with the answers to their heartbeats
@@ -218,15 +218,15 @@
 
 // Digest is what to send along with an answer to a heartbeat.
 func (a *Agent) Digest() protocol.Digest {
-	d := protocol.Digest{Key: a.Node().Key, Address: a.Node().Address, Answer: true}
+	d := protocol.Digest{Key: a.Node().Key, Address: a.Node().Address, Reply: true}
 	v := a.View()
-	d.Versions, d.Fresh = v.digest, v.Fresh
+	d.Versions, d.WorkersFreshness = v.digest, v.Fresh
 	return d
 }
 
 // HearDigest takes the digest that came with a heartbeat.
 func (a *Agent) HearDigest(d protocol.Digest) {
-	d.Answer = true
+	d.Reply = true
 	a.loop.post(func() { a.hear(&d) })
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -163,14 +163,14 @@
 	control := startControl(t, ownAddress())
 	a := start(t, Options{
 		Settings: settingsOf(t, "storage-1", control.server.Addr()), Member: "storage-1/d",
-		Report: func(h *protocol.Heartbeat) { h.Primary = 7 },
+		Report: func(h *protocol.Heartbeat) { h.PartitionsLed = 7 },
 	})
 	h := <-control.heartbeats
-	is.Equal(h.Primary, uint32(7))
+	is.Equal(h.PartitionsLed, uint32(7))
 	is.Equal(h.Node, a.Node())
 	is.Equal(h.Node.Key, "storage-1/store")
 	is.Equal(h.Node.Member, "storage-1/d")
-	is.True(h.Node.Incarnation != 0 && h.Node.Counts && !h.Node.Leaving)
+	is.True(h.Node.Incarnation != 0 && h.Node.CountsForQuorum && !h.Node.Leaving)
 	is.Equal(h.Node.Zone, "z")
 	accepted(a, control)
 	is.True(a.SessionAge() < time.Minute)
@@ -409,15 +409,15 @@
 	before := agents[1].View().WorkersReadAt
 	is.True(before <= agents[1].Steady())
 
-	fresh := protocol.WorkersFresh{Version: version(9, 1), ReadAt: read.Add(time.Nanosecond).UnixNano()}
+	fresh := protocol.WorkersFreshness{Version: version(9, 1), ReadAt: read.Add(time.Nanosecond).UnixNano()}
 	agents[0].PublishFresh(fresh)
-	agents[0].PublishFresh(protocol.WorkersFresh{Version: version(9, 1), ReadAt: 1}) // older
+	agents[0].PublishFresh(protocol.WorkersFreshness{Version: version(9, 1), ReadAt: 1}) // older
 	awaitFresh(agents[2], fresh)
 	is.Equal(agents[2].View().Fresh, fresh)
 }
 
 // awaitFresh returns once the agent has heard of a reading. Readings are not announced to subscribers, so it looks again and again.
-func awaitFresh(a *Agent, fresh protocol.WorkersFresh) {
+func awaitFresh(a *Agent, fresh protocol.WorkersFreshness) {
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for a.View().Fresh != fresh {
@@ -431,7 +431,7 @@
 	a := start(t, Options{Settings: settingsOf(t, "n", control.server.Addr())})
 	now := a.ClusterTime().UnixNano()
 	workers := protocol.Workers{ReadAt: now - int64(time.Hour)}
-	fresh := protocol.WorkersFresh{Version: version(1, 1), ReadAt: now}
+	fresh := protocol.WorkersFreshness{Version: version(1, 1), ReadAt: now}
 	a.PublishFresh(fresh)
 	a.loop.ask(func() {})
 	is.Equal(a.View().WorkersReadAt, time.Duration(0))
@@ -492,7 +492,7 @@
 		}
 	}
 	is.NoErr(a.Leave(context.Background(), true))
-	is.Equal(<-control.leaves, protocol.Leave{Key: "n/store", Incarnation: a.Node().Incarnation, Over: true})
+	is.Equal(<-control.leaves, protocol.Leave{Key: "n/store", Incarnation: a.Node().Incarnation, EndSession: true})
 	a.loop.ask(func() { is.True(a.session.stopped) })
 }
 
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -130,7 +130,7 @@
 		if r.Digest.Address == "" {
 			r.Digest.Address = address
 		}
-		r.Digest.Answer = true
+		r.Digest.Reply = true
 		a.hear(&r.Digest)
 	}
 }
@@ -148,7 +148,7 @@
 // again until ctx ends. After an end that is over no more heartbeats are sent.
 func (a *Agent) Leave(ctx context.Context, over bool) error {
 	a.setNode(func(n *protocol.Node) { n.Leaving = true })
-	leave := protocol.Leave{Key: a.Node().Key, Incarnation: a.Node().Incarnation, Over: over}
+	leave := protocol.Leave{Key: a.Node().Key, Incarnation: a.Node().Incarnation, EndSession: over}
 	body := leave.Append(nil)
 	last := errors.New("agent: no control process is known: check SeedNodes")
 	for pause := firstPause; ; pause = min(2*pause, defaultHeartbeatEvery) {
--- a/internal/agent/items.go
+++ b/internal/agent/items.go
@@ -128,13 +128,13 @@
 	case protocol.ItemNodes:
 		a.items.peersStale = true
 	case protocol.ItemWorkers:
-		a.takeFresh(protocol.WorkersFresh{Version: view.WorkersVersion, ReadAt: view.Workers.ReadAt})
+		a.takeFresh(protocol.WorkersFreshness{Version: view.WorkersVersion, ReadAt: view.Workers.ReadAt})
 		a.readAt(a.View().Fresh)
 	}
 }
 
 // takeFresh notes a reading of the list of workers, and says whether it is news.
-func (a *Agent) takeFresh(fresh protocol.WorkersFresh) bool {
+func (a *Agent) takeFresh(fresh protocol.WorkersFreshness) bool {
 	known := a.View().Fresh
 	if fresh.Version.Less(known.Version) || fresh.Version == known.Version && fresh.ReadAt <= known.ReadAt {
 		return false
@@ -147,7 +147,7 @@
 }
 
 // readAt tells the view when its list of workers was read.
-func (a *Agent) readAt(fresh protocol.WorkersFresh) {
+func (a *Agent) readAt(fresh protocol.WorkersFreshness) {
 	view := a.View()
 	if fresh.Version != view.WorkersVersion {
 		return // a newer list is on its way
@@ -173,10 +173,10 @@
 			a.items.pulls.Heard(entry, d.Address)
 		}
 	}
-	a.takeFresh(d.Fresh)
+	a.takeFresh(d.WorkersFreshness)
 	known := a.View().Fresh
-	older := d.Fresh.Version.Less(known.Version) || d.Fresh.Version == known.Version && d.Fresh.ReadAt < known.ReadAt
-	if !d.Answer && (len(push) > 0 || older) {
+	older := d.WorkersFreshness.Version.Less(known.Version) || d.WorkersFreshness.Version == known.Version && d.WorkersFreshness.ReadAt < known.ReadAt
+	if !d.Reply && (len(push) > 0 || older) {
 		a.push(d.Address, push)
 	}
 }
@@ -302,7 +302,7 @@
 
 func (a *Agent) sendDigest(peer string, answer bool) {
 	d := a.Digest()
-	d.Answer = answer
+	d.Reply = answer
 	_ = a.datagrams.Send(peer, protocol.KindDigest, d.Append(nil))
 }
 
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -18,9 +18,9 @@
 	empty     func() Message
 	arbitrary func(t *rapid.T) Message
 }{
-	kind[Node](), kind[NodeTable](), kind[Heartbeat](), kind[Offer](), kind[HeartbeatReply](), kind[Leave](), kind[ItemVersion](),
+	kind[Node](), kind[NodeTable](), kind[Heartbeat](), kind[PromotionOffer](), kind[HeartbeatReply](), kind[Leave](), kind[ItemVersion](),
 	kind[Item](), kind[ItemDigest](), kind[Digest](), kind[Fetch](), kind[Items](), kind[MemberAddress](), kind[ControlView](),
-	kind[PartitionView](), kind[PartitionTable](), kind[Worker](), kind[Workers](), kind[WorkersFresh](), kind[ReplicationFrame](),
+	kind[PartitionView](), kind[PartitionTable](), kind[Worker](), kind[Workers](), kind[WorkersFreshness](), kind[ReplicationFrame](),
 	kind[LeaseRequest](), kind[LeaseReply](), kind[Header](), kind[Accept](), kind[AcceptReply](), kind[Lookup](), kind[LookupReply](),
 	kind[HeldDelivery](), kind[ServiceWindow](), kind[Hello](), kind[Deliver](), kind[Result](),
 }
@@ -129,17 +129,17 @@
 	c.nested(&m.Node)
 	c.nested(&m.Digest)
 	messages(c, &m.Offers)
-	c.uint32(&m.Primary)
-	c.bool(&m.Full)
-	c.strings(&m.Stuck)
-	c.bool(&m.Stalled)
-	c.bool(&m.ListUnread)
+	c.uint32(&m.PartitionsLed)
+	c.bool(&m.DiskFull)
+	c.strings(&m.UnreachablePeers)
+	c.bool(&m.DiskStalled)
+	c.bool(&m.WorkerListStale)
 	c.strings(&m.Notes)
 }
 
 var wholeNode = Node{
 	Key: "edge-1/control", Name: "edge-1", Role: RoleControl, Incarnation: 1 << 60, Member: "edge-1/ab", Zone: "z", Region: "r",
-	Address: "10.0.0.1:7240", ControlPlane: "10.0.0.1:8046", Leaving: true, Counts: true,
+	Address: "10.0.0.1:7240", ControlPlane: "10.0.0.1:8046", Leaving: true, CountsForQuorum: true,
 }
 
 func TestOlderSender(t *testing.T) {
@@ -153,13 +153,13 @@
 func TestNewerSender(t *testing.T) {
 	is := is.New(t)
 	newer := newerHeartbeat{
-		Heartbeat: Heartbeat{Offers: []Offer{{Partition: 5, Epoch: 7, Learner: "s/1"}}, Primary: 3, Full: true},
+		Heartbeat: Heartbeat{Offers: []PromotionOffer{{Partition: 5, Epoch: 7, Learner: "s/1"}}, PartitionsLed: 3, DiskFull: true},
 		Node:      newerNode{Node: wholeNode, Cores: 4},
 		Notes:     []string{"new", "field"},
 	}
 	var m Heartbeat
 	is.NoErr(m.Decode(encode(&newer, nil)))
-	is.Equal(m, Heartbeat{Node: wholeNode, Offers: newer.Offers, Primary: 3, Full: true})
+	is.Equal(m, Heartbeat{Node: wholeNode, Offers: newer.Offers, PartitionsLed: 3, DiskFull: true})
 }
 
 // TestEncodingStays pins the bytes, so that a change of order or form is noticed.
@@ -213,7 +213,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(uint8(0), (&wholeNode).Append(nil))
-	f.Add(uint8(2), (&Heartbeat{Node: wholeNode, Offers: []Offer{{1, 2, "x"}}}).Append(nil))
+	f.Add(uint8(2), (&Heartbeat{Node: wholeNode, Offers: []PromotionOffer{{1, 2, "x"}}}).Append(nil))
 	f.Add(uint8(9), (&Digest{Key: "k", Versions: []ItemDigest{{ItemNodes, ItemVersion{1, 2}}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, which uint8, b []byte) {
 		k := kinds[int(which)%len(kinds)]
--- a/internal/protocol/item.go
+++ b/internal/protocol/item.go
@@ -43,11 +43,11 @@
 
 // Digest is a comparison of the items of two processes.
 type Digest struct {
-	Key      string // of the sender
-	Address  string // internal, of the sender
-	Versions []ItemDigest
-	Fresh    WorkersFresh
-	Answer   bool // sent in answer to a digest; not answered again
+	Key              string // of the sender
+	Address          string // internal, of the sender
+	Versions         []ItemDigest
+	WorkersFreshness WorkersFreshness
+	Reply            bool // sent in answer to a digest; not answered again
 }
 
 // Fetch asks for items.
@@ -95,7 +95,7 @@
 }
 
 // Names tells whether the view names a member that may hold records.
-func (m *PartitionView) Names(member string) bool {
+func (m *PartitionView) Includes(member string) bool {
 	return slices.Contains(m.Members, member) || slices.Contains(m.Learners, member) || slices.Contains(m.Holders, member)
 }
 
@@ -121,7 +121,7 @@
 }
 
 // WorkersFresh says that the list of Version was read again, unchanged, at ReadAt.
-type WorkersFresh struct {
+type WorkersFreshness struct {
 	Version ItemVersion
 	ReadAt  int64 // cluster time when the reading began, nanoseconds since 1970
 }
--- a/internal/protocol/item_codec.go
+++ b/internal/protocol/item_codec.go
@@ -38,8 +38,8 @@
 	c.string(&m.Key)
 	c.string(&m.Address)
 	messages(c, &m.Versions)
-	c.nested(&m.Fresh)
-	c.bool(&m.Answer)
+	c.nested(&m.WorkersFreshness)
+	c.bool(&m.Reply)
 }
 
 // Append implements Message.
@@ -139,13 +139,13 @@
 // Decode implements Message.
 func (m *Workers) Decode(b []byte) error { return decode(m, b) }
 
-func (m *WorkersFresh) fields(c *coder) {
+func (m *WorkersFreshness) fields(c *coder) {
 	c.nested(&m.Version)
 	c.int64(&m.ReadAt)
 }
 
 // Append implements Message.
-func (m *WorkersFresh) Append(b []byte) []byte { return encode(m, b) }
+func (m *WorkersFreshness) Append(b []byte) []byte { return encode(m, b) }
 
 // Decode implements Message.
-func (m *WorkersFresh) Decode(b []byte) error { return decode(m, b) }
+func (m *WorkersFreshness) Decode(b []byte) error { return decode(m, b) }
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -4,11 +4,11 @@
 
 // The codes of refused calls (rpc.RemoteError.Code) between roles.
 const (
-	CodeNotPrimary  uint16 = 1 // the callee is not the primary; nothing was done
-	CodeUnavailable uint16 = 2 // nothing was done; try again later
-	CodeInvalid     uint16 = 3 // the frame cannot be understood
-	CodeUnknownKind uint16 = 4 // the callee has no handler for the kind
-	CodeUnknownFate uint16 = 5 // it may have been done
+	CodeNotPrimary     uint16 = 1 // the callee is not the primary; nothing was done
+	CodeUnavailable    uint16 = 2 // nothing was done; try again later
+	CodeInvalid        uint16 = 3 // the frame cannot be understood
+	CodeUnknownKind    uint16 = 4 // the callee has no handler for the kind
+	CodeOutcomeUnknown uint16 = 5 // it may have been done
 )
 
 // ReplicationFrame carries one encoded message of package replication.
@@ -127,21 +127,21 @@
 
 // Deliver hands a message to a dispatcher for one attempt.
 type Deliver struct {
-	Partition     uint32
-	Epoch         uint64
-	ID            string
-	Attempt       uint32
-	RequestID     string
-	Method        string
-	Host          string
-	URI           string
-	Key           string
-	Headers       []Header
-	Configuration ItemVersion   // at least as new as at the accept
-	DueFor        time.Duration // since it became due
-	ExpiresIn     time.Duration // what is left of its retention
-	Attempts      uint32        // failed attempts that counted so far
-	Body          []byte
+	Partition      uint32
+	Epoch          uint64
+	ID             string
+	Attempt        uint32
+	RequestID      string
+	Method         string
+	Host           string
+	URI            string
+	Key            string
+	Headers        []Header
+	Configuration  ItemVersion   // at least as new as at the accept
+	DueFor         time.Duration // since it became due
+	ExpiresIn      time.Duration // what is left of its retention
+	FailedAttempts uint32        // failed attempts that counted so far
+	Body           []byte
 }
 
 // Outcome is the end of one attempt.
@@ -166,6 +166,6 @@
 	Outcome    Outcome
 	Status     uint16 // of the worker's answer; 0 without one
 	Signature  string
-	Pause      time.Duration // wanted before the next attempt
-	Took       time.Duration // since the delivery arrived at the dispatcher
+	RetryAfter time.Duration // wanted before the next attempt
+	Elapsed    time.Duration // since the delivery arrived at the dispatcher
 }
--- a/internal/protocol/message_codec.go
+++ b/internal/protocol/message_codec.go
@@ -161,7 +161,7 @@
 	c.nested(&m.Configuration)
 	c.duration(&m.DueFor)
 	c.duration(&m.ExpiresIn)
-	c.uint32(&m.Attempts)
+	c.uint32(&m.FailedAttempts)
 	c.bytes(&m.Body)
 }
 
@@ -179,8 +179,8 @@
 	small(c, &m.Outcome)
 	c.uint16(&m.Status)
 	c.string(&m.Signature)
-	c.duration(&m.Pause)
-	c.duration(&m.Took)
+	c.duration(&m.RetryAfter)
+	c.duration(&m.Elapsed)
 }
 
 // Append implements Message.
--- a/internal/protocol/node.go
+++ b/internal/protocol/node.go
@@ -28,17 +28,17 @@
 
 // Node is what everybody knows of a process with a session.
 type Node struct {
-	Key          string // NodeKey(Name, Role)
-	Name         string // of the machine
-	Role         Role
-	Incarnation  uint64 // drawn at each start
-	Member       string // NodeName/DiskID; empty without a disk
-	Zone         string
-	Region       string
-	Address      string // internal, TCP and UDP
-	ControlPlane string // where the operator's API is served; empty where it is not
-	Leaving      bool   // a planned end has begun
-	Counts       bool   // CountsForQuorum of its machine
+	Key             string // NodeKey(Name, Role)
+	Name            string // of the machine
+	Role            Role
+	Incarnation     uint64 // drawn at each start
+	Member          string // NodeName/DiskID; empty without a disk
+	Zone            string
+	Region          string
+	Address         string // internal, TCP and UDP
+	ControlPlane    string // where the operator's API is served; empty where it is not
+	Leaving         bool   // a planned end has begun
+	CountsForQuorum bool   // CountsForQuorum of its machine
 }
 
 // NodeTable is the body of an ItemNodes item.
@@ -46,21 +46,21 @@
 
 // Heartbeat opens or renews the session of a process.
 type Heartbeat struct {
-	Node    Node
-	Digest  Digest
-	Offers  []Offer // learners that are equal, by the primary of their partition
-	Primary uint32  // partitions that this store leads
-	Full    bool    // the store's disk is full
+	Node          Node
+	Digest        Digest
+	Offers        []PromotionOffer // learners that are equal, by the primary of their partition
+	PartitionsLed uint32           // partitions that this store leads
+	DiskFull      bool             // the store's disk is full
 	// Stuck names the stores that this store shares partitions with, leads them, and cannot reach.
-	Stuck []string
+	UnreachablePeers []string
 	// Stalled says that the store's disk finishes nothing, or refuses writes.
-	Stalled bool
+	DiskStalled bool
 	// ListUnread says that this control process has the duty of reading the platform's list, and has not succeeded for a while.
-	ListUnread bool
+	WorkerListStale bool
 }
 
 // Offer names a learner of a partition that has all records.
-type Offer struct {
+type PromotionOffer struct {
 	Partition uint32
 	Epoch     uint64 // of the view that the learner belongs to
 	Learner   string // member
@@ -78,5 +78,5 @@
 type Leave struct {
 	Key         string
 	Incarnation uint64
-	Over        bool
+	EndSession  bool
 }
--- a/internal/protocol/node_codec.go
+++ b/internal/protocol/node_codec.go
@@ -11,7 +11,7 @@
 	c.string(&m.Address)
 	c.string(&m.ControlPlane)
 	c.bool(&m.Leaving)
-	c.bool(&m.Counts)
+	c.bool(&m.CountsForQuorum)
 }
 
 // Append implements Message.
@@ -34,11 +34,11 @@
 	c.nested(&m.Node)
 	c.nested(&m.Digest)
 	messages(c, &m.Offers)
-	c.uint32(&m.Primary)
-	c.bool(&m.Full)
-	c.strings(&m.Stuck)
-	c.bool(&m.Stalled)
-	c.bool(&m.ListUnread)
+	c.uint32(&m.PartitionsLed)
+	c.bool(&m.DiskFull)
+	c.strings(&m.UnreachablePeers)
+	c.bool(&m.DiskStalled)
+	c.bool(&m.WorkerListStale)
 }
 
 // Append implements Message.
@@ -47,17 +47,17 @@
 // Decode implements Message.
 func (m *Heartbeat) Decode(b []byte) error { return decode(m, b) }
 
-func (m *Offer) fields(c *coder) {
+func (m *PromotionOffer) fields(c *coder) {
 	c.uint32(&m.Partition)
 	c.uint64(&m.Epoch)
 	c.string(&m.Learner)
 }
 
 // Append implements Message.
-func (m *Offer) Append(b []byte) []byte { return encode(m, b) }
+func (m *PromotionOffer) Append(b []byte) []byte { return encode(m, b) }
 
 // Decode implements Message.
-func (m *Offer) Decode(b []byte) error { return decode(m, b) }
+func (m *PromotionOffer) Decode(b []byte) error { return decode(m, b) }
 
 func (m *HeartbeatReply) fields(c *coder) {
 	c.bool(&m.Accepted)
@@ -75,7 +75,7 @@
 func (m *Leave) fields(c *coder) {
 	c.string(&m.Key)
 	c.uint64(&m.Incarnation)
-	c.bool(&m.Over)
+	c.bool(&m.EndSession)
 }
 
 // Append implements Message.
--- a/internal/roles/control/fakes_test.go
+++ b/internal/roles/control/fakes_test.go
@@ -21,7 +21,7 @@
 	name, member string
 
 	mutex   sync.Mutex
-	offers  []protocol.Offer
+	offers  []protocol.PromotionOffer
 	stuck   []string
 	stalled bool
 }
@@ -43,7 +43,7 @@
 		Report: func(h *protocol.Heartbeat) {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
-			h.Offers, h.Stuck, h.Stalled = s.offers, s.stuck, s.stalled
+			h.Offers, h.UnreachablePeers, h.DiskStalled = s.offers, s.stuck, s.stalled
 		},
 	})
 	if err != nil {
@@ -56,7 +56,7 @@
 		for _, p := range v.Partitions.Partitions {
 			for _, learner := range p.Learners {
 				if p.Primary == s.member {
-					s.offers = append(s.offers, protocol.Offer{Partition: p.Partition, Epoch: p.Epoch, Learner: learner})
+					s.offers = append(s.offers, protocol.PromotionOffer{Partition: p.Partition, Epoch: p.Epoch, Learner: learner})
 				}
 			}
 		}
--- a/internal/roles/control/handle.go
+++ b/internal/roles/control/handle.go
@@ -79,7 +79,7 @@
 	p.leave(d.now(), l)
 	p.writer.then(func(err error) {
 		if err != nil {
-			err = rpc.Errorf(protocol.CodeUnknownFate, "%v", err)
+			err = rpc.Errorf(protocol.CodeOutcomeUnknown, "%v", err)
 		}
 		reply(nil, err)
 	})
--- a/internal/roles/control/model.go
+++ b/internal/roles/control/model.go
@@ -146,7 +146,7 @@
 func (m *model) names(member string) bool {
 	for i := range m.partitions {
 		v := &m.partitions[i]
-		if v.Primary == member || v.Names(member) {
+		if v.Primary == member || v.Includes(member) {
 			return true
 		}
 	}
--- a/internal/roles/control/model_test.go
+++ b/internal/roles/control/model_test.go
@@ -25,7 +25,7 @@
 func TestModelRoundTrip(t *testing.T) {
 	is := is.New(t)
 	node := protocol.Node{Key: "s1/store", Name: "s1", Role: protocol.RoleStore, Incarnation: 5, Member: "s1/d", Zone: "z", Region: "r",
-		Address: "127.0.0.1:7242", Leaving: true, Counts: true}
+		Address: "127.0.0.1:7242", Leaving: true, CountsForQuorum: true}
 	store := storeRecord{Member: "s1/d", Name: "s1", Zone: "z", Region: "r", Retiring: true}
 	award := election.Award{Term: 3, Holder: election.Holder{Key: "c1/control", Incarnation: 9}}
 	version := protocol.ItemVersion{Term: 4, Number: 1<<40 | 2}
--- a/internal/roles/control/run.go
+++ b/internal/roles/control/run.go
@@ -149,7 +149,7 @@
 	started, err := agent.Start(agent.Options{
 		Settings: p.settings, Role: protocol.RoleControl, Member: d.self.Member, Logger: p.logger, Handle: d.handle,
 		OnClose: d.connectionClosed,
-		Report:  func(h *protocol.Heartbeat) { h.ListUnread = d.reader.unread.Load() },
+		Report:  func(h *protocol.Heartbeat) { h.WorkerListStale = d.reader.unread.Load() },
 		RPC:     rpc.Options{Network: d.environment.Network},
 	})
 	if err != nil {
--- a/internal/roles/control/sessions.go
+++ b/internal/roles/control/sessions.go
@@ -35,14 +35,14 @@
 func sessionNode(n protocol.Node) session.Node {
 	return session.Node{
 		Key: n.Key, Name: n.Name, Role: uint8(n.Role), Incarnation: n.Incarnation, Member: n.Member, Zone: n.Zone, Region: n.Region,
-		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, Counts: n.Counts,
+		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, Counts: n.CountsForQuorum,
 	}
 }
 
 func protocolNode(n session.Node) protocol.Node {
 	return protocol.Node{
 		Key: n.Key, Name: n.Name, Role: protocol.Role(n.Role), Incarnation: n.Incarnation, Member: n.Member, Zone: n.Zone, Region: n.Region,
-		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, Counts: n.Counts,
+		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, CountsForQuorum: n.Counts,
 	}
 }
 
@@ -60,14 +60,14 @@
 			p.placement.planWanted = true
 		}
 	case protocol.RoleControl:
-		p.duty.heartbeat(now, h.Node, h.ListUnread)
+		p.duty.heartbeat(now, h.Node, h.WorkerListStale)
 	}
 	return true
 }
 
 // leave takes the word of a process that its planned end begins or is over.
 func (p *primary) leave(now time.Duration, l *protocol.Leave) {
-	p.applySessionEvents(now, p.sessions.Leave(now, l.Key, l.Incarnation, l.Over))
+	p.applySessionEvents(now, p.sessions.Leave(now, l.Key, l.Incarnation, l.EndSession))
 }
 
 func (p *primary) tickSessions(now time.Duration) {
--- a/internal/roles/control/storetrouble.go
+++ b/internal/roles/control/storetrouble.go
@@ -70,7 +70,7 @@
 		t.forgetComplaints(h.Node.Member)
 	}
 	t.heard[h.Node.Member] = now
-	for _, other := range h.Stuck {
+	for _, other := range h.UnreachablePeers {
 		pair := [2]string{min(h.Node.Member, other), max(h.Node.Member, other)}
 		one := t.pairs[pair]
 		if one == nil {
@@ -82,7 +82,7 @@
 		}
 		one.last = now
 	}
-	if !h.Stalled {
+	if !h.DiskStalled {
 		return false
 	}
 	one := t.stalled[h.Node.Member]
--- a/internal/roles/control/storetrouble_test.go
+++ b/internal/roles/control/storetrouble_test.go
@@ -10,7 +10,7 @@
 )
 
 func stuckBeat(member string, stuck ...string) *protocol.Heartbeat {
-	return &protocol.Heartbeat{Node: protocol.Node{Member: member}, Stuck: stuck}
+	return &protocol.Heartbeat{Node: protocol.Node{Member: member}, UnreachablePeers: stuck}
 }
 
 func TestPairIsBlockedOnceComplaintsHaveSettled(t *testing.T) {
@@ -107,7 +107,7 @@
 	is := is.New(t)
 	trouble := newStoreTrouble()
 	now := time.Minute
-	stalled := &protocol.Heartbeat{Node: protocol.Node{Member: "a"}, Stalled: true}
+	stalled := &protocol.Heartbeat{Node: protocol.Node{Member: "a"}, DiskStalled: true}
 	for pause := stalledFirstPause; pause < troubleLastPause; pause *= 2 {
 		is.True(trouble.heartbeat(now, stalled))
 		is.True(!trouble.heartbeat(now, stalled))
--- a/internal/roles/dispatcher/dispatcher_test.go
+++ b/internal/roles/dispatcher/dispatcher_test.go
@@ -135,7 +135,7 @@
 	back := next(t, r.store.results)
 	is.Equal(back.result.ID, "0000-late")
 	is.Equal(back.result.Outcome, protocol.OutcomeNotRun)
-	is.Equal(back.result.Pause, time.Duration(0))
+	is.Equal(back.result.RetryAfter, time.Duration(0))
 	back.reply(nil, nil)
 
 	for refused := false; !refused; { // it no longer listens
--- a/internal/roles/dispatcher/ingress/message_test.go
+++ b/internal/roles/dispatcher/ingress/message_test.go
@@ -260,7 +260,7 @@
 	for name, first := range map[string]func(call){
 		"connection lost":  func(c call) { c.conn.Close() },
 		"said to be":       always(protocol.AcceptUnknown),
-		"refused so":       func(c call) { c.reply(nil, rpc.Errorf(protocol.CodeUnknownFate, "no")) },
+		"refused so":       func(c call) { c.reply(nil, rpc.Errorf(protocol.CodeOutcomeUnknown, "no")) },
 		"answer garbled":   func(c call) { c.reply([]byte{0xff, 0xff, 0xff}, nil) },
 		"then not primary": always(protocol.AcceptUnknown),
 	} {
--- a/internal/roles/dispatcher/stores/links.go
+++ b/internal/roles/dispatcher/stores/links.go
@@ -238,7 +238,7 @@
 func (l *Links) settle(h *held, attempt uint32, r delivery.Result) {
 	for {
 		result := protocol.Result{Partition: h.key.partition, ID: h.key.id, Attempt: attempt, Dispatcher: l.options.Node.Key,
-			Outcome: r.Outcome, Status: r.Status, Signature: r.Signature, Pause: r.Pause, Took: l.options.Now().Sub(h.arrived)}
+			Outcome: r.Outcome, Status: r.Status, Signature: r.Signature, RetryAfter: r.Pause, Elapsed: l.options.Now().Sub(h.arrived)}
 		if !l.report(&result) {
 			return
 		}
--- a/internal/roles/dispatcher/stores/links_test.go
+++ b/internal/roles/dispatcher/stores/links_test.go
@@ -109,7 +109,7 @@
 	g := s.helloAt(t, 1)
 	g.deliver(t, message("m", 1))
 	next(t, r.runs).done(failed)
-	for _, code := range []uint16{protocol.CodeNotPrimary, protocol.CodeUnavailable, protocol.CodeUnknownFate} {
+	for _, code := range []uint16{protocol.CodeNotPrimary, protocol.CodeUnavailable, protocol.CodeOutcomeUnknown} {
 		got := next(t, s.results)
 		is.Equal(got.result.Outcome, protocol.OutcomeFailed)
 		got.reply(nil, rpc.Errorf(code, "no"))
--- a/internal/roles/store/daemon_test.go
+++ b/internal/roles/store/daemon_test.go
@@ -139,7 +139,7 @@
 		again = d.next()
 	}
 	is.Equal(again.ID, "m1")
-	is.Equal(again.Attempts, uint32(1))
+	is.Equal(again.FailedAttempts, uint32(1))
 }
 
 func TestFrozenPrimaryThatWakesActsNoMore(t *testing.T) {
@@ -223,7 +223,7 @@
 	d.hello(second, table, held(&m1))
 	second.awaitLeading(0)
 	c.control.await(func() bool { return len(c.control.leaves) == 2 })
-	is.True(c.control.leaves[1].Over)
+	is.True(c.control.leaves[1].EndSession)
 	err := <-first.ended
 	first.ended <- err
 	is.NoErr(err)
@@ -242,12 +242,12 @@
 	c.epoch++
 	c.control.publishViews(protocol.PartitionView{Epoch: c.epoch, Primary: first.member(),
 		Members: []string{first.member(), c.stores[1].member()}, Learners: []string{third.member()}})
-	var offers []protocol.Offer
+	var offers []protocol.PromotionOffer
 	c.control.await(func() bool {
 		offers = c.control.beats[first.node().Key].Offers
 		return len(offers) > 0
 	})
-	is.Equal(offers, []protocol.Offer{{Partition: 0, Epoch: 2, Learner: third.member()}})
+	is.Equal(offers, []protocol.PromotionOffer{{Partition: 0, Epoch: 2, Learner: third.member()}})
 	c.view(0, 1, 2)
 	first.await(func(s *store) bool { return s.partitions[0].epoch == 3 })
 	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // the queue went on through both epochs
--- a/internal/roles/store/deliver.go
+++ b/internal/roles/store/deliver.go
@@ -68,7 +68,7 @@
 	m := protocol.Deliver{
 		Partition: d.Partition, Epoch: d.Epoch, ID: d.ID, Attempt: d.Attempt, RequestID: kept.RequestID, Method: kept.Method,
 		Host: d.Host, URI: d.URI, Key: d.Key, Headers: kept.Headers, Configuration: s.newestConfiguration(d.Revision),
-		DueFor: d.DueFor, ExpiresIn: d.ExpiresIn, Attempts: uint32(d.Failed), Body: kept.Body,
+		DueFor: d.DueFor, ExpiresIn: d.ExpiresIn, FailedAttempts: uint32(d.Failed), Body: kept.Body,
 	}
 	if err := to.conn.Notify(protocol.KindDeliver, m.Append(nil)); err != nil {
 		to.conn.Close()
--- a/internal/roles/store/report.go
+++ b/internal/roles/store/report.go
@@ -9,7 +9,7 @@
 // report is what the heartbeats say. The loop writes it, the agent's goroutine reads it.
 type report struct {
 	mu      sync.Mutex
-	offers  []protocol.Offer
+	offers  []protocol.PromotionOffer
 	primary uint32
 	full    bool
 	stuck   []string
@@ -18,7 +18,7 @@
 
 // writeReport sums up the state for the next heartbeats.
 func (s *store) writeReport() {
-	var offers []protocol.Offer
+	var offers []protocol.PromotionOffer
 	primary := uint32(0)
 	for _, p := range s.sorted() {
 		if !p.leading {
@@ -26,7 +26,7 @@
 		}
 		primary++
 		for _, learner := range p.offers {
-			offers = append(offers, protocol.Offer{Partition: p.number, Epoch: p.view.Epoch, Learner: learner})
+			offers = append(offers, protocol.PromotionOffer{Partition: p.number, Epoch: p.view.Epoch, Learner: learner})
 		}
 	}
 	s.report.mu.Lock()
@@ -39,6 +39,6 @@
 func (r *report) fill(h *protocol.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h.Offers, h.Primary, h.Full = r.offers, r.primary, r.full
-	h.Stuck, h.Stalled = r.stuck, r.stalled
+	h.Offers, h.PartitionsLed, h.DiskFull = r.offers, r.primary, r.full
+	h.UnreachablePeers, h.DiskStalled = r.stuck, r.stalled
 }
--- a/internal/roles/store/result.go
+++ b/internal/roles/store/result.go
@@ -51,7 +51,7 @@
 		reply(nil, notPrimary(m.Partition))
 		return
 	}
-	t := s.queue.Outcome(s.now(), m.Partition, m.ID, m.Attempt, outcome, m.Pause)
+	t := s.queue.Outcome(s.now(), m.Partition, m.ID, m.Attempt, outcome, m.RetryAfter)
 	switch t.Action {
 	case queue.Ignore, queue.Unknown:
 		reply(nil, nil) // nothing to write: counted before, ended, or it goes out again
@@ -99,7 +99,7 @@
 	case errors.Is(err, replication.ErrNotPrimary):
 		reply(nil, notPrimary(partition))
 	default:
-		reply(nil, rpc.Errorf(protocol.CodeUnknownFate, "%v", err))
+		reply(nil, rpc.Errorf(protocol.CodeOutcomeUnknown, "%v", err))
 	}
 }
 
--- a/internal/roles/store/table.go
+++ b/internal/roles/store/table.go
@@ -47,7 +47,7 @@
 		return false
 	}
 	if held == nil {
-		return v.Names(s.member)
+		return v.Includes(s.member)
 	}
 	return v.Epoch > held.view.Epoch
 }
@@ -69,7 +69,7 @@
 // takeView installs the view of one partition if it is newer than what is known.
 func (s *store) takeView(v *protocol.PartitionView, version protocol.ItemVersion) {
 	p := s.partitions[v.Partition]
-	included := v.Names(s.member)
+	included := v.Includes(s.member)
 	if p == nil {
 		if !included {
 			return
@@ -155,7 +155,7 @@
 // retryDrops drops what could not be dropped before.
 func (s *store) retryDrops() {
 	for _, p := range s.partitions {
-		if p.view.Epoch > 0 && p.replica.View().Epoch == p.view.Epoch && !p.view.Names(s.member) {
+		if p.view.Epoch > 0 && p.replica.View().Epoch == p.view.Epoch && !p.view.Includes(s.member) {
 			s.dropPartition(p)
 		}
 	}
--- a/internal/roles/store/trouble_test.go
+++ b/internal/roles/store/trouble_test.go
@@ -65,13 +65,13 @@
 	defer thaw()
 	reportedBySecond := -1
 	c.control.await(func() bool {
-		stuck := c.control.beats[first.node().Key].Stuck
-		reportedBySecond = len(c.control.beats[second.node().Key].Stuck)
+		stuck := c.control.beats[first.node().Key].UnreachablePeers
+		reportedBySecond = len(c.control.beats[second.node().Key].UnreachablePeers)
 		return len(stuck) == 1 && stuck[0] == second.member()
 	})
 	is.Equal(reportedBySecond, 0) // it leads nothing
 	c.view(0, 2)
-	c.control.await(func() bool { return len(c.control.beats[first.node().Key].Stuck) == 0 })
+	c.control.await(func() bool { return len(c.control.beats[first.node().Key].UnreachablePeers) == 0 })
 	thaw()
 }
 
