--- a/internal/recordlog/bench_test.go
+++ b/internal/recordlog/bench_test.go
@@ -15,7 +15,7 @@
 	for _, inline := range []int{0, 100} {
 		b.Run(fmt.Sprint("inline", inline), func(b *testing.B) {
 			for b.Loop() {
-				l, _, err := open(b.TempDir(), Options{Inline: 256}, quietDisk())
+				l, _, err := open(b.TempDir(), Options{MaxInlineBytes: 256}, quietDisk())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/recordlog/compact.go
+++ b/internal/recordlog/compact.go
@@ -59,7 +59,7 @@
 			c.nextSegment()
 			continue
 		case err != nil:
-			l.failed("reading a generation failed", errors.Wrapf(ErrGarbled, "%s: %v", c.target.segments[c.segment].path, err))
+			l.failed("reading a generation failed", errors.Wrapf(ErrCorrupt, "%s: %v", c.target.segments[c.segment].path, err))
 			c.nextSegment()
 			continue
 		}
@@ -142,7 +142,7 @@
 		return false
 	}
 	if c.target.fruitless++; c.target.fruitless == fruitlessPasses {
-		l.failed("compaction stopped", errors.Wrapf(ErrGarbled, "%s has records that cannot be copied", c.target.folder))
+		l.failed("compaction stopped", errors.Wrapf(ErrCorrupt, "%s has records that cannot be copied", c.target.folder))
 	}
 	return false
 }
--- a/internal/recordlog/crash_test.go
+++ b/internal/recordlog/crash_test.go
@@ -279,7 +279,7 @@
 			options: Options{
 				SegmentBytes:    int64(rapid.SampledFrom([]int{100, 600, 3000}).Draw(t, "segment")),
 				GenerationBytes: int64(rapid.SampledFrom([]int{500, 4000, 20000}).Draw(t, "generation")),
-				Inline:          8, CacheBytes: int64(rapid.SampledFrom([]int{-1, 500}).Draw(t, "cache")),
+				MaxInlineBytes:  8, CacheBytes: int64(rapid.SampledFrom([]int{-1, 500}).Draw(t, "cache")),
 			},
 			random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 		}
--- a/internal/recordlog/errors.go
+++ b/internal/recordlog/errors.go
@@ -17,7 +17,7 @@
 	// ErrWrite means that the disk refused a write or a sync. What was not durable before was taken back.
 	ErrWrite = errors.New("record log: write failed: look at the disk; the log goes on in a new generation")
 	// ErrGarbled means that a value on disk fails its checksum.
-	ErrGarbled = errors.New("record log: value damaged on disk: copy the record from another member")
+	ErrCorrupt = errors.New("record log: value damaged on disk: copy the record from another member")
 	// ErrFormat means that a newer version of the program wrote the folder.
 	ErrFormat = errors.New("record log: unknown format: run the version that wrote it, or empty DataDir")
 )
--- a/internal/recordlog/fault_test.go
+++ b/internal/recordlog/fault_test.go
@@ -217,9 +217,9 @@
 	}
 	is.Equal(l.generations[0].number, uint64(1))
 	is.Equal(len(reported), 1)
-	is.True(errors.Is(reported[0], ErrGarbled))
+	is.True(errors.Is(reported[0], ErrCorrupt))
 	_, _, err := l.Get(1, "bad")
-	is.True(errors.Is(err, ErrGarbled))
+	is.True(errors.Is(err, ErrCorrupt))
 	is.Equal(l.Digest(1, reconcile.All()).Count, uint64(2))
 	is.NoErr(appendNow(t, l, 1, put("bad", 1, big('b', 1000)))) // repaired from another member
 	settleAll(l)
--- a/internal/recordlog/options.go
+++ b/internal/recordlog/options.go
@@ -7,7 +7,7 @@
 	SegmentBytes    int64 // length at which a file is full; default 256 KiB, at most a quarter of GenerationBytes
 	GenerationBytes int64 // length at which a new generation is begun; default DiskBytes/32, between 1 MiB and 8 MiB; at most DiskBytes/8
 	DiskBytes       int64 // space the log may use; default unlimited
-	Inline          int   // values up to this length are kept in memory; default 256, negative for none
+	MaxInlineBytes  int   // values up to this length are kept in memory; default 256, negative for none
 	CacheBytes      int64 // memory for recent larger values; default 1 MiB, negative for none
 	Disk            Disk  // what changes files; default SystemDisk
 	Logger          *zap.Logger
@@ -40,7 +40,7 @@
 		o.SegmentBytes = defaultSegmentBytes
 	}
 	o.SegmentBytes = min(o.SegmentBytes, max(o.GenerationBytes/segmentsInGeneration, 1))
-	o.Inline = withDefault(o.Inline, defaultInline)
+	o.MaxInlineBytes = withDefault(o.MaxInlineBytes, defaultInline)
 	o.CacheBytes = withDefault(o.CacheBytes, defaultCacheBytes)
 	if o.Disk == nil {
 		o.Disk = SystemDisk{}
--- a/internal/recordlog/read.go
+++ b/internal/recordlog/read.go
@@ -57,15 +57,15 @@
 func (l *Log) readValue(e entry, path string) ([]byte, error) {
 	file, err := l.files.open(e.at.segment(), path)
 	if err != nil {
-		return nil, errors.Wrapf(ErrGarbled, "%s: %v", path, err)
+		return nil, errors.Wrapf(ErrCorrupt, "%s: %v", path, err)
 	}
 	b := make([]byte, recordHeaderBytes+e.keyLength()+e.valueLength())
 	if _, err := file.ReadAt(b, e.at.offset()); err != nil {
-		return nil, errors.Wrapf(ErrGarbled, "%s at %d: %v", path, e.at.offset(), err)
+		return nil, errors.Wrapf(ErrCorrupt, "%s at %d: %v", path, e.at.offset(), err)
 	}
 	var record diskRecord
 	if !intact(b, l.saltOf(e.at)) || !record.decode(b) || string(record.key) != e.key() || record.version != e.version() {
-		return nil, errors.Wrapf(ErrGarbled, "%s at %d", path, e.at.offset())
+		return nil, errors.Wrapf(ErrCorrupt, "%s at %d", path, e.at.offset())
 	}
 	return record.value, nil
 }
--- a/internal/recordlog/recover.go
+++ b/internal/recordlog/recover.go
@@ -21,7 +21,7 @@
 	options = options.withDefaults()
 	l := &Log{
 		dir: dir, options: options, disk: d, files: &fileCache{}, wake: make(chan struct{}, 1), nextNumber: 1,
-		index: newIndex(options.Inline), values: valueCache{limit: options.CacheBytes},
+		index: newIndex(options.MaxInlineBytes), values: valueCache{limit: options.CacheBytes},
 	}
 	r := recovery{log: l, space: make([]byte, recoveryScanBytes), damage: make(map[uint64]Report)}
 	if err := r.createFolder(); err != nil {
@@ -381,7 +381,7 @@
 		kind: record.kind, group: record.group, version: record.version, key: string(record.key), size: len(record.value),
 		at: fileLocation(s.id, record.offset),
 	}
-	if len(record.value) <= r.log.options.Inline {
+	if len(record.value) <= r.log.options.MaxInlineBytes {
 		noted.value = append([]byte(nil), record.value...)
 	}
 	r.pending = append(r.pending, noted)
--- a/internal/recordlog/recover_test.go
+++ b/internal/recordlog/recover_test.go
@@ -98,7 +98,7 @@
 
 func TestTruncationAtEveryByteKeepsTheAppendsBefore(t *testing.T) {
 	dir := t.TempDir()
-	options := Options{Inline: 16}
+	options := Options{MaxInlineBytes: 16}
 	states, ends := stages(t, dir, options)
 	for cut := ends[0]; cut <= ends[len(ends)-1]; cut++ {
 		l, report := reopened(t, dir, options, func(dir string) {
@@ -123,7 +123,7 @@
 
 func TestAnyChangedByteOfTheTailCutsItThere(t *testing.T) {
 	dir := t.TempDir()
-	options := Options{Inline: 16}
+	options := Options{MaxInlineBytes: 16}
 	states, ends := stages(t, dir, options)
 	for at := ends[0]; at < ends[len(ends)-1]; at++ {
 		l, report := reopened(t, dir, options, func(dir string) {
@@ -141,7 +141,7 @@
 
 func TestNothingBehindAHoleIsTaken(t *testing.T) {
 	dir := t.TempDir()
-	options := Options{Inline: 16}
+	options := Options{MaxInlineBytes: 16}
 	states, ends := stages(t, dir, options)
 	for first := 1; first < len(ends)-1; first++ {
 		for last := first; last < len(ends)-1; last++ {
@@ -214,7 +214,7 @@
 func TestDamageInASealedGenerationIsSkippedAndReported(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	options := Options{Inline: 16}
+	options := Options{MaxInlineBytes: 16}
 	_, ends := stages(t, dir, options)
 	l, _ := stepped(t, dir, options, nil) // seals the first generation
 	whole := contents(t, l)
@@ -421,7 +421,7 @@
 
 func TestNothingBehindAMissingRecordIsTaken(t *testing.T) {
 	dir := t.TempDir()
-	options := Options{Inline: 16}
+	options := Options{MaxInlineBytes: 16}
 	states, ends := stages(t, dir, options)
 	for missing := 1; missing < len(ends)-1; missing++ {
 		l, report := reopened(t, dir, options, func(dir string) {
