--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -104,7 +104,7 @@
 	a.session = newSession(o.HeartbeatEvery, a.Steady())
 	handler, limits := rpc.HandlerFunc(a.handle), o.RPC
 	a.pool = rpc.NewPool(handler, limits)
-	limits.IdleAfter = gossipIdleAfter
+	limits.IdleTimeout = gossipIdleAfter
 	a.fetching = rpc.NewPool(handler, limits)
 	if err := a.listen(handler); err != nil {
 		a.pool.Close()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -524,7 +524,7 @@
 	is.NoErr(err)
 	t.Cleanup(func() { _ = server.Close() })
 	a := start(t, Options{
-		Settings: settingsOf(t, "edge-1", net.JoinHostPort(ip, "1")), RPC: rpc.Options{PingEvery: 4 * time.Millisecond, DeadAfter: time.Hour},
+		Settings: settingsOf(t, "edge-1", net.JoinHostPort(ip, "1")), RPC: rpc.Options{PingInterval: 4 * time.Millisecond, PeerTimeout: time.Hour},
 	})
 	address := server.Addr()
 	store := protocol.Node{Key: "storage-1/store", Role: protocol.RoleStore, Incarnation: 1, Address: address}
--- a/internal/rpc/datagram.go
+++ b/internal/rpc/datagram.go
@@ -87,7 +87,7 @@
 func (d *DatagramSocket) Addr() string { return d.socket.LocalAddr().String() }
 
 // Foreign counts the datagrams that were passed over because they are not of this protocol or damaged.
-func (d *DatagramSocket) Foreign() uint64 { return d.foreign.Load() }
+func (d *DatagramSocket) InvalidDatagrams() uint64 { return d.foreign.Load() }
 
 // Close ends the socket and waits for the last call of the handler; the handler must not call it.
 func (d *DatagramSocket) Close() error {
--- a/internal/rpc/datagram_test.go
+++ b/internal/rpc/datagram_test.go
@@ -35,7 +35,7 @@
 	is.NoErr(err)
 	is.NoErr(b.Send(a.Addr(), 5, make([]byte, MaxDatagram)))
 	is.Equal((<-got).kind, Kind(5))
-	is.Equal(a.Foreign(), uint64(1))
+	is.Equal(a.InvalidDatagrams(), uint64(1))
 	is.NoErr(a.Close())
 	is.NoErr(a.Close())
 	is.NoErr(b.Close())
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	if string(b[:4]) != magic || binary.LittleEndian.Uint16(b[4:]) != protocolVersion {
-		return ErrForeign
+		return ErrProtocolMismatch
 	}
 	return nil
 }
--- a/internal/rpc/monitor.go
+++ b/internal/rpc/monitor.go
@@ -31,7 +31,7 @@
 }
 
 func newMonitor(o Options) *monitor {
-	return &monitor{options: o, every: max(o.PingEvery/ticksPerPing, time.Millisecond), conns: make(map[*Conn]struct{})}
+	return &monitor{options: o, every: max(o.PingInterval/ticksPerPing, time.Millisecond), conns: make(map[*Conn]struct{})}
 }
 
 func (m *monitor) add(c *Conn) {
@@ -109,9 +109,9 @@
 		pingAt += ticksPerPing / 2
 	}
 	switch {
-	case s.silent >= m.ticks(m.options.DeadAfter):
-		c.shut(ErrSilent)
-	case m.options.IdleAfter > 0 && s.idle >= m.ticks(m.options.IdleAfter) && c.callsWaiting() == 0:
+	case s.silent >= m.ticks(m.options.PeerTimeout):
+		c.shut(ErrPeerUnresponsive)
+	case m.options.IdleTimeout > 0 && s.idle >= m.ticks(m.options.IdleTimeout) && c.callsWaiting() == 0:
 		c.Close()
 	case s.silent >= pingAt && s.silent%ticksPerPing == pingAt%ticksPerPing:
 		_ = c.send(outgoing{header: header{frameType: framePing}})
--- a/internal/rpc/monitor_test.go
+++ b/internal/rpc/monitor_test.go
@@ -11,7 +11,7 @@
 )
 
 // stopped are options under which monitors make no ticks of their own within a test.
-var stopped = Options{PingEvery: time.Hour, DeadAfter: 2 * time.Hour, IdleAfter: 0}
+var stopped = Options{PingInterval: time.Hour, PeerTimeout: 2 * time.Hour, IdleTimeout: 0}
 
 // readFrame takes the next frame that the peer of a silentPeer got.
 func readFrame(t *testing.T, socket *net.TCPConn) header {
@@ -42,9 +42,9 @@
 	is.True(!c.isClosed())
 	c.monitor.tick()
 	<-c.Done()
-	is.True(errors.Is(c.Err(), ErrSilent))
+	is.True(errors.Is(c.Err(), ErrPeerUnresponsive))
 	err := <-answers
-	is.True(errors.Is(err, ErrLost) && errors.Is(err, ErrSilent))
+	is.True(errors.Is(err, ErrResponseLost) && errors.Is(err, ErrPeerUnresponsive))
 }
 
 func TestPongKeepsAConnection(t *testing.T) {
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	server := listen(t, echo, stopped)
 	o := stopped
-	o.IdleAfter, o.DeadAfter = o.PingEvery, 100*o.PingEvery
+	o.IdleTimeout, o.PeerTimeout = o.PingInterval, 100*o.PingInterval
 	c := connect(t, server.Addr(), echo, o)
 	c.CallAsync(kindKeep, nil, 0, func([]byte, error) {})
 	tick(c.monitor, 2*ticksPerPing)
@@ -118,7 +118,7 @@
 func TestMonitorRunsOnItsTimer(t *testing.T) {
 	is := is.New(t)
 	address, _ := silentPeer(t)
-	c := connect(t, address, echo, Options{PingEvery: 4 * time.Millisecond, DeadAfter: 8 * time.Millisecond})
+	c := connect(t, address, echo, Options{PingInterval: 4 * time.Millisecond, PeerTimeout: 8 * time.Millisecond})
 	<-c.Done()
-	is.True(errors.Is(c.Err(), ErrSilent))
+	is.True(errors.Is(c.Err(), ErrPeerUnresponsive))
 }
--- a/internal/rpc/pool_test.go
+++ b/internal/rpc/pool_test.go
@@ -132,7 +132,7 @@
 	server, err := Listen("127.0.0.1:0", HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) {}), Options{})
 	is.NoErr(err)
 	defer server.Close()
-	pool := NewPool(nil, Options{PingEvery: time.Hour, DeadAfter: 10 * time.Hour})
+	pool := NewPool(nil, Options{PingInterval: time.Hour, PeerTimeout: 10 * time.Hour})
 	defer pool.Close()
 	conn, err := pool.Get(t.Context(), server.Addr())
 	is.NoErr(err)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -41,12 +41,12 @@
 	// DialTimeout bounds the opening of a connection and the exchange of preambles; 1 s by default.
 	DialTimeout time.Duration
 	// PingEvery is the silence after which a side sends a ping; 1 s by default.
-	PingEvery time.Duration
+	PingInterval time.Duration
 	// DeadAfter is the silence of the other side after which a connection is closed; 2.5 s by default.
-	DeadAfter time.Duration
+	PeerTimeout time.Duration
 	// IdleAfter is the time without any frame but pings after which a pool closes a connection on which no call waits; never by
 	// default. The other side, not knowing, may lose a frame that it sends at that moment.
-	IdleAfter time.Duration
+	IdleTimeout time.Duration
 	// UserTimeout is set as TCP_USER_TIMEOUT where the system has it; 2 s by default.
 	UserTimeout time.Duration
 	// MaxFrame bounds the body of a frame in bytes; 16 MiB by default.
@@ -72,8 +72,8 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.DialTimeout, defaultDialTimeout)
-	setDefault(&o.PingEvery, defaultPingEvery)
-	setDefault(&o.DeadAfter, defaultDeadAfter)
+	setDefault(&o.PingInterval, defaultPingEvery)
+	setDefault(&o.PeerTimeout, defaultDeadAfter)
 	setDefault(&o.UserTimeout, defaultUserTimeout)
 	setDefault(&o.MaxFrame, defaultMaxFrame)
 	setDefault(&o.MaxQueued, defaultMaxQueued)
@@ -94,19 +94,19 @@
 	// ErrNotSent says that no byte of the call was given to the socket: it may be sent elsewhere safely.
 	ErrNotSent = errors.New("rpc: not sent: the call may be repeated on another connection")
 	// ErrLost says that the call may have been processed: ask the other side again before repeating it elsewhere.
-	ErrLost = errors.New("rpc: answer lost: the call may have been processed")
+	ErrResponseLost = errors.New("rpc: answer lost: the call may have been processed")
 	// ErrClosed is the cause of an end by Close, on this side.
 	ErrClosed = errors.New("rpc: closed on this side")
 	// ErrReplaced is the cause of an end because another process listens at the address now.
 	ErrReplaced = errors.New("rpc: another process listens at this address: connect again")
 	// ErrSilent is the cause of an end because the other side sent nothing for Options.DeadAfter.
-	ErrSilent = errors.New("rpc: the other side is silent: check that it runs and can be reached")
+	ErrPeerUnresponsive = errors.New("rpc: the other side is silent: check that it runs and can be reached")
 	// ErrQueueFull is the cause of an end because the other side does not read.
 	ErrQueueFull = errors.New("rpc: too many bytes are queued: the other side does not read")
 	// ErrMalformed is the cause of an end because what arrived is not a frame.
 	ErrMalformed = errors.New("rpc: malformed frame: check that both sides run neighbouring versions")
 	// ErrForeign is the cause of a refused connection whose other side does not speak this protocol.
-	ErrForeign = errors.New("rpc: foreign preamble: check that the address belongs to a process of this system")
+	ErrProtocolMismatch = errors.New("rpc: foreign preamble: check that the address belongs to a process of this system")
 	// ErrTooLong refuses a body over Options.MaxFrame, or a datagram over MaxDatagram.
 	ErrTooLong = errors.New("rpc: body too long: send it in parts")
 	// ErrTimeout is the cause of an ErrLost or ErrNotSent of a call whose time was over.
@@ -126,4 +126,4 @@
 	return &failure{mark: ErrNotSent, cause: cause}
 }
 
-func lost(cause error) error { return &failure{mark: ErrLost, cause: cause} }
+func lost(cause error) error { return &failure{mark: ErrResponseLost, cause: cause} }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -88,7 +88,7 @@
 	var refusal *RemoteError
 	is.True(errors.As(err, &refusal))
 	is.Equal(*refusal, RemoteError{Code: 7, Text: "no way"})
-	is.True(!errors.Is(err, ErrNotSent) && !errors.Is(err, ErrLost))
+	is.True(!errors.Is(err, ErrNotSent) && !errors.Is(err, ErrResponseLost))
 }
 
 func TestBothSidesCall(t *testing.T) {
@@ -148,7 +148,7 @@
 	is.NoErr(err)
 	c.Close()
 	<-c.Done()
-	is.True(errors.Is(<-answers, ErrLost))
+	is.True(errors.Is(<-answers, ErrResponseLost))
 	is.True(errors.Is(<-ends, ErrClosed))
 	is.True(errors.Is(c.Notify(kindEcho, nil), ErrNotSent))
 	_, err = c.Call(context.Background(), kindEcho, nil)
@@ -249,7 +249,7 @@
 	_, err := connect(t, server.Addr(), echo, Options{MaxFrame: 10}).Call(context.Background(), kindEcho, make([]byte, 11))
 	is.True(errors.Is(err, ErrTooLong) && errors.Is(err, ErrNotSent))
 	_, err = c.Call(context.Background(), kindEcho, make([]byte, 101))
-	is.True(errors.Is(err, ErrLost))
+	is.True(errors.Is(err, ErrResponseLost))
 	is.True(errors.Is(<-ends, ErrMalformed))
 }
 
@@ -273,7 +273,7 @@
 	is.NoErr(err)
 	answer, _ := io.ReadAll(socket)
 	is.Equal(len(answer), 0)
-	is.Equal(server.Foreign(), uint64(1))
+	is.Equal(server.ProtocolMismatches(), uint64(1))
 }
 
 func TestForeignServer(t *testing.T) {
@@ -288,7 +288,7 @@
 		}
 	}()
 	_, err = Dial(context.Background(), listener.Addr().String(), echo, Options{})
-	is.True(errors.Is(err, ErrForeign) && errors.Is(err, ErrNotSent))
+	is.True(errors.Is(err, ErrProtocolMismatch) && errors.Is(err, ErrNotSent))
 }
 
 func TestUnknownFrameTypesArePassedOver(t *testing.T) {
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -59,7 +59,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Foreign counts the connections that were closed because their other side does not speak this protocol.
-func (s *Server) Foreign() uint64 { return s.foreign.Load() }
+func (s *Server) ProtocolMismatches() uint64 { return s.foreign.Load() }
 
 // Close stops accepting and closes the connections that were accepted. It does not wait for their OnClose.
 func (s *Server) Close() error {
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	if err := readPreamble(socket); err != nil {
-		if errors.Is(err, ErrForeign) {
+		if errors.Is(err, ErrProtocolMismatch) {
 			s.foreign.Add(1)
 		}
 		return nil, err
