--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -49,10 +49,10 @@
 }
 
 // put appends one whole number.
-func (c *coder) put(v uint64) { c.b = binary.AppendUvarint(c.b, v) }
+func (c *coder) putUvarint(v uint64) { c.b = binary.AppendUvarint(c.b, v) }
 
 // take takes one whole number. A field that the sender did not write is 0.
-func (c *coder) take() uint64 {
+func (c *coder) takeUvarint() uint64 {
 	if len(c.b) == 0 {
 		return 0
 	}
@@ -68,10 +68,10 @@
 // unsigned passes a whole number that may not exceed limit. Encoding does not write to the message, which others may read meanwhile.
 func unsigned[T ~uint8 | ~uint16 | ~uint32 | ~uint64](c *coder, p *T, limit uint64) {
 	if !c.decoding {
-		c.put(uint64(*p))
+		c.putUvarint(uint64(*p))
 		return
 	}
-	v := c.take()
+	v := c.takeUvarint()
 	if v > limit {
 		c.fail()
 		v = 0
@@ -86,7 +86,7 @@
 func (c *coder) uint16(p *uint16) { unsigned(c, p, 1<<16-1) }
 
 // small passes a value of a type that fits a byte.
-func small[T ~uint8](c *coder, p *T) { unsigned(c, p, 1<<8-1) }
+func byteEnum[T ~uint8](c *coder, p *T) { unsigned(c, p, 1<<8-1) }
 
 func (c *coder) bool(p *bool) {
 	var v uint8
@@ -110,8 +110,8 @@
 func (c *coder) duration(p *time.Duration) { c.int64((*int64)(p)) }
 
 // slice takes a length and as many bytes, without a copy.
-func (c *coder) slice() []byte {
-	n := c.take()
+func (c *coder) takeBytes() []byte {
+	n := c.takeUvarint()
 	if n > uint64(len(c.b)) {
 		c.fail()
 		return nil
@@ -124,21 +124,21 @@
 func (c *coder) bytes(p *[]byte) {
 	if c.decoding {
 		*p = nil
-		if taken := c.slice(); len(taken) > 0 {
+		if taken := c.takeBytes(); len(taken) > 0 {
 			*p = taken
 		}
 		return
 	}
-	c.put(uint64(len(*p)))
+	c.putUvarint(uint64(len(*p)))
 	c.b = append(c.b, *p...)
 }
 
 func (c *coder) string(p *string) {
 	if c.decoding {
-		*p = string(c.slice())
+		*p = string(c.takeBytes())
 		return
 	}
-	c.put(uint64(len(*p)))
+	c.putUvarint(uint64(len(*p)))
 	c.b = append(c.b, *p...)
 }
 
@@ -149,7 +149,7 @@
 // nested passes a message that may grow by fields.
 func (c *coder) nested(m fielder) {
 	if c.decoding {
-		inner := coder{b: c.slice(), decoding: true}
+		inner := coder{b: c.takeBytes(), decoding: true}
 		m.fields(&inner)
 		if inner.failed {
 			c.fail()
@@ -167,26 +167,26 @@
 }
 
 // firstElements bounds what is allocated for a list before its elements were read.
-const firstElements = 256
+const initialListCapacity = 256
 
 // list passes a count and as many elements; each takes a byte at least.
 func list[T any](c *coder, p *[]T, element func(c *coder, e *T)) {
 	if !c.decoding {
-		c.put(uint64(len(*p)))
+		c.putUvarint(uint64(len(*p)))
 		for i := range *p {
 			element(c, &(*p)[i])
 		}
 		return
 	}
 	*p = nil
-	n := c.take()
+	n := c.takeUvarint()
 	if n > uint64(len(c.b)) {
 		c.fail()
 	}
 	if n == 0 || c.failed {
 		return
 	}
-	elements := make([]T, 0, min(n, firstElements))
+	elements := make([]T, 0, min(n, initialListCapacity))
 	for range n {
 		var e T
 		if len(c.b) == 0 {
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -14,18 +14,18 @@
 )
 
 // kinds makes an empty message of each type, and an arbitrary one.
-var kinds = []struct {
+var messageTypes = []struct {
 	empty     func() Message
 	arbitrary func(t *rapid.T) Message
 }{
-	kind[Node](), kind[NodeTable](), kind[Heartbeat](), kind[PromotionOffer](), kind[HeartbeatReply](), kind[Leave](), kind[ItemVersion](),
-	kind[Item](), kind[ItemDigest](), kind[Digest](), kind[Fetch](), kind[Items](), kind[MemberAddress](), kind[ControlView](),
-	kind[PartitionView](), kind[PartitionTable](), kind[Worker](), kind[Workers](), kind[WorkersFreshness](), kind[ReplicationFrame](),
-	kind[LeaseRequest](), kind[LeaseReply](), kind[Header](), kind[Accept](), kind[AcceptReply](), kind[Lookup](), kind[LookupReply](),
-	kind[HeldDelivery](), kind[ServiceWindow](), kind[Hello](), kind[Deliver](), kind[Result](),
+	messageType[Node](), messageType[NodeTable](), messageType[Heartbeat](), messageType[PromotionOffer](), messageType[HeartbeatReply](), messageType[Leave](), messageType[ItemVersion](),
+	messageType[Item](), messageType[ItemDigest](), messageType[Digest](), messageType[Fetch](), messageType[Items](), messageType[MemberAddress](), messageType[ControlView](),
+	messageType[PartitionView](), messageType[PartitionTable](), messageType[Worker](), messageType[Workers](), messageType[WorkersFreshness](), messageType[ReplicationFrame](),
+	messageType[LeaseRequest](), messageType[LeaseReply](), messageType[Header](), messageType[Accept](), messageType[AcceptReply](), messageType[Lookup](), messageType[LookupReply](),
+	messageType[HeldDelivery](), messageType[ServiceWindow](), messageType[Hello](), messageType[Deliver](), messageType[Result](),
 }
 
-func kind[T any, P interface {
+func messageType[T any, P interface {
 	*T
 	Message
 }]() struct {
@@ -62,7 +62,7 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	for _, k := range kinds {
+	for _, k := range messageTypes {
 		t.Run(reflect.TypeOf(k.empty()).Elem().Name(), rapid.MakeCheck(func(t *rapid.T) {
 			is := is.New(t)
 			m := k.arbitrary(t)
@@ -90,7 +90,7 @@
 
 func TestEmptyMessageIsZero(t *testing.T) {
 	is := is.New(t)
-	for _, k := range kinds {
+	for _, k := range messageTypes {
 		m := k.empty()
 		is.NoErr(m.Decode(nil))
 		is.Equal(m, k.empty())
@@ -115,7 +115,7 @@
 func (m *olderNode) fields(c *coder) {
 	c.string(&m.Key)
 	c.string(&m.Name)
-	small(c, &m.Role)
+	byteEnum(c, &m.Role)
 }
 
 func (m *olderHeartbeat) fields(c *coder) { c.nested(&m.Node) }
@@ -137,33 +137,33 @@
 	c.strings(&m.Notes)
 }
 
-var wholeNode = Node{
+var fullNode = Node{
 	Key: "edge-1/control", Name: "edge-1", Role: RoleControl, Incarnation: 1 << 60, Member: "edge-1/ab", Zone: "z", Region: "r",
 	Address: "10.0.0.1:7240", ControlPlane: "10.0.0.1:8046", Leaving: true, CountsForQuorum: true,
 }
 
-func TestOlderSender(t *testing.T) {
+func TestDecodesMessageOfOlderVersion(t *testing.T) {
 	is := is.New(t)
-	older := olderHeartbeat{Node: olderNode{wholeNode}}
+	older := olderHeartbeat{Node: olderNode{fullNode}}
 	var m Heartbeat
 	is.NoErr(m.Decode(encode(&older, nil)))
 	is.Equal(m, Heartbeat{Node: Node{Key: "edge-1/control", Name: "edge-1", Role: RoleControl}})
 }
 
-func TestNewerSender(t *testing.T) {
+func TestDecodesMessageOfNewerVersion(t *testing.T) {
 	is := is.New(t)
 	newer := newerHeartbeat{
 		Heartbeat: Heartbeat{Offers: []PromotionOffer{{Partition: 5, Epoch: 7, Learner: "s/1"}}, PartitionsLed: 3, DiskFull: true},
-		Node:      newerNode{Node: wholeNode, Cores: 4},
+		Node:      newerNode{Node: fullNode, Cores: 4},
 		Notes:     []string{"new", "field"},
 	}
 	var m Heartbeat
 	is.NoErr(m.Decode(encode(&newer, nil)))
-	is.Equal(m, Heartbeat{Node: wholeNode, Offers: newer.Offers, PartitionsLed: 3, DiskFull: true})
+	is.Equal(m, Heartbeat{Node: fullNode, Offers: newer.Offers, PartitionsLed: 3, DiskFull: true})
 }
 
 // TestEncodingStays pins the bytes, so that a change of order or form is noticed.
-func TestEncodingStays(t *testing.T) {
+func TestEncodingIsStable(t *testing.T) {
 	is := is.New(t)
 	m := Accept{
 		Partition: 300, ID: "012c-7", RequestID: "7", Method: "POST", Host: "h", URI: "/p?q", Key: "k",
@@ -174,7 +174,7 @@
 		"01"+"04"+"0141"+"0162"+"01"+"d00f"+"02"+"0203"+"04626f6479")
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, encoded := range []string{
 		"ff",                     // a cut number
@@ -190,10 +190,10 @@
 	is.True(errors.Is((&NodeTable{}).Decode([]byte{2, 0}), ErrMalformed)) // fewer elements than counted
 }
 
-func TestLists(t *testing.T) {
+func TestLongListRoundTrip(t *testing.T) {
 	is := is.New(t)
 	table := PartitionTable{}
-	for n := range uint32(3 * firstElements) {
+	for n := range uint32(3 * initialListCapacity) {
 		table.Partitions = append(table.Partitions, PartitionView{Partition: n, Epoch: 1, Primary: "a", Members: []string{"a", "b"}})
 	}
 	var decoded PartitionTable
@@ -212,11 +212,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(uint8(0), (&wholeNode).Append(nil))
-	f.Add(uint8(2), (&Heartbeat{Node: wholeNode, Offers: []PromotionOffer{{1, 2, "x"}}}).Append(nil))
+	f.Add(uint8(0), (&fullNode).Append(nil))
+	f.Add(uint8(2), (&Heartbeat{Node: fullNode, Offers: []PromotionOffer{{1, 2, "x"}}}).Append(nil))
 	f.Add(uint8(9), (&Digest{Key: "k", Versions: []ItemDigest{{ItemNodes, ItemVersion{1, 2}}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, which uint8, b []byte) {
-		k := kinds[int(which)%len(kinds)]
+		k := messageTypes[int(which)%len(messageTypes)]
 		m := k.empty()
 		if m.Decode(b) != nil {
 			return
@@ -261,7 +261,7 @@
 	is.Equal(decoded, table)
 }
 
-func TestPartitionTableNamesNobodyElse(t *testing.T) {
+func TestPartitionTableRejectsUnknownNamePosition(t *testing.T) {
 	is := is.New(t)
 	table := PartitionTable{Partitions: []PartitionView{{Partition: 1, Epoch: 2, Primary: "a", Members: []string{"a"}}}}
 	encoded := table.Append(nil)
--- a/internal/protocol/item_codec.go
+++ b/internal/protocol/item_codec.go
@@ -12,7 +12,7 @@
 func (m *ItemVersion) Decode(b []byte) error { return decode(m, b) }
 
 func (m *Item) fields(c *coder) {
-	small(c, &m.Kind)
+	byteEnum(c, &m.Kind)
 	c.nested(&m.Version)
 	c.bytes(&m.Body)
 }
@@ -24,7 +24,7 @@
 func (m *Item) Decode(b []byte) error { return decode(m, b) }
 
 func (m *ItemDigest) fields(c *coder) {
-	small(c, &m.Kind)
+	byteEnum(c, &m.Kind)
 	c.nested(&m.Version)
 }
 
@@ -49,7 +49,7 @@
 func (m *Digest) Decode(b []byte) error { return decode(m, b) }
 
 func (m *Fetch) fields(c *coder) {
-	list(c, &m.Kinds, small[ItemKind])
+	list(c, &m.Kinds, byteEnum[ItemKind])
 }
 
 // Append implements Message.
--- a/internal/protocol/message_codec.go
+++ b/internal/protocol/message_codec.go
@@ -71,7 +71,7 @@
 func (m *Accept) Decode(b []byte) error { return decode(m, b) }
 
 func (m *AcceptReply) fields(c *coder) {
-	small(c, &m.Status)
+	byteEnum(c, &m.Status)
 	c.duration(&m.RetryAfter)
 }
 
@@ -95,7 +95,7 @@
 
 func (m *LookupReply) fields(c *coder) {
 	c.bool(&m.Found)
-	small(c, &m.State)
+	byteEnum(c, &m.State)
 	c.string(&m.Signature)
 	c.bytes(&m.Body)
 	c.bool(&m.HasBody)
@@ -176,7 +176,7 @@
 	c.string(&m.ID)
 	c.uint32(&m.Attempt)
 	c.string(&m.Dispatcher)
-	small(c, &m.Outcome)
+	byteEnum(c, &m.Outcome)
 	c.uint16(&m.Status)
 	c.string(&m.Signature)
 	c.duration(&m.RetryAfter)
--- a/internal/protocol/node_codec.go
+++ b/internal/protocol/node_codec.go
@@ -3,7 +3,7 @@
 func (m *Node) fields(c *coder) {
 	c.string(&m.Key)
 	c.string(&m.Name)
-	small(c, &m.Role)
+	byteEnum(c, &m.Role)
 	c.uint64(&m.Incarnation)
 	c.string(&m.Member)
 	c.string(&m.Zone)
--- a/internal/protocol/table_codec.go
+++ b/internal/protocol/table_codec.go
@@ -9,7 +9,7 @@
 		names.collect(m.Partitions)
 	}
 	c.strings(&names.list)
-	list(c, &m.Partitions, func(c *coder, v *PartitionView) { c.nested(&namedView{view: v, names: &names}) })
+	list(c, &m.Partitions, func(c *coder, v *PartitionView) { c.nested(&indexedView{view: v, names: &names}) })
 }
 
 // Append implements Message.
@@ -20,12 +20,12 @@
 
 // memberNames are the members that a table names, in the order in which it first does.
 type memberNames struct {
-	list  []string
-	place map[string]uint32 // of each in the list, and one more; only for encoding
+	list      []string
+	positions map[string]uint32 // of each in the list, and one more; only for encoding
 }
 
 func (n *memberNames) collect(views []PartitionView) {
-	n.place = make(map[string]uint32)
+	n.positions = make(map[string]uint32)
 	for i := range views {
 		v := &views[i]
 		n.add(v.Primary)
@@ -38,16 +38,16 @@
 }
 
 func (n *memberNames) add(name string) {
-	if name == "" || n.place[name] != 0 {
+	if name == "" || n.positions[name] != 0 {
 		return
 	}
 	n.list = append(n.list, name)
-	n.place[name] = uint32(len(n.list))
+	n.positions[name] = uint32(len(n.list))
 }
 
 // pass passes a name as its place, 0 for the empty one.
-func (n *memberNames) pass(c *coder, name *string) {
-	place := n.place[*name]
+func (n *memberNames) transcode(c *coder, name *string) {
+	place := n.positions[*name]
 	c.uint32(&place)
 	if !c.decoding {
 		return
@@ -63,19 +63,19 @@
 }
 
 // namedView is a view whose members are passed as places.
-type namedView struct {
+type indexedView struct {
 	view  *PartitionView
 	names *memberNames
 }
 
-func (m *namedView) fields(c *coder) {
+func (m *indexedView) fields(c *coder) {
 	c.uint32(&m.view.Partition)
 	c.uint64(&m.view.Epoch)
-	m.names.pass(c, &m.view.Primary)
-	list(c, &m.view.Members, m.names.pass)
-	list(c, &m.view.Learners, m.names.pass)
+	m.names.transcode(c, &m.view.Primary)
+	list(c, &m.view.Members, m.names.transcode)
+	list(c, &m.view.Learners, m.names.transcode)
 	if c.decoding || len(m.view.Sources)+len(m.view.Holders) > 0 { // left out at the end, as they mostly are empty
-		list(c, &m.view.Sources, m.names.pass)
-		list(c, &m.view.Holders, m.names.pass)
+		list(c, &m.view.Sources, m.names.transcode)
+		list(c, &m.view.Holders, m.names.transcode)
 	}
 }
--- a/internal/recordlog/bench_test.go
+++ b/internal/recordlog/bench_test.go
@@ -8,28 +8,28 @@
 	"liftgauge/replication"
 )
 
-const recordsHeld = 1_000_000
+const recordCount = 1_000_000
 
 // BenchmarkMemoryPerRecord prints the heap per record of a million records in 64 groups, with keys of a message's state.
 func BenchmarkMemoryPerRecord(b *testing.B) {
 	for _, inline := range []int{0, 100} {
 		b.Run(fmt.Sprint("inline", inline), func(b *testing.B) {
 			for b.Loop() {
-				l, _, err := open(b.TempDir(), Options{MaxInlineBytes: 256}, quietDisk())
+				l, _, err := open(b.TempDir(), Options{MaxInlineBytes: 256}, unsyncedDisk())
 				if err != nil {
 					b.Fatal(err)
 				}
 				before := heap()
 				value := make([]byte, inline)
 				records := make([]replication.Record, 1000)
-				for i := range recordsHeld / len(records) {
+				for i := range recordCount / len(records) {
 					for j := range records {
 						records[j] = replication.Record{Key: fmt.Sprintf("s/%04x-%026d", j%64, i*len(records)+j), Version: uint64(i), Value: value}
 					}
 					l.Append(uint32(i%64), records, nil)
 					l.step()
 				}
-				b.ReportMetric(float64(heap()-before)/recordsHeld, "heap-B/record")
+				b.ReportMetric(float64(heap()-before)/recordCount, "heap-B/record")
 				runtime.KeepAlive(l)
 				_ = l.Close()
 			}
--- a/internal/recordlog/commit.go
+++ b/internal/recordlog/commit.go
@@ -4,14 +4,14 @@
 
 // mostBatchBytes bounds what is written at once, unless a single append is larger: it is held in memory twice meanwhile.
 const (
-	mostBatchBytes      = 1 << 20
-	batchesInGeneration = 4 // at least
+	maxBatchBytes           = 1 << 20
+	minBatchesPerGeneration = 4 // at least
 )
 
 // batch is what one write and one sync make durable.
 type batch struct {
 	requests []*request
-	copies   []copied
+	copies   []recordCopy
 	floor    uint64 // to be raised to; 0 for none
 }
 
@@ -19,7 +19,7 @@
 
 // run is the writing goroutine.
 func (l *Log) run() {
-	defer close(l.ended)
+	defer close(l.writerDone)
 	for {
 		if l.step() {
 			continue
@@ -39,20 +39,20 @@
 
 // step writes one batch, with a slice of compaction, and tells whether there was anything to do.
 func (l *Log) step() bool {
-	requests, closed := l.take()
+	requests, closed := l.dequeue()
 	b := batch{requests: requests}
 	scanned := false
 	if !closed && l.mayCompact(requests) {
 		b.copies, scanned = l.compact(len(requests) > 0)
 	}
-	if !closed && (!l.broken || len(requests) > 0) {
+	if !closed && (!l.lastWriteFailed || len(requests) > 0) {
 		b.floor = l.removable()
 	}
 	if b.empty() {
 		return scanned
 	}
 	if err := l.write(&b); err != nil {
-		l.takeBack(&b, writeError(err))
+		l.rollBack(&b, writeError(err))
 		return true
 	}
 	if b.floor > 0 {
@@ -69,7 +69,7 @@
 // mayCompact tells whether a batch may carry copies. After a failure compaction tries again only when there are requests, and only
 // with those that were refused: it must neither try without end nor take the space that the others need.
 func (l *Log) mayCompact(requests []*request) bool {
-	if !l.broken {
+	if !l.lastWriteFailed {
 		return true
 	}
 	for _, r := range requests {
@@ -81,10 +81,10 @@
 }
 
 // take returns the next requests to write.
-func (l *Log) take() (requests []*request, closed bool) {
+func (l *Log) dequeue() (requests []*request, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := min(mostBatchBytes, l.options.GenerationBytes/batchesInGeneration)
+	most := min(maxBatchBytes, l.options.GenerationBytes/minBatchesPerGeneration)
 	n, size := 0, int64(0)
 	for n < len(l.queue) && (n == 0 || size+l.queue[n].bytes <= most) {
 		size += l.queue[n].bytes
@@ -104,22 +104,22 @@
 			return err
 		}
 	}
-	places := l.add(b)
-	if l.writer.added > 0 {
+	places := l.encodeBatch(b)
+	if l.writer.batchBytes > 0 {
 		if err := l.writer.flush(); err != nil {
 			return err
 		}
-		l.broken = false
+		l.lastWriteFailed = false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle()
+	l.commitWriter()
 	l.commit(b, places)
 	return nil
 }
 
 // add encodes a batch and returns where its records will be, in order.
-func (l *Log) add(b *batch) []location {
+func (l *Log) encodeBatch(b *batch) []location {
 	var places []location
 	for _, r := range b.requests {
 		for i := range r.operations {
@@ -154,45 +154,45 @@
 			l.index.commit(op, at)
 			l.cacheValue(op)
 		}
-		l.queued -= r.bytes
+		l.queuedBytes -= r.bytes
 	}
 	for i, c := range b.copies {
-		l.index.move(c.group, c.key, c.from, places[i])
+		l.index.relocate(c.group, c.key, c.from, places[i])
 	}
 }
 
 // cacheValue keeps a new large value at hand, and forgets the one before it.
 func (l *Log) cacheValue(op *operation) {
 	if op.previous.exists() {
-		l.values.remove(op.previous.at)
+		l.values.remove(op.previous.location)
 	}
 	if op.kind == kindPut {
 		if _, inline := op.entry.inline(); !inline {
-			l.values.add(op.entry.at, op.value)
+			l.values.add(op.entry.location, op.value)
 		}
 	}
 }
 
 // takeBack undoes everything that is not durable after a failure, the queue included: later appends may build upon what has failed.
-func (l *Log) takeBack(b *batch, err error) {
-	if l.writer != nil && l.writer.added > 0 {
+func (l *Log) rollBack(b *batch, err error) {
+	if l.writer != nil && l.writer.batchBytes > 0 {
 		if failure := l.writer.abandon(); failure != nil {
-			l.failed("cutting a generation's end failed", failure)
+			l.reportFailure("cutting a generation's end failed", failure)
 		}
 		l.writer = nil
 	}
 	l.endCompaction()
-	l.broken = true
+	l.lastWriteFailed = true
 	l.mu.Lock()
 	requests := append(b.requests, l.queue...)
-	l.queue, l.queued = nil, 0
+	l.queue, l.queuedBytes = nil, 0
 	for _, r := range slices.Backward(requests) {
 		for i := len(r.operations) - 1; i >= 0; i-- {
 			l.index.undo(&r.operations[i])
 		}
 	}
 	l.mu.Unlock()
-	l.failed("write failed", err)
+	l.reportFailure("write failed", err)
 	for _, r := range requests {
 		if r.err == nil {
 			r.err = err
--- a/internal/recordlog/compact.go
+++ b/internal/recordlog/compact.go
@@ -15,24 +15,24 @@
 	// spareGenerations is how many generations there may be beyond those that the bytes on disk fill: every start begins one.
 	spareGenerations = 8
 	// settleBatches is for how many batches changes may be under way that hide records of a generation, after it was read.
-	settleBatches = 2
+	drainBatches = 2
 	// fruitlessPasses is after how many readings without a copy a generation's remaining records are taken for unreadable.
-	fruitlessPasses = 2
+	maxPassesWithoutCopy = 2
 )
 
 // compaction copies the live records of the oldest generation, one slice with each batch.
 type compaction struct {
-	target  *generation
-	segment int // index of the one being read
-	file    *os.File
-	scanner *scanner
-	space   []byte
-	copies  int
-	settle  int
+	target         *generation
+	segment        int // index of the one being read
+	file           *os.File
+	scanner        *scanner
+	scanBuffer     []byte
+	copies         int
+	batchesToDrain int
 }
 
 // copied is a live record that a batch writes again.
-type copied struct {
+type recordCopy struct {
 	group   uint32
 	key     string
 	version uint64
@@ -42,13 +42,13 @@
 
 // compact does a slice of compaction, if there is need of it, and tells whether there is more to do. busy means that the batch also
 // has requests.
-func (l *Log) compact(busy bool) (copies []copied, scanned bool) {
+func (l *Log) compact(busy bool) (copies []recordCopy, scanned bool) {
 	if l.compaction == nil {
 		target := l.compactionTarget()
 		if target == nil {
 			return nil, false
 		}
-		l.compaction = &compaction{target: target, settle: settleBatches}
+		l.compaction = &compaction{target: target, batchesToDrain: drainBatches}
 	}
 	c := l.compaction
 	var read, written int64
@@ -59,7 +59,7 @@
 			c.nextSegment()
 			continue
 		case err != nil:
-			l.failed("reading a generation failed", errors.Wrapf(ErrCorrupt, "%s: %v", c.target.segments[c.segment].path, err))
+			l.reportFailure("reading a generation failed", errors.Wrapf(ErrCorrupt, "%s: %v", c.target.segments[c.segment].path, err))
 			c.nextSegment()
 			continue
 		}
@@ -77,20 +77,20 @@
 }
 
 func (l *Log) sliceCopyBytes() int64 {
-	return min(sliceCopyBytes, l.options.GenerationBytes/(2*batchesInGeneration))
+	return min(sliceCopyBytes, l.options.GenerationBytes/(2*minBatchesPerGeneration))
 }
 
 // next reads the target's next record.
-func (c *compaction) next() (scanned, error) {
+func (c *compaction) next() (scannedRecord, error) {
 	s := c.target.segments[c.segment]
 	if c.scanner == nil {
 		file, err := os.Open(s.path)
 		if err != nil {
-			return scanned{}, err
+			return scannedRecord{}, err
 		}
 		c.file = file
-		c.scanner = newScanner(file, s.size, c.target, s.first, c.space)
-		c.scanner.check = false
+		c.scanner = newScanner(file, s.size, c.target, s.first, c.scanBuffer)
+		c.scanner.verifyChecksums = false
 	}
 	return c.scanner.read()
 }
@@ -102,7 +102,7 @@
 
 func (c *compaction) close() {
 	if c.scanner != nil {
-		c.space = c.scanner.space
+		c.scanBuffer = c.scanner.backing
 	}
 	if c.file != nil {
 		_ = c.file.Close() // only read
@@ -111,20 +111,20 @@
 }
 
 // liveCopy returns a copy of a record if the index refers to it and it is whole.
-func (l *Log) liveCopy(c *compaction, r scanned) (copied, bool) {
+func (l *Log) liveCopy(c *compaction, r scannedRecord) (recordCopy, bool) {
 	if r.kind != kindPut {
-		return copied{}, false
+		return recordCopy{}, false
 	}
 	at := fileLocation(c.target.segments[c.segment].id, r.offset)
 	l.mu.Lock()
 	held := l.index.find(r.group, string(r.key))
-	live := held != nil && held.at == at
+	live := held != nil && held.location == at
 	l.mu.Unlock()
-	if !live || !intact(r.raw, c.target.salt) {
-		return copied{}, false
+	if !live || !hasValidChecksum(r.raw, c.target.salt) {
+		return recordCopy{}, false
 	}
 	value := append([]byte(nil), r.value...)
-	return copied{group: r.group, key: string(r.key), version: r.version, value: value, from: at}, true
+	return recordCopy{group: r.group, key: string(r.key), version: r.version, value: value, from: at}, true
 }
 
 // endPass ends the reading of a generation once changes that may have hidden some of its records are settled.
@@ -133,16 +133,16 @@
 	l.mu.Lock()
 	busy = busy || len(l.queue) > 0
 	l.mu.Unlock()
-	if busy && c.settle > 0 {
-		c.settle--
+	if busy && c.batchesToDrain > 0 {
+		c.batchesToDrain--
 		return false
 	}
 	l.endCompaction()
 	if c.copies > 0 || l.liveRecords(c.target) == 0 {
 		return false
 	}
-	if c.target.fruitless++; c.target.fruitless == fruitlessPasses {
-		l.failed("compaction stopped", errors.Wrapf(ErrCorrupt, "%s has records that cannot be copied", c.target.folder))
+	if c.target.passesWithoutCopy++; c.target.passesWithoutCopy == maxPassesWithoutCopy {
+		l.reportFailure("compaction stopped", errors.Wrapf(ErrCorrupt, "%s has records that cannot be copied", c.target.folder))
 	}
 	return false
 }
@@ -168,7 +168,7 @@
 		return nil
 	}
 	oldest := l.generations[0]
-	if oldest.liveRecords == 0 || oldest.fruitless >= fruitlessPasses {
+	if oldest.liveRecords == 0 || oldest.passesWithoutCopy >= maxPassesWithoutCopy {
 		return nil
 	}
 	var live int64
@@ -178,7 +178,7 @@
 	garbage, unit, limit := l.usage-live, l.options.GenerationBytes, l.options.DiskBytes
 	wasteful := garbage > live+2*unit
 	pressed := limit > 0 && l.usage > limit/2 && garbage > max(unit, live/4)
-	tight := limit > 0 && l.usage+l.queued+unit > l.putLimit() && garbage > unit/2
+	tight := limit > 0 && l.usage+l.queuedBytes+unit > l.putLimit() && garbage > unit/2
 	many := int64(len(l.generations)) > l.usage/unit+spareGenerations
 	if wasteful || pressed || tight || many {
 		return oldest
@@ -219,7 +219,7 @@
 			_ = l.files.drop(s.id) // only read
 		}
 		if err := l.disk.Remove(g.folder); err != nil {
-			l.failed("removing a generation failed; the next start tries again", err)
+			l.reportFailure("removing a generation failed; the next start tries again", err)
 		}
 		l.options.Logger.Debug("generation removed", zap.Uint64("generation", g.number))
 	}
--- a/internal/recordlog/crash_test.go
+++ b/internal/recordlog/crash_test.go
@@ -50,7 +50,7 @@
 type crashModel struct {
 	t       *rapid.T
 	dir     string
-	disk    *powerDisk
+	disk    *powerLossDisk
 	log     *Log
 	options Options
 	random  *rand.Rand
@@ -80,7 +80,7 @@
 		case 0:
 			records[i] = replication.Record{Key: key, Deleted: true}
 		case 1:
-			records[i] = put(key, m.version, big(byte(m.version), 20+m.random.IntN(700)))
+			records[i] = put(key, m.version, repeated(byte(m.version), 20+m.random.IntN(700)))
 		default:
 			records[i] = put(key, m.version, fmt.Sprint(m.version))
 		}
@@ -94,7 +94,7 @@
 
 func (m *crashModel) submit(r modelRequest) {
 	done := func(err error) {
-		if m.disk.dead() {
+		if m.disk.powerLost() {
 			return
 		}
 		if err == nil {
@@ -124,18 +124,18 @@
 
 // restart abandons the log and opens it again, after a loss of power or just a kill.
 func (m *crashModel) restart(power bool) {
-	m.disk.fuse = 0
+	m.disk.operationsLeft = 0
 	_ = m.log.Close()
 	for {
 		if power {
 			m.disk.losePower(m.dir, m.random)
 		}
-		m.disk.fuse = -1
+		m.disk.operationsLeft = -1
 		if m.random.IntN(3) == 0 {
-			m.arm(12)
+			m.armPowerLoss(12)
 		}
 		l, report, err := open(m.dir, m.options, m.disk)
-		if err != nil && m.disk.dead() {
+		if err != nil && m.disk.powerLost() {
 			power = true
 			continue
 		}
@@ -148,15 +148,15 @@
 		m.log = l
 		break
 	}
-	if m.disk.dead() { // without space it opens nevertheless; this is not that
+	if m.disk.powerLost() { // without space it opens nevertheless; this is not that
 		m.t.Fatal("opened without power")
 	}
-	m.disk.fuse = -1
-	m.recovered()
+	m.disk.operationsLeft = -1
+	m.checkRecovered()
 }
 
 // recovered checks that the log holds what was durable, and of the rest a part from its beginning.
-func (m *crashModel) recovered() {
+func (m *crashModel) checkRecovered() {
 	found := m.contents()
 	state := maps.Clone(m.durable)
 	for i := 0; ; i++ {
@@ -214,32 +214,32 @@
 	if usage != m.log.usage {
 		m.t.Fatalf("usage %d, generations have %d", m.log.usage, usage)
 	}
-	if len(m.pending) == 0 && (len(m.log.index.pending) > 0 || len(m.log.index.shadows) > 0 || m.log.queued != 0) {
-		m.t.Fatalf("left over: %d values, %d shadows, %d bytes", len(m.log.index.pending), len(m.log.index.shadows), m.log.queued)
+	if len(m.pending) == 0 && (len(m.log.index.pending) > 0 || len(m.log.index.replacedBy) > 0 || m.log.queuedBytes != 0) {
+		m.t.Fatalf("left over: %d values, %d shadows, %d bytes", len(m.log.index.pending), len(m.log.index.replacedBy), m.log.queuedBytes)
 	}
 }
 
-func (m *crashModel) arm(most int) {
-	m.disk.fuse = 1 + m.random.IntN(most)
-	m.disk.half = m.random.IntN(2) == 0
+func (m *crashModel) armPowerLoss(most int) {
+	m.disk.operationsLeft = 1 + m.random.IntN(most)
+	m.disk.applyFailing = m.random.IntN(2) == 0
 }
 
-func (m *crashModel) act(action int) {
+func (m *crashModel) runAction(action int) {
 	switch action {
 	case 0, 1, 2, 3:
 		m.append()
 	case 4, 5:
 		if m.random.IntN(2) == 0 {
-			m.disk.during = m.append
+			m.disk.onWrite = m.append
 		}
 		m.log.step()
-		m.disk.during = nil
+		m.disk.onWrite = nil
 	case 6:
-		settleAll(m.log)
+		stepUntilIdle(m.log)
 	case 7:
 		m.fault()
 	case 8:
-		m.arm(12)
+		m.armPowerLoss(12)
 		for range 6 {
 			m.append()
 			m.log.step()
@@ -250,7 +250,7 @@
 	case 10:
 		m.drop()
 	case 11:
-		settleAll(m.log)
+		stepUntilIdle(m.log)
 		if err := m.log.Close(); err != nil {
 			m.t.Fatal(err)
 		}
@@ -258,16 +258,16 @@
 	case 12:
 		for range 20 {
 			m.append()
-			m.disk.during = m.append
+			m.disk.onWrite = m.append
 			m.log.step()
-			m.disk.during = nil
+			m.disk.onWrite = nil
 		}
 	}
 }
 
 const modelActions = 13
 
-func TestCrashesLoseNothingDurableAndInventNothing(t *testing.T) {
+func TestCrashRecoveryKeepsDurableRecordsAndAddsNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "recordlog")
 		if err != nil {
@@ -275,7 +275,7 @@
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 		m := &crashModel{
-			t: t, dir: dir, disk: newPowerDisk(), durable: make(modelState),
+			t: t, dir: dir, disk: newPowerLossDisk(), durable: make(modelState),
 			options: Options{
 				SegmentBytes:    int64(rapid.SampledFrom([]int{100, 600, 3000}).Draw(t, "segment")),
 				GenerationBytes: int64(rapid.SampledFrom([]int{500, 4000, 20000}).Draw(t, "generation")),
@@ -288,7 +288,7 @@
 		}
 		defer func() { _ = m.log.Close() }()
 		for _, action := range rapid.SliceOfN(rapid.IntRange(0, modelActions-1), 1, 60).Draw(t, "actions") {
-			m.act(action)
+			m.runAction(action)
 			m.check()
 		}
 	})
--- a/internal/recordlog/entry.go
+++ b/internal/recordlog/entry.go
@@ -30,8 +30,8 @@
 
 // entry is a record in the index. The zero entry stands for none.
 type entry struct {
-	at   location
-	data string // never changed: a replaced entry can be put back as it was
+	location location
+	data     string // never changed: a replaced entry can be put back as it was
 }
 
 // newEntryData encodes an entry's data. A value longer than inline stays out.
--- a/internal/recordlog/faultdisk_test.go
+++ b/internal/recordlog/faultdisk_test.go
@@ -12,53 +12,53 @@
 )
 
 var (
-	errPower    = errors.New("power lost")
-	errInjected = errors.New("injected fault")
+	errPowerLost = errors.New("power lost")
+	errInjected  = errors.New("injected fault")
 )
 
 // powerDisk is a disk that keeps account of what is durable, and can lose power: durable bytes stay, each later write is present,
 // absent or torn, files that were never synced may be gone, and removed files may come back.
-type powerDisk struct {
+type powerLossDisk struct {
 	osDisk
-	files   map[string]*fileState
-	removed map[string][]byte // what may come back
-	named   map[string]bool   // files and folders whose names are durable
-	fuse    int               // operations until power is lost; negative for never
-	half    bool              // the operation that blows the fuse is carried out before it fails
-	faults  map[string]error  // operations that fail, by name, until they are taken out
-	log     []string
-	during  func() // called once, in the midst of the next write
+	files          map[string]*fileState
+	removed        map[string][]byte // what may come back
+	durableNames   map[string]bool   // files and folders whose names are durable
+	operationsLeft int               // operations until power is lost; negative for never
+	applyFailing   bool              // the operation that blows the fuse is carried out before it fails
+	faults         map[string]error  // operations that fail, by name, until they are taken out
+	log            []string
+	onWrite        func() // called once, in the midst of the next write
 }
 
 type fileState struct {
-	durable int64
-	synced  bool
-	writes  []int64 // ends of the writes after the last sync
-	before  []byte  // content before a cut that is not durable
+	durable          int64
+	synced           bool
+	writes           []int64 // ends of the writes after the last sync
+	contentBeforeCut []byte  // content before a cut that is not durable
 }
 
-func newPowerDisk() *powerDisk {
-	return &powerDisk{files: make(map[string]*fileState), removed: make(map[string][]byte), named: make(map[string]bool), fuse: -1, faults: make(map[string]error)}
+func newPowerLossDisk() *powerLossDisk {
+	return &powerLossDisk{files: make(map[string]*fileState), removed: make(map[string][]byte), durableNames: make(map[string]bool), operationsLeft: -1, faults: make(map[string]error)}
 }
 
-func (d *powerDisk) dead() bool { return d.fuse == 0 }
+func (d *powerLossDisk) powerLost() bool { return d.operationsLeft == 0 }
 
 // guard runs an operation unless there is no power.
-func (d *powerDisk) guard(name string, operation func() error) error {
+func (d *powerLossDisk) perform(name string, operation func() error) error {
 	d.log = append(d.log, name)
-	if d.dead() {
-		return errPower
+	if d.powerLost() {
+		return errPowerLost
 	}
-	if d.fuse > 0 {
-		if d.fuse--; d.fuse == 0 {
-			if d.half {
+	if d.operationsLeft > 0 {
+		if d.operationsLeft--; d.operationsLeft == 0 {
+			if d.applyFailing {
 				_ = operation()
 			}
-			return errPower
+			return errPowerLost
 		}
 	}
 	if err := d.faults[name]; err != nil {
-		if name == "WriteBatch" || name == "Sync" && d.half {
+		if name == "WriteBatch" || name == "Sync" && d.applyFailing {
 			_ = operation()
 		}
 		return err
@@ -66,7 +66,7 @@
 	return operation()
 }
 
-func (d *powerDisk) state(path string) *fileState {
+func (d *powerLossDisk) state(path string) *fileState {
 	if d.files[path] == nil {
 		d.files[path] = &fileState{}
 	}
@@ -74,7 +74,7 @@
 }
 
 // observe notes what was written in a folder. All files but the last one were synced by the library.
-func (d *powerDisk) observe(folder string) {
+func (d *powerLossDisk) recordWrites(folder string) {
 	entries, _ := os.ReadDir(folder)
 	for i, e := range entries {
 		path := filepath.Join(folder, e.Name())
@@ -88,22 +88,22 @@
 			s.writes = append(s.writes, info.Size())
 		}
 		if i < len(entries)-1 {
-			d.synced(path)
+			d.markSynced(path)
 		}
 	}
 }
 
-func (d *powerDisk) synced(path string) {
+func (d *powerLossDisk) markSynced(path string) {
 	if info, err := os.Stat(path); err == nil {
 		*d.state(path) = fileState{durable: info.Size(), synced: true}
 	}
 }
 
-func (d *powerDisk) CreateJournal(folder string, segmentBytes int64) (journal, error) {
+func (d *powerLossDisk) CreateJournal(folder string, segmentBytes int64) (journal, error) {
 	var j journal
-	err := d.guard("CreateJournal", func() (err error) {
+	err := d.perform("CreateJournal", func() (err error) {
 		j, err = d.osDisk.CreateJournal(folder, segmentBytes)
-		d.observe(folder)
+		d.recordWrites(folder)
 		return err
 	})
 	if err != nil {
@@ -112,18 +112,18 @@
 		}
 		return nil, err
 	}
-	return &powerJournal{disk: d, folder: folder, journal: j}, nil
+	return &powerLossJournal{disk: d, folder: folder, journal: j}, nil
 }
 
-func (d *powerDisk) SyncFile(path string) error {
-	return d.guard("SyncFile", func() error {
-		d.synced(path)
+func (d *powerLossDisk) SyncFile(path string) error {
+	return d.perform("SyncFile", func() error {
+		d.markSynced(path)
 		return nil
 	})
 }
 
-func (d *powerDisk) SyncFolder(path string) error {
-	return d.guard("SyncFolder", func() error {
+func (d *powerLossDisk) SyncFolder(path string) error {
+	return d.perform("SyncFolder", func() error {
 		for file := range d.removed {
 			if filepath.Dir(file) == path {
 				delete(d.removed, file)
@@ -131,20 +131,20 @@
 		}
 		entries, err := os.ReadDir(path)
 		for _, e := range entries {
-			d.named[filepath.Join(path, e.Name())] = true
+			d.durableNames[filepath.Join(path, e.Name())] = true
 		}
 		return err
 	})
 }
 
-func (d *powerDisk) Truncate(path string, size int64) error {
-	return d.guard("Truncate", func() error {
+func (d *powerLossDisk) Truncate(path string, size int64) error {
+	return d.perform("Truncate", func() error {
 		before, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		if s := d.state(path); s.before == nil {
-			s.before = before
+		if s := d.state(path); s.contentBeforeCut == nil {
+			s.contentBeforeCut = before
 		}
 		s := d.state(path)
 		s.durable = min(s.durable, size)
@@ -156,8 +156,8 @@
 	})
 }
 
-func (d *powerDisk) Remove(path string) error {
-	return d.guard("Remove", func() error {
+func (d *powerLossDisk) Remove(path string) error {
+	return d.perform("Remove", func() error {
 		err := filepath.Walk(path, func(file string, info os.FileInfo, err error) error {
 			if err != nil || info.IsDir() {
 				return nil
@@ -165,10 +165,10 @@
 			content, _ := os.ReadFile(file)
 			d.removed[file] = content[:d.state(file).durable]
 			delete(d.files, file)
-			delete(d.named, file)
+			delete(d.durableNames, file)
 			return nil
 		})
-		delete(d.named, path)
+		delete(d.durableNames, path)
 		if err != nil {
 			return err
 		}
@@ -177,28 +177,28 @@
 }
 
 // losePower leaves in the folder what a loss of power may leave there.
-func (d *powerDisk) losePower(dir string, r *rand.Rand) {
+func (d *powerLossDisk) losePower(dir string, r *rand.Rand) {
 	wipe := r.IntN(4) == 0
 	_ = filepath.Walk(dir, func(path string, info os.FileInfo, err error) error {
 		if err != nil || info.IsDir() {
 			return nil
 		}
 		s := d.state(path)
-		named := d.named[path] && d.named[filepath.Dir(path)]
+		named := d.durableNames[path] && d.durableNames[filepath.Dir(path)]
 		if !(s.synced && named) && (wipe || r.IntN(2) == 0) {
 			_ = os.Remove(path)
 			delete(d.files, path)
 			return nil
 		}
 		content, _ := os.ReadFile(path)
-		if s.before != nil && r.IntN(2) == 0 {
-			content = s.before
+		if s.contentBeforeCut != nil && r.IntN(2) == 0 {
+			content = s.contentBeforeCut
 		} else {
-			content = tear(content, s, wipe, r)
+			content = tornContent(content, s, wipe, r)
 		}
 		_ = os.WriteFile(path, content, 0o640)
 		d.files[path] = &fileState{durable: int64(len(content)), synced: true}
-		d.named[path], d.named[filepath.Dir(path)] = true, true
+		d.durableNames[path], d.durableNames[filepath.Dir(path)] = true, true
 		return nil
 	})
 	for path, content := range d.removed {
@@ -208,13 +208,13 @@
 		_ = os.MkdirAll(filepath.Dir(path), 0o750)
 		_ = os.WriteFile(path, content, 0o640)
 		d.files[path] = &fileState{durable: int64(len(content)), synced: true}
-		d.named[path], d.named[filepath.Dir(path)] = true, true
+		d.durableNames[path], d.durableNames[filepath.Dir(path)] = true, true
 		delete(d.removed, path)
 	}
 }
 
 // tear decides for each write after the last sync what is left of it.
-func tear(content []byte, s *fileState, wipe bool, r *rand.Rand) []byte {
+func tornContent(content []byte, s *fileState, wipe bool, r *rand.Rand) []byte {
 	kept := slices.Clone(content[:s.durable])
 	start, last := s.durable, s.durable
 	kept = append(kept, make([]byte, int64(len(content))-s.durable)...)
@@ -240,41 +240,41 @@
 }
 
 // powerJournal is a journal on a powerDisk.
-type powerJournal struct {
-	disk    *powerDisk
+type powerLossJournal struct {
+	disk    *powerLossDisk
 	folder  string
 	journal journal
 }
 
-func (j *powerJournal) WriteBatch(b *wal.Batch) error {
-	if during := j.disk.during; during != nil {
-		j.disk.during = nil
+func (j *powerLossJournal) WriteBatch(b *wal.Batch) error {
+	if during := j.disk.onWrite; during != nil {
+		j.disk.onWrite = nil
 		during()
 	}
-	return j.disk.guard("WriteBatch", func() error {
+	return j.disk.perform("WriteBatch", func() error {
 		err := j.journal.WriteBatch(b)
-		j.disk.observe(j.folder)
+		j.disk.recordWrites(j.folder)
 		return err
 	})
 }
 
-func (j *powerJournal) Sync() error {
-	return j.disk.guard("Sync", func() error {
+func (j *powerLossJournal) Sync() error {
+	return j.disk.perform("Sync", func() error {
 		entries, _ := os.ReadDir(j.folder)
-		j.disk.synced(filepath.Join(j.folder, entries[len(entries)-1].Name()))
+		j.disk.markSynced(filepath.Join(j.folder, entries[len(entries)-1].Name()))
 		return nil
 	})
 }
 
-func (j *powerJournal) ClearCache() error { return j.journal.ClearCache() }
+func (j *powerLossJournal) ClearCache() error { return j.journal.ClearCache() }
 
-func (j *powerJournal) Close() error {
-	err := j.disk.guard("Close", func() error { return nil })
+func (j *powerLossJournal) Close() error {
+	err := j.disk.perform("Close", func() error { return nil })
 	_ = j.journal.Close()
 	return err
 }
 
-func (d *powerDisk) count(name string) int {
+func (d *powerLossDisk) count(name string) int {
 	n := 0
 	for _, entry := range d.log {
 		if strings.HasPrefix(entry, name) {
--- a/internal/recordlog/generation.go
+++ b/internal/recordlog/generation.go
@@ -13,10 +13,10 @@
 	folder   string
 	segments []*segment
 
-	bytes       int64 // of its durable records
-	liveRecords int   // records that the index refers to, or that a change that is not durable yet hides
-	liveBytes   int64
-	fruitless   int // readings by compaction that copied nothing though there were live records
+	bytes             int64 // of its durable records
+	liveRecords       int   // records that the index refers to, or that a change that is not durable yet hides
+	liveBytes         int64
+	passesWithoutCopy int // readings by compaction that copied nothing though there were live records
 }
 
 // segment is a file of a generation, up to its durable end.
@@ -35,7 +35,7 @@
 }
 
 // generationNumber reads the number from a folder's name.
-func generationNumber(name string) (uint64, bool) {
+func parseGenerationName(name string) (uint64, bool) {
 	number, err := strconv.ParseUint(name, 10, 64)
 	return number, err == nil && number > 0 && len(name) >= generationDigits
 }
@@ -47,7 +47,7 @@
 	return filepath.Join(folder, fmt.Sprintf("%0*d", segmentDigits, first))
 }
 
-func segmentFirst(name string) (uint64, bool) {
+func parseSegmentName(name string) (uint64, bool) {
 	first, err := strconv.ParseUint(name, 10, 64)
 	return first, err == nil && first > 0 && len(name) == segmentDigits
 }
@@ -55,9 +55,9 @@
 func (g *generation) last() *segment { return g.segments[len(g.segments)-1] }
 
 // end is where the next record would go.
-func (g *generation) end() endOfGeneration {
+func (g *generation) end() generationEnd {
 	if len(g.segments) == 0 {
-		return endOfGeneration{Segment: 1}
+		return generationEnd{Segment: 1}
 	}
-	return endOfGeneration{Segment: g.last().first, Offset: uint64(g.last().size)}
+	return generationEnd{Segment: g.last().first, Offset: uint64(g.last().size)}
 }
--- a/internal/recordlog/header.go
+++ b/internal/recordlog/header.go
@@ -17,11 +17,11 @@
 	Floor        uint64
 	Previous     uint64 // number of the generation before; 0 for none
 	PreviousSalt uint64
-	End          endOfGeneration // of the generation before
+	End          generationEnd // of the generation before
 }
 
 // endOfGeneration is a place in a generation's files.
-type endOfGeneration struct {
+type generationEnd struct {
 	Segment uint64 // first position of the segment, which is its file's name
 	Offset  uint64
 }
--- a/internal/recordlog/index.go
+++ b/internal/recordlog/index.go
@@ -12,13 +12,13 @@
 // A generation's live records are those that the durable state consists of. A change therefore counts only once it is durable: the
 // record that it replaced stays alive until then, since the log may have to go back to it.
 type index struct {
-	groups   map[uint32]*reconcile.Index[entry]
-	segments map[uint32]*segment
-	inline   int
+	groups         map[uint32]*reconcile.Index[entry]
+	segments       map[uint32]*segment
+	maxInlineBytes int
 
 	lastPending location
 	pending     map[location][]byte     // values, not kept inline, of puts that are not durable yet
-	shadows     map[location]*operation // which operation has replaced the entry of a put that is not durable yet
+	replacedBy  map[location]*operation // which operation has replaced the entry of a put that is not durable yet
 }
 
 // operation is one change of the index and of the disk.
@@ -35,11 +35,11 @@
 
 func newIndex(inline int) *index {
 	return &index{
-		groups:   make(map[uint32]*reconcile.Index[entry]),
-		segments: make(map[uint32]*segment),
-		inline:   inline,
-		pending:  make(map[location][]byte),
-		shadows:  make(map[location]*operation),
+		groups:         make(map[uint32]*reconcile.Index[entry]),
+		segments:       make(map[uint32]*segment),
+		maxInlineBytes: inline,
+		pending:        make(map[location][]byte),
+		replacedBy:     make(map[location]*operation),
 	}
 }
 
@@ -91,7 +91,7 @@
 		}
 		x.lastPending++
 		op.kind, op.value = kindPut, record.Value
-		op.entry = entry{pendingFlag | x.lastPending, newEntryData(record.Key, record.Version, record.Value, x.inline)}
+		op.entry = entry{pendingFlag | x.lastPending, newEntryData(record.Key, record.Version, record.Value, x.maxInlineBytes)}
 		op.key = op.entry.key()
 	}
 	return operations
@@ -118,13 +118,13 @@
 		case kindPut:
 			op.previous = x.put(op.group, op.entry)
 			if _, inline := op.entry.inline(); !inline {
-				x.pending[op.entry.at] = op.value
+				x.pending[op.entry.location] = op.value
 			}
 		case kindDelete, kindNone:
 			op.previous = x.remove(op.group, op.key)
 		}
-		if op.previous.exists() && op.previous.at.pending() {
-			x.shadows[op.previous.at] = op
+		if op.previous.exists() && op.previous.location.pending() {
+			x.replacedBy[op.previous.location] = op
 		}
 	}
 }
@@ -132,7 +132,7 @@
 // commit notes that an operation is durable; a put's record is at this location.
 func (x *index) commit(op *operation, at location) {
 	if op.kind == kindPut {
-		x.place(op, at)
+		x.setLocation(op, at)
 	}
 	if op.previous.exists() {
 		x.addLive(op.previous, -1)
@@ -140,15 +140,15 @@
 }
 
 // place gives a put's entry its location, where it is now: in the index, or in the operation that has replaced it.
-func (x *index) place(op *operation, at location) {
-	delete(x.pending, op.entry.at)
-	if held := x.find(op.group, op.key); held != nil && held.at == op.entry.at {
-		held.at = at
-	} else if shadow := x.shadows[op.entry.at]; shadow != nil {
-		shadow.previous.at = at
-		delete(x.shadows, op.entry.at)
+func (x *index) setLocation(op *operation, at location) {
+	delete(x.pending, op.entry.location)
+	if held := x.find(op.group, op.key); held != nil && held.location == op.entry.location {
+		held.location = at
+	} else if shadow := x.replacedBy[op.entry.location]; shadow != nil {
+		shadow.previous.location = at
+		delete(x.replacedBy, op.entry.location)
 	}
-	op.entry.at = at
+	op.entry.location = at
 	x.addLive(op.entry, 1)
 }
 
@@ -156,9 +156,9 @@
 func (x *index) undo(op *operation) {
 	switch op.kind {
 	case kindPut, kindDelete, kindNone:
-		delete(x.pending, op.entry.at)
+		delete(x.pending, op.entry.location)
 		if op.previous.exists() {
-			delete(x.shadows, op.previous.at)
+			delete(x.replacedBy, op.previous.location)
 			x.put(op.group, op.previous)
 		} else if op.kind == kindPut {
 			x.remove(op.group, op.key)
@@ -167,19 +167,19 @@
 }
 
 // move notes that an entry's record was copied. It does nothing if the entry has been replaced meanwhile.
-func (x *index) move(group uint32, key string, from, to location) {
+func (x *index) relocate(group uint32, key string, from, to location) {
 	held := x.find(group, key)
-	if held == nil || held.at != from {
+	if held == nil || held.location != from {
 		return
 	}
 	x.addLive(*held, -1)
-	held.at = to
+	held.location = to
 	x.addLive(*held, 1)
 }
 
 // addLive counts a durable record in or out of its generation's live records.
 func (x *index) addLive(e entry, change int) {
-	generation := x.segments[e.at.segment()].generation
+	generation := x.segments[e.location.segment()].generation
 	generation.liveRecords += change
 	generation.liveBytes += int64(change) * e.frameBytes()
 }
@@ -190,7 +190,7 @@
 	for group, elements := range x.groups {
 		var stale []entry
 		elements.Each(reconcile.All(), func(e entry) bool {
-			if x.segments[e.at.segment()].generation.number < floor {
+			if x.segments[e.location.segment()].generation.number < floor {
 				stale = append(stale, e)
 			}
 			return true
--- a/internal/recordlog/log.go
+++ b/internal/recordlog/log.go
@@ -13,27 +13,27 @@
 
 // Log keeps records on disk. It is safe for concurrent use.
 type Log struct {
-	dir     string
-	options Options
-	disk    disk
-	files   *fileCache
-	wake    chan struct{}
-	ended   chan struct{} // closed by the writing goroutine; nil before it was started
+	dir        string
+	options    Options
+	disk       disk
+	files      *fileCache
+	wake       chan struct{}
+	writerDone chan struct{} // closed by the writing goroutine; nil before it was started
 
 	// The fields from here to mu belong to the writing goroutine.
-	writer     *generationWriter // of the newest generation; nil after a failure until the next one is begun
-	nextNumber uint64            // of the generation to begin next
-	lastID     uint32            // of a segment
-	floor      uint64            // durable
-	compaction *compaction       // under way, or nil
-	broken     bool              // the last write failed
+	writer          *generationWriter // of the newest generation; nil after a failure until the next one is begun
+	nextGeneration  uint64            // of the generation to begin next
+	lastSegmentID   uint32            // of a segment
+	floor           uint64            // durable
+	compaction      *compaction       // under way, or nil
+	lastWriteFailed bool              // the last write failed
 
 	mu          sync.Mutex
 	index       *index
 	generations []*generation // oldest first
 	usage       int64         // durable bytes of all generations
 	queue       []*request
-	queued      int64 // bytes of the queue and of the batch being written
+	queuedBytes int64 // bytes of the queue and of the batch being written
 	values      valueCache
 	closed      bool
 }
@@ -61,7 +61,7 @@
 
 // start starts the writing goroutine.
 func (l *Log) start() {
-	l.ended = make(chan struct{})
+	l.writerDone = make(chan struct{})
 	go l.run()
 }
 
@@ -71,9 +71,9 @@
 	already := l.closed
 	l.closed = true
 	l.mu.Unlock()
-	if l.ended != nil {
+	if l.writerDone != nil {
 		l.notify()
-		<-l.ended
+		<-l.writerDone
 	}
 	if already {
 		return nil
@@ -90,7 +90,7 @@
 func (l *Log) Append(group uint32, records []replication.Record, done func(error)) {
 	l.mu.Lock()
 	r := &request{done: done, bytes: recordsBytes(records)}
-	if r.err = l.refusal(group, records, r.bytes); r.err == nil {
+	if r.err = l.admissionError(group, records, r.bytes); r.err == nil {
 		r.operations = l.index.operations(group, records)
 	}
 	l.enqueue(r)
@@ -121,7 +121,7 @@
 	if r.err != nil {
 		r.bytes = 0
 	}
-	l.queued += r.bytes
+	l.queuedBytes += r.bytes
 	l.queue = append(l.queue, r)
 	l.mu.Unlock()
 	l.notify()
@@ -147,7 +147,7 @@
 }
 
 // refusal tells why records are not taken, or returns nil. The caller holds mu.
-func (l *Log) refusal(group uint32, records []replication.Record, size int64) error {
+func (l *Log) admissionError(group uint32, records []replication.Record, size int64) error {
 	if l.closed {
 		return ErrClosed
 	}
@@ -159,10 +159,10 @@
 	if l.options.DiskBytes <= 0 {
 		return nil
 	}
-	switch after := l.usage + l.queued + size; {
+	switch after := l.usage + l.queuedBytes + size; {
 	case after <= l.putLimit():
 		return nil
-	case after <= l.reclaimLimit() && l.reclaims(group, records, size):
+	case after <= l.reclaimLimit() && l.freesSpace(group, records, size):
 		return nil
 	}
 	return ErrFull
@@ -171,23 +171,23 @@
 // The reserve at the end of the space, in quarters of a generation. Compaction must always be able to copy the oldest generation,
 // which may exceed its length by one batch, and deletions must still be taken when there is no space left for anything else.
 const (
-	compactionReserve = 6
-	deletionReserve   = 4
-	reserveUnits      = 4
+	compactionReserve         = 6
+	deletionReserve           = 4
+	reserveUnitsPerGeneration = 4
 )
 
 // putLimit is the usage up to which all appends are taken.
 func (l *Log) putLimit() int64 {
-	return l.options.DiskBytes - l.options.GenerationBytes*(compactionReserve+deletionReserve)/reserveUnits
+	return l.options.DiskBytes - l.options.GenerationBytes*(compactionReserve+deletionReserve)/reserveUnitsPerGeneration
 }
 
 // reclaimLimit is the usage up to which appends are taken that make space.
 func (l *Log) reclaimLimit() int64 {
-	return l.options.DiskBytes - l.options.GenerationBytes*compactionReserve/reserveUnits
+	return l.options.DiskBytes - l.options.GenerationBytes*compactionReserve/reserveUnitsPerGeneration
 }
 
 // reclaims tells whether an append leaves less alive than there is.
-func (l *Log) reclaims(group uint32, records []replication.Record, size int64) bool {
+func (l *Log) freesSpace(group uint32, records []replication.Record, size int64) bool {
 	var replaced int64
 	for i := range records {
 		if held := l.index.find(group, records[i].Key); held != nil {
@@ -204,7 +204,7 @@
 func (l *Log) Usage() (bytes, limit int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usage + l.queued, max(l.options.DiskBytes, 0)
+	return l.usage + l.queuedBytes, max(l.options.DiskBytes, 0)
 }
 
 // Full tells whether appends that need more space are refused at present.
@@ -214,7 +214,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usage+l.queued >= l.putLimit()
+	return l.usage+l.queuedBytes >= l.putLimit()
 }
 
 // Groups returns the groups that have records, in order.
@@ -279,7 +279,7 @@
 }
 
 // failed tells the owner about an error.
-func (l *Log) failed(what string, err error) {
+func (l *Log) reportFailure(what string, err error) {
 	l.options.Logger.Warn(what, zap.String("folder", l.dir), zap.Error(err))
 	l.options.OnError(err)
 }
--- a/internal/recordlog/log_test.go
+++ b/internal/recordlog/log_test.go
@@ -13,7 +13,7 @@
 )
 
 // stepped opens a log whose writing goroutine is the test.
-func stepped(t *testing.T, dir string, options Options, d disk) (*Log, Report) {
+func openStepped(t *testing.T, dir string, options Options, d disk) (*Log, Report) {
 	t.Helper()
 	if d == nil {
 		d = osDisk{}
@@ -27,7 +27,7 @@
 }
 
 // settleAll steps until there is nothing to do.
-func settleAll(l *Log) {
+func stepUntilIdle(l *Log) {
 	for l.step() {
 	}
 }
@@ -36,7 +36,7 @@
 	return replication.Record{Key: key, Version: version, Value: []byte(value)}
 }
 
-func gone(key string) replication.Record { return replication.Record{Key: key, Deleted: true} }
+func deletion(key string) replication.Record { return replication.Record{Key: key, Deleted: true} }
 
 // appendNow appends and steps until the result is there.
 func appendNow(t *testing.T, l *Log, group uint32, records ...replication.Record) error {
@@ -64,52 +64,52 @@
 	return string(record.Value)
 }
 
-func big(c byte, n int) string { return string(bytes.Repeat([]byte{c}, n)) }
+func repeated(c byte, n int) string { return string(bytes.Repeat([]byte{c}, n)) }
 
 func TestAppendAppliesAtOnceAndCallsBackWhenDurable(t *testing.T) {
 	is := is.New(t)
-	l, _ := stepped(t, t.TempDir(), Options{}, nil)
+	l, _ := openStepped(t, t.TempDir(), Options{}, nil)
 	done := 0
-	l.Append(1, []replication.Record{put("a", 1, "one"), put("b", 1, big('x', 5000))}, func(err error) {
+	l.Append(1, []replication.Record{put("a", 1, "one"), put("b", 1, repeated('x', 5000))}, func(err error) {
 		is.NoErr(err)
 		done++
 	})
 	is.Equal(valueOf(t, l, 1, "a"), "one")
-	is.Equal(valueOf(t, l, 1, "b"), big('x', 5000))
+	is.Equal(valueOf(t, l, 1, "b"), repeated('x', 5000))
 	is.Equal(l.Digest(1, reconcile.All()).Count, uint64(2))
 	is.Equal(done, 0)
 	is.True(l.step())
 	is.Equal(done, 1)
-	is.Equal(valueOf(t, l, 1, "b"), big('x', 5000))
+	is.Equal(valueOf(t, l, 1, "b"), repeated('x', 5000))
 	is.Equal(l.Groups(), []uint32{1})
 }
 
-func TestReopenFindsWhatWasAppended(t *testing.T) {
+func TestReopenRestoresAppendedRecords(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	options := Options{SegmentBytes: 4 << 10, CacheBytes: -1}
-	l, _ := stepped(t, dir, options, nil)
+	l, _ := openStepped(t, dir, options, nil)
 	for i := range 50 {
-		is.NoErr(appendNow(t, l, 3, put(fmt.Sprint("small", i), uint64(i), "value"), put(fmt.Sprint("large", i), 1, big(byte(i), 1000))))
+		is.NoErr(appendNow(t, l, 3, put(fmt.Sprint("small", i), uint64(i), "value"), put(fmt.Sprint("large", i), 1, repeated(byte(i), 1000))))
 	}
-	is.NoErr(appendNow(t, l, 3, gone("small7"), put("small8", 99, "new")))
+	is.NoErr(appendNow(t, l, 3, deletion("small7"), put("small8", 99, "new")))
 	is.NoErr(appendNow(t, l, 4, put("k", 1, "dropped")))
 	is.NoErr(appendNow(t, l, 5, put("k", 1, "")))
 	dropped := false
 	l.Drop(4, func(err error) { dropped = err == nil })
-	settleAll(l)
+	stepUntilIdle(l)
 	is.True(dropped)
 	before := l.Digest(3, reconcile.All())
 	is.NoErr(l.Close())
 
-	l, report := stepped(t, dir, options, nil)
+	l, report := openStepped(t, dir, options, nil)
 	is.Equal(report.TailCut, false)
 	is.True(!report.Damaged())
 	is.Equal(report.Live, 100)
 	is.Equal(l.Digest(3, reconcile.All()), before)
 	is.Equal(valueOf(t, l, 3, "small7"), "(none)")
 	is.Equal(valueOf(t, l, 3, "small8"), "new")
-	is.Equal(valueOf(t, l, 3, "large9"), big(9, 1000))
+	is.Equal(valueOf(t, l, 3, "large9"), repeated(9, 1000))
 	is.Equal(valueOf(t, l, 5, "k"), "")
 	is.Equal(l.Groups(), []uint32{3, 5})
 	inline, large := 0, 0
@@ -125,13 +125,13 @@
 	is.Equal(large, 50)
 }
 
-func TestGoroutineCommitsInOrder(t *testing.T) {
+func TestWriterCommitsInOrder(t *testing.T) {
 	is := is.New(t)
 	l, _, err := Open(t.TempDir(), Options{})
 	is.NoErr(err)
 	results := make(chan int, 100)
 	for i := range 100 {
-		l.Append(1, []replication.Record{put("key", uint64(i), big('v', i))}, func(err error) {
+		l.Append(1, []replication.Record{put("key", uint64(i), repeated('v', i))}, func(err error) {
 			if err == nil {
 				results <- i
 			}
@@ -157,36 +157,36 @@
 
 func TestTooLargeRecordsAreRefused(t *testing.T) {
 	is := is.New(t)
-	l, _ := stepped(t, t.TempDir(), Options{}, nil)
-	is.True(errors.Is(appendNow(t, l, 1, put(big('k', maxKeyBytes+1), 1, "")), ErrTooLarge))
+	l, _ := openStepped(t, t.TempDir(), Options{}, nil)
+	is.True(errors.Is(appendNow(t, l, 1, put(repeated('k', maxKeyBytes+1), 1, "")), ErrTooLarge))
 	is.True(errors.Is(appendNow(t, l, 1, replication.Record{Key: "k", Value: make([]byte, maxValueBytes+1)}), ErrTooLarge))
 	is.Equal(len(l.Groups()), 0)
-	is.NoErr(appendNow(t, l, 1, put(big('k', maxKeyBytes), 1, "v")))
+	is.NoErr(appendNow(t, l, 1, put(repeated('k', maxKeyBytes), 1, "v")))
 }
 
 func TestCompactionKeepsLiveRecordsAndRemovesTheRest(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	options := Options{SegmentBytes: 8 << 10, GenerationBytes: 32 << 10, CacheBytes: -1}
-	l, _ := stepped(t, dir, options, nil)
-	is.NoErr(appendNow(t, l, 1, put("keep", 7, big('k', 3000)), put("note", 8, "small")))
+	l, _ := openStepped(t, dir, options, nil)
+	is.NoErr(appendNow(t, l, 1, put("keep", 7, repeated('k', 3000)), put("note", 8, "small")))
 	for i := range 400 {
-		is.NoErr(appendNow(t, l, 1, put(fmt.Sprint("b", i), 1, big('b', 5000))))
+		is.NoErr(appendNow(t, l, 1, put(fmt.Sprint("b", i), 1, repeated('b', 5000))))
 		if i >= 3 {
-			is.NoErr(appendNow(t, l, 1, gone(fmt.Sprint("b", i-3)), put("note", uint64(i), "small")))
+			is.NoErr(appendNow(t, l, 1, deletion(fmt.Sprint("b", i-3)), put("note", uint64(i), "small")))
 		}
-		settleAll(l)
+		stepUntilIdle(l)
 		usage, _ := l.Usage()
 		is.True(usage < 7*32<<10) // two generations' worth of garbage and live records, and the current one
 	}
 	is.True(l.floor > 10)
-	is.Equal(valueOf(t, l, 1, "keep"), big('k', 3000))
+	is.Equal(valueOf(t, l, 1, "keep"), repeated('k', 3000))
 	before := l.Digest(1, reconcile.All())
 	is.Equal(before.Count, uint64(5))
 	is.NoErr(l.Close())
-	l, report := stepped(t, dir, options, nil)
+	l, report := openStepped(t, dir, options, nil)
 	is.True(!report.Damaged())
 	is.Equal(len(report.Removed), 0)
 	is.Equal(l.Digest(1, reconcile.All()), before)
-	is.Equal(valueOf(t, l, 1, "keep"), big('k', 3000))
+	is.Equal(valueOf(t, l, 1, "keep"), repeated('k', 3000))
 }
--- a/internal/recordlog/options.go
+++ b/internal/recordlog/options.go
@@ -15,32 +15,32 @@
 }
 
 const (
-	defaultSegmentBytes  = 256 << 10
-	defaultInline        = 256
-	defaultCacheBytes    = 1 << 20
-	leastGenerationBytes = 1 << 20
-	mostGenerationBytes  = 8 << 20
-	generationsOnDisk    = 32 // DiskBytes hold that many generations by default
-	segmentsInGeneration = 4  // at least
+	defaultSegmentBytes      = 256 << 10
+	defaultMaxInlineBytes    = 256
+	defaultCacheBytes        = 1 << 20
+	minGenerationBytes       = 1 << 20
+	maxGenerationBytes       = 8 << 20
+	defaultGenerationsOnDisk = 32 // DiskBytes hold that many generations by default
+	minSegmentsPerGeneration = 4  // at least
 
-	leastGenerationsOnDisk = 8
+	minGenerationsOnDisk = 8
 )
 
 func (o Options) withDefaults() Options {
 	if o.GenerationBytes <= 0 {
-		o.GenerationBytes = mostGenerationBytes
+		o.GenerationBytes = maxGenerationBytes
 		if o.DiskBytes > 0 {
-			o.GenerationBytes = min(max(o.DiskBytes/generationsOnDisk, leastGenerationBytes), mostGenerationBytes)
+			o.GenerationBytes = min(max(o.DiskBytes/defaultGenerationsOnDisk, minGenerationBytes), maxGenerationBytes)
 		}
 	}
 	if o.DiskBytes > 0 {
-		o.GenerationBytes = min(o.GenerationBytes, max(o.DiskBytes/leastGenerationsOnDisk, 1))
+		o.GenerationBytes = min(o.GenerationBytes, max(o.DiskBytes/minGenerationsOnDisk, 1))
 	}
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = defaultSegmentBytes
 	}
-	o.SegmentBytes = min(o.SegmentBytes, max(o.GenerationBytes/segmentsInGeneration, 1))
-	o.MaxInlineBytes = withDefault(o.MaxInlineBytes, defaultInline)
+	o.SegmentBytes = min(o.SegmentBytes, max(o.GenerationBytes/minSegmentsPerGeneration, 1))
+	o.MaxInlineBytes = withDefault(o.MaxInlineBytes, defaultMaxInlineBytes)
 	o.CacheBytes = withDefault(o.CacheBytes, defaultCacheBytes)
 	if o.Disk == nil {
 		o.Disk = SystemDisk{}
--- a/internal/recordlog/race_test.go
+++ b/internal/recordlog/race_test.go
@@ -23,14 +23,14 @@
 	failures := make(chan error, 10*writers*rounds)
 	for w := range writers {
 		group := uint32(w)
-		value := func(i int) []byte { return []byte(big(byte(i), 1000+i)) }
+		value := func(i int) []byte { return []byte(repeated(byte(i), 1000+i)) }
 		all.Go(func() {
 			for i := range rounds {
 				written := make(chan error, 1)
 				l.Append(group, []replication.Record{
 					{Key: fmt.Sprint("k", i%kept), Version: uint64(i), Value: value(i)}, {Key: fmt.Sprint("t", i), Version: 1, Value: value(i)},
 				}, func(err error) { written <- err })
-				l.Append(group, []replication.Record{gone(fmt.Sprint("t", i))}, nil)
+				l.Append(group, []replication.Record{deletion(fmt.Sprint("t", i))}, nil)
 				for back := range min(i, kept) {
 					record, found, err := l.Get(group, fmt.Sprint("k", (i-back)%kept))
 					if err != nil || !found || string(record.Value) != string(value(i-back)) {
@@ -60,7 +60,7 @@
 		t.Error(err)
 	}
 	is.NoErr(l.Close())
-	l, report := stepped(t, dir, options, nil)
+	l, report := openStepped(t, dir, options, nil)
 	is.True(!report.Damaged())
 	is.Equal(report.Live, writers*kept)
 	is.True(l.floor > 1)
--- a/internal/recordlog/read.go
+++ b/internal/recordlog/read.go
@@ -44,28 +44,28 @@
 	if kept, inline := held.inline(); inline {
 		return true, *held, []byte(kept), ""
 	}
-	if held.at.pending() {
-		return true, *held, l.index.pending[held.at], ""
+	if held.location.pending() {
+		return true, *held, l.index.pending[held.location], ""
 	}
-	if value, cached := l.values.get(held.at); cached {
+	if value, cached := l.values.get(held.location); cached {
 		return true, *held, value, ""
 	}
-	return true, *held, nil, l.index.segments[held.at.segment()].path
+	return true, *held, nil, l.index.segments[held.location.segment()].path
 }
 
 // readValue reads and checks an entry's record in its file.
 func (l *Log) readValue(e entry, path string) ([]byte, error) {
-	file, err := l.files.open(e.at.segment(), path)
+	file, err := l.files.open(e.location.segment(), path)
 	if err != nil {
 		return nil, errors.Wrapf(ErrCorrupt, "%s: %v", path, err)
 	}
 	b := make([]byte, recordHeaderBytes+e.keyLength()+e.valueLength())
-	if _, err := file.ReadAt(b, e.at.offset()); err != nil {
-		return nil, errors.Wrapf(ErrCorrupt, "%s at %d: %v", path, e.at.offset(), err)
+	if _, err := file.ReadAt(b, e.location.offset()); err != nil {
+		return nil, errors.Wrapf(ErrCorrupt, "%s at %d: %v", path, e.location.offset(), err)
 	}
 	var record diskRecord
-	if !intact(b, l.saltOf(e.at)) || !record.decode(b) || string(record.key) != e.key() || record.version != e.version() {
-		return nil, errors.Wrapf(ErrCorrupt, "%s at %d", path, e.at.offset())
+	if !hasValidChecksum(b, l.saltOf(e.location)) || !record.decode(b) || string(record.key) != e.key() || record.version != e.version() {
+		return nil, errors.Wrapf(ErrCorrupt, "%s at %d", path, e.location.offset())
 	}
 	return record.value, nil
 }
@@ -80,7 +80,7 @@
 }
 
 // mostOpenFiles bounds the descriptors kept for reading.
-const mostOpenFiles = 16
+const maxOpenFiles = 16
 
 // fileCache keeps the files that were read last open.
 type fileCache struct {
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(c.files) == mostOpenFiles {
+	if len(c.files) == maxOpenFiles {
 		err = c.files[0].file.Close()
 		c.files = append(c.files[:0], c.files[1:]...)
 	}
--- a/internal/recordlog/record.go
+++ b/internal/recordlog/record.go
@@ -16,7 +16,7 @@
 	kindDrop                         // all keys of the group are gone
 	kindFloor                        // generations below the version field were removed
 	kindGeneration                   // header of a generation
-	kindEnd                          // no kind; above all
+	kindLimit                        // no kind; above all
 )
 
 // continuedFlag marks in the kind's byte that the next record belongs to the same append. Recovery takes an append whole or not at all.
@@ -83,7 +83,7 @@
 	r.version = binary.LittleEndian.Uint64(b[offsetVersion:])
 	keyLength := int(binary.LittleEndian.Uint16(b[offsetKeyLength:]))
 	valueLength := int(binary.LittleEndian.Uint32(b[offsetValueLength:]))
-	if r.kind == kindNone || r.kind >= kindEnd || len(b) != recordHeaderBytes+keyLength+valueLength {
+	if r.kind == kindNone || r.kind >= kindLimit || len(b) != recordHeaderBytes+keyLength+valueLength {
 		return false
 	}
 	r.key = b[recordHeaderBytes : recordHeaderBytes+keyLength]
@@ -92,7 +92,7 @@
 }
 
 // intact tells whether the checksum of an encoded record is right for a generation with this salt.
-func intact(b []byte, salt uint64) bool {
+func hasValidChecksum(b []byte, salt uint64) bool {
 	return len(b) >= recordHeaderBytes && binary.LittleEndian.Uint32(b) == checksum(b, salt)
 }
 
--- a/internal/recordlog/recover.go
+++ b/internal/recordlog/recover.go
@@ -20,10 +20,10 @@
 func open(dir string, options Options, d disk) (*Log, Report, error) {
 	options = options.withDefaults()
 	l := &Log{
-		dir: dir, options: options, disk: d, files: &fileCache{}, wake: make(chan struct{}, 1), nextNumber: 1,
+		dir: dir, options: options, disk: d, files: &fileCache{}, wake: make(chan struct{}, 1), nextGeneration: 1,
 		index: newIndex(options.MaxInlineBytes), values: valueCache{limit: options.CacheBytes},
 	}
-	r := recovery{log: l, space: make([]byte, recoveryScanBytes), damage: make(map[uint64]Report)}
+	r := recovery{log: l, scanBuffer: make([]byte, recoveryScanBytes), damage: make(map[uint64]Report)}
 	if err := r.createFolder(); err != nil {
 		return nil, r.report, err
 	}
@@ -35,7 +35,7 @@
 		if !errors.Is(err, ErrFull) {
 			return nil, r.report, err
 		}
-		l.failed("no space for a new generation", err)
+		l.reportFailure("no space for a new generation", err)
 	}
 	l.options.Logger.Info("record log opened", zap.String("folder", dir), zap.Any("report", r.report))
 	return l, r.report, nil
@@ -43,13 +43,13 @@
 
 // recovery reads what is on disk into a log.
 type recovery struct {
-	log    *Log
-	report Report
-	space  []byte
+	log        *Log
+	report     Report
+	scanBuffer []byte
 
-	damage  map[uint64]Report // Garbled and Missing by generation; those below the floor do not matter in the end
-	pending []recovered       // records of an append whose end was not read yet
-	whole   place             // end of the last append that is whole
+	damage       map[uint64]Report // Garbled and Missing by generation; those below the floor do not matter in the end
+	pending      []recoveredRecord // records of an append whose end was not read yet
+	lastComplete segmentOffset     // end of the last append that is whole
 }
 
 // candidate is a folder that may be a generation.
@@ -61,7 +61,7 @@
 }
 
 // recovered is a record and where it is.
-type recovered struct {
+type recoveredRecord struct {
 	kind    recordKind
 	group   uint32
 	version uint64
@@ -72,7 +72,7 @@
 }
 
 // place is an offset in a segment of the generation being read.
-type place struct {
+type segmentOffset struct {
 	segment int
 	offset  int64
 }
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	chain := r.chain(candidates)
+	chain := r.selectChain(candidates)
 	for i, c := range chain {
 		g := &generation{number: c.number, salt: c.header.Salt, folder: c.folder}
 		r.log.generations = append(r.log.generations, g)
@@ -114,7 +114,7 @@
 	}
 	for _, folder := range r.report.Removed {
 		if err := r.log.disk.Remove(folder); err != nil {
-			r.log.failed("removing a leftover folder failed; the next start tries again", err)
+			r.log.reportFailure("removing a leftover folder failed; the next start tries again", err)
 		}
 	}
 	for _, elements := range r.log.index.groups {
@@ -138,7 +138,7 @@
 	}
 	var candidates []candidate
 	for _, e := range entries {
-		number, ok := generationNumber(e.Name())
+		number, ok := parseGenerationName(e.Name())
 		if !ok || !e.IsDir() {
 			continue
 		}
@@ -149,7 +149,7 @@
 		}
 		c.readable = err == nil && c.header.Number == number
 		candidates = append(candidates, c)
-		r.log.nextNumber = max(r.log.nextNumber, number+1)
+		r.log.nextGeneration = max(r.log.nextGeneration, number+1)
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return int(int64(a.number) - int64(b.number)) })
 	return candidates, nil
@@ -179,7 +179,7 @@
 
 // chain picks the generations to take, oldest first: the newest one with a readable header and those before it, each as named by the
 // one behind it, down to the floor. All others are left over and will be removed.
-func (r *recovery) chain(candidates []candidate) []candidate {
+func (r *recovery) selectChain(candidates []candidate) []candidate {
 	var chain []candidate
 	for _, c := range candidates {
 		if c.readable {
@@ -195,11 +195,11 @@
 		case next == nil:
 		case next.header.Previous == c.number:
 			if !c.readable {
-				r.garbled(c.number)
+				r.countGarbled(c.number)
 				c.header = generationHeader{Number: c.number, Salt: next.header.PreviousSalt}
 			}
 		case next.header.Previous > c.number && c.readable:
-			r.missing(next.header.Previous)
+			r.countMissing(next.header.Previous)
 		default:
 			r.discard(c)
 			continue
@@ -208,7 +208,7 @@
 		next = &chain[len(chain)-1]
 	}
 	if next != nil && next.header.Previous != 0 {
-		r.missing(next.header.Previous)
+		r.countMissing(next.header.Previous)
 	}
 	slices.Reverse(chain)
 	return chain
@@ -223,25 +223,25 @@
 	}
 	info, err := os.Stat(segmentPath(c.folder, 1))
 	if err == nil && info.Size() > frameBytes(0, generationHeaderBytes) {
-		r.missing(c.number)
+		r.countMissing(c.number)
 	}
 }
 
-func (r *recovery) garbled(generation uint64) {
+func (r *recovery) countGarbled(generation uint64) {
 	damage := r.damage[generation]
 	damage.Garbled++
 	r.damage[generation] = damage
 }
 
-func (r *recovery) missing(generation uint64) {
+func (r *recovery) countMissing(generation uint64) {
 	damage := r.damage[generation]
 	damage.Missing++
 	r.damage[generation] = damage
 }
 
 // readSealed reads a generation up to its known end, over damaged records.
-func (r *recovery) readSealed(g *generation, end endOfGeneration) error {
-	firsts, err := segmentFirsts(g.folder)
+func (r *recovery) readSealed(g *generation, end generationEnd) error {
+	firsts, err := listSegments(g.folder)
 	if err != nil {
 		return err
 	}
@@ -251,7 +251,7 @@
 			break
 		}
 		if first != next {
-			r.garbled(g.number) // a segment, or the rest of one, is missing
+			r.countGarbled(g.number) // a segment, or the rest of one, is missing
 		}
 		limit := int64(-1)
 		if first == end.Segment {
@@ -262,7 +262,7 @@
 		}
 	}
 	if len(g.segments) == 0 || g.last().first != end.Segment || uint64(g.last().size) != end.Offset {
-		r.garbled(g.number)
+		r.countGarbled(g.number)
 	}
 	r.applyPending()
 	for _, s := range g.segments {
@@ -274,11 +274,11 @@
 
 // readTail reads the newest generation up to the first record that is not whole, and notes that place as its end.
 func (r *recovery) readTail(g *generation) error {
-	firsts, err := segmentFirsts(g.folder)
+	firsts, err := listSegments(g.folder)
 	if err != nil {
 		return err
 	}
-	r.whole, r.report.TailCut = place{}, false
+	r.lastComplete, r.report.TailCut = segmentOffset{}, false
 	next := uint64(1)
 	for _, first := range firsts {
 		if first != next {
@@ -299,12 +299,12 @@
 	if len(g.segments) == 0 {
 		return nil
 	}
-	if r.whole.segment+1 < len(g.segments) && r.whole.offset == g.segments[r.whole.segment].size &&
-		r.whole.segment+2 == len(g.segments) && g.last().size == 0 {
-		r.whole = place{segment: r.whole.segment + 1} // the last one is empty as yet
+	if r.lastComplete.segment+1 < len(g.segments) && r.lastComplete.offset == g.segments[r.lastComplete.segment].size &&
+		r.lastComplete.segment+2 == len(g.segments) && g.last().size == 0 {
+		r.lastComplete = segmentOffset{segment: r.lastComplete.segment + 1} // the last one is empty as yet
 	}
-	g.segments = g.segments[:r.whole.segment+1]
-	g.last().size = r.whole.offset
+	g.segments = g.segments[:r.lastComplete.segment+1]
+	g.last().size = r.lastComplete.offset
 	for _, s := range g.segments {
 		g.bytes += s.size
 	}
@@ -316,14 +316,14 @@
 }
 
 // segmentFirsts lists the segments of a folder by the positions of their first records.
-func segmentFirsts(folder string) ([]uint64, error) {
+func listSegments(folder string) ([]uint64, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, err
 	}
 	var firsts []uint64
 	for _, e := range entries {
-		if first, ok := segmentFirst(e.Name()); ok {
+		if first, ok := parseSegmentName(e.Name()); ok {
 			firsts = append(firsts, first)
 		}
 	}
@@ -349,15 +349,15 @@
 	}
 	g.segments = append(g.segments, s)
 	r.log.index.segments[s.id] = s
-	scan := newScanner(file, s.size, g, first, r.space)
-	defer func() { r.space = scan.space }()
+	scan := newScanner(file, s.size, g, first, r.scanBuffer)
+	defer func() { r.scanBuffer = scan.backing }()
 	for {
 		record, err := scan.read()
 		switch {
 		case err == io.EOF:
 			return scan.next, nil
 		case errors.Is(err, errDamaged) && sealed:
-			r.garbled(g.number)
+			r.countGarbled(g.number)
 			if !scan.skip() {
 				return scan.next, nil
 			}
@@ -366,18 +366,18 @@
 		case err != nil:
 			return 0, errors.Wrapf(err, "reading %s", s.path)
 		default:
-			r.take(s, record)
+			r.collect(s, record)
 			if !record.continued {
-				r.whole = place{len(g.segments) - 1, scan.offset}
+				r.lastComplete = segmentOffset{len(g.segments) - 1, scan.offset}
 			}
 		}
 	}
 }
 
 // take notes a record, and applies those of its append once it is whole.
-func (r *recovery) take(s *segment, record scanned) {
+func (r *recovery) collect(s *segment, record scannedRecord) {
 	r.report.Records++
-	noted := recovered{
+	noted := recoveredRecord{
 		kind: record.kind, group: record.group, version: record.version, key: string(record.key), size: len(record.value),
 		at: fileLocation(s.id, record.offset),
 	}
@@ -397,11 +397,11 @@
 	r.pending = r.pending[:0]
 }
 
-func (r *recovery) apply(record *recovered) {
+func (r *recovery) apply(record *recoveredRecord) {
 	x := r.log.index
 	switch record.kind {
 	case kindPut:
-		e := entry{record.at, newEntryDataOfLength(record.key, record.version, record.value, record.size, x.inline)}
+		e := entry{record.at, newEntryDataOfLength(record.key, record.version, record.value, record.size, x.maxInlineBytes)}
 		old := x.put(record.group, e)
 		x.addLive(e, 1)
 		if old.exists() {
@@ -459,7 +459,7 @@
 	}
 	if r.report.TailCut {
 		if err := r.cutTail(g); err != nil {
-			l.failed("cutting a torn end failed; the next generation's header tells where it is", err)
+			l.reportFailure("cutting a torn end failed; the next generation's header tells where it is", err)
 		}
 	}
 	if err := l.disk.SyncFile(g.last().path); err != nil {
@@ -472,7 +472,7 @@
 }
 
 func (r *recovery) cutTail(g *generation) error {
-	firsts, err := segmentFirsts(g.folder)
+	firsts, err := listSegments(g.folder)
 	for _, first := range firsts {
 		if first > g.last().first {
 			err = multierr.Append(err, r.log.disk.Remove(segmentPath(g.folder, first)))
--- a/internal/recordlog/recover_test.go
+++ b/internal/recordlog/recover_test.go
@@ -28,17 +28,17 @@
 }
 
 // quietDisk does not sync: the tests that open a log for each byte of a file would take long.
-func quietDisk() disk { return newPowerDisk() }
+func unsyncedDisk() disk { return newPowerLossDisk() }
 
 // reopened opens a copy of a folder, after change has mangled it.
-func reopened(t *testing.T, dir string, options Options, change func(dir string)) (*Log, Report) {
+func openCopy(t *testing.T, dir string, options Options, change func(dir string)) (*Log, Report) {
 	t.Helper()
 	copied := t.TempDir()
 	if err := os.CopyFS(copied, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
 	change(copied)
-	l, report, err := open(copied, options, quietDisk())
+	l, report, err := open(copied, options, unsyncedDisk())
 	if err != nil {
 		t.Fatalf("%+v", err)
 	}
@@ -46,9 +46,9 @@
 }
 
 // stages writes a few appends into one generation, and returns the contents and the end of the file after each.
-func stages(t *testing.T, dir string, options Options) (states []map[string]string, ends []int64) {
+func writeStages(t *testing.T, dir string, options Options) (states []map[string]string, ends []int64) {
 	t.Helper()
-	l, _ := stepped(t, dir, options, nil)
+	l, _ := openStepped(t, dir, options, nil)
 	note := func() {
 		states = append(states, contents(t, l))
 		ends = append(ends, l.generations[0].last().size)
@@ -56,9 +56,9 @@
 	note()
 	for _, records := range [][]replication.Record{
 		{put("a", 1, "one")},
-		{put("a", 2, "two"), put("b", 3, big('b', 40)), put("c", 4, "")},
-		{gone("a")},
-		{put("d", 5, big('d', 60)), gone("b")},
+		{put("a", 2, "two"), put("b", 3, repeated('b', 40)), put("c", 4, "")},
+		{deletion("a")},
+		{put("d", 5, repeated('d', 60)), deletion("b")},
 		{put("e", 6, "five")},
 	} {
 		if err := appendNow(t, l, 1, records...); err != nil {
@@ -72,9 +72,9 @@
 	return states, ends
 }
 
-const onlySegment = "0000000001/00000000000000000001"
+const firstSegmentFile = "0000000001/00000000000000000001"
 
-func mangle(t *testing.T, path string, change func(content []byte) []byte) {
+func modifyFile(t *testing.T, path string, change func(content []byte) []byte) {
 	t.Helper()
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -96,13 +96,13 @@
 	return stage
 }
 
-func TestTruncationAtEveryByteKeepsTheAppendsBefore(t *testing.T) {
+func TestTruncatedTailKeepsEarlierAppends(t *testing.T) {
 	dir := t.TempDir()
 	options := Options{MaxInlineBytes: 16}
-	states, ends := stages(t, dir, options)
+	states, ends := writeStages(t, dir, options)
 	for cut := ends[0]; cut <= ends[len(ends)-1]; cut++ {
-		l, report := reopened(t, dir, options, func(dir string) {
-			mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte { return b[:cut] })
+		l, report := openCopy(t, dir, options, func(dir string) {
+			modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte { return b[:cut] })
 		})
 		stage := stageAt(ends, cut)
 		if found := contents(t, l); !maps.Equal(found, states[stage]) {
@@ -121,13 +121,13 @@
 	}
 }
 
-func TestAnyChangedByteOfTheTailCutsItThere(t *testing.T) {
+func TestCorruptByteInTailEndsRecoveryThere(t *testing.T) {
 	dir := t.TempDir()
 	options := Options{MaxInlineBytes: 16}
-	states, ends := stages(t, dir, options)
+	states, ends := writeStages(t, dir, options)
 	for at := ends[0]; at < ends[len(ends)-1]; at++ {
-		l, report := reopened(t, dir, options, func(dir string) {
-			mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte {
+		l, report := openCopy(t, dir, options, func(dir string) {
+			modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
 				b[at] ^= 0x41
 				return b
 			})
@@ -139,14 +139,14 @@
 	}
 }
 
-func TestNothingBehindAHoleIsTaken(t *testing.T) {
+func TestRecordsAfterZeroedBytesAreIgnored(t *testing.T) {
 	dir := t.TempDir()
 	options := Options{MaxInlineBytes: 16}
-	states, ends := stages(t, dir, options)
+	states, ends := writeStages(t, dir, options)
 	for first := 1; first < len(ends)-1; first++ {
 		for last := first; last < len(ends)-1; last++ {
-			l, report := reopened(t, dir, options, func(dir string) {
-				mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte {
+			l, report := openCopy(t, dir, options, func(dir string) {
+				modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
 					clear(b[ends[first-1]:ends[last]])
 					return b
 				})
@@ -160,14 +160,14 @@
 }
 
 // segmented writes appends over several segments of one generation, and returns the contents at the beginning of each segment.
-func segmented(t *testing.T, dir string, options Options) (states []map[string]string) {
+func writeSegments(t *testing.T, dir string, options Options) (states []map[string]string) {
 	t.Helper()
-	l, _ := stepped(t, dir, options, nil)
+	l, _ := openStepped(t, dir, options, nil)
 	for i := 0; len(l.generations[0].segments) < 5; i++ {
 		if len(l.generations[0].segments) > len(states) {
 			states = append(states, contents(t, l))
 		}
-		if err := appendNow(t, l, 1, put(fmt.Sprint("k", i%7), uint64(i), big(byte(i), 50))); err != nil {
+		if err := appendNow(t, l, 1, put(fmt.Sprint("k", i%7), uint64(i), repeated(byte(i), 50))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -178,9 +178,9 @@
 	return states
 }
 
-func segmentsOf(t *testing.T, folder string) []string {
+func segmentPaths(t *testing.T, folder string) []string {
 	t.Helper()
-	firsts, err := segmentFirsts(folder)
+	firsts, err := listSegments(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,13 +191,13 @@
 	return paths
 }
 
-func TestAMissingSegmentOfTheTailEndsIt(t *testing.T) {
+func TestMissingTailSegmentEndsRecovery(t *testing.T) {
 	dir := t.TempDir()
 	options := Options{SegmentBytes: 400}
-	states := segmented(t, dir, options)
+	states := writeSegments(t, dir, options)
 	for missing := 1; missing < len(states); missing++ {
-		l, report := reopened(t, dir, options, func(dir string) {
-			if err := os.Remove(segmentsOf(t, generationFolder(dir, 1))[missing]); err != nil {
+		l, report := openCopy(t, dir, options, func(dir string) {
+			if err := os.Remove(segmentPaths(t, generationFolder(dir, 1))[missing]); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -215,12 +215,12 @@
 	is := is.New(t)
 	dir := t.TempDir()
 	options := Options{MaxInlineBytes: 16}
-	_, ends := stages(t, dir, options)
-	l, _ := stepped(t, dir, options, nil) // seals the first generation
+	_, ends := writeStages(t, dir, options)
+	l, _ := openStepped(t, dir, options, nil) // seals the first generation
 	whole := contents(t, l)
 	is.NoErr(l.Close())
-	l, report := reopened(t, dir, options, func(dir string) {
-		mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte {
+	l, report := openCopy(t, dir, options, func(dir string) {
+		modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
 			b[ends[4]-60] ^= 1 // the value of d
 			return b
 		})
@@ -229,16 +229,16 @@
 	is.True(report.Damaged())
 	delete(whole, "1/d@5")
 	is.Equal(contents(t, l), whole)
-	l, report = reopened(t, dir, options, func(dir string) {
-		mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte { return b[:ends[4]] })
+	l, report = openCopy(t, dir, options, func(dir string) {
+		modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte { return b[:ends[4]] })
 	})
 	is.Equal(report.Garbled, 1) // shorter than the header of the next one says
 	is.Equal(valueOf(t, l, 1, "e"), "(none)")
-	l, report = reopened(t, dir, options, func(dir string) { is.NoErr(os.RemoveAll(generationFolder(dir, 1))) })
+	l, report = openCopy(t, dir, options, func(dir string) { is.NoErr(os.RemoveAll(generationFolder(dir, 1))) })
 	is.Equal(report.Missing, 1)
 	is.Equal(len(l.Groups()), 0)
-	l, report = reopened(t, dir, options, func(dir string) {
-		mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte {
+	l, report = openCopy(t, dir, options, func(dir string) {
+		modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
 			b[40] ^= 1 // its header; the next one's has the salt
 			return b
 		})
@@ -247,12 +247,12 @@
 	is.Equal(contents(t, l)["1/e@6"], "five")
 }
 
-func TestADamagedHeaderOfTheNewestGenerationIsReported(t *testing.T) {
+func TestDamagedNewestGenerationHeaderIsReported(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	stages(t, dir, Options{})
-	_, report := reopened(t, dir, Options{}, func(dir string) {
-		mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte {
+	writeStages(t, dir, Options{})
+	_, report := openCopy(t, dir, Options{}, func(dir string) {
+		modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
 			b[40] ^= 1
 			return b
 		})
@@ -260,13 +260,13 @@
 	is.Equal(report.Missing, 1)
 }
 
-func TestANewerFormatIsNotTouched(t *testing.T) {
+func TestNewerFormatIsNotModified(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	record := diskRecord{kind: kindGeneration, position: 1, value: []byte{formatVersion + 1, 0, 0, 0, 9}}
 	encoded := record.appendTo(nil, 0)
 	is.NoErr(os.MkdirAll(generationFolder(dir, 1), 0o750))
-	path := filepath.Join(dir, onlySegment)
+	path := filepath.Join(dir, firstSegmentFile)
 	is.NoErr(os.WriteFile(path, append([]byte{byte(len(encoded))}, encoded...), 0o640))
 	_, _, err := Open(dir, Options{})
 	is.True(errors.Is(err, ErrFormat))
@@ -275,19 +275,19 @@
 }
 
 // compacted fills and compacts a log until generation 1 is removed, and returns copies of its files.
-func compacted(t *testing.T, dir string, options Options) (removed map[string][]byte, l *Log) {
+func compactedLog(t *testing.T, dir string, options Options) (removed map[string][]byte, l *Log) {
 	t.Helper()
 	is := is.New(t)
-	d := newPowerDisk()
-	l, _ = stepped(t, dir, options, d)
-	is.NoErr(appendNow(t, l, 1, put("ghost", 1, big('g', 100)), put("kept", 2, "old")))
+	d := newPowerLossDisk()
+	l, _ = openStepped(t, dir, options, d)
+	is.NoErr(appendNow(t, l, 1, put("ghost", 1, repeated('g', 100)), put("kept", 2, "old")))
 	for i := 0; len(l.generations[0].segments) < 3; i++ {
-		is.NoErr(appendNow(t, l, 1, put("filler", uint64(i), big('f', 100))))
+		is.NoErr(appendNow(t, l, 1, put("filler", uint64(i), repeated('f', 100))))
 	}
-	is.NoErr(appendNow(t, l, 1, gone("ghost"), put("kept", 3, "new")))
+	is.NoErr(appendNow(t, l, 1, deletion("ghost"), put("kept", 3, "new")))
 	for i := 0; l.generations[0].number == 1; i++ {
-		is.NoErr(appendNow(t, l, 1, put("filler", uint64(i), big('f', 100))))
-		settleAll(l)
+		is.NoErr(appendNow(t, l, 1, put("filler", uint64(i), repeated('f', 100))))
+		stepUntilIdle(l)
 	}
 	for range 3 {
 		is.NoErr(appendNow(t, l, 1, put("tail", 1, "x")))
@@ -296,11 +296,11 @@
 	return d.removed, l
 }
 
-func TestRemovedFilesThatComeBackAreIgnored(t *testing.T) {
+func TestReappearingRemovedFilesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	options := Options{SegmentBytes: 400, GenerationBytes: 1600, CacheBytes: -1}
-	removed, l := compacted(t, dir, options)
+	removed, l := compactedLog(t, dir, options)
 	want := contents(t, l)
 	is.NoErr(l.Close())
 	paths := make([]string, 0, len(removed))
@@ -308,7 +308,7 @@
 		paths = append(paths, path)
 	}
 	for chosen := range 1 << len(paths) {
-		l, report := reopened(t, dir, options, func(copied string) {
+		l, report := openCopy(t, dir, options, func(copied string) {
 			for i, path := range paths {
 				if chosen&(1<<i) == 0 {
 					continue
@@ -328,38 +328,38 @@
 	}
 }
 
-func TestAnOldFloorDoesNotLowerIt(t *testing.T) {
+func TestOlderFloorRecordDoesNotLowerTheFloor(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	options := Options{SegmentBytes: 400, GenerationBytes: 1600}
-	_, l := compacted(t, dir, options)
+	_, l := compactedLog(t, dir, options)
 	floor := l.floor
 	is.True(floor >= 2)
 	l.writer.add(&diskRecord{kind: kindFloor, version: floor - 1}) // as a file would have it that came back
 	is.NoErr(appendNow(t, l, 1, put("last", 1, "x")))
 	want := contents(t, l)
 	is.NoErr(l.Close())
-	l, report := reopened(t, dir, options, func(string) {})
+	l, report := openCopy(t, dir, options, func(string) {})
 	is.Equal(l.floor, floor)
 	is.True(!report.Damaged())
 	is.Equal(contents(t, l), want)
 }
 
-func TestFilesOfAnEarlierLifeOfAFolderAreIgnored(t *testing.T) {
+func TestSegmentsOfAnEarlierGenerationInTheSameFolderAreIgnored(t *testing.T) {
 	is := is.New(t)
 	options := Options{SegmentBytes: 400}
 	earlier := t.TempDir()
-	segmented(t, earlier, options)
+	writeSegments(t, earlier, options)
 	dir := t.TempDir()
-	l, _ := stepped(t, dir, options, nil)
+	l, _ := openStepped(t, dir, options, nil)
 	for i := 0; len(l.generations[0].segments) < 2; i++ {
-		is.NoErr(appendNow(t, l, 1, put(fmt.Sprint("k", i%7), uint64(i), big(byte(i+1), 50))))
+		is.NoErr(appendNow(t, l, 1, put(fmt.Sprint("k", i%7), uint64(i), repeated(byte(i+1), 50))))
 	}
 	want := contents(t, l)
 	is.NoErr(l.Close())
-	l, report := reopened(t, dir, options, func(dir string) {
-		own := segmentsOf(t, generationFolder(dir, 1))
-		for i, path := range segmentsOf(t, generationFolder(earlier, 1)) {
+	l, report := openCopy(t, dir, options, func(dir string) {
+		own := segmentPaths(t, generationFolder(dir, 1))
+		for i, path := range segmentPaths(t, generationFolder(earlier, 1)) {
 			if i < len(own)-1 {
 				is.Equal(filepath.Base(path), filepath.Base(own[i])) // the same positions in both lives
 				continue
@@ -373,59 +373,59 @@
 	is.Equal(contents(t, l), want)
 }
 
-func TestOpenMakesDurableWhatAKilledProcessLeft(t *testing.T) {
+func TestOpenSyncsRecordsLeftByAKilledProcess(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(20) {
-		dir, d := t.TempDir(), newPowerDisk()
-		l, _ := stepped(t, dir, Options{}, d)
+		dir, d := t.TempDir(), newPowerLossDisk()
+		l, _ := openStepped(t, dir, Options{}, d)
 		is.NoErr(appendNow(t, l, 1, put("a", 1, "x")))
 		l.Append(1, []replication.Record{put("b", 1, "written, not synced")}, nil)
-		d.fuse = 2 // the write succeeds, the process is killed before the sync
+		d.operationsLeft = 2 // the write succeeds, the process is killed before the sync
 		l.step()
 		_ = l.Close()
-		d.fuse = -1
-		l, _ = stepped(t, dir, Options{}, d)
+		d.operationsLeft = -1
+		l, _ = openStepped(t, dir, Options{}, d)
 		shown := contents(t, l)
-		d.fuse = 0
+		d.operationsLeft = 0
 		_ = l.Close()
 		d.losePower(dir, rand.New(rand.NewPCG(seed, 0)))
-		d.fuse = -1
-		l, report := stepped(t, dir, Options{}, d)
+		d.operationsLeft = -1
+		l, report := openStepped(t, dir, Options{}, d)
 		is.True(!report.Damaged())
 		is.Equal(contents(t, l), shown)
 	}
 }
 
-func TestGenerationsAreRemovedOnceTheFloorIsDurable(t *testing.T) {
+func TestGenerationsAreRemovedOnlyAfterTheFloorIsDurable(t *testing.T) {
 	is := is.New(t)
 	options := Options{SegmentBytes: 400, GenerationBytes: 1600}
 	for seed := range uint64(20) {
-		dir, d := t.TempDir(), newPowerDisk()
-		l, _ := stepped(t, dir, options, d)
+		dir, d := t.TempDir(), newPowerLossDisk()
+		l, _ := openStepped(t, dir, options, d)
 		is.NoErr(appendNow(t, l, 1, put("kept", 2, "old")))
 		for i := uint64(0); l.removable() == 0; i++ {
-			is.NoErr(appendNow(t, l, 1, put("filler", i, big('f', 100)), put("kept", i, "new")))
+			is.NoErr(appendNow(t, l, 1, put("filler", i, repeated('f', 100)), put("kept", i, "new")))
 		}
 		want := contents(t, l)
-		d.fuse = 2 // power goes between the write and the sync of the floor
+		d.operationsLeft = 2 // power goes between the write and the sync of the floor
 		l.step()
-		is.True(d.dead())
+		is.True(d.powerLost())
 		_ = l.Close()
 		d.losePower(dir, rand.New(rand.NewPCG(seed, 0)))
-		d.fuse = -1
-		l, report := stepped(t, dir, options, d)
+		d.operationsLeft = -1
+		l, report := openStepped(t, dir, options, d)
 		is.True(!report.Damaged())
 		is.Equal(contents(t, l), want)
 	}
 }
 
-func TestNothingBehindAMissingRecordIsTaken(t *testing.T) {
+func TestRecordsAfterAMissingRecordAreIgnored(t *testing.T) {
 	dir := t.TempDir()
 	options := Options{MaxInlineBytes: 16}
-	states, ends := stages(t, dir, options)
+	states, ends := writeStages(t, dir, options)
 	for missing := 1; missing < len(ends)-1; missing++ {
-		l, report := reopened(t, dir, options, func(dir string) {
-			mangle(t, filepath.Join(dir, onlySegment), func(b []byte) []byte {
+		l, report := openCopy(t, dir, options, func(dir string) {
+			modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
 				return append(b[:ends[missing-1]:ends[missing-1]], b[ends[missing]:]...)
 			})
 		})
@@ -438,27 +438,27 @@
 
 // TestAnInterruptedStartLeavesNoDamage interrupts the first start at each operation by a kill, and the second one by a loss of power. A
 // generation whose folder was made, but not yet durable by name, must be so before the next one names it.
-func TestAnInterruptedStartLeavesNoDamage(t *testing.T) {
+func TestInterruptedStartsReportNoDamage(t *testing.T) {
 	is := is.New(t)
-	interrupted := func(dir string, d *powerDisk, operation int) bool {
-		d.fuse = operation
+	interrupted := func(dir string, d *powerLossDisk, operation int) bool {
+		d.operationsLeft = operation
 		l, _, err := open(dir, Options{}, d)
-		dead := d.dead()
-		d.fuse = 0
+		dead := d.powerLost()
+		d.operationsLeft = 0
 		if err == nil {
 			_ = l.Close()
 		}
-		d.fuse = -1
+		d.operationsLeft = -1
 		return dead
 	}
 	for first, more := 1, true; more; first++ {
 		for second, again := 1, true; again; second++ {
 			for seed := range uint64(8) {
-				dir, d := t.TempDir(), newPowerDisk()
+				dir, d := t.TempDir(), newPowerLossDisk()
 				more = interrupted(dir, d, first)
 				again = interrupted(dir, d, second)
 				d.losePower(dir, rand.New(rand.NewPCG(seed, 0)))
-				l, report := stepped(t, dir, Options{}, d)
+				l, report := openStepped(t, dir, Options{}, d)
 				is.True(!report.Damaged())
 				is.Equal(report.Live, 0)
 				_ = l.Close()
--- a/internal/recordlog/scanner.go
+++ b/internal/recordlog/scanner.go
@@ -14,19 +14,19 @@
 
 // scanner reads the records of one segment in their order.
 type scanner struct {
-	file   io.ReaderAt
-	limit  int64 // end of what may be read
-	salt   uint64
-	check  bool   // of checksums
-	next   uint64 // position of the next record
-	offset int64  // of the next frame
+	file            io.ReaderAt
+	limit           int64 // end of what may be read
+	salt            uint64
+	verifyChecksums bool   // of checksums
+	next            uint64 // position of the next record
+	offset          int64  // of the next frame
 
-	buffer []byte // from offset on
-	space  []byte // what buffer is a part of
+	unread  []byte // from offset on
+	backing []byte // what buffer is a part of
 }
 
 // scanned is a record with its place.
-type scanned struct {
+type scannedRecord struct {
 	diskRecord
 	raw    []byte // all of it; until the next call
 	offset int64  // of the record behind its frame's length
@@ -36,24 +36,24 @@
 	if len(space) < scanBytes {
 		space = make([]byte, scanBytes)
 	}
-	return &scanner{file: file, limit: limit, salt: g.salt, check: true, next: first, space: space}
+	return &scanner{file: file, limit: limit, salt: g.salt, verifyChecksums: true, next: first, backing: space}
 }
 
 // read returns the next record, or io.EOF, or errDamaged and stays where it is, or the file's error.
-func (s *scanner) read() (r scanned, err error) {
+func (s *scanner) read() (r scannedRecord, err error) {
 	if s.offset >= s.limit {
 		return r, io.EOF
 	}
-	prefix, size, err := s.frame()
+	prefix, size, err := s.readLength()
 	if err != nil {
 		return r, err
 	}
 	if err := s.fill(prefix + size); err != nil {
 		return r, err
 	}
-	r.raw = s.buffer[prefix : prefix+size]
+	r.raw = s.unread[prefix : prefix+size]
 	r.offset = s.offset + int64(prefix)
-	if !r.decode(r.raw) || r.position != uint32(s.next) || s.check && !intact(r.raw, s.saltFor(r.kind)) {
+	if !r.decode(r.raw) || r.position != uint32(s.next) || s.verifyChecksums && !hasValidChecksum(r.raw, s.saltFor(r.kind)) {
 		return r, errDamaged
 	}
 	s.advance(prefix + size)
@@ -62,7 +62,7 @@
 
 // skip passes over a damaged record whose length looks right, and tells whether that was possible.
 func (s *scanner) skip() bool {
-	prefix, size, err := s.frame()
+	prefix, size, err := s.readLength()
 	if err != nil || s.offset+int64(prefix+size) > s.limit {
 		return false
 	}
@@ -82,11 +82,11 @@
 }
 
 // frame reads the length of the next record.
-func (s *scanner) frame() (prefix, size int, err error) {
+func (s *scanner) readLength() (prefix, size int, err error) {
 	if err := s.fill(int(min(binary.MaxVarintLen64, s.limit-s.offset))); err != nil {
 		return 0, 0, err
 	}
-	length, prefix := binary.Uvarint(s.buffer)
+	length, prefix := binary.Uvarint(s.unread)
 	if prefix <= 0 || length < recordHeaderBytes || length > maxRecordBytes || int64(length) > s.limit-s.offset-int64(prefix) {
 		return 0, 0, errDamaged
 	}
@@ -94,26 +94,26 @@
 }
 
 func (s *scanner) advance(n int) {
-	s.buffer = s.buffer[n:]
+	s.unread = s.unread[n:]
 	s.offset += int64(n)
 	s.next++
 }
 
 // fill sees to it that the buffer holds n bytes.
 func (s *scanner) fill(n int) error {
-	if len(s.buffer) >= n {
+	if len(s.unread) >= n {
 		return nil
 	}
-	if len(s.space) < n {
-		s.space = append(make([]byte, 0, n), s.buffer...)[:n]
+	if len(s.backing) < n {
+		s.backing = append(make([]byte, 0, n), s.unread...)[:n]
 	} else {
-		copy(s.space, s.buffer)
+		copy(s.backing, s.unread)
 	}
-	held := len(s.buffer)
-	most := int(min(int64(len(s.space)), s.limit-s.offset))
-	got, err := s.file.ReadAt(s.space[held:most], s.offset+int64(held))
-	s.buffer = s.space[:held+got]
-	if len(s.buffer) >= n {
+	held := len(s.unread)
+	most := int(min(int64(len(s.backing)), s.limit-s.offset))
+	got, err := s.file.ReadAt(s.backing[held:most], s.offset+int64(held))
+	s.unread = s.backing[:held+got]
+	if len(s.unread) >= n {
 		return nil
 	}
 	if err == io.EOF {
--- a/internal/recordlog/writer.go
+++ b/internal/recordlog/writer.go
@@ -17,23 +17,23 @@
 	segmentBytes int64
 	newSegment   func(g *generation, first uint64) *segment
 
-	next    uint64   // position of the next record
-	tail    *segment // where it goes
-	tailEnd int64    // with the batch
-	batch   *wal.Batch
-	scratch []byte
-	added   int64    // bytes of the batch
-	grown   []growth // segments that the batch has filled up
+	next       uint64   // position of the next record
+	tail       *segment // where it goes
+	tailEnd    int64    // with the batch
+	batch      *wal.Batch
+	scratch    []byte
+	batchBytes int64         // bytes of the batch
+	filled     []segmentSize // segments that the batch has filled up
 }
 
 // growth is the new size of a segment.
-type growth struct {
+type segmentSize struct {
 	segment *segment
 	size    int64
 }
 
 // mostScratchBytes bounds the memory that is kept for the next batch.
-const mostScratchBytes = 256 << 10
+const maxScratchBytes = 256 << 10
 
 // add puts a record into the batch and returns where it will be.
 func (w *generationWriter) add(record *diskRecord) location {
@@ -49,9 +49,9 @@
 	size := prefix + int64(len(w.scratch))
 	w.next++
 	w.tailEnd += size
-	w.added += size
+	w.batchBytes += size
 	if w.tailEnd >= w.segmentBytes {
-		w.grown = append(w.grown, growth{w.tail, w.tailEnd})
+		w.filled = append(w.filled, segmentSize{w.tail, w.tailEnd})
 		w.tail, w.tailEnd = w.newSegment(w.generation, w.next), 0
 	}
 	return at
@@ -65,7 +65,7 @@
 	if err := w.journal.Sync(); err != nil {
 		return err
 	}
-	if len(w.grown) == 0 {
+	if len(w.filled) == 0 {
 		return nil
 	}
 	if err := w.disk.SyncFolder(w.generation.folder); err != nil {
@@ -75,18 +75,18 @@
 }
 
 // settle notes that the batch is durable, and returns its new segments.
-func (w *generationWriter) settle() (fresh []*segment) {
+func (w *generationWriter) commit() (fresh []*segment) {
 	g := w.generation
-	for _, grown := range append(w.grown, growth{w.tail, w.tailEnd}) {
+	for _, grown := range append(w.filled, segmentSize{w.tail, w.tailEnd}) {
 		grown.segment.size = grown.size
 		if len(g.segments) == 0 || g.last() != grown.segment {
 			g.segments = append(g.segments, grown.segment)
 			fresh = append(fresh, grown.segment)
 		}
 	}
-	g.bytes += w.added
-	w.added, w.grown = 0, nil
-	if cap(w.scratch) > mostScratchBytes {
+	g.bytes += w.batchBytes
+	w.batchBytes, w.filled = 0, nil
+	if cap(w.scratch) > maxScratchBytes {
 		w.scratch, w.batch = nil, &wal.Batch{}
 	}
 	return fresh
@@ -100,7 +100,7 @@
 	if len(g.segments) == 0 {
 		return multierr.Append(err, w.disk.Remove(g.folder))
 	}
-	for _, grown := range append(w.grown, growth{segment: w.tail}) {
+	for _, grown := range append(w.filled, segmentSize{segment: w.tail}) {
 		if grown.segment != g.last() {
 			err = multierr.Append(err, w.disk.Remove(grown.segment.path))
 		}
@@ -129,21 +129,21 @@
 	}
 	if l.writer != nil {
 		if err := l.writer.journal.Close(); err != nil { // all of it is durable
-			l.failed("closing a generation failed", err)
+			l.reportFailure("closing a generation failed", err)
 		}
 	}
 	l.writer = w
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.generations = append(l.generations, w.generation)
-	l.settle()
+	l.commitWriter()
 	return nil
 }
 
 // createGeneration creates the files of a new generation.
 func (l *Log) createGeneration() (*generationWriter, error) {
-	g := &generation{number: l.nextNumber, folder: generationFolder(l.dir, l.nextNumber)}
-	l.nextNumber++
+	g := &generation{number: l.nextGeneration, folder: generationFolder(l.dir, l.nextGeneration)}
+	l.nextGeneration++
 	var salt [8]byte
 	if _, err := rand.Read(salt[:]); err != nil {
 		return nil, err
@@ -176,14 +176,14 @@
 }
 
 func (l *Log) newSegment(g *generation, first uint64) *segment {
-	l.lastID++
-	return &segment{id: l.lastID, first: first, path: segmentPath(g.folder, first), generation: g}
+	l.lastSegmentID++
+	return &segment{id: l.lastSegmentID, first: first, path: segmentPath(g.folder, first), generation: g}
 }
 
 // settle notes that the writer's batch is durable. The caller holds mu.
-func (l *Log) settle() {
-	l.usage += l.writer.added
-	for _, s := range l.writer.settle() {
+func (l *Log) commitWriter() {
+	l.usage += l.writer.batchBytes
+	for _, s := range l.writer.commit() {
 		l.index.segments[s.id] = s
 	}
 }
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -27,7 +27,7 @@
 		err  error
 	}
 	answers := make(chan answer, 1)
-	waiting := c.begin(kind, body, 0, func(body []byte, err error) { answers <- answer{body, err} })
+	waiting := c.startCall(kind, body, 0, func(body []byte, err error) { answers <- answer{body, err} })
 	select {
 	case a := <-answers:
 		return a.body, a.err
@@ -44,11 +44,11 @@
 // connection's read goroutine as a rule) or, if the connection is closed already, on the caller's; it must not block. A timeout of 0
 // waits as long as the connection lasts.
 func (c *Conn) CallAsync(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) {
-	c.begin(kind, body, timeout, done)
+	c.startCall(kind, body, timeout, done)
 }
 
 // begin queues a call; it returns nil if that failed and done was called.
-func (c *Conn) begin(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) *call {
+func (c *Conn) startCall(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) *call {
 	waiting := &call{done: done}
 	c.mutex.Lock()
 	if c.closed {
@@ -65,7 +65,7 @@
 	}
 	c.mutex.Unlock()
 	// When this fails the connection is shut, which ends the call, or the body is too long.
-	err := c.send(outgoing{header: header{frameType: frameCall, kind: uint16(kind), id: waiting.id}, body: body, call: waiting})
+	err := c.send(outgoingFrame{header: header{frameType: frameCall, kind: uint16(kind), id: waiting.id}, body: body, call: waiting})
 	if err != nil {
 		c.abandon(waiting, err)
 		return nil
@@ -83,12 +83,12 @@
 	}
 	c.mutex.Unlock()
 	if open {
-		waiting.end(c, nil, cause)
+		waiting.finish(c, nil, cause)
 	}
 }
 
 // take removes and returns the call of that id.
-func (c *Conn) take(id uint64) *call {
+func (c *Conn) removeCall(id uint64) *call {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	waiting := c.calls[id]
@@ -97,7 +97,7 @@
 }
 
 // end tells the caller; the call must have been removed from the connection's calls by whoever calls end.
-func (w *call) end(c *Conn, body []byte, cause error) {
+func (w *call) finish(c *Conn, body []byte, cause error) {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
@@ -107,7 +107,7 @@
 	case refused:
 		w.done(nil, refusal)
 	case c.maybeSent(w):
-		w.done(nil, lost(cause))
+		w.done(nil, responseLost(cause))
 	default:
 		w.done(nil, notSent(cause))
 	}
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -13,22 +13,22 @@
 
 // Conn is one connection. All its methods may be called from any goroutine.
 type Conn struct {
-	socket  net.Conn
-	raw     syscall.RawConn // nil where the socket is not one of the system's
-	handler Handler
-	options Options
-	address string
-	dialed  bool
-	monitor *monitor
-	silence silence
-	silent  atomic.Int32 // ticks of the monitor without a frame
-
-	received atomic.Uint32 // frames that arrived, wrapping
-	used     atomic.Uint32 // frames but pings and pongs in both directions, wrapping
-	done     chan struct{}
+	socket      net.Conn
+	raw         syscall.RawConn // nil where the socket is not one of the system's
+	handler     Handler
+	options     Options
+	address     string
+	dialed      bool
+	monitor     *monitor
+	activity    activity
+	silentTicks atomic.Int32 // ticks of the monitor without a frame
+
+	receivedFrames atomic.Uint32 // frames that arrived, wrapping
+	dataFrames     atomic.Uint32 // frames but pings and pongs in both directions, wrapping
+	done           chan struct{}
 
 	mutex    sync.Mutex
-	queue    []outgoing
+	queue    []outgoingFrame
 	queued   int  // bytes in queue and in the batch that is being written
 	writing  bool // a goroutine is writing
 	lastID   uint64
@@ -57,7 +57,7 @@
 	c.monitor.add(c)
 	go func() {
 		r := reader{conn: c}
-		c.shut(r.run())
+		c.closeWithCause(r.run())
 		c.monitor.remove(c)
 		if onClose != nil {
 			onClose()
@@ -122,7 +122,7 @@
 // Notify queues a frame that has no answer. It never waits for the other side; frames keep the order in which they were queued,
 // calls included. body must not be changed afterwards. An error wraps ErrNotSent.
 func (c *Conn) Notify(kind Kind, body []byte) error {
-	return c.send(outgoing{header: header{frameType: frameNotify, kind: uint16(kind)}, body: body})
+	return c.send(outgoingFrame{header: header{frameType: frameNotify, kind: uint16(kind)}, body: body})
 }
 
 // Done is closed once the connection is.
@@ -136,7 +136,7 @@
 }
 
 // Close ends the connection; frames that are queued are dropped, calls that wait for an answer get ErrLost or ErrNotSent.
-func (c *Conn) Close() { c.shut(ErrClosed) }
+func (c *Conn) Close() { c.closeWithCause(ErrClosed) }
 
 // RemoteAddress is the address that was dialed, or that of the peer's socket.
 func (c *Conn) RemoteAddress() string { return c.address }
@@ -159,7 +159,7 @@
 }
 
 // shut ends the connection for the given cause; only the first cause counts.
-func (c *Conn) shut(cause error) {
+func (c *Conn) closeWithCause(cause error) {
 	c.mutex.Lock()
 	if c.closed {
 		c.mutex.Unlock()
@@ -172,7 +172,7 @@
 	close(c.done)
 	_ = c.socket.Close()
 	for _, waiting := range calls {
-		waiting.end(c, nil, cause)
+		waiting.finish(c, nil, cause)
 	}
 }
 
--- a/internal/rpc/datagram.go
+++ b/internal/rpc/datagram.go
@@ -29,11 +29,11 @@
 
 // DatagramSocket sends and receives single frames over UDP; they may be lost, doubled or reordered.
 type DatagramSocket struct {
-	socket  network.PacketConn
-	foreign atomic.Uint64
-	running sync.WaitGroup
-	ended   chan struct{}
-	once    sync.Once
+	socket           network.PacketConn
+	invalidDatagrams atomic.Uint64
+	running          sync.WaitGroup
+	closing          chan struct{}
+	once             sync.Once
 }
 
 // ListenDatagrams opens a socket of the system; f is called for each valid datagram on one goroutine and owns body only until it returns.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "rpc: listen for datagrams on %s: check that no other process has the port", address)
 	}
-	d := &DatagramSocket{socket: socket, ended: make(chan struct{})}
+	d := &DatagramSocket{socket: socket, closing: make(chan struct{})}
 	d.running.Go(func() { d.receive(f) })
 	return d, nil
 }
@@ -87,13 +87,13 @@
 func (d *DatagramSocket) Addr() string { return d.socket.LocalAddr().String() }
 
 // Foreign counts the datagrams that were passed over because they are not of this protocol or damaged.
-func (d *DatagramSocket) InvalidDatagrams() uint64 { return d.foreign.Load() }
+func (d *DatagramSocket) InvalidDatagrams() uint64 { return d.invalidDatagrams.Load() }
 
 // Close ends the socket and waits for the last call of the handler; the handler must not call it.
 func (d *DatagramSocket) Close() error {
 	var err error
 	d.once.Do(func() {
-		close(d.ended)
+		close(d.closing)
 		err = d.socket.Close()
 		d.running.Wait()
 	})
@@ -110,7 +110,7 @@
 			if kind, body, ok := parseDatagram(buffer[:n]); ok {
 				f(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), kind, body)
 			} else {
-				d.foreign.Add(1)
+				d.invalidDatagrams.Add(1)
 			}
 			continue
 		}
@@ -120,7 +120,7 @@
 		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
-		case <-d.ended:
+		case <-d.closing:
 			timer.Stop()
 			return
 		}
--- a/internal/rpc/monitor.go
+++ b/internal/rpc/monitor.go
@@ -11,34 +11,34 @@
 // monitor watches the silence of a set of connections with one timer. It counts ticks and never looks at a clock: a process that
 // stood still has made no ticks.
 type monitor struct {
-	options Options
-	every   time.Duration
+	options      Options
+	tickInterval time.Duration
 
-	mutex sync.Mutex
-	conns map[*Conn]struct{}
-	timer *time.Timer
-	ended bool
+	mutex   sync.Mutex
+	conns   map[*Conn]struct{}
+	timer   *time.Timer
+	stopped bool
 
-	looked []*Conn // of the present tick; only ticks touch it
+	checking []*Conn // of the present tick; only ticks touch it
 }
 
 // silence is what the monitor knows of one connection; only ticks touch it.
-type silence struct {
-	received uint32
-	used     uint32
-	silent   int // ticks without a frame
-	idle     int // ticks without a frame but pings
+type activity struct {
+	receivedFrames uint32
+	dataFrames     uint32
+	silentTicks    int // ticks without a frame
+	idleTicks      int // ticks without a frame but pings
 }
 
 func newMonitor(o Options) *monitor {
-	return &monitor{options: o, every: max(o.PingInterval/ticksPerPing, time.Millisecond), conns: make(map[*Conn]struct{})}
+	return &monitor{options: o, tickInterval: max(o.PingInterval/ticksPerPing, time.Millisecond), conns: make(map[*Conn]struct{})}
 }
 
 func (m *monitor) add(c *Conn) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.conns[c] = struct{}{}
-	if len(m.conns) == 1 && !m.ended {
+	if len(m.conns) == 1 && !m.stopped {
 		m.schedule()
 	}
 }
@@ -56,7 +56,7 @@
 func (m *monitor) stop() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.ended = true
+	m.stopped = true
 	if m.timer != nil {
 		m.timer.Stop()
 		m.timer = nil
@@ -66,12 +66,12 @@
 // schedule plans the next tick; the mutex is held.
 func (m *monitor) schedule() {
 	var timer *time.Timer
-	timer = time.AfterFunc(m.every, func() {
+	timer = time.AfterFunc(m.tickInterval, func() {
 		m.tick()
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
 		if m.timer == timer {
-			timer.Reset(m.every)
+			timer.Reset(m.tickInterval)
 		}
 	})
 	m.timer = timer
@@ -81,44 +81,44 @@
 func (m *monitor) tick() {
 	m.mutex.Lock()
 	for c := range m.conns {
-		m.looked = append(m.looked, c)
+		m.checking = append(m.checking, c)
 	}
 	m.mutex.Unlock()
-	for _, c := range m.looked {
+	for _, c := range m.checking {
 		m.check(c)
 	}
-	clear(m.looked)
-	m.looked = m.looked[:0]
+	clear(m.checking)
+	m.checking = m.checking[:0]
 }
 
 // check counts a tick for the connection, and pings or ends it when due. The side that dialed pings first.
 func (m *monitor) check(c *Conn) {
-	s := &c.silence
-	s.idle++
-	if used := c.used.Load(); used != s.used {
-		s.used, s.idle = used, 0
+	s := &c.activity
+	s.idleTicks++
+	if used := c.dataFrames.Load(); used != s.dataFrames {
+		s.dataFrames, s.idleTicks = used, 0
 	}
-	if received := c.received.Load(); received != s.received {
-		s.received, s.silent = received, 0
+	if received := c.receivedFrames.Load(); received != s.receivedFrames {
+		s.receivedFrames, s.silentTicks = received, 0
 	} else {
-		s.silent++
+		s.silentTicks++
 	}
-	c.silent.Store(int32(s.silent))
+	c.silentTicks.Store(int32(s.silentTicks))
 	pingAt := ticksPerPing
 	if !c.dialed {
 		pingAt += ticksPerPing / 2
 	}
 	switch {
-	case s.silent >= m.ticks(m.options.PeerTimeout):
-		c.shut(ErrPeerUnresponsive)
-	case m.options.IdleTimeout > 0 && s.idle >= m.ticks(m.options.IdleTimeout) && c.callsWaiting() == 0:
+	case s.silentTicks >= m.ticks(m.options.PeerTimeout):
+		c.closeWithCause(ErrPeerUnresponsive)
+	case m.options.IdleTimeout > 0 && s.idleTicks >= m.ticks(m.options.IdleTimeout) && c.callsWaiting() == 0:
 		c.Close()
-	case s.silent >= pingAt && s.silent%ticksPerPing == pingAt%ticksPerPing:
-		_ = c.send(outgoing{header: header{frameType: framePing}})
+	case s.silentTicks >= pingAt && s.silentTicks%ticksPerPing == pingAt%ticksPerPing:
+		_ = c.send(outgoingFrame{header: header{frameType: framePing}})
 	}
 }
 
-func (m *monitor) ticks(d time.Duration) int { return int((d + m.every - 1) / m.every) }
+func (m *monitor) ticks(d time.Duration) int { return int((d + m.tickInterval - 1) / m.tickInterval) }
 
 func (c *Conn) callsWaiting() int {
 	c.mutex.Lock()
--- a/internal/rpc/monitor_test.go
+++ b/internal/rpc/monitor_test.go
@@ -11,7 +11,7 @@
 )
 
 // stopped are options under which monitors make no ticks of their own within a test.
-var stopped = Options{PingInterval: time.Hour, PeerTimeout: 2 * time.Hour, IdleTimeout: 0}
+var withoutTimer = Options{PingInterval: time.Hour, PeerTimeout: 2 * time.Hour, IdleTimeout: 0}
 
 // readFrame takes the next frame that the peer of a silentPeer got.
 func readFrame(t *testing.T, socket *net.TCPConn) header {
@@ -22,23 +22,23 @@
 	return parseHeader(head[:])
 }
 
-func tick(m *monitor, n int) {
+func runTicks(m *monitor, n int) {
 	for range n {
 		m.tick()
 	}
 }
 
-func TestSilentPeerIsPingedAndThenClosed(t *testing.T) {
+func TestUnresponsivePeerIsPingedThenClosed(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
-	c := connect(t, address, echo, stopped)
+	address, sockets := unresponsivePeer(t)
+	c := connect(t, address, echo, withoutTimer)
 	socket := <-sockets
 	answers := make(chan error, 1)
 	c.CallAsync(kindEcho, nil, 0, func(_ []byte, err error) { answers <- err })
 	is.Equal(readFrame(t, socket).frameType, uint8(frameCall))
-	tick(c.monitor, ticksPerPing)
+	runTicks(c.monitor, ticksPerPing)
 	is.Equal(readFrame(t, socket).frameType, uint8(framePing))
-	tick(c.monitor, ticksPerPing-1)
+	runTicks(c.monitor, ticksPerPing-1)
 	is.True(!c.isClosed())
 	c.monitor.tick()
 	<-c.Done()
@@ -47,14 +47,14 @@
 	is.True(errors.Is(err, ErrResponseLost) && errors.Is(err, ErrPeerUnresponsive))
 }
 
-func TestPongKeepsAConnection(t *testing.T) {
+func TestPongKeepsConnectionOpen(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
+	address, sockets := unresponsivePeer(t)
 	handled := make(chan struct{}, 1)
-	c := connect(t, address, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), stopped)
+	c := connect(t, address, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), withoutTimer)
 	socket := <-sockets
 	for range 5 {
-		tick(c.monitor, 1+ticksPerPing) // the first sees the frames of the round before
+		runTicks(c.monitor, 1+ticksPerPing) // the first sees the frames of the round before
 		is.Equal(readFrame(t, socket).frameType, uint8(framePing))
 		var frames [2 * headerSize]byte
 		(&header{frameType: framePong}).put(frames[:])
@@ -71,7 +71,7 @@
 	t.Helper()
 	is := is.New(t)
 	handled := make(chan struct{}, 1)
-	server := listen(t, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), stopped)
+	server := listen(t, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), withoutTimer)
 	socket, err := net.Dial("tcp", server.Addr())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = socket.Close() })
@@ -81,7 +81,7 @@
 	is.NoErr(err)
 	is.NoErr(readPreamble(socket))
 	<-handled
-	tick(server.monitor, 1+ticks) // the first sees the frame
+	runTicks(server.monitor, 1+ticks) // the first sees the frame
 	return server, socket.(*net.TCPConn)
 }
 
@@ -99,16 +99,16 @@
 
 func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
-	server := listen(t, echo, stopped)
-	o := stopped
+	server := listen(t, echo, withoutTimer)
+	o := withoutTimer
 	o.IdleTimeout, o.PeerTimeout = o.PingInterval, 100*o.PingInterval
 	c := connect(t, server.Addr(), echo, o)
-	c.CallAsync(kindKeep, nil, 0, func([]byte, error) {})
-	tick(c.monitor, 2*ticksPerPing)
+	c.CallAsync(kindNoReply, nil, 0, func([]byte, error) {})
+	runTicks(c.monitor, 2*ticksPerPing)
 	is.True(!c.isClosed()) // a call waits
 
 	c = connect(t, server.Addr(), echo, o)
-	tick(c.monitor, ticksPerPing-1)
+	runTicks(c.monitor, ticksPerPing-1)
 	is.True(!c.isClosed())
 	c.monitor.tick()
 	<-c.Done()
@@ -117,7 +117,7 @@
 
 func TestMonitorRunsOnItsTimer(t *testing.T) {
 	is := is.New(t)
-	address, _ := silentPeer(t)
+	address, _ := unresponsivePeer(t)
 	c := connect(t, address, echo, Options{PingInterval: 4 * time.Millisecond, PeerTimeout: 8 * time.Millisecond})
 	<-c.Done()
 	is.True(errors.Is(c.Err(), ErrPeerUnresponsive))
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -34,7 +34,7 @@
 	dialing *poolDial
 	timeout time.Duration // of the last dial, if it failed
 	pause   time.Duration // after the last failed dial
-	until   time.Time     // no dial before
+	retryAt time.Time     // no dial before
 	err     error         // of the last dial
 }
 
@@ -87,7 +87,7 @@
 		return nil, e.conn, nil
 	case e.dialing != nil:
 		return e.dialing, nil, nil
-	case e.err != nil && p.now().Before(e.until):
+	case e.err != nil && p.now().Before(e.retryAt):
 		return nil, nil, e.err
 	}
 	d := &poolDial{done: make(chan struct{})}
@@ -111,16 +111,16 @@
 		e.pause, e.timeout = 0, 0
 	} else {
 		e.pause = min(max(2*e.pause, minDialPause), maxDialPause)
-		e.until = p.now().Add(e.pause)
+		e.retryAt = p.now().Add(e.pause)
 	}
 	p.mutex.Unlock()
 	if c := d.conn; c != nil {
-		c.start(func() { p.forget(address, c) })
+		c.start(func() { p.remove(address, c) })
 	}
 	close(d.done)
 }
 
-func (p *Pool) forget(address string, c *Conn) {
+func (p *Pool) remove(address string, c *Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if e := p.entries[address]; e != nil && e.conn == c && e.dialing == nil {
@@ -154,13 +154,13 @@
 
 // replacedAfter is how many ticks of the monitor a connection may have been silent, when its peer is known to have been replaced, before it is dropped:
 // half a second by default.
-const replacedAfter = 2
+const replacedAfterTicks = 2
 
 // DropReplaced closes the connection to an address where another process is known to listen now, unless something came over it lately: it may
 // be one to the new process. Calls that wait on it end at once, and not when their deadline or DeadAfter is over.
 func (p *Pool) DropReplaced(address string) {
-	if c := p.Peek(address); c != nil && c.silent.Load() >= replacedAfter {
-		c.shut(ErrReplaced)
+	if c := p.Peek(address); c != nil && c.silentTicks.Load() >= replacedAfterTicks {
+		c.closeWithCause(ErrReplaced)
 	}
 }
 
--- a/internal/rpc/pool_test.go
+++ b/internal/rpc/pool_test.go
@@ -19,7 +19,7 @@
 
 func TestPoolSharesOneConnection(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
+	address, sockets := unresponsivePeer(t)
 	p := newPool(t, Options{})
 	is.True(p.Peek(address) == nil)
 	conns := make([]*Conn, 20)
@@ -36,7 +36,7 @@
 	is.Equal(len(sockets), 0)
 }
 
-func TestPoolDialsAgainAfterALoss(t *testing.T) {
+func TestPoolRedialsClosedConnection(t *testing.T) {
 	is := is.New(t)
 	ends := make(chan struct{}, 2)
 	server := listen(t, echo, Options{})
@@ -49,7 +49,7 @@
 	is.True(first != second)
 	<-ends
 	is.True(p.Peek(server.Addr()) == second)
-	p.forget(server.Addr(), first) // the end of the first, when it comes late, does not take the second
+	p.remove(server.Addr(), first) // the end of the first, when it comes late, does not take the second
 	is.True(p.Peek(server.Addr()) == second)
 	p.Drop(server.Addr())
 	<-second.Done()
@@ -81,7 +81,7 @@
 	<-d.done
 }
 
-func TestPoolGivesTheFirstDialsLessTime(t *testing.T) {
+func TestPoolDialTimeoutGrowsWithFailures(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -102,7 +102,7 @@
 	is.Equal(short.entries[address].timeout, 50*time.Millisecond)
 }
 
-func TestPoolGetGivesUpWithItsContext(t *testing.T) {
+func TestPoolGetReturnsWhenContextIsCancelled(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts by its backlog only: no preamble comes
 	is.NoErr(err)
@@ -114,7 +114,7 @@
 	is.True(errors.Is(err, ErrNotSent) && errors.Is(err, context.Canceled))
 }
 
-func TestClosedPool(t *testing.T) {
+func TestClosedPoolRefusesGet(t *testing.T) {
 	is := is.New(t)
 	server := listen(t, echo, Options{})
 	p := newPool(t, Options{})
@@ -136,10 +136,10 @@
 	defer pool.Close()
 	conn, err := pool.Get(t.Context(), server.Addr())
 	is.NoErr(err)
-	conn.silent.Store(replacedAfter - 1)
+	conn.silentTicks.Store(replacedAfterTicks - 1)
 	pool.DropReplaced(server.Addr())
 	is.True(pool.Peek(server.Addr()) == conn)
-	conn.silent.Store(replacedAfter)
+	conn.silentTicks.Store(replacedAfterTicks)
 	pool.DropReplaced(server.Addr())
 	<-conn.Done()
 	is.True(errors.Is(conn.Err(), ErrReplaced))
--- a/internal/rpc/read.go
+++ b/internal/rpc/read.go
@@ -11,7 +11,7 @@
 const (
 	readBufferSize = 4096
 	// firstAllocation bounds what is allocated for a body before any of it has arrived.
-	firstAllocation = 256 << 10
+	initialBodyBytes = 256 << 10
 )
 
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		r.conn.received.Add(1)
+		r.conn.receivedFrames.Add(1)
 		r.conn.handle(h, body)
 		if r.conn.isClosed() {
 			return ErrClosed
@@ -51,7 +51,7 @@
 	if length == 0 {
 		return nil, nil
 	}
-	body := make([]byte, min(length, firstAllocation))
+	body := make([]byte, min(length, initialBodyBytes))
 	if err := r.readFull(body); err != nil {
 		return nil, err
 	}
@@ -180,25 +180,25 @@
 // handle passes on one frame.
 func (c *Conn) handle(h header, body []byte) {
 	if h.frameType == framePing {
-		_ = c.send(outgoing{header: header{frameType: framePong}})
+		_ = c.send(outgoingFrame{header: header{frameType: framePong}})
 		return
 	}
 	if h.frameType == framePong {
 		return
 	}
-	c.used.Add(1)
+	c.dataFrames.Add(1)
 	switch h.frameType {
 	case frameNotify:
 		c.handler.Handle(c, Kind(h.kind), body, nil)
 	case frameCall:
 		c.handler.Handle(c, Kind(h.kind), body, func(body []byte, err error) { c.answer(h.id, body, err) })
 	case frameAnswer:
-		if waiting := c.take(h.id); waiting != nil {
-			waiting.end(c, body, nil)
+		if waiting := c.removeCall(h.id); waiting != nil {
+			waiting.finish(c, body, nil)
 		}
 	case frameRefusal:
-		if waiting := c.take(h.id); waiting != nil {
-			waiting.end(c, nil, &RemoteError{Code: h.kind, Text: string(body)})
+		if waiting := c.removeCall(h.id); waiting != nil {
+			waiting.finish(c, nil, &RemoteError{Code: h.kind, Text: string(body)})
 		}
 	}
 }
@@ -209,10 +209,10 @@
 		err = ErrTooLong
 	}
 	if err == nil {
-		_ = c.send(outgoing{header: header{frameType: frameAnswer, id: id}, body: body})
+		_ = c.send(outgoingFrame{header: header{frameType: frameAnswer, id: id}, body: body})
 		return
 	}
 	refusal := &RemoteError{Text: err.Error()}
 	errors.As(err, &refusal)
-	_ = c.send(outgoing{header: header{frameType: frameRefusal, kind: refusal.Code, id: id}, body: []byte(refusal.Text)})
+	_ = c.send(outgoingFrame{header: header{frameType: frameRefusal, kind: refusal.Code, id: id}, body: []byte(refusal.Text)})
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -114,16 +114,16 @@
 )
 
 // failure joins a mark (ErrNotSent or ErrLost) and the cause of it; errors.Is finds both.
-type failure struct{ mark, cause error }
+type failure struct{ kind, cause error }
 
-func (f *failure) Error() string   { return f.mark.Error() + ": " + f.cause.Error() }
-func (f *failure) Unwrap() []error { return []error{f.mark, f.cause} }
+func (f *failure) Error() string   { return f.kind.Error() + ": " + f.cause.Error() }
+func (f *failure) Unwrap() []error { return []error{f.kind, f.cause} }
 
 func notSent(cause error) error {
 	if errors.Is(cause, ErrNotSent) {
 		return cause
 	}
-	return &failure{mark: ErrNotSent, cause: cause}
+	return &failure{kind: ErrNotSent, cause: cause}
 }
 
-func lost(cause error) error { return &failure{mark: ErrResponseLost, cause: cause} }
+func responseLost(cause error) error { return &failure{kind: ErrResponseLost, cause: cause} }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	kindEcho   Kind = 1
-	kindRefuse Kind = 2
-	kindNumber Kind = 3
-	kindKeep   Kind = 4
+	kindEcho     Kind = 1
+	kindRefuse   Kind = 2
+	kindSequence Kind = 3
+	kindNoReply  Kind = 4
 )
 
 // echo answers calls with their own body, and refuses those of kindRefuse.
@@ -26,7 +26,7 @@
 		_ = c.Notify(kind, body)
 	case kind == kindRefuse:
 		reply(nil, Errorf(7, "no %s", body))
-	case kind == kindKeep:
+	case kind == kindNoReply:
 	default:
 		reply(body, nil)
 	}
@@ -49,7 +49,7 @@
 }
 
 // silentPeer greets one connection and then leaves its socket to the test.
-func silentPeer(t testing.TB) (address string, sockets <-chan *net.TCPConn) {
+func unresponsivePeer(t testing.TB) (address string, sockets <-chan *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -73,7 +73,7 @@
 func TestCallIsAnswered(t *testing.T) {
 	is := is.New(t)
 	c := connect(t, listen(t, echo, Options{}).Addr(), echo, Options{})
-	for _, size := range []int{0, 1, copyBelow - 1, copyBelow, readBufferSize, readBufferSize + 1, firstAllocation + 1, 5 << 20} {
+	for _, size := range []int{0, 1, copyThreshold - 1, copyThreshold, readBufferSize, readBufferSize + 1, initialBodyBytes + 1, 5 << 20} {
 		body := bytes.Repeat([]byte{byte(size), 3}, size/2+1)[:size]
 		answer, err := c.Call(context.Background(), kindEcho, body)
 		is.NoErr(err)
@@ -91,7 +91,7 @@
 	is.True(!errors.Is(err, ErrNotSent) && !errors.Is(err, ErrResponseLost))
 }
 
-func TestBothSidesCall(t *testing.T) {
+func TestCallsInBothDirections(t *testing.T) {
 	is := is.New(t)
 	back := make(chan string, 1)
 	server := listen(t, HandlerFunc(func(c *Conn, _ Kind, body []byte, reply func([]byte, error)) {
@@ -126,10 +126,10 @@
 		body := make([]byte, 4+n%3*1500)
 		binary.BigEndian.PutUint32(body, n)
 		if n%5 == 0 {
-			c.CallAsync(kindNumber, body, 0, func(_ []byte, err error) { answered <- err })
+			c.CallAsync(kindSequence, body, 0, func(_ []byte, err error) { answered <- err })
 			continue
 		}
-		is.NoErr(c.Notify(kindNumber, body))
+		is.NoErr(c.Notify(kindSequence, body))
 	}
 	for range frames / 5 {
 		is.NoErr(<-answered)
@@ -137,13 +137,13 @@
 	is.Equal(len(wrong), 0)
 }
 
-func TestClosedConnection(t *testing.T) {
+func TestClosedConnectionFailsCalls(t *testing.T) {
 	is := is.New(t)
 	ends := make(chan error, 1)
 	server := listen(t, echo, Options{})
 	c := connect(t, server.Addr(), echo, Options{OnClose: func(_ *Conn, err error) { ends <- err }})
 	answers := make(chan error, 1)
-	c.CallAsync(kindKeep, nil, 0, func(_ []byte, err error) { answers <- err })
+	c.CallAsync(kindNoReply, nil, 0, func(_ []byte, err error) { answers <- err })
 	_, err := c.Call(context.Background(), kindEcho, nil) // the call before was sent
 	is.NoErr(err)
 	c.Close()
@@ -160,7 +160,7 @@
 	server := listen(t, echo, Options{})
 	c := connect(t, server.Addr(), echo, Options{})
 	answers := make(chan error, 1)
-	c.CallAsync(kindKeep, nil, 0, func(_ []byte, err error) { answers <- err })
+	c.CallAsync(kindNoReply, nil, 0, func(_ []byte, err error) { answers <- err })
 	is.NoErr(server.Close())
 	<-c.Done()
 	is.True(<-answers != nil)
@@ -170,7 +170,7 @@
 
 func TestCallTimesOut(t *testing.T) {
 	is := is.New(t)
-	address, _ := silentPeer(t)
+	address, _ := unresponsivePeer(t)
 	c := connect(t, address, echo, Options{})
 	answers := make(chan error, 1)
 	c.CallAsync(kindEcho, nil, 1, func(_ []byte, err error) { answers <- err })
@@ -189,19 +189,19 @@
 	}
 }
 
-func TestPeerThatDoesNotRead(t *testing.T) {
+func TestQueueLimitClosesConnectionToPeerThatDoesNotRead(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
+	address, sockets := unresponsivePeer(t)
 	c := connect(t, address, echo, Options{MaxQueued: 256 << 20})
 	socket := <-sockets
 	fillSocket(t, c)
 
 	// A call that is given up while it is queued is never sent, and says so.
 	given := make(chan error, 1)
-	c.CallAsync(kindKeep, []byte("given up"), 1, func(_ []byte, err error) { given <- err })
+	c.CallAsync(kindNoReply, []byte("given up"), 1, func(_ []byte, err error) { given <- err })
 	is.True(errors.Is(<-given, ErrNotSent))
 	queued := make(chan error, 1)
-	c.CallAsync(kindKeep, []byte("kept"), 0, func(_ []byte, err error) { queued <- err })
+	c.CallAsync(kindNoReply, []byte("kept"), 0, func(_ []byte, err error) { queued <- err })
 
 	// Over MaxQueued the connection is closed, without waiting.
 	var err error
@@ -219,23 +219,23 @@
 
 func TestAbandonedCallIsNotDelivered(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
+	address, sockets := unresponsivePeer(t)
 	c := connect(t, address, echo, Options{MaxQueued: 256 << 20})
 	socket := <-sockets
 	fillSocket(t, c)
 	given := make(chan error, 1)
-	c.CallAsync(kindKeep, []byte("given up"), 1, func(_ []byte, err error) { given <- err })
+	c.CallAsync(kindNoReply, []byte("given up"), 1, func(_ []byte, err error) { given <- err })
 	is.True(errors.Is(<-given, ErrNotSent))
-	is.NoErr(c.Notify(kindNumber, []byte("last")))
+	is.NoErr(c.Notify(kindSequence, []byte("last")))
 	var head [headerSize]byte
 	for {
 		_, err := io.ReadFull(socket, head[:])
 		is.NoErr(err)
 		h := parseHeader(head[:])
-		is.True(Kind(h.kind) != kindKeep)
+		is.True(Kind(h.kind) != kindNoReply)
 		_, err = io.CopyN(io.Discard, socket, int64(h.length))
 		is.NoErr(err)
-		if Kind(h.kind) == kindNumber {
+		if Kind(h.kind) == kindSequence {
 			return
 		}
 	}
@@ -263,7 +263,7 @@
 	is.True(errors.As(err, &refusal))
 }
 
-func TestForeignPreamble(t *testing.T) {
+func TestServerRejectsUnknownPreamble(t *testing.T) {
 	is := is.New(t)
 	server := listen(t, echo, Options{})
 	socket, err := net.Dial("tcp", server.Addr())
@@ -276,7 +276,7 @@
 	is.Equal(server.ProtocolMismatches(), uint64(1))
 }
 
-func TestForeignServer(t *testing.T) {
+func TestDialRejectsUnknownPreamble(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -291,7 +291,7 @@
 	is.True(errors.Is(err, ErrProtocolMismatch) && errors.Is(err, ErrNotSent))
 }
 
-func TestUnknownFrameTypesArePassedOver(t *testing.T) {
+func TestUnknownFrameTypesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	server := listen(t, echo, Options{})
 	socket, err := net.Dial("tcp", server.Addr())
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -18,18 +18,18 @@
 
 // Server accepts connections on one address.
 type Server struct {
-	listener net.Listener
-	handler  Handler
-	options  Options
-	monitor  *monitor
-	foreign  atomic.Uint64
-	ended    chan struct{}
-	running  sync.WaitGroup
+	listener           net.Listener
+	handler            Handler
+	options            Options
+	monitor            *monitor
+	protocolMismatches atomic.Uint64
+	closing            chan struct{}
+	running            sync.WaitGroup
 
-	mutex  sync.Mutex
-	conns  map[*Conn]struct{}
-	greets map[net.Conn]struct{} // connections before their preamble
-	closed bool
+	mutex      sync.Mutex
+	conns      map[*Conn]struct{}
+	handshakes map[net.Conn]struct{} // connections before their preamble
+	closed     bool
 }
 
 // Listen begins to accept connections.
@@ -40,8 +40,8 @@
 		return nil, errors.Wrapf(err, "rpc: listen on %s: check that no other process has the port", address)
 	}
 	s := &Server{
-		listener: listener, handler: h, options: o, monitor: newMonitor(o), ended: make(chan struct{}),
-		conns: make(map[*Conn]struct{}), greets: make(map[net.Conn]struct{}),
+		listener: listener, handler: h, options: o, monitor: newMonitor(o), closing: make(chan struct{}),
+		conns: make(map[*Conn]struct{}), handshakes: make(map[net.Conn]struct{}),
 	}
 	s.running.Go(s.accept)
 	return s, nil
@@ -59,7 +59,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Foreign counts the connections that were closed because their other side does not speak this protocol.
-func (s *Server) ProtocolMismatches() uint64 { return s.foreign.Load() }
+func (s *Server) ProtocolMismatches() uint64 { return s.protocolMismatches.Load() }
 
 // Close stops accepting and closes the connections that were accepted. It does not wait for their OnClose.
 func (s *Server) Close() error {
@@ -69,12 +69,12 @@
 		return nil
 	}
 	s.closed = true
-	close(s.ended)
+	close(s.closing)
 	conns := make([]*Conn, 0, len(s.conns))
 	for c := range s.conns {
 		conns = append(conns, c)
 	}
-	for socket := range s.greets {
+	for socket := range s.handshakes {
 		_ = socket.Close()
 	}
 	s.mutex.Unlock()
@@ -93,7 +93,7 @@
 		connection, err := s.listener.Accept()
 		if err == nil {
 			pause = minAcceptPause
-			s.welcome(connection)
+			s.startHandshake(connection)
 			continue
 		}
 		if errors.Is(err, net.ErrClosed) {
@@ -103,7 +103,7 @@
 		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
-		case <-s.ended:
+		case <-s.closing:
 			timer.Stop()
 			return
 		}
@@ -112,18 +112,18 @@
 }
 
 // welcome exchanges preambles on a goroutine of its own.
-func (s *Server) welcome(socket net.Conn) {
+func (s *Server) startHandshake(socket net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		_ = socket.Close()
 		return
 	}
-	s.greets[socket] = struct{}{}
+	s.handshakes[socket] = struct{}{}
 	s.running.Go(func() {
-		c, err := s.greet(socket)
+		c, err := s.handshake(socket)
 		s.mutex.Lock()
-		delete(s.greets, socket)
+		delete(s.handshakes, socket)
 		if err == nil && s.closed {
 			err = ErrClosed
 		}
@@ -135,18 +135,18 @@
 			_ = socket.Close()
 			return
 		}
-		c.start(func() { s.forget(c) })
+		c.start(func() { s.remove(c) })
 	})
 }
 
-func (s *Server) greet(socket net.Conn) (*Conn, error) {
+func (s *Server) handshake(socket net.Conn) (*Conn, error) {
 	setUserTimeout(socket, s.options.UserTimeout)
 	if err := socket.SetDeadline(time.Now().Add(s.options.DialTimeout)); err != nil {
 		return nil, err
 	}
 	if err := readPreamble(socket); err != nil {
 		if errors.Is(err, ErrProtocolMismatch) {
-			s.foreign.Add(1)
+			s.protocolMismatches.Add(1)
 		}
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 	return newConn(socket, socket.RemoteAddr().String(), false, s.handler, s.options, s.monitor)
 }
 
-func (s *Server) forget(c *Conn) {
+func (s *Server) remove(c *Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.conns, c)
--- a/internal/rpc/write.go
+++ b/internal/rpc/write.go
@@ -7,21 +7,21 @@
 
 const (
 	// copyBelow is the size of bodies under which they are copied beside their header; longer ones are written from where they are.
-	copyBelow = 2048
+	copyThreshold = 2048
 	// batchBytes is about how much is given to the socket with one system call.
-	batchBytes = 64 << 10
+	targetBatchBytes = 64 << 10
 	// keepBuffer is the largest buffer that is kept for later batches.
-	keepBuffer = 128 << 10
+	maxKeptBufferBytes = 128 << 10
 )
 
 // outgoing is a frame in the queue.
-type outgoing struct {
+type outgoingFrame struct {
 	header header
 	body   []byte
 	call   *call // of a frameCall
 }
 
-func (o *outgoing) size() int { return headerSize + len(o.body) }
+func (o *outgoingFrame) size() int { return headerSize + len(o.body) }
 
 // batch is what is given to the socket at once.
 type batch struct {
@@ -36,13 +36,13 @@
 var scratchBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 4096); return &b }}
 
 // send queues a frame and sees to it that a goroutine writes it.
-func (c *Conn) send(o outgoing) error {
+func (c *Conn) send(o outgoingFrame) error {
 	if len(o.body) > c.options.MaxFrame {
 		return notSent(ErrTooLong)
 	}
 	o.header.length = len(o.body)
 	if o.header.frameType != framePing && o.header.frameType != framePong {
-		c.used.Add(1)
+		c.dataFrames.Add(1)
 	}
 	c.mutex.Lock()
 	if c.closed {
@@ -52,7 +52,7 @@
 	}
 	if c.queued+o.size() > c.options.MaxQueued && c.queued > 0 {
 		c.mutex.Unlock()
-		c.shut(ErrQueueFull)
+		c.closeWithCause(ErrQueueFull)
 		return notSent(ErrQueueFull)
 	}
 	c.queue = append(c.queue, o)
@@ -81,7 +81,7 @@
 		}
 		c.mutex.Unlock()
 		if err != nil {
-			c.shut(err)
+			c.closeWithCause(err)
 			return
 		}
 		b.release()
@@ -94,7 +94,7 @@
 	defer c.mutex.Unlock()
 	b := &batch{scratch: scratchBuffers.Get().(*[]byte)}
 	taken := 0
-	for ; taken < len(c.queue) && b.size < batchBytes; taken++ {
+	for ; taken < len(c.queue) && b.size < targetBatchBytes; taken++ {
 		o := &c.queue[taken]
 		if o.call != nil {
 			if o.call.cancelled {
@@ -130,12 +130,12 @@
 	c.queue = c.queue[:0]
 }
 
-func (b *batch) add(o *outgoing) {
+func (b *batch) add(o *outgoingFrame) {
 	b.size += o.size()
 	var head [headerSize]byte
 	o.header.put(head[:])
 	*b.scratch = append(*b.scratch, head[:]...)
-	if len(o.body) < copyBelow {
+	if len(o.body) < copyThreshold {
 		*b.scratch = append(*b.scratch, o.body...)
 		return
 	}
@@ -164,7 +164,7 @@
 
 // release gives the scratch buffer back; the batch must have been written whole or not at all.
 func (b *batch) release() {
-	if len(b.buffers) == 0 || len(b.buffers) == 1 && cap(b.buffers[0]) <= keepBuffer && len(*b.scratch) == 0 {
+	if len(b.buffers) == 0 || len(b.buffers) == 1 && cap(b.buffers[0]) <= maxKeptBufferBytes && len(*b.scratch) == 0 {
 		if len(b.buffers) == 1 {
 			*b.scratch = b.buffers[0][:0]
 		} else {
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -110,7 +110,7 @@
 	},
 	{
 		Promise: "a connection that may be one to the new process is kept", File: "internal/rpc/pool.go",
-		Old: "c != nil && c.silent.Load() >= replacedAfter {", New: "c != nil {",
+		Old: "c != nil && c.silentTicks.Load() >= replacedAfterTicks {", New: "c != nil {",
 		Package: "./internal/rpc",
 	},
 	{
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -12,7 +12,7 @@
 var messagePromises = []Mutant{
 	{
 		Promise: "a write is on disk before it is done", File: "internal/recordlog/writer.go",
-		Old: "if err := w.journal.Sync(); err != nil {\n\t\treturn err\n\t}\n\tif len(w.grown) == 0 {", New: "if len(w.grown) == 0 {",
+		Old: "if err := w.journal.Sync(); err != nil {\n\t\treturn err\n\t}\n\tif len(w.filled) == 0 {", New: "if len(w.filled) == 0 {",
 	},
 	{
 		Promise: "a write is done once its backups have it", File: "replication/leadership.go",
