--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -7,22 +7,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrMalformed is the error of a Decode of bytes that no Append made.
-var ErrMalformed = errors.New("protocol: malformed message: check that both sides run neighbouring versions")
+// ErrMalformed is returned by Decode for bytes that are not a valid encoding.
+var ErrMalformed = errors.New("protocol: malformed message: check that both sides run adjacent versions")
 
-// Message is what a frame's body holds.
+// Message is the content of a frame's body.
 type Message interface {
-	// Append adds the encoded message to b.
+	// Append appends the encoded message to b.
 	Append(b []byte) []byte
-	// Decode replaces the message by the encoded one. Fields of type []byte point into b.
+	// Decode replaces the message with the decoded one. Fields of type []byte alias b.
 	Decode(b []byte) error
 }
 
-// fielder names the fields of a message once for both directions, in the order of the encoding. New fields are added at the end.
+// fielder passes the fields of a message to a coder in encoding order, for both encoding and decoding. New fields are added at the end.
 type fielder interface{ fields(c *coder) }
 
-// coder appends fields to b or takes them from it. Whole numbers are uvarints, durations zigzag varints; strings, byte slices and
-// nested messages are preceded by their length, lists by their count.
+// coder encodes fields to b or decodes them from it. Integers are uvarints, signed integers and durations zigzag varints; strings, byte
+// slices and nested messages are prefixed with their length, lists with their element count.
 type coder struct {
 	decoding bool
 	b        []byte
@@ -48,10 +48,10 @@
 	c.failed, c.b = true, nil
 }
 
-// put appends one whole number.
+// putUvarint appends one integer.
 func (c *coder) putUvarint(v uint64) { c.b = binary.AppendUvarint(c.b, v) }
 
-// take takes one whole number. A field that the sender did not write is 0.
+// takeUvarint decodes one integer. A field that the sender did not write is 0.
 func (c *coder) takeUvarint() uint64 {
 	if len(c.b) == 0 {
 		return 0
@@ -65,7 +65,8 @@
 	return v
 }
 
-// unsigned passes a whole number that may not exceed limit. Encoding does not write to the message, which others may read meanwhile.
+// unsigned encodes or decodes an integer of at most limit. Encoding does not write to the message, since other goroutines may read it
+// concurrently.
 func unsigned[T ~uint8 | ~uint16 | ~uint32 | ~uint64](c *coder, p *T, limit uint64) {
 	if !c.decoding {
 		c.putUvarint(uint64(*p))
@@ -85,7 +86,7 @@
 
 func (c *coder) uint16(p *uint16) { unsigned(c, p, 1<<16-1) }
 
-// small passes a value of a type that fits a byte.
+// byteEnum encodes or decodes a value of a one-byte type.
 func byteEnum[T ~uint8](c *coder, p *T) { unsigned(c, p, 1<<8-1) }
 
 func (c *coder) bool(p *bool) {
@@ -109,7 +110,7 @@
 
 func (c *coder) duration(p *time.Duration) { c.int64((*int64)(p)) }
 
-// slice takes a length and as many bytes, without a copy.
+// takeBytes decodes a length and that many bytes, without copying them.
 func (c *coder) takeBytes() []byte {
 	n := c.takeUvarint()
 	if n > uint64(len(c.b)) {
@@ -146,7 +147,7 @@
 	list(c, p, func(c *coder, s *string) { c.string(s) })
 }
 
-// nested passes a message that may grow by fields.
+// nested encodes or decodes a message inside another one, with a length prefix so that later versions can add fields to it.
 func (c *coder) nested(m fielder) {
 	if c.decoding {
 		inner := coder{b: c.takeBytes(), decoding: true}
@@ -166,10 +167,10 @@
 	copy(c.b[start:], prefix[:n])
 }
 
-// firstElements bounds what is allocated for a list before its elements were read.
+// initialListCapacity limits the allocation for a list before its elements are decoded.
 const initialListCapacity = 256
 
-// list passes a count and as many elements; each takes a byte at least.
+// list encodes or decodes a count and that many elements; each element takes at least one byte.
 func list[T any](c *coder, p *[]T, element func(c *coder, e *T)) {
 	if !c.decoding {
 		c.putUvarint(uint64(len(*p)))
@@ -201,7 +202,7 @@
 	*p = elements
 }
 
-// messages passes a list of nested messages.
+// messages encodes or decodes a list of nested messages.
 func messages[T any, P interface {
 	*T
 	fielder
--- a/internal/protocol/item.go
+++ b/internal/protocol/item.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ItemKind names one of the items that every process holds.
+// ItemKind identifies one of the items that are replicated to every process.
 type ItemKind uint8
 
-// The items.
+// The kinds of items.
 const (
 	ItemControl       ItemKind = 1 // body: ControlView
 	ItemConfiguration ItemKind = 2 // body: the operator's JSON
@@ -23,7 +23,7 @@
 	Number uint64
 }
 
-// Less says whether v is older than w.
+// Less reports whether v is older than w.
 func (v ItemVersion) Less(w ItemVersion) bool {
 	return v.Term < w.Term || v.Term == w.Term && v.Number < w.Number
 }
@@ -35,35 +35,35 @@
 	Body    []byte
 }
 
-// ItemDigest names the state of an item that somebody has.
+// ItemDigest is the version of an item that a process has.
 type ItemDigest struct {
 	Kind    ItemKind
 	Version ItemVersion
 }
 
-// Digest is a comparison of the items of two processes.
+// Digest summarizes the item versions that a process has, for comparison with those of another process.
 type Digest struct {
-	Key              string // of the sender
-	Address          string // internal, of the sender
+	Key              string // node key of the sender
+	Address          string // internal address of the sender
 	Versions         []ItemDigest
 	WorkersFreshness WorkersFreshness
-	Reply            bool // sent in answer to a digest; not answered again
+	Reply            bool // sent in reply to a digest; gets no reply itself
 }
 
-// Fetch asks for items.
+// Fetch requests items by kind.
 type Fetch struct{ Kinds []ItemKind }
 
 // Items carries states of items.
 type Items struct{ Items []Item }
 
-// MemberAddress tells where a member of control's group is.
+// MemberAddress holds the addresses of a member of the control group.
 type MemberAddress struct {
 	Member       string
 	Address      string // internal
 	ControlPlane string
 }
 
-// ControlView is the view of control's own group.
+// ControlView is the view of the control group.
 type ControlView struct {
 	Epoch     uint64
 	Primary   string // member
@@ -73,7 +73,7 @@
 	Addresses []MemberAddress
 }
 
-// AddressOf returns the addresses of a member; ok is false if the view does not name them.
+// AddressOf returns the addresses of a member; ok is false if the view has none.
 func (v *ControlView) AddressOf(member string) (address MemberAddress, ok bool) {
 	for _, a := range v.Addresses {
 		if a.Member == member {
@@ -90,11 +90,11 @@
 	Primary   string // member
 	Members   []string
 	Learners  []string
-	Sources   []string // learners that the primary takes records from before it is active
-	Holders   []string // take no part, and keep what they have
+	Sources   []string // learners from which the primary fetches records before it becomes active
+	Holders   []string // members that do not participate in replication but keep their records
 }
 
-// Names tells whether the view names a member that may hold records.
+// Includes reports whether the view lists the member in a role in which it may hold records.
 func (m *PartitionView) Includes(member string) bool {
 	return slices.Contains(m.Members, member) || slices.Contains(m.Learners, member) || slices.Contains(m.Holders, member)
 }
@@ -102,26 +102,26 @@
 // PartitionTable is the body of an ItemPartitions item; partition n is at index n.
 type PartitionTable struct{ Partitions []PartitionView }
 
-// Worker is one entry of the platform's list.
+// Worker is one entry of the platform's worker list.
 type Worker struct {
 	ID       string
-	Service  string // Backend of the list
+	Service  string // the Backend field of the list
 	Address  string
 	Zone     string
 	Revision string
 	Capacity uint32
 	Draining bool
-	ColdFor  time.Duration // not told by this version, and passed over; its place in the frame stays
+	ColdFor  time.Duration // reserved: not set or read by this version; keeps its position in the encoding
 }
 
 // Workers is the body of an ItemWorkers item.
 type Workers struct {
-	ReadAt  int64 // cluster time when the reading began, nanoseconds since 1970
+	ReadAt  int64 // cluster time at which the read began, nanoseconds since 1970
 	Workers []Worker
 }
 
-// WorkersFresh says that the list of Version was read again, unchanged, at ReadAt.
+// WorkersFreshness states that the worker list was read again at ReadAt and was still the one of Version.
 type WorkersFreshness struct {
 	Version ItemVersion
-	ReadAt  int64 // cluster time when the reading began, nanoseconds since 1970
+	ReadAt  int64 // cluster time at which the read began, nanoseconds since 1970
 }
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// The codes of refused calls (rpc.RemoteError.Code) between roles.
+// The error codes of refused calls (rpc.RemoteError.Code) between roles.
 const (
-	CodeNotPrimary     uint16 = 1 // the callee is not the primary; nothing was done
-	CodeUnavailable    uint16 = 2 // nothing was done; try again later
-	CodeInvalid        uint16 = 3 // the frame cannot be understood
+	CodeNotPrimary     uint16 = 1 // the callee is not the primary; the request was not applied
+	CodeUnavailable    uint16 = 2 // the request was not applied; retry later
+	CodeInvalid        uint16 = 3 // the frame cannot be decoded
 	CodeUnknownKind    uint16 = 4 // the callee has no handler for the kind
-	CodeOutcomeUnknown uint16 = 5 // it may have been done
+	CodeOutcomeUnknown uint16 = 5 // the request may have been applied
 )
 
 // ReplicationFrame carries one encoded message of package replication.
@@ -19,13 +19,13 @@
 	Body  []byte
 }
 
-// LeaseRequest asks a store to promise that it will not act as primary in place of the sender's member.
+// LeaseRequest asks a store for a lease, during which it will not act as primary in place of the sender's member.
 type LeaseRequest struct {
 	From     string // member
 	To       string // member
 	Sequence uint64
-	Duration time.Duration // counted by the grantor from the arrival
-	Release  bool          // gives back what was granted
+	Duration time.Duration // measured by the grantor from the arrival of the request
+	Release  bool          // releases the granted lease
 }
 
 // LeaseReply answers a LeaseRequest.
@@ -34,7 +34,7 @@
 	Sequence uint64
 }
 
-// Header is one header field of a message as it arrived.
+// Header is one HTTP header field of a message, as received.
 type Header struct {
 	Name  string
 	Value string
@@ -47,25 +47,25 @@
 	RequestID string
 	Method    string
 	Host      string
-	URI       string // path and query as they arrived
+	URI       string // path and query as received
 	Key       string // X-Ordering-Key
 	Headers   []Header
-	Delay     time.Duration // what is left of X-Delay-Ms
+	Delay     time.Duration // remaining part of X-Delay-Ms
 	Age       time.Duration // since the first byte of the request was read
-	Table     ItemVersion   // partition table of the sender
+	Table     ItemVersion   // version of the sender's partition table
 	Body      []byte
 }
 
-// AcceptStatus is what became of an Accept.
+// AcceptStatus is the result of an Accept.
 type AcceptStatus uint8
 
 // The results of an Accept.
 const (
 	AcceptStored     AcceptStatus = 1 // on disk at all members
-	AcceptNotPrimary AcceptStatus = 2 // not taken: another store is the primary, or the view is not active yet
-	AcceptFull       AcceptStatus = 3 // not taken: no room
-	AcceptNoRoute    AcceptStatus = 4 // not taken: no route for it
-	AcceptUnknown    AcceptStatus = 5 // may have been taken: ask again, idempotent by ID
+	AcceptNotPrimary AcceptStatus = 2 // not stored: another store is the primary, or the view is not active yet
+	AcceptFull       AcceptStatus = 3 // not stored: no space left
+	AcceptNoRoute    AcceptStatus = 4 // not stored: no route matches the message
+	AcceptUnknown    AcceptStatus = 5 // may have been stored: retry; requests are idempotent by ID
 )
 
 // AcceptReply answers an Accept.
@@ -84,7 +84,7 @@
 // MessageState is the state of a message.
 type MessageState uint8
 
-// The states.
+// The states of a message.
 const (
 	StateQueued     MessageState = 1
 	StateSucceeded  MessageState = 2
@@ -100,32 +100,32 @@
 	HasBody   bool
 }
 
-// HeldDelivery is a delivery that a dispatcher has.
+// HeldDelivery identifies a delivery that a dispatcher has received and not yet completed.
 type HeldDelivery struct {
 	Partition uint32
 	ID        string
 	Attempt   uint32
 }
 
-// ServiceWindow is the number of deliveries of a service that a dispatcher takes at a time.
+// ServiceWindow is the number of deliveries of a service that a dispatcher accepts concurrently.
 type ServiceWindow struct {
 	Service string
 	Slots   uint32
 }
 
-// Hello opens the flow of deliveries on a connection from a dispatcher to a store, and is sent again when its content changes.
+// Hello starts deliveries on a connection from a dispatcher to a store, and is sent again when its content changes.
 type Hello struct {
 	Dispatcher    string // node key
 	Incarnation   uint64
 	Zone          string
 	Region        string
-	Table         ItemVersion // partition table of the sender
+	Table         ItemVersion // version of the sender's partition table
 	Configuration ItemVersion
-	Held          []HeldDelivery // all that it has of the partitions which the store leads by that table
+	Held          []HeldDelivery // all held deliveries of the partitions whose primary is this store according to Table
 	Windows       []ServiceWindow
 }
 
-// Deliver hands a message to a dispatcher for one attempt.
+// Deliver sends a message to a dispatcher for one attempt.
 type Deliver struct {
 	Partition      uint32
 	Epoch          uint64
@@ -137,35 +137,35 @@
 	URI            string
 	Key            string
 	Headers        []Header
-	Configuration  ItemVersion   // at least as new as at the accept
-	DueFor         time.Duration // since it became due
-	ExpiresIn      time.Duration // what is left of its retention
-	FailedAttempts uint32        // failed attempts that counted so far
+	Configuration  ItemVersion   // at least as new as when the message was accepted
+	DueFor         time.Duration // time since the message became due
+	ExpiresIn      time.Duration // remaining retention time
+	FailedAttempts uint32        // failed attempts so far that count towards the limit
 	Body           []byte
 }
 
-// Outcome is the end of one attempt.
+// Outcome is the result of one attempt.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
 	OutcomeSucceeded Outcome = 1 // 2xx with a signature
-	OutcomeFailed    Outcome = 2 // 500: counts as an attempt
-	OutcomeRefused   Outcome = 3 // 422: never to be done
-	OutcomeNotRun    Outcome = 4 // surely not run
+	OutcomeFailed    Outcome = 2 // 500: counts as a failed attempt
+	OutcomeRefused   Outcome = 3 // 422: must not be retried
+	OutcomeNotRun    Outcome = 4 // certainly not run
 	OutcomeUnknown   Outcome = 5 // may have run
-	OutcomeNoRoute   Outcome = 6 // the configuration has no route for it any more
+	OutcomeNoRoute   Outcome = 6 // the configuration no longer has a matching route
 )
 
-// Result reports the outcome of an attempt; its call is answered once that is on disk everywhere.
+// Result reports the outcome of an attempt; the call is answered once the outcome is on disk at all members.
 type Result struct {
 	Partition  uint32
 	ID         string
 	Attempt    uint32
 	Dispatcher string // node key
 	Outcome    Outcome
-	Status     uint16 // of the worker's answer; 0 without one
+	Status     uint16 // HTTP status of the worker's response; 0 without a response
 	Signature  string
-	RetryAfter time.Duration // wanted before the next attempt
-	Elapsed    time.Duration // since the delivery arrived at the dispatcher
+	RetryAfter time.Duration // requested delay before the next attempt
+	Elapsed    time.Duration // time since the delivery arrived at the dispatcher
 }
--- a/internal/protocol/node.go
+++ b/internal/protocol/node.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Role is what a process does.
+// Role is the function of a process in the system.
 type Role uint8
 
 // The roles.
@@ -10,7 +10,7 @@
 	RoleStore      Role = 3
 )
 
-// String is the name of the role as in the command line.
+// String returns the name of the role as used on the command line.
 func (r Role) String() string {
 	switch r {
 	case RoleControl:
@@ -23,22 +23,22 @@
 	return "unknown"
 }
 
-// NodeKey names the process of a role on a machine; it outlives restarts.
+// NodeKey identifies the process of a role on a machine; it stays the same across restarts.
 func NodeKey(nodeName string, role Role) string { return nodeName + "/" + role.String() }
 
-// Node is what everybody knows of a process with a session.
+// Node describes a process with a session, as published to all processes.
 type Node struct {
 	Key             string // NodeKey(Name, Role)
-	Name            string // of the machine
+	Name            string // name of the machine
 	Role            Role
-	Incarnation     uint64 // drawn at each start
+	Incarnation     uint64 // chosen at random at each start
 	Member          string // NodeName/DiskID; empty without a disk
 	Zone            string
 	Region          string
 	Address         string // internal, TCP and UDP
-	ControlPlane    string // where the operator's API is served; empty where it is not
-	Leaving         bool   // a planned end has begun
-	CountsForQuorum bool   // CountsForQuorum of its machine
+	ControlPlane    string // address of the operator's API; empty if not served
+	Leaving         bool   // a planned shutdown has begun
+	CountsForQuorum bool   // the CountsForQuorum setting of its machine
 }
 
 // NodeTable is the body of an ItemNodes item.
@@ -48,18 +48,19 @@
 type Heartbeat struct {
 	Node          Node
 	Digest        Digest
-	Offers        []PromotionOffer // learners that are equal, by the primary of their partition
-	PartitionsLed uint32           // partitions that this store leads
+	Offers        []PromotionOffer // learners that have caught up, reported by the primary of their partition
+	PartitionsLed uint32           // number of partitions that this store leads
 	DiskFull      bool             // the store's disk is full
-	// Stuck names the stores that this store shares partitions with, leads them, and cannot reach.
+	// UnreachablePeers lists the members of partitions led by this store that it cannot reach.
 	UnreachablePeers []string
-	// Stalled says that the store's disk finishes nothing, or refuses writes.
+	// DiskStalled reports that the store's disk completes no operations, or refuses writes.
 	DiskStalled bool
-	// ListUnread says that this control process has the duty of reading the platform's list, and has not succeeded for a while.
+	// WorkerListStale reports that this control process is responsible for reading the platform's worker list and has not succeeded for
+	// some time.
 	WorkerListStale bool
 }
 
-// Offer names a learner of a partition that has all records.
+// PromotionOffer names a learner of a partition that has all records and can become a full member.
 type PromotionOffer struct {
 	Partition uint32
 	Epoch     uint64 // of the view that the learner belongs to
@@ -69,12 +70,12 @@
 // HeartbeatReply answers a Heartbeat.
 type HeartbeatReply struct {
 	Accepted    bool
-	Primary     string // internal address of control's primary as far as known; empty if not
-	ClusterTime int64  // nanoseconds since 1970; only of an accepted heartbeat
+	Primary     string // internal address of the control group's primary; empty if unknown
+	ClusterTime int64  // nanoseconds since 1970; set only if the heartbeat was accepted
 	Digest      Digest
 }
 
-// Leave announces the planned end of a process (Over false) or ends its session (Over true).
+// Leave announces the planned shutdown of a process (EndSession false) or ends its session (EndSession true).
 type Leave struct {
 	Key         string
 	Incarnation uint64
--- a/internal/protocol/table_codec.go
+++ b/internal/protocol/table_codec.go
@@ -1,7 +1,7 @@
 package protocol
 
-// A PartitionTable names few members many times: it is encoded as the list of their names, and views that name them by their places in it.
-// That keeps it at some ten bytes a partition, for it goes to every process at each change.
+// A PartitionTable refers to few members many times: it is encoded as the list of their names, followed by views that refer to them by
+// position in that list. This keeps it at about ten bytes per partition, since it is sent to every process at each change.
 
 func (m *PartitionTable) fields(c *coder) {
 	var names memberNames
@@ -18,10 +18,10 @@
 // Decode implements Message.
 func (m *PartitionTable) Decode(b []byte) error { return decode(m, b) }
 
-// memberNames are the members that a table names, in the order in which it first does.
+// memberNames lists the members of a table in order of first occurrence.
 type memberNames struct {
 	list      []string
-	positions map[string]uint32 // of each in the list, and one more; only for encoding
+	positions map[string]uint32 // index in list plus one; used only for encoding
 }
 
 func (n *memberNames) collect(views []PartitionView) {
@@ -45,24 +45,24 @@
 	n.positions[name] = uint32(len(n.list))
 }
 
-// pass passes a name as its place, 0 for the empty one.
+// transcode encodes or decodes a name as its position, 0 for the empty name.
 func (n *memberNames) transcode(c *coder, name *string) {
-	place := n.positions[*name]
-	c.uint32(&place)
+	position := n.positions[*name]
+	c.uint32(&position)
 	if !c.decoding {
 		return
 	}
 	switch {
-	case place == 0:
+	case position == 0:
 		*name = ""
-	case uint64(place) > uint64(len(n.list)):
+	case uint64(position) > uint64(len(n.list)):
 		c.fail()
 	default:
-		*name = n.list[place-1]
+		*name = n.list[position-1]
 	}
 }
 
-// namedView is a view whose members are passed as places.
+// indexedView is a view whose members are encoded as positions.
 type indexedView struct {
 	view  *PartitionView
 	names *memberNames
@@ -74,7 +74,7 @@
 	m.names.transcode(c, &m.view.Primary)
 	list(c, &m.view.Members, m.names.transcode)
 	list(c, &m.view.Learners, m.names.transcode)
-	if c.decoding || len(m.view.Sources)+len(m.view.Holders) > 0 { // left out at the end, as they mostly are empty
+	if c.decoding || len(m.view.Sources)+len(m.view.Holders) > 0 { // omitted if both are empty, as they usually are
 		list(c, &m.view.Sources, m.names.transcode)
 		list(c, &m.view.Holders, m.names.transcode)
 	}
--- a/internal/recordlog/commit.go
+++ b/internal/recordlog/commit.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// mostBatchBytes bounds what is written at once, unless a single append is larger: it is held in memory twice meanwhile.
+// maxBatchBytes limits a batch that has more than one append, since a batch is held in memory twice while it is written.
 const (
 	maxBatchBytes           = 1 << 20
-	minBatchesPerGeneration = 4 // at least
+	minBatchesPerGeneration = 4
 )
 
-// batch is what one write and one sync make durable.
+// batch holds the changes that one write and one sync make durable.
 type batch struct {
 	requests []*request
 	copies   []recordCopy
-	floor    uint64 // to be raised to; 0 for none
+	floor    uint64 // new floor; 0 to leave it
 }
 
 func (b *batch) empty() bool { return len(b.requests) == 0 && len(b.copies) == 0 && b.floor == 0 }
@@ -37,19 +37,19 @@
 	return l.closed && len(l.queue) == 0
 }
 
-// step writes one batch, with a slice of compaction, and tells whether there was anything to do.
+// step writes one batch, including a slice of compaction, and reports whether there was anything to do.
 func (l *Log) step() bool {
 	requests, closed := l.dequeue()
 	b := batch{requests: requests}
-	scanned := false
+	more := false
 	if !closed && l.mayCompact(requests) {
-		b.copies, scanned = l.compact(len(requests) > 0)
+		b.copies, more = l.compact(len(requests) > 0)
 	}
 	if !closed && (!l.lastWriteFailed || len(requests) > 0) {
 		b.floor = l.removable()
 	}
 	if b.empty() {
-		return scanned
+		return more
 	}
 	if err := l.write(&b); err != nil {
 		l.rollBack(&b, writeError(err))
@@ -66,8 +66,8 @@
 	return true
 }
 
-// mayCompact tells whether a batch may carry copies. After a failure compaction tries again only when there are requests, and only
-// with those that were refused: it must neither try without end nor take the space that the others need.
+// mayCompact reports whether a batch may include copies. After a failure compaction is retried only when there are requests, and only if
+// all of them were refused: it must neither retry endlessly nor use the space that accepted requests need.
 func (l *Log) mayCompact(requests []*request) bool {
 	if !l.lastWriteFailed {
 		return true
@@ -80,13 +80,13 @@
 	return len(requests) > 0
 }
 
-// take returns the next requests to write.
+// dequeue removes and returns the next requests to write.
 func (l *Log) dequeue() (requests []*request, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := min(maxBatchBytes, l.options.GenerationBytes/minBatchesPerGeneration)
+	maxBytes := min(maxBatchBytes, l.options.GenerationBytes/minBatchesPerGeneration)
 	n, size := 0, int64(0)
-	for n < len(l.queue) && (n == 0 || size+l.queue[n].bytes <= most) {
+	for n < len(l.queue) && (n == 0 || size+l.queue[n].bytes <= maxBytes) {
 		size += l.queue[n].bytes
 		n++
 	}
@@ -104,7 +104,7 @@
 			return err
 		}
 	}
-	places := l.encodeBatch(b)
+	locations := l.encodeBatch(b)
 	if l.writer.batchBytes > 0 {
 		if err := l.writer.flush(); err != nil {
 			return err
@@ -114,13 +114,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.commitWriter()
-	l.commit(b, places)
+	l.commit(b, locations)
 	return nil
 }
 
-// add encodes a batch and returns where its records will be, in order.
+// encodeBatch adds a batch to the writer and returns the locations of its records, in order.
 func (l *Log) encodeBatch(b *batch) []location {
-	var places []location
+	var locations []location
 	for _, r := range b.requests {
 		for i := range r.operations {
 			op := &r.operations[i]
@@ -129,27 +129,27 @@
 			}
 			record := diskRecord{kind: op.kind, continued: op.continued, group: op.group, version: op.version, value: op.value}
 			record.key = bytesOf(op.key)
-			places = append(places, l.writer.add(&record))
+			locations = append(locations, l.writer.add(&record))
 		}
 	}
 	for _, c := range b.copies {
 		record := diskRecord{kind: kindPut, group: c.group, version: c.version, key: bytesOf(c.key), value: c.value}
-		places = append(places, l.writer.add(&record))
+		locations = append(locations, l.writer.add(&record))
 	}
 	if b.floor > 0 {
 		l.writer.add(&diskRecord{kind: kindFloor, version: b.floor})
 	}
-	return places
+	return locations
 }
 
-// commit notes in the index that a batch is durable. The caller holds mu.
-func (l *Log) commit(b *batch, places []location) {
+// commit records in the index that a batch is durable. The caller holds mu.
+func (l *Log) commit(b *batch, locations []location) {
 	for _, r := range b.requests {
 		for i := range r.operations {
 			op := &r.operations[i]
 			var at location
 			if op.kind != kindNone {
-				at, places = places[0], places[1:]
+				at, locations = locations[0], locations[1:]
 			}
 			l.index.commit(op, at)
 			l.cacheValue(op)
@@ -157,11 +157,11 @@
 		l.queuedBytes -= r.bytes
 	}
 	for i, c := range b.copies {
-		l.index.relocate(c.group, c.key, c.from, places[i])
+		l.index.relocate(c.group, c.key, c.from, locations[i])
 	}
 }
 
-// cacheValue keeps a new large value at hand, and forgets the one before it.
+// cacheValue adds a new large value to the cache, and removes the value that it replaced.
 func (l *Log) cacheValue(op *operation) {
 	if op.previous.exists() {
 		l.values.remove(op.previous.location)
@@ -173,11 +173,11 @@
 	}
 }
 
-// takeBack undoes everything that is not durable after a failure, the queue included: later appends may build upon what has failed.
+// rollBack undoes everything that is not durable after a failure, including the queue, since later appends may depend on failed ones.
 func (l *Log) rollBack(b *batch, err error) {
 	if l.writer != nil && l.writer.batchBytes > 0 {
 		if failure := l.writer.abandon(); failure != nil {
-			l.reportFailure("cutting a generation's end failed", failure)
+			l.reportFailure("truncating a generation failed", failure)
 		}
 		l.writer = nil
 	}
--- a/internal/recordlog/compact.go
+++ b/internal/recordlog/compact.go
@@ -10,20 +10,20 @@
 
 const (
 	sliceScanBytes = 128 << 10 // read between two batches
-	sliceCopyBytes = 128 << 10 // written with a batch, unless the next is larger or generations are small
+	sliceCopyBytes = 128 << 10 // written with a batch; more if a single record is larger, less if generations are small
 
-	// spareGenerations is how many generations there may be beyond those that the bytes on disk fill: every start begins one.
+	// spareGenerations is the number of generations allowed beyond those that the bytes on disk fill, since every start begins one.
 	spareGenerations = 8
-	// settleBatches is for how many batches changes may be under way that hide records of a generation, after it was read.
+	// drainBatches is the number of batches for which uncommitted changes may still hide live records of a generation after it was read.
 	drainBatches = 2
-	// fruitlessPasses is after how many readings without a copy a generation's remaining records are taken for unreadable.
+	// maxPassesWithoutCopy is the number of passes without a copy after which a generation's remaining records are considered unreadable.
 	maxPassesWithoutCopy = 2
 )
 
 // compaction copies the live records of the oldest generation, one slice with each batch.
 type compaction struct {
 	target         *generation
-	segment        int // index of the one being read
+	segment        int // index of the segment being read
 	file           *os.File
 	scanner        *scanner
 	scanBuffer     []byte
@@ -31,7 +31,7 @@
 	batchesToDrain int
 }
 
-// copied is a live record that a batch writes again.
+// recordCopy is a live record that a batch copies into the newest generation.
 type recordCopy struct {
 	group   uint32
 	key     string
@@ -40,9 +40,8 @@
 	from    location
 }
 
-// compact does a slice of compaction, if there is need of it, and tells whether there is more to do. busy means that the batch also
-// has requests.
-func (l *Log) compact(busy bool) (copies []recordCopy, scanned bool) {
+// compact does a slice of compaction, if needed, and reports whether there is more to do. busy means that the batch also has requests.
+func (l *Log) compact(busy bool) (copies []recordCopy, more bool) {
 	if l.compaction == nil {
 		target := l.compactionTarget()
 		if target == nil {
@@ -105,20 +104,20 @@
 		c.scanBuffer = c.scanner.backing
 	}
 	if c.file != nil {
-		_ = c.file.Close() // only read
+		_ = c.file.Close() // opened for reading only
 	}
 	c.file, c.scanner = nil, nil
 }
 
-// liveCopy returns a copy of a record if the index refers to it and it is whole.
+// liveCopy returns a copy of a record if the index refers to it and its checksum is valid.
 func (l *Log) liveCopy(c *compaction, r scannedRecord) (recordCopy, bool) {
 	if r.kind != kindPut {
 		return recordCopy{}, false
 	}
 	at := fileLocation(c.target.segments[c.segment].id, r.offset)
 	l.mu.Lock()
-	held := l.index.find(r.group, string(r.key))
-	live := held != nil && held.location == at
+	current := l.index.find(r.group, string(r.key))
+	live := current != nil && current.location == at
 	l.mu.Unlock()
 	if !live || !hasValidChecksum(r.raw, c.target.salt) {
 		return recordCopy{}, false
@@ -127,7 +126,7 @@
 	return recordCopy{group: r.group, key: string(r.key), version: r.version, value: value, from: at}, true
 }
 
-// endPass ends the reading of a generation once changes that may have hidden some of its records are settled.
+// endPass ends a pass over a generation once changes that may have hidden some of its records are committed or undone.
 func (l *Log) endPass(busy bool) (again bool) {
 	c := l.compaction
 	l.mu.Lock()
@@ -176,17 +175,17 @@
 		live += g.liveBytes
 	}
 	garbage, unit, limit := l.usage-live, l.options.GenerationBytes, l.options.DiskBytes
-	wasteful := garbage > live+2*unit
-	pressed := limit > 0 && l.usage > limit/2 && garbage > max(unit, live/4)
-	tight := limit > 0 && l.usage+l.queuedBytes+unit > l.putLimit() && garbage > unit/2
-	many := int64(len(l.generations)) > l.usage/unit+spareGenerations
-	if wasteful || pressed || tight || many {
+	mostlyGarbage := garbage > live+2*unit
+	overHalfFull := limit > 0 && l.usage > limit/2 && garbage > max(unit, live/4)
+	nearPutLimit := limit > 0 && l.usage+l.queuedBytes+unit > l.putLimit() && garbage > unit/2
+	tooManyGenerations := int64(len(l.generations)) > l.usage/unit+spareGenerations
+	if mostlyGarbage || overHalfFull || nearPutLimit || tooManyGenerations {
 		return oldest
 	}
 	return nil
 }
 
-// removable returns the floor that leaves out the generations without live records, or 0 if there is none.
+// removable returns the floor that excludes the oldest generations without live records, or 0 if there are none.
 func (l *Log) removable() (floor uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,7 +195,7 @@
 	return floor
 }
 
-// removeGenerations removes the generations below a floor that is durable.
+// removeGenerations removes the generations below a durable floor.
 func (l *Log) removeGenerations(floor uint64) {
 	l.floor = floor
 	if l.compaction != nil && l.compaction.target.number < floor {
@@ -216,10 +215,10 @@
 	l.mu.Unlock()
 	for _, g := range removed {
 		for _, s := range g.segments {
-			_ = l.files.drop(s.id) // only read
+			_ = l.files.drop(s.id) // opened for reading only
 		}
 		if err := l.disk.Remove(g.folder); err != nil {
-			l.reportFailure("removing a generation failed; the next start tries again", err)
+			l.reportFailure("removing a generation failed; it is retried at the next start", err)
 		}
 		l.options.Logger.Debug("generation removed", zap.Uint64("generation", g.number))
 	}
--- a/internal/recordlog/disk.go
+++ b/internal/recordlog/disk.go
@@ -7,7 +7,7 @@
 	"go.uber.org/multierr"
 )
 
-// Journal is the part of *wal.Log that a generation is written with.
+// Journal is the part of *wal.Log that is used to write a generation.
 type Journal interface {
 	WriteBatch(*wal.Batch) error
 	Sync() error
@@ -15,14 +15,14 @@
 	Close() error
 }
 
-// Disk is everything that changes files. Tests put one in between that fails, and one that keeps account of what is durable; so does the
-// model of the system. Files are read from the system's folders all the same.
+// Disk performs all operations that modify files. Tests and the simulated system substitute implementations that inject faults and track
+// which bytes are durable. Files are always read directly from the operating system.
 type Disk interface {
 	CreateJournal(folder string, segmentBytes int64) (Journal, error)
 	SyncFile(path string) error
 	SyncFolder(path string) error
 	Truncate(path string, size int64) error
-	Remove(path string) error // a file, or a folder with all its files; one that is not there is no error
+	Remove(path string) error // a file, or a folder with all its files; no error if it does not exist
 }
 
 type (
--- a/internal/recordlog/entry.go
+++ b/internal/recordlog/entry.go
@@ -6,7 +6,7 @@
 	"liftgauge/reconcile"
 )
 
-// location says where a record is: in a segment file at an offset, or, before it is durable, in the pending operation of a number.
+// location is the place of a record: a segment file and an offset or, before the record is durable, the number of a pending operation.
 type location uint64
 
 // pendingFlag marks a location that is the number of a pending operation.
@@ -28,18 +28,18 @@
 	entryHeaderBytes = 22
 )
 
-// entry is a record in the index. The zero entry stands for none.
+// entry is a record in the index. The zero entry means none.
 type entry struct {
 	location location
-	data     string // never changed: a replaced entry can be put back as it was
+	data     string // immutable, so that a replaced entry can be restored
 }
 
-// newEntryData encodes an entry's data. A value longer than inline stays out.
+// newEntryData encodes an entry's data. A value longer than inline is omitted.
 func newEntryData(key string, version uint64, value []byte, inline int) string {
 	return newEntryDataOfLength(key, version, value, len(value), inline)
 }
 
-// newEntryDataOfLength does so where a value longer than inline is not at hand.
+// newEntryDataOfLength is newEntryData for a value of the given length, which need not be available if it is longer than inline.
 func newEntryDataOfLength(key string, version uint64, value []byte, length, inline int) string {
 	if length > inline {
 		value = nil
@@ -78,7 +78,7 @@
 // frameBytes is the length of the entry's record on disk.
 func (e entry) frameBytes() int64 { return frameBytes(e.keyLength(), e.valueLength()) }
 
-// uint64At reads a little-endian number; the compiler makes one load of it.
+// uint64At reads a little-endian number; it compiles to a single load.
 func uint64At(s string, at int) uint64 {
 	s = s[at : at+8]
 	return uint64(s[0]) | uint64(s[1])<<8 | uint64(s[2])<<16 | uint64(s[3])<<24 |
--- a/internal/recordlog/generation.go
+++ b/internal/recordlog/generation.go
@@ -14,14 +14,14 @@
 	segments []*segment
 
 	bytes             int64 // of its durable records
-	liveRecords       int   // records that the index refers to, or that a change that is not durable yet hides
+	liveRecords       int   // records that the index refers to, or that a change that is not yet durable has replaced
 	liveBytes         int64
-	passesWithoutCopy int // readings by compaction that copied nothing though there were live records
+	passesWithoutCopy int // compaction passes that copied nothing although there were live records
 }
 
-// segment is a file of a generation, up to its durable end.
+// segment is the durable part of one file of a generation.
 type segment struct {
-	id         uint32 // in this process
+	id         uint32 // unique in this process
 	first      uint64 // position of its first record
 	path       string
 	size       int64
@@ -34,7 +34,7 @@
 	return filepath.Join(dir, fmt.Sprintf("%0*d", generationDigits, number))
 }
 
-// generationNumber reads the number from a folder's name.
+// parseGenerationName returns the number of the generation in the folder of this name.
 func parseGenerationName(name string) (uint64, bool) {
 	number, err := strconv.ParseUint(name, 10, 64)
 	return number, err == nil && number > 0 && len(name) >= generationDigits
@@ -42,7 +42,7 @@
 
 const segmentDigits = 20
 
-// segmentPath is the library's name for the segment that begins with this position.
+// segmentPath returns the path that the library gives to the segment whose first record has this position.
 func segmentPath(folder string, first uint64) string {
 	return filepath.Join(folder, fmt.Sprintf("%0*d", segmentDigits, first))
 }
@@ -54,7 +54,7 @@
 
 func (g *generation) last() *segment { return g.segments[len(g.segments)-1] }
 
-// end is where the next record would go.
+// end returns the position after the last durable record.
 func (g *generation) end() generationEnd {
 	if len(g.segments) == 0 {
 		return generationEnd{Segment: 1}
--- a/internal/recordlog/header.go
+++ b/internal/recordlog/header.go
@@ -6,23 +6,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// formatVersion is raised when an older program could not read the folder any more.
+// formatVersion is increased with each change that older versions of the program cannot read.
 const formatVersion = 1
 
-// generationHeader is the value of a generation's first record, whose checksum has no salt. It seals the generation before: what
-// that had behind End was not durable when this one was begun, and is not taken.
+// generationHeader is the value of a generation's first record, whose checksum has no salt. It seals the previous generation: bytes
+// after End were not durable when this one was begun, and are ignored.
 type generationHeader struct {
 	Number       uint64
 	Salt         uint64
 	Floor        uint64
-	Previous     uint64 // number of the generation before; 0 for none
+	Previous     uint64 // number of the previous generation; 0 for none
 	PreviousSalt uint64
-	End          generationEnd // of the generation before
+	End          generationEnd // of the previous generation
 }
 
-// endOfGeneration is a place in a generation's files.
+// generationEnd is a position in a generation's files.
 type generationEnd struct {
-	Segment uint64 // first position of the segment, which is its file's name
+	Segment uint64 // position of the segment's first record, which is its file name
 	Offset  uint64
 }
 
@@ -36,7 +36,7 @@
 	return b
 }
 
-// decode reads a header. Bytes behind it are for later versions of the same format.
+// decode reads a header. Bytes after it are ignored; they are reserved for later versions of the same format.
 func (h *generationHeader) decode(b []byte) error {
 	if len(b) < 4 {
 		return errors.New("generation header too short")
--- a/internal/recordlog/index.go
+++ b/internal/recordlog/index.go
@@ -7,21 +7,21 @@
 	"liftgauge/replication"
 )
 
-// index is what the log holds in memory: the newest entry of each key, with the changes that are not durable yet already made.
+// index is the in-memory state of the log: the newest entry of each key, including changes that are not durable yet.
 //
-// A generation's live records are those that the durable state consists of. A change therefore counts only once it is durable: the
-// record that it replaced stays alive until then, since the log may have to go back to it.
+// A generation's live records are those that make up the durable state. A change therefore counts only once it is durable: the record
+// that it replaced stays live until then, since the log may have to restore it.
 type index struct {
 	groups         map[uint32]*reconcile.Index[entry]
 	segments       map[uint32]*segment
 	maxInlineBytes int
 
 	lastPending location
-	pending     map[location][]byte     // values, not kept inline, of puts that are not durable yet
-	replacedBy  map[location]*operation // which operation has replaced the entry of a put that is not durable yet
+	pending     map[location][]byte     // values that are not inline, of puts that are not durable yet
+	replacedBy  map[location]*operation // the operation that has replaced the entry of a put that is not durable yet
 }
 
-// operation is one change of the index and of the disk.
+// operation is one change to the index and the disk.
 type operation struct {
 	kind      recordKind
 	continued bool
@@ -29,8 +29,8 @@
 	key       string
 	version   uint64
 	value     []byte
-	entry     entry // a put's new one
-	previous  entry // the entry it replaced
+	entry     entry // the new entry of a put
+	previous  entry // the entry that it replaced
 }
 
 func newIndex(inline int) *index {
@@ -43,10 +43,10 @@
 	}
 }
 
-// stringOf makes a string of bytes that nobody else holds.
+// stringOf returns b as a string without a copy. There must be no other reference to b.
 func stringOf(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// bytesOf returns the bytes of a string, which must not be changed.
+// bytesOf returns the bytes of a string without a copy. They must not be modified.
 func bytesOf(s string) []byte { return unsafe.Slice(unsafe.StringData(s), len(s)) }
 
 func (x *index) find(group uint32, key string) *entry {
@@ -79,7 +79,7 @@
 	return old
 }
 
-// operations makes records into operations, which apply has to be called for.
+// operations converts records into operations, which have to be passed to apply.
 func (x *index) operations(group uint32, records []replication.Record) []operation {
 	operations := make([]operation, len(records))
 	for i, record := range records {
@@ -97,7 +97,7 @@
 	return operations
 }
 
-// dropOperations returns what dropping a group consists of: its record on disk, and the removal of each key from the index.
+// dropOperations returns the operations that drop a group: its record on disk, and the removal of each key from the index.
 func (x *index) dropOperations(group uint32) []operation {
 	operations := []operation{{kind: kindDrop, group: group}}
 	if elements := x.groups[group]; elements != nil {
@@ -110,7 +110,7 @@
 	return operations
 }
 
-// apply makes the operations' changes. The operations must stay where they are until they are committed or undone.
+// apply applies operations to the index, which refers to them: they must not be moved in memory until they are committed or undone.
 func (x *index) apply(operations []operation) {
 	for i := range operations {
 		op := &operations[i]
@@ -129,7 +129,7 @@
 	}
 }
 
-// commit notes that an operation is durable; a put's record is at this location.
+// commit records that an operation is durable; the record of a put is at this location.
 func (x *index) commit(op *operation, at location) {
 	if op.kind == kindPut {
 		x.setLocation(op, at)
@@ -139,11 +139,11 @@
 	}
 }
 
-// place gives a put's entry its location, where it is now: in the index, or in the operation that has replaced it.
+// setLocation sets the location of a put's entry, which is either in the index or in the operation that has replaced it.
 func (x *index) setLocation(op *operation, at location) {
 	delete(x.pending, op.entry.location)
-	if held := x.find(op.group, op.key); held != nil && held.location == op.entry.location {
-		held.location = at
+	if current := x.find(op.group, op.key); current != nil && current.location == op.entry.location {
+		current.location = at
 	} else if shadow := x.replacedBy[op.entry.location]; shadow != nil {
 		shadow.previous.location = at
 		delete(x.replacedBy, op.entry.location)
@@ -152,7 +152,7 @@
 	x.addLive(op.entry, 1)
 }
 
-// undo takes an operation back. Operations must be undone in the reverse of their order, all that are not committed.
+// undo reverts an operation. All operations that are not committed must be undone together, in reverse order.
 func (x *index) undo(op *operation) {
 	switch op.kind {
 	case kindPut, kindDelete, kindNone:
@@ -166,26 +166,26 @@
 	}
 }
 
-// move notes that an entry's record was copied. It does nothing if the entry has been replaced meanwhile.
+// relocate records that an entry's record was copied. It does nothing if the entry has been replaced meanwhile.
 func (x *index) relocate(group uint32, key string, from, to location) {
-	held := x.find(group, key)
-	if held == nil || held.location != from {
+	current := x.find(group, key)
+	if current == nil || current.location != from {
 		return
 	}
-	x.addLive(*held, -1)
-	held.location = to
-	x.addLive(*held, 1)
+	x.addLive(*current, -1)
+	current.location = to
+	x.addLive(*current, 1)
 }
 
-// addLive counts a durable record in or out of its generation's live records.
+// addLive adds a durable record to its generation's live records, or with a change of -1 removes it.
 func (x *index) addLive(e entry, change int) {
 	generation := x.segments[e.location.segment()].generation
 	generation.liveRecords += change
 	generation.liveBytes += int64(change) * e.frameBytes()
 }
 
-// dropGenerations takes out all entries whose records are in generations below the floor. Only
-// recovery needs it, for the files of removed generations that have come back.
+// dropGenerations removes all entries whose records are in generations below the floor. Only recovery needs it, for files of removed
+// generations that have reappeared.
 func (x *index) dropGenerations(floor uint64) {
 	for group, elements := range x.groups {
 		var stale []entry
--- a/internal/recordlog/log.go
+++ b/internal/recordlog/log.go
@@ -11,21 +11,21 @@
 	"go.uber.org/zap"
 )
 
-// Log keeps records on disk. It is safe for concurrent use.
+// Log stores records on disk. It is safe for concurrent use.
 type Log struct {
 	dir        string
 	options    Options
 	disk       disk
 	files      *fileCache
 	wake       chan struct{}
-	writerDone chan struct{} // closed by the writing goroutine; nil before it was started
+	writerDone chan struct{} // closed when the writing goroutine returns; nil before it is started
 
 	// The fields from here to mu belong to the writing goroutine.
-	writer          *generationWriter // of the newest generation; nil after a failure until the next one is begun
-	nextGeneration  uint64            // of the generation to begin next
-	lastSegmentID   uint32            // of a segment
+	writer          *generationWriter // of the newest generation; nil after a failure until a new one is begun
+	nextGeneration  uint64            // number of the next generation
+	lastSegmentID   uint32            // the last segment ID in use
 	floor           uint64            // durable
-	compaction      *compaction       // under way, or nil
+	compaction      *compaction       // in progress, or nil
 	lastWriteFailed bool              // the last write failed
 
 	mu          sync.Mutex
@@ -45,11 +45,11 @@
 	operations []operation
 	bytes      int64
 	done       func(error)
-	err        error // refused with this; no operations
+	err        error // the append was refused with this error and has no operations
 }
 
-// Open reads the log in a folder, which is created if need be, and starts its writing goroutine. All that it has read is durable
-// when Open returns. Without space for a new generation Open succeeds, and appends fail with ErrFull until there is some.
+// Open reads the log in a folder, which is created if necessary, and starts the writing goroutine. All records that it has read are
+// durable when Open returns. If there is no space for a new generation Open succeeds, and appends fail with ErrFull until there is.
 func Open(dir string, options Options) (*Log, Report, error) {
 	l, report, err := open(dir, options, options.withDefaults().Disk)
 	if err != nil {
@@ -65,17 +65,17 @@
 	go l.run()
 }
 
-// Close writes what is queued, calls the callbacks, and closes the files.
+// Close writes all queued appends, calls their callbacks, and closes the files.
 func (l *Log) Close() error {
 	l.mu.Lock()
-	already := l.closed
+	alreadyClosed := l.closed
 	l.closed = true
 	l.mu.Unlock()
 	if l.writerDone != nil {
 		l.notify()
 		<-l.writerDone
 	}
-	if already {
+	if alreadyClosed {
 		return nil
 	}
 	l.endCompaction()
@@ -86,7 +86,8 @@
 	return multierr.Append(err, l.files.close())
 }
 
-// Append implements replication.Storage. The values must not be changed afterwards. An append is kept whole or not at all.
+// Append implements replication.Storage. The values must not be modified afterwards. An append is atomic: either all of its records are
+// stored or none.
 func (l *Log) Append(group uint32, records []replication.Record, done func(error)) {
 	l.mu.Lock()
 	r := &request{done: done, bytes: recordsBytes(records)}
@@ -108,7 +109,7 @@
 	l.enqueue(r)
 }
 
-// enqueue applies a request to the index and hands it to the writing goroutine. It unlocks mu.
+// enqueue applies a request to the index and queues it for the writing goroutine. The caller holds mu; enqueue unlocks it.
 func (l *Log) enqueue(r *request) {
 	if l.closed {
 		l.mu.Unlock()
@@ -146,7 +147,7 @@
 	return size
 }
 
-// refusal tells why records are not taken, or returns nil. The caller holds mu.
+// admissionError returns the error with which an append is refused, or nil. The caller holds mu.
 func (l *Log) admissionError(group uint32, records []replication.Record, size int64) error {
 	if l.closed {
 		return ErrClosed
@@ -168,30 +169,30 @@
 	return ErrFull
 }
 
-// The reserve at the end of the space, in quarters of a generation. Compaction must always be able to copy the oldest generation,
-// which may exceed its length by one batch, and deletions must still be taken when there is no space left for anything else.
+// The space reserved at the end of DiskBytes, in quarters of a generation. Compaction must always be able to copy the oldest generation,
+// which may exceed its length by one batch, and deletions must still be accepted when there is no space left for anything else.
 const (
 	compactionReserve         = 6
 	deletionReserve           = 4
 	reserveUnitsPerGeneration = 4
 )
 
-// putLimit is the usage up to which all appends are taken.
+// putLimit returns the usage up to which all appends are accepted.
 func (l *Log) putLimit() int64 {
 	return l.options.DiskBytes - l.options.GenerationBytes*(compactionReserve+deletionReserve)/reserveUnitsPerGeneration
 }
 
-// reclaimLimit is the usage up to which appends are taken that make space.
+// reclaimLimit returns the usage up to which appends that free space are accepted.
 func (l *Log) reclaimLimit() int64 {
 	return l.options.DiskBytes - l.options.GenerationBytes*compactionReserve/reserveUnitsPerGeneration
 }
 
-// reclaims tells whether an append leaves less alive than there is.
+// freesSpace reports whether an append replaces or deletes records and does not increase the live bytes.
 func (l *Log) freesSpace(group uint32, records []replication.Record, size int64) bool {
 	var replaced int64
 	for i := range records {
-		if held := l.index.find(group, records[i].Key); held != nil {
-			replaced += held.frameBytes()
+		if current := l.index.find(group, records[i].Key); current != nil {
+			replaced += current.frameBytes()
 		}
 		if records[i].Deleted {
 			size -= frameBytes(len(records[i].Key), 0)
@@ -200,14 +201,14 @@
 	return replaced > 0 && size <= replaced
 }
 
-// Usage returns the bytes on disk, those of queued appends included, and the limit, which is 0 for none.
+// Usage returns the bytes on disk, including those of queued appends, and the limit, which is 0 for none.
 func (l *Log) Usage() (bytes, limit int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.usage + l.queuedBytes, max(l.options.DiskBytes, 0)
 }
 
-// Full tells whether appends that need more space are refused at present.
+// Full reports whether appends that need more space are currently refused.
 func (l *Log) Full() bool {
 	if l.options.DiskBytes <= 0 {
 		return false
@@ -249,8 +250,8 @@
 	return nil
 }
 
-// Each calls f for each record of a group as it is when Each is called, until f returns false. The value is nil where it is not kept
-// in memory; Get has it. f may call the log.
+// Each calls f for each record of a group, as of the call of Each, until f returns false. The value is nil if it is not kept in memory;
+// Get returns it. f may call the log.
 func (l *Log) Each(group uint32, f func(key string, version uint64, value []byte) bool) {
 	for _, e := range l.entries(group) {
 		var value []byte
@@ -278,8 +279,8 @@
 	return entries
 }
 
-// failed tells the owner about an error.
-func (l *Log) reportFailure(what string, err error) {
-	l.options.Logger.Warn(what, zap.String("folder", l.dir), zap.Error(err))
+// reportFailure logs an error and passes it to Options.OnError.
+func (l *Log) reportFailure(message string, err error) {
+	l.options.Logger.Warn(message, zap.String("folder", l.dir), zap.Error(err))
 	l.options.OnError(err)
 }
--- a/internal/recordlog/options.go
+++ b/internal/recordlog/options.go
@@ -4,14 +4,14 @@
 
 // Options are a log's settings. Zero fields take their defaults.
 type Options struct {
-	SegmentBytes    int64 // length at which a file is full; default 256 KiB, at most a quarter of GenerationBytes
+	SegmentBytes    int64 // length at which a new file is begun; default 256 KiB, at most a quarter of GenerationBytes
 	GenerationBytes int64 // length at which a new generation is begun; default DiskBytes/32, between 1 MiB and 8 MiB; at most DiskBytes/8
 	DiskBytes       int64 // space the log may use; default unlimited
 	MaxInlineBytes  int   // values up to this length are kept in memory; default 256, negative for none
 	CacheBytes      int64 // memory for recent larger values; default 1 MiB, negative for none
-	Disk            Disk  // what changes files; default SystemDisk
+	Disk            Disk  // file operations; default SystemDisk
 	Logger          *zap.Logger
-	OnError         func(error) // called for each failed write, from the writing goroutine
+	OnError         func(error) // called for each failure, usually from the writing goroutine
 }
 
 const (
@@ -20,8 +20,8 @@
 	defaultCacheBytes        = 1 << 20
 	minGenerationBytes       = 1 << 20
 	maxGenerationBytes       = 8 << 20
-	defaultGenerationsOnDisk = 32 // DiskBytes hold that many generations by default
-	minSegmentsPerGeneration = 4  // at least
+	defaultGenerationsOnDisk = 32 // number of generations in DiskBytes by default
+	minSegmentsPerGeneration = 4
 
 	minGenerationsOnDisk = 8
 )
@@ -54,26 +54,26 @@
 	return o
 }
 
-// withDefault replaces zero by the default and a negative value, which stands for none, by zero.
-func withDefault[N int | int64](value, standard N) N {
+// withDefault replaces zero with the default, and a negative value, which means none, with zero.
+func withDefault[N int | int64](value, defaultValue N) N {
 	if value == 0 {
-		return standard
+		return defaultValue
 	}
 	return max(value, 0)
 }
 
-// Report tells what Open found.
+// Report describes what Open found on disk.
 type Report struct {
-	Generations int      // taken
-	Records     int      // read, live or not
+	Generations int      // used
+	Records     int      // read, whether live or not
 	Live        int      // in the index
-	Garbled     int      // damaged records in what had been durable; more than zero means a faulty disk
-	Missing     int      // generations that should be there and are not, or have no readable header; a faulty disk
-	Removed     []string // folders that were left over: below the floor, or begun and never durable
-	TailCut     bool     // the last generation had more bytes behind its last whole record
+	Garbled     int      // damaged records that had been durable; more than zero indicates a faulty disk
+	Missing     int      // expected generations that are absent or have no readable header; more than zero indicates a faulty disk
+	Removed     []string // leftover folders: below the floor, or begun but never durable
+	TailCut     bool     // the last generation had bytes after its last complete record
 	TailFile    string
 	TailOffset  int64
 }
 
-// Damaged tells whether anything that had been durable was lost.
+// Damaged reports whether anything that had been durable was lost.
 func (r Report) Damaged() bool { return r.Garbled > 0 || r.Missing > 0 }
--- a/internal/recordlog/read.go
+++ b/internal/recordlog/read.go
@@ -11,10 +11,10 @@
 	"go.uber.org/multierr"
 )
 
-// readAttempts bounds how often a read follows a record that is copied elsewhere at the same time.
+// readAttempts limits how often a read is retried because compaction moves the record concurrently.
 const readAttempts = 4
 
-// Get implements replication.Storage. A value that fails its checksum on disk gives ErrGarbled.
+// Get implements replication.Storage. It returns ErrCorrupt for a value that fails its checksum on disk.
 func (l *Log) Get(group uint32, key string) (replication.Record, bool, error) {
 	var err error
 	for range readAttempts {
@@ -33,27 +33,27 @@
 	return replication.Record{}, false, err
 }
 
-// lookup finds an entry, and its value if it is in memory; otherwise the path of the file that has it.
+// lookup finds an entry, and its value if it is in memory; otherwise the path of the file that contains it.
 func (l *Log) lookup(group uint32, key string) (found bool, e entry, value []byte, path string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.index.find(group, key)
-	if held == nil {
+	current := l.index.find(group, key)
+	if current == nil {
 		return false, entry{}, nil, ""
 	}
-	if kept, inline := held.inline(); inline {
-		return true, *held, []byte(kept), ""
+	if kept, inline := current.inline(); inline {
+		return true, *current, []byte(kept), ""
 	}
-	if held.location.pending() {
-		return true, *held, l.index.pending[held.location], ""
+	if current.location.pending() {
+		return true, *current, l.index.pending[current.location], ""
 	}
-	if value, cached := l.values.get(held.location); cached {
-		return true, *held, value, ""
+	if value, cached := l.values.get(current.location); cached {
+		return true, *current, value, ""
 	}
-	return true, *held, nil, l.index.segments[held.location.segment()].path
+	return true, *current, nil, l.index.segments[current.location.segment()].path
 }
 
-// readValue reads and checks an entry's record in its file.
+// readValue reads an entry's record from its file and verifies it.
 func (l *Log) readValue(e entry, path string) ([]byte, error) {
 	file, err := l.files.open(e.location.segment(), path)
 	if err != nil {
@@ -79,10 +79,10 @@
 	return 0
 }
 
-// mostOpenFiles bounds the descriptors kept for reading.
+// maxOpenFiles limits the number of files kept open for reading.
 const maxOpenFiles = 16
 
-// fileCache keeps the files that were read last open.
+// fileCache keeps the most recently read files open.
 type fileCache struct {
 	mu     sync.Mutex
 	files  []openFile // most recently used last
@@ -94,15 +94,15 @@
 	file    *os.File
 }
 
-// open returns a segment's file. It may be closed while it is read, which the read then reports.
+// open returns a segment's file. The cache may close it while it is being read; the read then fails.
 func (c *fileCache) open(segment uint32, path string) (*os.File, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, held := range c.files {
-		if held.segment == segment {
+	for i, cached := range c.files {
+		if cached.segment == segment {
 			copy(c.files[i:], c.files[i+1:])
-			c.files[len(c.files)-1] = held
-			return held.file, nil
+			c.files[len(c.files)-1] = cached
+			return cached.file, nil
 		}
 	}
 	if c.closed {
@@ -124,10 +124,10 @@
 func (c *fileCache) drop(segment uint32) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, held := range c.files {
-		if held.segment == segment {
+	for i, cached := range c.files {
+		if cached.segment == segment {
 			c.files = append(c.files[:i], c.files[i+1:]...)
-			return held.file.Close()
+			return cached.file.Close()
 		}
 	}
 	return nil
@@ -137,27 +137,28 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var err error
-	for _, held := range c.files {
-		err = multierr.Append(err, held.file.Close())
+	for _, cached := range c.files {
+		err = multierr.Append(err, cached.file.Close())
 	}
 	c.files, c.closed = nil, true
 	return err
 }
 
-// staleLocations is how many locations of removed values the cache keeps at least before it forgets them.
+// staleLocations is the number of locations of removed values that the cache tolerates, beyond its number of values, before it discards
+// them.
 const staleLocations = 64
 
-// valueCache holds recent values by their location, up to a number of bytes; the oldest goes first.
+// valueCache holds recent values by location, up to a number of bytes; the oldest is evicted first.
 type valueCache struct {
 	limit  int64
 	size   int64
 	values map[location][]byte
-	order  []location // may name locations that were removed
+	order  []location // oldest first; may contain locations of removed values
 }
 
 func (c *valueCache) get(at location) ([]byte, bool) {
-	value, held := c.values[at]
-	return value, held
+	value, cached := c.values[at]
+	return value, cached
 }
 
 func (c *valueCache) add(at location, value []byte) {
@@ -180,7 +181,7 @@
 }
 
 func (c *valueCache) remove(at location) {
-	if value, held := c.values[at]; held {
+	if value, cached := c.values[at]; cached {
 		c.size -= int64(len(value))
 		delete(c.values, at)
 	}
--- a/internal/recordlog/record.go
+++ b/internal/recordlog/record.go
@@ -6,24 +6,25 @@
 	"math"
 )
 
-// recordKind says what a record on disk means.
+// recordKind is the meaning of a record on disk.
 type recordKind uint8
 
 const (
-	kindNone       recordKind = iota // a change of the index alone: one key of a dropped group
+	kindNone       recordKind = iota // not on disk: removes one key of a dropped group from the index
 	kindPut                          // key has version and value
-	kindDelete                       // key is gone
-	kindDrop                         // all keys of the group are gone
+	kindDelete                       // key is removed
+	kindDrop                         // all keys of the group are removed
 	kindFloor                        // generations below the version field were removed
 	kindGeneration                   // header of a generation
-	kindLimit                        // no kind; above all
+	kindLimit                        // upper limit, not a kind
 )
 
-// continuedFlag marks in the kind's byte that the next record belongs to the same append. Recovery takes an append whole or not at all.
+// continuedFlag in the kind byte marks that the next record belongs to the same append. Recovery applies an append completely or not at
+// all.
 const continuedFlag = 0x80
 
-// Layout of a record: checksum 4, position 4, kind 1, key length 2, value length 4, group 4, version 8, key, value. The library puts
-// the whole length before it as a uvarint.
+// Layout of a record: checksum 4, position 4, kind 1, key length 2, value length 4, group 4, version 8, key, value. The library
+// prefixes it with its total length as a uvarint.
 const (
 	offsetPosition    = 4
 	offsetKind        = 8
@@ -40,18 +41,18 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// diskRecord is a record as it is on disk.
+// diskRecord is a record as stored on disk.
 type diskRecord struct {
 	kind      recordKind
 	continued bool
-	position  uint32 // in its generation, from 1; the library's index
+	position  uint32 // in its generation, starting at 1; the library's index
 	group     uint32
 	version   uint64
 	key       []byte
 	value     []byte
 }
 
-// appendTo encodes the record for a generation with this salt.
+// appendTo appends the encoded record for a generation with this salt.
 func (r *diskRecord) appendTo(b []byte, salt uint64) []byte {
 	start := len(b)
 	kind := byte(r.kind)
@@ -71,7 +72,7 @@
 	return b
 }
 
-// decode reads a record; key and value alias b. It checks the lengths and the kind, the checksum only on demand.
+// decode reads a record; key and value alias b. It checks the lengths and the kind but not the checksum.
 func (r *diskRecord) decode(b []byte) bool {
 	if len(b) < recordHeaderBytes {
 		return false
@@ -91,7 +92,7 @@
 	return true
 }
 
-// intact tells whether the checksum of an encoded record is right for a generation with this salt.
+// hasValidChecksum reports whether the checksum of an encoded record is valid for a generation with this salt.
 func hasValidChecksum(b []byte, salt uint64) bool {
 	return len(b) >= recordHeaderBytes && binary.LittleEndian.Uint32(b) == checksum(b, salt)
 }
@@ -102,7 +103,7 @@
 	return crc32.Update(crc32.Checksum(seed[:], castagnoli), castagnoli, b[offsetPosition:])
 }
 
-// frameBytes is the length on disk of a record with key and value of these lengths.
+// frameBytes returns the length on disk of a record with a key and a value of these lengths.
 func frameBytes(keyLength, valueLength int) int64 {
 	size := recordHeaderBytes + keyLength + valueLength
 	return int64(uvarintBytes(uint64(size)) + size)
--- a/internal/recordlog/recover.go
+++ b/internal/recordlog/recover.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 )
 
-// recoveryScanBytes is the length of one read.
+// recoveryScanBytes is the size of one read from a file.
 const recoveryScanBytes = 256 << 10
 
 // open recovers a log without starting its writing goroutine.
@@ -41,15 +41,15 @@
 	return l, r.report, nil
 }
 
-// recovery reads what is on disk into a log.
+// recovery reads the files on disk into a log.
 type recovery struct {
 	log        *Log
 	report     Report
 	scanBuffer []byte
 
-	damage       map[uint64]Report // Garbled and Missing by generation; those below the floor do not matter in the end
-	pending      []recoveredRecord // records of an append whose end was not read yet
-	lastComplete segmentOffset     // end of the last append that is whole
+	damage       map[uint64]Report // Garbled and Missing by generation; those below the final floor are not reported
+	pending      []recoveredRecord // records of an append whose last record has not been read yet
+	lastComplete segmentOffset     // end of the last complete append
 }
 
 // candidate is a folder that may be a generation.
@@ -57,21 +57,21 @@
 	number   uint64
 	folder   string
 	header   generationHeader
-	readable bool // the header
+	readable bool // whether the header could be read
 }
 
-// recovered is a record and where it is.
+// recoveredRecord is a record with its location.
 type recoveredRecord struct {
 	kind    recordKind
 	group   uint32
 	version uint64
 	key     string
 	value   []byte
-	size    int // of the value
+	size    int // size of the value
 	at      location
 }
 
-// place is an offset in a segment of the generation being read.
+// segmentOffset is a position in the generation being read: an offset in the segment with this index.
 type segmentOffset struct {
 	segment int
 	offset  int64
@@ -114,7 +114,7 @@
 	}
 	for _, folder := range r.report.Removed {
 		if err := r.log.disk.Remove(folder); err != nil {
-			r.log.reportFailure("removing a leftover folder failed; the next start tries again", err)
+			r.log.reportFailure("removing a leftover folder failed; it is retried at the next start", err)
 		}
 	}
 	for _, elements := range r.log.index.groups {
@@ -177,8 +177,8 @@
 	return header, header.decode(first.value)
 }
 
-// chain picks the generations to take, oldest first: the newest one with a readable header and those before it, each as named by the
-// one behind it, down to the floor. All others are left over and will be removed.
+// selectChain selects the generations to read, oldest first: the newest one with a readable header and its predecessors, each as named
+// by the header of its successor, down to the floor. All others are leftovers and will be removed.
 func (r *recovery) selectChain(candidates []candidate) []candidate {
 	var chain []candidate
 	for _, c := range candidates {
@@ -214,8 +214,8 @@
 	return chain
 }
 
-// discard marks a folder for removal. A header is durable before anything follows it: a folder without a readable header, but with
-// more bytes than one, was damaged later.
+// discard marks a folder for removal. A header is durable before any record follows it: a folder with more bytes than a header but no
+// readable one was damaged later.
 func (r *recovery) discard(c candidate) {
 	r.report.Removed = append(r.report.Removed, c.folder)
 	if c.readable || c.number < r.log.floor {
@@ -239,7 +239,7 @@
 	r.damage[generation] = damage
 }
 
-// readSealed reads a generation up to its known end, over damaged records.
+// readSealed reads a generation up to its known end, skipping damaged records.
 func (r *recovery) readSealed(g *generation, end generationEnd) error {
 	firsts, err := listSegments(g.folder)
 	if err != nil {
@@ -251,7 +251,7 @@
 			break
 		}
 		if first != next {
-			r.countGarbled(g.number) // a segment, or the rest of one, is missing
+			r.countGarbled(g.number) // a segment, or the rest of the previous one, is missing
 		}
 		limit := int64(-1)
 		if first == end.Segment {
@@ -272,7 +272,7 @@
 	return nil
 }
 
-// readTail reads the newest generation up to the first record that is not whole, and notes that place as its end.
+// readTail reads the newest generation up to the first incomplete or damaged record, which becomes its end.
 func (r *recovery) readTail(g *generation) error {
 	firsts, err := listSegments(g.folder)
 	if err != nil {
@@ -301,7 +301,7 @@
 	}
 	if r.lastComplete.segment+1 < len(g.segments) && r.lastComplete.offset == g.segments[r.lastComplete.segment].size &&
 		r.lastComplete.segment+2 == len(g.segments) && g.last().size == 0 {
-		r.lastComplete = segmentOffset{segment: r.lastComplete.segment + 1} // the last one is empty as yet
+		r.lastComplete = segmentOffset{segment: r.lastComplete.segment + 1} // the last segment is still empty
 	}
 	g.segments = g.segments[:r.lastComplete.segment+1]
 	g.last().size = r.lastComplete.offset
@@ -315,7 +315,7 @@
 	return nil
 }
 
-// segmentFirsts lists the segments of a folder by the positions of their first records.
+// listSegments returns the segments of a folder, as the sorted positions of their first records.
 func listSegments(folder string) ([]uint64, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -331,8 +331,8 @@
 	return firsts, nil
 }
 
-// readSegment applies the records of a segment up to a limit, or its end if the limit is negative, and returns the position behind
-// it. In a sealed generation it passes over damaged records, otherwise it stops there and returns 0.
+// readSegment applies the records of a segment up to a limit, or to its end if the limit is negative, and returns the position after the
+// last one. In a sealed generation it skips damaged records; otherwise it stops at the first one and returns 0.
 func (r *recovery) readSegment(g *generation, first uint64, limit int64, sealed bool) (next uint64, err error) {
 	s := r.log.newSegment(g, first)
 	file, err := os.Open(s.path)
@@ -374,17 +374,17 @@
 	}
 }
 
-// take notes a record, and applies those of its append once it is whole.
+// collect adds a record to the pending append, and applies the append once it is complete.
 func (r *recovery) collect(s *segment, record scannedRecord) {
 	r.report.Records++
-	noted := recoveredRecord{
+	recovered := recoveredRecord{
 		kind: record.kind, group: record.group, version: record.version, key: string(record.key), size: len(record.value),
 		at: fileLocation(s.id, record.offset),
 	}
 	if len(record.value) <= r.log.options.MaxInlineBytes {
-		noted.value = append([]byte(nil), record.value...)
+		recovered.value = append([]byte(nil), record.value...)
 	}
-	r.pending = append(r.pending, noted)
+	r.pending = append(r.pending, recovered)
 	if !record.continued {
 		r.applyPending()
 	}
@@ -424,7 +424,7 @@
 	}
 }
 
-// raiseFloor forgets what was read from generations below the floor: when it was written, all that was alive in them had been copied.
+// raiseFloor drops the entries read from generations below the floor: all their live records had been copied when the floor was written.
 func (r *recovery) raiseFloor(floor uint64) {
 	if floor <= r.log.floor {
 		return
@@ -435,7 +435,7 @@
 	}
 }
 
-// dropBelowFloor takes the generations out of the list that a floor record read later has named.
+// dropBelowFloor removes the generations from the list that are below the floor, which a later record may have raised.
 func (r *recovery) dropBelowFloor() {
 	l := r.log
 	for len(l.generations) > 0 && l.generations[0].number < l.floor {
@@ -449,8 +449,8 @@
 	}
 }
 
-// makeDurable cuts the newest generation where it ends, and syncs what a process that was killed may have left unsynced. All
-// segments but the last were synced before the next one was begun.
+// makeDurable truncates the newest generation at its end, and syncs what a killed process may have left unsynced. All segments but the
+// last were synced before the next one was begun.
 func (r *recovery) makeDurable() error {
 	l := r.log
 	g := l.generations[len(l.generations)-1]
@@ -459,7 +459,7 @@
 	}
 	if r.report.TailCut {
 		if err := r.cutTail(g); err != nil {
-			l.reportFailure("cutting a torn end failed; the next generation's header tells where it is", err)
+			l.reportFailure("truncating a torn tail failed; the next generation's header records where it ends", err)
 		}
 	}
 	if err := l.disk.SyncFile(g.last().path); err != nil {
@@ -468,7 +468,7 @@
 	if err := l.disk.SyncFolder(g.folder); err != nil {
 		return errors.Wrapf(err, "syncing %s", g.folder)
 	}
-	return errors.Wrapf(l.disk.SyncFolder(l.dir), "syncing %s", l.dir) // the killed process may have just made g's folder
+	return errors.Wrapf(l.disk.SyncFolder(l.dir), "syncing %s", l.dir) // the killed process may have just created g's folder
 }
 
 func (r *recovery) cutTail(g *generation) error {
--- a/internal/recordlog/scanner.go
+++ b/internal/recordlog/scanner.go
@@ -7,29 +7,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errDamaged means that there is no whole record at a place.
+// errDamaged means that there is no complete and valid record at a position.
 var errDamaged = errors.New("damaged record")
 
 const scanBytes = 64 << 10
 
-// scanner reads the records of one segment in their order.
+// scanner reads the records of one segment in order.
 type scanner struct {
 	file            io.ReaderAt
 	limit           int64 // end of what may be read
 	salt            uint64
-	verifyChecksums bool   // of checksums
+	verifyChecksums bool   // whether to verify checksums
 	next            uint64 // position of the next record
-	offset          int64  // of the next frame
+	offset          int64  // start of the next frame
 
-	unread  []byte // from offset on
-	backing []byte // what buffer is a part of
+	unread  []byte // bytes read from offset on
+	backing []byte // memory of unread
 }
 
-// scanned is a record with its place.
+// scannedRecord is a record with its position in the file.
 type scannedRecord struct {
 	diskRecord
-	raw    []byte // all of it; until the next call
-	offset int64  // of the record behind its frame's length
+	raw    []byte // the whole encoded record; valid until the next read
+	offset int64  // of the record, after the length prefix of its frame
 }
 
 func newScanner(file io.ReaderAt, limit int64, g *generation, first uint64, space []byte) *scanner {
@@ -39,7 +39,7 @@
 	return &scanner{file: file, limit: limit, salt: g.salt, verifyChecksums: true, next: first, backing: space}
 }
 
-// read returns the next record, or io.EOF, or errDamaged and stays where it is, or the file's error.
+// read returns the next record, io.EOF at the limit, errDamaged, or a read error of the file. After errDamaged it does not advance.
 func (s *scanner) read() (r scannedRecord, err error) {
 	if s.offset >= s.limit {
 		return r, io.EOF
@@ -60,7 +60,7 @@
 	return r, nil
 }
 
-// skip passes over a damaged record whose length looks right, and tells whether that was possible.
+// skip skips a damaged record whose length is plausible, and reports whether that was possible.
 func (s *scanner) skip() bool {
 	prefix, size, err := s.readLength()
 	if err != nil || s.offset+int64(prefix+size) > s.limit {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// saltFor returns the salt of a kind's checksum: a generation's header cannot have the salt that it tells.
+// saltFor returns the checksum salt of a kind of record. A generation's header has none, since the salt is read from it.
 func (s *scanner) saltFor(kind recordKind) uint64 {
 	if kind == kindGeneration {
 		return 0
@@ -81,7 +81,7 @@
 	return s.salt
 }
 
-// frame reads the length of the next record.
+// readLength reads the length of the next record.
 func (s *scanner) readLength() (prefix, size int, err error) {
 	if err := s.fill(int(min(binary.MaxVarintLen64, s.limit-s.offset))); err != nil {
 		return 0, 0, err
@@ -99,7 +99,7 @@
 	s.next++
 }
 
-// fill sees to it that the buffer holds n bytes.
+// fill ensures that unread has at least n bytes.
 func (s *scanner) fill(n int) error {
 	if len(s.unread) >= n {
 		return nil
@@ -109,10 +109,10 @@
 	} else {
 		copy(s.backing, s.unread)
 	}
-	held := len(s.unread)
-	most := int(min(int64(len(s.backing)), s.limit-s.offset))
-	got, err := s.file.ReadAt(s.backing[held:most], s.offset+int64(held))
-	s.unread = s.backing[:held+got]
+	buffered := len(s.unread)
+	end := int(min(int64(len(s.backing)), s.limit-s.offset))
+	got, err := s.file.ReadAt(s.backing[buffered:end], s.offset+int64(buffered))
+	s.unread = s.backing[:buffered+got]
 	if len(s.unread) >= n {
 		return nil
 	}
--- a/internal/recordlog/writer.go
+++ b/internal/recordlog/writer.go
@@ -8,8 +8,8 @@
 	"go.uber.org/multierr"
 )
 
-// generationWriter appends to the newest generation. It reckons where the library puts each record: the library begins a new segment
-// as soon as one has reached its length.
+// generationWriter appends to the newest generation. It computes where the library puts each record: the library begins a new segment
+// as soon as the current one has reached its length.
 type generationWriter struct {
 	disk         disk
 	journal      journal
@@ -18,24 +18,24 @@
 	newSegment   func(g *generation, first uint64) *segment
 
 	next       uint64   // position of the next record
-	tail       *segment // where it goes
-	tailEnd    int64    // with the batch
+	tail       *segment // segment of the next record
+	tailEnd    int64    // length of tail, including the batch
 	batch      *wal.Batch
 	scratch    []byte
 	batchBytes int64         // bytes of the batch
-	filled     []segmentSize // segments that the batch has filled up
+	filled     []segmentSize // segments that the batch has filled
 }
 
-// growth is the new size of a segment.
+// segmentSize is the new size of a segment.
 type segmentSize struct {
 	segment *segment
 	size    int64
 }
 
-// mostScratchBytes bounds the memory that is kept for the next batch.
+// maxScratchBytes is the capacity up to which the scratch buffer is kept for the next batch.
 const maxScratchBytes = 256 << 10
 
-// add puts a record into the batch and returns where it will be.
+// add adds a record to the batch and returns its location.
 func (w *generationWriter) add(record *diskRecord) location {
 	record.position = uint32(w.next)
 	salt := w.generation.salt
@@ -74,14 +74,14 @@
 	return w.journal.ClearCache()
 }
 
-// settle notes that the batch is durable, and returns its new segments.
-func (w *generationWriter) commit() (fresh []*segment) {
+// commit records that the batch is durable, and returns the segments that it began.
+func (w *generationWriter) commit() (newSegments []*segment) {
 	g := w.generation
-	for _, grown := range append(w.filled, segmentSize{w.tail, w.tailEnd}) {
-		grown.segment.size = grown.size
-		if len(g.segments) == 0 || g.last() != grown.segment {
-			g.segments = append(g.segments, grown.segment)
-			fresh = append(fresh, grown.segment)
+	for _, updated := range append(w.filled, segmentSize{w.tail, w.tailEnd}) {
+		updated.segment.size = updated.size
+		if len(g.segments) == 0 || g.last() != updated.segment {
+			g.segments = append(g.segments, updated.segment)
+			newSegments = append(newSegments, updated.segment)
 		}
 	}
 	g.bytes += w.batchBytes
@@ -89,20 +89,20 @@
 	if cap(w.scratch) > maxScratchBytes {
 		w.scratch, w.batch = nil, &wal.Batch{}
 	}
-	return fresh
+	return newSegments
 }
 
-// abandon closes the journal after a failure and cuts the files where they are durable. What fails here does no harm if the next
-// generation can be begun, whose header says where this one ends.
+// abandon closes the journal after a failure and truncates the files to their durable length. An error is harmless if the next generation
+// can be begun, since its header contains the end of this one.
 func (w *generationWriter) abandon() error {
 	err := w.journal.Close()
 	g := w.generation
 	if len(g.segments) == 0 {
 		return multierr.Append(err, w.disk.Remove(g.folder))
 	}
-	for _, grown := range append(w.filled, segmentSize{segment: w.tail}) {
-		if grown.segment != g.last() {
-			err = multierr.Append(err, w.disk.Remove(grown.segment.path))
+	for _, updated := range append(w.filled, segmentSize{segment: w.tail}) {
+		if updated.segment != g.last() {
+			err = multierr.Append(err, w.disk.Remove(updated.segment.path))
 		}
 	}
 	err = multierr.Append(err, w.disk.Truncate(g.last().path, g.last().size))
@@ -128,7 +128,7 @@
 		return multierr.Append(err, w.abandon())
 	}
 	if l.writer != nil {
-		if err := l.writer.journal.Close(); err != nil { // all of it is durable
+		if err := l.writer.journal.Close(); err != nil { // everything written to it is durable
 			l.reportFailure("closing a generation failed", err)
 		}
 	}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// createGeneration creates the files of a new generation.
+// createGeneration creates the folder and journal of a new generation.
 func (l *Log) createGeneration() (*generationWriter, error) {
 	g := &generation{number: l.nextGeneration, folder: generationFolder(l.dir, l.nextGeneration)}
 	l.nextGeneration++
@@ -165,7 +165,7 @@
 	}, nil
 }
 
-// header returns the header of a generation that follows the newest one.
+// header returns the header for a generation that follows the newest one.
 func (l *Log) header(g *generation) generationHeader {
 	header := generationHeader{Number: g.number, Salt: g.salt, Floor: l.floor}
 	if len(l.generations) > 0 {
@@ -180,7 +180,7 @@
 	return &segment{id: l.lastSegmentID, first: first, path: segmentPath(g.folder, first), generation: g}
 }
 
-// settle notes that the writer's batch is durable. The caller holds mu.
+// commitWriter records that the writer's batch is durable. The caller holds mu.
 func (l *Log) commitWriter() {
 	l.usage += l.writer.batchBytes
 	for _, s := range l.writer.commit() {
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// call is one call of this side that waits for its answer.
+// call is one outgoing call that is waiting for its answer.
 type call struct {
 	id    uint64
 	done  func(body []byte, err error)
 	timer *time.Timer
 	// The fields below are guarded by the connection's mutex.
-	batch     *batch // that holds its frame, nil while it is queued
-	offset    int    // of its frame in the batch
-	cancelled bool   // ended before its frame left the queue
+	batch     *batch // the batch that holds its frame; nil while it is queued
+	offset    int    // start of its frame in the batch
+	cancelled bool   // finished before its frame left the queue
 }
 
-// Call sends a request and waits for its answer. The error is a *RemoteError if the other side refused, and otherwise wraps
-// ErrNotSent or ErrLost. body must not be changed afterwards.
+// Call sends a request and waits for its answer. The error is a *RemoteError if the peer refused the call, and otherwise wraps
+// ErrNotSent or ErrResponseLost. body must not be modified afterwards.
 func (c *Conn) Call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, notSent(err)
@@ -40,14 +40,14 @@
 	}
 }
 
-// CallAsync sends a request and returns at once. done is called exactly once, with the results of Call, on another goroutine (the
-// connection's read goroutine as a rule) or, if the connection is closed already, on the caller's; it must not block. A timeout of 0
-// waits as long as the connection lasts.
+// CallAsync sends a request and returns immediately. done is called exactly once, with the results of Call, on another goroutine
+// (usually the connection's read goroutine) or, if the connection is already closed, on the caller's; it must not block. With a timeout
+// of 0 it waits until the connection is closed.
 func (c *Conn) CallAsync(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) {
 	c.startCall(kind, body, timeout, done)
 }
 
-// begin queues a call; it returns nil if that failed and done was called.
+// startCall queues a call; it returns nil if queueing failed, in which case done was called.
 func (c *Conn) startCall(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) *call {
 	waiting := &call{done: done}
 	c.mutex.Lock()
@@ -64,7 +64,7 @@
 		waiting.timer = time.AfterFunc(timeout, func() { c.abandon(waiting, ErrTimeout) })
 	}
 	c.mutex.Unlock()
-	// When this fails the connection is shut, which ends the call, or the body is too long.
+	// If send fails, either the connection has been closed, which finishes the call, or the body is too long.
 	err := c.send(outgoingFrame{header: header{frameType: frameCall, kind: uint16(kind), id: waiting.id}, body: body, call: waiting})
 	if err != nil {
 		c.abandon(waiting, err)
@@ -73,7 +73,7 @@
 	return waiting
 }
 
-// abandon ends a call without an answer, unless it has ended.
+// abandon finishes a call without an answer, unless it has finished already.
 func (c *Conn) abandon(waiting *call, cause error) {
 	c.mutex.Lock()
 	_, open := c.calls[waiting.id]
@@ -87,7 +87,7 @@
 	}
 }
 
-// take removes and returns the call of that id.
+// removeCall removes and returns the call with this id.
 func (c *Conn) removeCall(id uint64) *call {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -96,7 +96,7 @@
 	return waiting
 }
 
-// end tells the caller; the call must have been removed from the connection's calls by whoever calls end.
+// finish reports the result to the caller; the call must have been removed from the connection's calls before.
 func (w *call) finish(c *Conn, body []byte, cause error) {
 	if w.timer != nil {
 		w.timer.Stop()
@@ -113,7 +113,7 @@
 	}
 }
 
-// maybeSent says whether a byte of the call's frame may have been given to the socket.
+// maybeSent reports whether a byte of the call's frame may have been written to the socket.
 func (c *Conn) maybeSent(w *call) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -14,22 +14,22 @@
 // Conn is one connection. All its methods may be called from any goroutine.
 type Conn struct {
 	socket      net.Conn
-	raw         syscall.RawConn // nil where the socket is not one of the system's
+	raw         syscall.RawConn // nil if the socket is not an operating system TCP socket
 	handler     Handler
 	options     Options
 	address     string
 	dialed      bool
 	monitor     *monitor
 	activity    activity
-	silentTicks atomic.Int32 // ticks of the monitor without a frame
+	silentTicks atomic.Int32 // ticks of the monitor since the last received frame
 
-	receivedFrames atomic.Uint32 // frames that arrived, wrapping
-	dataFrames     atomic.Uint32 // frames but pings and pongs in both directions, wrapping
+	receivedFrames atomic.Uint32 // number of received frames; wraps around
+	dataFrames     atomic.Uint32 // number of frames other than pings and pongs, in both directions; wraps around
 	done           chan struct{}
 
 	mutex    sync.Mutex
 	queue    []outgoingFrame
-	queued   int  // bytes in queue and in the batch that is being written
+	queued   int  // bytes in queue and in the batch being written
 	writing  bool // a goroutine is writing
 	lastID   uint64
 	calls    map[uint64]*call
@@ -52,7 +52,7 @@
 	}, nil
 }
 
-// start begins to read; onClose, if not nil, is called before Options.OnClose.
+// start starts the read goroutine; onClose, if not nil, is called before Options.OnClose.
 func (c *Conn) start(onClose func()) {
 	c.monitor.add(c)
 	go func() {
@@ -68,7 +68,7 @@
 	}()
 }
 
-// Dial opens a connection of its own; use a Pool for more than one.
+// Dial opens a single connection with a monitor of its own; use a Pool for more than one.
 func Dial(ctx context.Context, address string, h Handler, o Options) (*Conn, error) {
 	o = o.withDefaults()
 	m := newMonitor(o)
@@ -81,7 +81,7 @@
 	return c, nil
 }
 
-// dial opens a connection that was not started yet.
+// dial opens a connection without starting it.
 func dial(ctx context.Context, address string, h Handler, o Options, m *monitor) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.DialTimeout)
 	defer cancel()
@@ -105,12 +105,11 @@
 	}
 	if err != nil {
 		_ = socket.Close()
-		return nil, notSent(errors.Wrapf(err, "rpc: greeting %s", address))
+		return nil, notSent(errors.Wrapf(err, "rpc: handshake with %s", address))
 	}
 	return c, nil
 }
 
-// open opens a socket.
 func (o *Options) open(ctx context.Context, address string) (net.Conn, error) {
 	if o.Network != nil {
 		return o.Network.DialContext(ctx, "tcp", address)
@@ -119,46 +118,46 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Notify queues a frame that has no answer. It never waits for the other side; frames keep the order in which they were queued,
-// calls included. body must not be changed afterwards. An error wraps ErrNotSent.
+// Notify queues a frame that has no answer. It never waits for the peer; all frames, including calls, are sent in the order in which
+// they were queued. body must not be modified afterwards. An error wraps ErrNotSent.
 func (c *Conn) Notify(kind Kind, body []byte) error {
 	return c.send(outgoingFrame{header: header{frameType: frameNotify, kind: uint16(kind)}, body: body})
 }
 
-// Done is closed once the connection is.
+// Done returns a channel that is closed when the connection is.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Err is the cause of the end, nil while the connection is open.
+// Err returns the cause for which the connection was closed, or nil while it is open.
 func (c *Conn) Err() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.closeErr
 }
 
-// Close ends the connection; frames that are queued are dropped, calls that wait for an answer get ErrLost or ErrNotSent.
+// Close closes the connection; queued frames are dropped, and pending calls fail with ErrResponseLost or ErrNotSent.
 func (c *Conn) Close() { c.closeWithCause(ErrClosed) }
 
-// RemoteAddress is the address that was dialed, or that of the peer's socket.
+// RemoteAddress returns the address that was dialed, or that of the peer's socket on an accepted connection.
 func (c *Conn) RemoteAddress() string { return c.address }
 
-// Dialed says whether this side opened the connection.
+// Dialed reports whether this side opened the connection.
 func (c *Conn) Dialed() bool { return c.dialed }
 
-// SetTag attaches a value of the owner.
+// SetTag attaches a value for the use of the connection's owner.
 func (c *Conn) SetTag(tag any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.tag = tag
 }
 
-// Tag returns the value that was attached last.
+// Tag returns the last attached value.
 func (c *Conn) Tag() any {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.tag
 }
 
-// shut ends the connection for the given cause; only the first cause counts.
+// closeWithCause closes the connection; only the first cause is kept.
 func (c *Conn) closeWithCause(cause error) {
 	c.mutex.Lock()
 	if c.closed {
--- a/internal/rpc/datagram.go
+++ b/internal/rpc/datagram.go
@@ -14,11 +14,11 @@
 	"liftgauge/internal/network"
 )
 
-// Datagrams are laid out as: magic, CRC-32C of what follows u32, kind u16, body.
+// Datagrams are laid out as: magic, CRC-32C of the bytes after it u32, kind u16, body.
 const (
 	datagramMagic      = "LGd1"
 	datagramHeaderSize = 10
-	// MaxDatagram is the longest body of a datagram; with its headers it fits an Ethernet frame.
+	// MaxDatagram is the maximum length of a datagram's body; with its headers it fits into an Ethernet frame.
 	MaxDatagram = 1400
 
 	minReceivePause = time.Millisecond
@@ -27,7 +27,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DatagramSocket sends and receives single frames over UDP; they may be lost, doubled or reordered.
+// DatagramSocket sends and receives single frames over UDP; they may be lost, duplicated or reordered.
 type DatagramSocket struct {
 	socket           network.PacketConn
 	invalidDatagrams atomic.Uint64
@@ -36,12 +36,13 @@
 	once             sync.Once
 }
 
-// ListenDatagrams opens a socket of the system; f is called for each valid datagram on one goroutine and owns body only until it returns.
+// ListenDatagrams opens an operating system socket; f is called for each valid datagram, on a single goroutine, and may use body only
+// until it returns.
 func ListenDatagrams(address string, f func(from netip.AddrPort, kind Kind, body []byte)) (*DatagramSocket, error) {
 	return ListenDatagramsOn(nil, address, f)
 }
 
-// ListenDatagramsOn is ListenDatagrams on a network, nil for the system's sockets.
+// ListenDatagramsOn is like ListenDatagrams on the given network; nil selects operating system sockets.
 func ListenDatagramsOn(n network.Network, address string, f func(from netip.AddrPort, kind Kind, body []byte)) (*DatagramSocket, error) {
 	socket, err := openDatagrams(n, address)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return net.ListenUDP("udp", local)
 }
 
-// Send sends one datagram. Only what was surely not sent is an error.
+// Send sends one datagram. An error means that it was certainly not sent.
 func (d *DatagramSocket) Send(to string, kind Kind, body []byte) error {
 	if len(body) > MaxDatagram {
 		return notSent(ErrTooLong)
@@ -83,13 +84,13 @@
 	return nil
 }
 
-// Addr is the address that is listened on.
+// Addr returns the local address.
 func (d *DatagramSocket) Addr() string { return d.socket.LocalAddr().String() }
 
-// Foreign counts the datagrams that were passed over because they are not of this protocol or damaged.
+// InvalidDatagrams returns the number of datagrams that were ignored because they are damaged or of another protocol.
 func (d *DatagramSocket) InvalidDatagrams() uint64 { return d.invalidDatagrams.Load() }
 
-// Close ends the socket and waits for the last call of the handler; the handler must not call it.
+// Close closes the socket and waits for the last call of the handler; the handler must not call it.
 func (d *DatagramSocket) Close() error {
 	var err error
 	d.once.Do(func() {
--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// RemoteError is a refusal by the handler of the other side.
+// RemoteError is an error that the peer's handler returned for a call.
 type RemoteError struct {
 	Code uint16
 	Text string
@@ -10,10 +10,10 @@
 
 // Error implements error.
 func (e *RemoteError) Error() string {
-	return fmt.Sprintf("rpc: refused by the other side (code %d): %s", e.Code, e.Text)
+	return fmt.Sprintf("rpc: refused by the peer (code %d): %s", e.Code, e.Text)
 }
 
-// Errorf makes an error that a handler gives to reply; the caller gets it as a *RemoteError.
+// Errorf returns an error for a handler to pass to reply; the caller receives it as a *RemoteError.
 func Errorf(code uint16, format string, arguments ...any) error {
 	return &RemoteError{Code: code, Text: fmt.Sprintf(format, arguments...)}
 }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// Frames are laid out as: length of the body u32, type u8, reserved u8, kind u16, id u64, body; all little endian. The kind of a
-// refusal is its code. Types that are not known are passed over, so that later versions may add some.
+// Frames are laid out as: length of the body u32, type u8, reserved u8, kind u16, id u64, body; all little-endian. The kind of a
+// refusal is its code. Frames of unknown types are ignored, so that later versions can add types.
 const (
 	headerSize = 16
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// A connection begins on both sides with a preamble: magic, version u16, reserved u16.
+// Each side starts a connection by sending a preamble: magic, version u16, reserved u16.
 const (
 	magic           = "LGrp"
 	protocolVersion = 1
--- a/internal/rpc/monitor.go
+++ b/internal/rpc/monitor.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// ticksPerPing is how many ticks a monitor makes in Options.PingEvery.
+// ticksPerPing is the number of monitor ticks in Options.PingInterval.
 const ticksPerPing = 4
 
-// monitor watches the silence of a set of connections with one timer. It counts ticks and never looks at a clock: a process that
-// stood still has made no ticks.
+// monitor detects inactivity of a set of connections with one timer. It counts ticks and never reads a clock, so that time during
+// which the process itself was stopped does not count.
 type monitor struct {
 	options      Options
 	tickInterval time.Duration
@@ -19,15 +19,15 @@
 	timer   *time.Timer
 	stopped bool
 
-	checking []*Conn // of the present tick; only ticks touch it
+	checking []*Conn // connections checked in the current tick; used only by tick
 }
 
-// silence is what the monitor knows of one connection; only ticks touch it.
+// activity is the monitor's state of one connection; used only by tick.
 type activity struct {
 	receivedFrames uint32
 	dataFrames     uint32
-	silentTicks    int // ticks without a frame
-	idleTicks      int // ticks without a frame but pings
+	silentTicks    int // ticks since the last received frame
+	idleTicks      int // ticks since the last frame other than pings and pongs
 }
 
 func newMonitor(o Options) *monitor {
@@ -63,7 +63,7 @@
 	}
 }
 
-// schedule plans the next tick; the mutex is held.
+// schedule starts the timer for the ticks. The caller holds the mutex.
 func (m *monitor) schedule() {
 	var timer *time.Timer
 	timer = time.AfterFunc(m.tickInterval, func() {
@@ -77,7 +77,7 @@
 	m.timer = timer
 }
 
-// tick looks at each connection once. The mutex is not held meanwhile: the end of a connection calls its owners.
+// tick checks each connection once. It does not hold the mutex meanwhile, since closing a connection calls its owners.
 func (m *monitor) tick() {
 	m.mutex.Lock()
 	for c := range m.conns {
@@ -91,7 +91,7 @@
 	m.checking = m.checking[:0]
 }
 
-// check counts a tick for the connection, and pings or ends it when due. The side that dialed pings first.
+// check counts a tick for the connection, and pings or closes it when due. The side that dialed pings first.
 func (m *monitor) check(c *Conn) {
 	s := &c.activity
 	s.idleTicks++
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -9,8 +9,8 @@
 const (
 	minDialPause = 50 * time.Millisecond
 	maxDialPause = 500 * time.Millisecond
-	// firstDialTimeout bounds the first dial of an address, and each further one in a row may take twice as long. An opening packet that
-	// was sent before the other machine ran is repeated only after a second; a new dial gets through at once.
+	// firstDialTimeout limits the first dial of an address; the limit doubles with each consecutive failure. A SYN packet that was sent
+	// before the peer's machine was up is retransmitted only after a second, whereas a new dial connects immediately.
 	firstDialTimeout = 200 * time.Millisecond
 )
 
@@ -20,7 +20,7 @@
 	options Options
 	monitor *monitor
 	now     func() time.Time
-	ctx     context.Context // ends with the pool
+	ctx     context.Context // cancelled when the pool is closed
 	cancel  context.CancelFunc
 
 	mutex   sync.Mutex
@@ -28,17 +28,17 @@
 	closed  bool
 }
 
-// poolEntry is what is known of an address.
+// poolEntry is the state of one address.
 type poolEntry struct {
 	conn    *Conn
 	dialing *poolDial
 	timeout time.Duration // of the last dial, if it failed
 	pause   time.Duration // after the last failed dial
-	retryAt time.Time     // no dial before
+	retryAt time.Time     // earliest time of the next dial
 	err     error         // of the last dial
 }
 
-// poolDial is a dial that waiters share.
+// poolDial is a dial in progress that several callers wait for.
 type poolDial struct {
 	done chan struct{}
 	conn *Conn
@@ -55,8 +55,8 @@
 	}
 }
 
-// Get returns the connection to address, dialing it if there is none. For a short time after a failed dial it returns that error at
-// once. Errors wrap ErrNotSent.
+// Get returns the connection to address, dialing it if there is none. For a short time after a failed dial it returns that error
+// immediately. Errors wrap ErrNotSent.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	d, c, err := p.join(address)
 	if d == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// join returns the open connection, the error of a recent dial, or the dial that is under way.
+// join returns the open connection, the error of a recent dial, or the dial in progress, which it starts if there is none.
 func (p *Pool) join(address string) (*poolDial, *Conn, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// Drop closes the connection to address, if there is one, and forgets its back-off. A dial under way fails.
+// Drop closes the connection to address, if there is one, and resets its backoff. A dial in progress fails.
 func (p *Pool) Drop(address string) {
 	p.mutex.Lock()
 	var c *Conn
@@ -152,12 +152,12 @@
 	}
 }
 
-// replacedAfter is how many ticks of the monitor a connection may have been silent, when its peer is known to have been replaced, before it is dropped:
-// half a second by default.
+// replacedAfterTicks is the number of monitor ticks without a received frame after which a connection to a replaced peer is dropped: half
+// a second by default.
 const replacedAfterTicks = 2
 
-// DropReplaced closes the connection to an address where another process is known to listen now, unless something came over it lately: it may
-// be one to the new process. Calls that wait on it end at once, and not when their deadline or DeadAfter is over.
+// DropReplaced closes the connection to an address on which another process is known to listen now, unless a frame was received recently:
+// the connection may be one to the new process. Pending calls then fail immediately instead of after their deadline or PeerTimeout.
 func (p *Pool) DropReplaced(address string) {
 	if c := p.Peek(address); c != nil && c.silentTicks.Load() >= replacedAfterTicks {
 		c.closeWithCause(ErrReplaced)
--- a/internal/rpc/read.go
+++ b/internal/rpc/read.go
@@ -10,20 +10,20 @@
 
 const (
 	readBufferSize = 4096
-	// firstAllocation bounds what is allocated for a body before any of it has arrived.
+	// initialBodyBytes limits the allocation for a body before any of it has arrived.
 	initialBodyBytes = 256 << 10
 )
 
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// reader takes frames from a connection. It holds a buffer only while bytes are there.
+// reader reads frames from a connection. It holds a buffer only while there are unread bytes.
 type reader struct {
 	conn       *Conn
 	buffer     *[readBufferSize]byte
-	start, end int // what is unread in buffer
+	start, end int // unread part of buffer
 }
 
-// run handles frames until the connection ends, and returns why.
+// run handles frames until the connection is closed, and returns the cause.
 func (r *reader) run() error {
 	defer r.release()
 	var head [headerSize]byte
@@ -67,7 +67,7 @@
 	return body, nil
 }
 
-// readFull fills b, from the buffer first. What is longer than the buffer is read into b itself.
+// readFull fills b, first from the buffer. Reads of at least the buffer's size go directly into b.
 func (r *reader) readFull(b []byte) error {
 	for len(b) > 0 {
 		if r.start == r.end {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// fill reads what has arrived into the buffer, waiting without one.
+// fill reads available bytes into the buffer. On a system socket it waits for them without holding a buffer.
 func (r *reader) fill() error {
 	r.start, r.end = 0, 0
 	if r.conn.raw == nil {
@@ -115,7 +115,7 @@
 	})
 }
 
-// errorUnlessRead leaves the error of a read that brought bytes to the next one.
+// errorUnlessRead drops the error of a read that returned bytes; the next read reports it again.
 func errorUnlessRead(n int, err error) error {
 	if n > 0 {
 		return nil
@@ -137,7 +137,7 @@
 	return n, err
 }
 
-// wait calls f whenever the socket is readable until f says that it is finished.
+// wait calls f whenever the socket is readable until f reports that it is finished.
 func (r *reader) wait(f func(fd int) (finished bool, err error)) error {
 	var failed error
 	err := r.conn.raw.Read(func(fd uintptr) bool {
@@ -159,7 +159,7 @@
 	r.start, r.end = 0, 0
 }
 
-// readOnce reads without waiting; again says that nothing was there.
+// readOnce reads without blocking; again reports that no bytes were available.
 func readOnce(fd int, b []byte) (n int, again bool, err error) {
 	for {
 		n, err = syscall.Read(fd, b)
@@ -177,7 +177,7 @@
 	}
 }
 
-// handle passes on one frame.
+// handle dispatches one frame.
 func (c *Conn) handle(h header, body []byte) {
 	if h.frameType == framePing {
 		_ = c.send(outgoingFrame{header: header{frameType: framePong}})
@@ -203,7 +203,7 @@
 	}
 }
 
-// answer sends the result of a call of the other side.
+// answer sends the result of a call of the peer.
 func (c *Conn) answer(id uint64, body []byte, err error) {
 	if err == nil && len(body) > c.options.MaxFrame {
 		err = ErrTooLong
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,11 +1,12 @@
 // Package rpc carries calls and notifications over framed TCP connections, and datagrams over UDP.
 //
 // A connection is symmetric once it is open: both sides may call and notify. Frames of one side arrive in the order in which they
-// were queued. A connection whose peer is silent for longer than Options.DeadAfter, or whose queue of unsent bytes grows over
-// Options.MaxQueued, is closed; a caller is told whether its call may have been processed (ErrLost) or surely was not (ErrNotSent).
+// were queued. A connection is closed when nothing is received from its peer for Options.PeerTimeout, or when its queue of unsent bytes
+// exceeds Options.MaxQueued. The error of a call states whether the call may have been processed (ErrResponseLost) or certainly was not
+// (ErrNotSent).
 //
-// An idle connection holds one goroutine and no buffers. Silence is counted in ticks of one timer for each [Pool] or [Server], so a
-// process that was itself stopped for a while does not take its peers for dead when it goes on.
+// An idle connection holds one goroutine and no buffers. Inactivity is counted in ticks of one timer per [Pool] or [Server], so that a
+// process that was itself stopped for a while does not consider its peers dead when it resumes.
 package rpc
 
 import (
@@ -17,14 +18,14 @@
 	"liftgauge/internal/network"
 )
 
-// Kind names the meaning of a frame's body; the numbers are owned by package protocol.
+// Kind identifies the content of a frame's body; the numbers are defined by package protocol.
 type Kind uint16
 
-// Handler receives the frames of a connection that begin on the other side.
+// Handler receives the calls and notifications that the peer sends on a connection.
 type Handler interface {
 	// Handle is called for each incoming frame in order of arrival on the read goroutine of the connection; it must not block.
-	// For a call, reply must be called exactly once, from any goroutine; a nil error makes body the answer. For a notification
-	// reply is nil. body belongs to the handler.
+	// For a call, reply must be called exactly once, from any goroutine; if its error is nil, its body is sent as the answer. For a
+	// notification reply is nil. The handler owns body.
 	Handle(c *Conn, kind Kind, body []byte, reply func(body []byte, err error))
 }
 
@@ -36,26 +37,26 @@
 	f(c, kind, body, reply)
 }
 
-// Options are the limits of connections. Zero values mean the defaults named at each field.
+// Options are the limits of connections. Zero values select the default given at each field.
 type Options struct {
-	// DialTimeout bounds the opening of a connection and the exchange of preambles; 1 s by default.
+	// DialTimeout limits the time to open a connection and exchange preambles; 1 s by default.
 	DialTimeout time.Duration
-	// PingEvery is the silence after which a side sends a ping; 1 s by default.
+	// PingInterval is the time without a received frame after which a side sends a ping; 1 s by default.
 	PingInterval time.Duration
-	// DeadAfter is the silence of the other side after which a connection is closed; 2.5 s by default.
+	// PeerTimeout is the time without a received frame after which a connection is closed; 2.5 s by default.
 	PeerTimeout time.Duration
-	// IdleAfter is the time without any frame but pings after which a pool closes a connection on which no call waits; never by
-	// default. The other side, not knowing, may lose a frame that it sends at that moment.
+	// IdleTimeout is the time without any frames other than pings and pongs after which a pool closes a connection that has no pending
+	// calls; never by default. A frame that the peer sends at that moment may be lost.
 	IdleTimeout time.Duration
 	// UserTimeout is set as TCP_USER_TIMEOUT where the system has it; 2 s by default.
 	UserTimeout time.Duration
-	// MaxFrame bounds the body of a frame in bytes; 16 MiB by default.
+	// MaxFrame limits the body of a frame in bytes; 16 MiB by default.
 	MaxFrame int
-	// MaxQueued bounds the bytes queued for writing on a connection; 32 MiB by default. A connection that exceeds it is closed.
+	// MaxQueued limits the bytes queued for writing on a connection; 32 MiB by default. A connection that exceeds it is closed.
 	MaxQueued int
 	// Network opens the sockets; the system's by default.
 	Network network.Network
-	// Logger receives what an operator should know; none by default.
+	// Logger receives warnings for the operator; no logging by default.
 	Logger *zap.Logger
 	// OnClose is called once for each connection that was open, after its last frame was handled.
 	OnClose func(c *Conn, err error)
@@ -91,29 +92,29 @@
 }
 
 var (
-	// ErrNotSent says that no byte of the call was given to the socket: it may be sent elsewhere safely.
+	// ErrNotSent means that no byte of the call was written to the socket: it can safely be sent on another connection.
 	ErrNotSent = errors.New("rpc: not sent: the call may be repeated on another connection")
-	// ErrLost says that the call may have been processed: ask the other side again before repeating it elsewhere.
-	ErrResponseLost = errors.New("rpc: answer lost: the call may have been processed")
-	// ErrClosed is the cause of an end by Close, on this side.
+	// ErrResponseLost means that the call may have been processed: query the peer before repeating the call elsewhere.
+	ErrResponseLost = errors.New("rpc: response lost: the call may have been processed")
+	// ErrClosed is the cause when this side called Close.
 	ErrClosed = errors.New("rpc: closed on this side")
-	// ErrReplaced is the cause of an end because another process listens at the address now.
-	ErrReplaced = errors.New("rpc: another process listens at this address: connect again")
-	// ErrSilent is the cause of an end because the other side sent nothing for Options.DeadAfter.
-	ErrPeerUnresponsive = errors.New("rpc: the other side is silent: check that it runs and can be reached")
-	// ErrQueueFull is the cause of an end because the other side does not read.
-	ErrQueueFull = errors.New("rpc: too many bytes are queued: the other side does not read")
-	// ErrMalformed is the cause of an end because what arrived is not a frame.
-	ErrMalformed = errors.New("rpc: malformed frame: check that both sides run neighbouring versions")
-	// ErrForeign is the cause of a refused connection whose other side does not speak this protocol.
-	ErrProtocolMismatch = errors.New("rpc: foreign preamble: check that the address belongs to a process of this system")
-	// ErrTooLong refuses a body over Options.MaxFrame, or a datagram over MaxDatagram.
+	// ErrReplaced is the cause when another process now listens on the address.
+	ErrReplaced = errors.New("rpc: another process now listens on this address: reconnect")
+	// ErrPeerUnresponsive is the cause when nothing was received from the peer for Options.PeerTimeout.
+	ErrPeerUnresponsive = errors.New("rpc: peer is unresponsive: check that it runs and can be reached")
+	// ErrQueueFull is the cause when the write queue exceeds Options.MaxQueued because the peer does not read.
+	ErrQueueFull = errors.New("rpc: write queue is full: the peer does not read")
+	// ErrMalformed is the cause when the received bytes are not a valid frame.
+	ErrMalformed = errors.New("rpc: malformed frame: check that both sides run adjacent versions")
+	// ErrProtocolMismatch is the cause when the peer does not speak this protocol.
+	ErrProtocolMismatch = errors.New("rpc: unknown preamble: check that the address belongs to a process of this system")
+	// ErrTooLong is returned for a body longer than Options.MaxFrame, or a datagram longer than MaxDatagram.
 	ErrTooLong = errors.New("rpc: body too long: send it in parts")
-	// ErrTimeout is the cause of an ErrLost or ErrNotSent of a call whose time was over.
-	ErrTimeout = errors.New("rpc: no answer in time")
+	// ErrTimeout is the cause of an ErrResponseLost or ErrNotSent when a call has timed out.
+	ErrTimeout = errors.New("rpc: call timed out")
 )
 
-// failure joins a mark (ErrNotSent or ErrLost) and the cause of it; errors.Is finds both.
+// failure combines a kind (ErrNotSent or ErrResponseLost) with its cause; errors.Is matches both.
 type failure struct{ kind, cause error }
 
 func (f *failure) Error() string   { return f.kind.Error() + ": " + f.cause.Error() }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -28,11 +28,11 @@
 
 	mutex      sync.Mutex
 	conns      map[*Conn]struct{}
-	handshakes map[net.Conn]struct{} // connections before their preamble
+	handshakes map[net.Conn]struct{} // connections whose preambles are being exchanged
 	closed     bool
 }
 
-// Listen begins to accept connections.
+// Listen starts to accept connections.
 func Listen(address string, h Handler, o Options) (*Server, error) {
 	o = o.withDefaults()
 	listener, err := o.listen(address)
@@ -55,13 +55,13 @@
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// Addr is the address that is listened on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Foreign counts the connections that were closed because their other side does not speak this protocol.
+// ProtocolMismatches returns the number of connections that were closed because the peer does not speak this protocol.
 func (s *Server) ProtocolMismatches() uint64 { return s.protocolMismatches.Load() }
 
-// Close stops accepting and closes the connections that were accepted. It does not wait for their OnClose.
+// Close stops accepting and closes all accepted connections. It does not wait for their OnClose.
 func (s *Server) Close() error {
 	s.mutex.Lock()
 	if s.closed {
@@ -99,7 +99,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		s.options.Logger.Warn("accept failed: check the limit of open files", zap.Error(err))
+		s.options.Logger.Warn("accept failed: check the open file limit", zap.Error(err))
 		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
@@ -111,7 +111,7 @@
 	}
 }
 
-// welcome exchanges preambles on a goroutine of its own.
+// startHandshake exchanges preambles on a separate goroutine and then starts the connection.
 func (s *Server) startHandshake(socket net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/rpc/timeout_linux.go
+++ b/internal/rpc/timeout_linux.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define.
 const tcpUserTimeout = 18
 
-// controlUserTimeout sets the time after which unacknowledged bytes end a connection, also while it is being opened.
+// controlUserTimeout sets the time after which unacknowledged bytes cause the system to close a connection, also while it is being
+// opened.
 func controlUserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error { return applyUserTimeout(raw, timeout) }
 }
@@ -24,7 +25,7 @@
 	}
 }
 
-// applyUserTimeout does not fail where the system refuses the option: pings find dead peers, later.
+// applyUserTimeout ignores an error of the option itself: without it pings still detect dead peers, though later.
 func applyUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	return raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
--- a/internal/rpc/write.go
+++ b/internal/rpc/write.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// copyBelow is the size of bodies under which they are copied beside their header; longer ones are written from where they are.
+	// copyThreshold is the size below which a body is copied next to its header; longer bodies are written without a copy.
 	copyThreshold = 2048
-	// batchBytes is about how much is given to the socket with one system call.
+	// targetBatchBytes is the approximate size of a batch, which is written with one system call.
 	targetBatchBytes = 64 << 10
-	// keepBuffer is the largest buffer that is kept for later batches.
+	// maxKeptBufferBytes is the capacity up to which a buffer is kept for later batches.
 	maxKeptBufferBytes = 128 << 10
 )
 
-// outgoing is a frame in the queue.
+// outgoingFrame is a frame in the write queue.
 type outgoingFrame struct {
 	header header
 	body   []byte
-	call   *call // of a frameCall
+	call   *call // set for a frameCall
 }
 
 func (o *outgoingFrame) size() int { return headerSize + len(o.body) }
 
-// batch is what is given to the socket at once.
+// batch holds the frames that are written to the socket at once.
 type batch struct {
 	buffers net.Buffers
 	scratch *[]byte
 	size    int
-	// Guarded by the connection's mutex, as the calls' pointers to the batch lead here.
+	// Guarded by the connection's mutex, since calls refer to their batch.
 	failed  bool
-	written int // before the failure
+	written int // bytes written before the failure
 }
 
 var scratchBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 4096); return &b }}
 
-// send queues a frame and sees to it that a goroutine writes it.
+// send queues a frame and starts the writing goroutine if none is running.
 func (c *Conn) send(o outgoingFrame) error {
 	if len(o.body) > c.options.MaxFrame {
 		return notSent(ErrTooLong)
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// write gives all that is queued to the socket and returns when nothing is left. Frames that are queued meanwhile share a system call.
+// write writes all queued frames to the socket and returns when the queue is empty. Frames that are queued meanwhile are combined into
+// one system call.
 func (c *Conn) write() {
 	for {
 		b := c.takeBatch()
@@ -88,7 +89,7 @@
 	}
 }
 
-// takeBatch removes frames from the queue; nil means that there are none, and that the writer has to end.
+// takeBatch removes frames from the queue. It returns nil if there are none, after which the writer must return.
 func (c *Conn) takeBatch() *batch {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -115,7 +116,7 @@
 	return b
 }
 
-// dropQueue forgets the first n frames of the queue, and its memory once it is empty and was large.
+// dropQueue removes the first n frames of the queue, and releases its memory if it is then empty and has a large capacity.
 func (c *Conn) dropQueue(n int) {
 	const keepFrames = 64
 	if n < len(c.queue) {
@@ -143,14 +144,14 @@
 	b.buffers = append(b.buffers, o.body)
 }
 
-// seal makes what stands in the scratch buffer the next buffer to be written.
+// seal appends the content of the scratch buffer to the buffers to be written.
 func (b *batch) seal() {
 	filled := *b.scratch
 	if len(filled) == 0 {
 		return
 	}
 	b.buffers = append(b.buffers, filled)
-	*b.scratch = filled[len(filled):] // the rest of the capacity is used next
+	*b.scratch = filled[len(filled):] // the remaining capacity is used for the next frames
 }
 
 func (b *batch) writeTo(socket net.Conn) (int64, error) {
@@ -162,7 +163,7 @@
 	return buffers.WriteTo(socket)
 }
 
-// release gives the scratch buffer back; the batch must have been written whole or not at all.
+// release returns the scratch buffer to the pool; the batch must have been written completely or not at all.
 func (b *batch) release() {
 	if len(b.buffers) == 0 || len(b.buffers) == 1 && cap(b.buffers[0]) <= maxKeptBufferBytes && len(*b.scratch) == 0 {
 		if len(b.buffers) == 1 {
