--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// kinds makes an empty message of each type, and an arbitrary one.
+// messageTypes has generators of an empty and an arbitrary message of each type.
 var messageTypes = []struct {
 	empty     func() Message
 	arbitrary func(t *rapid.T) Message
@@ -42,7 +42,7 @@
 	}
 }
 
-// withoutEmptySlices replaces empty slices by nil ones, which the encoding does not tell apart.
+// withoutEmptySlices replaces empty slices with nil, since the encoding does not distinguish them.
 func withoutEmptySlices(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -71,7 +71,7 @@
 			is.Equal(string(encoded[:6]), "before")
 			encoded = encoded[6:]
 
-			decoded := k.arbitrary(t) // whatever it holds is replaced
+			decoded := k.arbitrary(t) // decoding replaces its previous content
 			is.NoErr(decoded.Decode(encoded))
 			is.Equal(decoded, m)
 
@@ -79,7 +79,7 @@
 			is.NoErr(decoded.Decode(longer))
 			is.Equal(decoded, m)
 
-			// What is cut off is an error or looks like an older sender's, and never a panic.
+			// A truncated message either is malformed or decodes like one of an older version; it never causes a panic.
 			cut := rapid.IntRange(0, len(encoded)).Draw(t, "cut")
 			if err := decoded.Decode(encoded[:cut]); err != nil {
 				is.True(errors.Is(err, ErrMalformed))
@@ -97,7 +97,7 @@
 	}
 }
 
-// olderNode and olderHeartbeat are what a version before would write; newerNode and newerHeartbeat what one after would.
+// olderNode and olderHeartbeat are messages of an earlier version, newerNode and newerHeartbeat those of a later one.
 type (
 	olderNode      struct{ Node }
 	olderHeartbeat struct{ Node olderNode }
@@ -162,7 +162,7 @@
 	is.Equal(m, Heartbeat{Node: fullNode, Offers: newer.Offers, PartitionsLed: 3, DiskFull: true})
 }
 
-// TestEncodingStays pins the bytes, so that a change of order or form is noticed.
+// TestEncodingIsStable compares the exact bytes, to detect changes of the field order or encoding.
 func TestEncodingIsStable(t *testing.T) {
 	is := is.New(t)
 	m := Accept{
@@ -177,10 +177,10 @@
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, encoded := range []string{
-		"ff",                     // a cut number
-		"ffffffffffffffffffffff", // a number over 64 bits
+		"ff",                     // a truncated integer
+		"ffffffffffffffffffffff", // an integer over 64 bits
 		"ffffffffff01",           // a partition over 32 bits
-		"0105",                   // a string longer than what is left
+		"0105",                   // a string longer than the remaining bytes
 	} {
 		b, err := hex.DecodeString(encoded)
 		is.NoErr(err)
@@ -244,7 +244,7 @@
 	}
 }
 
-// TestPartitionTableIsSmall is a bound on what each change of the table costs for each process.
+// TestPartitionTableIsSmall limits the size of the table, which is sent to every process at each change.
 func TestPartitionTableIsSmall(t *testing.T) {
 	is := is.New(t)
 	member := func(n uint32) string { return fmt.Sprintf("store-sangre-grande-hall-%02d/%016x", n%17, n%17) }
@@ -255,7 +255,7 @@
 		})
 	}
 	encoded := table.Append(nil)
-	is.True(len(encoded) < 8_000) // each name written out took 140 bytes a partition
+	is.True(len(encoded) < 8_000) // writing out each name took 140 bytes per partition
 	var decoded PartitionTable
 	is.NoErr(decoded.Decode(encoded))
 	is.Equal(decoded, table)
@@ -265,7 +265,7 @@
 	is := is.New(t)
 	table := PartitionTable{Partitions: []PartitionView{{Partition: 1, Epoch: 2, Primary: "a", Members: []string{"a"}}}}
 	encoded := table.Append(nil)
-	encoded[len(encoded)-2] = 2 // the last member, of the one name there is
+	encoded[len(encoded)-2] = 2 // position of the last member; the table has only one name
 	var decoded PartitionTable
 	is.True(errors.Is(decoded.Decode(encoded), ErrMalformed))
 }
--- a/internal/recordlog/bench_test.go
+++ b/internal/recordlog/bench_test.go
@@ -10,7 +10,7 @@
 
 const recordCount = 1_000_000
 
-// BenchmarkMemoryPerRecord prints the heap per record of a million records in 64 groups, with keys of a message's state.
+// BenchmarkMemoryPerRecord reports the heap bytes per record for a million records in 64 groups, with keys as used for message states.
 func BenchmarkMemoryPerRecord(b *testing.B) {
 	for _, inline := range []int{0, 100} {
 		b.Run(fmt.Sprint("inline", inline), func(b *testing.B) {
@@ -44,14 +44,14 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkAppend measures a message's put of 5 kB and its deletion, in batches of 16 messages.
+// BenchmarkAppend measures the put of a 5 kB message body and its later deletion, in batches of 16 messages.
 func BenchmarkAppend(b *testing.B) {
 	l, _, err := open(b.TempDir(), Options{DiskBytes: 350 << 20}, osDisk{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	value := make([]byte, 5000)
-	const batched, alive = 16, 500
+	const batched, live = 16, 500
 	b.SetBytes(int64(len(value)))
 	i := 0
 	for b.Loop() {
@@ -59,7 +59,7 @@
 			{Key: fmt.Sprintf("b/%030d", i), Version: 1, Value: value}, {Key: fmt.Sprintf("s/%030d", i%12000), Version: 1, Value: value[:100]},
 		}, nil)
 		l.Append(1, []replication.Record{
-			{Key: fmt.Sprintf("b/%030d", i-alive), Deleted: true}, {Key: fmt.Sprintf("s/%030d", i%12000), Version: 2, Value: value[:100]},
+			{Key: fmt.Sprintf("b/%030d", i-live), Deleted: true}, {Key: fmt.Sprintf("s/%030d", i%12000), Version: 2, Value: value[:100]},
 		}, nil)
 		if i++; i%batched == 0 {
 			l.step()
--- a/internal/recordlog/crash_test.go
+++ b/internal/recordlog/crash_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// place of a key in the model.
+// modelKey identifies a record in the model.
 type modelKey struct {
 	group uint32
 	key   string
@@ -26,7 +26,7 @@
 
 type modelState map[modelKey]modelValue
 
-// modelRequest is an append or the dropping of a group.
+// modelRequest is an append or the drop of a group.
 type modelRequest struct {
 	group   uint32
 	records []replication.Record
@@ -46,7 +46,7 @@
 	}
 }
 
-// crashModel plays a log against a map through losses of power, kills and faults.
+// crashModel compares a log with a map across power losses, kills and disk faults.
 type crashModel struct {
 	t       *rapid.T
 	dir     string
@@ -110,7 +110,7 @@
 	}
 }
 
-// fault makes some operations of the disk fail, steps, and mends it.
+// fault makes some disk operations fail, runs a few steps, and clears the faults.
 func (m *crashModel) fault() {
 	names := []string{"WriteBatch", "Sync", "SyncFolder", "CreateJournal", "Remove", "Close"}
 	for range 1 + m.random.IntN(2) {
@@ -122,7 +122,7 @@
 	clear(m.disk.faults)
 }
 
-// restart abandons the log and opens it again, after a loss of power or just a kill.
+// restart abandons the log and reopens it, after a power loss or only a kill.
 func (m *crashModel) restart(power bool) {
 	m.disk.operationsLeft = 0
 	_ = m.log.Close()
@@ -148,14 +148,14 @@
 		m.log = l
 		break
 	}
-	if m.disk.powerLost() { // without space it opens nevertheless; this is not that
+	if m.disk.powerLost() { // open succeeds without space, but not without power
 		m.t.Fatal("opened without power")
 	}
 	m.disk.operationsLeft = -1
 	m.checkRecovered()
 }
 
-// recovered checks that the log holds what was durable, and of the rest a part from its beginning.
+// checkRecovered checks that the log holds all durable requests, and a prefix of the pending ones.
 func (m *crashModel) checkRecovered() {
 	found := m.contents()
 	state := maps.Clone(m.durable)
@@ -185,7 +185,7 @@
 	return found
 }
 
-// check compares everything that can be read with the model, and the accounts with a new count.
+// check compares all readable records with the model, and the log's counters with a recount.
 func (m *crashModel) check() {
 	want := m.visible()
 	if found := m.contents(); !maps.Equal(found, want) {
@@ -215,7 +215,7 @@
 		m.t.Fatalf("usage %d, generations have %d", m.log.usage, usage)
 	}
 	if len(m.pending) == 0 && (len(m.log.index.pending) > 0 || len(m.log.index.replacedBy) > 0 || m.log.queuedBytes != 0) {
-		m.t.Fatalf("left over: %d values, %d shadows, %d bytes", len(m.log.index.pending), len(m.log.index.replacedBy), m.log.queuedBytes)
+		m.t.Fatalf("not released: %d pending values, %d replaced entries, %d queued bytes", len(m.log.index.pending), len(m.log.index.replacedBy), m.log.queuedBytes)
 	}
 }
 
--- a/internal/recordlog/fault_test.go
+++ b/internal/recordlog/fault_test.go
@@ -44,7 +44,7 @@
 				is.NoErr(l.Close())
 				l, report := openStepped(t, dir, Options{}, nil)
 				is.True(!report.Damaged())
-				is.Equal(contents(t, l), want) // the next generation's header seals, if the file could not be cut
+				is.Equal(contents(t, l), want) // if the file could not be truncated, the next generation's header marks its end
 			})
 		}
 	}
@@ -88,7 +88,7 @@
 	is.True(errors.Is(err, ErrWrite))
 }
 
-// full is a log whose share of the disk is filled with records of 1000 bytes.
+// fillLog returns a log that is filled up to its limit with records of 1000 bytes, and their keys.
 func fillLog(t *testing.T, dir string, options Options, d disk) (l *Log, keys []string) {
 	t.Helper()
 	l, _ = openStepped(t, dir, options, d)
@@ -117,7 +117,7 @@
 	usage, limit := l.Usage()
 	is.Equal(limit, int64(512<<10))
 	is.True(usage < limit)
-	for _, key := range keys[:200] { // a message ends: its state stays for a while, its body goes
+	for _, key := range keys[:200] { // a message completes: its state is kept for a while, its body is deleted
 		is.NoErr(appendNow(t, l, 1, put("s"+key, 1, "ended"), deletion(key)))
 	}
 	stepUntilIdle(l)
@@ -157,7 +157,7 @@
 	dir := t.TempDir()
 	l, _ := openStepped(t, dir, smallDisk, unsyncedDisk())
 	refused := 0
-	for i := range 6000 { // 300 bodies of 1 kB alive, of 512 kB: 60 percent
+	for i := range 6000 { // 300 live bodies of 1 kB use 60 percent of the 512 kB
 		err := appendNow(t, l, 1, put(fmt.Sprint("b", i), 1, repeated('b', 1000)), put(fmt.Sprint("s", i%40), uint64(i), "state"))
 		if errors.Is(err, ErrFull) {
 			refused++
--- a/internal/recordlog/faultdisk_test.go
+++ b/internal/recordlog/faultdisk_test.go
@@ -16,25 +16,25 @@
 	errInjected  = errors.New("injected fault")
 )
 
-// powerDisk is a disk that keeps account of what is durable, and can lose power: durable bytes stay, each later write is present,
-// absent or torn, files that were never synced may be gone, and removed files may come back.
+// powerLossDisk is a disk that tracks which bytes are durable and simulates power loss: durable bytes are kept, each later write is
+// present, absent or torn, files that were never synced may be missing, and removed files may reappear.
 type powerLossDisk struct {
 	osDisk
 	files          map[string]*fileState
-	removed        map[string][]byte // what may come back
+	removed        map[string][]byte // content of removed files that may reappear
 	durableNames   map[string]bool   // files and folders whose names are durable
-	operationsLeft int               // operations until power is lost; negative for never
-	applyFailing   bool              // the operation that blows the fuse is carried out before it fails
-	faults         map[string]error  // operations that fail, by name, until they are taken out
+	operationsLeft int               // operations until power is lost; negative for unlimited
+	applyFailing   bool              // whether the operation at which power is lost, or a Sync with a fault, takes effect before it fails
+	faults         map[string]error  // errors of operations that fail, by operation name
 	log            []string
-	onWrite        func() // called once, in the midst of the next write
+	onWrite        func() // called once, during the next write
 }
 
 type fileState struct {
 	durable          int64
 	synced           bool
 	writes           []int64 // ends of the writes after the last sync
-	contentBeforeCut []byte  // content before a cut that is not durable
+	contentBeforeCut []byte  // content before a truncation that is not durable
 }
 
 func newPowerLossDisk() *powerLossDisk {
@@ -43,7 +43,7 @@
 
 func (d *powerLossDisk) powerLost() bool { return d.operationsLeft == 0 }
 
-// guard runs an operation unless there is no power.
+// perform runs an operation unless power is lost or a fault is set for it.
 func (d *powerLossDisk) perform(name string, operation func() error) error {
 	d.log = append(d.log, name)
 	if d.powerLost() {
@@ -73,7 +73,7 @@
 	return d.files[path]
 }
 
-// observe notes what was written in a folder. All files but the last one were synced by the library.
+// recordWrites records what was written to a folder. The library has synced all files but the last.
 func (d *powerLossDisk) recordWrites(folder string) {
 	entries, _ := os.ReadDir(folder)
 	for i, e := range entries {
@@ -176,7 +176,7 @@
 	})
 }
 
-// losePower leaves in the folder what a loss of power may leave there.
+// losePower changes the files of a folder to a state in which a power loss may leave them.
 func (d *powerLossDisk) losePower(dir string, r *rand.Rand) {
 	wipe := r.IntN(4) == 0
 	_ = filepath.Walk(dir, func(path string, info os.FileInfo, err error) error {
@@ -213,7 +213,7 @@
 	}
 }
 
-// tear decides for each write after the last sync what is left of it.
+// tornContent decides for each write after the last sync which part of it is kept.
 func tornContent(content []byte, s *fileState, wipe bool, r *rand.Rand) []byte {
 	kept := slices.Clone(content[:s.durable])
 	start, last := s.durable, s.durable
@@ -239,7 +239,7 @@
 	return kept
 }
 
-// powerJournal is a journal on a powerDisk.
+// powerLossJournal is a journal on a powerLossDisk.
 type powerLossJournal struct {
 	disk    *powerLossDisk
 	folder  string
--- a/internal/recordlog/fuzz_test.go
+++ b/internal/recordlog/fuzz_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// FuzzScanner feeds a segment's bytes to the scanner: it must end, stay inside, and return only records that encode to the same bytes.
+// FuzzScanner feeds a segment's bytes to the scanner: it must terminate, stay within
+// the input, and return only records that encode to the same bytes.
 func FuzzScanner(f *testing.F) {
 	var segment []byte
 	for i, r := range []diskRecord{
@@ -43,6 +44,6 @@
 			var header generationHeader
 			_ = header.decode(r.value)
 		}
-		t.Fatal("the scanner does not end")
+		t.Fatal("the scanner does not terminate")
 	})
 }
--- a/internal/recordlog/log_test.go
+++ b/internal/recordlog/log_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// stepped opens a log whose writing goroutine is the test.
+// openStepped opens a log without its writing goroutine; the test calls step instead.
 func openStepped(t *testing.T, dir string, options Options, d disk) (*Log, Report) {
 	t.Helper()
 	if d == nil {
@@ -26,7 +26,7 @@
 	return l, report
 }
 
-// settleAll steps until there is nothing to do.
+// stepUntilIdle steps until there is nothing to do.
 func stepUntilIdle(l *Log) {
 	for l.step() {
 	}
@@ -38,7 +38,7 @@
 
 func deletion(key string) replication.Record { return replication.Record{Key: key, Deleted: true} }
 
-// appendNow appends and steps until the result is there.
+// appendNow appends and steps until the append's callback is called.
 func appendNow(t *testing.T, l *Log, group uint32, records ...replication.Record) error {
 	t.Helper()
 	var result error
@@ -46,7 +46,7 @@
 	l.Append(group, records, func(err error) { result, called = err, true })
 	for !called {
 		if !l.step() && !called {
-			t.Fatal("nothing to do, and no result")
+			t.Fatal("log is idle but the append has no result")
 		}
 	}
 	return result
@@ -145,7 +145,7 @@
 			results <- -1
 		}
 	})
-	is.Equal(<-results, -1) // a barrier
+	is.Equal(<-results, -1) // an empty append is a barrier
 	closing := make(chan error, 1)
 	l.Append(1, []replication.Record{put("last", 1, "")}, func(err error) { closing <- err })
 	is.NoErr(l.Close())
--- a/internal/recordlog/race_test.go
+++ b/internal/recordlog/race_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// TestReadsDuringWritesAndCompaction reads values that are queued, cached, on disk and being copied; it is meant for the race detector.
+// TestReadsDuringWritesAndCompaction reads values that are queued, cached, on disk and being copied; it is meant to run under the
+// race detector.
 func TestReadsDuringWritesAndCompaction(t *testing.T) {
 	is := is.New(t)
 	options := Options{SegmentBytes: 8 << 10, GenerationBytes: 32 << 10, CacheBytes: 4 << 10}
--- a/internal/recordlog/recover_test.go
+++ b/internal/recordlog/recover_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 )
 
-// contents returns all that a log holds.
+// contents returns all records of a log.
 func contents(t *testing.T, l *Log) map[string]string {
 	t.Helper()
 	found := make(map[string]string)
@@ -27,10 +27,10 @@
 	return found
 }
 
-// quietDisk does not sync: the tests that open a log for each byte of a file would take long.
+// unsyncedDisk returns a disk that does not sync, since tests that open a log for each byte of a file would take too long otherwise.
 func unsyncedDisk() disk { return newPowerLossDisk() }
 
-// reopened opens a copy of a folder, after change has mangled it.
+// openCopy opens a copy of a folder after modifying it with change.
 func openCopy(t *testing.T, dir string, options Options, change func(dir string)) (*Log, Report) {
 	t.Helper()
 	copied := t.TempDir()
@@ -45,7 +45,7 @@
 	return l, report
 }
 
-// stages writes a few appends into one generation, and returns the contents and the end of the file after each.
+// writeStages writes a few appends into one generation, and returns the contents and the length of the file after each.
 func writeStages(t *testing.T, dir string, options Options) (states []map[string]string, ends []int64) {
 	t.Helper()
 	l, _ := openStepped(t, dir, options, nil)
@@ -159,7 +159,7 @@
 	}
 }
 
-// segmented writes appends over several segments of one generation, and returns the contents at the beginning of each segment.
+// writeSegments writes appends across several segments of one generation, and returns the contents at the beginning of each segment.
 func writeSegments(t *testing.T, dir string, options Options) (states []map[string]string) {
 	t.Helper()
 	l, _ := openStepped(t, dir, options, nil)
@@ -204,7 +204,7 @@
 		if found := contents(t, l); !maps.Equal(found, states[missing]) {
 			t.Fatalf("segment %d missing: %v, want %v, %+v", missing, found, states[missing], report)
 		}
-		if report.TailCut != (missing < len(states)-1) { // without the last, empty one nothing is amiss
+		if report.TailCut != (missing < len(states)-1) { // the last segment is empty, so its absence is no damage
 			t.Fatalf("segment %d missing: %+v", missing, report)
 		}
 		_ = l.Close()
@@ -217,7 +217,7 @@
 	options := Options{MaxInlineBytes: 16}
 	_, ends := writeStages(t, dir, options)
 	l, _ := openStepped(t, dir, options, nil) // seals the first generation
-	whole := contents(t, l)
+	complete := contents(t, l)
 	is.NoErr(l.Close())
 	l, report := openCopy(t, dir, options, func(dir string) {
 		modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
@@ -227,19 +227,19 @@
 	})
 	is.Equal(report.Garbled, 1)
 	is.True(report.Damaged())
-	delete(whole, "1/d@5")
-	is.Equal(contents(t, l), whole)
+	delete(complete, "1/d@5")
+	is.Equal(contents(t, l), complete)
 	l, report = openCopy(t, dir, options, func(dir string) {
 		modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte { return b[:ends[4]] })
 	})
-	is.Equal(report.Garbled, 1) // shorter than the header of the next one says
+	is.Equal(report.Garbled, 1) // shorter than the next generation's header records
 	is.Equal(valueOf(t, l, 1, "e"), "(none)")
 	l, report = openCopy(t, dir, options, func(dir string) { is.NoErr(os.RemoveAll(generationFolder(dir, 1))) })
 	is.Equal(report.Missing, 1)
 	is.Equal(len(l.Groups()), 0)
 	l, report = openCopy(t, dir, options, func(dir string) {
 		modifyFile(t, filepath.Join(dir, firstSegmentFile), func(b []byte) []byte {
-			b[40] ^= 1 // its header; the next one's has the salt
+			b[40] ^= 1 // in its header; the salt is also in the next generation's header
 			return b
 		})
 	})
@@ -274,7 +274,7 @@
 	is.NoErr(err)
 }
 
-// compacted fills and compacts a log until generation 1 is removed, and returns copies of its files.
+// compactedLog fills and compacts a log until generation 1 is removed, and returns copies of the removed files.
 func compactedLog(t *testing.T, dir string, options Options) (removed map[string][]byte, l *Log) {
 	t.Helper()
 	is := is.New(t)
@@ -313,16 +313,16 @@
 				if chosen&(1<<i) == 0 {
 					continue
 				}
-				back := filepath.Join(copied, path[len(dir):])
-				is.NoErr(os.MkdirAll(filepath.Dir(back), 0o750))
-				is.NoErr(os.WriteFile(back, removed[path], 0o640))
+				restored := filepath.Join(copied, path[len(dir):])
+				is.NoErr(os.MkdirAll(filepath.Dir(restored), 0o750))
+				is.NoErr(os.WriteFile(restored, removed[path], 0o640))
 			}
 		})
 		if found := contents(t, l); !maps.Equal(found, want) || report.Damaged() {
-			t.Fatalf("files %b back: %v, want %v, %+v", chosen, found, want, report)
+			t.Fatalf("files %b restored: %v, want %v, %+v", chosen, found, want, report)
 		}
-		if left, _ := os.ReadDir(l.dir); chosen != 0 && len(left) != len(l.generations) {
-			t.Fatalf("files %b back: %d folders, %d generations", chosen, len(left), len(l.generations))
+		if remaining, _ := os.ReadDir(l.dir); chosen != 0 && len(remaining) != len(l.generations) {
+			t.Fatalf("files %b restored: %d folders, %d generations", chosen, len(remaining), len(l.generations))
 		}
 		_ = l.Close()
 	}
@@ -335,7 +335,7 @@
 	_, l := compactedLog(t, dir, options)
 	floor := l.floor
 	is.True(floor >= 2)
-	l.writer.add(&diskRecord{kind: kindFloor, version: floor - 1}) // as a file would have it that came back
+	l.writer.add(&diskRecord{kind: kindFloor, version: floor - 1}) // as in a file that has reappeared
 	is.NoErr(appendNow(t, l, 1, put("last", 1, "x")))
 	want := contents(t, l)
 	is.NoErr(l.Close())
@@ -358,15 +358,15 @@
 	want := contents(t, l)
 	is.NoErr(l.Close())
 	l, report := openCopy(t, dir, options, func(dir string) {
-		own := segmentPaths(t, generationFolder(dir, 1))
+		existing := segmentPaths(t, generationFolder(dir, 1))
 		for i, path := range segmentPaths(t, generationFolder(earlier, 1)) {
-			if i < len(own)-1 {
-				is.Equal(filepath.Base(path), filepath.Base(own[i])) // the same positions in both lives
+			if i < len(existing)-1 {
+				is.Equal(filepath.Base(path), filepath.Base(existing[i])) // the same positions in both generations
 				continue
 			}
 			content, err := os.ReadFile(path)
 			is.NoErr(err)
-			is.NoErr(os.WriteFile(filepath.Join(filepath.Dir(own[0]), filepath.Base(path)), content, 0o640))
+			is.NoErr(os.WriteFile(filepath.Join(filepath.Dir(existing[0]), filepath.Base(path)), content, 0o640))
 		}
 	})
 	is.True(report.TailCut)
@@ -407,7 +407,7 @@
 			is.NoErr(appendNow(t, l, 1, put("filler", i, repeated('f', 100)), put("kept", i, "new")))
 		}
 		want := contents(t, l)
-		d.operationsLeft = 2 // power goes between the write and the sync of the floor
+		d.operationsLeft = 2 // power is lost between the write and the sync of the floor
 		l.step()
 		is.True(d.powerLost())
 		_ = l.Close()
@@ -436,8 +436,8 @@
 	}
 }
 
-// TestAnInterruptedStartLeavesNoDamage interrupts the first start at each operation by a kill, and the second one by a loss of power. A
-// generation whose folder was made, but not yet durable by name, must be so before the next one names it.
+// TestInterruptedStartsReportNoDamage interrupts the first start at each operation by a kill, and the second one by a power loss. A
+// generation whose folder was created but whose name is not durable yet must be made durable before the next header refers to it.
 func TestInterruptedStartsReportNoDamage(t *testing.T) {
 	is := is.New(t)
 	interrupted := func(dir string, d *powerLossDisk, operation int) bool {
--- a/internal/rpc/benchmark_test.go
+++ b/internal/rpc/benchmark_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// BenchmarkCallsAtOnce keeps 64 calls under way, so that frames share system calls.
+// BenchmarkCallsAtOnce keeps 64 calls in flight, so that several frames are written per system call.
 func BenchmarkCallsAtOnce(b *testing.B) {
 	c := connect(b, listen(b, echo, Options{}).Addr(), echo, Options{})
 	body := make([]byte, 200)
@@ -33,7 +33,7 @@
 	waiting.Wait()
 }
 
-// BenchmarkIdleConnections reports the memory that an idle connection holds on both of its sides together.
+// BenchmarkIdleConnections reports the memory that an idle connection uses on both of its sides together.
 func BenchmarkIdleConnections(b *testing.B) {
 	const connections = 500
 	server := listen(b, echo, Options{})
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// FuzzConnection sends arbitrary bytes behind a valid preamble: the server must end the connection and go on.
+// FuzzConnection sends arbitrary bytes after a valid preamble: the server must close the connection and keep running.
 func FuzzConnection(f *testing.F) {
 	server := listen(f, echo, Options{MaxFrame: 1 << 16})
 	var call [headerSize]byte
--- a/internal/rpc/monitor_test.go
+++ b/internal/rpc/monitor_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// stopped are options under which monitors make no ticks of their own within a test.
+// withoutTimer are options with which a monitor's timer does not fire within a test.
 var withoutTimer = Options{PingInterval: time.Hour, PeerTimeout: 2 * time.Hour, IdleTimeout: 0}
 
-// readFrame takes the next frame that the peer of a silentPeer got.
+// readFrame reads the header of the next frame on the socket of an unresponsivePeer.
 func readFrame(t *testing.T, socket *net.TCPConn) header {
 	t.Helper()
 	var head [headerSize]byte
@@ -54,19 +54,19 @@
 	c := connect(t, address, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), withoutTimer)
 	socket := <-sockets
 	for range 5 {
-		runTicks(c.monitor, 1+ticksPerPing) // the first sees the frames of the round before
+		runTicks(c.monitor, 1+ticksPerPing) // the first tick counts the frames of the previous round
 		is.Equal(readFrame(t, socket).frameType, uint8(framePing))
 		var frames [2 * headerSize]byte
 		(&header{frameType: framePong}).put(frames[:])
 		(&header{frameType: frameNotify}).put(frames[headerSize:])
 		_, err := socket.Write(frames[:])
 		is.NoErr(err)
-		<-handled // and so was the pong before it
+		<-handled // so the pong before it was handled, too
 	}
 	is.True(!c.isClosed())
 }
 
-// acceptedSide opens a connection to a server, lets it see one frame, and makes ticks there.
+// acceptedSide opens a connection to a server, sends it one frame, and runs ticks on the server.
 func acceptedSide(t *testing.T, ticks int) (*Server, *net.TCPConn) {
 	t.Helper()
 	is := is.New(t)
@@ -81,7 +81,7 @@
 	is.NoErr(err)
 	is.NoErr(readPreamble(socket))
 	<-handled
-	runTicks(server.monitor, 1+ticks) // the first sees the frame
+	runTicks(server.monitor, 1+ticks) // the first tick counts the frame
 	return server, socket.(*net.TCPConn)
 }
 
@@ -105,7 +105,7 @@
 	c := connect(t, server.Addr(), echo, o)
 	c.CallAsync(kindNoReply, nil, 0, func([]byte, error) {})
 	runTicks(c.monitor, 2*ticksPerPing)
-	is.True(!c.isClosed()) // a call waits
+	is.True(!c.isClosed()) // a call is pending
 
 	c = connect(t, server.Addr(), echo, o)
 	runTicks(c.monitor, ticksPerPing-1)
--- a/internal/rpc/pool_test.go
+++ b/internal/rpc/pool_test.go
@@ -49,7 +49,7 @@
 	is.True(first != second)
 	<-ends
 	is.True(p.Peek(server.Addr()) == second)
-	p.remove(server.Addr(), first) // the end of the first, when it comes late, does not take the second
+	p.remove(server.Addr(), first) // a late removal of the first connection does not remove the second
 	is.True(p.Peek(server.Addr()) == second)
 	p.Drop(server.Addr())
 	<-second.Done()
@@ -71,11 +71,11 @@
 		is.True(errors.Is(err, ErrNotSent))
 		now = now.Add(pause - 1)
 		d, _, again := p.join(address)
-		is.True(d == nil && again == err) // at once, the same error
+		is.True(d == nil && again == err) // the same error, without a dial
 		now = now.Add(1)
 		pause = min(2*pause, maxDialPause)
 	}
-	p.Drop(address) // forgets the pause
+	p.Drop(address) // resets the backoff
 	d, _, _ := p.join(address)
 	is.True(d != nil)
 	<-d.done
@@ -104,7 +104,7 @@
 
 func TestPoolGetReturnsWhenContextIsCancelled(t *testing.T) {
 	is := is.New(t)
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts by its backlog only: no preamble comes
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // the backlog accepts connections, but no preamble is sent
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
 	p := newPool(t, Options{})
@@ -126,7 +126,7 @@
 	is.True(errors.Is(err, ErrNotSent) && errors.Is(err, ErrClosed))
 }
 
-// A connection over which something came lately may be one to the new process.
+// A connection on which a frame was received recently may be one to the new process.
 func TestOnlySilentConnectionsToReplacedProcessesAreDropped(t *testing.T) {
 	is := is.New(t)
 	server, err := Listen("127.0.0.1:0", HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) {}), Options{})
@@ -143,5 +143,5 @@
 	pool.DropReplaced(server.Addr())
 	<-conn.Done()
 	is.True(errors.Is(conn.Err(), ErrReplaced))
-	pool.DropReplaced("127.0.0.1:1") // there is none
+	pool.DropReplaced("127.0.0.1:1") // there is no connection to this address
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -19,7 +19,7 @@
 	kindNoReply  Kind = 4
 )
 
-// echo answers calls with their own body, and refuses those of kindRefuse.
+// echo answers calls and notifications with their own body, refuses calls of kindRefuse, and never answers those of kindNoReply.
 var echo = HandlerFunc(func(c *Conn, kind Kind, body []byte, reply func([]byte, error)) {
 	switch {
 	case reply == nil:
@@ -48,7 +48,7 @@
 	return c
 }
 
-// silentPeer greets one connection and then leaves its socket to the test.
+// unresponsivePeer exchanges preambles on each connection and then leaves its socket to the test.
 func unresponsivePeer(t testing.TB) (address string, sockets <-chan *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -144,7 +144,7 @@
 	c := connect(t, server.Addr(), echo, Options{OnClose: func(_ *Conn, err error) { ends <- err }})
 	answers := make(chan error, 1)
 	c.CallAsync(kindNoReply, nil, 0, func(_ []byte, err error) { answers <- err })
-	_, err := c.Call(context.Background(), kindEcho, nil) // the call before was sent
+	_, err := c.Call(context.Background(), kindEcho, nil) // ensures that the previous call was sent
 	is.NoErr(err)
 	c.Close()
 	<-c.Done()
@@ -181,7 +181,7 @@
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// fillSocket queues notifications until the writer waits for the peer, which does not read.
+// fillSocket queues notifications until the writer blocks because the peer does not read.
 func fillSocket(t *testing.T, c *Conn) {
 	t.Helper()
 	for range 128 {
@@ -196,14 +196,14 @@
 	socket := <-sockets
 	fillSocket(t, c)
 
-	// A call that is given up while it is queued is never sent, and says so.
-	given := make(chan error, 1)
-	c.CallAsync(kindNoReply, []byte("given up"), 1, func(_ []byte, err error) { given <- err })
-	is.True(errors.Is(<-given, ErrNotSent))
+	// A call that is abandoned while it is queued is never sent, and returns ErrNotSent.
+	abandoned := make(chan error, 1)
+	c.CallAsync(kindNoReply, []byte("abandoned"), 1, func(_ []byte, err error) { abandoned <- err })
+	is.True(errors.Is(<-abandoned, ErrNotSent))
 	queued := make(chan error, 1)
 	c.CallAsync(kindNoReply, []byte("kept"), 0, func(_ []byte, err error) { queued <- err })
 
-	// Over MaxQueued the connection is closed, without waiting.
+	// When MaxQueued is exceeded the connection is closed without waiting.
 	var err error
 	for err == nil {
 		err = c.Notify(kindEcho, make([]byte, 8<<20))
@@ -213,8 +213,8 @@
 	is.True(errors.Is(<-queued, ErrNotSent))
 	<-c.Done()
 	arrived, err := io.ReadAll(socket)
-	is.True(!bytes.Contains(arrived, []byte("given up")))
-	_ = err // how the peer learns of the end is up to the system
+	is.True(!bytes.Contains(arrived, []byte("abandoned")))
+	_ = err // which error the peer gets depends on the operating system
 }
 
 func TestAbandonedCallIsNotDelivered(t *testing.T) {
@@ -223,9 +223,9 @@
 	c := connect(t, address, echo, Options{MaxQueued: 256 << 20})
 	socket := <-sockets
 	fillSocket(t, c)
-	given := make(chan error, 1)
-	c.CallAsync(kindNoReply, []byte("given up"), 1, func(_ []byte, err error) { given <- err })
-	is.True(errors.Is(<-given, ErrNotSent))
+	abandoned := make(chan error, 1)
+	c.CallAsync(kindNoReply, []byte("abandoned"), 1, func(_ []byte, err error) { abandoned <- err })
+	is.True(errors.Is(<-abandoned, ErrNotSent))
 	is.NoErr(c.Notify(kindSequence, []byte("last")))
 	var head [headerSize]byte
 	for {
