--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -18,10 +18,12 @@
 	empty     func() Message
 	arbitrary func(t *rapid.T) Message
 }{
-	messageType[Node](), messageType[NodeTable](), messageType[Heartbeat](), messageType[PromotionOffer](), messageType[HeartbeatReply](), messageType[Leave](), messageType[ItemVersion](),
-	messageType[Item](), messageType[ItemDigest](), messageType[Digest](), messageType[Fetch](), messageType[Items](), messageType[MemberAddress](), messageType[ControlView](),
-	messageType[PartitionView](), messageType[PartitionTable](), messageType[Worker](), messageType[Workers](), messageType[WorkersFreshness](), messageType[ReplicationFrame](),
-	messageType[LeaseRequest](), messageType[LeaseReply](), messageType[Header](), messageType[Accept](), messageType[AcceptReply](), messageType[Lookup](), messageType[LookupReply](),
+	messageType[Node](), messageType[NodeTable](), messageType[Heartbeat](), messageType[PromotionOffer](),
+	messageType[HeartbeatReply](), messageType[Leave](), messageType[ItemVersion](), messageType[Item](), messageType[ItemDigest](),
+	messageType[Digest](), messageType[Fetch](), messageType[Items](), messageType[MemberAddress](), messageType[ControlView](),
+	messageType[PartitionView](), messageType[PartitionTable](), messageType[Worker](), messageType[Workers](),
+	messageType[WorkersFreshness](), messageType[ReplicationFrame](), messageType[LeaseRequest](), messageType[LeaseReply](),
+	messageType[Header](), messageType[Accept](), messageType[AcceptReply](), messageType[Lookup](), messageType[LookupReply](),
 	messageType[HeldDelivery](), messageType[ServiceWindow](), messageType[Hello](), messageType[Deliver](), messageType[Result](),
 }
 
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -100,7 +100,7 @@
 	HasBody   bool
 }
 
-// HeldDelivery identifies a delivery that a dispatcher has received and not yet completed.
+// HeldDelivery identifies a delivery that a dispatcher holds.
 type HeldDelivery struct {
 	Partition uint32
 	ID        string
@@ -121,7 +121,7 @@
 	Region        string
 	Table         ItemVersion // version of the sender's partition table
 	Configuration ItemVersion
-	Held          []HeldDelivery // all held deliveries of the partitions whose primary is this store according to Table
+	Held          []HeldDelivery // all its deliveries of the partitions whose primary is this store according to Table
 	Windows       []ServiceWindow
 }
 
--- a/internal/recordlog/crash_test.go
+++ b/internal/recordlog/crash_test.go
@@ -215,12 +215,13 @@
 		m.t.Fatalf("usage %d, generations have %d", m.log.usage, usage)
 	}
 	if len(m.pending) == 0 && (len(m.log.index.pending) > 0 || len(m.log.index.replacedBy) > 0 || m.log.queuedBytes != 0) {
-		m.t.Fatalf("not released: %d pending values, %d replaced entries, %d queued bytes", len(m.log.index.pending), len(m.log.index.replacedBy), m.log.queuedBytes)
+		m.t.Fatalf("not released: %d pending values, %d replaced entries, %d queued bytes",
+			len(m.log.index.pending), len(m.log.index.replacedBy), m.log.queuedBytes)
 	}
 }
 
-func (m *crashModel) armPowerLoss(most int) {
-	m.disk.operationsLeft = 1 + m.random.IntN(most)
+func (m *crashModel) armPowerLoss(maxOperations int) {
+	m.disk.operationsLeft = 1 + m.random.IntN(maxOperations)
 	m.disk.applyFailing = m.random.IntN(2) == 0
 }
 
--- a/internal/recordlog/log.go
+++ b/internal/recordlog/log.go
@@ -26,7 +26,7 @@
 	lastSegmentID   uint32            // the last segment ID in use
 	floor           uint64            // durable
 	compaction      *compaction       // in progress, or nil
-	lastWriteFailed bool              // the last write failed
+	lastWriteFailed bool
 
 	mu          sync.Mutex
 	index       *index
--- a/internal/rpc/datagram_test.go
+++ b/internal/rpc/datagram_test.go
@@ -29,9 +29,9 @@
 	is.True(errors.Is(b.Send(a.Addr(), 1, make([]byte, MaxDatagram+1)), ErrTooLong))
 	is.True(errors.Is(b.Send("nowhere", 1, nil), ErrNotSent))
 
-	foreign, err := net.Dial("udp", a.Addr())
+	sender, err := net.Dial("udp", a.Addr())
 	is.NoErr(err)
-	_, err = foreign.Write([]byte("something else entirely"))
+	_, err = sender.Write([]byte("something else entirely"))
 	is.NoErr(err)
 	is.NoErr(b.Send(a.Addr(), 5, make([]byte, MaxDatagram)))
 	is.Equal((<-got).kind, Kind(5))
