--- a/internal/recordlog/faultdisk_test.go
+++ b/internal/recordlog/faultdisk_test.go
@@ -38,10 +38,8 @@
 }
 
 func newPowerLossDisk() *powerLossDisk {
-	return &powerLossDisk{
-		files: make(map[string]*fileState), removed: make(map[string][]byte), durableNames: make(map[string]bool), operationsLeft: -1,
-		faults: make(map[string]error),
-	}
+	return &powerLossDisk{files: make(map[string]*fileState), removed: make(map[string][]byte), durableNames: make(map[string]bool), operationsLeft: -1,
+		faults: make(map[string]error)}
 }
 
 func (d *powerLossDisk) powerLost() bool { return d.operationsLeft == 0 }
