--- a/internal/recordlog/errors.go
+++ b/internal/recordlog/errors.go
@@ -15,7 +15,7 @@
 	// ErrTooLarge means that a key or a value is longer than the record format allows.
 	ErrTooLarge = errors.New("record log: record too large: keep keys below 64 KiB and values below 16 MiB")
 	// ErrWrite means that a write or a sync failed. Changes that were not durable before were undone.
-	ErrWrite = errors.New("record log: write failed: check the disk; the log continues in a new generation")
+	ErrWrite = errors.New("record log: write failed: look at the disk; the log goes on in a new generation")
 	// ErrCorrupt means that a value on disk fails its checksum.
 	ErrCorrupt = errors.New("record log: value damaged on disk: copy the record from another member")
 	// ErrFormat means that a newer version of the program wrote the folder.
