--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -13,19 +13,21 @@
 	"pgregory.net/rapid"
 )
 
-// kinds makes an empty message of each type, and an arbitrary one.
-var kinds = []struct {
+// messageTypes has generators of an empty and an arbitrary message of each type.
+var messageTypes = []struct {
 	empty     func() Message
 	arbitrary func(t *rapid.T) Message
 }{
-	kind[Node](), kind[NodeTable](), kind[Heartbeat](), kind[Offer](), kind[HeartbeatReply](), kind[Leave](), kind[ItemVersion](),
-	kind[Item](), kind[ItemDigest](), kind[Digest](), kind[Fetch](), kind[Items](), kind[MemberAddress](), kind[ControlView](),
-	kind[PartitionView](), kind[PartitionTable](), kind[Worker](), kind[Workers](), kind[WorkersFresh](), kind[ReplicationFrame](),
-	kind[LeaseRequest](), kind[LeaseReply](), kind[Header](), kind[Accept](), kind[AcceptReply](), kind[Lookup](), kind[LookupReply](),
-	kind[HeldDelivery](), kind[ServiceWindow](), kind[Hello](), kind[Deliver](), kind[Result](),
+	messageType[Node](), messageType[NodeTable](), messageType[Heartbeat](), messageType[PromotionOffer](),
+	messageType[HeartbeatReply](), messageType[Leave](), messageType[ItemVersion](), messageType[Item](), messageType[ItemDigest](),
+	messageType[Digest](), messageType[Fetch](), messageType[Items](), messageType[MemberAddress](), messageType[ControlView](),
+	messageType[PartitionView](), messageType[PartitionTable](), messageType[Worker](), messageType[Workers](),
+	messageType[WorkersFreshness](), messageType[ReplicationFrame](), messageType[LeaseRequest](), messageType[LeaseReply](),
+	messageType[Header](), messageType[Accept](), messageType[AcceptReply](), messageType[Lookup](), messageType[LookupReply](),
+	messageType[HeldDelivery](), messageType[ServiceWindow](), messageType[Hello](), messageType[Deliver](), messageType[Result](),
 }
 
-func kind[T any, P interface {
+func messageType[T any, P interface {
 	*T
 	Message
 }]() struct {
@@ -42,7 +44,7 @@
 	}
 }
 
-// withoutEmptySlices replaces empty slices by nil ones, which the encoding does not tell apart.
+// withoutEmptySlices replaces empty slices with nil, since the encoding does not distinguish them.
 func withoutEmptySlices(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -62,7 +64,7 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	for _, k := range kinds {
+	for _, k := range messageTypes {
 		t.Run(reflect.TypeOf(k.empty()).Elem().Name(), rapid.MakeCheck(func(t *rapid.T) {
 			is := is.New(t)
 			m := k.arbitrary(t)
@@ -71,7 +73,7 @@
 			is.Equal(string(encoded[:6]), "before")
 			encoded = encoded[6:]
 
-			decoded := k.arbitrary(t) // whatever it holds is replaced
+			decoded := k.arbitrary(t) // decoding replaces its previous content
 			is.NoErr(decoded.Decode(encoded))
 			is.Equal(decoded, m)
 
@@ -79,7 +81,7 @@
 			is.NoErr(decoded.Decode(longer))
 			is.Equal(decoded, m)
 
-			// What is cut off is an error or looks like an older sender's, and never a panic.
+			// A truncated message either is malformed or decodes like one of an older version; it never causes a panic.
 			cut := rapid.IntRange(0, len(encoded)).Draw(t, "cut")
 			if err := decoded.Decode(encoded[:cut]); err != nil {
 				is.True(errors.Is(err, ErrMalformed))
@@ -90,14 +92,14 @@
 
 func TestEmptyMessageIsZero(t *testing.T) {
 	is := is.New(t)
-	for _, k := range kinds {
+	for _, k := range messageTypes {
 		m := k.empty()
 		is.NoErr(m.Decode(nil))
 		is.Equal(m, k.empty())
 	}
 }
 
-// olderNode and olderHeartbeat are what a version before would write; newerNode and newerHeartbeat what one after would.
+// olderNode and olderHeartbeat are messages of an earlier version, newerNode and newerHeartbeat those of a later one.
 type (
 	olderNode      struct{ Node }
 	olderHeartbeat struct{ Node olderNode }
@@ -115,7 +117,7 @@
 func (m *olderNode) fields(c *coder) {
 	c.string(&m.Key)
 	c.string(&m.Name)
-	small(c, &m.Role)
+	byteEnum(c, &m.Role)
 }
 
 func (m *olderHeartbeat) fields(c *coder) { c.nested(&m.Node) }
@@ -129,41 +131,41 @@
 	c.nested(&m.Node)
 	c.nested(&m.Digest)
 	messages(c, &m.Offers)
-	c.uint32(&m.Primary)
-	c.bool(&m.Full)
-	c.strings(&m.Stuck)
-	c.bool(&m.Stalled)
-	c.bool(&m.ListUnread)
+	c.uint32(&m.PartitionsLed)
+	c.bool(&m.DiskFull)
+	c.strings(&m.UnreachablePeers)
+	c.bool(&m.DiskStalled)
+	c.bool(&m.WorkerListStale)
 	c.strings(&m.Notes)
 }
 
-var wholeNode = Node{
+var fullNode = Node{
 	Key: "edge-1/control", Name: "edge-1", Role: RoleControl, Incarnation: 1 << 60, Member: "edge-1/ab", Zone: "z", Region: "r",
-	Address: "10.0.0.1:7240", ControlPlane: "10.0.0.1:8046", Leaving: true, Counts: true,
+	Address: "10.0.0.1:7240", ControlPlane: "10.0.0.1:8046", Leaving: true, CountsForQuorum: true,
 }
 
-func TestOlderSender(t *testing.T) {
+func TestDecodesMessageOfOlderVersion(t *testing.T) {
 	is := is.New(t)
-	older := olderHeartbeat{Node: olderNode{wholeNode}}
+	older := olderHeartbeat{Node: olderNode{fullNode}}
 	var m Heartbeat
 	is.NoErr(m.Decode(encode(&older, nil)))
 	is.Equal(m, Heartbeat{Node: Node{Key: "edge-1/control", Name: "edge-1", Role: RoleControl}})
 }
 
-func TestNewerSender(t *testing.T) {
+func TestDecodesMessageOfNewerVersion(t *testing.T) {
 	is := is.New(t)
 	newer := newerHeartbeat{
-		Heartbeat: Heartbeat{Offers: []Offer{{Partition: 5, Epoch: 7, Learner: "s/1"}}, Primary: 3, Full: true},
-		Node:      newerNode{Node: wholeNode, Cores: 4},
+		Heartbeat: Heartbeat{Offers: []PromotionOffer{{Partition: 5, Epoch: 7, Learner: "s/1"}}, PartitionsLed: 3, DiskFull: true},
+		Node:      newerNode{Node: fullNode, Cores: 4},
 		Notes:     []string{"new", "field"},
 	}
 	var m Heartbeat
 	is.NoErr(m.Decode(encode(&newer, nil)))
-	is.Equal(m, Heartbeat{Node: wholeNode, Offers: newer.Offers, Primary: 3, Full: true})
+	is.Equal(m, Heartbeat{Node: fullNode, Offers: newer.Offers, PartitionsLed: 3, DiskFull: true})
 }
 
-// TestEncodingStays pins the bytes, so that a change of order or form is noticed.
-func TestEncodingStays(t *testing.T) {
+// TestEncodingIsStable compares the exact bytes, to detect changes of the field order or encoding.
+func TestEncodingIsStable(t *testing.T) {
 	is := is.New(t)
 	m := Accept{
 		Partition: 300, ID: "012c-7", RequestID: "7", Method: "POST", Host: "h", URI: "/p?q", Key: "k",
@@ -174,13 +176,13 @@
 		"01"+"04"+"0141"+"0162"+"01"+"d00f"+"02"+"0203"+"04626f6479")
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, encoded := range []string{
-		"ff",                     // a cut number
-		"ffffffffffffffffffffff", // a number over 64 bits
+		"ff",                     // a truncated integer
+		"ffffffffffffffffffffff", // an integer over 64 bits
 		"ffffffffff01",           // a partition over 32 bits
-		"0105",                   // a string longer than what is left
+		"0105",                   // a string longer than the remaining bytes
 	} {
 		b, err := hex.DecodeString(encoded)
 		is.NoErr(err)
@@ -190,10 +192,10 @@
 	is.True(errors.Is((&NodeTable{}).Decode([]byte{2, 0}), ErrMalformed)) // fewer elements than counted
 }
 
-func TestLists(t *testing.T) {
+func TestLongListRoundTrip(t *testing.T) {
 	is := is.New(t)
 	table := PartitionTable{}
-	for n := range uint32(3 * firstElements) {
+	for n := range uint32(3 * initialListCapacity) {
 		table.Partitions = append(table.Partitions, PartitionView{Partition: n, Epoch: 1, Primary: "a", Members: []string{"a", "b"}})
 	}
 	var decoded PartitionTable
@@ -212,11 +214,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(uint8(0), (&wholeNode).Append(nil))
-	f.Add(uint8(2), (&Heartbeat{Node: wholeNode, Offers: []Offer{{1, 2, "x"}}}).Append(nil))
+	f.Add(uint8(0), (&fullNode).Append(nil))
+	f.Add(uint8(2), (&Heartbeat{Node: fullNode, Offers: []PromotionOffer{{1, 2, "x"}}}).Append(nil))
 	f.Add(uint8(9), (&Digest{Key: "k", Versions: []ItemDigest{{ItemNodes, ItemVersion{1, 2}}}}).Append(nil))
 	f.Fuzz(func(t *testing.T, which uint8, b []byte) {
-		k := kinds[int(which)%len(kinds)]
+		k := messageTypes[int(which)%len(messageTypes)]
 		m := k.empty()
 		if m.Decode(b) != nil {
 			return
@@ -244,7 +246,7 @@
 	}
 }
 
-// TestPartitionTableIsSmall is a bound on what each change of the table costs for each process.
+// TestPartitionTableIsSmall limits the size of the table, which is sent to every process at each change.
 func TestPartitionTableIsSmall(t *testing.T) {
 	is := is.New(t)
 	member := func(n uint32) string { return fmt.Sprintf("store-sangre-grande-hall-%02d/%016x", n%17, n%17) }
@@ -255,17 +257,17 @@
 		})
 	}
 	encoded := table.Append(nil)
-	is.True(len(encoded) < 8_000) // each name written out took 140 bytes a partition
+	is.True(len(encoded) < 8_000) // writing out each name took 140 bytes per partition
 	var decoded PartitionTable
 	is.NoErr(decoded.Decode(encoded))
 	is.Equal(decoded, table)
 }
 
-func TestPartitionTableNamesNobodyElse(t *testing.T) {
+func TestPartitionTableRejectsUnknownNamePosition(t *testing.T) {
 	is := is.New(t)
 	table := PartitionTable{Partitions: []PartitionView{{Partition: 1, Epoch: 2, Primary: "a", Members: []string{"a"}}}}
 	encoded := table.Append(nil)
-	encoded[len(encoded)-2] = 2 // the last member, of the one name there is
+	encoded[len(encoded)-2] = 2 // position of the last member; the table has only one name
 	var decoded PartitionTable
 	is.True(errors.Is(decoded.Decode(encoded), ErrMalformed))
 }
--- a/internal/recordlog/commit.go
+++ b/internal/recordlog/commit.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// mostBatchBytes bounds what is written at once, unless a single append is larger: it is held in memory twice meanwhile.
+// maxBatchBytes limits a batch that has more than one append, since a batch is held in memory twice while it is written.
 const (
-	mostBatchBytes      = 1 << 20
-	batchesInGeneration = 4 // at least
+	maxBatchBytes           = 1 << 20
+	minBatchesPerGeneration = 4
 )
 
-// batch is what one write and one sync make durable.
+// batch holds the changes that one write and one sync make durable.
 type batch struct {
 	requests []*request
-	copies   []copied
-	floor    uint64 // to be raised to; 0 for none
+	copies   []recordCopy
+	floor    uint64 // new floor; 0 to leave it
 }
 
 func (b *batch) empty() bool { return len(b.requests) == 0 && len(b.copies) == 0 && b.floor == 0 }
 
 // run is the writing goroutine.
 func (l *Log) run() {
-	defer close(l.ended)
+	defer close(l.writerDone)
 	for {
 		if l.step() {
 			continue
@@ -37,22 +37,22 @@
 	return l.closed && len(l.queue) == 0
 }
 
-// step writes one batch, with a slice of compaction, and tells whether there was anything to do.
+// step writes one batch, including a slice of compaction, and reports whether there was anything to do.
 func (l *Log) step() bool {
-	requests, closed := l.take()
+	requests, closed := l.dequeue()
 	b := batch{requests: requests}
-	scanned := false
+	more := false
 	if !closed && l.mayCompact(requests) {
-		b.copies, scanned = l.compact(len(requests) > 0)
+		b.copies, more = l.compact(len(requests) > 0)
 	}
-	if !closed && (!l.broken || len(requests) > 0) {
+	if !closed && (!l.lastWriteFailed || len(requests) > 0) {
 		b.floor = l.removable()
 	}
 	if b.empty() {
-		return scanned
+		return more
 	}
 	if err := l.write(&b); err != nil {
-		l.takeBack(&b, writeError(err))
+		l.rollBack(&b, writeError(err))
 		return true
 	}
 	if b.floor > 0 {
@@ -66,10 +66,10 @@
 	return true
 }
 
-// mayCompact tells whether a batch may carry copies. After a failure compaction tries again only when there are requests, and only
-// with those that were refused: it must neither try without end nor take the space that the others need.
+// mayCompact reports whether a batch may include copies. After a failure compaction is retried only when there are requests, and only if
+// all of them were refused: it must neither retry endlessly nor use the space that accepted requests need.
 func (l *Log) mayCompact(requests []*request) bool {
-	if !l.broken {
+	if !l.lastWriteFailed {
 		return true
 	}
 	for _, r := range requests {
@@ -80,13 +80,13 @@
 	return len(requests) > 0
 }
 
-// take returns the next requests to write.
-func (l *Log) take() (requests []*request, closed bool) {
+// dequeue removes and returns the next requests to write.
+func (l *Log) dequeue() (requests []*request, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := min(mostBatchBytes, l.options.GenerationBytes/batchesInGeneration)
+	maxBytes := min(maxBatchBytes, l.options.GenerationBytes/minBatchesPerGeneration)
 	n, size := 0, int64(0)
-	for n < len(l.queue) && (n == 0 || size+l.queue[n].bytes <= most) {
+	for n < len(l.queue) && (n == 0 || size+l.queue[n].bytes <= maxBytes) {
 		size += l.queue[n].bytes
 		n++
 	}
@@ -104,23 +104,23 @@
 			return err
 		}
 	}
-	places := l.add(b)
-	if l.writer.added > 0 {
+	locations := l.encodeBatch(b)
+	if l.writer.batchBytes > 0 {
 		if err := l.writer.flush(); err != nil {
 			return err
 		}
-		l.broken = false
+		l.lastWriteFailed = false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle()
-	l.commit(b, places)
+	l.commitWriter()
+	l.commit(b, locations)
 	return nil
 }
 
-// add encodes a batch and returns where its records will be, in order.
-func (l *Log) add(b *batch) []location {
-	var places []location
+// encodeBatch adds a batch to the writer and returns the locations of its records, in order.
+func (l *Log) encodeBatch(b *batch) []location {
+	var locations []location
 	for _, r := range b.requests {
 		for i := range r.operations {
 			op := &r.operations[i]
@@ -129,70 +129,70 @@
 			}
 			record := diskRecord{kind: op.kind, continued: op.continued, group: op.group, version: op.version, value: op.value}
 			record.key = bytesOf(op.key)
-			places = append(places, l.writer.add(&record))
+			locations = append(locations, l.writer.add(&record))
 		}
 	}
 	for _, c := range b.copies {
 		record := diskRecord{kind: kindPut, group: c.group, version: c.version, key: bytesOf(c.key), value: c.value}
-		places = append(places, l.writer.add(&record))
+		locations = append(locations, l.writer.add(&record))
 	}
 	if b.floor > 0 {
 		l.writer.add(&diskRecord{kind: kindFloor, version: b.floor})
 	}
-	return places
+	return locations
 }
 
-// commit notes in the index that a batch is durable. The caller holds mu.
-func (l *Log) commit(b *batch, places []location) {
+// commit records in the index that a batch is durable. The caller holds mu.
+func (l *Log) commit(b *batch, locations []location) {
 	for _, r := range b.requests {
 		for i := range r.operations {
 			op := &r.operations[i]
 			var at location
 			if op.kind != kindNone {
-				at, places = places[0], places[1:]
+				at, locations = locations[0], locations[1:]
 			}
 			l.index.commit(op, at)
 			l.cacheValue(op)
 		}
-		l.queued -= r.bytes
+		l.queuedBytes -= r.bytes
 	}
 	for i, c := range b.copies {
-		l.index.move(c.group, c.key, c.from, places[i])
+		l.index.relocate(c.group, c.key, c.from, locations[i])
 	}
 }
 
-// cacheValue keeps a new large value at hand, and forgets the one before it.
+// cacheValue adds a new large value to the cache, and removes the value that it replaced.
 func (l *Log) cacheValue(op *operation) {
 	if op.previous.exists() {
-		l.values.remove(op.previous.at)
+		l.values.remove(op.previous.location)
 	}
 	if op.kind == kindPut {
 		if _, inline := op.entry.inline(); !inline {
-			l.values.add(op.entry.at, op.value)
+			l.values.add(op.entry.location, op.value)
 		}
 	}
 }
 
-// takeBack undoes everything that is not durable after a failure, the queue included: later appends may build upon what has failed.
-func (l *Log) takeBack(b *batch, err error) {
-	if l.writer != nil && l.writer.added > 0 {
+// rollBack undoes everything that is not durable after a failure, including the queue, since later appends may depend on failed ones.
+func (l *Log) rollBack(b *batch, err error) {
+	if l.writer != nil && l.writer.batchBytes > 0 {
 		if failure := l.writer.abandon(); failure != nil {
-			l.failed("cutting a generation's end failed", failure)
+			l.reportFailure("truncating a generation failed", failure)
 		}
 		l.writer = nil
 	}
 	l.endCompaction()
-	l.broken = true
+	l.lastWriteFailed = true
 	l.mu.Lock()
 	requests := append(b.requests, l.queue...)
-	l.queue, l.queued = nil, 0
+	l.queue, l.queuedBytes = nil, 0
 	for _, r := range slices.Backward(requests) {
 		for i := len(r.operations) - 1; i >= 0; i-- {
 			l.index.undo(&r.operations[i])
 		}
 	}
 	l.mu.Unlock()
-	l.failed("write failed", err)
+	l.reportFailure("write failed", err)
 	for _, r := range requests {
 		if r.err == nil {
 			r.err = err
--- a/internal/recordlog/crash_test.go
+++ b/internal/recordlog/crash_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// place of a key in the model.
+// modelKey identifies a record in the model.
 type modelKey struct {
 	group uint32
 	key   string
@@ -26,7 +26,7 @@
 
 type modelState map[modelKey]modelValue
 
-// modelRequest is an append or the dropping of a group.
+// modelRequest is an append or the drop of a group.
 type modelRequest struct {
 	group   uint32
 	records []replication.Record
@@ -46,11 +46,11 @@
 	}
 }
 
-// crashModel plays a log against a map through losses of power, kills and faults.
+// crashModel compares a log with a map across power losses, kills and disk faults.
 type crashModel struct {
 	t       *rapid.T
 	dir     string
-	disk    *powerDisk
+	disk    *powerLossDisk
 	log     *Log
 	options Options
 	random  *rand.Rand
@@ -80,7 +80,7 @@
 		case 0:
 			records[i] = replication.Record{Key: key, Deleted: true}
 		case 1:
-			records[i] = put(key, m.version, big(byte(m.version), 20+m.random.IntN(700)))
+			records[i] = put(key, m.version, repeated(byte(m.version), 20+m.random.IntN(700)))
 		default:
 			records[i] = put(key, m.version, fmt.Sprint(m.version))
 		}
@@ -94,7 +94,7 @@
 
 func (m *crashModel) submit(r modelRequest) {
 	done := func(err error) {
-		if m.disk.dead() {
+		if m.disk.powerLost() {
 			return
 		}
 		if err == nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// fault makes some operations of the disk fail, steps, and mends it.
+// fault makes some disk operations fail, runs a few steps, and clears the faults.
 func (m *crashModel) fault() {
 	names := []string{"WriteBatch", "Sync", "SyncFolder", "CreateJournal", "Remove", "Close"}
 	for range 1 + m.random.IntN(2) {
@@ -122,20 +122,20 @@
 	clear(m.disk.faults)
 }
 
-// restart abandons the log and opens it again, after a loss of power or just a kill.
+// restart abandons the log and reopens it, after a power loss or only a kill.
 func (m *crashModel) restart(power bool) {
-	m.disk.fuse = 0
+	m.disk.operationsLeft = 0
 	_ = m.log.Close()
 	for {
 		if power {
 			m.disk.losePower(m.dir, m.random)
 		}
-		m.disk.fuse = -1
+		m.disk.operationsLeft = -1
 		if m.random.IntN(3) == 0 {
-			m.arm(12)
+			m.armPowerLoss(12)
 		}
 		l, report, err := open(m.dir, m.options, m.disk)
-		if err != nil && m.disk.dead() {
+		if err != nil && m.disk.powerLost() {
 			power = true
 			continue
 		}
@@ -148,15 +148,15 @@
 		m.log = l
 		break
 	}
-	if m.disk.dead() { // without space it opens nevertheless; this is not that
+	if m.disk.powerLost() { // open succeeds without space, but not without power
 		m.t.Fatal("opened without power")
 	}
-	m.disk.fuse = -1
-	m.recovered()
+	m.disk.operationsLeft = -1
+	m.checkRecovered()
 }
 
-// recovered checks that the log holds what was durable, and of the rest a part from its beginning.
-func (m *crashModel) recovered() {
+// checkRecovered checks that the log holds all durable requests, and a prefix of the pending ones.
+func (m *crashModel) checkRecovered() {
 	found := m.contents()
 	state := maps.Clone(m.durable)
 	for i := 0; ; i++ {
@@ -185,7 +185,7 @@
 	return found
 }
 
-// check compares everything that can be read with the model, and the accounts with a new count.
+// check compares all readable records with the model, and the log's counters with a recount.
 func (m *crashModel) check() {
 	want := m.visible()
 	if found := m.contents(); !maps.Equal(found, want) {
@@ -214,32 +214,33 @@
 	if usage != m.log.usage {
 		m.t.Fatalf("usage %d, generations have %d", m.log.usage, usage)
 	}
-	if len(m.pending) == 0 && (len(m.log.index.pending) > 0 || len(m.log.index.shadows) > 0 || m.log.queued != 0) {
-		m.t.Fatalf("left over: %d values, %d shadows, %d bytes", len(m.log.index.pending), len(m.log.index.shadows), m.log.queued)
+	if len(m.pending) == 0 && (len(m.log.index.pending) > 0 || len(m.log.index.replacedBy) > 0 || m.log.queuedBytes != 0) {
+		m.t.Fatalf("not released: %d pending values, %d replaced entries, %d queued bytes",
+			len(m.log.index.pending), len(m.log.index.replacedBy), m.log.queuedBytes)
 	}
 }
 
-func (m *crashModel) arm(most int) {
-	m.disk.fuse = 1 + m.random.IntN(most)
-	m.disk.half = m.random.IntN(2) == 0
+func (m *crashModel) armPowerLoss(maxOperations int) {
+	m.disk.operationsLeft = 1 + m.random.IntN(maxOperations)
+	m.disk.applyFailing = m.random.IntN(2) == 0
 }
 
-func (m *crashModel) act(action int) {
+func (m *crashModel) runAction(action int) {
 	switch action {
 	case 0, 1, 2, 3:
 		m.append()
 	case 4, 5:
 		if m.random.IntN(2) == 0 {
-			m.disk.during = m.append
+			m.disk.onWrite = m.append
 		}
 		m.log.step()
-		m.disk.during = nil
+		m.disk.onWrite = nil
 	case 6:
-		settleAll(m.log)
+		stepUntilIdle(m.log)
 	case 7:
 		m.fault()
 	case 8:
-		m.arm(12)
+		m.armPowerLoss(12)
 		for range 6 {
 			m.append()
 			m.log.step()
@@ -250,7 +251,7 @@
 	case 10:
 		m.drop()
 	case 11:
-		settleAll(m.log)
+		stepUntilIdle(m.log)
 		if err := m.log.Close(); err != nil {
 			m.t.Fatal(err)
 		}
@@ -258,16 +259,16 @@
 	case 12:
 		for range 20 {
 			m.append()
-			m.disk.during = m.append
+			m.disk.onWrite = m.append
 			m.log.step()
-			m.disk.during = nil
+			m.disk.onWrite = nil
 		}
 	}
 }
 
 const modelActions = 13
 
-func TestCrashesLoseNothingDurableAndInventNothing(t *testing.T) {
+func TestCrashRecoveryKeepsDurableRecordsAndAddsNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "recordlog")
 		if err != nil {
@@ -275,11 +276,11 @@
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 		m := &crashModel{
-			t: t, dir: dir, disk: newPowerDisk(), durable: make(modelState),
+			t: t, dir: dir, disk: newPowerLossDisk(), durable: make(modelState),
 			options: Options{
 				SegmentBytes:    int64(rapid.SampledFrom([]int{100, 600, 3000}).Draw(t, "segment")),
 				GenerationBytes: int64(rapid.SampledFrom([]int{500, 4000, 20000}).Draw(t, "generation")),
-				Inline:          8, CacheBytes: int64(rapid.SampledFrom([]int{-1, 500}).Draw(t, "cache")),
+				MaxInlineBytes:  8, CacheBytes: int64(rapid.SampledFrom([]int{-1, 500}).Draw(t, "cache")),
 			},
 			random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 		}
@@ -288,7 +289,7 @@
 		}
 		defer func() { _ = m.log.Close() }()
 		for _, action := range rapid.SliceOfN(rapid.IntRange(0, modelActions-1), 1, 60).Draw(t, "actions") {
-			m.act(action)
+			m.runAction(action)
 			m.check()
 		}
 	})
--- a/internal/recordlog/recover.go
+++ b/internal/recordlog/recover.go
@@ -13,17 +13,17 @@
 	"go.uber.org/zap"
 )
 
-// recoveryScanBytes is the length of one read.
+// recoveryScanBytes is the size of one read from a file.
 const recoveryScanBytes = 256 << 10
 
 // open recovers a log without starting its writing goroutine.
 func open(dir string, options Options, d disk) (*Log, Report, error) {
 	options = options.withDefaults()
 	l := &Log{
-		dir: dir, options: options, disk: d, files: &fileCache{}, wake: make(chan struct{}, 1), nextNumber: 1,
-		index: newIndex(options.Inline), values: valueCache{limit: options.CacheBytes},
+		dir: dir, options: options, disk: d, files: &fileCache{}, wake: make(chan struct{}, 1), nextGeneration: 1,
+		index: newIndex(options.MaxInlineBytes), values: valueCache{limit: options.CacheBytes},
 	}
-	r := recovery{log: l, space: make([]byte, recoveryScanBytes), damage: make(map[uint64]Report)}
+	r := recovery{log: l, scanBuffer: make([]byte, recoveryScanBytes), damage: make(map[uint64]Report)}
 	if err := r.createFolder(); err != nil {
 		return nil, r.report, err
 	}
@@ -35,21 +35,21 @@
 		if !errors.Is(err, ErrFull) {
 			return nil, r.report, err
 		}
-		l.failed("no space for a new generation", err)
+		l.reportFailure("no space for a new generation", err)
 	}
 	l.options.Logger.Info("record log opened", zap.String("folder", dir), zap.Any("report", r.report))
 	return l, r.report, nil
 }
 
-// recovery reads what is on disk into a log.
+// recovery reads the files on disk into a log.
 type recovery struct {
-	log    *Log
-	report Report
-	space  []byte
+	log        *Log
+	report     Report
+	scanBuffer []byte
 
-	damage  map[uint64]Report // Garbled and Missing by generation; those below the floor do not matter in the end
-	pending []recovered       // records of an append whose end was not read yet
-	whole   place             // end of the last append that is whole
+	damage       map[uint64]Report // Garbled and Missing by generation; those below the final floor are not reported
+	pending      []recoveredRecord // records of an append whose last record has not been read yet
+	lastComplete segmentOffset     // end of the last complete append
 }
 
 // candidate is a folder that may be a generation.
@@ -57,22 +57,22 @@
 	number   uint64
 	folder   string
 	header   generationHeader
-	readable bool // the header
+	readable bool // whether the header could be read
 }
 
-// recovered is a record and where it is.
-type recovered struct {
+// recoveredRecord is a record with its location.
+type recoveredRecord struct {
 	kind    recordKind
 	group   uint32
 	version uint64
 	key     string
 	value   []byte
-	size    int // of the value
+	size    int // size of the value
 	at      location
 }
 
-// place is an offset in a segment of the generation being read.
-type place struct {
+// segmentOffset is a position in the generation being read: an offset in the segment with this index.
+type segmentOffset struct {
 	segment int
 	offset  int64
 }
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	chain := r.chain(candidates)
+	chain := r.selectChain(candidates)
 	for i, c := range chain {
 		g := &generation{number: c.number, salt: c.header.Salt, folder: c.folder}
 		r.log.generations = append(r.log.generations, g)
@@ -114,7 +114,7 @@
 	}
 	for _, folder := range r.report.Removed {
 		if err := r.log.disk.Remove(folder); err != nil {
-			r.log.failed("removing a leftover folder failed; the next start tries again", err)
+			r.log.reportFailure("removing a leftover folder failed; it is retried at the next start", err)
 		}
 	}
 	for _, elements := range r.log.index.groups {
@@ -138,7 +138,7 @@
 	}
 	var candidates []candidate
 	for _, e := range entries {
-		number, ok := generationNumber(e.Name())
+		number, ok := parseGenerationName(e.Name())
 		if !ok || !e.IsDir() {
 			continue
 		}
@@ -149,7 +149,7 @@
 		}
 		c.readable = err == nil && c.header.Number == number
 		candidates = append(candidates, c)
-		r.log.nextNumber = max(r.log.nextNumber, number+1)
+		r.log.nextGeneration = max(r.log.nextGeneration, number+1)
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return int(int64(a.number) - int64(b.number)) })
 	return candidates, nil
@@ -177,9 +177,9 @@
 	return header, header.decode(first.value)
 }
 
-// chain picks the generations to take, oldest first: the newest one with a readable header and those before it, each as named by the
-// one behind it, down to the floor. All others are left over and will be removed.
-func (r *recovery) chain(candidates []candidate) []candidate {
+// selectChain selects the generations to read, oldest first: the newest one with a readable header and its predecessors, each as named
+// by the header of its successor, down to the floor. All others are leftovers and will be removed.
+func (r *recovery) selectChain(candidates []candidate) []candidate {
 	var chain []candidate
 	for _, c := range candidates {
 		if c.readable {
@@ -195,11 +195,11 @@
 		case next == nil:
 		case next.header.Previous == c.number:
 			if !c.readable {
-				r.garbled(c.number)
+				r.countGarbled(c.number)
 				c.header = generationHeader{Number: c.number, Salt: next.header.PreviousSalt}
 			}
 		case next.header.Previous > c.number && c.readable:
-			r.missing(next.header.Previous)
+			r.countMissing(next.header.Previous)
 		default:
 			r.discard(c)
 			continue
@@ -208,14 +208,14 @@
 		next = &chain[len(chain)-1]
 	}
 	if next != nil && next.header.Previous != 0 {
-		r.missing(next.header.Previous)
+		r.countMissing(next.header.Previous)
 	}
 	slices.Reverse(chain)
 	return chain
 }
 
-// discard marks a folder for removal. A header is durable before anything follows it: a folder without a readable header, but with
-// more bytes than one, was damaged later.
+// discard marks a folder for removal. A header is durable before any record follows it: a folder with more bytes than a header but no
+// readable one was damaged later.
 func (r *recovery) discard(c candidate) {
 	r.report.Removed = append(r.report.Removed, c.folder)
 	if c.readable || c.number < r.log.floor {
@@ -223,25 +223,25 @@
 	}
 	info, err := os.Stat(segmentPath(c.folder, 1))
 	if err == nil && info.Size() > frameBytes(0, generationHeaderBytes) {
-		r.missing(c.number)
+		r.countMissing(c.number)
 	}
 }
 
-func (r *recovery) garbled(generation uint64) {
+func (r *recovery) countGarbled(generation uint64) {
 	damage := r.damage[generation]
 	damage.Garbled++
 	r.damage[generation] = damage
 }
 
-func (r *recovery) missing(generation uint64) {
+func (r *recovery) countMissing(generation uint64) {
 	damage := r.damage[generation]
 	damage.Missing++
 	r.damage[generation] = damage
 }
 
-// readSealed reads a generation up to its known end, over damaged records.
-func (r *recovery) readSealed(g *generation, end endOfGeneration) error {
-	firsts, err := segmentFirsts(g.folder)
+// readSealed reads a generation up to its known end, skipping damaged records.
+func (r *recovery) readSealed(g *generation, end generationEnd) error {
+	firsts, err := listSegments(g.folder)
 	if err != nil {
 		return err
 	}
@@ -251,7 +251,7 @@
 			break
 		}
 		if first != next {
-			r.garbled(g.number) // a segment, or the rest of one, is missing
+			r.countGarbled(g.number) // a segment, or the rest of the previous one, is missing
 		}
 		limit := int64(-1)
 		if first == end.Segment {
@@ -262,7 +262,7 @@
 		}
 	}
 	if len(g.segments) == 0 || g.last().first != end.Segment || uint64(g.last().size) != end.Offset {
-		r.garbled(g.number)
+		r.countGarbled(g.number)
 	}
 	r.applyPending()
 	for _, s := range g.segments {
@@ -272,13 +272,13 @@
 	return nil
 }
 
-// readTail reads the newest generation up to the first record that is not whole, and notes that place as its end.
+// readTail reads the newest generation up to the first incomplete or damaged record, which becomes its end.
 func (r *recovery) readTail(g *generation) error {
-	firsts, err := segmentFirsts(g.folder)
+	firsts, err := listSegments(g.folder)
 	if err != nil {
 		return err
 	}
-	r.whole, r.report.TailCut = place{}, false
+	r.lastComplete, r.report.TailCut = segmentOffset{}, false
 	next := uint64(1)
 	for _, first := range firsts {
 		if first != next {
@@ -299,12 +299,12 @@
 	if len(g.segments) == 0 {
 		return nil
 	}
-	if r.whole.segment+1 < len(g.segments) && r.whole.offset == g.segments[r.whole.segment].size &&
-		r.whole.segment+2 == len(g.segments) && g.last().size == 0 {
-		r.whole = place{segment: r.whole.segment + 1} // the last one is empty as yet
+	if r.lastComplete.segment+1 < len(g.segments) && r.lastComplete.offset == g.segments[r.lastComplete.segment].size &&
+		r.lastComplete.segment+2 == len(g.segments) && g.last().size == 0 {
+		r.lastComplete = segmentOffset{segment: r.lastComplete.segment + 1} // the last segment is still empty
 	}
-	g.segments = g.segments[:r.whole.segment+1]
-	g.last().size = r.whole.offset
+	g.segments = g.segments[:r.lastComplete.segment+1]
+	g.last().size = r.lastComplete.offset
 	for _, s := range g.segments {
 		g.bytes += s.size
 	}
@@ -315,15 +315,15 @@
 	return nil
 }
 
-// segmentFirsts lists the segments of a folder by the positions of their first records.
-func segmentFirsts(folder string) ([]uint64, error) {
+// listSegments returns the segments of a folder, as the sorted positions of their first records.
+func listSegments(folder string) ([]uint64, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, err
 	}
 	var firsts []uint64
 	for _, e := range entries {
-		if first, ok := segmentFirst(e.Name()); ok {
+		if first, ok := parseSegmentName(e.Name()); ok {
 			firsts = append(firsts, first)
 		}
 	}
@@ -331,8 +331,8 @@
 	return firsts, nil
 }
 
-// readSegment applies the records of a segment up to a limit, or its end if the limit is negative, and returns the position behind
-// it. In a sealed generation it passes over damaged records, otherwise it stops there and returns 0.
+// readSegment applies the records of a segment up to a limit, or to its end if the limit is negative, and returns the position after the
+// last one. In a sealed generation it skips damaged records; otherwise it stops at the first one and returns 0.
 func (r *recovery) readSegment(g *generation, first uint64, limit int64, sealed bool) (next uint64, err error) {
 	s := r.log.newSegment(g, first)
 	file, err := os.Open(s.path)
@@ -349,15 +349,15 @@
 	}
 	g.segments = append(g.segments, s)
 	r.log.index.segments[s.id] = s
-	scan := newScanner(file, s.size, g, first, r.space)
-	defer func() { r.space = scan.space }()
+	scan := newScanner(file, s.size, g, first, r.scanBuffer)
+	defer func() { r.scanBuffer = scan.backing }()
 	for {
 		record, err := scan.read()
 		switch {
 		case err == io.EOF:
 			return scan.next, nil
 		case errors.Is(err, errDamaged) && sealed:
-			r.garbled(g.number)
+			r.countGarbled(g.number)
 			if !scan.skip() {
 				return scan.next, nil
 			}
@@ -366,25 +366,25 @@
 		case err != nil:
 			return 0, errors.Wrapf(err, "reading %s", s.path)
 		default:
-			r.take(s, record)
+			r.collect(s, record)
 			if !record.continued {
-				r.whole = place{len(g.segments) - 1, scan.offset}
+				r.lastComplete = segmentOffset{len(g.segments) - 1, scan.offset}
 			}
 		}
 	}
 }
 
-// take notes a record, and applies those of its append once it is whole.
-func (r *recovery) take(s *segment, record scanned) {
+// collect adds a record to the pending append, and applies the append once it is complete.
+func (r *recovery) collect(s *segment, record scannedRecord) {
 	r.report.Records++
-	noted := recovered{
+	recovered := recoveredRecord{
 		kind: record.kind, group: record.group, version: record.version, key: string(record.key), size: len(record.value),
 		at: fileLocation(s.id, record.offset),
 	}
-	if len(record.value) <= r.log.options.Inline {
-		noted.value = append([]byte(nil), record.value...)
+	if len(record.value) <= r.log.options.MaxInlineBytes {
+		recovered.value = append([]byte(nil), record.value...)
 	}
-	r.pending = append(r.pending, noted)
+	r.pending = append(r.pending, recovered)
 	if !record.continued {
 		r.applyPending()
 	}
@@ -397,11 +397,11 @@
 	r.pending = r.pending[:0]
 }
 
-func (r *recovery) apply(record *recovered) {
+func (r *recovery) apply(record *recoveredRecord) {
 	x := r.log.index
 	switch record.kind {
 	case kindPut:
-		e := entry{record.at, newEntryDataOfLength(record.key, record.version, record.value, record.size, x.inline)}
+		e := entry{record.at, newEntryDataOfLength(record.key, record.version, record.value, record.size, x.maxInlineBytes)}
 		old := x.put(record.group, e)
 		x.addLive(e, 1)
 		if old.exists() {
@@ -424,7 +424,7 @@
 	}
 }
 
-// raiseFloor forgets what was read from generations below the floor: when it was written, all that was alive in them had been copied.
+// raiseFloor drops the entries read from generations below the floor: all their live records had been copied when the floor was written.
 func (r *recovery) raiseFloor(floor uint64) {
 	if floor <= r.log.floor {
 		return
@@ -435,7 +435,7 @@
 	}
 }
 
-// dropBelowFloor takes the generations out of the list that a floor record read later has named.
+// dropBelowFloor removes the generations from the list that are below the floor, which a later record may have raised.
 func (r *recovery) dropBelowFloor() {
 	l := r.log
 	for len(l.generations) > 0 && l.generations[0].number < l.floor {
@@ -449,8 +449,8 @@
 	}
 }
 
-// makeDurable cuts the newest generation where it ends, and syncs what a process that was killed may have left unsynced. All
-// segments but the last were synced before the next one was begun.
+// makeDurable truncates the newest generation at its end, and syncs what a killed process may have left unsynced. All segments but the
+// last were synced before the next one was begun.
 func (r *recovery) makeDurable() error {
 	l := r.log
 	g := l.generations[len(l.generations)-1]
@@ -459,7 +459,7 @@
 	}
 	if r.report.TailCut {
 		if err := r.cutTail(g); err != nil {
-			l.failed("cutting a torn end failed; the next generation's header tells where it is", err)
+			l.reportFailure("truncating a torn tail failed; the next generation's header records where it ends", err)
 		}
 	}
 	if err := l.disk.SyncFile(g.last().path); err != nil {
@@ -468,11 +468,11 @@
 	if err := l.disk.SyncFolder(g.folder); err != nil {
 		return errors.Wrapf(err, "syncing %s", g.folder)
 	}
-	return errors.Wrapf(l.disk.SyncFolder(l.dir), "syncing %s", l.dir) // the killed process may have just made g's folder
+	return errors.Wrapf(l.disk.SyncFolder(l.dir), "syncing %s", l.dir) // the killed process may have just created g's folder
 }
 
 func (r *recovery) cutTail(g *generation) error {
-	firsts, err := segmentFirsts(g.folder)
+	firsts, err := listSegments(g.folder)
 	for _, first := range firsts {
 		if first > g.last().first {
 			err = multierr.Append(err, r.log.disk.Remove(segmentPath(g.folder, first)))
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// call is one call of this side that waits for its answer.
+// call is one outgoing call that is waiting for its answer.
 type call struct {
 	id    uint64
 	done  func(body []byte, err error)
 	timer *time.Timer
 	// The fields below are guarded by the connection's mutex.
-	batch     *batch // that holds its frame, nil while it is queued
-	offset    int    // of its frame in the batch
-	cancelled bool   // ended before its frame left the queue
+	batch     *batch // the batch that holds its frame; nil while it is queued
+	offset    int    // start of its frame in the batch
+	cancelled bool   // finished before its frame left the queue
 }
 
-// Call sends a request and waits for its answer. The error is a *RemoteError if the other side refused, and otherwise wraps
-// ErrNotSent or ErrLost. body must not be changed afterwards.
+// Call sends a request and waits for its answer. The error is a *RemoteError if the peer refused the call, and otherwise wraps
+// ErrNotSent or ErrResponseLost. body must not be modified afterwards.
 func (c *Conn) Call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, notSent(err)
@@ -27,7 +27,7 @@
 		err  error
 	}
 	answers := make(chan answer, 1)
-	waiting := c.begin(kind, body, 0, func(body []byte, err error) { answers <- answer{body, err} })
+	waiting := c.startCall(kind, body, 0, func(body []byte, err error) { answers <- answer{body, err} })
 	select {
 	case a := <-answers:
 		return a.body, a.err
@@ -40,15 +40,15 @@
 	}
 }
 
-// CallAsync sends a request and returns at once. done is called exactly once, with the results of Call, on another goroutine (the
-// connection's read goroutine as a rule) or, if the connection is closed already, on the caller's; it must not block. A timeout of 0
-// waits as long as the connection lasts.
+// CallAsync sends a request and returns immediately. done is called exactly once, with the results of Call, on another goroutine
+// (usually the connection's read goroutine) or, if the connection is already closed, on the caller's; it must not block. With a timeout
+// of 0 it waits until the connection is closed.
 func (c *Conn) CallAsync(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) {
-	c.begin(kind, body, timeout, done)
+	c.startCall(kind, body, timeout, done)
 }
 
-// begin queues a call; it returns nil if that failed and done was called.
-func (c *Conn) begin(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) *call {
+// startCall queues a call; it returns nil if queueing failed, in which case done was called.
+func (c *Conn) startCall(kind Kind, body []byte, timeout time.Duration, done func(body []byte, err error)) *call {
 	waiting := &call{done: done}
 	c.mutex.Lock()
 	if c.closed {
@@ -64,8 +64,8 @@
 		waiting.timer = time.AfterFunc(timeout, func() { c.abandon(waiting, ErrTimeout) })
 	}
 	c.mutex.Unlock()
-	// When this fails the connection is shut, which ends the call, or the body is too long.
-	err := c.send(outgoing{header: header{frameType: frameCall, kind: uint16(kind), id: waiting.id}, body: body, call: waiting})
+	// If send fails, either the connection has been closed, which finishes the call, or the body is too long.
+	err := c.send(outgoingFrame{header: header{frameType: frameCall, kind: uint16(kind), id: waiting.id}, body: body, call: waiting})
 	if err != nil {
 		c.abandon(waiting, err)
 		return nil
@@ -73,7 +73,7 @@
 	return waiting
 }
 
-// abandon ends a call without an answer, unless it has ended.
+// abandon finishes a call without an answer, unless it has finished already.
 func (c *Conn) abandon(waiting *call, cause error) {
 	c.mutex.Lock()
 	_, open := c.calls[waiting.id]
@@ -83,12 +83,12 @@
 	}
 	c.mutex.Unlock()
 	if open {
-		waiting.end(c, nil, cause)
+		waiting.finish(c, nil, cause)
 	}
 }
 
-// take removes and returns the call of that id.
-func (c *Conn) take(id uint64) *call {
+// removeCall removes and returns the call with this id.
+func (c *Conn) removeCall(id uint64) *call {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	waiting := c.calls[id]
@@ -96,8 +96,8 @@
 	return waiting
 }
 
-// end tells the caller; the call must have been removed from the connection's calls by whoever calls end.
-func (w *call) end(c *Conn, body []byte, cause error) {
+// finish reports the result to the caller; the call must have been removed from the connection's calls before.
+func (w *call) finish(c *Conn, body []byte, cause error) {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
@@ -107,13 +107,13 @@
 	case refused:
 		w.done(nil, refusal)
 	case c.maybeSent(w):
-		w.done(nil, lost(cause))
+		w.done(nil, responseLost(cause))
 	default:
 		w.done(nil, notSent(cause))
 	}
 }
 
-// maybeSent says whether a byte of the call's frame may have been given to the socket.
+// maybeSent reports whether a byte of the call's frame may have been written to the socket.
 func (c *Conn) maybeSent(w *call) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/monitor_test.go
+++ b/internal/rpc/monitor_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// stopped are options under which monitors make no ticks of their own within a test.
-var stopped = Options{PingEvery: time.Hour, DeadAfter: 2 * time.Hour, IdleAfter: 0}
+// withoutTimer are options with which a monitor's timer does not fire within a test.
+var withoutTimer = Options{PingInterval: time.Hour, PeerTimeout: 2 * time.Hour, IdleTimeout: 0}
 
-// readFrame takes the next frame that the peer of a silentPeer got.
+// readFrame reads the header of the next frame on the socket of an unresponsivePeer.
 func readFrame(t *testing.T, socket *net.TCPConn) header {
 	t.Helper()
 	var head [headerSize]byte
@@ -22,56 +22,56 @@
 	return parseHeader(head[:])
 }
 
-func tick(m *monitor, n int) {
+func runTicks(m *monitor, n int) {
 	for range n {
 		m.tick()
 	}
 }
 
-func TestSilentPeerIsPingedAndThenClosed(t *testing.T) {
+func TestUnresponsivePeerIsPingedThenClosed(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
-	c := connect(t, address, echo, stopped)
+	address, sockets := unresponsivePeer(t)
+	c := connect(t, address, echo, withoutTimer)
 	socket := <-sockets
 	answers := make(chan error, 1)
 	c.CallAsync(kindEcho, nil, 0, func(_ []byte, err error) { answers <- err })
 	is.Equal(readFrame(t, socket).frameType, uint8(frameCall))
-	tick(c.monitor, ticksPerPing)
+	runTicks(c.monitor, ticksPerPing)
 	is.Equal(readFrame(t, socket).frameType, uint8(framePing))
-	tick(c.monitor, ticksPerPing-1)
+	runTicks(c.monitor, ticksPerPing-1)
 	is.True(!c.isClosed())
 	c.monitor.tick()
 	<-c.Done()
-	is.True(errors.Is(c.Err(), ErrSilent))
+	is.True(errors.Is(c.Err(), ErrPeerUnresponsive))
 	err := <-answers
-	is.True(errors.Is(err, ErrLost) && errors.Is(err, ErrSilent))
+	is.True(errors.Is(err, ErrResponseLost) && errors.Is(err, ErrPeerUnresponsive))
 }
 
-func TestPongKeepsAConnection(t *testing.T) {
+func TestPongKeepsConnectionOpen(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
+	address, sockets := unresponsivePeer(t)
 	handled := make(chan struct{}, 1)
-	c := connect(t, address, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), stopped)
+	c := connect(t, address, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), withoutTimer)
 	socket := <-sockets
 	for range 5 {
-		tick(c.monitor, 1+ticksPerPing) // the first sees the frames of the round before
+		runTicks(c.monitor, 1+ticksPerPing) // the first tick counts the frames of the previous round
 		is.Equal(readFrame(t, socket).frameType, uint8(framePing))
 		var frames [2 * headerSize]byte
 		(&header{frameType: framePong}).put(frames[:])
 		(&header{frameType: frameNotify}).put(frames[headerSize:])
 		_, err := socket.Write(frames[:])
 		is.NoErr(err)
-		<-handled // and so was the pong before it
+		<-handled // so the pong before it was handled, too
 	}
 	is.True(!c.isClosed())
 }
 
-// acceptedSide opens a connection to a server, lets it see one frame, and makes ticks there.
+// acceptedSide opens a connection to a server, sends it one frame, and runs ticks on the server.
 func acceptedSide(t *testing.T, ticks int) (*Server, *net.TCPConn) {
 	t.Helper()
 	is := is.New(t)
 	handled := make(chan struct{}, 1)
-	server := listen(t, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), stopped)
+	server := listen(t, HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) { handled <- struct{}{} }), withoutTimer)
 	socket, err := net.Dial("tcp", server.Addr())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = socket.Close() })
@@ -81,7 +81,7 @@
 	is.NoErr(err)
 	is.NoErr(readPreamble(socket))
 	<-handled
-	tick(server.monitor, 1+ticks) // the first sees the frame
+	runTicks(server.monitor, 1+ticks) // the first tick counts the frame
 	return server, socket.(*net.TCPConn)
 }
 
@@ -99,16 +99,16 @@
 
 func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
-	server := listen(t, echo, stopped)
-	o := stopped
-	o.IdleAfter, o.DeadAfter = o.PingEvery, 100*o.PingEvery
+	server := listen(t, echo, withoutTimer)
+	o := withoutTimer
+	o.IdleTimeout, o.PeerTimeout = o.PingInterval, 100*o.PingInterval
 	c := connect(t, server.Addr(), echo, o)
-	c.CallAsync(kindKeep, nil, 0, func([]byte, error) {})
-	tick(c.monitor, 2*ticksPerPing)
-	is.True(!c.isClosed()) // a call waits
+	c.CallAsync(kindNoReply, nil, 0, func([]byte, error) {})
+	runTicks(c.monitor, 2*ticksPerPing)
+	is.True(!c.isClosed()) // a call is pending
 
 	c = connect(t, server.Addr(), echo, o)
-	tick(c.monitor, ticksPerPing-1)
+	runTicks(c.monitor, ticksPerPing-1)
 	is.True(!c.isClosed())
 	c.monitor.tick()
 	<-c.Done()
@@ -117,8 +117,8 @@
 
 func TestMonitorRunsOnItsTimer(t *testing.T) {
 	is := is.New(t)
-	address, _ := silentPeer(t)
-	c := connect(t, address, echo, Options{PingEvery: 4 * time.Millisecond, DeadAfter: 8 * time.Millisecond})
+	address, _ := unresponsivePeer(t)
+	c := connect(t, address, echo, Options{PingInterval: 4 * time.Millisecond, PeerTimeout: 8 * time.Millisecond})
 	<-c.Done()
-	is.True(errors.Is(c.Err(), ErrSilent))
+	is.True(errors.Is(c.Err(), ErrPeerUnresponsive))
 }
--- a/internal/rpc/pool_test.go
+++ b/internal/rpc/pool_test.go
@@ -19,7 +19,7 @@
 
 func TestPoolSharesOneConnection(t *testing.T) {
 	is := is.New(t)
-	address, sockets := silentPeer(t)
+	address, sockets := unresponsivePeer(t)
 	p := newPool(t, Options{})
 	is.True(p.Peek(address) == nil)
 	conns := make([]*Conn, 20)
@@ -36,7 +36,7 @@
 	is.Equal(len(sockets), 0)
 }
 
-func TestPoolDialsAgainAfterALoss(t *testing.T) {
+func TestPoolRedialsClosedConnection(t *testing.T) {
 	is := is.New(t)
 	ends := make(chan struct{}, 2)
 	server := listen(t, echo, Options{})
@@ -49,7 +49,7 @@
 	is.True(first != second)
 	<-ends
 	is.True(p.Peek(server.Addr()) == second)
-	p.forget(server.Addr(), first) // the end of the first, when it comes late, does not take the second
+	p.remove(server.Addr(), first) // a late removal of the first connection does not remove the second
 	is.True(p.Peek(server.Addr()) == second)
 	p.Drop(server.Addr())
 	<-second.Done()
@@ -71,17 +71,17 @@
 		is.True(errors.Is(err, ErrNotSent))
 		now = now.Add(pause - 1)
 		d, _, again := p.join(address)
-		is.True(d == nil && again == err) // at once, the same error
+		is.True(d == nil && again == err) // the same error, without a dial
 		now = now.Add(1)
 		pause = min(2*pause, maxDialPause)
 	}
-	p.Drop(address) // forgets the pause
+	p.Drop(address) // resets the backoff
 	d, _, _ := p.join(address)
 	is.True(d != nil)
 	<-d.done
 }
 
-func TestPoolGivesTheFirstDialsLessTime(t *testing.T) {
+func TestPoolDialTimeoutGrowsWithFailures(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -102,9 +102,9 @@
 	is.Equal(short.entries[address].timeout, 50*time.Millisecond)
 }
 
-func TestPoolGetGivesUpWithItsContext(t *testing.T) {
+func TestPoolGetReturnsWhenContextIsCancelled(t *testing.T) {
 	is := is.New(t)
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts by its backlog only: no preamble comes
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // the backlog accepts connections, but no preamble is sent
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
 	p := newPool(t, Options{})
@@ -114,7 +114,7 @@
 	is.True(errors.Is(err, ErrNotSent) && errors.Is(err, context.Canceled))
 }
 
-func TestClosedPool(t *testing.T) {
+func TestClosedPoolRefusesGet(t *testing.T) {
 	is := is.New(t)
 	server := listen(t, echo, Options{})
 	p := newPool(t, Options{})
@@ -126,22 +126,22 @@
 	is.True(errors.Is(err, ErrNotSent) && errors.Is(err, ErrClosed))
 }
 
-// A connection over which something came lately may be one to the new process.
+// A connection on which a frame was received recently may be one to the new process.
 func TestOnlySilentConnectionsToReplacedProcessesAreDropped(t *testing.T) {
 	is := is.New(t)
 	server, err := Listen("127.0.0.1:0", HandlerFunc(func(*Conn, Kind, []byte, func([]byte, error)) {}), Options{})
 	is.NoErr(err)
 	defer server.Close()
-	pool := NewPool(nil, Options{PingEvery: time.Hour, DeadAfter: 10 * time.Hour})
+	pool := NewPool(nil, Options{PingInterval: time.Hour, PeerTimeout: 10 * time.Hour})
 	defer pool.Close()
 	conn, err := pool.Get(t.Context(), server.Addr())
 	is.NoErr(err)
-	conn.silent.Store(replacedAfter - 1)
+	conn.silentTicks.Store(replacedAfterTicks - 1)
 	pool.DropReplaced(server.Addr())
 	is.True(pool.Peek(server.Addr()) == conn)
-	conn.silent.Store(replacedAfter)
+	conn.silentTicks.Store(replacedAfterTicks)
 	pool.DropReplaced(server.Addr())
 	<-conn.Done()
 	is.True(errors.Is(conn.Err(), ErrReplaced))
-	pool.DropReplaced("127.0.0.1:1") // there is none
+	pool.DropReplaced("127.0.0.1:1") // there is no connection to this address
 }
