--- a/internal/roles/control/abandon.go
+++ b/internal/roles/control/abandon.go
@@ -66,7 +66,7 @@
 	case len(members) == 0:
 		return refusal(http.StatusConflict, "the store of this machine is there with its disk: empty it by /retire/NODE/start")
 	}
-	page := abandonmentPage{Stores: members, Abandonment: placement.Abandon(p.placementInput(now), members)}
+	page := abandonmentPage{Stores: members, Abandonment: placement.PreviewAbandonment(p.placementInput(now), members)}
 	body, _ := json.Marshal(page) // numbers and texts always encode
 	return answer{status: http.StatusOK, body: body}
 }
--- a/internal/roles/control/placement.go
+++ b/internal/roles/control/placement.go
@@ -124,14 +124,14 @@
 	input := p.placementInput(now)
 	live := 0
 	for _, store := range input.Stores {
-		if store.GoneFor == 0 && !store.Stalled {
+		if store.DownFor == 0 && !store.Stalled {
 			live++
 		}
 	}
 	if live < input.Copies {
 		return
 	}
-	views := placement.FoundWith(input, partitionCount(live))
+	views := placement.InitialViewsFor(input, partitionCount(live))
 	if views == nil {
 		return
 	}
@@ -214,7 +214,7 @@
 			store.Leaving = node.Leaving
 			store.Stalled = p.placement.trouble.isStalled(now, member)
 		} else {
-			store.GoneFor = max(now-p.goneSince(member), 1)
+			store.DownFor = max(now-p.goneSince(member), 1)
 		}
 		stores = append(stores, store)
 	}
--- a/internal/roles/control/status.go
+++ b/internal/roles/control/status.go
@@ -46,10 +46,10 @@
 		for _, s := range d.primary.placementStores(d.now()) {
 			record := d.primary.model.stores[s.Member]
 			page.Stores = append(page.Stores, statuspage.Store{
-				Member: s.Member, Live: s.GoneFor == 0, Retiring: s.Retiring, Emptied: record.Emptied, Abandoned: s.Abandoned,
+				Member: s.Member, Live: s.DownFor == 0, Retiring: s.Retiring, Emptied: record.Emptied, Abandoned: s.Abandoned,
 			})
 		}
-		page.Partitions.WaitsFor, page.Partitions.Waiting = placement.WaitsFor(d.primary.placementInput(d.now()))
+		page.Partitions.WaitsFor, page.Partitions.Waiting = placement.AwaitedMembers(d.primary.placementInput(d.now()))
 	}
 	return page
 }
--- a/internal/roles/dispatcher/state.go
+++ b/internal/roles/dispatcher/state.go
@@ -26,7 +26,7 @@
 	for i := range s.Configuration.Services {
 		service := &s.Configuration.Services[i]
 		owners := placement.OwnerCount(service.RatePerS, service.Static != "")
-		if owners > 0 && !slices.Contains(ownership.Of(service.Name, owners), self) {
+		if owners > 0 && !slices.Contains(ownership.Owners(service.Name, owners), self) {
 			continue
 		}
 		state.Services = append(state.Services, delivery.Service{
--- a/internal/roles/store/windows.go
+++ b/internal/roles/store/windows.go
@@ -73,7 +73,7 @@
 
 func (f *fleet) ownedWindow(service *configuration.Service, count int) queue.Window {
 	owners := []string{}
-	for _, key := range f.ownership.Of(service.Name, count) {
+	for _, key := range f.ownership.Owners(service.Name, count) {
 		owners = append(owners, f.sessions[key])
 	}
 	each := ownerWindow
--- a/placement/abandon.go
+++ b/placement/abandon.go
@@ -14,8 +14,8 @@
 	Waiting    int // wait for yet another disk
 }
 
-// Abandon tells what it would mean to give up the disks of stores that are gone. It changes nothing.
-func Abandon(in Input, members []string) (a Abandonment) {
+// PreviewAbandonment tells what it would mean to give up the disks of stores that are gone. It changes nothing.
+func PreviewAbandonment(in Input, members []string) (a Abandonment) {
 	in.Stores = slices.Clone(in.Stores)
 	for i := range in.Stores {
 		in.Stores[i].Abandoned = in.Stores[i].Abandoned || slices.Contains(members, in.Stores[i].Member)
@@ -71,9 +71,9 @@
 	return s.filter(list, func(st *store) bool { return !st.abandoned() })
 }
 
-// WaitsFor returns the members whose disks partitions wait for, in order, and how many partitions rest for that. The operator starts these
+// AwaitedMembers returns the members whose disks partitions wait for, in order, and how many partitions rest for that. The operator starts these
 // stores, puts their disks back, or gives them up.
-func WaitsFor(in Input) (members []string, partitions int) {
+func AwaitedMembers(in Input) (members []string, partitions int) {
 	s := newState(in)
 	found := map[string]bool{}
 	for p := range s.views {
--- a/placement/abandon_test.go
+++ b/placement/abandon_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	in := Input{
 		Stores: []Store{
-			{Member: "s1/a"}, {Member: "s2/b", GoneFor: time.Second}, {Member: "s3/c", GoneFor: time.Second}, {Member: "s4/d", GoneFor: time.Second}, {Member: "s5/e"},
+			{Member: "s1/a"}, {Member: "s2/b", DownFor: time.Second}, {Member: "s3/c", DownFor: time.Second}, {Member: "s4/d", DownFor: time.Second}, {Member: "s5/e"},
 		},
 		Copies: 2,
 		Partitions: []View{
@@ -26,9 +26,9 @@
 			{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a"}, Learners: []string{"s2/b"}, Sources: []string{"s2/b"}, Holders: []string{"s3/c"}}, // source lost
 		},
 	}
-	is.Equal(Abandon(in, []string{"s2/b", "s3/c"}), Abandonment{Kept: 1, Merged: 1, Incomplete: 2, Emptied: 1, Waiting: 1})
-	is.Equal(Abandon(in, []string{"s9/z"}), Abandonment{})
-	members, partitions := WaitsFor(in)
+	is.Equal(PreviewAbandonment(in, []string{"s2/b", "s3/c"}), Abandonment{Kept: 1, Merged: 1, Incomplete: 2, Emptied: 1, Waiting: 1})
+	is.Equal(PreviewAbandonment(in, []string{"s9/z"}), Abandonment{})
+	members, partitions := AwaitedMembers(in)
 	is.Equal(members, []string{"s2/b", "s3/c", "s4/d"})
 	is.Equal(partitions, 5)          // all but the first and the sixth
 	is.True(!in.Stores[1].Abandoned) // nothing was changed
@@ -43,18 +43,18 @@
 		}
 		var gone []string
 		for _, name := range m.order {
-			if m.stores[name].GoneFor > 0 {
+			if m.stores[name].DownFor > 0 {
 				gone = append(gone, name)
 			}
 		}
 		if m.lasting() < m.copies {
 			return
 		}
-		told := Abandon(m.input(true), gone)
+		told := PreviewAbandonment(m.input(true), gone)
 		if told.Waiting > 0 {
 			t.Fatalf("all are given up, and partitions wait: %+v", told)
 		}
-		_, before := WaitsFor(m.input(true))
+		_, before := AwaitedMembers(m.input(true))
 		if told.Emptied+told.Incomplete > 0 && before == 0 {
 			t.Fatalf("something is lost though no partition waits: %+v", told)
 		}
@@ -62,7 +62,7 @@
 			m.stores[name].Abandoned = true
 		}
 		m.settle(t)
-		if members, n := WaitsFor(m.input(true)); n > 0 {
+		if members, n := AwaitedMembers(m.input(true)); n > 0 {
 			t.Fatalf("%d partitions wait for %v", n, members)
 		}
 	})
--- a/placement/blocked_test.go
+++ b/placement/blocked_test.go
@@ -119,7 +119,7 @@
 			m.stores[name].Stalled = rapid.IntRange(0, 5).Draw(t, "stalled") == 0
 		}
 		in := m.input(true)
-		in.Limit = 1000
+		in.MoveLimit = 1000
 		for range rapid.IntRange(1, 6).Draw(t, "cuts") {
 			in.Blocked = append(in.Blocked, [2]string{rapid.SampledFrom(m.order).Draw(t, "one"), rapid.SampledFrom(m.order).Draw(t, "other")})
 		}
--- a/placement/found.go
+++ b/placement/found.go
@@ -5,13 +5,13 @@
 // firstEpoch is the epoch of the first view of a partition.
 const firstEpoch = 1
 
-// Found returns the first views of a number of partitions, nil where there are fewer live stores than copies.
-func Found(stores []Store, partitions, copies int) []View {
-	return FoundWith(Input{Stores: stores, Copies: copies}, partitions)
+// InitialViews returns the first views of a number of partitions, nil where there are fewer live stores than copies.
+func InitialViews(stores []Store, partitions, copies int) []View {
+	return InitialViewsFor(Input{Stores: stores, Copies: copies}, partitions)
 }
 
-// FoundWith is Found with the stores, copies and separation of an input.
-func FoundWith(in Input, partitions int) []View {
+// InitialViewsFor is Found with the stores, copies and separation of an input.
+func InitialViewsFor(in Input, partitions int) []View {
 	in.Partitions, in.Offers = make([]View, partitions), nil
 	s := newState(in)
 	if len(s.eligibleBy(func(int) int { return 0 })) < s.in.Copies {
--- a/placement/lostsource_test.go
+++ b/placement/lostsource_test.go
@@ -11,7 +11,7 @@
 func mergeUnderWay() Input {
 	return Input{
 		Stores: []Store{
-			{Member: "s1/a"}, {Member: "s2/b", GoneFor: time.Second}, {Member: "s2/b2"}, {Member: "s3/c", GoneFor: time.Second}, {Member: "s3/c2"},
+			{Member: "s1/a"}, {Member: "s2/b", DownFor: time.Second}, {Member: "s2/b2"}, {Member: "s3/c", DownFor: time.Second}, {Member: "s3/c2"},
 		},
 		Copies:     2,
 		Partitions: []View{{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a"}, Learners: []string{"s2/b"}, Sources: []string{"s2/b"}, Holders: []string{"s3/c"}}},
@@ -56,7 +56,7 @@
 func TestMergeDoesNotWaitForAnAbandonedStore(t *testing.T) {
 	is := is.New(t)
 	in := Input{
-		Stores: []Store{{Member: "s1/a"}, {Member: "s2/b", GoneFor: time.Second}, {Member: "s3/c", GoneFor: time.Second}, {Member: "s4/d"}},
+		Stores: []Store{{Member: "s1/a"}, {Member: "s2/b", DownFor: time.Second}, {Member: "s3/c", DownFor: time.Second}, {Member: "s4/d"}},
 		Copies: 2,
 		Partitions: []View{
 			{Epoch: 3, Primary: "s2/b", Members: []string{"s2/b"}, Learners: []string{"s1/a"}, Holders: []string{"s3/c"}},
@@ -75,7 +75,7 @@
 	is.Equal(len(changes[1].View.Learners), 1)
 	is.Equal(len(changes[1].View.Sources), 0)
 
-	in.Stores[1].GoneFor, in.Stores[2].GoneFor = 0, 0 // back all the same: nothing is given up
+	in.Stores[1].DownFor, in.Stores[2].DownFor = 0, 0 // back all the same: nothing is given up
 	for _, change := range Plan(in) {
 		is.Equal(change.View.Primary, "s2/b")
 	}
@@ -86,7 +86,7 @@
 func TestAbandonedStoreIsBackWhenASourceIsLost(t *testing.T) {
 	is := is.New(t)
 	changes := Plan(Input{
-		Stores: []Store{{Member: "s1/a"}, {Member: "s2/b", GoneFor: time.Second, Abandoned: true}, {Member: "s3/c"}},
+		Stores: []Store{{Member: "s1/a"}, {Member: "s2/b", DownFor: time.Second, Abandoned: true}, {Member: "s3/c"}},
 		Copies: 2,
 		Partitions: []View{
 			{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a"}, Learners: []string{"s2/b"}, Sources: []string{"s2/b"}, Holders: []string{"s3/c"}},
@@ -104,8 +104,8 @@
 	in := mergeUnderWay()
 	in.Stores = append(in.Stores, Store{Member: "s4/d"})
 	for i := range in.Stores {
-		if in.Stores[i].GoneFor > 0 {
-			in.Stores[i].GoneFor = 2 * SettleTime
+		if in.Stores[i].DownFor > 0 {
+			in.Stores[i].DownFor = 2 * RebalanceDelay
 		}
 	}
 	for range 9 {
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -54,7 +54,7 @@
 		m.addStore(len(m.order) % zones)
 	}
 	partitions := rapid.IntRange(1, 48).Draw(t, "partitions")
-	for _, v := range FoundWith(m.input(true), partitions) {
+	for _, v := range InitialViewsFor(m.input(true), partitions) {
 		m.partitions = append(m.partitions, modelPartition{view: v})
 	}
 	for _, s := range m.stores {
@@ -76,10 +76,10 @@
 	return name
 }
 
-func (m *model) live(name string) bool { s := m.stores[name]; return s != nil && s.GoneFor == 0 }
+func (m *model) live(name string) bool { s := m.stores[name]; return s != nil && s.DownFor == 0 }
 
 func (m *model) input(noBalance bool) Input {
-	in := Input{Copies: m.copies, Limit: m.limit, SpreadRegions: m.regions, SharedZones: m.shared, NoBalance: noBalance, Offers: map[int][]string{}}
+	in := Input{Copies: m.copies, MoveLimit: m.limit, SpreadRegions: m.regions, SharedZones: m.shared, NoBalance: noBalance, Offers: map[int][]string{}}
 	for _, name := range m.order {
 		in.Stores = append(in.Stores, m.stores[name].Store)
 	}
@@ -183,7 +183,7 @@
 
 // lost tells whether a disk is lost as far as a plan can know.
 func (m *model) lost(name string) bool {
-	return m.superseded(name) || m.stores[name].Abandoned && m.stores[name].GoneFor > 0
+	return m.superseded(name) || m.stores[name].Abandoned && m.stores[name].DownFor > 0
 }
 
 // gaveUp tells whether more disks of a partition are lost than may be, and the operator has given up each of them.
@@ -301,18 +301,18 @@
 // pass adds to the time that the stores have been gone for.
 func (m *model) pass(d time.Duration) {
 	for _, s := range m.stores {
-		if s.GoneFor > 0 {
-			s.GoneFor += d
+		if s.DownFor > 0 {
+			s.DownFor += d
 		}
 	}
 }
 
 func (m *model) stop(name string) {
 	s := m.stores[name]
-	s.GoneFor, s.Leaving = time.Millisecond, false
+	s.DownFor, s.Leaving = time.Millisecond, false
 }
 
-func (m *model) start(name string) { m.stores[name].GoneFor, m.stores[name].Abandoned = 0, false }
+func (m *model) start(name string) { m.stores[name].DownFor, m.stores[name].Abandoned = 0, false }
 
 // pick returns one of the stores that fit, none when there is none.
 func (m *model) pick(t *rapid.T, fits func(s *modelStore) bool) (string, bool) {
--- a/placement/owners.go
+++ b/placement/owners.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Of returns the dispatchers that a service is placed on, best first: count of them, or all where there are fewer.
-func (o *Ownership) Of(service string, count int) []string {
+// Owners returns the dispatchers that a service is placed on, best first: count of them, or all where there are fewer.
+func (o *Ownership) Owners(service string, count int) []string {
 	owned := o.services[service]
 	if owned == nil {
 		owned = &ownedService{}
--- a/placement/owners_test.go
+++ b/placement/owners_test.go
@@ -15,7 +15,7 @@
 func ownersOf(service string, dispatchers []string, count int) []string {
 	var o Ownership
 	o.SetDispatchers(dispatchers)
-	return o.Of(service, count)
+	return o.Owners(service, count)
 }
 
 // sortedOwners is how versions up to 0b7f853 placed a service. Both run side by side in an upgrade and have to agree.
@@ -82,7 +82,7 @@
 					continue
 				}
 				count := rapid.IntRange(0, 4).Draw(t, "count")
-				got, want := kept.Of(service, count), sortedOwners(service, names, count)
+				got, want := kept.Owners(service, count), sortedOwners(service, names, count)
 				if !slices.Equal(got, want) {
 					t.Fatalf("%s on %v of %v: %v, want %v", service, count, names, got, want)
 				}
@@ -100,12 +100,12 @@
 	before := map[string][]string{}
 	for n := range 300 {
 		service := fmt.Sprint("textgate-", n)
-		before[service] = o.Of(service, 2)
+		before[service] = o.Owners(service, 2)
 	}
 	o.SetDispatchers(all)
 	gained := 0
 	for service, owners := range before {
-		after := o.Of(service, 2)
+		after := o.Owners(service, 2)
 		if contains(after, all[0]) {
 			gained++
 			is.True(contains(owners, after[0]) || contains(owners, after[1]))
@@ -120,10 +120,10 @@
 	is := is.New(t)
 	var o Ownership
 	o.SetDispatchers(dispatcherNames(3))
-	o.Of("goes", 1)
-	o.Of("stays", 1)
+	o.Owners("goes", 1)
+	o.Owners("stays", 1)
 	o.SetDispatchers(dispatcherNames(4))
-	o.Of("stays", 1)
+	o.Owners("stays", 1)
 	o.SetDispatchers(dispatcherNames(4))
 	is.Equal(len(o.services), 1)
 	is.True(o.services["stays"] != nil)
@@ -157,7 +157,7 @@
 	names, services := dispatcherNames(benchDispatchers), benchServiceNames()
 	askAll := func(o *Ownership) {
 		for _, service := range services {
-			o.Of(service, 2)
+			o.Owners(service, 2)
 		}
 	}
 	b.Run("sorted", func(b *testing.B) {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -20,8 +20,8 @@
 	Stalled bool
 	// Abandoned says that the operator has given the disk up: while the store is gone, it counts as lost, however many others are.
 	Abandoned bool
-	// GoneFor is how long the store has had no session, 0 while it is live. A member without a Store is gone for good.
-	GoneFor time.Duration
+	// DownFor is how long the store has had no session, 0 while it is live. A member without a Store is gone for good.
+	DownFor time.Duration
 }
 
 // View is the composition of one partition's group in an epoch.
@@ -59,8 +59,8 @@
 	// Blocked holds pairs of live stores that cannot reach each other. Where a partition has both, one is left out if the others can
 	// have Copies without it; a copy is put beside one that it cannot reach only where Copies cannot be had otherwise.
 	Blocked [][2]string
-	// Limit bounds the partitions that are moved at once only for balance or retirement; 0 means DefaultLimit.
-	Limit int
+	// MoveLimit bounds the partitions that are moved at once only for balance or retirement; 0 means DefaultLimit.
+	MoveLimit int
 	// SpreadRegions asks for copies in different regions, not only in different zones.
 	SpreadRegions bool
 	// SharedZones says that a loss of zones need not be survived: a partition lies in as few zones as have stores enough for its copies, and
@@ -71,10 +71,10 @@
 }
 
 const (
-	// DefaultLimit is the number of partitions that are moved at once for balance or retirement.
-	DefaultLimit = 8
-	// SettleTime is how long copies are not moved for balance after a store has gone that may return.
-	SettleTime = 10 * time.Second
+	// DefaultMoveLimit is the number of partitions that are moved at once for balance or retirement.
+	DefaultMoveLimit = 8
+	// RebalanceDelay is how long copies are not moved for balance after a store has gone that may return.
+	RebalanceDelay = 10 * time.Second
 )
 
 // Plan returns the changes that are to be made now, ordered by partition. Each keeps these rules:
@@ -111,8 +111,8 @@
 	return s.changes()
 }
 
-// Succeeded reports whether no partition names the member any more, so that its machine may be taken away.
-func Succeeded(partitions []View, member string) bool {
+// CanRemove reports whether no partition names the member any more, so that its machine may be taken away.
+func CanRemove(partitions []View, member string) bool {
 	for _, v := range partitions {
 		if v.Primary == member || contains(v.Members, member) || contains(v.Learners, member) || contains(v.Holders, member) {
 			return false
@@ -128,14 +128,14 @@
 
 // CanRetireSoon is CanRetire if those that have gone within SettleTime return.
 func CanRetireSoon(stores []Store, member string, copies int) bool {
-	return remaining(stores, member, SettleTime) >= copies
+	return remaining(stores, member, RebalanceDelay) >= copies
 }
 
 // remaining counts the nodes that hold copies without a member: of stores that do not retire and have been gone no longer than a time.
 func remaining(stores []Store, member string, goneFor time.Duration) int {
 	nodes := map[string]bool{}
 	for _, s := range stores {
-		if s.GoneFor <= goneFor && !s.Retiring && NodeName(s.Member) != NodeName(member) {
+		if s.DownFor <= goneFor && !s.Retiring && NodeName(s.Member) != NodeName(member) {
 			nodes[NodeName(s.Member)] = true
 		}
 	}
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -27,7 +27,7 @@
 func gone(stores []Store, member string, d time.Duration) []Store {
 	for i := range stores {
 		if stores[i].Member == member {
-			stores[i].GoneFor = d
+			stores[i].DownFor = d
 		}
 	}
 	return stores
@@ -164,9 +164,9 @@
 	is := is.New(t)
 	stores := fourZones()
 	stores[0].Retiring = true
-	views := Found(fourZones(), 32, 2)
-	in := Input{Stores: stores, Partitions: views, Copies: 2, Limit: 4}
-	for round := 0; !Succeeded(in.Partitions, a); round++ {
+	views := InitialViews(fourZones(), 32, 2)
+	in := Input{Stores: stores, Partitions: views, Copies: 2, MoveLimit: 4}
+	for round := 0; !CanRemove(in.Partitions, a); round++ {
 		is.True(round < 100)
 		moving := 0
 		for _, ch := range Plan(in) {
@@ -191,11 +191,11 @@
 
 func TestRetirementThatAStoreAwayMayAllow(t *testing.T) {
 	is := is.New(t)
-	stores := gone(fourZones()[:3], c, SettleTime)
+	stores := gone(fourZones()[:3], c, RebalanceDelay)
 	is.True(!CanRetire(stores, a, 2))
 	is.True(CanRetireSoon(stores, a, 2))
 	is.True(!CanRetireSoon(stores, a, 3))
-	is.True(!CanRetireSoon(gone(stores, c, SettleTime+1), a, 2))
+	is.True(!CanRetireSoon(gone(stores, c, RebalanceDelay+1), a, 2))
 }
 
 func TestSecondStoreGoneWhileOneRetires(t *testing.T) {
@@ -213,12 +213,12 @@
 	v := View{Epoch: 5, Primary: a, Members: []string{a, b}}
 	changes := Plan(one(v, gone(fourZones()[:2], a, time.Second), 2))
 	is.Equal(changes, []Change{{0, View{Epoch: 6, Primary: b, Members: []string{b}, Learners: []string{a}}}})
-	is.Equal(Found(fourZones()[:1], 16, 2), nil)
+	is.Equal(InitialViews(fourZones()[:1], 16, 2), nil)
 }
 
 func TestAddedStoreGetsItsShare(t *testing.T) {
 	is := is.New(t)
-	in := Input{Stores: fourZones(), Partitions: Found(fourZones(), 64, 2), Copies: 2}
+	in := Input{Stores: fourZones(), Partitions: InitialViews(fourZones(), 64, 2), Copies: 2}
 	in.Stores = append(in.Stores, Store{Member: "storage-e/1", Zone: "e", Region: "r"})
 	attached, handed := 0, 0
 	for round := 0; ; round++ {
@@ -252,7 +252,7 @@
 	for n := range 4 {
 		stores = append(stores, Store{Member: fmt.Sprintf("storage-a%d/1", n), Zone: "a", Region: "r"})
 	}
-	views := Found(stores, 64, 2)
+	views := InitialViews(stores, 64, 2)
 	zone := map[string]string{}
 	for _, s := range stores {
 		zone[s.Member] = s.Zone
@@ -273,14 +273,14 @@
 	for _, s := range stores {
 		region[s.Member] = s.Region
 	}
-	for _, v := range FoundWith(Input{Stores: stores, Copies: 2, SpreadRegions: true}, 32) {
+	for _, v := range InitialViewsFor(Input{Stores: stores, Copies: 2, SpreadRegions: true}, 32) {
 		is.True(region[v.Members[0]] != region[v.Members[1]])
 	}
 }
 
 func TestLossIsSharedByAll(t *testing.T) {
 	is := is.New(t)
-	in := Input{Stores: gone(fourZones(), a, 1), Partitions: Found(fourZones(), 66, 2), Copies: 2}
+	in := Input{Stores: gone(fourZones(), a, 1), Partitions: InitialViews(fourZones(), 66, 2), Copies: 2}
 	taken := map[string]int{}
 	for _, ch := range Plan(in) {
 		if in.Partitions[ch.Partition].Primary == a {
@@ -297,8 +297,8 @@
 	for n := range 300 {
 		stores = append(stores, Store{Member: fmt.Sprintf("storage-%d/1", n), Zone: fmt.Sprint(n % 12), Region: "r"})
 	}
-	in := Input{Stores: stores, Partitions: Found(stores, 4096, 2), Copies: 2}
-	stores[7].GoneFor = 1
+	in := Input{Stores: stores, Partitions: InitialViews(stores, 4096, 2), Copies: 2}
+	stores[7].DownFor = 1
 	for bench.Loop() {
 		Plan(in)
 	}
--- a/placement/property_test.go
+++ b/placement/property_test.go
@@ -12,8 +12,8 @@
 
 // step draws one event.
 func (m *model) step(t *rapid.T) {
-	gone := func(s *modelStore) bool { return s.GoneFor > 0 && !m.superseded(s.Member) }
-	live := func(s *modelStore) bool { return s.GoneFor == 0 }
+	gone := func(s *modelStore) bool { return s.DownFor > 0 && !m.superseded(s.Member) }
+	live := func(s *modelStore) bool { return s.DownFor == 0 }
 	switch rapid.SampledFrom([]string{"plan", "plan", "plan", "serve", "serve", "crash", "return", "return", "leave", "disk", "add", "retire", "time"}).Draw(t, "event") {
 	case "plan":
 		m.plan(t, rapid.Bool().Draw(t, "noBalance"))
@@ -65,12 +65,12 @@
 			m.step(t)
 		}
 		for _, name := range m.order {
-			if m.stores[name].GoneFor > 0 && !m.superseded(name) {
+			if m.stores[name].DownFor > 0 && !m.superseded(name) {
 				m.start(name)
 			}
 			m.stores[name].Leaving = false
 		}
-		m.pass(SettleTime)
+		m.pass(RebalanceDelay)
 		m.settle(t)
 		m.checkFixedPoint(t)
 		merges += m.merges
@@ -84,7 +84,7 @@
 	merges := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 2)
-		gone := func(s *modelStore) bool { return s.GoneFor > 0 && !s.Abandoned }
+		gone := func(s *modelStore) bool { return s.DownFor > 0 && !s.Abandoned }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if name, ok := m.pick(t, gone); ok && rapid.IntRange(0, 5).Draw(t, "abandon") == 0 {
 				m.stores[name].Abandoned = true
@@ -93,10 +93,10 @@
 			m.step(t)
 		}
 		for _, name := range m.order {
-			m.stores[name].Abandoned = m.stores[name].GoneFor > 0
+			m.stores[name].Abandoned = m.stores[name].DownFor > 0
 			m.stores[name].Leaving = false
 		}
-		m.pass(SettleTime)
+		m.pass(RebalanceDelay)
 		m.settle(t)
 		m.checkFixedPoint(t)
 		if len(m.waiting()) > 0 && m.lasting() >= m.copies {
@@ -121,7 +121,7 @@
 // lasting counts the stores that are live and stay.
 func (m *model) lasting() (count int) {
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
+		if s.DownFor == 0 && !s.Retiring {
 			count++
 		}
 	}
@@ -131,7 +131,7 @@
 func (m *model) checkFixedPoint(t *rapid.T) {
 	nodes := map[string]bool{}
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
+		if s.DownFor == 0 && !s.Retiring {
 			nodes[NodeName(s.Member)] = true
 		}
 	}
@@ -151,7 +151,7 @@
 		m.checkSeparation(t, n, len(nodes))
 		primaries[p.view.Primary]++
 		for _, name := range p.view.Members {
-			if s := m.stores[name]; s.GoneFor > 0 || s.Retiring {
+			if s := m.stores[name]; s.DownFor > 0 || s.Retiring {
 				t.Fatalf("partition %d keeps %s: %+v", n, name, p.view)
 			}
 		}
@@ -164,7 +164,7 @@
 func (m *model) checkSeparation(t *rapid.T, n, nodes int) {
 	zones, used, all := map[string]bool{}, map[string]bool{}, map[string]int{}
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
+		if s.DownFor == 0 && !s.Retiring {
 			all[s.Zone]++
 		}
 	}
@@ -193,7 +193,7 @@
 	nodes := m.nodesOf(members)
 	for at, from := range members {
 		for name, s := range m.stores {
-			if s.GoneFor > 0 || s.Retiring || slices.Contains(members, name) || m.load(name) >= m.loadLimit() {
+			if s.DownFor > 0 || s.Retiring || slices.Contains(members, name) || m.load(name) >= m.loadLimit() {
 				continue
 			}
 			changed := slices.Clone(members)
@@ -236,7 +236,7 @@
 func (m *model) loadLimit() int {
 	lasting := 0
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
+		if s.DownFor == 0 && !s.Retiring {
 			lasting++
 		}
 	}
@@ -259,7 +259,7 @@
 func (m *model) checkSpread(t *rapid.T, primaries map[string]int) {
 	least, most := len(m.partitions), 0
 	for _, name := range m.order {
-		if s := m.stores[name]; s.GoneFor == 0 && !s.Retiring {
+		if s := m.stores[name]; s.DownFor == 0 && !s.Retiring {
 			least, most = min(least, primaries[name]), max(most, primaries[name])
 		}
 	}
--- a/placement/repair.go
+++ b/placement/repair.go
@@ -62,7 +62,7 @@
 			gone = append(gone, i)
 		}
 	}
-	slices.SortStableFunc(gone, func(i, j int) int { return int(s.stores[i].GoneFor - s.stores[j].GoneFor) })
+	slices.SortStableFunc(gone, func(i, j int) int { return int(s.stores[i].DownFor - s.stores[j].DownFor) })
 	return append(kept, gone[:min(len(gone), s.in.Copies)]...)
 }
 
--- a/placement/sharedzones_test.go
+++ b/placement/sharedzones_test.go
@@ -69,14 +69,14 @@
 			is := is.New(t)
 			stores := zonesOf(counts...)
 			in := Input{Stores: stores, Copies: 3, SharedZones: true}
-			in.Partitions = FoundWith(in, 512)
+			in.Partitions = InitialViewsFor(in, 512)
 			checkShared(is, stores, in.Partitions)
 			is.Equal(settlePlan(t, &in), 0) // as founded, so it stays
 
 			for _, lost := range []int{0, 5} { // one store after the other is away and comes back
-				in.Stores[lost].GoneFor = SettleTime
+				in.Stores[lost].DownFor = RebalanceDelay
 				settlePlan(t, &in)
-				in.Stores[lost].GoneFor = 0
+				in.Stores[lost].DownFor = 0
 				settlePlan(t, &in)
 				checkShared(is, stores, in.Partitions)
 			}
@@ -89,7 +89,7 @@
 	is := is.New(t)
 	stores := zonesOf(4, 3, 4, 3, 3)
 	in := Input{Stores: stores, Copies: 3}
-	in.Partitions = FoundWith(in, 128)
+	in.Partitions = InitialViewsFor(in, 128)
 	in.SharedZones = true
 	settlePlan(t, &in)
 	checkShared(is, stores, in.Partitions)
@@ -102,7 +102,7 @@
 		t.Run(fmt.Sprint("spread before: ", spread), func(t *testing.T) {
 			is := is.New(t)
 			in := Input{Stores: zonesOf(2, 2, 2), Copies: 3, SharedZones: !spread}
-			in.Partitions = FoundWith(in, 64)
+			in.Partitions = InitialViewsFor(in, 64)
 			in.SharedZones = true
 			settlePlan(t, &in)
 			led := map[string]int{}
@@ -127,14 +127,14 @@
 	is := is.New(t)
 	stores := zonesOf(3, 4, 4, 4)
 	in := Input{Stores: stores, Copies: 3, SharedZones: true}
-	in.Partitions = FoundWith(in, 128)
-	in.Stores[0].GoneFor = SettleTime
+	in.Partitions = InitialViewsFor(in, 128)
+	in.Stores[0].DownFor = RebalanceDelay
 	settlePlan(t, &in)
 	for _, v := range in.Partitions {
 		is.Equal(len(v.Members), 3)
 		is.True(!slices.Contains(v.Members, stores[0].Member))
 	}
-	in.Stores[0].GoneFor = 0
+	in.Stores[0].DownFor = 0
 	settlePlan(t, &in)
 	checkShared(is, stores, in.Partitions)
 }
@@ -157,7 +157,7 @@
 			is := is.New(t)
 			const partitions = 128
 			in := Input{Stores: zonesOf(c.before...), Copies: c.copies, SharedZones: true}
-			in.Partitions = FoundWith(in, partitions)
+			in.Partitions = InitialViewsFor(in, partitions)
 			in.Stores = zonesOf(c.after...)
 			moves := settlePlan(t, &in)
 			is.True(moves < 6*partitions) // nothing goes to and fro
@@ -181,7 +181,7 @@
 func TestSmallFirstZoneDoesNotSpreadCopies(t *testing.T) {
 	is := is.New(t)
 	in := Input{Stores: zonesOf(1, 3, 3), Copies: 3}
-	in.Partitions = FoundWith(in, 64)
+	in.Partitions = InitialViewsFor(in, 64)
 	in.SharedZones = true
 	settlePlan(t, &in)
 	for _, v := range in.Partitions {
--- a/placement/state.go
+++ b/placement/state.go
@@ -22,7 +22,7 @@
 	superseded bool
 }
 
-func (s *store) live() bool { return s.known && s.GoneFor == 0 && !s.Stalled }
+func (s *store) live() bool { return s.known && s.DownFor == 0 && !s.Stalled }
 
 // lasting reports whether the store counts as a copy that may stay.
 func (s *store) lasting() bool { return s.live() && !s.Retiring }
@@ -70,9 +70,9 @@
 
 func newState(in Input) *state {
 	in.Copies = max(in.Copies, 1)
-	s := &state{in: in, limit: in.Limit, index: map[string]int{}}
+	s := &state{in: in, limit: in.MoveLimit, index: map[string]int{}}
 	if s.limit <= 0 {
-		s.limit = DefaultLimit
+		s.limit = DefaultMoveLimit
 	}
 	s.addStores()
 	s.addViews()
@@ -99,7 +99,7 @@
 	live := map[string]bool{}
 	for _, st := range sorted {
 		s.add(st, true)
-		if st.GoneFor == 0 && !st.Stalled {
+		if st.DownFor == 0 && !st.Stalled {
 			live[NodeName(st.Member)] = true
 		}
 	}
@@ -257,7 +257,7 @@
 func (s *state) settled() bool {
 	for i := range s.stores {
 		st := &s.stores[i]
-		if st.known && !st.live() && st.mayReturn() && st.GoneFor < SettleTime {
+		if st.known && !st.live() && st.mayReturn() && st.DownFor < RebalanceDelay {
 			return false
 		}
 	}
