--- a/election/election.go
+++ b/election/election.go
@@ -47,8 +47,8 @@
 	Window time.Duration
 }
 
-// Round runs the elections of one duty, one after the other. It is owned by one goroutine.
-type Round struct {
+// Election runs the elections of one duty, one after the other. It is owned by one goroutine.
+type Election struct {
 	options Options
 	award   Award
 	// bids holds the bids of the present vacancy by key. opened is when the first came.
@@ -58,15 +58,15 @@
 
 // New returns a round whose duty was last awarded as said. After a change of the process that runs it, last is the award
 // that was made durable.
-func New(o Options, last Award) *Round {
+func New(o Options, last Award) *Election {
 	if o.Window <= 0 {
 		o.Window = DefaultWindow
 	}
-	return &Round{options: o, award: last, bids: map[string]Bid{}}
+	return &Election{options: o, award: last, bids: map[string]Bid{}}
 }
 
 // Bid takes an offer and reports whether it counts: the duty is vacant. The last bid of a process replaces its earlier ones.
-func (r *Round) Bid(now time.Duration, b Bid) bool {
+func (r *Election) Bid(now time.Duration, b Bid) bool {
 	if !r.award.Vacant() || b.Key == "" {
 		return false
 	}
@@ -78,11 +78,11 @@
 }
 
 // Withdraw takes the offer of a process back.
-func (r *Round) Withdraw(key string) { delete(r.bids, key) }
+func (r *Election) Withdraw(key string) { delete(r.bids, key) }
 
 // Tick returns a new award when one is due. It is what Current returns from then on.
-func (r *Round) Tick(now time.Duration) (Award, bool) {
-	due, pending := r.Wake()
+func (r *Election) Tick(now time.Duration) (Award, bool) {
+	due, pending := r.NextTick()
 	if !pending || now < due {
 		return Award{}, false
 	}
@@ -97,9 +97,9 @@
 	return r.award, true
 }
 
-// Ended tells that the session of a process has ended: its bid is void, and so is its duty. It reports whether the duty
+// SessionEnded tells that the session of a process has ended: its bid is void, and so is its duty. It reports whether the duty
 // became vacant.
-func (r *Round) Ended(h Holder) bool {
+func (r *Election) SessionEnded(h Holder) bool {
 	if r.bids[h.Key].Incarnation == h.Incarnation {
 		delete(r.bids, h.Key)
 	}
@@ -107,9 +107,9 @@
 }
 
 // Resign gives the duty back. It reports whether the duty became vacant.
-func (r *Round) Resign(h Holder) bool { return r.vacate(h) }
+func (r *Election) Resign(h Holder) bool { return r.vacate(h) }
 
-func (r *Round) vacate(h Holder) bool {
+func (r *Election) vacate(h Holder) bool {
 	if r.award.Vacant() || r.award.Holder != h {
 		return false
 	}
@@ -118,9 +118,9 @@
 }
 
 // Current returns who has the duty, and the last term.
-func (r *Round) Current() Award { return r.award }
+func (r *Election) Current() Award { return r.award }
 
-// Wake returns when Tick is to be called next, false when nothing is pending.
-func (r *Round) Wake() (time.Duration, bool) {
+// NextTick returns when Tick is to be called next, false when nothing is pending.
+func (r *Election) NextTick() (time.Duration, bool) {
 	return r.opened + r.options.Window, r.award.Vacant() && len(r.bids) > 0
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -21,7 +21,7 @@
 	is.True(r.Bid(150*ms, Bid{holder("b"), 0}))
 	is.True(r.Bid(160*ms, Bid{holder("a"), 1}))
 	is.True(r.Bid(170*ms, Bid{holder("d"), 0}))
-	at, ok := r.Wake()
+	at, ok := r.NextTick()
 	is.True(ok)
 	is.Equal(at, 300*ms)
 	_, ok = r.Tick(299 * ms)
@@ -31,18 +31,18 @@
 	is.Equal(award, Award{Term: 1, Holder: holder("b")})
 	is.Equal(r.Current(), award)
 	is.True(!r.Bid(310*ms, Bid{holder("a"), 0})) // it is taken
-	_, ok = r.Wake()
+	_, ok = r.NextTick()
 	is.True(!ok)
 }
 
 func TestVacancy(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{Window: 50 * ms}, Award{Term: 6, Holder: holder("a")})
-	is.True(!r.Ended(Holder{"a", 2})) // another incarnation
-	is.True(!r.Ended(holder("b")))
+	is.True(!r.SessionEnded(Holder{"a", 2})) // another incarnation
+	is.True(!r.SessionEnded(holder("b")))
 	is.True(!r.Resign(holder("b")))
-	is.True(r.Ended(holder("a")))
-	is.True(!r.Ended(holder("a")))
+	is.True(r.SessionEnded(holder("a")))
+	is.True(!r.SessionEnded(holder("a")))
 	is.True(r.Current().Vacant())
 	is.Equal(r.Current().Term, uint64(6))
 
@@ -61,8 +61,8 @@
 	r.Bid(0, Bid{holder("a"), 0})
 	r.Bid(0, Bid{holder("b"), 1})
 	r.Bid(0, Bid{holder("c"), 2})
-	r.Ended(holder("a"))
-	r.Ended(Holder{"c", 7}) // not the one that bid
+	r.SessionEnded(holder("a"))
+	r.SessionEnded(Holder{"c", 7}) // not the one that bid
 	r.Withdraw("b")
 	award, ok := r.Tick(200 * ms)
 	is.True(ok)
@@ -74,7 +74,7 @@
 	_, ok = r.Tick(200 * ms)
 	is.True(!ok)
 	r.Bid(500*ms, Bid{holder("a"), 0}) // the window begins anew
-	at, _ := r.Wake()
+	at, _ := r.NextTick()
 	is.Equal(at, 700*ms)
 }
 
@@ -94,7 +94,7 @@
 					t.Fatalf("a bid counts: %v, vacant: %v", counts, wasVacant)
 				}
 			case 1:
-				r.Ended(h)
+				r.SessionEnded(h)
 				if r.Current().Holder == h {
 					t.Fatalf("%v holds the duty without a session", h)
 				}
--- a/internal/roles/control/cutoff.go
+++ b/internal/roles/control/cutoff.go
@@ -40,7 +40,7 @@
 // hearsTooFewStores tells whether a session of a store is over, and more than half of all stores are silent, more than may be lost, in several zones.
 func (p *primary) hearsTooFewStores(now time.Duration) bool {
 	role := uint8(protocol.RoleStore)
-	if len(p.sessions.Overdue(now, role, 0)) == 0 {
+	if len(p.sessions.ExpiringWithin(now, role, 0)) == 0 {
 		return false
 	}
 	stores := 0
@@ -49,7 +49,7 @@
 			stores++
 		}
 	}
-	silent := p.sessions.Overdue(now, role, overdueWithin)
+	silent := p.sessions.ExpiringWithin(now, role, overdueWithin)
 	zones := make(map[string]bool)
 	for _, n := range silent {
 		zones[n.Region+"/"+n.Zone] = true
--- a/internal/roles/control/duty.go
+++ b/internal/roles/control/duty.go
@@ -25,7 +25,7 @@
 // dutyState runs the election of the list reader. The heartbeats of control processes count as their bids.
 type dutyState struct {
 	primary *primary
-	round   *election.Round
+	round   *election.Election
 	durable election.Award           // on disk at the whole view
 	unread  map[string]time.Duration // by node: when it could not read the list last
 }
@@ -39,7 +39,7 @@
 func (s *dutyState) begin() {
 	holder := s.durable.Holder
 	if node, ok := s.primary.model.nodes[holder.Key]; !ok || node.Incarnation != holder.Incarnation {
-		s.round.Ended(holder)
+		s.round.SessionEnded(holder)
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func (s *dutyState) ended(node protocol.Node) {
 	s.round.Withdraw(node.Key)
-	s.round.Ended(holderOf(node))
+	s.round.SessionEnded(holderOf(node))
 }
 
 func (s *dutyState) resign(node protocol.Node) {
--- a/internal/roles/control/refusal.go
+++ b/internal/roles/control/refusal.go
@@ -44,7 +44,7 @@
 		return
 	}
 	d.loop.post(func() {
-		if d.primary != nil && d.primary.sessions.Lives(s.key, s.incarnation) {
+		if d.primary != nil && d.primary.sessions.HasSession(s.key, s.incarnation) {
 			go d.endIfRefused(s)
 		}
 	})
@@ -111,7 +111,7 @@
 	if p == nil {
 		return
 	}
-	events := p.sessions.Refuse(d.now(), s.key, s.incarnation)
+	events := p.sessions.ConnectionRefused(d.now(), s.key, s.incarnation)
 	if len(events) > 0 {
 		d.logger.Info("control: a store's address refuses connections; its session ends", zap.String("node", s.key))
 	}
--- a/internal/roles/control/sessions.go
+++ b/internal/roles/control/sessions.go
@@ -35,14 +35,14 @@
 func sessionNode(n protocol.Node) session.Node {
 	return session.Node{
 		Key: n.Key, Name: n.Name, Role: uint8(n.Role), Incarnation: n.Incarnation, Member: n.Member, Zone: n.Zone, Region: n.Region,
-		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, Counts: n.Counts,
+		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, CountsForQuorum: n.Counts,
 	}
 }
 
 func protocolNode(n session.Node) protocol.Node {
 	return protocol.Node{
 		Key: n.Key, Name: n.Name, Role: protocol.Role(n.Role), Incarnation: n.Incarnation, Member: n.Member, Zone: n.Zone, Region: n.Region,
-		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, Counts: n.Counts,
+		Address: n.Address, ControlPlane: n.ControlPlane, Leaving: n.Leaving, Counts: n.CountsForQuorum,
 	}
 }
 
@@ -110,7 +110,7 @@
 
 func (p *primary) sessionEnded(now time.Duration, node protocol.Node, e session.Event) {
 	p.daemon.logger.Info("control: session ended", zap.String("node", node.Key), zap.Uint64("incarnation", node.Incarnation),
-		zap.Bool("certain", e.Certain()))
+		zap.Bool("certain", e.ProcessStopped()))
 	p.put(deletion(prefixNode + node.Key))
 	p.items.mark(protocol.ItemNodes, true)
 	switch node.Role {
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -56,7 +56,7 @@
 	{"tell-primaries", "has a store tell the primary of a partition that its view has changed", edit("internal/roles/store/table.go",
 		"	s.tellPrimaries(view, changed)\n", "")},
 	{"refusing-address-ends-session", "ends the session of a store at once when its address refuses connections", edit("internal/roles/control/refusal.go",
-		"if p == nil {\n\t\treturn\n\t}\n\tevents := p.sessions.Refuse", "if p == nil || d != nil {\n\t\treturn\n\t}\n\tevents := p.sessions.Refuse")},
+		"if p == nil {\n\t\treturn\n\t}\n\tevents := p.sessions.ConnectionRefused", "if p == nil || d != nil {\n\t\treturn\n\t}\n\tevents := p.sessions.ConnectionRefused")},
 	{"verdict-on-links", "leaves one of two stores out that do not reach each other", edit("internal/roles/control/storetrouble.go",
 		"changed = one.extend(now, stuckFirstPause) || changed", "changed = changed || false")},
 	{"verdict-on-disks", "counts a store whose disk stalls as gone", edit("internal/roles/control/storetrouble.go",
--- a/session/overdue_test.go
+++ b/session/overdue_test.go
@@ -18,12 +18,12 @@
 	renew(200*time.Millisecond, "b", store)
 	renew(0, "c", other)
 	table.Tick(400 * time.Millisecond)
-	is.Equal(len(table.Overdue(600*time.Millisecond, store, 0)), 0)
-	is.Equal(len(table.Overdue(700*time.Millisecond, store, 0)), 1)
-	soon := table.Overdue(700*time.Millisecond, store, 200*time.Millisecond)
+	is.Equal(len(table.ExpiringWithin(600*time.Millisecond, store, 0)), 0)
+	is.Equal(len(table.ExpiringWithin(700*time.Millisecond, store, 0)), 1)
+	soon := table.ExpiringWithin(700*time.Millisecond, store, 200*time.Millisecond)
 	is.Equal(len(soon), 2) // in order, and of that role alone
 	is.Equal(soon[0].Key, "a")
 	is.Equal(soon[1].Key, "b")
 	renew(700*time.Millisecond, "a", store)
-	is.Equal(len(table.Overdue(700*time.Millisecond, store, 200*time.Millisecond)), 1)
+	is.Equal(len(table.ExpiringWithin(700*time.Millisecond, store, 200*time.Millisecond)), 1)
 }
--- a/session/session.go
+++ b/session/session.go
@@ -19,8 +19,8 @@
 	ControlPlane string
 	// Leaving says that the process is about to end as planned.
 	Leaving bool
-	// Counts says that the process counts for quorums.
-	Counts bool
+	// CountsForQuorum says that the process counts for quorums.
+	CountsForQuorum bool
 }
 
 // EventKind says what happened to a session.
@@ -43,8 +43,8 @@
 const (
 	// Expired is a session without heartbeats: the process may still run.
 	Expired Cause = iota + 1
-	// Left is a process that said that it is over.
-	Left
+	// Departed is a process that said that it is over.
+	Departed
 	// Replaced is a process whose node has started another incarnation.
 	Replaced
 	// Refused is a process whose address refuses connections: it has ended, or the network refuses for it.
@@ -59,9 +59,9 @@
 	Cause Cause
 }
 
-// Certain reports whether the process of an ended session is known not to run any more, so that what was granted to it
+// ProcessStopped reports whether the process of an ended session is known not to run any more, so that what was granted to it
 // is void at once.
-func (e Event) Certain() bool { return e.Kind == Ended && !e.Cause.mayReturn() }
+func (e Event) ProcessStopped() bool { return e.Kind == Ended && !e.Cause.mayReturn() }
 
 // mayReturn reports whether an incarnation whose session ended so may still run.
 func (c Cause) mayReturn() bool { return c == Expired || c == Refused }
--- a/session/table.go
+++ b/session/table.go
@@ -9,8 +9,8 @@
 const (
 	// DefaultExpiry is the expiry of roles that the options do not name.
 	DefaultExpiry = time.Second
-	// DefaultPauseAfter is the gap between ticks from which on the judge is taken to have been paused.
-	DefaultPauseAfter = 300 * time.Millisecond
+	// DefaultPauseThreshold is the gap between ticks from which on the judge is taken to have been paused.
+	DefaultPauseThreshold = 300 * time.Millisecond
 	// remembered is how many ended incarnations of each node are remembered, so that late frames do not bring them back.
 	remembered = 8
 )
@@ -21,9 +21,9 @@
 	Expiry map[uint8]time.Duration
 	// DefaultExpiry holds for roles that Expiry does not name; 0 means DefaultExpiry.
 	DefaultExpiry time.Duration
-	// PauseAfter is the gap between ticks from which on the judge itself is taken to have been paused; 0 means
+	// PauseThreshold is the gap between ticks from which on the judge itself is taken to have been paused; 0 means
 	// DefaultPauseAfter.
-	PauseAfter time.Duration
+	PauseThreshold time.Duration
 }
 
 // entry is a live session.
@@ -51,8 +51,8 @@
 	if o.DefaultExpiry <= 0 {
 		o.DefaultExpiry = DefaultExpiry
 	}
-	if o.PauseAfter <= 0 {
-		o.PauseAfter = DefaultPauseAfter
+	if o.PauseThreshold <= 0 {
+		o.PauseThreshold = DefaultPauseThreshold
 	}
 	return &Table{options: o, sessions: map[string]*entry{}, ended: map[string][]uint64{}, lapsed: map[string]uint64{}}
 }
@@ -87,7 +87,7 @@
 	ok = ok && e.node.Incarnation == incarnation
 	switch {
 	case ok && over:
-		return []Event{t.end(e.node, Left)}
+		return []Event{t.end(e.node, Departed)}
 	case over:
 		t.remember(key, incarnation)
 	case ok && !e.node.Leaving:
@@ -101,7 +101,7 @@
 // judge was paused and may have missed heartbeats: the gap is added to all deadlines, and paused is true.
 func (t *Table) Tick(now time.Duration) (paused bool) {
 	gap := now - t.lastTick
-	paused = t.ticked && gap > t.options.PauseAfter
+	paused = t.ticked && gap > t.options.PauseThreshold
 	if paused {
 		for _, e := range t.sessions {
 			e.deadline += gap
@@ -127,8 +127,8 @@
 	return keys
 }
 
-// Overdue returns the nodes of a role whose sessions are past their deadline, or will be within a time unless a heartbeat comes.
-func (t *Table) Overdue(now time.Duration, role uint8, within time.Duration) []Node {
+// ExpiringWithin returns the nodes of a role whose sessions are past their deadline, or will be within a time unless a heartbeat comes.
+func (t *Table) ExpiringWithin(now time.Duration, role uint8, within time.Duration) []Node {
 	t.Tick(now)
 	var nodes []Node
 	for _, e := range t.sessions {
@@ -149,24 +149,24 @@
 	return events
 }
 
-// Refuse ends the session of an incarnation whose address refuses connections, which a process that runs does not do unless the network
+// ConnectionRefused ends the session of an incarnation whose address refuses connections, which a process that runs does not do unless the network
 // does it for it. As after an expiry, the incarnation may come back.
-func (t *Table) Refuse(now time.Duration, key string, incarnation uint64) []Event {
+func (t *Table) ConnectionRefused(now time.Duration, key string, incarnation uint64) []Event {
 	t.Tick(now)
-	if !t.Lives(key, incarnation) {
+	if !t.HasSession(key, incarnation) {
 		return nil
 	}
 	return []Event{t.end(t.sessions[key].node, Refused)}
 }
 
-// Lives reports whether an incarnation has a session.
-func (t *Table) Lives(key string, incarnation uint64) bool {
+// HasSession reports whether an incarnation has a session.
+func (t *Table) HasSession(key string, incarnation uint64) bool {
 	e, ok := t.sessions[key]
 	return ok && e.node.Incarnation == incarnation
 }
 
-// Restart begins all deadlines anew, as after a change of the judge.
-func (t *Table) Restart(now time.Duration) {
+// ResetDeadlines begins all deadlines anew, as after a change of the judge.
+func (t *Table) ResetDeadlines(now time.Duration) {
 	for _, e := range t.sessions {
 		e.deadline = now + t.expiry(e.node.Role)
 	}
@@ -206,14 +206,14 @@
 		t.ended[n.Key] = slices.DeleteFunc(t.ended[n.Key], func(i uint64) bool { return i == n.Incarnation })
 	}
 	t.version++
-	t.Restart(now)
+	t.ResetDeadlines(now)
 }
 
 // Version counts the events and loads so far.
 func (t *Table) Version() uint64 { return t.version }
 
-// Deadline returns the earliest deadline, false without sessions.
-func (t *Table) Deadline() (time.Duration, bool) {
+// EarliestDeadline returns the earliest deadline, false without sessions.
+func (t *Table) EarliestDeadline() (time.Duration, bool) {
 	first, found := time.Duration(0), false
 	for _, e := range t.sessions {
 		if !found || e.deadline < first {
--- a/session/table_test.go
+++ b/session/table_test.go
@@ -49,7 +49,7 @@
 	is.Equal(run(tb, 900*ms, 1800*ms), nil)
 	ended := run(tb, 1900*ms, 1900*ms)
 	is.Equal(ended, []Event{{Kind: Ended, Node: node("x", 1), Cause: Expired}})
-	is.True(!ended[0].Certain())
+	is.True(!ended[0].ProcessStopped())
 	is.Equal(len(tb.Snapshot()), 0)
 
 	events, ok = tb.Renew(2000*ms, node("x", 1)) // it was only out of touch
@@ -92,7 +92,7 @@
 	events, ok := tb.Renew(100*ms, node("x", 2))
 	is.True(ok)
 	is.Equal(events, []Event{{Kind: Ended, Node: node("x", 1), Cause: Replaced}, {Kind: Opened, Node: node("x", 2)}})
-	is.True(events[0].Certain())
+	is.True(events[0].ProcessStopped())
 
 	events, ok = tb.Renew(200*ms, node("x", 1)) // a late heartbeat
 	is.True(!ok)
@@ -116,19 +116,19 @@
 	is := is.New(t)
 	tb := table()
 	tb.Renew(0, node("x", 1))
-	is.Equal(tb.Refuse(50*ms, "x", 2), nil) // of another incarnation
-	is.Equal(tb.Refuse(50*ms, "y", 1), nil)
-	is.True(tb.Lives("x", 1))
-	events := tb.Refuse(100*ms, "x", 1)
+	is.Equal(tb.ConnectionRefused(50*ms, "x", 2), nil) // of another incarnation
+	is.Equal(tb.ConnectionRefused(50*ms, "y", 1), nil)
+	is.True(tb.HasSession("x", 1))
+	events := tb.ConnectionRefused(100*ms, "x", 1)
 	is.Equal(events, []Event{{Kind: Ended, Node: node("x", 1), Cause: Refused}})
-	is.True(!events[0].Certain()) // the network may have refused for it
-	is.True(!tb.Lives("x", 1))
-	is.Equal(tb.Refuse(150*ms, "x", 1), nil)
+	is.True(!events[0].ProcessStopped()) // the network may have refused for it
+	is.True(!tb.HasSession("x", 1))
+	is.Equal(tb.ConnectionRefused(150*ms, "x", 1), nil)
 
 	events, ok := tb.Renew(200*ms, node("x", 1))
 	is.True(ok)
 	is.Equal(events, []Event{{Kind: Opened, Node: node("x", 1)}})
-	tb.Refuse(300*ms, "x", 1)
+	tb.ConnectionRefused(300*ms, "x", 1)
 	tb.Renew(400*ms, node("x", 2))
 	_, ok = tb.Renew(500*ms, node("x", 1)) // its successor has come meanwhile
 	is.True(!ok)
@@ -150,8 +150,8 @@
 
 	events = tb.Leave(300*ms, "x", 1, true)
 	is.Equal(len(events), 1)
-	is.Equal(events[0].Cause, Left)
-	is.True(events[0].Certain())
+	is.Equal(events[0].Cause, Departed)
+	is.True(events[0].ProcessStopped())
 	_, ok = tb.Renew(310*ms, node("x", 1))
 	is.True(!ok)
 	_, ok = tb.Renew(320*ms, node("x", 2))
@@ -188,13 +188,13 @@
 	tb := table()
 	tb.Renew(0, node("x", 1))
 	is.Equal(run(tb, 0, 900*ms), nil)
-	tb.Restart(60000 * ms) // another judge's clock
+	tb.ResetDeadlines(60000 * ms) // another judge's clock
 	is.Equal(run(tb, 60000*ms, 60900*ms), nil)
 	is.Equal(len(run(tb, 61000*ms, 61000*ms)), 1)
 
 	tb.Load(100*ms, []Node{node("z", 1), node("y", 1)})
 	is.Equal(tb.Snapshot(), []Node{node("y", 1), node("z", 1)})
-	at, ok := tb.Deadline()
+	at, ok := tb.EarliestDeadline()
 	is.True(ok)
 	is.Equal(at, 1100*ms)
 	is.Equal(run(tb, 100*ms, 1000*ms), nil)
