--- a/dissemination/dissemination_test.go
+++ b/dissemination/dissemination_test.go
@@ -21,12 +21,12 @@
 func TestOfferTakesOnlyWhatIsNewer(t *testing.T) {
 	is := is.New(t)
 	s := NewState[string]()
-	is.True(!s.Offer(item("a", 0, 0))) // the zero version is no state
-	is.True(s.Offer(item("a", 1, 5)))
-	is.True(!s.Offer(item("a", 1, 5)))
-	is.True(!s.Offer(item("a", 1, 4)))
-	is.True(!s.Offer(item("a", 0, 9)))
-	is.True(s.Offer(item("a", 2, 0)))
+	is.True(!s.Apply(item("a", 0, 0))) // the zero version is no state
+	is.True(s.Apply(item("a", 1, 5)))
+	is.True(!s.Apply(item("a", 1, 5)))
+	is.True(!s.Apply(item("a", 1, 4)))
+	is.True(!s.Apply(item("a", 0, 9)))
+	is.True(s.Apply(item("a", 2, 0)))
 	got, ok := s.Get("a")
 	is.True(ok)
 	is.Equal(got, item("a", 2, 0))
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	s := NewState[string]()
 	for _, i := range []Item[string]{item("same", 1, 1), item("older", 1, 1), item("newer", 2, 0), item("mine", 1, 1)} {
-		s.Offer(i)
+		s.Apply(i)
 	}
 	pull, push := s.Compare([]Entry[string]{entry("same", 1, 1), entry("older", 1, 2), entry("newer", 1, 9), entry("theirs", 0, 1),
 		entry("none", 0, 0), entry("theirs", 0, 0)})
@@ -54,7 +54,7 @@
 		for i := range peers {
 			peers[i] = i
 		}
-		chosen := Choose(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), peers, k)
+		chosen := Sample(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), peers, k)
 		is.Equal(len(chosen), min(n, k))
 		slices.Sort(chosen)
 		is.Equal(len(slices.Compact(chosen)), min(n, k))
@@ -67,7 +67,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := make([]int, 10)
 	for range 10_000 {
-		for _, i := range Choose(random, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 3) {
+		for _, i := range Sample(random, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}, 3) {
 			counts[i]++
 		}
 	}
@@ -79,29 +79,29 @@
 func TestPullsAskOnePeerAtATime(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	p := NewPulls[string, int]()
+	p := NewPullTracker[string, int]()
 	_, _, ok := p.Next(random)
 	is.True(!ok)
-	p.Heard(entry("a", 1, 1), 1)
-	p.Heard(entry("b", 1, 1), 1)
+	p.AddSource(entry("a", 1, 1), 1)
+	p.AddSource(entry("b", 1, 1), 1)
 	peer, keys, ok := p.Next(random)
 	is.True(ok)
 	is.Equal(peer, 1)
 	is.Equal(keys, []string{"a", "b"})
-	p.Heard(entry("a", 1, 1), 2)
+	p.AddSource(entry("a", 1, 1), 2)
 	_, _, ok = p.Next(random)
 	is.True(!ok) // both are asked for
 
-	p.Got(entry("b", 1, 1))
-	p.Ended(1, keys)
+	p.Received(entry("b", 1, 1))
+	p.EndPull(1, keys)
 	peer, keys, ok = p.Next(random)
 	is.True(ok)
 	is.Equal(peer, 2) // 1 did not deliver
 	is.Equal(keys, []string{"a"})
-	p.Ended(2, keys)
+	p.EndPull(2, keys)
 	_, _, ok = p.Next(random)
 	is.True(!ok) // nobody left, until it is heard of again
-	p.Heard(entry("a", 1, 1), 1)
+	p.AddSource(entry("a", 1, 1), 1)
 	_, _, ok = p.Next(random)
 	is.True(ok)
 }
@@ -109,30 +109,30 @@
 func TestPullsFollowTheNewest(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	p := NewPulls[string, int]()
-	p.Heard(entry("a", 1, 1), 1)
-	p.Heard(entry("a", 1, 2), 2)
-	p.Heard(entry("a", 1, 1), 3)
+	p := NewPullTracker[string, int]()
+	p.AddSource(entry("a", 1, 1), 1)
+	p.AddSource(entry("a", 1, 2), 2)
+	p.AddSource(entry("a", 1, 1), 3)
 	peer, keys, ok := p.Next(random)
 	is.True(ok)
 	is.Equal(peer, 2)
-	p.Heard(entry("a", 1, 3), 4) // while the pull is under way
-	p.Got(entry("a", 1, 2))
-	p.Ended(peer, keys)
+	p.AddSource(entry("a", 1, 3), 4) // while the pull is under way
+	p.Received(entry("a", 1, 2))
+	p.EndPull(peer, keys)
 	peer, _, ok = p.Next(random)
 	is.True(ok)
 	is.Equal(peer, 4)
-	p.Got(entry("a", 1, 3))
-	p.Ended(4, keys)
+	p.Received(entry("a", 1, 3))
+	p.EndPull(4, keys)
 	_, _, ok = p.Next(random)
 	is.True(!ok)
 }
 
 func TestPullsRememberFewSources(t *testing.T) {
 	is := is.New(t)
-	p := NewPulls[string, int]()
+	p := NewPullTracker[string, int]()
 	for peer := range 100 {
-		p.Heard(entry("a", 1, 1), peer)
+		p.AddSource(entry("a", 1, 1), peer)
 	}
 	is.Equal(len(p.wanted["a"].sources), maxSources)
 }
@@ -144,8 +144,8 @@
 	is.True(s.Due(time.Second))
 	is.True(!s.Due(1299 * time.Millisecond))
 	is.True(s.Due(1301 * time.Millisecond))
-	is.Equal(s.Next(), 1600*time.Millisecond)
+	is.Equal(s.NextDue(), 1600*time.Millisecond)
 	is.True(s.Due(time.Minute)) // stood still
 	is.True(!s.Due(time.Minute))
-	is.Equal(s.Next(), time.Minute+150*time.Millisecond)
+	is.Equal(s.NextDue(), time.Minute+150*time.Millisecond)
 }
--- a/dissemination/peers.go
+++ b/dissemination/peers.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Choose returns k different elements of peers, or all if there are fewer, in an order of chance. peers is not changed.
-func Choose[P any](random *rand.Rand, peers []P, k int) []P {
+// Sample returns k different elements of peers, or all if there are fewer, in an order of chance. peers is not changed.
+func Sample[P any](random *rand.Rand, peers []P, k int) []P {
 	k = min(k, len(peers))
 	// A partial Fisher-Yates shuffle that remembers only the places it moved.
 	moved := make(map[int]int, k)
--- a/dissemination/pulls.go
+++ b/dissemination/pulls.go
@@ -10,9 +10,9 @@
 // maxSources bounds how many peers are remembered as having the newest state of an item.
 const maxSources = 8
 
-// Pulls says what to ask of whom. For each item it remembers the newest version that was heard of and some peers that have it; an item is
+// PullTracker says what to ask of whom. For each item it remembers the newest version that was heard of and some peers that have it; an item is
 // asked for at one peer at a time.
-type Pulls[K, P cmp.Ordered] struct {
+type PullTracker[K, P cmp.Ordered] struct {
 	wanted map[K]*want[P]
 }
 
@@ -22,13 +22,13 @@
 	asked   bool // a pull is under way
 }
 
-// NewPulls returns a Pulls that wants nothing.
-func NewPulls[K, P cmp.Ordered]() *Pulls[K, P] {
-	return &Pulls[K, P]{wanted: make(map[K]*want[P])}
+// NewPullTracker returns a Pulls that wants nothing.
+func NewPullTracker[K, P cmp.Ordered]() *PullTracker[K, P] {
+	return &PullTracker[K, P]{wanted: make(map[K]*want[P])}
 }
 
-// Heard notes that a peer has a state that is newer than the own one.
-func (p *Pulls[K, P]) Heard(entry Entry[K], peer P) {
+// AddSource notes that a peer has a state that is newer than the own one.
+func (p *PullTracker[K, P]) AddSource(entry Entry[K], peer P) {
 	w := p.wanted[entry.Key]
 	if w == nil {
 		w = &want[P]{}
@@ -43,7 +43,7 @@
 }
 
 // Next chooses a peer and what to ask of it, and counts these items as asked for until Ended; ok is false if there is nothing to ask.
-func (p *Pulls[K, P]) Next(random *rand.Rand) (peer P, keys []K, ok bool) {
+func (p *PullTracker[K, P]) Next(random *rand.Rand) (peer P, keys []K, ok bool) {
 	var peers []P
 	for _, key := range slices.Sorted(maps.Keys(p.wanted)) {
 		if w := p.wanted[key]; !w.asked {
@@ -63,9 +63,9 @@
 	return peer, keys, true
 }
 
-// Ended ends the pull of keys from a peer. What the peer did not deliver although it had it is not asked of it again, unless it is heard
+// EndPull ends the pull of keys from a peer. What the peer did not deliver although it had it is not asked of it again, unless it is heard
 // of again; call Got for what it delivered before.
-func (p *Pulls[K, P]) Ended(peer P, keys []K) {
+func (p *PullTracker[K, P]) EndPull(peer P, keys []K) {
 	for _, key := range keys {
 		w := p.wanted[key]
 		if w == nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Got notes that the state of that version is here now.
-func (p *Pulls[K, P]) Got(entry Entry[K]) {
+// Received notes that the state of that version is here now.
+func (p *PullTracker[K, P]) Received(entry Entry[K]) {
 	if w := p.wanted[entry.Key]; w != nil && entry.Version.Compare(w.version) >= 0 {
 		delete(p.wanted, entry.Key)
 	}
--- a/dissemination/schedule.go
+++ b/dissemination/schedule.go
@@ -20,5 +20,5 @@
 	return true
 }
 
-// Next is the time of the next digest.
-func (s *Schedule) Next() time.Duration { return s.next }
+// NextDue is the time of the next digest.
+func (s *Schedule) NextDue() time.Duration { return s.next }
--- a/dissemination/spread_test.go
+++ b/dissemination/spread_test.go
@@ -11,7 +11,7 @@
 // group is a number of processes that push, exchange digests and pull over a network that loses some of it.
 type group struct {
 	states []*State[string]
-	pulls  []*Pulls[string, int]
+	pulls  []*PullTracker[string, int]
 	others [][]int
 	random *rand.Rand
 	loss   float64
@@ -21,7 +21,7 @@
 	g := &group{random: rand.New(rand.NewPCG(seed, 7)), loss: loss}
 	for i := range n {
 		g.states = append(g.states, NewState[string]())
-		g.pulls = append(g.pulls, NewPulls[string, int]())
+		g.pulls = append(g.pulls, NewPullTracker[string, int]())
 		var others []int
 		for j := range n {
 			if j != i {
@@ -42,7 +42,7 @@
 	}
 	pull, push := g.states[to].Compare(g.states[from].Digest())
 	for _, e := range pull {
-		g.pulls[to].Heard(e, from)
+		g.pulls[to].AddSource(e, from)
 	}
 	g.pull(to)
 	if len(push) == 0 || g.lost() {
@@ -50,7 +50,7 @@
 	}
 	pull, _ = g.states[from].Compare(g.states[to].Digest())
 	for _, e := range pull {
-		g.pulls[from].Heard(e, to)
+		g.pulls[from].AddSource(e, to)
 	}
 	g.pull(from)
 }
@@ -63,19 +63,19 @@
 		}
 		if !g.lost() {
 			for _, key := range keys {
-				if item, ok := g.states[peer].Get(key); ok && g.states[i].Offer(item) {
-					g.pulls[i].Got(Entry[string]{item.Key, item.Version})
+				if item, ok := g.states[peer].Get(key); ok && g.states[i].Apply(item) {
+					g.pulls[i].Received(Entry[string]{item.Key, item.Version})
 				}
 			}
 		}
-		g.pulls[i].Ended(peer, keys)
+		g.pulls[i].EndPull(peer, keys)
 	}
 }
 
 // round lets each process send a digest to k others; it returns how many have the version after it.
 func (g *group) round(k int, key string, v Version) (have int) {
 	for i := range g.states {
-		for _, to := range Choose(g.random, g.others[i], k) {
+		for _, to := range Sample(g.random, g.others[i], k) {
 			g.digest(i, to)
 		}
 	}
@@ -92,7 +92,7 @@
 	const processes, rounds = 200, 18 // 8 to 13 rounds were seen with these seeds
 	for seed := range uint64(20) {
 		g := newGroup(processes, seed, 0.2)
-		g.states[0].Offer(item("a", 1, 1))
+		g.states[0].Apply(item("a", 1, 1))
 		n := 0
 		for g.round(1, "a", Version{1, 1}) < processes {
 			n++
@@ -112,7 +112,7 @@
 			"publish": func(t *rapid.T) {
 				i := item(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), rapid.Uint64Range(0, 3).Draw(t, "term"),
 					rapid.Uint64Range(0, 3).Draw(t, "number"))
-				g.states[process.Draw(t, "by")].Offer(i)
+				g.states[process.Draw(t, "by")].Apply(i)
 				if i.Version.Compare(newest[i.Key]) > 0 {
 					newest[i.Key] = i.Version
 				}
--- a/dissemination/state.go
+++ b/dissemination/state.go
@@ -51,8 +51,8 @@
 	return &State[K]{items: make(map[K]Item[K])}
 }
 
-// Offer takes a state if it is newer than what is known, and says whether it was.
-func (s *State[K]) Offer(item Item[K]) bool {
+// Apply takes a state if it is newer than what is known, and says whether it was.
+func (s *State[K]) Apply(item Item[K]) bool {
 	if item.Version.Compare(s.items[item.Key].Version) <= 0 {
 		return false
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -286,5 +286,5 @@
 
 // choose picks up to k peers by chance.
 func (a *Agent) choose(peers []string, k int) []string {
-	return dissemination.Choose(a.random, peers, k)
+	return dissemination.Sample(a.random, peers, k)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -369,7 +369,7 @@
 	is := is.New(t)
 	i := newItems(time.Hour, 0)
 	is.True(i.gossip.Due(0))
-	is.Equal(i.nextWake(), i.gossip.Next())
+	is.Equal(i.nextWake(), i.gossip.NextDue())
 	i.concerned["a"] = true
 	is.Equal(i.nextWake(), time.Duration(0)) // the first at once
 	i.concernedAt = time.Second
--- a/internal/agent/items.go
+++ b/internal/agent/items.go
@@ -34,7 +34,7 @@
 // items is what the loop knows of the items and of who has them.
 type items struct {
 	state   *dissemination.State[protocol.ItemKind]
-	pulls   *dissemination.Pulls[protocol.ItemKind, string]
+	pulls   *dissemination.PullTracker[protocol.ItemKind, string]
 	gossip  dissemination.Schedule
 	digests int // sent by schedule
 
@@ -54,14 +54,14 @@
 func newItems(gossipEvery, now time.Duration) items {
 	return items{
 		state:  dissemination.NewState[protocol.ItemKind](),
-		pulls:  dissemination.NewPulls[protocol.ItemKind, string](),
+		pulls:  dissemination.NewPullTracker[protocol.ItemKind, string](),
 		gossip: dissemination.NewSchedule(gossipEvery, now), pushedAt: now - pushEvery,
 		askedAt: map[string]time.Duration{}, concerned: map[string]bool{}, concernedAt: now - pushEvery,
 	}
 }
 
 func (i *items) nextWake() time.Duration {
-	next := i.gossip.Next()
+	next := i.gossip.NextDue()
 	if len(i.news) > 0 {
 		next = min(next, i.pushedAt+pushEvery)
 	}
@@ -90,8 +90,8 @@
 			a.dropReplaced(a.View(), view)
 		}
 		version := dissemination.Version(item.Version)
-		a.items.state.Offer(dissemination.Item[protocol.ItemKind]{Key: item.Kind, Version: version, Body: item.Body})
-		a.items.pulls.Got(dissemination.Entry[protocol.ItemKind]{Key: item.Kind, Version: version})
+		a.items.state.Apply(dissemination.Item[protocol.ItemKind]{Key: item.Kind, Version: version, Body: item.Body})
+		a.items.pulls.Received(dissemination.Entry[protocol.ItemKind]{Key: item.Kind, Version: version})
 		a.view.Store(view)
 		a.items.changed = appendDistinct(a.items.changed, item.Kind)
 		a.items.news = appendDistinct(a.items.news, item.Kind)
@@ -170,7 +170,7 @@
 	pull, push := a.items.state.Compare(theirs)
 	for _, entry := range pull {
 		if entry.Key <= protocol.ItemWorkers { // later versions of the program may have more items
-			a.items.pulls.Heard(entry, d.Address)
+			a.items.pulls.AddSource(entry, d.Address)
 		}
 	}
 	a.takeFresh(d.Fresh)
@@ -358,7 +358,7 @@
 				if err == nil {
 					a.take(got.Items)
 				}
-				a.items.pulls.Ended(peer, kinds)
+				a.items.pulls.EndPull(peer, kinds)
 			})
 		}()
 	}
--- a/reconcile/comparison.go
+++ b/reconcile/comparison.go
@@ -17,14 +17,14 @@
 	defaultRanges = 256
 )
 
-// Question is what to ask the other side next: the digests of some ranges and the items of others.
-type Question struct {
+// Request is what to ask the other side next: the digests of some ranges and the items of others.
+type Request struct {
 	Digests []Range
 	Items   []Range
 }
 
 // Empty tells whether there is nothing to ask.
-func (q Question) Empty() bool { return len(q.Digests) == 0 && len(q.Items) == 0 }
+func (q Request) Empty() bool { return len(q.Digests) == 0 && len(q.Items) == 0 }
 
 // Difference lists what makes the other side's set unlike the own one.
 type Difference struct {
@@ -57,8 +57,8 @@
 }
 
 // Next returns the next question, which is empty when there is none before more answers come.
-func (c *Comparison) Next() Question {
-	var q Question
+func (c *Comparison) Next() Request {
+	var q Request
 	q.Digests, c.digests = take(c.digests, c.limits.Ranges)
 	q.Items, c.items = take(c.items, max(1, c.limits.Ranges/c.limits.Items))
 	for _, r := range q.Digests {
@@ -75,8 +75,8 @@
 	return ranges[:n:n], ranges[n:]
 }
 
-// Digests hands in the other side's digest of a range. Answers that were not asked for are ignored.
-func (c *Comparison) Digests(r Range, other Digest) {
+// HandleDigest hands in the other side's digest of a range. Answers that were not asked for are ignored.
+func (c *Comparison) HandleDigest(r Range, other Digest) {
 	if !c.answered(r) {
 		return
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Items hands in the other side's items of a range. Answers that were not asked for are ignored.
-func (c *Comparison) Items(r Range, other []Item) {
+// HandleItems hands in the other side's items of a range. Answers that were not asked for are ignored.
+func (c *Comparison) HandleItems(r Range, other []Item) {
 	if !c.answered(r) {
 		return
 	}
@@ -122,8 +122,8 @@
 	return asked
 }
 
-// Found returns what was found since the last call.
-func (c *Comparison) Found() Difference {
+// TakeDifference returns what was found since the last call.
+func (c *Comparison) TakeDifference() Difference {
 	found := c.found
 	c.found = Difference{}
 	return found
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -147,14 +147,14 @@
 		q := c.Next()
 		digests += len(q.Digests)
 		for _, r := range q.Digests {
-			c.Digests(r, other.Digest(r))
+			c.HandleDigest(r, other.Digest(r))
 		}
 		for _, r := range q.Items {
 			answer := other.Items(r)
 			items += len(answer)
-			c.Items(r, answer)
+			c.HandleItems(r, answer)
 		}
-		part := c.Found()
+		part := c.TakeDifference()
 		found.Changed = append(found.Changed, part.Changed...)
 		found.Extra = append(found.Extra, part.Extra...)
 		if most--; most < 0 {
@@ -238,16 +238,16 @@
 	own := NewTree()
 	own.Add("a", 1)
 	c := NewComparison(own, Limits{})
-	c.Digests(All(), Digest{})
-	c.Items(All(), nil)
-	is.Equal(len(c.Found().Changed), 0)
+	c.HandleDigest(All(), Digest{})
+	c.HandleItems(All(), nil)
+	is.Equal(len(c.TakeDifference().Changed), 0)
 	is.True(!c.Done())
 	is.Equal(len(c.Next().Digests), 1)
 	is.True(!c.Done())
-	c.Digests(All(), Digest{})
-	is.Equal(len(c.Found().Changed), 1)
-	c.Digests(All(), Digest{})
-	is.Equal(len(c.Found().Changed), 0)
+	c.HandleDigest(All(), Digest{})
+	is.Equal(len(c.TakeDifference().Changed), 1)
+	c.HandleDigest(All(), Digest{})
+	is.Equal(len(c.TakeDifference().Changed), 0)
 	is.True(c.Done())
 }
 
--- a/replication/outbound.go
+++ b/replication/outbound.go
@@ -160,7 +160,7 @@
 	own := groupSource{storage: r.o.Storage, group: r.o.Group}
 	p.comparison = reconcile.NewComparison(own, reconcile.Limits{Items: itemsInARange, Ranges: rangesInAQuery})
 	p.comparison.Next() // asks for the digest of all, which came with the reply
-	p.comparison.Digests(reconcile.All(), m.Digest)
+	p.comparison.HandleDigest(reconcile.All(), m.Digest)
 	r.compare(p)
 }
 
@@ -189,7 +189,7 @@
 	if !p.comparison.Done() {
 		return
 	}
-	found := p.comparison.Found()
+	found := p.comparison.TakeDifference()
 	p.comparison = nil
 	if r.lead.sources[p.id] {
 		r.absorb(p, found)
@@ -217,10 +217,10 @@
 	}
 	p.queries--
 	for _, d := range m.Digests {
-		p.comparison.Digests(d.Range, d.Digest)
+		p.comparison.HandleDigest(d.Range, d.Digest)
 	}
 	for _, list := range m.Items {
-		p.comparison.Items(list.Range, list.Items)
+		p.comparison.HandleItems(list.Range, list.Items)
 	}
 	r.compare(p)
 }
