--- a/dissemination/pulls.go
+++ b/dissemination/pulls.go
@@ -13,25 +13,25 @@
 // PullTracker says what to ask of whom. For each item it remembers the newest version that was heard of and some peers that have it; an item is
 // asked for at one peer at a time.
 type PullTracker[K, P cmp.Ordered] struct {
-	wanted map[K]*want[P]
+	wanted map[K]*wantedItem[P]
 }
 
-type want[P cmp.Ordered] struct {
-	version Version
-	sources []P
-	asked   bool // a pull is under way
+type wantedItem[P cmp.Ordered] struct {
+	version  Version
+	sources  []P
+	inFlight bool // a pull is under way
 }
 
 // NewPullTracker returns a Pulls that wants nothing.
 func NewPullTracker[K, P cmp.Ordered]() *PullTracker[K, P] {
-	return &PullTracker[K, P]{wanted: make(map[K]*want[P])}
+	return &PullTracker[K, P]{wanted: make(map[K]*wantedItem[P])}
 }
 
 // AddSource notes that a peer has a state that is newer than the own one.
 func (p *PullTracker[K, P]) AddSource(entry Entry[K], peer P) {
 	w := p.wanted[entry.Key]
 	if w == nil {
-		w = &want[P]{}
+		w = &wantedItem[P]{}
 		p.wanted[entry.Key] = w
 	}
 	switch c := entry.Version.Compare(w.version); {
@@ -46,7 +46,7 @@
 func (p *PullTracker[K, P]) Next(random *rand.Rand) (peer P, keys []K, ok bool) {
 	var peers []P
 	for _, key := range slices.Sorted(maps.Keys(p.wanted)) {
-		if w := p.wanted[key]; !w.asked {
+		if w := p.wanted[key]; !w.inFlight {
 			peers = append(peers, w.sources...)
 		}
 	}
@@ -55,8 +55,8 @@
 	}
 	peer = peers[random.IntN(len(peers))] // who has more of what is wanted is the likelier
 	for _, key := range slices.Sorted(maps.Keys(p.wanted)) {
-		if w := p.wanted[key]; !w.asked && slices.Contains(w.sources, peer) {
-			w.asked = true
+		if w := p.wanted[key]; !w.inFlight && slices.Contains(w.sources, peer) {
+			w.inFlight = true
 			keys = append(keys, key)
 		}
 	}
@@ -71,7 +71,7 @@
 		if w == nil {
 			continue
 		}
-		w.asked = false
+		w.inFlight = false
 		w.sources = slices.DeleteFunc(w.sources, func(source P) bool { return source == peer })
 		if len(w.sources) == 0 {
 			delete(p.wanted, key)
--- a/dissemination/state.go
+++ b/dissemination/state.go
@@ -81,19 +81,19 @@
 // Compare holds the digest of another process against what is known here: pull are the entries of theirs that are newer, push the
 // keys of which they have nothing or something older. Both are in order.
 func (s *State[K]) Compare(theirs []Entry[K]) (pull []Entry[K], push []K) {
-	known := make(map[K]Version, len(theirs))
+	remote := make(map[K]Version, len(theirs))
 	for _, entry := range theirs {
-		if entry.Version.Compare(known[entry.Key]) > 0 {
-			known[entry.Key] = entry.Version
+		if entry.Version.Compare(remote[entry.Key]) > 0 {
+			remote[entry.Key] = entry.Version
 		}
 	}
-	for key, version := range known {
+	for key, version := range remote {
 		if version.Compare(s.items[key].Version) > 0 {
 			pull = append(pull, Entry[K]{Key: key, Version: version})
 		}
 	}
 	for key, item := range s.items {
-		if item.Version.Compare(known[key]) > 0 {
+		if item.Version.Compare(remote[key]) > 0 {
 			push = append(push, key)
 		}
 	}
--- a/election/election.go
+++ b/election/election.go
@@ -28,7 +28,7 @@
 }
 
 // before reports whether the bid wins over another.
-func (b Bid) before(o Bid) bool {
+func (b Bid) beats(o Bid) bool {
 	return cmp.Or(cmp.Compare(b.Rank, o.Rank), cmp.Compare(b.Key, o.Key)) < 0
 }
 
@@ -52,8 +52,8 @@
 	options Options
 	award   Award
 	// bids holds the bids of the present vacancy by key. opened is when the first came.
-	bids   map[string]Bid
-	opened time.Duration
+	bids        map[string]Bid
+	windowStart time.Duration
 }
 
 // New returns a round whose duty was last awarded as said. After a change of the process that runs it, last is the award
@@ -66,61 +66,61 @@
 }
 
 // Bid takes an offer and reports whether it counts: the duty is vacant. The last bid of a process replaces its earlier ones.
-func (r *Election) Bid(now time.Duration, b Bid) bool {
-	if !r.award.Vacant() || b.Key == "" {
+func (e *Election) Bid(now time.Duration, b Bid) bool {
+	if !e.award.Vacant() || b.Key == "" {
 		return false
 	}
-	if len(r.bids) == 0 {
-		r.opened = now
+	if len(e.bids) == 0 {
+		e.windowStart = now
 	}
-	r.bids[b.Key] = b
+	e.bids[b.Key] = b
 	return true
 }
 
 // Withdraw takes the offer of a process back.
-func (r *Election) Withdraw(key string) { delete(r.bids, key) }
+func (e *Election) Withdraw(key string) { delete(e.bids, key) }
 
 // Tick returns a new award when one is due. It is what Current returns from then on.
-func (r *Election) Tick(now time.Duration) (Award, bool) {
-	due, pending := r.NextTick()
+func (e *Election) Tick(now time.Duration) (Award, bool) {
+	due, pending := e.NextTick()
 	if !pending || now < due {
 		return Award{}, false
 	}
 	var best Bid
-	for _, b := range r.bids {
-		if best.Key == "" || b.before(best) {
+	for _, b := range e.bids {
+		if best.Key == "" || b.beats(best) {
 			best = b
 		}
 	}
-	r.award = Award{Term: r.award.Term + 1, Holder: best.Holder}
-	clear(r.bids)
-	return r.award, true
+	e.award = Award{Term: e.award.Term + 1, Holder: best.Holder}
+	clear(e.bids)
+	return e.award, true
 }
 
 // SessionEnded tells that the session of a process has ended: its bid is void, and so is its duty. It reports whether the duty
 // became vacant.
-func (r *Election) SessionEnded(h Holder) bool {
-	if r.bids[h.Key].Incarnation == h.Incarnation {
-		delete(r.bids, h.Key)
+func (e *Election) SessionEnded(h Holder) bool {
+	if e.bids[h.Key].Incarnation == h.Incarnation {
+		delete(e.bids, h.Key)
 	}
-	return r.vacate(h)
+	return e.vacate(h)
 }
 
 // Resign gives the duty back. It reports whether the duty became vacant.
-func (r *Election) Resign(h Holder) bool { return r.vacate(h) }
+func (e *Election) Resign(h Holder) bool { return e.vacate(h) }
 
-func (r *Election) vacate(h Holder) bool {
-	if r.award.Vacant() || r.award.Holder != h {
+func (e *Election) vacate(h Holder) bool {
+	if e.award.Vacant() || e.award.Holder != h {
 		return false
 	}
-	r.award.Holder = Holder{}
+	e.award.Holder = Holder{}
 	return true
 }
 
 // Current returns who has the duty, and the last term.
-func (r *Election) Current() Award { return r.award }
+func (e *Election) Current() Award { return e.award }
 
 // NextTick returns when Tick is to be called next, false when nothing is pending.
-func (r *Election) NextTick() (time.Duration, bool) {
-	return r.opened + r.options.Window, r.award.Vacant() && len(r.bids) > 0
+func (e *Election) NextTick() (time.Duration, bool) {
+	return e.windowStart + e.options.Window, e.award.Vacant() && len(e.bids) > 0
 }
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -64,7 +64,7 @@
 	},
 	{
 		Promise: "a source that lost its disk is waited for beyond F", File: "placement/merge.go",
-		Old: "case len(s.filter(v.sources, (*store).lost)) == 0 || !s.mayDoWithout(p):", New: "case len(s.filter(v.sources, (*store).lost)) == 0:",
+		Old: "case len(s.filter(v.sources, (*store).lost)) == 0 || !s.canProceedWithoutLost(p):", New: "case len(s.filter(v.sources, (*store).lost)) == 0:",
 		Package: "./placement",
 	},
 	{
@@ -85,7 +85,7 @@
 	},
 	{
 		Promise: "a partition that waits for the operator's word holds up no other", File: "placement/balance.go",
-		Old: "== 0 || s.awaitsSource(p)", New: "== 0",
+		Old: "== 0 || s.awaitsLostSource(p)", New: "== 0",
 		Package: "./placement",
 	},
 	{
--- a/placement/abandon.go
+++ b/placement/abandon.go
@@ -40,7 +40,7 @@
 	switch {
 	case hasEverything && (len(s.filter(v.sources, (*store).lost)) == 0 || len(s.offered[p]) > 0):
 		return &a.Kept
-	case len(s.waitsFor(p)) > 0:
+	case len(s.awaitedDisks(p)) > 0:
 		return &a.Waiting
 	case len(lost) == len(s.listed(p)):
 		return &a.Emptied
@@ -51,17 +51,17 @@
 }
 
 // waitsFor returns the disks without which a partition rests: nobody leads it, or its primary has still to take what they hold.
-func (s *state) waitsFor(p int) []int {
+func (s *state) awaitedDisks(p int) []int {
 	v := &s.views[p]
 	lost := s.filter(s.listed(p), (*store).lost)
 	if len(s.filter(v.members, (*store).live))+len(s.filter(s.offered[p], (*store).live)) > 0 {
-		if s.awaitsSource(p) {
+		if s.awaitsLostSource(p) {
 			return s.notAbandoned(lost)
 		}
-		return s.filter(s.sourcesLeft(p), func(st *store) bool { return !st.live() })
+		return s.filter(s.remainingSources(p), func(st *store) bool { return !st.live() })
 	}
 	missing := s.filter(s.listed(p), func(st *store) bool { return !st.live() && !st.lost() })
-	if len(lost) == len(s.listed(p)) || !s.mayDoWithout(p) {
+	if len(lost) == len(s.listed(p)) || !s.canProceedWithoutLost(p) {
 		missing = append(missing, s.notAbandoned(lost)...)
 	}
 	return missing
@@ -77,7 +77,7 @@
 	s := newState(in)
 	found := map[string]bool{}
 	for p := range s.views {
-		missing := s.waitsFor(p)
+		missing := s.awaitedDisks(p)
 		if len(missing) > 0 {
 			partitions++
 		}
--- a/placement/abandon_test.go
+++ b/placement/abandon_test.go
@@ -41,27 +41,27 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m.step(t)
 		}
-		var gone []string
+		var down []string
 		for _, name := range m.order {
 			if m.stores[name].DownFor > 0 {
-				gone = append(gone, name)
+				down = append(down, name)
 			}
 		}
-		if m.lasting() < m.copies {
+		if m.permanent() < m.copies {
 			return
 		}
-		told := PreviewAbandonment(m.input(true), gone)
-		if told.Waiting > 0 {
-			t.Fatalf("all are given up, and partitions wait: %+v", told)
+		preview := PreviewAbandonment(m.input(true), down)
+		if preview.Waiting > 0 {
+			t.Fatalf("all are given up, and partitions wait: %+v", preview)
 		}
 		_, before := AwaitedMembers(m.input(true))
-		if told.Emptied+told.Incomplete > 0 && before == 0 {
-			t.Fatalf("something is lost though no partition waits: %+v", told)
+		if preview.Emptied+preview.Incomplete > 0 && before == 0 {
+			t.Fatalf("something is lost though no partition waits: %+v", preview)
 		}
-		for _, name := range gone {
+		for _, name := range down {
 			m.stores[name].Abandoned = true
 		}
-		m.settle(t)
+		m.converge(t)
 		if members, n := AwaitedMembers(m.input(true)); n > 0 {
 			t.Fatalf("%d partitions wait for %v", n, members)
 		}
--- a/placement/balance.go
+++ b/placement/balance.go
@@ -7,8 +7,8 @@
 )
 
 // whole reports whether all live stores reach each other and every partition with a live copy has Copies members that are live and may stay.
-func (s *state) whole() bool {
-	if len(s.apart) > 0 {
+func (s *state) fullyReplicated() bool {
+	if len(s.unreachable) > 0 {
 		return false
 	}
 	for i := range s.stores {
@@ -18,10 +18,10 @@
 	}
 	for p := range s.views {
 		v := &s.views[p]
-		if s.waits(p) {
+		if s.isWaiting(p) {
 			continue
 		}
-		if len(v.members) != s.in.Copies || s.lastingCount(v.members) != s.in.Copies {
+		if len(v.members) != s.in.Copies || s.permanentCount(v.members) != s.in.Copies {
 			return false
 		}
 	}
@@ -29,13 +29,13 @@
 }
 
 // waits reports whether the partition waits for a member that is gone, or for a source that has lost its disk.
-func (s *state) waits(p int) bool {
-	return s.liveCount(s.views[p].members) == 0 || s.awaitsSource(p)
+func (s *state) isWaiting(p int) bool {
+	return s.liveCount(s.views[p].members) == 0 || s.awaitsLostSource(p)
 }
 
 // resting reports whether the partition has no move under way and waits for nobody.
-func (s *state) resting(p int) bool {
-	return len(s.views[p].learners) == 0 && !s.waits(p)
+func (s *state) isStable(p int) bool {
+	return len(s.views[p].learners) == 0 && !s.isWaiting(p)
 }
 
 // step hands a partition to another of its members.
@@ -46,7 +46,7 @@
 func (s *state) balancePrimaries() {
 	led := make([][]int, len(s.stores))
 	for p := range s.views {
-		if i := s.views[p].primary; i != none && s.resting(p) {
+		if i := s.views[p].primary; i != none && s.isStable(p) {
 			led[i] = append(led[i], p)
 		}
 	}
@@ -68,17 +68,17 @@
 }
 
 // drawPrimariesNear hands partitions whose primary is in a zone with fewer of their copies than another to a member there.
-func (s *state) drawPrimariesNear() {
+func (s *state) colocatePrimaries() {
 	if !s.in.SharedZones {
 		return
 	}
 	for p, moved := 0, 0; p < len(s.views) && moved < s.limit; p++ {
 		v := s.views[p]
-		if v.primary == none || !s.resting(p) {
+		if v.primary == none || !s.isStable(p) {
 			continue
 		}
 		best := s.bestPrimary(p, s.filter(v.members, (*store).eligible))
-		if best == none || s.near(v.members, best) <= s.near(v.members, v.primary) {
+		if best == none || s.sameZoneMembers(v.members, best) <= s.sameZoneMembers(v.members, v.primary) {
 			continue
 		}
 		v.primary, v.changed = best, true
@@ -88,7 +88,7 @@
 }
 
 // near counts the other members in a member's zone, where that matters.
-func (s *state) near(members []int, i int) int {
+func (s *state) sameZoneMembers(members []int, i int) int {
 	count := 0
 	for _, j := range members {
 		if s.in.SharedZones && j != i && s.sameZone(i, j) {
@@ -127,7 +127,7 @@
 		queue = queue[1:]
 		for _, p := range led[i] {
 			for _, j := range s.views[p].members {
-				if reached[j] || !s.stores[j].eligible() || s.near(s.views[p].members, j) < s.near(s.views[p].members, i) {
+				if reached[j] || !s.stores[j].eligible() || s.sameZoneMembers(s.views[p].members, j) < s.sameZoneMembers(s.views[p].members, i) {
 					continue
 				}
 				reached[j], reachedBy[j] = true, step{partition: p, to: j}
@@ -174,7 +174,7 @@
 		next := s.views[m.partition]
 		next.learners, next.changed = []int{m.to}, true
 		s.replace(m.partition, next)
-		s.replaced[m.partition] = m.from
+		s.outgoing[m.partition] = m.from
 		s.load[m.from]--
 		s.moving++
 	}
@@ -184,7 +184,7 @@
 	if m, ok := s.separatingMove(); ok {
 		return m, true
 	}
-	return s.eveningMove()
+	return s.loadBalancingMove()
 }
 
 // separatingMove looks for a partition whose copies could be separated better.
@@ -192,7 +192,7 @@
 	least := s.leastCost()
 	for p := range s.views {
 		members := s.views[p].members
-		if !s.resting(p) || s.totalCost(members) <= least {
+		if !s.isStable(p) || s.totalCost(members) <= least {
 			continue
 		}
 		best, gain := move{}, 0
@@ -205,7 +205,7 @@
 				if s.savesZoneOnly(g) && s.load[to] >= s.loadLimit() {
 					continue
 				}
-				if g > gain || g == gain && g > 0 && s.lighter(p, to, best.to) {
+				if g > gain || g == gain && g > 0 && s.lessLoaded(p, to, best.to) {
 					best, gain = move{p, from, to}, g
 				}
 			}
@@ -218,7 +218,7 @@
 }
 
 // eveningMove looks for a move from a store to one with at least two copies fewer that separates copies no worse.
-func (s *state) eveningMove() (move, bool) {
+func (s *state) loadBalancingMove() (move, bool) {
 	light := s.eligibleBy(func(i int) int { return s.load[i] })
 	if len(light) == 0 {
 		return move{}, false
@@ -228,7 +228,7 @@
 		if s.load[from]-s.load[light[0]] < 2 {
 			break
 		}
-		held := s.restingOn(from)
+		held := s.stablePartitionsOn(from)
 		for _, to := range light {
 			if s.load[from]-s.load[to] < 2 {
 				break
@@ -242,10 +242,10 @@
 }
 
 // restingOn returns the partitions without a move that have a copy on the store, those that it is not primary of first.
-func (s *state) restingOn(i int) []int {
+func (s *state) stablePartitionsOn(i int) []int {
 	var backup, primary []int
 	for p := range s.views {
-		if !s.resting(p) || !slices.Contains(s.views[p].members, i) {
+		if !s.isStable(p) || !slices.Contains(s.views[p].members, i) {
 			continue
 		}
 		if s.views[p].primary == i {
@@ -276,7 +276,7 @@
 
 // mostLoad is how many times its even share of the copies a store may hold so that partitions lie in fewer zones. It leaves room for one store of three
 // or more in a zone to be away.
-const mostLoad = 1.5
+const maxLoadFactor = 1.5
 
 // loadLimit is the number of copies up to which a store may be given more for the sake of fewer zones.
 func (s *state) loadLimit() int {
@@ -286,7 +286,7 @@
 			eligible++
 		}
 	}
-	return int(math.Ceil(mostLoad * float64(s.in.Copies*len(s.views)) / float64(max(1, eligible))))
+	return int(math.Ceil(maxLoadFactor * float64(s.in.Copies*len(s.views)) / float64(max(1, eligible))))
 }
 
 // overloaded tells whether a store holds more copies than it may for the sake of fewer zones.
--- a/placement/blocked_test.go
+++ b/placement/blocked_test.go
@@ -16,7 +16,7 @@
 func TestTwoStoresThatDoNotReachEachOther(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
-	changes := Plan(blocked(one(v, fourZones(), 2), [2]string{b, a}, [2]string{a, b}))
+	changes := Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{b, a}, [2]string{a, b}))
 	is.Equal(len(changes), 1)
 	v = changes[0].View
 	is.Equal(v.Primary, a) // both are cut off from one: the primary stays
@@ -25,15 +25,15 @@
 	is.True(v.Learners[0] == c || v.Learners[0] == d)
 	is.Equal(v.Holders, []string{b}) // it has everything that was acknowledged, and is not to drop it yet
 
-	is.Equal(Plan(blocked(one(v, fourZones(), 2), [2]string{a, b})), nil) // no change of mind while it lasts
-	is.Equal(Plan(one(v, fourZones(), 2)), nil)                           // nor when it is over
+	is.Equal(Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{a, b})), nil) // no change of mind while it lasts
+	is.Equal(Plan(singlePartition(v, fourZones(), 2)), nil)                           // nor when it is over
 }
 
 func TestStoreThatReachesNoOtherGivesUpItsPrimaries(t *testing.T) {
 	is := is.New(t)
 	cut := [][2]string{{a, b}, {a, c}, {d, a}}
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
-	changes := Plan(blocked(one(v, fourZones(), 2), cut...))
+	changes := Plan(blocked(singlePartition(v, fourZones(), 2), cut...))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, b)
 	is.Equal(changes[0].View.Members, []string{b})
@@ -41,7 +41,7 @@
 	is.True(changes[0].View.Learners[0] != a)
 
 	v = View{Epoch: 4, Primary: b, Members: []string{b, a}}
-	changes = Plan(blocked(one(v, fourZones(), 2), cut...))
+	changes = Plan(blocked(singlePartition(v, fourZones(), 2), cut...))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Members, []string{b})
 }
@@ -49,7 +49,7 @@
 func TestUnreachableLearnerIsReplaced(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: a, Members: []string{a}, Learners: []string{c}}
-	changes := Plan(blocked(one(v, fourZones(), 2), [2]string{a, c}, [2]string{a, b}))
+	changes := Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{a, c}, [2]string{a, b}))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Members, []string{a})
 	is.Equal(changes[0].View.Learners, []string{d})
@@ -59,29 +59,29 @@
 // can be written, also when the links are whole again and only the verdict is old.
 func TestStoreCutOffIsALearnerWhereNobodyElseIsLeft(t *testing.T) {
 	is := is.New(t)
-	stores := gone(gone(fourZones(), c, 1), d, 1)
+	stores := down(down(fourZones(), c, 1), d, 1)
 	v := View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{c}}
-	changes := Plan(blocked(one(v, stores, 2), [2]string{a, b}))
+	changes := Plan(blocked(singlePartition(v, stores, 2), [2]string{a, b}))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, b)
 	is.Equal(changes[0].View.Members, []string{b})
 	is.True(slices.Contains(changes[0].View.Learners, a))
 
 	v = changes[0].View
-	is.Equal(Plan(blocked(one(v, stores, 2), [2]string{a, b})), nil) // no change of mind while it lasts
+	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, b})), nil) // no change of mind while it lasts
 
 	v = View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{a}}
-	changes = Plan(blocked(one(v, fourZones(), 2), [2]string{a, b}))
+	changes = Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{a, b}))
 	is.Equal(len(changes), 1)
 	is.True(!slices.Contains(changes[0].View.Learners, a)) // others are in reach
 }
 
 func TestNobodyIsLeftOutWhereNobodyCanStandIn(t *testing.T) {
 	is := is.New(t)
-	stores := gone(gone(fourZones(), c, 1), d, 1)
+	stores := down(down(fourZones(), c, 1), d, 1)
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
-	is.Equal(Plan(blocked(one(v, stores, 2), [2]string{a, b})), nil)
-	is.Equal(Plan(blocked(one(v, stores, 2), [2]string{a, c}, [2]string{a, a}, [2]string{"unknown", a})), nil) // c is gone anyway
+	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, b})), nil)
+	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, c}, [2]string{a, a}, [2]string{"unknown", a})), nil) // c is gone anyway
 }
 
 func TestStalledStoreCountsAsGone(t *testing.T) {
@@ -89,7 +89,7 @@
 	stores := fourZones()
 	stores[0].Stalled = true
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
-	changes := Plan(one(v, stores, 2))
+	changes := Plan(singlePartition(v, stores, 2))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, b)
 	is.Equal(changes[0].View.Members, []string{b})
@@ -97,7 +97,7 @@
 	is.Equal(len(changes[0].View.Learners), 2)
 
 	stores[1].Stalled = true
-	is.Equal(Plan(one(v, stores, 2)), nil) // nobody has the records: wait
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // nobody has the records: wait
 }
 
 func TestNothingIsMovedForBalanceWhileStoresDoNotReachEachOther(t *testing.T) {
@@ -143,18 +143,18 @@
 }
 
 func checkLeftOut(t *rapid.T, m *model, in Input) {
-	apart := func(a, b string) bool {
+	unreachable := func(a, b string) bool {
 		return a != b && (slices.Contains(in.Blocked, [2]string{a, b}) || slices.Contains(in.Blocked, [2]string{b, a}))
 	}
 	for p, v := range in.Partitions {
 		for _, a := range v.Members {
 			for _, b := range v.Members {
-				if m.stores[a].Stalled || m.stores[b].Stalled || !apart(a, b) {
+				if m.stores[a].Stalled || m.stores[b].Stalled || !unreachable(a, b) {
 					continue
 				}
 				reached := 0 // by the primary, which would stay at least
 				for _, name := range m.order {
-					if !m.stores[name].Stalled && !apart(name, v.Primary) {
+					if !m.stores[name].Stalled && !unreachable(name, v.Primary) {
 						reached++
 					}
 				}
--- a/placement/found.go
+++ b/placement/initial.go
@@ -25,7 +25,7 @@
 		members := s.firstMembers(p, shared)
 		s.replace(p, view{primary: s.choosePrimary(p, members), members: members})
 	}
-	s.evenOut()
+	s.balanceInPlace()
 	out := make([]View, partitions)
 	for p := range out {
 		out[p] = s.export(p, firstEpoch)
@@ -43,7 +43,7 @@
 			if !s.stores[i].eligible() || slices.Contains(members, i) {
 				continue
 			}
-			if best == none || s.companionBefore(p, members, shared, i, best) {
+			if best == none || s.betterMember(p, members, shared, i, best) {
 				best = i
 			}
 		}
@@ -57,7 +57,7 @@
 	return members
 }
 
-func (s *state) companionBefore(p int, members []int, shared [][]int, i, j int) bool {
+func (s *state) betterMember(p int, members []int, shared [][]int, i, j int) bool {
 	if a, b := s.costOf(i, members, none), s.costOf(j, members, none); a != b {
 		return a < b
 	}
@@ -72,11 +72,11 @@
 	if a != b {
 		return a < b
 	}
-	return s.order(p, i) < s.order(p, j)
+	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
 // evenOut carries out moves of copies and of primaries in place, until there are none.
-func (s *state) evenOut() {
+func (s *state) balanceInPlace() {
 	for {
 		m, ok := s.findMove()
 		if !ok {
@@ -90,6 +90,6 @@
 		s.replace(m.partition, next)
 	}
 	s.limit = len(s.views) * (len(s.stores) + 1)
-	s.drawPrimariesNear()
+	s.colocatePrimaries()
 	s.balancePrimaries()
 }
--- a/placement/merge.go
+++ b/placement/merge.go
@@ -20,26 +20,26 @@
 // sourcesLeft returns the sources that the primary of the next view has to take from: none once a learner was offered, as an active primary
 // has taken everything. Where one has lost its disk, and the partition may do without what is lost, all others that are listed take its place:
 // one that was given up, or had another disk in its machine, may be back and hold what only the source had. Else the source is waited for.
-func (s *state) sourcesLeft(p int) []int {
+func (s *state) remainingSources(p int) []int {
 	v := &s.views[p]
 	switch {
 	case len(s.offered[p]) > 0:
 		return nil
-	case len(s.filter(v.sources, (*store).lost)) == 0 || !s.mayDoWithout(p):
+	case len(s.filter(v.sources, (*store).lost)) == 0 || !s.canProceedWithoutLost(p):
 		return slices.Clone(v.sources)
 	}
 	return slices.DeleteFunc(s.listed(p), func(i int) bool { return s.stores[i].lost() || slices.Contains(v.members, i) })
 }
 
 // awaitsSource reports whether the primary of a partition has still to take what is on a disk that is lost, and cannot do without.
-func (s *state) awaitsSource(p int) bool {
+func (s *state) awaitsLostSource(p int) bool {
 	v := &s.views[p]
-	return len(s.offered[p]) == 0 && len(s.filter(v.sources, (*store).lost)) > 0 && !s.mayDoWithout(p)
+	return len(s.offered[p]) == 0 && len(s.filter(v.sources, (*store).lost)) > 0 && !s.canProceedWithoutLost(p)
 }
 
 // mayDoWithout reports whether a partition may go on without those of the listed disks that are lost: they are fewer than Copies, so what was
 // acknowledged is on another, or the operator has given up each of them.
-func (s *state) mayDoWithout(p int) bool {
+func (s *state) canProceedWithoutLost(p int) bool {
 	lost := s.filter(s.listed(p), (*store).lost)
 	return len(lost) < s.in.Copies || s.allAbandoned(lost)
 }
@@ -73,25 +73,25 @@
 		}
 	}
 	switch {
-	case len(survivors) > 0 && s.mayDoWithout(p):
+	case len(survivors) > 0 && s.canProceedWithoutLost(p):
 		primary := s.bestPrimary(p, survivors)
-		s.beginWith(p, primary, slices.DeleteFunc(survivors, func(i int) bool { return i == primary }))
+		s.startWithPrimary(p, primary, slices.DeleteFunc(survivors, func(i int) bool { return i == primary }))
 	case len(survivors) == 0 && s.allAbandoned(s.listed(p)):
 		if primary := s.candidate(p, nil, nil, false); primary != none {
-			s.beginWith(p, primary, nil)
+			s.startWithPrimary(p, primary, nil)
 		}
 	}
 }
 
 // beginWith gives a partition without members a primary, which takes what the sources hold.
-func (s *state) beginWith(p, primary int, sources []int) {
+func (s *state) startWithPrimary(p, primary int, sources []int) {
 	members := []int{primary}
 	learners := s.attach(p, members, slices.Clone(sources))
 	next := view{
 		primary: primary, members: members, learners: learners,
 		sources: sources, holders: s.holders(p, members, learners), changed: true,
 	}
-	s.unexpect(p)
+	s.cancelExpectedRemoval(p)
 	s.replace(p, next)
-	s.expect(p)
+	s.expectRemoval(p)
 }
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -140,8 +140,8 @@
 			}
 		}
 	}
-	knowsAll := func(name string) bool { return contains(old.Members, name) || contains(p.offered, name) }
-	if !slices.ContainsFunc(v.Members, knowsAll) {
+	hasAllRecords := func(name string) bool { return contains(old.Members, name) || contains(p.offered, name) }
+	if !slices.ContainsFunc(v.Members, hasAllRecords) {
 		m.checkMerge(c, fail)
 		return
 	}
@@ -156,7 +156,7 @@
 			fail("member is gone though the view could change")
 		}
 		missing := p.acknowledged &^ m.held(c.Partition, name, v.Sources)
-		if missing != 0 && !m.gaveUp(old) {
+		if missing != 0 && !m.allLostAbandoned(old) {
 			fail("member " + name + " lacks acknowledged records")
 		}
 		p.acknowledged &^= missing
@@ -187,7 +187,7 @@
 }
 
 // gaveUp tells whether more disks of a partition are lost than may be, and the operator has given up each of them.
-func (m *model) gaveUp(old View) bool {
+func (m *model) allLostAbandoned(old View) bool {
 	lost := 0
 	for _, name := range slices.Concat(old.Members, old.Learners, old.Holders) {
 		if m.lost(name) {
@@ -215,15 +215,15 @@
 	}
 	p := &m.partitions[c.Partition]
 	missing := p.acknowledged &^ m.held(c.Partition, v.Primary, v.Sources)
-	if missing != 0 && !m.gaveUp(old) {
+	if missing != 0 && !m.allLostAbandoned(old) {
 		fail("the sources lack acknowledged records")
 	}
 	p.acknowledged &^= missing
 	m.merges++
 }
 
-// serve lets the primary of a partition do its part: equalise, take a write, offer learners.
-func (m *model) serve(t *rapid.T, n int, offer bool) {
+// runPrimary lets the primary of a partition do its part: equalise, take a write, offer learners.
+func (m *model) runPrimary(t *rapid.T, n int, offer bool) {
 	p := &m.partitions[n]
 	v := &p.view
 	if !m.live(v.Primary) {
@@ -279,16 +279,16 @@
 	}
 }
 
-func (m *model) serveAll(t *rapid.T, offer bool) {
+func (m *model) runPrimaries(t *rapid.T, offer bool) {
 	for n := range m.partitions {
-		m.serve(t, n, offer)
+		m.runPrimary(t, n, offer)
 	}
 }
 
 // settle serves and plans until nothing changes any more.
-func (m *model) settle(t *rapid.T) {
+func (m *model) converge(t *rapid.T) {
 	for round := 0; ; round++ {
-		m.serveAll(t, true)
+		m.runPrimaries(t, true)
 		if m.plan(t, false) == 0 {
 			return
 		}
@@ -299,7 +299,7 @@
 }
 
 // pass adds to the time that the stores have been gone for.
-func (m *model) pass(d time.Duration) {
+func (m *model) advance(d time.Duration) {
 	for _, s := range m.stores {
 		if s.DownFor > 0 {
 			s.DownFor += d
@@ -315,10 +315,10 @@
 func (m *model) start(name string) { m.stores[name].DownFor, m.stores[name].Abandoned = 0, false }
 
 // pick returns one of the stores that fit, none when there is none.
-func (m *model) pick(t *rapid.T, fits func(s *modelStore) bool) (string, bool) {
+func (m *model) pick(t *rapid.T, matches func(s *modelStore) bool) (string, bool) {
 	var list []string
 	for _, name := range m.order {
-		if fits(m.stores[name]) {
+		if matches(m.stores[name]) {
 			list = append(list, name)
 		}
 	}
--- a/placement/owners.go
+++ b/placement/owners.go
@@ -9,18 +9,18 @@
 )
 
 // ownerRate is the rate up to which one dispatcher paces a service alone.
-const ownerRate = 100
+const ownerRatePerS = 100
 
 // staticOwners is the number of dispatchers that a static service without a rate is placed on.
-const staticOwners = 2
+const staticOwnerCount = 2
 
 // OwnerCount returns how many dispatchers a service is to be placed on, 0 for any.
 func OwnerCount(ratePerS float64, static bool) int {
 	switch {
 	case ratePerS > 0:
-		return int(math.Max(1, math.Ceil(ratePerS/ownerRate)))
+		return int(math.Max(1, math.Ceil(ratePerS/ownerRatePerS)))
 	case static:
-		return staticOwners
+		return staticOwnerCount
 	}
 	return 0
 }
@@ -38,18 +38,18 @@
 
 // ownedService is a service with the best of the dispatchers, as many as were last asked for.
 type ownedService struct {
-	count int
-	best  []candidate // best first; nil when it has to be chosen anew
-	asked bool        // since the last call of SetDispatchers
+	count     int
+	best      []candidate // best first; nil when it has to be chosen anew
+	requested bool        // since the last call of SetDispatchers
 }
 
 // admit takes in a dispatcher that joined, if it is among the best.
-func (s *ownedService) admit(joined candidate) {
-	at, _ := slices.BinarySearchFunc(s.best, joined, compareCandidates)
+func (s *ownedService) consider(joining candidate) {
+	at, _ := slices.BinarySearchFunc(s.best, joining, compareCandidates)
 	if at >= s.count {
 		return
 	}
-	s.best = slices.Insert(s.best, at, joined)
+	s.best = slices.Insert(s.best, at, joining)
 	s.best = s.best[:min(len(s.best), s.count)]
 }
 
@@ -74,29 +74,29 @@
 	names = slices.Clone(names)
 	slices.Sort(names)
 	names = slices.Compact(names)
-	joined, left := difference(o.dispatchers, names)
+	joining, departed := difference(o.dispatchers, names)
 	o.dispatchers = names
 	for service, owned := range o.services {
-		if !owned.asked {
+		if !owned.requested {
 			delete(o.services, service)
 			continue
 		}
-		owned.asked = false
-		o.follow(service, owned, joined, left)
+		owned.requested = false
+		o.update(service, owned, joining, departed)
 	}
 }
 
 // follow brings the owners of one service up to date.
-func (o *Ownership) follow(service string, owned *ownedService, joined, left []string) {
+func (o *Ownership) update(service string, owned *ownedService, joining, departed []string) {
 	if owned.best == nil {
 		return
 	}
-	if slices.ContainsFunc(left, owned.has) {
+	if slices.ContainsFunc(departed, owned.has) {
 		owned.best = nil
 		return
 	}
-	for _, name := range joined {
-		owned.admit(candidate{name, o.score(service, name)})
+	for _, name := range joining {
+		owned.consider(candidate{name, o.score(service, name)})
 	}
 }
 
@@ -113,7 +113,7 @@
 	if owned.count != count {
 		owned.count, owned.best = count, nil
 	}
-	owned.asked = true
+	owned.requested = true
 	if owned.best == nil {
 		o.choose(service, owned)
 	}
@@ -128,7 +128,7 @@
 func (o *Ownership) choose(service string, owned *ownedService) {
 	owned.best = make([]candidate, 0, max(0, min(owned.count, len(o.dispatchers)))+1)
 	for _, name := range o.dispatchers {
-		owned.admit(candidate{name, o.score(service, name)})
+		owned.consider(candidate{name, o.score(service, name)})
 	}
 }
 
@@ -142,16 +142,16 @@
 }
 
 // difference returns what stands only in after, and what stands only in before; both are in order.
-func difference(before, after []string) (joined, left []string) {
+func difference(before, after []string) (joining, departed []string) {
 	for len(before) > 0 && len(after) > 0 {
 		switch order := cmp.Compare(before[0], after[0]); {
 		case order < 0:
-			left, before = append(left, before[0]), before[1:]
+			departed, before = append(departed, before[0]), before[1:]
 		case order > 0:
-			joined, after = append(joined, after[0]), after[1:]
+			joining, after = append(joining, after[0]), after[1:]
 		default:
 			before, after = before[1:], after[1:]
 		}
 	}
-	return append(joined, after...), append(left, before...)
+	return append(joining, after...), append(departed, before...)
 }
--- a/placement/owners_test.go
+++ b/placement/owners_test.go
@@ -155,7 +155,7 @@
 // how versions up to 0b7f853 did it at each change.
 func BenchmarkOwners(b *testing.B) {
 	names, services := dispatcherNames(benchDispatchers), benchServiceNames()
-	askAll := func(o *Ownership) {
+	requestAll := func(o *Ownership) {
 		for _, service := range services {
 			o.Owners(service, 2)
 		}
@@ -171,16 +171,16 @@
 		for b.Loop() {
 			var o Ownership
 			o.SetDispatchers(names)
-			askAll(&o)
+			requestAll(&o)
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		var o Ownership
 		o.SetDispatchers(names)
-		askAll(&o)
+		requestAll(&o)
 		for n := 0; b.Loop(); n++ {
 			o.SetDispatchers(names[n%2:])
-			askAll(&o)
+			requestAll(&o)
 		}
 	})
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -101,10 +101,10 @@
 	for p := range s.views {
 		s.repair(p)
 	}
-	if !in.NoBalance && s.whole() {
-		s.drawPrimariesNear()
+	if !in.NoBalance && s.fullyReplicated() {
+		s.colocatePrimaries()
 		s.balancePrimaries()
-		if s.settled() {
+		if s.noRecentLoss() {
 			s.balanceMembers()
 		}
 	}
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -24,7 +24,7 @@
 	d = "storage-d/1"
 )
 
-func gone(stores []Store, member string, d time.Duration) []Store {
+func down(stores []Store, member string, d time.Duration) []Store {
 	for i := range stores {
 		if stores[i].Member == member {
 			stores[i].DownFor = d
@@ -33,7 +33,7 @@
 	return stores
 }
 
-func one(v View, stores []Store, copies int, offers ...string) Input {
+func singlePartition(v View, stores []Store, copies int, offers ...string) Input {
 	return Input{Stores: stores, Partitions: []View{v}, Copies: copies, Offers: map[int][]string{0: offers}, NoBalance: true}
 }
 
@@ -43,13 +43,13 @@
 	stores[0].Leaving = true
 	v := View{Epoch: 7, Primary: a, Members: []string{a, b}}
 
-	changes := Plan(one(v, stores, 2))
+	changes := Plan(singlePartition(v, stores, 2))
 	is.Equal(changes, []Change{{0, View{Epoch: 8, Primary: b, Members: []string{a, b}}}}) // it leaves: another member leads, it stays member
 	v = changes[0].View
-	is.Equal(Plan(one(v, stores, 2)), nil)
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil)
 
 	stores[0].Leaving = false
-	changes = Plan(one(v, gone(stores, a, time.Millisecond), 2))
+	changes = Plan(singlePartition(v, down(stores, a, time.Millisecond), 2))
 	is.Equal(len(changes), 1)
 	v = changes[0].View
 	is.Equal(v.Members, []string{b})
@@ -58,25 +58,25 @@
 	standIn := v.Learners[1]
 	is.True(standIn == c || standIn == d)
 
-	is.Equal(Plan(one(v, gone(stores, a, 0), 2)), nil) // it is back: nothing is to be decided yet
-	changes = Plan(one(v, stores, 2, a))
+	is.Equal(Plan(singlePartition(v, down(stores, a, 0), 2)), nil) // it is back: nothing is to be decided yet
+	changes = Plan(singlePartition(v, stores, 2, a))
 	is.Equal(changes, []Change{{0, View{Epoch: 10, Primary: b, Members: []string{b, a}}}}) // equal: the stand-in goes
-	is.Equal(Plan(one(changes[0].View, stores, 2)), nil)
+	is.Equal(Plan(singlePartition(changes[0].View, stores, 2)), nil)
 }
 
 func TestStandInStaysWhenItIsEqualFirst(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{a, c}}
-	changes := Plan(one(v, gone(fourZones(), a, time.Second), 2, c))
+	changes := Plan(singlePartition(v, down(fourZones(), a, time.Second), 2, c))
 	is.Equal(changes, []Change{{0, View{Epoch: 10, Primary: b, Members: []string{b, c}}}})
 }
 
 func TestOfferedLearnerThatIsGoneEndsTheView(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c, a}}
-	stores := gone(gone(gone(fourZones(), c, 1), a, 1), d, 1)
-	is.Equal(Plan(one(v, stores, 2)), nil) // nobody waits for them
-	changes := Plan(one(v, stores, 2, c))
+	stores := down(down(down(fourZones(), c, 1), a, 1), d, 1)
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // nobody waits for them
+	changes := Plan(singlePartition(v, stores, 2, c))
 	is.Equal(len(changes), 1) // writes wait for it
 	is.Equal(changes[0].View.Epoch, uint64(10))
 	is.Equal(changes[0].View.Members, []string{b})
@@ -85,7 +85,7 @@
 func TestOfferedLearnerLeadsWhenAllMembersAreGone(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c}}
-	changes := Plan(one(v, gone(fourZones(), b, 1), 2, c))
+	changes := Plan(singlePartition(v, down(fourZones(), b, 1), 2, c))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, c)
 	is.Equal(changes[0].View.Members, []string{c})
@@ -95,23 +95,23 @@
 func TestLastMemberIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c}}
-	is.Equal(Plan(one(v, gone(fourZones(), b, time.Hour), 2)), nil)
-	is.Equal(Plan(one(v, fourZones()[2:], 2)), nil) // also when nothing is known of it
+	is.Equal(Plan(singlePartition(v, down(fourZones(), b, time.Hour), 2)), nil)
+	is.Equal(Plan(singlePartition(v, fourZones()[2:], 2)), nil) // also when nothing is known of it
 }
 
 func TestTwoStoresGoneAtOnce(t *testing.T) {
 	is := is.New(t)
-	stores := gone(gone(fourZones(), a, 1), b, 1)
+	stores := down(down(fourZones(), a, 1), b, 1)
 	v := View{Epoch: 3, Primary: a, Members: []string{a, b}}
-	is.Equal(Plan(one(v, stores, 2)), nil) // both copies are gone: wait
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // both copies are gone: wait
 
-	changes := Plan(one(v, gone(stores, b, 0), 2))
+	changes := Plan(singlePartition(v, down(stores, b, 0), 2))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, b)
 	is.Equal(changes[0].View.Members, []string{b})
 
 	v = View{Epoch: 3, Primary: a, Members: []string{a, b, c}}
-	changes = Plan(one(v, gone(stores, b, 1), 3))
+	changes = Plan(singlePartition(v, down(stores, b, 1), 3))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, c)
 	is.Equal(changes[0].View.Members, []string{c})
@@ -120,9 +120,9 @@
 
 func TestOtherDiskIsAnotherMember(t *testing.T) {
 	is := is.New(t)
-	stores := append(gone(fourZones(), a, time.Second), Store{Member: "storage-a/2", Zone: "a", Region: "r"})
+	stores := append(down(fourZones(), a, time.Second), Store{Member: "storage-a/2", Zone: "a", Region: "r"})
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
-	changes := Plan(one(v, stores, 2))
+	changes := Plan(singlePartition(v, stores, 2))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Members, []string{b})
 	is.Equal(len(changes[0].View.Learners), 1) // the old disk is not waited for
@@ -133,10 +133,10 @@
 func TestDisksOfAllMembersAreLost(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{a, c}}
-	replaced := Store{Member: "storage-b/2", Zone: "b", Region: "r"}
-	stores := append(gone(fourZones(), b, time.Second), replaced)
-	is.Equal(Plan(one(v, gone(stores, a, 1), 2)), nil) // a has what c may lack
-	changes := Plan(one(v, gone(stores, a, 0), 2))
+	outgoing := Store{Member: "storage-b/2", Zone: "b", Region: "r"}
+	stores := append(down(fourZones(), b, time.Second), outgoing)
+	is.Equal(Plan(singlePartition(v, down(stores, a, 1), 2)), nil) // a has what c may lack
+	changes := Plan(singlePartition(v, down(stores, a, 0), 2))
 	is.Equal(len(changes), 1)
 	v = changes[0].View
 	is.Equal(len(v.Members), 1)
@@ -144,9 +144,9 @@
 	is.True(contains(v.Sources, a) != contains(v.Members, a)) // one takes from the other
 	is.True(contains(v.Sources, c) != contains(v.Members, c))
 	is.Equal(v.Holders, []string{b})
-	is.Equal(Plan(one(v, stores, 2)), nil)
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil)
 
-	changes = Plan(one(v, stores, 2, v.Sources...))
+	changes = Plan(singlePartition(v, stores, 2, v.Sources...))
 	is.Equal(len(changes), 1)
 	is.Equal(len(changes[0].View.Members), 2)
 	is.Equal(len(changes[0].View.Sources)+len(changes[0].View.Holders), 0)
@@ -155,9 +155,9 @@
 func TestMoreDisksAreLostThanCopiesAllowFor(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{c}, Holders: []string{a}}
-	stores := append(gone(gone(fourZones(), b, time.Second), a, time.Second),
+	stores := append(down(down(fourZones(), b, time.Second), a, time.Second),
 		Store{Member: "storage-b/2", Zone: "b", Region: "r"}, Store{Member: "storage-a/2", Zone: "a", Region: "r"})
-	is.Equal(Plan(one(v, stores, 2)), nil) // an old disk may be put back
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // an old disk may be put back
 }
 
 func TestRetire(t *testing.T) {
@@ -191,19 +191,19 @@
 
 func TestRetirementThatAStoreAwayMayAllow(t *testing.T) {
 	is := is.New(t)
-	stores := gone(fourZones()[:3], c, RebalanceDelay)
+	stores := down(fourZones()[:3], c, RebalanceDelay)
 	is.True(!CanRetire(stores, a, 2))
 	is.True(CanRetireSoon(stores, a, 2))
 	is.True(!CanRetireSoon(stores, a, 3))
-	is.True(!CanRetireSoon(gone(stores, c, RebalanceDelay+1), a, 2))
+	is.True(!CanRetireSoon(down(stores, c, RebalanceDelay+1), a, 2))
 }
 
 func TestSecondStoreGoneWhileOneRetires(t *testing.T) {
 	is := is.New(t)
-	stores := gone(fourZones()[:3], b, time.Second)
+	stores := down(fourZones()[:3], b, time.Second)
 	stores[0].Retiring = true
 	v := View{Epoch: 5, Primary: c, Members: []string{b, c}}
-	changes := Plan(one(v, stores, 2))
+	changes := Plan(singlePartition(v, stores, 2))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Learners, []string{b, a}) // better on a disk that is to go than on one only
 }
@@ -211,7 +211,7 @@
 func TestFewStoresGoOn(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 5, Primary: a, Members: []string{a, b}}
-	changes := Plan(one(v, gone(fourZones()[:2], a, time.Second), 2))
+	changes := Plan(singlePartition(v, down(fourZones()[:2], a, time.Second), 2))
 	is.Equal(changes, []Change{{0, View{Epoch: 6, Primary: b, Members: []string{b}, Learners: []string{a}}}})
 	is.Equal(InitialViews(fourZones()[:1], 16, 2), nil)
 }
@@ -280,7 +280,7 @@
 
 func TestLossIsSharedByAll(t *testing.T) {
 	is := is.New(t)
-	in := Input{Stores: gone(fourZones(), a, 1), Partitions: InitialViews(fourZones(), 66, 2), Copies: 2}
+	in := Input{Stores: down(fourZones(), a, 1), Partitions: InitialViews(fourZones(), 66, 2), Copies: 2}
 	taken := map[string]int{}
 	for _, ch := range Plan(in) {
 		if in.Partitions[ch.Partition].Primary == a {
@@ -307,11 +307,11 @@
 func TestLearnersAreNotPutOnStoresThatGo(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 5, Primary: a, Members: []string{a, b}}
-	stores := gone(fourZones(), b, time.Second)
+	stores := down(fourZones(), b, time.Second)
 	stores[3].Retiring = true
-	is.Equal(Plan(one(v, stores, 2))[0].View.Learners, []string{b, c})
+	is.Equal(Plan(singlePartition(v, stores, 2))[0].View.Learners, []string{b, c})
 	stores[3].Retiring, stores[3].Leaving = false, true
-	is.Equal(Plan(one(v, stores, 2))[0].View.Learners, []string{b, c})
+	is.Equal(Plan(singlePartition(v, stores, 2))[0].View.Learners, []string{b, c})
 	stores[2].Retiring = true
-	is.Equal(Plan(one(v, stores, 2))[0].View.Learners, []string{b, d}) // one that leaves comes back
+	is.Equal(Plan(singlePartition(v, stores, 2))[0].View.Learners, []string{b, d}) // one that leaves comes back
 }
--- a/placement/property_test.go
+++ b/placement/property_test.go
@@ -12,19 +12,19 @@
 
 // step draws one event.
 func (m *model) step(t *rapid.T) {
-	gone := func(s *modelStore) bool { return s.DownFor > 0 && !m.superseded(s.Member) }
+	down := func(s *modelStore) bool { return s.DownFor > 0 && !m.superseded(s.Member) }
 	live := func(s *modelStore) bool { return s.DownFor == 0 }
 	switch rapid.SampledFrom([]string{"plan", "plan", "plan", "serve", "serve", "crash", "return", "return", "leave", "disk", "add", "retire", "time"}).Draw(t, "event") {
 	case "plan":
 		m.plan(t, rapid.Bool().Draw(t, "noBalance"))
 	case "serve":
-		m.serve(t, rapid.IntRange(0, len(m.partitions)-1).Draw(t, "partition"), rapid.Bool().Draw(t, "offer"))
+		m.runPrimary(t, rapid.IntRange(0, len(m.partitions)-1).Draw(t, "partition"), rapid.Bool().Draw(t, "offer"))
 	case "crash":
 		if name, ok := m.pick(t, live); ok {
 			m.stop(name)
 		}
 	case "return":
-		if name, ok := m.pick(t, gone); ok {
+		if name, ok := m.pick(t, down); ok {
 			m.start(name)
 		}
 	case "leave":
@@ -32,7 +32,7 @@
 			m.stores[name].Leaving = true
 		}
 	case "disk":
-		if name, ok := m.pick(t, gone); ok && len(m.order) < 30 {
+		if name, ok := m.pick(t, down); ok && len(m.order) < 30 {
 			m.addDisk(NodeName(name), m.stores[name].Zone)
 		}
 	case "add":
@@ -45,7 +45,7 @@
 			m.stores[name].Retiring = true
 		}
 	case "time":
-		m.pass(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
+		m.advance(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
 	}
 }
 
@@ -70,8 +70,8 @@
 			}
 			m.stores[name].Leaving = false
 		}
-		m.pass(RebalanceDelay)
-		m.settle(t)
+		m.advance(RebalanceDelay)
+		m.converge(t)
 		m.checkFixedPoint(t)
 		merges += m.merges
 	})
@@ -84,9 +84,9 @@
 	merges := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 2)
-		gone := func(s *modelStore) bool { return s.DownFor > 0 && !s.Abandoned }
+		down := func(s *modelStore) bool { return s.DownFor > 0 && !s.Abandoned }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			if name, ok := m.pick(t, gone); ok && rapid.IntRange(0, 5).Draw(t, "abandon") == 0 {
+			if name, ok := m.pick(t, down); ok && rapid.IntRange(0, 5).Draw(t, "abandon") == 0 {
 				m.stores[name].Abandoned = true
 				continue
 			}
@@ -96,10 +96,10 @@
 			m.stores[name].Abandoned = m.stores[name].DownFor > 0
 			m.stores[name].Leaving = false
 		}
-		m.pass(RebalanceDelay)
-		m.settle(t)
+		m.advance(RebalanceDelay)
+		m.converge(t)
 		m.checkFixedPoint(t)
-		if len(m.waiting()) > 0 && m.lasting() >= m.copies {
+		if len(m.waiting()) > 0 && m.permanent() >= m.copies {
 			t.Fatalf("partitions %v wait", m.waiting())
 		}
 		merges += m.merges
@@ -119,7 +119,7 @@
 }
 
 // lasting counts the stores that are live and stay.
-func (m *model) lasting() (count int) {
+func (m *model) permanent() (count int) {
 	for _, s := range m.stores {
 		if s.DownFor == 0 && !s.Retiring {
 			count++
@@ -135,7 +135,7 @@
 			nodes[NodeName(s.Member)] = true
 		}
 	}
-	if m.lasting() < m.copies {
+	if m.permanent() < m.copies {
 		return
 	}
 	primaries := map[string]int{}
@@ -234,14 +234,14 @@
 
 // loadLimit is the number of copies that a store may have more than the even share for the sake of fewer zones: half of it.
 func (m *model) loadLimit() int {
-	lasting := 0
+	permanent := 0
 	for _, s := range m.stores {
 		if s.DownFor == 0 && !s.Retiring {
-			lasting++
+			permanent++
 		}
 	}
 	copies := m.copies * len(m.partitions)
-	return (3*copies + 2*lasting - 1) / (2 * lasting)
+	return (3*copies + 2*permanent - 1) / (2 * permanent)
 }
 
 // zonesNeeded returns the fewest zones, of so many stores each in ascending order, that have room for all copies.
@@ -309,7 +309,7 @@
 func TestOneLossTouchesOnlyItsPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 4, 3)
-		m.serveAll(t, false)
+		m.runPrimaries(t, false)
 		lost, _ := m.pick(t, func(*modelStore) bool { return true })
 		held := 0
 		for _, p := range m.partitions {
@@ -328,12 +328,12 @@
 		if n := m.plan(t, true); n != 0 {
 			t.Fatalf("%d changes for a return before an offer", n)
 		}
-		m.serveAll(t, true)
+		m.runPrimaries(t, true)
 		if n := m.plan(t, true); n != held {
 			t.Fatalf("%d changes for the offers of %d partitions", n, held)
 		}
 		m.changes, m.attached = 0, 0
-		m.settle(t)
+		m.converge(t)
 		m.checkFixedPoint(t)
 	})
 }
--- a/placement/repair.go
+++ b/placement/repair.go
@@ -12,10 +12,10 @@
 		s.merge(p)
 		return
 	}
-	s.unexpect(p)
-	members := s.trim(p, s.connected(p, holders))
+	s.cancelExpectedRemoval(p)
+	members := s.trim(p, s.mutuallyReachable(p, holders))
 	learners := s.keptLearners(p, members)
-	sources := s.sourcesLeft(p)
+	sources := s.remainingSources(p)
 	learners = union(s.attach(p, members, learners), sources)
 	next := view{
 		primary: s.choosePrimary(p, members), members: members, learners: learners,
@@ -24,14 +24,14 @@
 	if s.worthwhile(p, next) {
 		s.replace(p, next)
 	}
-	s.expect(p)
+	s.expectRemoval(p)
 }
 
 // replace installs a view of the plan and keeps the counts.
 func (s *state) replace(p int, next view) {
-	s.count(p, -1)
+	s.adjustLoad(p, -1)
 	s.views[p] = next
-	s.count(p, 1)
+	s.adjustLoad(p, 1)
 }
 
 // trim takes copies away until no more than Copies are left.
@@ -46,10 +46,10 @@
 // keptLearners returns the learners of the present view, and the members that it loses, that stay as learners.
 func (s *state) keptLearners(p int, members []int) []int {
 	v := &s.views[p]
-	if s.lastingCount(members) >= s.in.Copies {
+	if s.permanentCount(members) >= s.in.Copies {
 		return s.moveUnderWay(p, members)
 	}
-	var kept, gone []int
+	var kept, down []int
 	for _, i := range slices.Concat(v.members, v.learners) {
 		st := &s.stores[i]
 		switch {
@@ -59,11 +59,11 @@
 				kept = append(kept, i)
 			}
 		case st.mayReturn():
-			gone = append(gone, i)
+			down = append(down, i)
 		}
 	}
-	slices.SortStableFunc(gone, func(i, j int) int { return int(s.stores[i].DownFor - s.stores[j].DownFor) })
-	return append(kept, gone[:min(len(gone), s.in.Copies)]...)
+	slices.SortStableFunc(down, func(i, j int) int { return int(s.stores[i].DownFor - s.stores[j].DownFor) })
+	return append(kept, down[:min(len(down), s.in.Copies)]...)
 }
 
 // moveUnderWay returns the learner that is to replace a member of a partition that lacks nothing, if there is one. Other
@@ -74,7 +74,7 @@
 		return nil
 	}
 	for _, i := range v.learners {
-		if s.stores[i].lasting() && !slices.Contains(s.offered[p], i) && s.reachesAll(i, members) {
+		if s.stores[i].permanent() && !slices.Contains(s.offered[p], i) && s.reachesAll(i, members) {
 			return []int{i}
 		}
 	}
@@ -84,7 +84,7 @@
 // attach adds learners while live copies are missing, and, as far as the limit goes, for copies that cannot stay.
 func (s *state) attach(p int, members, learners []int) []int {
 	live := s.liveCount(members) + s.liveCount(learners)
-	lasting := s.lastingCount(members) + s.lastingCount(learners)
+	permanent := s.permanentCount(members) + s.permanentCount(learners)
 	for ; live < s.in.Copies; live++ {
 		i := s.candidate(p, members, learners, false)
 		if i == none {
@@ -93,12 +93,12 @@
 		if i == none {
 			break
 		}
-		if s.stores[i].lasting() {
-			lasting++
+		if s.stores[i].permanent() {
+			permanent++
 		}
 		learners = append(learners, i)
 	}
-	for ; lasting < s.in.Copies && s.moving < s.limit; lasting++ {
+	for ; permanent < s.in.Copies && s.moving < s.limit; permanent++ {
 		i := s.candidate(p, members, learners, true)
 		if i == none {
 			break
@@ -128,11 +128,11 @@
 }
 
 // bestCandidate returns the best store among the live ones that have no copy and fit, or none.
-func (s *state) bestCandidate(p int, members, learners []int, fits func(i int) bool) int {
-	stay := append(s.filter(members, (*store).lasting), s.filter(learners, (*store).lasting)...)
+func (s *state) bestCandidate(p int, members, learners []int, matches func(i int) bool) int {
+	stay := append(s.filter(members, (*store).permanent), s.filter(learners, (*store).permanent)...)
 	best, bestRank, bestCost := none, 0, 0
 	for i := range s.stores {
-		if !s.stores[i].live() || slices.Contains(members, i) || slices.Contains(learners, i) || !fits(i) {
+		if !s.stores[i].live() || slices.Contains(members, i) || slices.Contains(learners, i) || !matches(i) {
 			continue
 		}
 		rank := s.rank(i)
@@ -141,7 +141,7 @@
 			if rank > bestRank || rank == bestRank && cost > bestCost {
 				continue
 			}
-			if rank == bestRank && cost == bestCost && !s.lighter(p, i, best) {
+			if rank == bestRank && cost == bestCost && !s.lessLoaded(p, i, best) {
 				continue
 			}
 		}
@@ -161,11 +161,11 @@
 	return 0
 }
 
-func (s *state) lighter(p, i, j int) bool {
+func (s *state) lessLoaded(p, i, j int) bool {
 	if s.load[i] != s.load[j] {
 		return s.load[i] < s.load[j]
 	}
-	return s.order(p, i) < s.order(p, j)
+	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
 // choosePrimary returns the present primary if no other member is better, else the best one with the fewest primaries.
@@ -181,7 +181,7 @@
 func (s *state) bestPrimary(p int, members []int) int {
 	best := none
 	for _, i := range members {
-		if best == none || s.leadsBefore(p, members, i, best) {
+		if best == none || s.betterPrimary(p, members, i, best) {
 			best = i
 		}
 	}
@@ -199,17 +199,17 @@
 	return 0
 }
 
-func (s *state) leadsBefore(p int, members []int, i, j int) bool {
+func (s *state) betterPrimary(p int, members []int, i, j int) bool {
 	if a, b := s.primaryRank(i), s.primaryRank(j); a != b {
 		return a < b
 	}
-	if a, b := s.near(members, i), s.near(members, j); a != b {
+	if a, b := s.sameZoneMembers(members, i), s.sameZoneMembers(members, j); a != b {
 		return a > b
 	}
 	if s.primaries[i] != s.primaries[j] {
 		return s.primaries[i] < s.primaries[j]
 	}
-	return s.order(p, i) < s.order(p, j)
+	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
 // worthwhile reports whether the next view is worth a new epoch. It is not when it only forgets learners that are gone and
@@ -223,7 +223,7 @@
 		// Writes wait for an offered learner until the next view, also when it is gone.
 		return len(s.offered[p]) > s.liveCount(s.offered[p])
 	}
-	if len(s.offered[p]) > 0 || s.lastingCount(next.members) >= s.in.Copies {
+	if len(s.offered[p]) > 0 || s.permanentCount(next.members) >= s.in.Copies {
 		return true
 	}
 	live := (*store).live
--- a/placement/separation.go
+++ b/placement/separation.go
@@ -75,7 +75,7 @@
 	var chosen []int
 	candidates := s.eligibleBy(func(int) int { return 0 })
 	if s.in.SharedZones {
-		candidates = s.roomiestZonesFirst(candidates)
+		candidates = s.largestZonesFirst(candidates)
 	}
 	for range s.in.Copies {
 		best, bestCost := none, 0
@@ -97,7 +97,7 @@
 
 // roomiestZonesFirst orders stores by the number of machines that their zones have among them, so that a choice that begins with the first needs the
 // fewest zones.
-func (s *state) roomiestZonesFirst(stores []int) []int {
+func (s *state) largestZonesFirst(stores []int) []int {
 	type zone struct{ region, name string }
 	zoneOf := func(i int) zone { return zone{s.stores[i].Region, s.stores[i].Zone} }
 	machines := map[zone]map[string]bool{}
@@ -119,15 +119,15 @@
 func (s *state) leastUseful(p int, list []int) int {
 	worst := none
 	for _, i := range list {
-		if worst == none || s.goesBefore(p, list, i, worst) {
+		if worst == none || s.removedBefore(p, list, i, worst) {
 			worst = i
 		}
 	}
 	return worst
 }
 
-func (s *state) goesBefore(p int, list []int, i, j int) bool {
-	if a, b := s.stores[i].lasting(), s.stores[j].lasting(); a != b {
+func (s *state) removedBefore(p int, list []int, i, j int) bool {
+	if a, b := s.stores[i].permanent(), s.stores[j].permanent(); a != b {
 		return b
 	}
 	if a, b := s.costOf(i, list, none), s.costOf(j, list, none); a != b {
@@ -139,14 +139,14 @@
 	if s.load[i] != s.load[j] {
 		return s.load[i] > s.load[j]
 	}
-	if a, b := s.standing(p, i), s.standing(p, j); a != b {
+	if a, b := s.memberRank(p, i), s.memberRank(p, j); a != b {
 		return a < b
 	}
-	return s.order(p, i) > s.order(p, j)
+	return s.tieBreaker(p, i) > s.tieBreaker(p, j)
 }
 
 // standing is 0 for a learner of the present view, 1 for a member, 2 for the primary.
-func (s *state) standing(p, i int) int {
+func (s *state) memberRank(p, i int) int {
 	v := &s.views[p]
 	switch {
 	case v.primary == i:
--- a/placement/sharedzones_test.go
+++ b/placement/sharedzones_test.go
@@ -23,7 +23,7 @@
 }
 
 // settlePlan carries plans out, with every learner equal at once, until nothing changes. It returns the number of changes.
-func settlePlan(t *testing.T, in *Input) (changes int) {
+func convergePlan(t *testing.T, in *Input) (changes int) {
 	t.Helper()
 	for range 10_000 {
 		plan := Plan(*in)
@@ -71,13 +71,13 @@
 			in := Input{Stores: stores, Copies: 3, SharedZones: true}
 			in.Partitions = InitialViewsFor(in, 512)
 			checkShared(is, stores, in.Partitions)
-			is.Equal(settlePlan(t, &in), 0) // as founded, so it stays
+			is.Equal(convergePlan(t, &in), 0) // as founded, so it stays
 
 			for _, lost := range []int{0, 5} { // one store after the other is away and comes back
 				in.Stores[lost].DownFor = RebalanceDelay
-				settlePlan(t, &in)
+				convergePlan(t, &in)
 				in.Stores[lost].DownFor = 0
-				settlePlan(t, &in)
+				convergePlan(t, &in)
 				checkShared(is, stores, in.Partitions)
 			}
 		})
@@ -91,7 +91,7 @@
 	in := Input{Stores: stores, Copies: 3}
 	in.Partitions = InitialViewsFor(in, 128)
 	in.SharedZones = true
-	settlePlan(t, &in)
+	convergePlan(t, &in)
 	checkShared(is, stores, in.Partitions)
 }
 
@@ -104,7 +104,7 @@
 			in := Input{Stores: zonesOf(2, 2, 2), Copies: 3, SharedZones: !spread}
 			in.Partitions = InitialViewsFor(in, 64)
 			in.SharedZones = true
-			settlePlan(t, &in)
+			convergePlan(t, &in)
 			led := map[string]int{}
 			for _, v := range in.Partitions {
 				zones := map[string]int{}
@@ -129,13 +129,13 @@
 	in := Input{Stores: stores, Copies: 3, SharedZones: true}
 	in.Partitions = InitialViewsFor(in, 128)
 	in.Stores[0].DownFor = RebalanceDelay
-	settlePlan(t, &in)
+	convergePlan(t, &in)
 	for _, v := range in.Partitions {
 		is.Equal(len(v.Members), 3)
 		is.True(!slices.Contains(v.Members, stores[0].Member))
 	}
 	in.Stores[0].DownFor = 0
-	settlePlan(t, &in)
+	convergePlan(t, &in)
 	checkShared(is, stores, in.Partitions)
 }
 
@@ -159,7 +159,7 @@
 			in := Input{Stores: zonesOf(c.before...), Copies: c.copies, SharedZones: true}
 			in.Partitions = InitialViewsFor(in, partitions)
 			in.Stores = zonesOf(c.after...)
-			moves := settlePlan(t, &in)
+			moves := convergePlan(t, &in)
 			is.True(moves < 6*partitions) // nothing goes to and fro
 			held := map[string]int{}
 			for _, v := range in.Partitions {
@@ -170,7 +170,7 @@
 			}
 			for _, s := range in.Stores {
 				share := float64(c.copies*partitions) / float64(len(in.Stores))
-				is.True(float64(held[s.Member]) <= mostLoad*share+1)
+				is.True(float64(held[s.Member]) <= maxLoadFactor*share+1)
 			}
 		})
 	}
@@ -183,7 +183,7 @@
 	in := Input{Stores: zonesOf(1, 3, 3), Copies: 3}
 	in.Partitions = InitialViewsFor(in, 64)
 	in.SharedZones = true
-	settlePlan(t, &in)
+	convergePlan(t, &in)
 	for _, v := range in.Partitions {
 		zones := map[string]bool{}
 		for _, member := range v.Members {
--- a/placement/state.go
+++ b/placement/state.go
@@ -25,10 +25,10 @@
 func (s *store) live() bool { return s.known && s.DownFor == 0 && !s.Stalled }
 
 // lasting reports whether the store counts as a copy that may stay.
-func (s *store) lasting() bool { return s.live() && !s.Retiring }
+func (s *store) permanent() bool { return s.live() && !s.Retiring }
 
 // eligible reports whether the store may be given something new.
-func (s *store) eligible() bool { return s.lasting() && !s.Leaving }
+func (s *store) eligible() bool { return s.permanent() && !s.Leaving }
 
 // lost reports whether the disk is known to be lost: the node is live with another one, or the operator has given it up.
 func (s *store) lost() bool { return s.superseded || s.abandoned() }
@@ -60,10 +60,10 @@
 	// is primary of.
 	load, primaries []int
 	// replaced holds for each partition with a move under way the member that is expected to go.
-	replaced []int
+	outgoing []int
 	// apart holds the pairs of live stores that cannot reach each other, both ways round; cutFrom counts them by store.
-	apart   map[[2]int]bool
-	cutFrom []int
+	unreachable      map[[2]int]bool
+	unreachableCount []int
 	// moving counts the partitions that are being moved though no copy is missing.
 	moving int
 }
@@ -79,16 +79,16 @@
 	s.addBlocked()
 	s.load = make([]int, len(s.stores))
 	s.primaries = make([]int, len(s.stores))
-	s.replaced = make([]int, len(s.views))
+	s.outgoing = make([]int, len(s.views))
 	for p := range s.views {
-		s.replaced[p] = none
-		s.count(p, 1)
+		s.outgoing[p] = none
+		s.adjustLoad(p, 1)
 		if s.isMoving(p) {
 			s.moving++
 		}
 	}
 	for p := range s.views {
-		s.expect(p)
+		s.expectRemoval(p)
 	}
 	return s
 }
@@ -144,8 +144,8 @@
 	return out
 }
 
-// count adds the partition's copies and its primary to the loads, n times.
-func (s *state) count(p, n int) {
+// adjustLoad adds the partition's copies and its primary to the loads, n times.
+func (s *state) adjustLoad(p, n int) {
 	v := &s.views[p]
 	for _, i := range v.members {
 		s.load[i] += n
@@ -167,23 +167,23 @@
 }
 
 // expect takes the member off the loads that will go when the move under way is done.
-func (s *state) expect(p int) {
+func (s *state) expectRemoval(p int) {
 	if !s.isMoving(p) {
 		return
 	}
 	v := &s.views[p]
 	all := append(s.filter(v.members, (*store).live), s.filter(v.learners, (*store).live)...)
 	if i := s.leastUseful(p, all); i != none {
-		s.replaced[p] = i
+		s.outgoing[p] = i
 		s.load[i]--
 	}
 }
 
 // unexpect undoes expect.
-func (s *state) unexpect(p int) {
-	if i := s.replaced[p]; i != none {
+func (s *state) cancelExpectedRemoval(p int) {
+	if i := s.outgoing[p]; i != none {
 		s.load[i]++
-		s.replaced[p] = none
+		s.outgoing[p] = none
 	}
 }
 
@@ -225,10 +225,10 @@
 	return n
 }
 
-func (s *state) lastingCount(list []int) int {
+func (s *state) permanentCount(list []int) int {
 	n := 0
 	for _, i := range list {
-		if s.stores[i].lasting() {
+		if s.stores[i].permanent() {
 			n++
 		}
 	}
@@ -245,8 +245,8 @@
 	return out
 }
 
-// order is a fixed order of the stores that differs from partition to partition, so that ties do not fall on the same store.
-func (s *state) order(p, i int) uint64 {
+// tieBreaker is a fixed tieBreaker of the stores that differs from partition to partition, so that ties do not fall on the same store.
+func (s *state) tieBreaker(p, i int) uint64 {
 	x := s.stores[i].hash ^ (uint64(p)+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -254,7 +254,7 @@
 }
 
 // settled reports whether no store has gone lately that may return.
-func (s *state) settled() bool {
+func (s *state) noRecentLoss() bool {
 	for i := range s.stores {
 		st := &s.stores[i]
 		if st.known && !st.live() && st.mayReturn() && st.DownFor < RebalanceDelay {
--- a/reconcile/comparison.go
+++ b/reconcile/comparison.go
@@ -37,23 +37,23 @@
 // The owner takes questions with Next, as many at a time as it likes, sends them, and hands in each answer with Digests and Items.
 // Both sets may change meanwhile: the result then holds for the state at the time of each answer.
 type Comparison struct {
-	own     Source
-	limits  Limits
-	digests []Range // to ask
-	items   []Range // to ask
-	asked   map[Range]bool
-	found   Difference
+	local      Source
+	limits     Limits
+	digests    []Range // to ask
+	items      []Range // to ask
+	pending    map[Range]bool
+	difference Difference
 }
 
 // NewComparison begins a comparison.
-func NewComparison(own Source, limits Limits) *Comparison {
+func NewComparison(local Source, limits Limits) *Comparison {
 	if limits.Items <= 0 {
 		limits.Items = defaultItems
 	}
 	if limits.Ranges <= 0 {
 		limits.Ranges = defaultRanges
 	}
-	return &Comparison{own: own, limits: limits, digests: []Range{All()}, asked: make(map[Range]bool)}
+	return &Comparison{local: local, limits: limits, digests: []Range{All()}, pending: make(map[Range]bool)}
 }
 
 // Next returns the next question, which is empty when there is none before more answers come.
@@ -62,16 +62,16 @@
 	q.Digests, c.digests = take(c.digests, c.limits.Ranges)
 	q.Items, c.items = take(c.items, max(1, c.limits.Ranges/c.limits.Items))
 	for _, r := range q.Digests {
-		c.asked[r] = true
+		c.pending[r] = true
 	}
 	for _, r := range q.Items {
-		c.asked[r] = true
+		c.pending[r] = true
 	}
 	return q
 }
 
-func take(ranges []Range, most int) (taken, rest []Range) {
-	n := min(most, len(ranges))
+func take(ranges []Range, limit int) (taken, rest []Range) {
+	n := min(limit, len(ranges))
 	return ranges[:n:n], ranges[n:]
 }
 
@@ -80,12 +80,12 @@
 	if !c.answered(r) {
 		return
 	}
-	own := c.own.Digest(r)
+	local := c.local.Digest(r)
 	switch {
-	case own == other:
+	case local == other:
 	case other.Count == 0:
-		c.found.Changed = append(c.found.Changed, c.own.Items(r)...)
-	case own.Count+other.Count <= uint64(c.limits.Items) || !r.CanSplit():
+		c.difference.Changed = append(c.difference.Changed, c.local.Items(r)...)
+	case local.Count+other.Count <= uint64(c.limits.Items) || !r.CanSplit():
 		c.items = append(c.items, r)
 	default:
 		parts := r.Split()
@@ -102,34 +102,34 @@
 	for _, item := range other {
 		theirs[item.Key] = item.Version
 	}
-	for _, item := range c.own.Items(r) {
+	for _, item := range c.local.Items(r) {
 		version, held := theirs[item.Key]
 		if !held || version != item.Version {
-			c.found.Changed = append(c.found.Changed, item)
+			c.difference.Changed = append(c.difference.Changed, item)
 		}
 		delete(theirs, item.Key)
 	}
 	for _, item := range other {
 		if _, extra := theirs[item.Key]; extra {
-			c.found.Extra = append(c.found.Extra, item)
+			c.difference.Extra = append(c.difference.Extra, item)
 		}
 	}
 }
 
 func (c *Comparison) answered(r Range) bool {
-	asked := c.asked[r]
-	delete(c.asked, r)
-	return asked
+	pending := c.pending[r]
+	delete(c.pending, r)
+	return pending
 }
 
 // TakeDifference returns what was found since the last call.
 func (c *Comparison) TakeDifference() Difference {
-	found := c.found
-	c.found = Difference{}
+	found := c.difference
+	c.difference = Difference{}
 	return found
 }
 
 // Done tells whether all questions were asked and answered. What Found returns then is the rest.
 func (c *Comparison) Done() bool {
-	return len(c.digests) == 0 && len(c.items) == 0 && len(c.asked) == 0
+	return len(c.digests) == 0 && len(c.items) == 0 && len(c.pending) == 0
 }
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -11,9 +11,9 @@
 )
 
 // plain is the plain way to hold a set: it counts anew for each digest.
-type plain map[string]uint64
+type mapSource map[string]uint64
 
-func (p plain) Digest(r Range) (sum Digest) {
+func (p mapSource) Digest(r Range) (sum Digest) {
 	for key, version := range p {
 		if r.Contains(Hash(key)) {
 			sum = sum.Plus(DigestOf(Item{key, version}))
@@ -22,7 +22,7 @@
 	return sum
 }
 
-func (p plain) Items(r Range) (items []Item) {
+func (p mapSource) Items(r Range) (items []Item) {
 	for key, version := range p {
 		if r.Contains(Hash(key)) {
 			items = append(items, Item{key, version})
@@ -51,7 +51,7 @@
 
 func TestTreeAgreesWithThePlainSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tree, set := NewTree(), make(plain)
+		tree, set := NewTree(), make(mapSource)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for range rapid.IntRange(1, 5).Draw(t, "phases") {
 			keys := 1 + random.IntN(1500)
@@ -142,7 +142,7 @@
 }
 
 // exchange plays a comparison against the other side, and returns what it found and what it asked for.
-func exchange(c *Comparison, other Source, most int) (found Difference, digests, items int) {
+func exchange(c *Comparison, other Source, limit int) (found Difference, digests, items int) {
 	for !c.Done() {
 		q := c.Next()
 		digests += len(q.Digests)
@@ -157,7 +157,7 @@
 		part := c.TakeDifference()
 		found.Changed = append(found.Changed, part.Changed...)
 		found.Extra = append(found.Extra, part.Extra...)
-		if most--; most < 0 {
+		if limit--; limit < 0 {
 			break
 		}
 	}
@@ -167,7 +167,7 @@
 func TestComparisonFindsExactlyTheDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		own, other := NewTree(), make(plain)
+		local, other := NewTree(), make(mapSource)
 		want := make(map[Item]bool)  // own items the other needs
 		extra := make(map[Item]bool) // items the other has beyond
 		differing := random.IntN(100)
@@ -175,22 +175,22 @@
 			item := Item{fmt.Sprint("key", i), random.Uint64N(9)}
 			switch kind := random.IntN(300); {
 			case kind >= differing:
-				own.Add(item.Key, item.Version)
+				local.Add(item.Key, item.Version)
 				other[item.Key] = item.Version
 			case kind%3 == 0:
-				own.Add(item.Key, item.Version)
+				local.Add(item.Key, item.Version)
 				want[item] = true
 			case kind%3 == 1:
 				other[item.Key] = item.Version
 				extra[item] = true
 			default:
-				own.Add(item.Key, item.Version)
+				local.Add(item.Key, item.Version)
 				other[item.Key] = item.Version + 1 + random.Uint64N(3)
 				want[item] = true
 			}
 		}
 		limits := Limits{Items: rapid.IntRange(0, 200).Draw(t, "items"), Ranges: rapid.IntRange(0, 40).Draw(t, "ranges")}
-		c := NewComparison(own, limits)
+		c := NewComparison(local, limits)
 		found, _, _ := exchange(c, other, 100000)
 		for _, item := range found.Changed {
 			if !want[item] {
@@ -212,32 +212,32 @@
 
 func TestComparisonOfEqualSetsAsksOnce(t *testing.T) {
 	is := is.New(t)
-	own, other := NewTree(), NewTree()
+	local, other := NewTree(), NewTree()
 	for i := range 100000 {
-		own.Add(fmt.Sprint(i), 1)
+		local.Add(fmt.Sprint(i), 1)
 		other.Add(fmt.Sprint(i), 1)
 	}
-	found, digests, items := exchange(NewComparison(own, Limits{}), other, 100)
+	found, digests, items := exchange(NewComparison(local, Limits{}), other, 100)
 	is.Equal(digests, 1)
 	is.Equal(items, 0)
 	is.Equal(len(found.Changed)+len(found.Extra), 0)
 
 	other.Add("5", 2)
-	found, digests, items = exchange(NewComparison(own, Limits{}), other, 100)
+	found, digests, items = exchange(NewComparison(local, Limits{}), other, 100)
 	is.Equal(found.Changed, []Item{{"5", 1}})
 	is.True(digests <= 1+4*Fanout)
 	is.True(items <= defaultItems)
 
-	found, digests, _ = exchange(NewComparison(own, Limits{}), NewTree(), 100)
+	found, digests, _ = exchange(NewComparison(local, Limits{}), NewTree(), 100)
 	is.Equal(digests, 1)
 	is.Equal(len(found.Changed), 100000)
 }
 
 func TestAnswersThatWereNotAskedForAreIgnored(t *testing.T) {
 	is := is.New(t)
-	own := NewTree()
-	own.Add("a", 1)
-	c := NewComparison(own, Limits{})
+	local := NewTree()
+	local.Add("a", 1)
+	c := NewComparison(local, Limits{})
 	c.HandleDigest(All(), Digest{})
 	c.HandleItems(All(), nil)
 	is.Equal(len(c.TakeDifference().Changed), 0)
--- a/session/table.go
+++ b/session/table.go
@@ -12,7 +12,7 @@
 	// DefaultPauseThreshold is the gap between ticks from which on the judge is taken to have been paused.
 	DefaultPauseThreshold = 300 * time.Millisecond
 	// remembered is how many ended incarnations of each node are remembered, so that late frames do not bring them back.
-	remembered = 8
+	maxEndedIncarnations = 8
 )
 
 // Options configures a Table.
@@ -66,11 +66,11 @@
 	}
 	e, ok := t.sessions[n.Key]
 	if ok && e.node.Incarnation != n.Incarnation {
-		events = append(events, t.end(e.node, Replaced))
+		events = append(events, t.endSession(e.node, Replaced))
 		ok = false
 	}
 	if !ok {
-		e = t.open(n)
+		e = t.openSession(n)
 		events = append(events, t.event(Event{Kind: Opened, Node: n}))
 	} else if n.Leaving = n.Leaving || e.node.Leaving; e.node != n {
 		e.node = n
@@ -81,15 +81,15 @@
 }
 
 // Leave takes the word of a process that its planned end begins, or is over.
-func (t *Table) Leave(now time.Duration, key string, incarnation uint64, over bool) []Event {
+func (t *Table) Leave(now time.Duration, key string, incarnation uint64, stopped bool) []Event {
 	t.Tick(now)
 	e, ok := t.sessions[key]
 	ok = ok && e.node.Incarnation == incarnation
 	switch {
-	case ok && over:
-		return []Event{t.end(e.node, Departed)}
-	case over:
-		t.remember(key, incarnation)
+	case ok && stopped:
+		return []Event{t.endSession(e.node, Departed)}
+	case stopped:
+		t.recordEnded(key, incarnation)
 	case ok && !e.node.Leaving:
 		e.node.Leaving = true
 		return []Event{t.event(Event{Kind: Changed, Node: e.node})}
@@ -144,7 +144,7 @@
 func (t *Table) Expire(now time.Duration) []Event {
 	var events []Event
 	for _, key := range t.Expired(now) {
-		events = append(events, t.end(t.sessions[key].node, Expired))
+		events = append(events, t.endSession(t.sessions[key].node, Expired))
 	}
 	return events
 }
@@ -156,7 +156,7 @@
 	if !t.HasSession(key, incarnation) {
 		return nil
 	}
-	return []Event{t.end(t.sessions[key].node, Refused)}
+	return []Event{t.endSession(t.sessions[key].node, Refused)}
 }
 
 // HasSession reports whether an incarnation has a session.
@@ -231,9 +231,9 @@
 }
 
 // open begins the session of an incarnation. Another one of the node, whose session had expired, surely does not run any more.
-func (t *Table) open(n Node) *entry {
+func (t *Table) openSession(n Node) *entry {
 	if old, ok := t.lapsed[n.Key]; ok && old != n.Incarnation {
-		t.remember(n.Key, old)
+		t.recordEnded(n.Key, old)
 	}
 	delete(t.lapsed, n.Key)
 	e := &entry{node: n}
@@ -247,20 +247,20 @@
 }
 
 // end removes the session of a node. Where the process surely does not run any more, its incarnation is remembered.
-func (t *Table) end(n Node, cause Cause) Event {
+func (t *Table) endSession(n Node, cause Cause) Event {
 	delete(t.sessions, n.Key)
 	if cause.mayReturn() {
 		t.lapsed[n.Key] = n.Incarnation
 	} else {
-		t.remember(n.Key, n.Incarnation)
+		t.recordEnded(n.Key, n.Incarnation)
 	}
 	return t.event(Event{Kind: Ended, Node: n, Cause: cause})
 }
 
-func (t *Table) remember(key string, incarnation uint64) {
+func (t *Table) recordEnded(key string, incarnation uint64) {
 	if slices.Contains(t.ended[key], incarnation) {
 		return
 	}
 	list := append(t.ended[key], incarnation)
-	t.ended[key] = list[max(0, len(list)-remembered):]
+	t.ended[key] = list[max(0, len(list)-maxEndedIncarnations):]
 }
--- a/session/table_test.go
+++ b/session/table_test.go
@@ -34,180 +34,180 @@
 
 func TestOpenRenewExpire(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	events, ok := tb.Renew(0, node("x", 1))
+	sessions := table()
+	events, ok := sessions.Renew(0, node("x", 1))
 	is.True(ok)
 	is.Equal(events, []Event{{Kind: Opened, Node: node("x", 1)}})
-	is.Equal(tb.Version(), uint64(1))
+	is.Equal(sessions.Version(), uint64(1))
 
-	is.Equal(run(tb, 0, 900*ms), nil)
-	events, ok = tb.Renew(900*ms, node("x", 1))
+	is.Equal(run(sessions, 0, 900*ms), nil)
+	events, ok = sessions.Renew(900*ms, node("x", 1))
 	is.True(ok)
 	is.Equal(len(events), 0)
-	is.Equal(tb.Version(), uint64(1))
+	is.Equal(sessions.Version(), uint64(1))
 
-	is.Equal(run(tb, 900*ms, 1800*ms), nil)
-	ended := run(tb, 1900*ms, 1900*ms)
+	is.Equal(run(sessions, 900*ms, 1800*ms), nil)
+	ended := run(sessions, 1900*ms, 1900*ms)
 	is.Equal(ended, []Event{{Kind: Ended, Node: node("x", 1), Cause: Expired}})
 	is.True(!ended[0].ProcessStopped())
-	is.Equal(len(tb.Snapshot()), 0)
+	is.Equal(len(sessions.Snapshot()), 0)
 
-	events, ok = tb.Renew(2000*ms, node("x", 1)) // it was only out of touch
+	events, ok = sessions.Renew(2000*ms, node("x", 1)) // it was only out of touch
 	is.True(ok)
 	is.Equal(events[0].Kind, Opened)
 }
 
 func TestExpiryByRole(t *testing.T) {
 	is := is.New(t)
-	tb := table()
+	sessions := table()
 	other := node("y", 1)
 	other.Role = 3
 	unnamed := node("z", 1)
 	unnamed.Role = 9
 	for _, n := range []Node{node("x", 1), other, unnamed} {
-		tb.Renew(0, n)
+		sessions.Renew(0, n)
 	}
-	is.Equal(len(run(tb, 0, 1000*ms)), 2)
-	is.Equal(len(run(tb, 1100*ms, 1400*ms)), 0)
-	is.Equal(len(run(tb, 1500*ms, 1500*ms)), 1)
+	is.Equal(len(run(sessions, 0, 1000*ms)), 2)
+	is.Equal(len(run(sessions, 1100*ms, 1400*ms)), 0)
+	is.Equal(len(run(sessions, 1500*ms, 1500*ms)), 1)
 }
 
 func TestChange(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
 	moved := node("x", 1)
 	moved.Address = "10.0.0.9:7242"
-	events, _ := tb.Renew(100*ms, moved)
+	events, _ := sessions.Renew(100*ms, moved)
 	is.Equal(events, []Event{{Kind: Changed, Node: moved}})
-	got, ok := tb.Get("x")
+	got, ok := sessions.Get("x")
 	is.True(ok)
 	is.Equal(got, moved)
 }
 
 func TestNewIncarnationReplaces(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
-	events, ok := tb.Renew(100*ms, node("x", 2))
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
+	events, ok := sessions.Renew(100*ms, node("x", 2))
 	is.True(ok)
 	is.Equal(events, []Event{{Kind: Ended, Node: node("x", 1), Cause: Replaced}, {Kind: Opened, Node: node("x", 2)}})
 	is.True(events[0].ProcessStopped())
 
-	events, ok = tb.Renew(200*ms, node("x", 1)) // a late heartbeat
+	events, ok = sessions.Renew(200*ms, node("x", 1)) // a late heartbeat
 	is.True(!ok)
 	is.Equal(len(events), 0)
-	is.Equal(tb.Leave(200*ms, "x", 1, true), nil) // and a late leave
-	is.Equal(tb.Snapshot(), []Node{node("x", 2)})
+	is.Equal(sessions.Leave(200*ms, "x", 1, true), nil) // and a late leave
+	is.Equal(sessions.Snapshot(), []Node{node("x", 2)})
 }
 
 func TestExpiredIncarnationDoesNotReplaceItsSuccessor(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
-	is.Equal(len(run(tb, 0, 1000*ms)), 1)
-	tb.Renew(1100*ms, node("x", 2))
-	_, ok := tb.Renew(1200*ms, node("x", 1))
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
+	is.Equal(len(run(sessions, 0, 1000*ms)), 1)
+	sessions.Renew(1100*ms, node("x", 2))
+	_, ok := sessions.Renew(1200*ms, node("x", 1))
 	is.True(!ok)
-	is.Equal(tb.Snapshot(), []Node{node("x", 2)})
+	is.Equal(sessions.Snapshot(), []Node{node("x", 2)})
 }
 
 func TestRefusedIncarnationMayComeBack(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
-	is.Equal(tb.ConnectionRefused(50*ms, "x", 2), nil) // of another incarnation
-	is.Equal(tb.ConnectionRefused(50*ms, "y", 1), nil)
-	is.True(tb.HasSession("x", 1))
-	events := tb.ConnectionRefused(100*ms, "x", 1)
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
+	is.Equal(sessions.ConnectionRefused(50*ms, "x", 2), nil) // of another incarnation
+	is.Equal(sessions.ConnectionRefused(50*ms, "y", 1), nil)
+	is.True(sessions.HasSession("x", 1))
+	events := sessions.ConnectionRefused(100*ms, "x", 1)
 	is.Equal(events, []Event{{Kind: Ended, Node: node("x", 1), Cause: Refused}})
 	is.True(!events[0].ProcessStopped()) // the network may have refused for it
-	is.True(!tb.HasSession("x", 1))
-	is.Equal(tb.ConnectionRefused(150*ms, "x", 1), nil)
+	is.True(!sessions.HasSession("x", 1))
+	is.Equal(sessions.ConnectionRefused(150*ms, "x", 1), nil)
 
-	events, ok := tb.Renew(200*ms, node("x", 1))
+	events, ok := sessions.Renew(200*ms, node("x", 1))
 	is.True(ok)
 	is.Equal(events, []Event{{Kind: Opened, Node: node("x", 1)}})
-	tb.ConnectionRefused(300*ms, "x", 1)
-	tb.Renew(400*ms, node("x", 2))
-	_, ok = tb.Renew(500*ms, node("x", 1)) // its successor has come meanwhile
+	sessions.ConnectionRefused(300*ms, "x", 1)
+	sessions.Renew(400*ms, node("x", 2))
+	_, ok = sessions.Renew(500*ms, node("x", 1)) // its successor has come meanwhile
 	is.True(!ok)
 }
 
 func TestLeave(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
-	events := tb.Leave(100*ms, "x", 1, false)
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
+	events := sessions.Leave(100*ms, "x", 1, false)
 	is.Equal(len(events), 1)
 	is.Equal(events[0].Kind, Changed)
 	is.True(events[0].Node.Leaving)
-	is.Equal(tb.Leave(150*ms, "x", 1, false), nil)
+	is.Equal(sessions.Leave(150*ms, "x", 1, false), nil)
 
-	events, ok := tb.Renew(200*ms, node("x", 1)) // a heartbeat that was under way does not take it back
+	events, ok := sessions.Renew(200*ms, node("x", 1)) // a heartbeat that was under way does not take it back
 	is.True(ok)
 	is.Equal(len(events), 0)
 
-	events = tb.Leave(300*ms, "x", 1, true)
+	events = sessions.Leave(300*ms, "x", 1, true)
 	is.Equal(len(events), 1)
 	is.Equal(events[0].Cause, Departed)
 	is.True(events[0].ProcessStopped())
-	_, ok = tb.Renew(310*ms, node("x", 1))
+	_, ok = sessions.Renew(310*ms, node("x", 1))
 	is.True(!ok)
-	_, ok = tb.Renew(320*ms, node("x", 2))
+	_, ok = sessions.Renew(320*ms, node("x", 2))
 	is.True(ok)
-	is.Equal(tb.Leave(330*ms, "nobody", 5, true), nil)
+	is.Equal(sessions.Leave(330*ms, "nobody", 5, true), nil)
 }
 
 func TestPauseIsTakenOut(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
-	is.Equal(run(tb, 0, 500*ms), nil)
-	is.True(tb.Tick(5000 * ms)) // 4.5 s of pause
-	is.Equal(len(tb.Expire(5000*ms)), 0)
-	is.Equal(run(tb, 5100*ms, 5400*ms), nil) // half a second is left
-	is.Equal(len(run(tb, 5500*ms, 5500*ms)), 1)
-
-	is.True(!tb.Tick(5800 * ms)) // 300 ms are no pause
-	is.True(tb.Tick(6101 * ms))
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
+	is.Equal(run(sessions, 0, 500*ms), nil)
+	is.True(sessions.Tick(5000 * ms)) // 4.5 s of pause
+	is.Equal(len(sessions.Expire(5000*ms)), 0)
+	is.Equal(run(sessions, 5100*ms, 5400*ms), nil) // half a second is left
+	is.Equal(len(run(sessions, 5500*ms, 5500*ms)), 1)
+
+	is.True(!sessions.Tick(5800 * ms)) // 300 ms are no pause
+	is.True(sessions.Tick(6101 * ms))
 }
 
 func TestPauseIsSeenByWhateverComesFirst(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
-	tb.Renew(0, node("y", 1))
-	tb.Renew(3000*ms, node("y", 1)) // the first thing that the judge does after its pause
-	is.Equal(len(tb.Expire(3000*ms)), 0)
-	is.Equal(len(tb.Expired(3000*ms)), 0)
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
+	sessions.Renew(0, node("y", 1))
+	sessions.Renew(3000*ms, node("y", 1)) // the first thing that the judge does after its pause
+	is.Equal(len(sessions.Expire(3000*ms)), 0)
+	is.Equal(len(sessions.Expired(3000*ms)), 0)
 }
 
 func TestRestartAndLoad(t *testing.T) {
 	is := is.New(t)
-	tb := table()
-	tb.Renew(0, node("x", 1))
-	is.Equal(run(tb, 0, 900*ms), nil)
-	tb.ResetDeadlines(60000 * ms) // another judge's clock
-	is.Equal(run(tb, 60000*ms, 60900*ms), nil)
-	is.Equal(len(run(tb, 61000*ms, 61000*ms)), 1)
-
-	tb.Load(100*ms, []Node{node("z", 1), node("y", 1)})
-	is.Equal(tb.Snapshot(), []Node{node("y", 1), node("z", 1)})
-	at, ok := tb.EarliestDeadline()
+	sessions := table()
+	sessions.Renew(0, node("x", 1))
+	is.Equal(run(sessions, 0, 900*ms), nil)
+	sessions.ResetDeadlines(60000 * ms) // another judge's clock
+	is.Equal(run(sessions, 60000*ms, 60900*ms), nil)
+	is.Equal(len(run(sessions, 61000*ms, 61000*ms)), 1)
+
+	sessions.Load(100*ms, []Node{node("z", 1), node("y", 1)})
+	is.Equal(sessions.Snapshot(), []Node{node("y", 1), node("z", 1)})
+	at, ok := sessions.EarliestDeadline()
 	is.True(ok)
 	is.Equal(at, 1100*ms)
-	is.Equal(run(tb, 100*ms, 1000*ms), nil)
-	is.Equal(tb.Expired(1100*ms), []string{"y", "z"})
+	is.Equal(run(sessions, 100*ms, 1000*ms), nil)
+	is.Equal(sessions.Expired(1100*ms), []string{"y", "z"})
 }
 
 // TestNoSessionEndsWithinItsExpiry compares the table with the time that its judge has been awake since each heartbeat.
 func TestNoSessionEndsWithinItsExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tb := table()
+		sessions := table()
 		now := time.Duration(0)
 		awake := map[string]time.Duration{} // since the last heartbeat, pauses taken out
-		tb.Tick(now)
+		sessions.Tick(now)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			gap := time.Duration(rapid.IntRange(1, 300).Draw(t, "gap")) * ms
 			if rapid.IntRange(0, 9).Draw(t, "pause") == 0 {
@@ -220,11 +220,11 @@
 			}
 			if rapid.Bool().Draw(t, "heartbeat") {
 				key := fmt.Sprint("n", rapid.IntRange(0, 3).Draw(t, "node"))
-				tb.Renew(now, node(key, 1))
+				sessions.Renew(now, node(key, 1))
 				awake[key] = 0
 			}
-			tb.Tick(now)
-			for _, e := range tb.Expire(now) {
+			sessions.Tick(now)
+			for _, e := range sessions.Expire(now) {
 				if awake[e.Node.Key] < 1000*ms {
 					t.Fatalf("%s ended after %v", e.Node.Key, awake[e.Node.Key])
 				}
