--- a/placement/abandon.go
+++ b/placement/abandon.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Abandonment counts what becomes of the partitions that name some stores once the operator has given up the disks of these.
+// Abandonment counts the partitions that refer to abandoned stores, by the outcome of giving up the disks of these stores.
 type Abandonment struct {
-	Kept       int // go on from a member that has everything
-	Merged     int // are put together from what other stores hold, which is everything that was acknowledged
-	Incomplete int // are put together from what other stores hold; what only lost disks had is gone
-	Emptied    int // have no disk left: everything in them is gone
-	Waiting    int // wait for yet another disk
+	Kept       int // continue from a member that has all records
+	Merged     int // are merged from the records on other stores, which include every acknowledged record
+	Incomplete int // are merged from the records on other stores; records that only lost disks held are lost
+	Emptied    int // have no disk left: all of their records are lost
+	Waiting    int // still wait for another disk
 }
 
-// PreviewAbandonment tells what it would mean to give up the disks of stores that are gone. It changes nothing.
+// PreviewAbandonment returns the effect of abandoning the disks of unavailable stores. It modifies nothing.
 func PreviewAbandonment(in Input, members []string) (a Abandonment) {
 	in.Stores = slices.Clone(in.Stores)
 	for i := range in.Stores {
@@ -32,7 +32,7 @@
 	return a
 }
 
-// outcome returns the count that a partition belongs to.
+// outcome returns the counter in a that a partition belongs to.
 func (s *state) outcome(p int, a *Abandonment) *int {
 	v := &s.views[p]
 	lost := s.filter(s.listed(p), (*store).lost)
@@ -50,7 +50,8 @@
 	return &a.Incomplete
 }
 
-// waitsFor returns the disks without which a partition rests: nobody leads it, or its primary has still to take what they hold.
+// awaitedDisks returns the stores whose disks a partition needs before it can serve requests: it has no live primary, or its primary has yet
+// to fetch the records on them.
 func (s *state) awaitedDisks(p int) []int {
 	v := &s.views[p]
 	lost := s.filter(s.listed(p), (*store).lost)
@@ -71,8 +72,8 @@
 	return s.filter(list, func(st *store) bool { return !st.abandoned() })
 }
 
-// AwaitedMembers returns the members whose disks partitions wait for, in order, and how many partitions rest for that. The operator starts these
-// stores, puts their disks back, or gives them up.
+// AwaitedMembers returns the members whose disks partitions wait for, sorted, and the number of partitions that wait. The operator resolves
+// this by starting these stores, putting their disks back, or abandoning them.
 func AwaitedMembers(in Input) (members []string, partitions int) {
 	s := newState(in)
 	found := map[string]bool{}
--- a/placement/balance.go
+++ b/placement/balance.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// whole reports whether all live stores reach each other and every partition with a live copy has Copies members that are live and may stay.
+// fullyReplicated reports whether all live stores reach each other, none of them is leaving, and every partition that does not wait has exactly
+// Copies members, all of them permanent.
 func (s *state) fullyReplicated() bool {
 	if len(s.unreachable) > 0 {
 		return false
@@ -28,21 +29,21 @@
 	return true
 }
 
-// waits reports whether the partition waits for a member that is gone, or for a source that has lost its disk.
+// isWaiting reports whether the partition waits for an unavailable member, or for a source that has lost its disk.
 func (s *state) isWaiting(p int) bool {
 	return s.liveCount(s.views[p].members) == 0 || s.awaitsLostSource(p)
 }
 
-// resting reports whether the partition has no move under way and waits for nobody.
+// isStable reports whether the partition has no move in progress and waits for no store.
 func (s *state) isStable(p int) bool {
 	return len(s.views[p].learners) == 0 && !s.isWaiting(p)
 }
 
-// step hands a partition to another of its members.
+// step makes another member of a partition its primary.
 type step struct{ partition, to int }
 
-// balancePrimaries evens the numbers of primaries of the stores by handing partitions from member to member, along the
-// shortest chain from a store with many to one with at least two fewer.
+// balancePrimaries balances the number of primaries per store. It transfers primaries between members along the shortest
+// chain from a store with many primaries to one with at least two fewer.
 func (s *state) balancePrimaries() {
 	led := make([][]int, len(s.stores))
 	for p := range s.views {
@@ -67,7 +68,7 @@
 	}
 }
 
-// drawPrimariesNear hands partitions whose primary is in a zone with fewer of their copies than another to a member there.
+// colocatePrimaries moves the primary of a partition to the zone with the most copies of the partition, when zones are shared.
 func (s *state) colocatePrimaries() {
 	if !s.in.SharedZones {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// near counts the other members in a member's zone, where that matters.
+// sameZoneMembers counts the other members in the zone of store i. It is 0 unless zones are shared.
 func (s *state) sameZoneMembers(members []int, i int) int {
 	count := 0
 	for _, j := range members {
@@ -98,7 +99,7 @@
 	return count
 }
 
-// findChain looks for a chain, beginning at the stores with the most primaries.
+// findChain searches for a chain of primary transfers, starting with the stores that have the most primaries.
 func (s *state) findChain(led [][]int) []step {
 	stores := s.eligibleBy(func(i int) int { return -s.primaries[i] })
 	if len(stores) == 0 {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// chainFrom searches breadth first from one store.
+// chainFrom searches breadth-first for a chain that starts at one store.
 func (s *state) chainFrom(start int, led [][]int) []step {
 	reachedBy := make([]step, len(s.stores))
 	reached := make([]bool, len(s.stores))
@@ -149,7 +150,7 @@
 	return chain
 }
 
-// eligibleBy returns the stores that may be given something, ordered by a key.
+// eligibleBy returns the eligible stores in ascending order of a key.
 func (s *state) eligibleBy(key func(int) int) []int {
 	var out []int
 	for i := range s.stores {
@@ -161,10 +162,10 @@
 	return out
 }
 
-// move gives a partition a copy on another store in place of one that it has.
+// move replaces one copy of a partition by a copy on another store.
 type move struct{ partition, from, to int }
 
-// balanceMembers begins moves of copies: first those that separate copies better, then those that even the loads.
+// balanceMembers starts moves of copies: first those that improve the separation of copies, then those that balance the load.
 func (s *state) balanceMembers() {
 	for s.moving < s.limit {
 		m, ok := s.findMove()
@@ -187,7 +188,7 @@
 	return s.loadBalancingMove()
 }
 
-// separatingMove looks for a partition whose copies could be separated better.
+// separatingMove returns the move that most improves the separation of the first partition whose separation can be improved.
 func (s *state) separatingMove() (move, bool) {
 	least := s.leastCost()
 	for p := range s.views {
@@ -217,7 +218,7 @@
 	return move{}, false
 }
 
-// eveningMove looks for a move from a store to one with at least two copies fewer that separates copies no worse.
+// loadBalancingMove returns a move to a store that has at least two copies fewer than the source and does not worsen separation.
 func (s *state) loadBalancingMove() (move, bool) {
 	light := s.eligibleBy(func(i int) int { return s.load[i] })
 	if len(light) == 0 {
@@ -241,7 +242,7 @@
 	return move{}, false
 }
 
-// restingOn returns the partitions without a move that have a copy on the store, those that it is not primary of first.
+// stablePartitionsOn returns the stable partitions with a copy on store i. Those for which the store is a backup come first.
 func (s *state) stablePartitionsOn(i int) []int {
 	var backup, primary []int
 	for p := range s.views {
@@ -257,8 +258,8 @@
 	return append(backup, primary...)
 }
 
-// movable returns the first of the partitions whose copy may go from one store to another: where copies are separated no worse, or where the one store
-// holds more than it may for the sake of fewer zones.
+// movable returns the first of the given partitions whose copy may move from one store to the other: the move does not worsen separation, or it
+// only adds zones and the first store is overloaded.
 func (s *state) movable(held []int, from, to int) int {
 	overloaded := s.overloaded(from)
 	for _, p := range held {
@@ -274,11 +275,11 @@
 	return none
 }
 
-// mostLoad is how many times its even share of the copies a store may hold so that partitions lie in fewer zones. It leaves room for one store of three
-// or more in a zone to be away.
+// maxLoadFactor is the multiple of its even share of copies that a store may hold to keep partitions in fewer zones. It leaves room for one
+// store in a zone of three or more to be unavailable.
 const maxLoadFactor = 1.5
 
-// loadLimit is the number of copies up to which a store may be given more for the sake of fewer zones.
+// loadLimit is the number of copies up to which a store may receive more to keep partitions in fewer zones.
 func (s *state) loadLimit() int {
 	eligible := 0
 	for i := range s.stores {
@@ -289,10 +290,10 @@
 	return int(math.Ceil(maxLoadFactor * float64(s.in.Copies*len(s.views)) / float64(max(1, eligible))))
 }
 
-// overloaded tells whether a store holds more copies than it may for the sake of fewer zones.
+// overloaded reports whether a store exceeds loadLimit, which applies only when zones are shared.
 func (s *state) overloaded(i int) bool { return s.in.SharedZones && s.load[i] > s.loadLimit() }
 
-// savesZoneOnly tells whether a difference in costs is of zones that need not be survived.
+// savesZoneOnly reports whether a difference in cost affects only the number of zones, which matters for traffic but not for fault tolerance.
 func (s *state) savesZoneOnly(difference int) bool {
 	return s.in.SharedZones && difference > 0 && difference < sameRegionCost
 }
--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// addBlocked notes which pairs of live stores cannot reach each other. What is gone is no matter: it is left out anyway.
+// addBlocked records the pairs of live stores that cannot reach each other. Unavailable stores are ignored: they are excluded anyway.
 func (s *state) addBlocked() {
 	s.unreachable = map[[2]int]bool{}
 	s.unreachableCount = make([]int, len(s.stores))
@@ -18,14 +18,14 @@
 	}
 }
 
-// reachesAll reports whether a store reaches all of a list.
+// reachesAll reports whether store i reaches every store in the list.
 func (s *state) reachesAll(i int, list []int) bool {
 	return !slices.ContainsFunc(list, func(j int) bool { return s.unreachable[[2]int{i, j}] })
 }
 
-// connected leaves holders out until all that are left reach each other: first the one that is cut off from the most stores, else
-// any but the present primary. Where the rest could not have Copies with the other live stores that it reaches, nobody is left out:
-// writes would wait all the same.
+// mutuallyReachable excludes holders until the remaining ones all reach each other. It excludes the one that is unreachable from the most
+// stores first, and on a tie any other than the current primary. If the remaining holders cannot reach enough live stores for Copies copies,
+// it excludes none: writes would be blocked either way.
 func (s *state) mutuallyReachable(p int, holders []int) []int {
 	rest := slices.Clone(holders)
 	for {
@@ -46,6 +46,7 @@
 	return rest
 }
 
+// excludedBefore reports whether store i is to be excluded rather than store j.
 func (s *state) excludedBefore(p, i, j int) bool {
 	if s.unreachableCount[i] != s.unreachableCount[j] {
 		return s.unreachableCount[i] > s.unreachableCount[j]
@@ -53,7 +54,7 @@
 	return s.views[p].primary == j
 }
 
-// reachableBy counts the live stores that reach all of a list, with the list itself.
+// reachableBy counts the live stores that reach every store in the list, including those in the list.
 func (s *state) reachableBy(list []int) int {
 	n := 0
 	for i := range s.stores {
--- a/placement/initial.go
+++ b/placement/initial.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// firstEpoch is the epoch of the first view of a partition.
+// firstEpoch is the epoch of the initial view of a partition.
 const firstEpoch = 1
 
-// InitialViews returns the first views of a number of partitions, nil where there are fewer live stores than copies.
+// InitialViews returns the initial views of a number of partitions, or nil if there are fewer eligible stores than copies.
 func InitialViews(stores []Store, partitions, copies int) []View {
 	return InitialViewsFor(Input{Stores: stores, Copies: copies}, partitions)
 }
 
-// InitialViewsFor is Found with the stores, copies and separation of an input.
+// InitialViewsFor is InitialViews with the stores, copies and separation rules of an input.
 func InitialViewsFor(in Input, partitions int) []View {
 	in.Partitions, in.Offers = make([]View, partitions), nil
 	s := newState(in)
@@ -33,8 +33,8 @@
 	return out
 }
 
-// firstMembers chooses the copies of a new partition: well separated, on stores of little load, and with companions that
-// share few partitions yet, so that the work after a loss falls on many.
+// firstMembers chooses the stores of a new partition: well separated, lightly loaded, and sharing few partitions with each
+// other so far, so that the repair work after a loss is spread over many stores. shared counts the common partitions of each pair of stores.
 func (s *state) firstMembers(p int, shared [][]int) []int {
 	var members []int
 	for len(members) < s.in.Copies {
@@ -57,6 +57,7 @@
 	return members
 }
 
+// betterMember reports whether store i is a better addition to the members of a new partition than store j.
 func (s *state) betterMember(p int, members []int, shared [][]int, i, j int) bool {
 	if a, b := s.costOf(i, members, none), s.costOf(j, members, none); a != b {
 		return a < b
@@ -75,7 +76,7 @@
 	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
-// evenOut carries out moves of copies and of primaries in place, until there are none.
+// balanceInPlace applies moves of copies and of primaries directly to the views until no move is left.
 func (s *state) balanceInPlace() {
 	for {
 		m, ok := s.findMove()
--- a/placement/merge.go
+++ b/placement/merge.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// listed returns all stores that the present view of a partition names.
+// listed returns all stores that the current view of a partition refers to.
 func (s *state) listed(p int) []int {
 	v := &s.views[p]
 	return slices.Concat(v.members, v.learners, v.holders)
 }
 
-// holders lists the stores of the present view that are neither members nor learners of the next, where that has fewer than Copies members: only
-// all of them together are sure to hold what was acknowledged without the members' disks. Those whose disks are lost are counted on, see merge.
+// holders returns the stores of the current view that are neither members nor learners of the next one, if that has fewer than Copies members:
+// without the disks of the members, only all of these together are certain to hold every acknowledged record. Stores with lost disks stay on the
+// list, because merge counts them.
 func (s *state) holders(p int, members, learners []int) []int {
 	if len(members) >= s.in.Copies {
 		return nil
@@ -17,9 +18,10 @@
 	return slices.DeleteFunc(s.listed(p), func(i int) bool { return slices.Contains(members, i) || slices.Contains(learners, i) })
 }
 
-// sourcesLeft returns the sources that the primary of the next view has to take from: none once a learner was offered, as an active primary
-// has taken everything. Where one has lost its disk, and the partition may do without what is lost, all others that are listed take its place:
-// one that was given up, or had another disk in its machine, may be back and hold what only the source had. Else the source is waited for.
+// remainingSources returns the sources that the primary of the next view has yet to fetch records from. There are none once a learner was
+// offered, because a primary offers learners only after it has fetched everything. If a source has lost its disk and the partition can proceed
+// without the lost disks, all other listed stores replace it: one that had been abandoned or superseded may be back and hold records that
+// otherwise only the source had. If the partition cannot proceed, it waits for the source.
 func (s *state) remainingSources(p int) []int {
 	v := &s.views[p]
 	switch {
@@ -31,14 +33,14 @@
 	return slices.DeleteFunc(s.listed(p), func(i int) bool { return s.stores[i].lost() || slices.Contains(v.members, i) })
 }
 
-// awaitsSource reports whether the primary of a partition has still to take what is on a disk that is lost, and cannot do without.
+// awaitsLostSource reports whether the primary of a partition has yet to fetch records from a lost disk and cannot proceed without it.
 func (s *state) awaitsLostSource(p int) bool {
 	v := &s.views[p]
 	return len(s.offered[p]) == 0 && len(s.filter(v.sources, (*store).lost)) > 0 && !s.canProceedWithoutLost(p)
 }
 
-// mayDoWithout reports whether a partition may go on without those of the listed disks that are lost: they are fewer than Copies, so what was
-// acknowledged is on another, or the operator has given up each of them.
+// canProceedWithoutLost reports whether a partition can proceed without the lost disks among those listed: they are fewer than Copies, so every
+// acknowledged record is on another disk, or the operator has abandoned each of them.
 func (s *state) canProceedWithoutLost(p int) bool {
 	lost := s.filter(s.listed(p), (*store).lost)
 	return len(lost) < s.in.Copies || s.allAbandoned(lost)
@@ -48,7 +50,7 @@
 	return len(s.filter(list, (*store).abandoned)) == len(list)
 }
 
-// union appends to a list what it lacks of another.
+// union appends the elements of other that list lacks.
 func union(list, other []int) []int {
 	for _, i := range other {
 		if !slices.Contains(list, i) {
@@ -58,8 +60,9 @@
 	return list
 }
 
-// merge gives a partition all of whose members' disks are lost a primary that puts together what the others hold. It waits for all of these,
-// and does nothing where more disks are lost than the copies allow for, as an old disk may be put back, until the operator has given them up.
+// merge handles a partition whose members have all lost their disks: it chooses a primary that merges the records of the other listed stores. It
+// waits until all of these are live. If Copies or more disks are lost, it does nothing until the operator has abandoned all of them, because an
+// old disk may be put back.
 func (s *state) merge(p int) {
 	v := &s.views[p]
 	var survivors []int
@@ -83,7 +86,7 @@
 	}
 }
 
-// beginWith gives a partition without members a primary, which takes what the sources hold.
+// startWithPrimary gives a partition that has lost all members a new primary, which fetches the records of the sources.
 func (s *state) startWithPrimary(p, primary int, sources []int) {
 	members := []int{primary}
 	learners := s.attach(p, members, slices.Clone(sources))
--- a/placement/owners.go
+++ b/placement/owners.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownerRate is the rate up to which one dispatcher paces a service alone.
+// ownerRatePerS is the rate, in messages per second, up to which a single dispatcher paces a service.
 const ownerRatePerS = 100
 
-// staticOwners is the number of dispatchers that a static service without a rate is placed on.
+// staticOwnerCount is the number of dispatchers for a static service without a rate.
 const staticOwnerCount = 2
 
-// OwnerCount returns how many dispatchers a service is to be placed on, 0 for any.
+// OwnerCount returns the number of dispatchers that a service is placed on, 0 if any dispatcher may serve it.
 func OwnerCount(ratePerS float64, static bool) int {
 	switch {
 	case ratePerS > 0:
@@ -31,19 +31,19 @@
 	score uint64
 }
 
-// compareCandidates puts the better one first.
+// compareCandidates orders candidates from best to worst: by descending score, then by name.
 func compareCandidates(a, b candidate) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
 }
 
-// ownedService is a service with the best of the dispatchers, as many as were last asked for.
+// ownedService holds the owners of a service, as many as were last requested.
 type ownedService struct {
 	count     int
-	best      []candidate // best first; nil when it has to be chosen anew
+	best      []candidate // best first; nil if the owners must be recomputed
 	requested bool        // since the last call of SetDispatchers
 }
 
-// admit takes in a dispatcher that joined, if it is among the best.
+// consider adds a dispatcher to the owners if it is among the best.
 func (s *ownedService) consider(joining candidate) {
 	at, _ := slices.BinarySearchFunc(s.best, joining, compareCandidates)
 	if at >= s.count {
@@ -53,23 +53,23 @@
 	s.best = s.best[:min(len(s.best), s.count)]
 }
 
-// has tells whether a dispatcher is among the best.
+// has reports whether a dispatcher is one of the owners.
 func (s *ownedService) has(name string) bool {
 	return slices.ContainsFunc(s.best, func(c candidate) bool { return c.name == name })
 }
 
-// Ownership keeps on which dispatchers services are placed, by rendezvous hashing: of all dispatchers those whose hash with
-// the service is highest. A dispatcher that joins is compared with the owners of each service, one that leaves has only its
-// own services placed anew. The answer depends on nothing but the names, so all processes agree that know the same dispatchers.
+// Ownership assigns services to dispatchers by rendezvous hashing: the owners of a service are the dispatchers whose hash with
+// the service is highest. A dispatcher that joins is compared with the owners of each service; when one leaves, only the services
+// that it owned are reassigned. The result depends only on the names, so all processes with the same dispatchers agree.
 //
-// The zero value has no dispatchers. An Ownership must not be used by several goroutines at once.
+// The zero value has no dispatchers. An Ownership is not safe for concurrent use.
 type Ownership struct {
-	dispatchers []string // in order, each once
+	dispatchers []string // sorted, without duplicates
 	services    map[string]*ownedService
 	scratch     []byte // for hashing
 }
 
-// SetDispatchers follows the dispatchers that take part. Services that nobody has asked for since the call before are forgotten.
+// SetDispatchers replaces the set of dispatchers. It drops services that were not requested since the previous call.
 func (o *Ownership) SetDispatchers(names []string) {
 	names = slices.Clone(names)
 	slices.Sort(names)
@@ -86,7 +86,7 @@
 	}
 }
 
-// follow brings the owners of one service up to date.
+// update adjusts the owners of one service to dispatchers that joined and departed.
 func (o *Ownership) update(service string, owned *ownedService, joining, departed []string) {
 	if owned.best == nil {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// Owners returns the dispatchers that a service is placed on, best first: count of them, or all where there are fewer.
+// Owners returns the dispatchers that a service is placed on, best first: count of them, or all if there are fewer.
 func (o *Ownership) Owners(service string, count int) []string {
 	owned := o.services[service]
 	if owned == nil {
@@ -124,7 +124,7 @@
 	return names
 }
 
-// choose finds the owners of a service among all dispatchers.
+// choose recomputes the owners of a service from all dispatchers.
 func (o *Ownership) choose(service string, owned *ownedService) {
 	owned.best = make([]candidate, 0, max(0, min(owned.count, len(o.dispatchers)))+1)
 	for _, name := range o.dispatchers {
@@ -132,8 +132,8 @@
 	}
 }
 
-// score is the rendezvous hash of a service and a dispatcher. Processes of all versions must agree on it: two answers to which
-// dispatchers pace a service would let twice its rate through while an upgrade is under way.
+// score is the rendezvous hash of a service and a dispatcher. It must be the same in all versions: if processes disagreed during
+// an upgrade about which dispatchers pace a service, twice its rate would be let through.
 func (o *Ownership) score(service, dispatcher string) uint64 {
 	o.scratch = append(o.scratch[:0], service...)
 	o.scratch = append(o.scratch, 0)
@@ -141,7 +141,7 @@
 	return xxhash.Sum64(o.scratch)
 }
 
-// difference returns what stands only in after, and what stands only in before; both are in order.
+// difference returns the names that are only in after, and those that are only in before. Both inputs are sorted.
 func difference(before, after []string) (joining, departed []string) {
 	for len(before) > 0 && len(after) > 0 {
 		switch order := cmp.Compare(before[0], after[0]); {
--- a/placement/repair.go
+++ b/placement/repair.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// repair brings one partition nearer to Copies members that may stay, and gives it a primary that may stay. A partition of
-// which no copy that holds all records is live is left as it is, or put together from what is left.
+// repair brings one partition closer to Copies permanent members and gives it a primary that may stay. A partition without a
+// live copy that holds all records is left unchanged, or merged from the remaining records.
 func (s *state) repair(p int) {
 	v := s.views[p]
 	live := (*store).live
@@ -27,14 +27,14 @@
 	s.expectRemoval(p)
 }
 
-// replace installs a view of the plan and keeps the counts.
+// replace sets the planned view of a partition and updates the load counters.
 func (s *state) replace(p int, next view) {
 	s.adjustLoad(p, -1)
 	s.views[p] = next
 	s.adjustLoad(p, 1)
 }
 
-// trim takes copies away until no more than Copies are left.
+// trim removes the least useful holders until at most Copies are left.
 func (s *state) trim(p int, holders []int) []int {
 	for len(holders) > s.in.Copies {
 		i := s.leastUseful(p, holders)
@@ -43,7 +43,7 @@
 	return holders
 }
 
-// keptLearners returns the learners of the present view, and the members that it loses, that stay as learners.
+// keptLearners returns the learners and dropped members of the current view that are learners of the next one.
 func (s *state) keptLearners(p int, members []int) []int {
 	v := &s.views[p]
 	if s.permanentCount(members) >= s.in.Copies {
@@ -66,8 +66,8 @@
 	return append(kept, down[:min(len(down), s.in.Copies)]...)
 }
 
-// moveUnderWay returns the learner that is to replace a member of a partition that lacks nothing, if there is one. Other
-// learners of such a partition have stood in for somebody and are not needed any more.
+// moveUnderWay returns the learner that is to replace a member of a partition with enough copies, if there is one. Other
+// learners of such a partition were temporary replacements and are no longer needed.
 func (s *state) moveUnderWay(p int, members []int) []int {
 	v := &s.views[p]
 	if !sameSet(members, v.members) {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// attach adds learners while live copies are missing, and, as far as the limit goes, for copies that cannot stay.
+// attach adds learners for missing live copies and, within the move limit, for copies that are not permanent.
 func (s *state) attach(p int, members, learners []int) []int {
 	live := s.liveCount(members) + s.liveCount(learners)
 	permanent := s.permanentCount(members) + s.permanentCount(learners)
@@ -109,16 +109,16 @@
 	return learners
 }
 
-// candidate returns the store that is best given a copy: one that may be given something, else, unless strict, one that
-// leaves, else one that retires; well separated from the copies that stay; of little load. It reaches all members.
+// candidate returns the best store for a further copy, among those that reach all members: an eligible one or, unless strict,
+// a leaving one, or else a retiring one; then the one best separated from the permanent copies; then the least loaded.
 func (s *state) candidate(p int, members, learners []int, strict bool) int {
 	return s.bestCandidate(p, members, learners, func(i int) bool {
 		return s.reachesAll(i, members) && (!strict || s.rank(i) == 0)
 	})
 }
 
-// unreachedCandidate is candidate where no store is left that is known to reach all members. Nobody waits for a learner, so to try one that
-// was cut off costs nothing, and with fewer than Copies disks nothing can be written at all: the link may be whole again.
+// unreachedCandidate is used instead of candidate if no remaining store is known to reach all members. No write waits for a learner, so trying
+// a disconnected store costs nothing, while with fewer than Copies disks no write can succeed: the link may have recovered.
 func (s *state) unreachedCandidate(p int, members, learners []int) int {
 	present := s.views[p].learners
 	if i := s.bestCandidate(p, members, learners, func(i int) bool { return slices.Contains(present, i) }); i != none {
@@ -127,7 +127,7 @@
 	return s.bestCandidate(p, members, learners, func(int) bool { return true })
 }
 
-// bestCandidate returns the best store among the live ones that have no copy and fit, or none.
+// bestCandidate returns the best live store that has no copy and matches, or none.
 func (s *state) bestCandidate(p int, members, learners []int, matches func(i int) bool) int {
 	stay := append(s.filter(members, (*store).permanent), s.filter(learners, (*store).permanent)...)
 	best, bestRank, bestCost := none, 0, 0
@@ -150,7 +150,7 @@
 	return best
 }
 
-// rank is 0 for a store that may be given something, 1 for one that leaves, 2 for one that retires.
+// rank is 0 for an eligible store, 1 for a leaving one, 2 for a retiring one.
 func (s *state) rank(i int) int {
 	switch {
 	case s.stores[i].Retiring:
@@ -161,6 +161,7 @@
 	return 0
 }
 
+// lessLoaded reports whether store i has fewer copies than store j; ties are broken per partition.
 func (s *state) lessLoaded(p, i, j int) bool {
 	if s.load[i] != s.load[j] {
 		return s.load[i] < s.load[j]
@@ -168,7 +169,7 @@
 	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
-// choosePrimary returns the present primary if no other member is better, else the best one with the fewest primaries.
+// choosePrimary returns the current primary unless it is leaving or retiring and a better member exists, else the best member.
 func (s *state) choosePrimary(p int, members []int) int {
 	best := s.bestPrimary(p, members)
 	if now := s.views[p].primary; slices.Contains(members, now) && s.primaryRank(now) <= s.primaryRank(best) {
@@ -177,7 +178,7 @@
 	return best
 }
 
-// bestPrimary returns the member that should lead if none did.
+// bestPrimary returns the member that is best suited as primary, regardless of the current one.
 func (s *state) bestPrimary(p int, members []int) int {
 	best := none
 	for _, i := range members {
@@ -188,7 +189,7 @@
 	return best
 }
 
-// primaryRank is lowest for stores that may stay primary. One that leaves ends sooner than one that retires.
+// primaryRank is lowest for stores that may stay primary. A leaving store ranks worst because it stops sooner than a retiring one.
 func (s *state) primaryRank(i int) int {
 	switch {
 	case s.stores[i].Leaving:
@@ -199,6 +200,7 @@
 	return 0
 }
 
+// betterPrimary reports whether member i is better suited as primary than member j.
 func (s *state) betterPrimary(p int, members []int, i, j int) bool {
 	if a, b := s.primaryRank(i), s.primaryRank(j); a != b {
 		return a < b
@@ -212,15 +214,15 @@
 	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
-// worthwhile reports whether the next view is worth a new epoch. It is not when it only forgets learners that are gone and
-// that nobody waits for, in a partition that will need another view anyway.
+// worthwhile reports whether the next view justifies a new epoch. It does not if it only drops unavailable learners that no
+// write waits for, in a partition that will need another view anyway.
 func (s *state) worthwhile(p int, next view) bool {
 	v := &s.views[p]
 	if next.primary != v.primary || !sameSet(next.members, v.members) || len(s.offered[p]) == 0 && !sameSet(next.sources, v.sources) {
 		return true
 	}
 	if sameSet(next.learners, v.learners) {
-		// Writes wait for an offered learner until the next view, also when it is gone.
+		// Writes wait for an offered learner until the next view, even if it is unavailable.
 		return len(s.offered[p]) > s.liveCount(s.offered[p])
 	}
 	if len(s.offered[p]) > 0 || s.permanentCount(next.members) >= s.in.Copies {
--- a/placement/separation.go
+++ b/placement/separation.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// The costs of two copies that one loss may take together. Each outweighs any number of the next lower that a view can have.
+// The costs of two copies that a single failure may affect together. Each outweighs any number of the next lower ones that a view can have.
 const (
 	sameNodeCost   = 1 << 20
 	sameRegionCost = 1 << 10
 	sameZoneCost   = 1
-	// furtherZoneCost is that of a zone beyond the first, where zones need not be survived.
+	// furtherZoneCost is the cost of each zone beyond the first when zones are shared.
 	furtherZoneCost = 1
 )
 
-// pairCost says how badly two copies are separated, zones apart where they are judged for the whole set.
+// pairCost is the cost of two copies that are not fully separated. With shared zones it excludes zones, which zonesCost covers for the whole set.
 func (s *state) pairCost(i, j int) int {
 	a, b := &s.stores[i], &s.stores[j]
 	cost := 0
@@ -32,7 +32,7 @@
 	return a.Region == b.Region && a.Zone == b.Zone
 }
 
-// costOf says by how much a store makes the cost of a list worse, one other left out of it.
+// costOf is the cost that store i adds to a list of stores, of which the store without is left out.
 func (s *state) costOf(i int, list []int, without int) int {
 	cost := 0
 	others := make([]int, 0, len(list)+1)
@@ -49,8 +49,8 @@
 	return cost
 }
 
-// zonesCost judges the zones of a set where copies may share them: every write crosses once to each zone beyond the first, and no loss that is to be
-// borne is survived by that.
+// zonesCost is the cost of the zones of a set when zones are shared: each write is sent once to every zone beyond the first, and the additional
+// zones are not needed for fault tolerance.
 func (s *state) zonesCost(list []int) int {
 	zones := 0
 	for n, i := range list {
@@ -61,7 +61,7 @@
 	return max(0, zones-1) * furtherZoneCost
 }
 
-// totalCost sums the costs of all pairs, and of the zones.
+// totalCost is the sum of the costs of all pairs and of the zones.
 func (s *state) totalCost(list []int) int {
 	cost := 0
 	for n, i := range list {
@@ -70,7 +70,7 @@
 	return cost
 }
 
-// leastCost returns the cost of a well separated set of copies on the stores that may be given something.
+// leastCost returns the cost of a well-separated set of copies on the eligible stores.
 func (s *state) leastCost() int {
 	var chosen []int
 	candidates := s.eligibleBy(func(int) int { return 0 })
@@ -95,7 +95,7 @@
 	return s.totalCost(chosen)
 }
 
-// roomiestZonesFirst orders stores by the number of machines that their zones have among them, so that a choice that begins with the first needs the
+// largestZonesFirst sorts stores by the number of machines in their zone, in descending order, so that a selection from the front needs the
 // fewest zones.
 func (s *state) largestZonesFirst(stores []int) []int {
 	type zone struct{ region, name string }
@@ -113,9 +113,9 @@
 	return ordered
 }
 
-// leastUseful returns which of a partition's copies is to go when there are too many: one that cannot stay, else the one
-// without which the others are best separated, else the one on the fullest store. A learner goes before a member and a
-// member before the primary.
+// leastUseful returns the copy of a partition to remove when there are too many: one that is not permanent, else the one
+// without which the others are best separated, else the one on the most loaded store. A learner is removed before a member
+// and a member before the primary.
 func (s *state) leastUseful(p int, list []int) int {
 	worst := none
 	for _, i := range list {
@@ -126,13 +126,14 @@
 	return worst
 }
 
+// removedBefore reports whether the copy on store i is to be removed rather than the one on store j.
 func (s *state) removedBefore(p int, list []int, i, j int) bool {
 	if a, b := s.stores[i].permanent(), s.stores[j].permanent(); a != b {
 		return b
 	}
 	if a, b := s.costOf(i, list, none), s.costOf(j, list, none); a != b {
 		if s.savesZoneOnly(max(a-b, b-a)) && s.overloaded(i) != s.overloaded(j) {
-			return s.overloaded(i) // it began to give copies away
+			return s.overloaded(i) // a move away from it is in progress
 		}
 		return a > b
 	}
@@ -145,7 +146,7 @@
 	return s.tieBreaker(p, i) > s.tieBreaker(p, j)
 }
 
-// standing is 0 for a learner of the present view, 1 for a member, 2 for the primary.
+// memberRank is 0 for a learner of the current view, 1 for a member, 2 for the primary.
 func (s *state) memberRank(p, i int) int {
 	v := &s.views[p]
 	switch {
--- a/placement/state.go
+++ b/placement/state.go
@@ -8,38 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// none stands for no store or no partition where an index is expected.
+// none is used as an index to represent the absence of a store or partition.
 const none = -1
 
-// store is a Store with what is derived from it.
+// store is a Store with derived values.
 type store struct {
 	Store
 	node string
 	hash uint64
 	// known is false for a member that the input has no Store for.
 	known bool
-	// superseded says that the node is live with another disk.
+	// superseded is set if the node is live with another disk.
 	superseded bool
 }
 
 func (s *store) live() bool { return s.known && s.DownFor == 0 && !s.Stalled }
 
-// lasting reports whether the store counts as a copy that may stay.
+// permanent reports whether a copy on the store may stay: the store is live and not retiring.
 func (s *store) permanent() bool { return s.live() && !s.Retiring }
 
-// eligible reports whether the store may be given something new.
+// eligible reports whether the store may be assigned new copies or primaries.
 func (s *store) eligible() bool { return s.permanent() && !s.Leaving }
 
-// lost reports whether the disk is known to be lost: the node is live with another one, or the operator has given it up.
+// lost reports whether the disk is known to be lost: the node is live with another disk, or the operator has abandoned it.
 func (s *store) lost() bool { return s.superseded || s.abandoned() }
 
-// abandoned reports whether the operator has given up the disk of a store that is gone.
+// abandoned reports whether the operator has given up the disk of an unavailable store.
 func (s *store) abandoned() bool { return s.Abandoned && !s.live() }
 
-// mayReturn reports whether a store that is gone is worth waiting for as a learner.
+// mayReturn reports whether an unavailable store is worth keeping as a learner.
 func (s *store) mayReturn() bool { return s.known && !s.Retiring && !s.lost() }
 
-// view is a View by indices of stores.
+// view is a View with indices of stores instead of names.
 type view struct {
 	primary           int
 	members, learners []int
@@ -47,7 +47,7 @@
 	changed           bool
 }
 
-// state is a plan in the making.
+// state is the working state of a plan.
 type state struct {
 	in     Input
 	limit  int
@@ -56,15 +56,15 @@
 	views  []view
 	// offered holds the offered learners of each partition.
 	offered [][]int
-	// load counts the copies of each store as they will be once the moves under way are done, primaries the partitions it
-	// is primary of.
+	// load is the number of copies of each store after completion of the moves in progress; primaries is the number of
+	// partitions that each store is primary of.
 	load, primaries []int
-	// replaced holds for each partition with a move under way the member that is expected to go.
+	// outgoing holds, for each partition with a move in progress, the store that is expected to lose its copy.
 	outgoing []int
-	// apart holds the pairs of live stores that cannot reach each other, both ways round; cutFrom counts them by store.
+	// unreachable holds the pairs of live stores that cannot reach each other, in both orders; unreachableCount counts them per store.
 	unreachable      map[[2]int]bool
 	unreachableCount []int
-	// moving counts the partitions that are being moved though no copy is missing.
+	// moving is the number of partitions that are being moved for balance or retirement.
 	moving int
 }
 
@@ -144,7 +144,7 @@
 	return out
 }
 
-// adjustLoad adds the partition's copies and its primary to the loads, n times.
+// adjustLoad adds the copies and the primary of a partition to the load counters, weighted by n.
 func (s *state) adjustLoad(p, n int) {
 	v := &s.views[p]
 	for _, i := range v.members {
@@ -160,13 +160,13 @@
 	}
 }
 
-// isMoving reports whether the partition lacks no copy and yet has a learner: a move for balance or retirement.
+// isMoving reports whether the partition has enough copies and yet a live learner: a move for balance or retirement.
 func (s *state) isMoving(p int) bool {
 	v := &s.views[p]
 	return s.liveCount(v.members) >= s.in.Copies && s.liveCount(v.learners) > 0
 }
 
-// expect takes the member off the loads that will go when the move under way is done.
+// expectRemoval subtracts from the load the copy that will be removed when the move in progress completes.
 func (s *state) expectRemoval(p int) {
 	if !s.isMoving(p) {
 		return
@@ -179,7 +179,7 @@
 	}
 }
 
-// unexpect undoes expect.
+// cancelExpectedRemoval reverts expectRemoval.
 func (s *state) cancelExpectedRemoval(p int) {
 	if i := s.outgoing[p]; i != none {
 		s.load[i]++
@@ -187,7 +187,7 @@
 	}
 }
 
-// changes returns the views that differ, ordered by partition.
+// changes returns the views that the plan has changed, ordered by partition.
 func (s *state) changes() []Change {
 	var out []Change
 	for p := range s.views {
@@ -253,7 +253,7 @@
 	return x ^ x>>31
 }
 
-// settled reports whether no store has gone lately that may return.
+// noRecentLoss reports whether no store that may return has become unavailable within RebalanceDelay.
 func (s *state) noRecentLoss() bool {
 	for i := range s.stores {
 		st := &s.stores[i]
@@ -264,7 +264,7 @@
 	return true
 }
 
-// NodeName returns the NodeName of a member.
+// NodeName returns the NodeName part of a member, which is NodeName/DiskID.
 func NodeName(member string) string {
 	if i := strings.LastIndexByte(member, '/'); i >= 0 {
 		return member[:i]
