--- a/dissemination/peers.go
+++ b/dissemination/peers.go
@@ -2,10 +2,10 @@
 
 import "math/rand/v2"
 
-// Sample returns k different elements of peers, or all if there are fewer, in an order of chance. peers is not changed.
+// Sample returns k distinct elements of peers, or all if there are fewer, in random order. It does not modify peers.
 func Sample[P any](random *rand.Rand, peers []P, k int) []P {
 	k = min(k, len(peers))
-	// A partial Fisher-Yates shuffle that remembers only the places it moved.
+	// A partial Fisher-Yates shuffle that stores only the positions that were swapped.
 	moved := make(map[int]int, k)
 	at := func(i int) int {
 		if j, ok := moved[i]; ok {
--- a/dissemination/pulls.go
+++ b/dissemination/pulls.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// maxSources bounds how many peers are remembered as having the newest state of an item.
+// maxSources is the maximum number of peers remembered as sources of the newest state of an item.
 const maxSources = 8
 
-// PullTracker says what to ask of whom. For each item it remembers the newest version that was heard of and some peers that have it; an item is
-// asked for at one peer at a time.
+// PullTracker decides which items to request from which peers. For each item it stores the newest version that a peer is known to have and some
+// peers that have it. An item is requested from one peer at a time.
 type PullTracker[K, P cmp.Ordered] struct {
 	wanted map[K]*wantedItem[P]
 }
@@ -22,12 +22,12 @@
 	inFlight bool // a pull is under way
 }
 
-// NewPullTracker returns a Pulls that wants nothing.
+// NewPullTracker returns a PullTracker without wanted items.
 func NewPullTracker[K, P cmp.Ordered]() *PullTracker[K, P] {
 	return &PullTracker[K, P]{wanted: make(map[K]*wantedItem[P])}
 }
 
-// AddSource notes that a peer has a state that is newer than the own one.
+// AddSource records that a peer has a state that is newer than the local one.
 func (p *PullTracker[K, P]) AddSource(entry Entry[K], peer P) {
 	w := p.wanted[entry.Key]
 	if w == nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Next chooses a peer and what to ask of it, and counts these items as asked for until Ended; ok is false if there is nothing to ask.
+// Next chooses a peer and the items to request from it, which count as in flight until EndPull; ok is false if there is nothing to request.
 func (p *PullTracker[K, P]) Next(random *rand.Rand) (peer P, keys []K, ok bool) {
 	var peers []P
 	for _, key := range slices.Sorted(maps.Keys(p.wanted)) {
@@ -53,7 +53,7 @@
 	if len(peers) == 0 {
 		return peer, nil, false
 	}
-	peer = peers[random.IntN(len(peers))] // who has more of what is wanted is the likelier
+	peer = peers[random.IntN(len(peers))] // a peer with more of the wanted items is chosen with a higher probability
 	for _, key := range slices.Sorted(maps.Keys(p.wanted)) {
 		if w := p.wanted[key]; !w.inFlight && slices.Contains(w.sources, peer) {
 			w.inFlight = true
@@ -63,8 +63,8 @@
 	return peer, keys, true
 }
 
-// EndPull ends the pull of keys from a peer. What the peer did not deliver although it had it is not asked of it again, unless it is heard
-// of again; call Got for what it delivered before.
+// EndPull ends the pull of keys from a peer. Items that the peer did not deliver are not requested from it again unless AddSource names it
+// as a source again. Call Received for the delivered items first.
 func (p *PullTracker[K, P]) EndPull(peer P, keys []K) {
 	for _, key := range keys {
 		w := p.wanted[key]
@@ -79,7 +79,7 @@
 	}
 }
 
-// Received notes that the state of that version is here now.
+// Received records that the state of that version is available locally.
 func (p *PullTracker[K, P]) Received(entry Entry[K]) {
 	if w := p.wanted[entry.Key]; w != nil && entry.Version.Compare(w.version) >= 0 {
 		delete(p.wanted, entry.Key)
--- a/dissemination/schedule.go
+++ b/dissemination/schedule.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Schedule tells when the next digest is due. A process that stood still owes only one.
+// Schedule determines when the next digest is due. After a pause of the process only one digest is due.
 type Schedule struct {
 	interval time.Duration
 	next     time.Duration
 }
 
-// NewSchedule returns a schedule with a first digest at now.
+// NewSchedule returns a schedule whose first digest is due at now.
 func NewSchedule(interval, now time.Duration) Schedule {
 	return Schedule{interval: interval, next: now}
 }
 
-// Due says whether a digest is to be sent now, and plans the next one if so.
+// Due reports whether a digest is due now, and if so schedules the next one.
 func (s *Schedule) Due(now time.Duration) bool {
 	if now < s.next {
 		return false
@@ -22,5 +22,5 @@
 	return true
 }
 
-// NextDue is the time of the next digest.
+// NextDue returns the time of the next digest.
 func (s *Schedule) NextDue() time.Duration { return s.next }
--- a/dissemination/state.go
+++ b/dissemination/state.go
@@ -1,11 +1,11 @@
-// Package dissemination decides how the states of a few items spread among many processes: which state is newer, what two processes
-// should give each other, whom to tell, and whom to ask.
+// Package dissemination implements gossip of the states of a few items among many processes: which state is newer, which states two
+// processes exchange, which peers to push to, and which peers to pull from.
 //
-// Each item has a version. A process takes a state only if its version is higher than the one it has, so that no item ever goes back
-// within a process. News is pushed to a few peers chosen at random; digests (the versions without the bodies) are exchanged with one
-// peer at random at intervals, which mends what a push missed.
+// Each item has a version. A process accepts a state only if its version is higher than the local one, so that the version of an item never
+// decreases within a process. Updates are pushed to a few random peers. Digests (versions without bodies) are exchanged with a random
+// peer at intervals, which repairs missed pushes (anti-entropy).
 //
-// The package has no I/O, clock or goroutine. Its types are not safe for use by several goroutines.
+// The package does no I/O, reads no clock and starts no goroutines. Its types are not safe for concurrent use.
 package dissemination
 
 import (
@@ -35,13 +35,13 @@
 	Body    []byte
 }
 
-// Entry names the state of an item without its body.
+// Entry identifies a state of an item without its body.
 type Entry[K cmp.Ordered] struct {
 	Key     K
 	Version Version
 }
 
-// State holds the newest state known of each item.
+// State holds the newest known state of each item.
 type State[K cmp.Ordered] struct {
 	items map[K]Item[K]
 }
@@ -51,7 +51,7 @@
 	return &State[K]{items: make(map[K]Item[K])}
 }
 
-// Apply takes a state if it is newer than what is known, and says whether it was.
+// Apply stores a state if it is newer than the known one, and reports whether it was.
 func (s *State[K]) Apply(item Item[K]) bool {
 	if item.Version.Compare(s.items[item.Key].Version) <= 0 {
 		return false
@@ -66,10 +66,10 @@
 	return item, ok
 }
 
-// Version is that of the newest state known of an item, zero if none is.
+// Version returns the version of the newest known state of an item, zero if none is known.
 func (s *State[K]) Version(key K) Version { return s.items[key].Version }
 
-// Digest lists what is known, in order of the keys.
+// Digest lists the versions of all items, sorted by key.
 func (s *State[K]) Digest() []Entry[K] {
 	entries := make([]Entry[K], 0, len(s.items))
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
@@ -78,8 +78,8 @@
 	return entries
 }
 
-// Compare holds the digest of another process against what is known here: pull are the entries of theirs that are newer, push the
-// keys of which they have nothing or something older. Both are in order.
+// Compare compares the digest of another process with the local states: pull holds the entries of theirs that are newer, push the
+// keys for which they have no state or an older one. Both are sorted.
 func (s *State[K]) Compare(theirs []Entry[K]) (pull []Entry[K], push []K) {
 	remote := make(map[K]Version, len(theirs))
 	for _, entry := range theirs {
--- a/election/election.go
+++ b/election/election.go
@@ -1,10 +1,10 @@
-// Package election awards a duty that one process at a time may have.
+// Package election assigns a duty to one process at a time.
 //
-// While a duty is vacant, processes bid for it. When the window since the first bid is over, the best bid wins a new term.
-// The duty is vacant again when the session of its holder ends or when the holder resigns. Terms only grow, so that what
-// a former holder still says can be told from what the present one says.
+// While a duty is vacant, processes bid for it. When the bidding window has elapsed since the first bid, the best bid wins a
+// new term. The duty becomes vacant again when the session of its holder ends or the holder resigns. Terms only increase, so
+// that messages of a former holder can be distinguished from those of the current one.
 //
-// It is pure and runs on one process, which makes each award durable before it tells anybody.
+// The package does no I/O. An election runs on one process, which persists each award before it announces it.
 package election
 
 import (
@@ -21,43 +21,43 @@
 	Incarnation uint64
 }
 
-// Bid is the offer of a process to take the duty. The lowest rank wins, then the lowest key.
+// Bid is the bid of a process for the duty. The lowest rank wins, then the lowest key.
 type Bid struct {
 	Holder
 	Rank int
 }
 
-// before reports whether the bid wins over another.
+// beats reports whether the bid wins over another.
 func (b Bid) beats(o Bid) bool {
 	return cmp.Or(cmp.Compare(b.Rank, o.Rank), cmp.Compare(b.Key, o.Key)) < 0
 }
 
-// Award says who has the duty in a term; it is vacant when Holder.Key is empty.
+// Award is the assignment of the duty in a term; the duty is vacant if Holder.Key is empty.
 type Award struct {
 	Term   uint64
 	Holder Holder
 }
 
-// Vacant reports whether nobody has the duty.
+// Vacant reports whether no process holds the duty.
 func (a Award) Vacant() bool { return a.Holder.Key == "" }
 
-// Options configures a Round.
+// Options configures an Election.
 type Options struct {
 	// Window is the time from the first bid to the award; 0 means DefaultWindow.
 	Window time.Duration
 }
 
-// Election runs the elections of one duty, one after the other. It is owned by one goroutine.
+// Election runs the successive elections of one duty. It is not safe for concurrent use.
 type Election struct {
 	options Options
 	award   Award
-	// bids holds the bids of the present vacancy by key. opened is when the first came.
+	// bids holds the bids of the current vacancy by key. windowStart is the time of the first one.
 	bids        map[string]Bid
 	windowStart time.Duration
 }
 
-// New returns a round whose duty was last awarded as said. After a change of the process that runs it, last is the award
-// that was made durable.
+// New returns an election that continues from the last award. When another process takes over the election, last is the
+// persisted award.
 func New(o Options, last Award) *Election {
 	if o.Window <= 0 {
 		o.Window = DefaultWindow
@@ -65,7 +65,8 @@
 	return &Election{options: o, award: last, bids: map[string]Bid{}}
 }
 
-// Bid takes an offer and reports whether it counts: the duty is vacant. The last bid of a process replaces its earlier ones.
+// Bid submits a bid and reports whether it was accepted, which requires that the duty is vacant. A bid replaces earlier ones of the same
+// process.
 func (e *Election) Bid(now time.Duration, b Bid) bool {
 	if !e.award.Vacant() || b.Key == "" {
 		return false
@@ -77,10 +78,10 @@
 	return true
 }
 
-// Withdraw takes the offer of a process back.
+// Withdraw removes the bid of a process.
 func (e *Election) Withdraw(key string) { delete(e.bids, key) }
 
-// Tick returns a new award when one is due. It is what Current returns from then on.
+// Tick returns a new award when one is due. From then on Current returns the same award.
 func (e *Election) Tick(now time.Duration) (Award, bool) {
 	due, pending := e.NextTick()
 	if !pending || now < due {
@@ -97,8 +98,8 @@
 	return e.award, true
 }
 
-// SessionEnded tells that the session of a process has ended: its bid is void, and so is its duty. It reports whether the duty
-// became vacant.
+// SessionEnded removes the bid of a process whose session has ended and vacates the duty if the process holds it. It reports
+// whether the duty became vacant.
 func (e *Election) SessionEnded(h Holder) bool {
 	if e.bids[h.Key].Incarnation == h.Incarnation {
 		delete(e.bids, h.Key)
@@ -106,7 +107,7 @@
 	return e.vacate(h)
 }
 
-// Resign gives the duty back. It reports whether the duty became vacant.
+// Resign vacates the duty if the process holds it, and reports whether the duty became vacant.
 func (e *Election) Resign(h Holder) bool { return e.vacate(h) }
 
 func (e *Election) vacate(h Holder) bool {
@@ -117,10 +118,10 @@
 	return true
 }
 
-// Current returns who has the duty, and the last term.
+// Current returns the holder of the duty and the last term.
 func (e *Election) Current() Award { return e.award }
 
-// NextTick returns when Tick is to be called next, false when nothing is pending.
+// NextTick returns the time at which Tick must be called next; the result is false if no award is pending.
 func (e *Election) NextTick() (time.Duration, bool) {
 	return e.windowStart + e.options.Window, e.award.Vacant() && len(e.bids) > 0
 }
--- a/placement/state.go
+++ b/placement/state.go
@@ -245,7 +245,8 @@
 	return out
 }
 
-// tieBreaker is a fixed tieBreaker of the stores that differs from partition to partition, so that ties do not fall on the same store.
+// tieBreaker returns the sort key of a fixed order of the stores that differs between partitions, so that ties do not always favor the same
+// store.
 func (s *state) tieBreaker(p, i int) uint64 {
 	x := s.stores[i].hash ^ (uint64(p)+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/reconcile/comparison.go
+++ b/reconcile/comparison.go
@@ -1,15 +1,15 @@
 package reconcile
 
-// Source is one side's set of items. Tree and every storage with digests are sources.
+// Source is the set of items of one side. It is implemented by Tree and by any storage that maintains digests.
 type Source interface {
 	Digest(Range) Digest
 	Items(Range) []Item
 }
 
-// Limits bound the questions of a Comparison. Zero fields take their defaults.
+// Limits bounds the requests of a Comparison. Zero fields take their defaults.
 type Limits struct {
-	Items  int // a range where both sides together hold no more than this is asked for its items; default 64
-	Ranges int // ranges in one question for digests; default 256
+	Items  int // the items of a range are requested if both sides together have no more than this number; default 64
+	Ranges int // maximum number of ranges in one request for digests; default 256
 }
 
 const (
@@ -17,35 +17,35 @@
 	defaultRanges = 256
 )
 
-// Request is what to ask the other side next: the digests of some ranges and the items of others.
+// Request is the next request to the other side: the digests of some ranges and the items of others.
 type Request struct {
 	Digests []Range
 	Items   []Range
 }
 
-// Empty tells whether there is nothing to ask.
+// Empty reports whether there is nothing to request.
 func (q Request) Empty() bool { return len(q.Digests) == 0 && len(q.Items) == 0 }
 
-// Difference lists what makes the other side's set unlike the own one.
+// Difference lists the differences between the local set and that of the other side.
 type Difference struct {
-	Changed []Item // own items that the other side lacks or holds in another version
-	Extra   []Item // items of the other side whose keys are unknown here
+	Changed []Item // local items that the other side lacks or has in another version
+	Extra   []Item // items of the other side whose keys the local set lacks
 }
 
-// Comparison compares the own set with that of another side, for the one who asks. It begins with the range of all keys.
+// Comparison compares the local set with that of another side, on the requesting side. It starts with the range of all keys.
 //
-// The owner takes questions with Next, as many at a time as it likes, sends them, and hands in each answer with Digests and Items.
-// Both sets may change meanwhile: the result then holds for the state at the time of each answer.
+// The caller takes requests with Next, as many at a time as it wants, sends them, and passes each response to HandleDigest or
+// HandleItems. Both sets may change meanwhile: the result then reflects the state at the time of each response.
 type Comparison struct {
 	local      Source
 	limits     Limits
-	digests    []Range // to ask
-	items      []Range // to ask
+	digests    []Range // to request
+	items      []Range // to request
 	pending    map[Range]bool
 	difference Difference
 }
 
-// NewComparison begins a comparison.
+// NewComparison returns a comparison of local with the set of another side.
 func NewComparison(local Source, limits Limits) *Comparison {
 	if limits.Items <= 0 {
 		limits.Items = defaultItems
@@ -56,7 +56,7 @@
 	return &Comparison{local: local, limits: limits, digests: []Range{All()}, pending: make(map[Range]bool)}
 }
 
-// Next returns the next question, which is empty when there is none before more answers come.
+// Next returns the next request. It is empty if there is nothing to request before further responses arrive.
 func (c *Comparison) Next() Request {
 	var q Request
 	q.Digests, c.digests = take(c.digests, c.limits.Ranges)
@@ -75,7 +75,7 @@
 	return ranges[:n:n], ranges[n:]
 }
 
-// HandleDigest hands in the other side's digest of a range. Answers that were not asked for are ignored.
+// HandleDigest processes the other side's digest of a range. It ignores responses that were not requested.
 func (c *Comparison) HandleDigest(r Range, other Digest) {
 	if !c.answered(r) {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// HandleItems hands in the other side's items of a range. Answers that were not asked for are ignored.
+// HandleItems processes the other side's items of a range. It ignores responses that were not requested.
 func (c *Comparison) HandleItems(r Range, other []Item) {
 	if !c.answered(r) {
 		return
@@ -116,20 +116,21 @@
 	}
 }
 
+// answered removes a range from the pending ones and reports whether it was pending.
 func (c *Comparison) answered(r Range) bool {
 	pending := c.pending[r]
 	delete(c.pending, r)
 	return pending
 }
 
-// TakeDifference returns what was found since the last call.
+// TakeDifference returns the differences found since the last call.
 func (c *Comparison) TakeDifference() Difference {
 	found := c.difference
 	c.difference = Difference{}
 	return found
 }
 
-// Done tells whether all questions were asked and answered. What Found returns then is the rest.
+// Done reports whether all requests were sent and answered. TakeDifference then returns the remaining differences.
 func (c *Comparison) Done() bool {
 	return len(c.digests) == 0 && len(c.items) == 0 && len(c.pending) == 0
 }
--- a/reconcile/index.go
+++ b/reconcile/index.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// Element is what an Index holds: something that belongs to a key and has a version.
+// Element is an element of an Index: it belongs to a key and has a version.
 type Element interface {
 	Hash() uint64 // Hash of the key
 	Item() Item
@@ -13,17 +13,17 @@
 
 const (
 	leafElements  = 64 // a leaf with more elements is split
-	mergeElements = 16 // a node with fewer elements becomes a leaf again
+	mergeElements = 16 // an inner node with fewer elements is turned into a leaf
 	maxDepth      = hashBits / splitBits
 )
 
-// Index is an ordered set of elements, one a key, that answers digests of any range. An element costs its own size and a quarter of
-// it, plus about five bytes. The zero Index is empty.
+// Index is an ordered set of elements, one per key, that computes the digest of any range. An element takes up to 1.25 times its own
+// size in memory, plus about five bytes. The zero Index is empty.
 type Index[E Element] struct {
 	root node[E]
 }
 
-// node is a leaf with elements in the order of their hashes, or an inner node with children.
+// node is a leaf with elements sorted by hash, or an inner node with children.
 type node[E Element] struct {
 	digest   Digest
 	elements []E
@@ -33,8 +33,8 @@
 // Len returns the number of elements.
 func (x *Index[E]) Len() int { return int(x.root.digest.Count) }
 
-// Find returns the element of a key, or nil. The pointer holds until the next change of the index; what the element's Hash and Item
-// return must not be changed through it.
+// Find returns the element of a key, or nil. The pointer is valid until the next change of the index. The caller must not change
+// the results of the element's Hash and Item through it.
 func (x *Index[E]) Find(hash uint64, key string) *E {
 	n := &x.root
 	for depth := 0; n.children != nil; depth++ {
@@ -97,10 +97,10 @@
 // Digest returns the digest of a range.
 func (x *Index[E]) Digest(r Range) Digest { return x.root.digestIn(r, 0) }
 
-// Each calls f for the elements of a range in the order of their hashes until f returns false. The index must not be changed by f.
+// Each calls f for the elements of a range, sorted by hash, until f returns false. f must not change the index.
 func (x *Index[E]) Each(r Range, f func(E) bool) { x.root.each(r, 0, f) }
 
-// Items returns the items of a range in the order of their hashes.
+// Items returns the items of a range, sorted by hash.
 func (x *Index[E]) Items(r Range) []Item {
 	var items []Item
 	x.Each(r, func(e E) bool {
@@ -110,12 +110,12 @@
 	return items
 }
 
-// digit returns the part of the hash that chooses the child of a node at this depth.
+// digit returns the digit of the hash that selects the child of a node at the given depth.
 func digit(hash uint64, depth int) int {
 	return int(hash >> (hashBits - splitBits*(depth+1)) & (Fanout - 1))
 }
 
-// descend walks to the leaf of a hash and notes the nodes on the way. Without create it returns nil where there is no leaf.
+// descend walks to the leaf of a hash and stores the visited nodes in path. Without create it returns nil if there is no leaf.
 func (x *Index[E]) descend(hash uint64, path *[maxDepth + 1]*node[E], create bool) (leaf *node[E], depth int) {
 	n := &x.root
 	path[0] = n
@@ -134,7 +134,7 @@
 	return n, depth
 }
 
-// search returns where the element of a key is in a leaf, or where it belongs.
+// search returns the position of the element of a key in a leaf, or the position at which to insert it.
 func (n *node[E]) search(hash uint64, key string) (at int, found bool) {
 	at = sort.Search(len(n.elements), func(i int) bool { return n.elements[i].Hash() >= hash })
 	for i := at; i < len(n.elements) && n.elements[i].Hash() == hash; i++ {
@@ -145,7 +145,7 @@
 	return at, false
 }
 
-// insert grows a leaf by a quarter when it is full: doubling would leave a third of the memory unused.
+// insert adds an element to a leaf. It grows a full leaf by a quarter: doubling would leave a third of the memory unused.
 func (n *node[E]) insert(at int, e E) {
 	if size := len(n.elements); size == cap(n.elements) {
 		n.elements = resized(n.elements, size+size/4+1)
@@ -153,6 +153,7 @@
 	n.elements = slices.Insert(n.elements, at, e)
 }
 
+// remove deletes an element from a leaf and shrinks the leaf if less than half of its capacity is used.
 func (n *node[E]) remove(at int) {
 	n.elements = slices.Delete(n.elements, at, at+1)
 	if size := len(n.elements); size == 0 {
@@ -166,7 +167,7 @@
 	return append(make([]E, 0, capacity), elements...)
 }
 
-// split makes a leaf an inner node.
+// split turns a leaf into an inner node.
 func (n *node[E]) split(depth int) {
 	n.children = new([Fanout]*node[E])
 	for start := 0; start < len(n.elements); {
@@ -188,7 +189,7 @@
 	}
 }
 
-// merge makes an inner node with few elements a leaf again.
+// merge turns an inner node into a leaf.
 func (n *node[E]) merge() {
 	if n.children == nil {
 		return
--- a/reconcile/range.go
+++ b/reconcile/range.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// splitBits is how many bits of the hash one split of a range or one level of an Index takes.
+// splitBits is the number of hash bits that one split of a range or one level of an Index consumes.
 const splitBits = 4
 
 // Fanout is the number of parts that a range is split into.
@@ -15,8 +15,8 @@
 // hashBits is the length of a key's hash.
 const hashBits = 64
 
-// Range is the set of all keys whose hash begins with the first Bits bits of Prefix. The bits of Prefix behind them are zero; the
-// first bit is the most significant one. The zero Range holds all keys.
+// Range is the set of all keys whose hash starts with the first Bits bits of Prefix, counted from the most significant bit. The
+// remaining bits of Prefix are zero. The zero Range contains all keys.
 type Range struct {
 	Prefix uint64
 	Bits   uint8
@@ -28,7 +28,7 @@
 	Version uint64
 }
 
-// Digest sums up the items of a range. Sets with equal items have equal digests, and other sets in all likelihood another one.
+// Digest summarizes the items of a range. Equal sets have equal digests, and different sets have different digests with high probability.
 type Digest struct {
 	Count uint64
 	Sum   uint64 // wrapping sum of a hash of key and version
@@ -47,20 +47,20 @@
 	return ^(^uint64(0) >> r.Bits)
 }
 
-// Valid tells whether the range is in its normal form: at most 64 bits, and no bit set in Prefix behind them.
+// Valid reports whether the range is in normal form: at most 64 bits, and no bit of Prefix set beyond them.
 func (r Range) Valid() bool { return r.Bits <= hashBits && r.Prefix&^r.mask() == 0 }
 
-// Contains tells whether a key with this hash belongs to the range.
+// Contains reports whether a key with this hash belongs to the range.
 func (r Range) Contains(hash uint64) bool { return (hash^r.Prefix)&r.mask() == 0 }
 
-// Last returns the greatest hash of the range; the least one is Prefix.
+// Last returns the highest hash of the range; the lowest one is Prefix.
 func (r Range) Last() uint64 { return r.Prefix | ^r.mask() }
 
-// CanSplit tells whether the range has smaller parts.
+// CanSplit reports whether the range can be split into smaller ones.
 func (r Range) CanSplit() bool { return int(r.Bits)+splitBits <= hashBits }
 
-// Split returns the sixteen parts of the range in order. It must not be called for a range that CanSplit denies: all parts would be
-// the range itself.
+// Split returns the sixteen parts of the range in ascending order. It must not be called if CanSplit returns false: all parts would
+// be the range itself.
 func (r Range) Split() [Fanout]Range {
 	var parts [Fanout]Range
 	if !r.CanSplit() {
@@ -81,13 +81,13 @@
 
 func digestOf(hash, version uint64) Digest { return Digest{Count: 1, Sum: mix(hash, version)} }
 
-// Plus returns the digest of two disjoint sets together.
+// Plus returns the digest of the union of two disjoint sets.
 func (d Digest) Plus(other Digest) Digest { return Digest{d.Count + other.Count, d.Sum + other.Sum} }
 
-// Minus returns the digest of the set without a part of it.
+// Minus returns the digest of the set without the given subset.
 func (d Digest) Minus(part Digest) Digest { return Digest{d.Count - part.Count, d.Sum - part.Sum} }
 
-// The constants of the splitmix64 generator, whose finalizer spreads each bit over the whole word.
+// Constants of the splitmix64 generator, whose finalizer spreads each bit over the whole word.
 const (
 	mixIncrement = 0x9e3779b97f4a7c15
 	mixFirst     = 0xbf58476d1ce4e5b9
--- a/reconcile/tree.go
+++ b/reconcile/tree.go
@@ -3,10 +3,10 @@
 // Hash returns the hash of the item's key.
 func (i Item) Hash() uint64 { return Hash(i.Key) }
 
-// Item returns the item itself; with it an Item is an Element.
+// Item returns the item itself, so that Item implements Element.
 func (i Item) Item() Item { return i }
 
-// Tree is a set of items that answers digests of any range.
+// Tree is a set of items that computes the digest of any range.
 type Tree struct {
 	index Index[Item]
 }
@@ -17,7 +17,7 @@
 // Add sets the version of a key.
 func (t *Tree) Add(key string, version uint64) { t.index.Put(Item{key, version}) }
 
-// Remove takes a key out if it has this version, and tells whether it had.
+// Remove deletes a key if it has this version, and reports whether it did.
 func (t *Tree) Remove(key string, version uint64) bool {
 	hash := Hash(key)
 	if held := t.index.Find(hash, key); held == nil || held.Version != version {
@@ -41,5 +41,5 @@
 // Digest returns the digest of a range.
 func (t *Tree) Digest(r Range) Digest { return t.index.Digest(r) }
 
-// Items returns the items of a range in the order of their hashes.
+// Items returns the items of a range, sorted by hash.
 func (t *Tree) Items(r Range) []Item { return t.index.Items(r) }
--- a/session/table.go
+++ b/session/table.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// DefaultExpiry is the expiry of roles that the options do not name.
+	// DefaultExpiry is the default of Options.DefaultExpiry.
 	DefaultExpiry = time.Second
-	// DefaultPauseThreshold is the gap between ticks from which on the judge is taken to have been paused.
+	// DefaultPauseThreshold is the default of Options.PauseThreshold.
 	DefaultPauseThreshold = 300 * time.Millisecond
-	// remembered is how many ended incarnations of each node are remembered, so that late frames do not bring them back.
+	// maxEndedIncarnations is the number of ended incarnations remembered per node, so that delayed frames do not reopen their sessions.
 	maxEndedIncarnations = 8
 )
 
@@ -19,10 +19,10 @@
 type Options struct {
 	// Expiry is the time without heartbeats after which a session ends, by role.
 	Expiry map[uint8]time.Duration
-	// DefaultExpiry holds for roles that Expiry does not name; 0 means DefaultExpiry.
+	// DefaultExpiry applies to roles without an entry in Expiry; 0 means DefaultExpiry.
 	DefaultExpiry time.Duration
-	// PauseThreshold is the gap between ticks from which on the judge itself is taken to have been paused; 0 means
-	// DefaultPauseAfter.
+	// PauseThreshold is the gap between ticks above which the process that owns the table is assumed to have been paused; 0 means
+	// DefaultPauseThreshold.
 	PauseThreshold time.Duration
 }
 
@@ -32,16 +32,16 @@
 	deadline time.Duration
 }
 
-// Table is the table of sessions. It is owned by one goroutine.
+// Table is the table of sessions. It is not safe for concurrent use.
 type Table struct {
 	options  Options
 	sessions map[string]*entry
-	// ended holds, for each key, the incarnations that are known not to run any more, the latest last.
+	// ended holds, for each key, the incarnations that are known to have stopped, the latest last.
 	ended map[string][]uint64
-	// lapsed holds, for each key without a session, the incarnation whose session ended last though it may still run.
+	// lapsed holds, for each key without a session, the incarnation of the last session if that may still run.
 	lapsed  map[string]uint64
 	version uint64
-	// ticked says that lastTick holds the time of the judge's last sign of life.
+	// ticked is set once lastTick holds the time of the last call that advanced the clock.
 	ticked   bool
 	lastTick time.Duration
 }
@@ -57,8 +57,8 @@
 	return &Table{options: o, sessions: map[string]*entry{}, ended: map[string][]uint64{}, lapsed: map[string]uint64{}}
 }
 
-// Renew takes a heartbeat. It returns the events that it caused, none for a mere renewal. It is not accepted from an
-// incarnation that has left or was replaced. An incarnation whose session has merely expired opens another one.
+// Renew processes a heartbeat and returns the resulting events, none if it only renews the session. Heartbeats of an
+// incarnation that has departed or was replaced are rejected. An incarnation whose session has expired opens a new one.
 func (t *Table) Renew(now time.Duration, n Node) (events []Event, accepted bool) {
 	t.Tick(now)
 	if slices.Contains(t.ended[n.Key], n.Incarnation) {
@@ -80,7 +80,7 @@
 	return events, true
 }
 
-// Leave takes the word of a process that its planned end begins, or is over.
+// Leave processes the report of a process that its planned shutdown has begun, or that it has stopped.
 func (t *Table) Leave(now time.Duration, key string, incarnation uint64, stopped bool) []Event {
 	t.Tick(now)
 	e, ok := t.sessions[key]
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Tick advances the judge's clock. When more than PauseAfter has passed since the last call of Tick, Renew or Leave, the
-// judge was paused and may have missed heartbeats: the gap is added to all deadlines, and paused is true.
+// Tick advances the clock. If more than PauseThreshold has passed since the last call that advanced it, the process that owns
+// the table was paused and may have missed heartbeats: the gap is added to all deadlines, and paused is true.
 func (t *Table) Tick(now time.Duration) (paused bool) {
 	gap := now - t.lastTick
 	paused = t.ticked && gap > t.options.PauseThreshold
@@ -114,7 +114,7 @@
 	return paused
 }
 
-// Expired returns the keys of the sessions that are past their deadline, in order.
+// Expired returns the keys of the sessions that are past their deadline, sorted.
 func (t *Table) Expired(now time.Duration) []string {
 	t.Tick(now)
 	var keys []string
@@ -127,7 +127,8 @@
 	return keys
 }
 
-// ExpiringWithin returns the nodes of a role whose sessions are past their deadline, or will be within a time unless a heartbeat comes.
+// ExpiringWithin returns the nodes of a role, sorted by key, whose sessions are past their deadline or will be unless a heartbeat arrives within
+// the given time.
 func (t *Table) ExpiringWithin(now time.Duration, role uint8, within time.Duration) []Node {
 	t.Tick(now)
 	var nodes []Node
@@ -140,7 +141,7 @@
 	return nodes
 }
 
-// Expire ends the sessions that are past their deadline. An incarnation that has merely expired may come back.
+// Expire ends the sessions that are past their deadline. Their incarnations may open new sessions.
 func (t *Table) Expire(now time.Duration) []Event {
 	var events []Event
 	for _, key := range t.Expired(now) {
@@ -149,8 +150,8 @@
 	return events
 }
 
-// ConnectionRefused ends the session of an incarnation whose address refuses connections, which a process that runs does not do unless the network
-// does it for it. As after an expiry, the incarnation may come back.
+// ConnectionRefused ends the session of an incarnation whose address refuses connections. A running process does not refuse them, but the network
+// may do so on its behalf, so as after an expiry the incarnation may open a new session.
 func (t *Table) ConnectionRefused(now time.Duration, key string, incarnation uint64) []Event {
 	t.Tick(now)
 	if !t.HasSession(key, incarnation) {
@@ -165,7 +166,7 @@
 	return ok && e.node.Incarnation == incarnation
 }
 
-// ResetDeadlines begins all deadlines anew, as after a change of the judge.
+// ResetDeadlines restarts all deadlines at now, for example after the table has moved to another process.
 func (t *Table) ResetDeadlines(now time.Duration) {
 	for _, e := range t.sessions {
 		e.deadline = now + t.expiry(e.node.Role)
@@ -196,8 +197,8 @@
 	return nodes
 }
 
-// Load replaces the sessions by live ones of the nodes, whose deadlines begin now. Incarnations that are remembered as ended
-// stay so, those of the nodes apart.
+// Load replaces all sessions by sessions of the given nodes, with deadlines that start at now. Incarnations recorded as ended
+// stay recorded, except those of the given nodes.
 func (t *Table) Load(now time.Duration, nodes []Node) {
 	clear(t.sessions)
 	clear(t.lapsed)
@@ -209,10 +210,10 @@
 	t.ResetDeadlines(now)
 }
 
-// Version counts the events and loads so far.
+// Version is the number of events and loads so far.
 func (t *Table) Version() uint64 { return t.version }
 
-// EarliestDeadline returns the earliest deadline, false without sessions.
+// EarliestDeadline returns the earliest deadline; the result is false if there are no sessions.
 func (t *Table) EarliestDeadline() (time.Duration, bool) {
 	first, found := time.Duration(0), false
 	for _, e := range t.sessions {
@@ -230,7 +231,7 @@
 	return t.options.DefaultExpiry
 }
 
-// open begins the session of an incarnation. Another one of the node, whose session had expired, surely does not run any more.
+// openSession opens the session of an incarnation. A different incarnation of the node whose session lapsed before has certainly stopped.
 func (t *Table) openSession(n Node) *entry {
 	if old, ok := t.lapsed[n.Key]; ok && old != n.Incarnation {
 		t.recordEnded(n.Key, old)
@@ -241,12 +242,13 @@
 	return e
 }
 
+// event counts an event and returns it.
 func (t *Table) event(e Event) Event {
 	t.version++
 	return e
 }
 
-// end removes the session of a node. Where the process surely does not run any more, its incarnation is remembered.
+// endSession removes the session of a node. If the cause implies that the process has stopped, its incarnation is recorded as ended.
 func (t *Table) endSession(n Node, cause Cause) Event {
 	delete(t.sessions, n.Key)
 	if cause.mayReturn() {
