--- a/dissemination/dissemination_test.go
+++ b/dissemination/dissemination_test.go
@@ -18,7 +18,7 @@
 	return Entry[string]{Key: key, Version: Version{term, number}}
 }
 
-func TestOfferTakesOnlyWhatIsNewer(t *testing.T) {
+func TestApplyAcceptsOnlyNewerStates(t *testing.T) {
 	is := is.New(t)
 	s := NewState[string]()
 	is.True(!s.Apply(item("a", 0, 0))) // the zero version is no state
@@ -46,7 +46,7 @@
 	is.Equal(push, []string{"mine", "newer"})
 }
 
-func TestChoose(t *testing.T) {
+func TestSample(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		n, k := rapid.IntRange(0, 30).Draw(t, "peers"), rapid.IntRange(0, 35).Draw(t, "k")
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestChooseReachesEverybodyAlike(t *testing.T) {
+func TestSampleIsUniform(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := make([]int, 10)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestPullsAskOnePeerAtATime(t *testing.T) {
+func TestItemIsPulledFromOnePeerAtATime(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	p := NewPullTracker[string, int]()
@@ -106,7 +106,7 @@
 	is.True(ok)
 }
 
-func TestPullsFollowTheNewest(t *testing.T) {
+func TestPullsTrackTheNewestVersion(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	p := NewPullTracker[string, int]()
@@ -128,7 +128,7 @@
 	is.True(!ok)
 }
 
-func TestPullsRememberFewSources(t *testing.T) {
+func TestSourcesAreBounded(t *testing.T) {
 	is := is.New(t)
 	p := NewPullTracker[string, int]()
 	for peer := range 100 {
--- a/dissemination/spread_test.go
+++ b/dissemination/spread_test.go
@@ -87,7 +87,7 @@
 	return have
 }
 
-func TestDigestsReachEverybody(t *testing.T) {
+func TestDigestsReachAllProcesses(t *testing.T) {
 	is := is.New(t)
 	const processes, rounds = 200, 18 // 8 to 13 rounds were seen with these seeds
 	for seed := range uint64(20) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestVersionsNeverGoBack lets processes publish and gossip in any order.
-func TestVersionsNeverGoBack(t *testing.T) {
+// TestVersionsNeverDecrease lets processes publish and gossip in any order.
+func TestVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		g := newGroup(rapid.IntRange(2, 6).Draw(t, "processes"), rapid.Uint64().Draw(t, "seed"), 0.3)
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -54,7 +54,7 @@
 	is.True(e.Current().Vacant())
 }
 
-func TestBidsThatAreVoid(t *testing.T) {
+func TestWithdrawnAndEndedBidsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	e := New(Options{}, Award{})
 	is.True(!e.Bid(0, Bid{}))
@@ -78,8 +78,8 @@
 	is.Equal(at, 700*ms)
 }
 
-// TestOneHolderATermAndTermsGrow draws events, and has the process that runs the rounds changed in between.
-func TestOneHolderATermAndTermsGrow(t *testing.T) {
+// TestEachTermHasOneHolderAndTermsIncrease draws events, and has the process that runs the rounds changed in between.
+func TestEachTermHasOneHolderAndTermsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Options{}, Award{})
 		held := map[uint64]Holder{}
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestBidsOfAnEarlierVacancyAreForgotten(t *testing.T) {
+func TestBidsOfEarlierVacancyAreDiscarded(t *testing.T) {
 	is := is.New(t)
 	e := New(Options{}, Award{})
 	e.Bid(0, Bid{holder("a"), 0})
--- a/placement/abandon_test.go
+++ b/placement/abandon_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestAbandonTellsWhatIsLost has one partition of each kind.
-func TestAbandonTellsWhatIsLost(t *testing.T) {
+// TestPreviewAbandonmentClassifiesPartitions has one partition of each kind.
+func TestPreviewAbandonmentClassifiesPartitions(t *testing.T) {
 	is := is.New(t)
 	in := Input{
 		Stores: []Store{
@@ -34,8 +34,8 @@
 	is.True(!in.Stores[1].Abandoned) // nothing was changed
 }
 
-// TestAbandonFitsWhatPlanDoes: partitions that were said to wait for something do, and no others.
-func TestAbandonFitsWhatPlanDoes(t *testing.T) {
+// TestPreviewAbandonmentAgreesWithPlan: partitions that were said to wait for something do, and no others.
+func TestPreviewAbandonmentAgreesWithPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 2)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
--- a/placement/blocked_test.go
+++ b/placement/blocked_test.go
@@ -13,7 +13,7 @@
 	return in
 }
 
-func TestTwoStoresThatDoNotReachEachOther(t *testing.T) {
+func TestOneOfTwoDisconnectedMembersIsExcluded(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
 	changes := Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{b, a}, [2]string{a, b}))
@@ -29,7 +29,7 @@
 	is.Equal(Plan(singlePartition(v, fourZones(), 2)), nil)                           // nor when it is over
 }
 
-func TestStoreThatReachesNoOtherGivesUpItsPrimaries(t *testing.T) {
+func TestIsolatedStoreGivesUpItsPrimaries(t *testing.T) {
 	is := is.New(t)
 	cut := [][2]string{{a, b}, {a, c}, {d, a}}
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
@@ -57,7 +57,7 @@
 
 // With fewer than Copies stores in reach a store that was cut off becomes a learner all the same: nobody waits for it, and without it nothing
 // can be written, also when the links are whole again and only the verdict is old.
-func TestStoreCutOffIsALearnerWhereNobodyElseIsLeft(t *testing.T) {
+func TestDisconnectedStoreIsALearnerIfNoOtherStoreRemains(t *testing.T) {
 	is := is.New(t)
 	stores := down(down(fourZones(), c, 1), d, 1)
 	v := View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{c}}
@@ -76,7 +76,7 @@
 	is.True(!slices.Contains(changes[0].View.Learners, a)) // others are in reach
 }
 
-func TestNobodyIsLeftOutWhereNobodyCanStandIn(t *testing.T) {
+func TestNoMemberIsExcludedWithoutReplacement(t *testing.T) {
 	is := is.New(t)
 	stores := down(down(fourZones(), c, 1), d, 1)
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
@@ -84,7 +84,7 @@
 	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, c}, [2]string{a, a}, [2]string{"unknown", a})), nil) // c is gone anyway
 }
 
-func TestStalledStoreCountsAsGone(t *testing.T) {
+func TestStalledStoreCountsAsUnavailable(t *testing.T) {
 	is := is.New(t)
 	stores := fourZones()
 	stores[0].Stalled = true
@@ -100,7 +100,7 @@
 	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // nobody has the records: wait
 }
 
-func TestNothingIsMovedForBalanceWhileStoresDoNotReachEachOther(t *testing.T) {
+func TestNoBalancingWhileStoresAreDisconnected(t *testing.T) {
 	is := is.New(t)
 	in := Input{Stores: fourZones(), Copies: 2}
 	for range 4 {
@@ -110,9 +110,9 @@
 	is.Equal(Plan(blocked(in, [2]string{c, d})), nil)
 }
 
-// TestLeavingOutIsSafeAndSettles cuts stores off from each other at random, and lets some stall. What is planned keeps a holder of all
+// TestExclusionIsSafeAndConverges cuts stores off from each other at random, and lets some stall. What is planned keeps a holder of all
 // records, leaves nobody beside one that it cannot reach as long as others can stand in, and is not planned again.
-func TestLeavingOutIsSafeAndSettles(t *testing.T) {
+func TestExclusionIsSafeAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 4, 2)
 		for _, name := range m.order {
--- a/placement/lostsource_test.go
+++ b/placement/lostsource_test.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// TestSourceLosesItsDiskBeforeItIsAbsorbed has more disks lost than Copies allows for: an old one may be put back, so the partition waits for its source as
+// TestLostSourceIsAwaitedUntilAllLostDisksAreAbandoned has more disks lost than Copies allows for: an old one may be put back, so the partition waits for its source as
 // a merge does that has not begun, until the operator has given up every disk that is lost.
-func TestSourceLosesItsDiskBeforeItIsAbsorbed(t *testing.T) {
+func TestLostSourceIsAwaitedUntilAllLostDisksAreAbandoned(t *testing.T) {
 	is := is.New(t)
 	in := mergeUnderWay()
 	for _, change := range Plan(in) {
@@ -41,8 +41,8 @@
 	is.Equal(v.Holders, []string{"s2/b", "s3/c"})
 }
 
-// TestSourceThatTheCopiesAllowForIsDoneWithout has three copies: two disks lost are no more than may be.
-func TestSourceThatTheCopiesAllowForIsDoneWithout(t *testing.T) {
+// TestLostSourceIsDroppedWhenFewerDisksThanCopiesAreLost has three copies: two disks lost are no more than may be.
+func TestLostSourceIsDroppedWhenFewerDisksThanCopiesAreLost(t *testing.T) {
 	is := is.New(t)
 	in := mergeUnderWay()
 	in.Copies = 3
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestAbandonedStoreIsBackWhenASourceIsLost has the source of a merge lose its disk after a store that had been given up before the merge is back: what
+// TestReturnedAbandonedStoreReplacesLostSource has the source of a merge lose its disk after a store that had been given up before the merge is back: what
 // the source held may be there, so it is a source now.
-func TestAbandonedStoreIsBackWhenASourceIsLost(t *testing.T) {
+func TestReturnedAbandonedStoreReplacesLostSource(t *testing.T) {
 	is := is.New(t)
 	changes := Plan(Input{
 		Stores: []Store{{Member: "s1/a"}, {Member: "s2/b", DownFor: time.Second, Abandoned: true}, {Member: "s3/c"}},
@@ -98,8 +98,8 @@
 	is.Equal(changes[0].View.Holders, []string{"s2/b"})
 }
 
-// TestPartitionThatAwaitsASourceHoldsUpNoBalance has one partition rest for the operator's word, and a store with nothing: it is given partitions all the same.
-func TestPartitionThatAwaitsASourceHoldsUpNoBalance(t *testing.T) {
+// TestPartitionAwaitingASourceDoesNotBlockBalancing has one partition rest for the operator's word, and a store with nothing: it is given partitions all the same.
+func TestPartitionAwaitingASourceDoesNotBlockBalancing(t *testing.T) {
 	is := is.New(t)
 	in := mergeUnderWay()
 	in.Stores = append(in.Stores, Store{Member: "s4/d"})
--- a/placement/owners_test.go
+++ b/placement/owners_test.go
@@ -42,7 +42,7 @@
 	return names
 }
 
-func TestOwnersAreSpreadAndStay(t *testing.T) {
+func TestOwnersAreBalancedAndStable(t *testing.T) {
 	is := is.New(t)
 	all := dispatcherNames(12)
 	changed, first := 0, map[string]int{}
@@ -70,7 +70,7 @@
 }
 
 // Whatever comes and goes, the owners kept are those that a process finds that begins now, and that earlier versions find.
-func TestOwnershipFollowsDispatchers(t *testing.T) {
+func TestOwnershipTracksDispatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := dispatcherNames(9)
 		var kept Ownership
@@ -92,7 +92,7 @@
 }
 
 // A dispatcher that joins takes over what it is best for, and nothing else moves; the scores of the rest are not asked again.
-func TestOwnersOfOthersDoNotMove(t *testing.T) {
+func TestJoiningDispatcherMovesOnlyServicesItOwns(t *testing.T) {
 	is := is.New(t)
 	all := dispatcherNames(240)
 	var o Ownership
@@ -116,7 +116,7 @@
 	is.True(gained > 0 && gained < 12) // 2.5 of 300 on average
 }
 
-func TestServicesNobodyAsksForAreForgotten(t *testing.T) {
+func TestUnrequestedServicesAreDropped(t *testing.T) {
 	is := is.New(t)
 	var o Ownership
 	o.SetDispatchers(dispatcherNames(3))
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -64,14 +64,14 @@
 	is.Equal(Plan(singlePartition(changes[0].View, stores, 2)), nil)
 }
 
-func TestStandInStaysWhenItIsEqualFirst(t *testing.T) {
+func TestReplacementStaysIfItCatchesUpFirst(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{a, c}}
 	changes := Plan(singlePartition(v, down(fourZones(), a, time.Second), 2, c))
 	is.Equal(changes, []Change{{0, View{Epoch: 10, Primary: b, Members: []string{b, c}}}})
 }
 
-func TestOfferedLearnerThatIsGoneEndsTheView(t *testing.T) {
+func TestUnavailableOfferedLearnerEndsTheView(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c, a}}
 	stores := down(down(down(fourZones(), c, 1), a, 1), d, 1)
@@ -82,7 +82,7 @@
 	is.Equal(changes[0].View.Members, []string{b})
 }
 
-func TestOfferedLearnerLeadsWhenAllMembersAreGone(t *testing.T) {
+func TestOfferedLearnerBecomesPrimaryWhenAllMembersAreUnavailable(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c}}
 	changes := Plan(singlePartition(v, down(fourZones(), b, 1), 2, c))
@@ -92,14 +92,14 @@
 	is.Equal(changes[0].View.Learners[0], b) // may return with its records
 }
 
-func TestLastMemberIsWaitedFor(t *testing.T) {
+func TestPartitionWaitsForItsLastMember(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c}}
 	is.Equal(Plan(singlePartition(v, down(fourZones(), b, time.Hour), 2)), nil)
 	is.Equal(Plan(singlePartition(v, fourZones()[2:], 2)), nil) // also when nothing is known of it
 }
 
-func TestTwoStoresGoneAtOnce(t *testing.T) {
+func TestTwoSimultaneousStoreFailures(t *testing.T) {
 	is := is.New(t)
 	stores := down(down(fourZones(), a, 1), b, 1)
 	v := View{Epoch: 3, Primary: a, Members: []string{a, b}}
@@ -118,7 +118,7 @@
 	is.Equal(changes[0].View.Learners, []string{a, b, d}) // d at once; the two others if they return
 }
 
-func TestOtherDiskIsAnotherMember(t *testing.T) {
+func TestReplacedDiskIsANewMember(t *testing.T) {
 	is := is.New(t)
 	stores := append(down(fourZones(), a, time.Second), Store{Member: "storage-a/2", Zone: "a", Region: "r"})
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
@@ -130,7 +130,7 @@
 }
 
 // One store of two lost its power, the other one its disk before a third was equal: what was acknowledged is on the first and the third.
-func TestDisksOfAllMembersAreLost(t *testing.T) {
+func TestMergeWhenAllMembersLoseTheirDisks(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{a, c}}
 	outgoing := Store{Member: "storage-b/2", Zone: "b", Region: "r"}
@@ -152,7 +152,7 @@
 	is.Equal(len(changes[0].View.Sources)+len(changes[0].View.Holders), 0)
 }
 
-func TestMoreDisksAreLostThanCopiesAllowFor(t *testing.T) {
+func TestNoMergeWhenTooManyDisksAreLost(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{c}, Holders: []string{a}}
 	stores := append(down(down(fourZones(), b, time.Second), a, time.Second),
@@ -189,7 +189,7 @@
 	is.True(CanRetire(stores, b, 1))
 }
 
-func TestRetirementThatAStoreAwayMayAllow(t *testing.T) {
+func TestCanRetireSoonCountsRecentlyLostStores(t *testing.T) {
 	is := is.New(t)
 	stores := down(fourZones()[:3], c, RebalanceDelay)
 	is.True(!CanRetire(stores, a, 2))
@@ -198,7 +198,7 @@
 	is.True(!CanRetireSoon(down(stores, c, RebalanceDelay+1), a, 2))
 }
 
-func TestSecondStoreGoneWhileOneRetires(t *testing.T) {
+func TestStoreFailureDuringRetirement(t *testing.T) {
 	is := is.New(t)
 	stores := down(fourZones()[:3], b, time.Second)
 	stores[0].Retiring = true
@@ -208,7 +208,7 @@
 	is.Equal(changes[0].View.Learners, []string{b, a}) // better on a disk that is to go than on one only
 }
 
-func TestFewStoresGoOn(t *testing.T) {
+func TestPartitionContinuesWithOneStore(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 5, Primary: a, Members: []string{a, b}}
 	changes := Plan(singlePartition(v, down(fourZones()[:2], a, time.Second), 2))
@@ -246,7 +246,7 @@
 	is.True(handed <= 64/5*3)
 }
 
-func TestZonesShareThePrimaries(t *testing.T) {
+func TestPrimariesAreProportionalToStoresPerZone(t *testing.T) {
 	is := is.New(t)
 	stores := fourZones()
 	for n := range 4 {
@@ -278,7 +278,7 @@
 	}
 }
 
-func TestLossIsSharedByAll(t *testing.T) {
+func TestPrimariesOfLostStoreAreSpread(t *testing.T) {
 	is := is.New(t)
 	in := Input{Stores: down(fourZones(), a, 1), Partitions: InitialViews(fourZones(), 66, 2), Copies: 2}
 	taken := map[string]int{}
@@ -304,7 +304,7 @@
 	}
 }
 
-func TestLearnersAreNotPutOnStoresThatGo(t *testing.T) {
+func TestLearnersAvoidLeavingAndRetiringStores(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 5, Primary: a, Members: []string{a, b}}
 	stores := down(fourZones(), b, time.Second)
--- a/placement/property_test.go
+++ b/placement/property_test.go
@@ -78,9 +78,9 @@
 	t.Logf("%d merges", merges)
 }
 
-// TestAbandonedStoresAreDoneWithout is the same with stores that the operator gives up. In the end all that have not come back are given up: nothing
+// TestAbandonedStoresBlockNoPartition is the same with stores that the operator gives up. In the end all that have not come back are given up: nothing
 // waits for a disk any more.
-func TestAbandonedStoresAreDoneWithout(t *testing.T) {
+func TestAbandonedStoresBlockNoPartition(t *testing.T) {
 	merges := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 2)
@@ -268,8 +268,8 @@
 	}
 }
 
-// TestFoundIsAFixedPoint checks that a plan leaves first views as they are, and that they are balanced.
-func TestFoundIsAFixedPoint(t *testing.T) {
+// TestInitialViewsAreAFixedPoint checks that a plan leaves first views as they are, and that they are balanced.
+func TestInitialViewsAreAFixedPoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 5, 6)
 		if len(m.partitions) == 0 {
@@ -304,9 +304,9 @@
 	})
 }
 
-// TestOneLossTouchesOnlyItsPartitions checks that the loss and return of a store within a short time changes only the
+// TestSingleLossChangesOnlyItsPartitions checks that the loss and return of a store within a short time changes only the
 // partitions that it has a copy of, and each of them twice, moves of primaries back apart.
-func TestOneLossTouchesOnlyItsPartitions(t *testing.T) {
+func TestSingleLossChangesOnlyItsPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 4, 3)
 		m.runPrimaries(t, false)
--- a/placement/sharedzones_test.go
+++ b/placement/sharedzones_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestSharedZonesMendsSpreadCopies begins with the views of a system that spread its copies over as many zones as there are.
-func TestSharedZonesMendsSpreadCopies(t *testing.T) {
+// TestSharedZonesConsolidatesSpreadCopies begins with the views of a system that spread its copies over as many zones as there are.
+func TestSharedZonesConsolidatesSpreadCopies(t *testing.T) {
 	is := is.New(t)
 	stores := zonesOf(4, 3, 4, 3, 3)
 	in := Input{Stores: stores, Copies: 3}
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestLossInAZoneOfAsManyStoresAsCopies loses a store where no other of the zone can take its copies: these lie in a second zone until it is back.
-func TestLossInAZoneOfAsManyStoresAsCopies(t *testing.T) {
+// TestLossInZoneWithoutSpareStores loses a store where no other of the zone can take its copies: these lie in a second zone until it is back.
+func TestLossInZoneWithoutSpareStores(t *testing.T) {
 	is := is.New(t)
 	stores := zonesOf(3, 4, 4, 4)
 	in := Input{Stores: stores, Copies: 3, SharedZones: true}
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -49,7 +49,7 @@
 	return r
 }
 
-func TestTreeAgreesWithThePlainSet(t *testing.T) {
+func TestTreeMatchesMapSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree, set := NewTree(), make(mapSource)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestSplitCoversARangeOnce(t *testing.T) {
+func TestSplitPartsCoverARangeExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRange(t)
 		if !r.Valid() {
@@ -210,7 +210,7 @@
 	})
 }
 
-func TestComparisonOfEqualSetsAsksOnce(t *testing.T) {
+func TestComparisonOfEqualSetsNeedsOneRequest(t *testing.T) {
 	is := is.New(t)
 	local, other := NewTree(), NewTree()
 	for i := range 100000 {
@@ -233,7 +233,7 @@
 	is.Equal(len(found.Changed), 100000)
 }
 
-func TestAnswersThatWereNotAskedForAreIgnored(t *testing.T) {
+func TestUnrequestedResponsesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	local := NewTree()
 	local.Add("a", 1)
@@ -260,7 +260,7 @@
 func (c collision) Hash() uint64 { return c.hash }
 func (c collision) Item() Item   { return c.item }
 
-func TestManyKeysOfOneHash(t *testing.T) {
+func TestHashCollisions(t *testing.T) {
 	is := is.New(t)
 	var x Index[collision]
 	for i := range 500 {
--- a/session/overdue_test.go
+++ b/session/expiring_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOverdueTellsWhoIsAboutToExpire(t *testing.T) {
+func TestExpiringWithin(t *testing.T) {
 	is := is.New(t)
 	const store, other = 1, 2
 	table := New(Options{Expiry: map[uint8]time.Duration{store: 700 * time.Millisecond, other: time.Second}})
--- a/session/table_test.go
+++ b/session/table_test.go
@@ -72,7 +72,7 @@
 	is.Equal(len(run(sessions, 1500*ms, 1500*ms)), 1)
 }
 
-func TestChange(t *testing.T) {
+func TestChangedNodeIsReported(t *testing.T) {
 	is := is.New(t)
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
@@ -85,7 +85,7 @@
 	is.Equal(got, moved)
 }
 
-func TestNewIncarnationReplaces(t *testing.T) {
+func TestNewIncarnationReplacesSession(t *testing.T) {
 	is := is.New(t)
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
@@ -112,7 +112,7 @@
 	is.Equal(sessions.Snapshot(), []Node{node("x", 2)})
 }
 
-func TestRefusedIncarnationMayComeBack(t *testing.T) {
+func TestRefusedIncarnationMayReturn(t *testing.T) {
 	is := is.New(t)
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
@@ -159,7 +159,7 @@
 	is.Equal(sessions.Leave(330*ms, "nobody", 5, true), nil)
 }
 
-func TestPauseIsTakenOut(t *testing.T) {
+func TestPauseExtendsDeadlines(t *testing.T) {
 	is := is.New(t)
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
@@ -173,7 +173,7 @@
 	is.True(sessions.Tick(6101 * ms))
 }
 
-func TestPauseIsSeenByWhateverComesFirst(t *testing.T) {
+func TestPauseIsDetectedByAnyCall(t *testing.T) {
 	is := is.New(t)
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
@@ -183,7 +183,7 @@
 	is.Equal(len(sessions.Expired(3000*ms)), 0)
 }
 
-func TestRestartAndLoad(t *testing.T) {
+func TestResetDeadlinesAndLoad(t *testing.T) {
 	is := is.New(t)
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
