--- a/placement/abandon_test.go
+++ b/placement/abandon_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestPreviewAbandonmentClassifiesPartitions has one partition of each kind.
+// TestPreviewAbandonmentClassifiesPartitions uses one partition of each kind.
 func TestPreviewAbandonmentClassifiesPartitions(t *testing.T) {
 	is := is.New(t)
 	in := Input{
@@ -17,12 +17,12 @@
 		},
 		Copies: 2,
 		Partitions: []View{
-			{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a", "s2/b"}},                                                                           // goes on
-			{Epoch: 3, Primary: "s2/b", Members: []string{"s2/b"}, Learners: []string{"s1/a"}},                                                       // put together
-			{Epoch: 3, Primary: "s2/b", Members: []string{"s2/b"}, Learners: []string{"s1/a"}, Holders: []string{"s3/c"}},                            // put together, not whole
-			{Epoch: 3, Primary: "s2/b", Members: []string{"s2/b", "s3/c"}},                                                                           // nothing left
+			{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a", "s2/b"}},                                                                           // continues
+			{Epoch: 3, Primary: "s2/b", Members: []string{"s2/b"}, Learners: []string{"s1/a"}},                                                       // merged
+			{Epoch: 3, Primary: "s2/b", Members: []string{"s2/b"}, Learners: []string{"s1/a"}, Holders: []string{"s3/c"}},                            // merged, incomplete
+			{Epoch: 3, Primary: "s2/b", Members: []string{"s2/b", "s3/c"}},                                                                           // no disk left
 			{Epoch: 3, Primary: "s4/d", Members: []string{"s4/d"}, Learners: []string{"s2/b"}},                                                       // waits for s4
-			{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a", "s5/e"}},                                                                           // names neither
+			{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a", "s5/e"}},                                                                           // refers to neither store
 			{Epoch: 3, Primary: "s1/a", Members: []string{"s1/a"}, Learners: []string{"s2/b"}, Sources: []string{"s2/b"}, Holders: []string{"s3/c"}}, // source lost
 		},
 	}
@@ -30,11 +30,12 @@
 	is.Equal(PreviewAbandonment(in, []string{"s9/z"}), Abandonment{})
 	members, partitions := AwaitedMembers(in)
 	is.Equal(members, []string{"s2/b", "s3/c", "s4/d"})
-	is.Equal(partitions, 5)          // all but the first and the sixth
-	is.True(!in.Stores[1].Abandoned) // nothing was changed
+	is.Equal(partitions, 5)          // all except the first and the sixth
+	is.True(!in.Stores[1].Abandoned) // the input is not modified
 }
 
-// TestPreviewAbandonmentAgreesWithPlan: partitions that were said to wait for something do, and no others.
+// TestPreviewAbandonmentAgreesWithPlan abandons all unavailable stores of a random state: the preview reports no waiting partition, records are
+// lost only if partitions waited before, and no partition waits afterwards.
 func TestPreviewAbandonmentAgreesWithPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 2)
@@ -52,11 +53,11 @@
 		}
 		preview := PreviewAbandonment(m.input(true), down)
 		if preview.Waiting > 0 {
-			t.Fatalf("all are given up, and partitions wait: %+v", preview)
+			t.Fatalf("partitions wait although all unavailable stores are abandoned: %+v", preview)
 		}
 		_, before := AwaitedMembers(m.input(true))
 		if preview.Emptied+preview.Incomplete > 0 && before == 0 {
-			t.Fatalf("something is lost though no partition waits: %+v", preview)
+			t.Fatalf("records are lost although no partition waits: %+v", preview)
 		}
 		for _, name := range down {
 			m.stores[name].Abandoned = true
--- a/placement/blocked_test.go
+++ b/placement/blocked_test.go
@@ -19,14 +19,14 @@
 	changes := Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{b, a}, [2]string{a, b}))
 	is.Equal(len(changes), 1)
 	v = changes[0].View
-	is.Equal(v.Primary, a) // both are cut off from one: the primary stays
+	is.Equal(v.Primary, a) // both are unreachable from one store: the primary stays
 	is.Equal(v.Members, []string{a})
 	is.Equal(len(v.Learners), 1)
 	is.True(v.Learners[0] == c || v.Learners[0] == d)
-	is.Equal(v.Holders, []string{b}) // it has everything that was acknowledged, and is not to drop it yet
+	is.Equal(v.Holders, []string{b}) // it has all acknowledged records and must keep them for now
 
-	is.Equal(Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{a, b})), nil) // no change of mind while it lasts
-	is.Equal(Plan(singlePartition(v, fourZones(), 2)), nil)                           // nor when it is over
+	is.Equal(Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{a, b})), nil) // no further change while it lasts
+	is.Equal(Plan(singlePartition(v, fourZones(), 2)), nil)                           // nor after it has ended
 }
 
 func TestIsolatedStoreGivesUpItsPrimaries(t *testing.T) {
@@ -55,8 +55,8 @@
 	is.Equal(changes[0].View.Learners, []string{d})
 }
 
-// With fewer than Copies stores in reach a store that was cut off becomes a learner all the same: nobody waits for it, and without it nothing
-// can be written, also when the links are whole again and only the verdict is old.
+// TestDisconnectedStoreIsALearnerIfNoOtherStoreRemains: with fewer than Copies reachable stores, a disconnected store still becomes a learner. No
+// write waits for it, while without it no write succeeds, even if the link has recovered and only the reported state is outdated.
 func TestDisconnectedStoreIsALearnerIfNoOtherStoreRemains(t *testing.T) {
 	is := is.New(t)
 	stores := down(down(fourZones(), c, 1), d, 1)
@@ -68,12 +68,12 @@
 	is.True(slices.Contains(changes[0].View.Learners, a))
 
 	v = changes[0].View
-	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, b})), nil) // no change of mind while it lasts
+	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, b})), nil) // no further change while it lasts
 
 	v = View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{a}}
 	changes = Plan(blocked(singlePartition(v, fourZones(), 2), [2]string{a, b}))
 	is.Equal(len(changes), 1)
-	is.True(!slices.Contains(changes[0].View.Learners, a)) // others are in reach
+	is.True(!slices.Contains(changes[0].View.Learners, a)) // other stores are reachable
 }
 
 func TestNoMemberIsExcludedWithoutReplacement(t *testing.T) {
@@ -81,7 +81,7 @@
 	stores := down(down(fourZones(), c, 1), d, 1)
 	v := View{Epoch: 4, Primary: a, Members: []string{a, b}}
 	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, b})), nil)
-	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, c}, [2]string{a, a}, [2]string{"unknown", a})), nil) // c is gone anyway
+	is.Equal(Plan(blocked(singlePartition(v, stores, 2), [2]string{a, c}, [2]string{a, a}, [2]string{"unknown", a})), nil) // c is unavailable anyway
 }
 
 func TestStalledStoreCountsAsUnavailable(t *testing.T) {
@@ -93,11 +93,11 @@
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, b)
 	is.Equal(changes[0].View.Members, []string{b})
-	is.Equal(changes[0].View.Learners[0], a) // for when its disk goes on
+	is.Equal(changes[0].View.Learners[0], a) // kept for when its disk recovers
 	is.Equal(len(changes[0].View.Learners), 2)
 
 	stores[1].Stalled = true
-	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // nobody has the records: wait
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // no live store has the records: wait
 }
 
 func TestNoBalancingWhileStoresAreDisconnected(t *testing.T) {
@@ -110,8 +110,8 @@
 	is.Equal(Plan(blocked(in, [2]string{c, d})), nil)
 }
 
-// TestExclusionIsSafeAndConverges cuts stores off from each other at random, and lets some stall. What is planned keeps a holder of all
-// records, leaves nobody beside one that it cannot reach as long as others can stand in, and is not planned again.
+// TestExclusionIsSafeAndConverges disconnects random pairs of stores and lets some stores stall. The plan keeps a store with all records, keeps
+// no two members that cannot reach each other while replacements are available, and a second plan changes nothing.
 func TestExclusionIsSafeAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 4, 2)
@@ -131,7 +131,7 @@
 				}
 			}
 			if !contains(c.View.Members, c.View.Primary) {
-				t.Fatalf("the primary is no member: %+v -> %+v", old, c.View)
+				t.Fatalf("the primary is not a member: %+v -> %+v", old, c.View)
 			}
 			in.Partitions[c.Partition] = c.View
 		}
@@ -152,7 +152,7 @@
 				if m.stores[a].Stalled || m.stores[b].Stalled || !unreachable(a, b) {
 					continue
 				}
-				reached := 0 // by the primary, which would stay at least
+				reached := 0 // by the primary, which would at least remain
 				for _, name := range m.order {
 					if !m.stores[name].Stalled && !unreachable(name, v.Primary) {
 						reached++
--- a/placement/lostsource_test.go
+++ b/placement/lostsource_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// mergeUnderWay is a merge after the disk of the only member, s3/c, was lost: s1 has still to take what s2/b holds, whose disk is lost as well.
+// mergeUnderWay is a merge after the disk of the only member, s3/c, was lost: s1 has yet to fetch the records of s2/b, whose disk is lost as well.
 func mergeUnderWay() Input {
 	return Input{
 		Stores: []Store{
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestLostSourceIsAwaitedUntilAllLostDisksAreAbandoned has more disks lost than Copies allows for: an old one may be put back, so the partition waits for its source as
-// a merge does that has not begun, until the operator has given up every disk that is lost.
+// TestLostSourceIsAwaitedUntilAllLostDisksAreAbandoned has as many lost disks as copies. An old disk may be put back, so the partition waits for
+// its source, like a merge that has not started, until the operator has abandoned every lost disk.
 func TestLostSourceIsAwaitedUntilAllLostDisksAreAbandoned(t *testing.T) {
 	is := is.New(t)
 	in := mergeUnderWay()
@@ -27,7 +27,7 @@
 		is.Equal(change.View.Sources, []string{"s2/b"})
 		is.Equal(change.View.Primary, "s1/a")
 	}
-	in.Stores[1].Abandoned = true // of two
+	in.Stores[1].Abandoned = true // one of two
 	for _, change := range Plan(in) {
 		is.Equal(change.View.Sources, []string{"s2/b"})
 	}
@@ -41,7 +41,7 @@
 	is.Equal(v.Holders, []string{"s2/b", "s3/c"})
 }
 
-// TestLostSourceIsDroppedWhenFewerDisksThanCopiesAreLost has three copies: two disks lost are no more than may be.
+// TestLostSourceIsDroppedWhenFewerDisksThanCopiesAreLost has three copies, so every record survives the loss of two disks.
 func TestLostSourceIsDroppedWhenFewerDisksThanCopiesAreLost(t *testing.T) {
 	is := is.New(t)
 	in := mergeUnderWay()
@@ -52,7 +52,7 @@
 	is.Equal(changes[0].View.Holders, []string{"s2/b", "s3/c"})
 }
 
-// TestMergeDoesNotWaitForAnAbandonedStore has the last member and the other that may hold something gone, neither of them back with another disk.
+// TestMergeDoesNotWaitForAnAbandonedStore has the last member and the other possible holder unavailable, and neither is back with another disk.
 func TestMergeDoesNotWaitForAnAbandonedStore(t *testing.T) {
 	is := is.New(t)
 	in := Input{
@@ -65,24 +65,24 @@
 	}
 	is.Equal(len(Plan(in)), 0)
 	in.Stores[2].Abandoned = true
-	is.Equal(len(Plan(in)), 0) // the last member may come back
+	is.Equal(len(Plan(in)), 0) // the last member may return
 	in.Stores[1].Abandoned = true
 	changes := Plan(in)
 	is.Equal(len(changes), 2)
-	is.Equal(changes[0].View.Primary, "s1/a") // what it holds
+	is.Equal(changes[0].View.Primary, "s1/a") // merged from the records that it holds
 	is.Equal(changes[0].View.Holders, []string{"s2/b", "s3/c"})
-	is.Equal(len(changes[1].View.Members), 1) // nothing is left: it begins anew
+	is.Equal(len(changes[1].View.Members), 1) // no disk is left: the partition restarts empty
 	is.Equal(len(changes[1].View.Learners), 1)
 	is.Equal(len(changes[1].View.Sources), 0)
 
-	in.Stores[1].DownFor, in.Stores[2].DownFor = 0, 0 // back all the same: nothing is given up
+	in.Stores[1].DownFor, in.Stores[2].DownFor = 0, 0 // live again: abandonment has no effect
 	for _, change := range Plan(in) {
 		is.Equal(change.View.Primary, "s2/b")
 	}
 }
 
-// TestReturnedAbandonedStoreReplacesLostSource has the source of a merge lose its disk after a store that had been given up before the merge is back: what
-// the source held may be there, so it is a source now.
+// TestReturnedAbandonedStoreReplacesLostSource has the source of a merge lose its disk after a store that was abandoned before the merge has
+// returned. The returned store may hold the records of the source, so it becomes a source.
 func TestReturnedAbandonedStoreReplacesLostSource(t *testing.T) {
 	is := is.New(t)
 	changes := Plan(Input{
@@ -98,7 +98,8 @@
 	is.Equal(changes[0].View.Holders, []string{"s2/b"})
 }
 
-// TestPartitionAwaitingASourceDoesNotBlockBalancing has one partition rest for the operator's word, and a store with nothing: it is given partitions all the same.
+// TestPartitionAwaitingASourceDoesNotBlockBalancing has one partition that waits for the operator, and an empty store: the store is assigned
+// partitions nevertheless.
 func TestPartitionAwaitingASourceDoesNotBlockBalancing(t *testing.T) {
 	is := is.New(t)
 	in := mergeUnderWay()
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A model of stores and replica groups that Plan is let loose on. Records are bits of a mask; a write is acknowledged when
-// every member and every offered learner has it, on as many disks as there are to be copies.
+// This file models stores and replica groups to which plans are applied. Records are bits of a mask; a write is acknowledged when
+// every member and every offered learner has it, and it is on at least as many disks as the number of copies.
 
 type modelStore struct {
 	Store
@@ -21,7 +21,7 @@
 	written      int
 	acknowledged uint64
 	offered      []string
-	// active says that the primary of the present view has made every member equal to itself.
+	// active is set once the primary of the current view has synchronized every member with itself.
 	active bool
 }
 
@@ -92,7 +92,7 @@
 	return in
 }
 
-// plan carries a plan out and checks that it is safe.
+// plan applies a plan and checks that it is safe.
 func (m *model) plan(t *rapid.T, noBalance bool) int {
 	changes := Plan(m.input(noBalance))
 	for n, c := range changes {
@@ -122,10 +122,10 @@
 		t.Fatalf("partition %d: %s: %+v (offers %v) -> %+v", c.Partition, why, old, p.offered, v)
 	}
 	if v.Epoch != old.Epoch+1 {
-		fail("epoch is not the next")
+		fail("epoch is not the successor")
 	}
 	if len(v.Members) == 0 || !contains(v.Members, v.Primary) {
-		fail("primary is no member")
+		fail("primary is not a member")
 	}
 	if !m.live(v.Primary) {
 		fail("primary is not live")
@@ -136,7 +136,7 @@
 	if len(v.Members) < m.copies {
 		for _, name := range slices.Concat(old.Members, old.Learners, old.Holders) {
 			if !contains(v.Members, name) && !contains(v.Learners, name) && !contains(v.Holders, name) {
-				fail("holder " + name + " is forgotten")
+				fail("holder " + name + " is no longer listed")
 			}
 		}
 	}
@@ -150,10 +150,10 @@
 			fail("member " + name + " was neither member nor offered")
 		}
 		if contains(v.Learners, name) {
-			fail("member is learner too")
+			fail("member is also a learner")
 		}
 		if !m.live(name) {
-			fail("member is gone though the view could change")
+			fail("member is unavailable although the view could change")
 		}
 		missing := p.acknowledged &^ m.held(c.Partition, name, v.Sources)
 		if missing != 0 && !m.allLostAbandoned(old) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// held returns the records that a store and the sources have together.
+// held returns the union of the records of a store and the sources.
 func (m *model) held(partition int, name string, sources []string) uint64 {
 	records := m.stores[name].records[partition]
 	for _, source := range sources {
@@ -181,12 +181,12 @@
 	return records
 }
 
-// lost tells whether a disk is lost as far as a plan can know.
+// lost reports whether a disk is lost according to the input of a plan.
 func (m *model) lost(name string) bool {
 	return m.superseded(name) || m.stores[name].Abandoned && m.stores[name].DownFor > 0
 }
 
-// gaveUp tells whether more disks of a partition are lost than may be, and the operator has given up each of them.
+// allLostAbandoned reports whether at least as many disks of a partition as copies are lost, and the operator has abandoned each of them.
 func (m *model) allLostAbandoned(old View) bool {
 	lost := 0
 	for _, name := range slices.Concat(old.Members, old.Learners, old.Holders) {
@@ -200,17 +200,17 @@
 	return lost >= m.copies
 }
 
-// checkMerge checks a view that is to put together what learners and holders have.
+// checkMerge checks a view that merges the records of learners and holders.
 func (m *model) checkMerge(c Change, fail func(string)) {
 	old, v := m.partitions[c.Partition].view, c.View
 	for _, name := range old.Members {
 		if !m.lost(name) {
-			fail("merged though the disk of " + name + " is there")
+			fail("merged although the disk of " + name + " is not lost")
 		}
 	}
 	for _, name := range v.Sources {
 		if !contains(v.Learners, name) || !m.live(name) {
-			fail("source " + name + " is no live learner")
+			fail("source " + name + " is not a live learner")
 		}
 	}
 	p := &m.partitions[c.Partition]
@@ -222,7 +222,7 @@
 	m.merges++
 }
 
-// runPrimary lets the primary of a partition do its part: equalise, take a write, offer learners.
+// runPrimary runs the primary of a partition: it synchronizes the members, accepts a write and offers learners.
 func (m *model) runPrimary(t *rapid.T, n int, offer bool) {
 	p := &m.partitions[n]
 	v := &p.view
@@ -257,7 +257,7 @@
 	}
 }
 
-// write writes one record; some of the disks may have it though it is not acknowledged.
+// write writes one record. Some disks may store it even if it is not acknowledged.
 func (m *model) write(n int) {
 	p := &m.partitions[n]
 	if p.written >= 64 {
@@ -285,7 +285,7 @@
 	}
 }
 
-// settle serves and plans until nothing changes any more.
+// converge runs primaries and plans until nothing changes.
 func (m *model) converge(t *rapid.T) {
 	for round := 0; ; round++ {
 		m.runPrimaries(t, true)
@@ -298,7 +298,7 @@
 	}
 }
 
-// pass adds to the time that the stores have been gone for.
+// advance adds to the time for which stores have been unavailable.
 func (m *model) advance(d time.Duration) {
 	for _, s := range m.stores {
 		if s.DownFor > 0 {
@@ -314,7 +314,7 @@
 
 func (m *model) start(name string) { m.stores[name].DownFor, m.stores[name].Abandoned = 0, false }
 
-// pick returns one of the stores that fit, none when there is none.
+// pick returns one of the stores that match; the result is false if there is none.
 func (m *model) pick(t *rapid.T, matches func(s *modelStore) bool) (string, bool) {
 	var list []string
 	for _, name := range m.order {
--- a/placement/owners_test.go
+++ b/placement/owners_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// ownersOf places one service on its own.
+// ownersOf returns the owners of a service according to a new Ownership.
 func ownersOf(service string, dispatchers []string, count int) []string {
 	var o Ownership
 	o.SetDispatchers(dispatchers)
 	return o.Owners(service, count)
 }
 
-// sortedOwners is how versions up to 0b7f853 placed a service. Both run side by side in an upgrade and have to agree.
+// sortedOwners is the algorithm of versions up to 0b7f853. Both versions run side by side during an upgrade and must agree.
 func sortedOwners(service string, dispatchers []string, n int) []string {
 	list := make([]candidate, 0, len(dispatchers))
 	for _, name := range dispatchers {
@@ -56,7 +56,7 @@
 		if contains(owners, all[0]) {
 			changed++
 		} else {
-			is.Equal(fewer, owners) // one that goes changes only what it had
+			is.Equal(fewer, owners) // a departing dispatcher affects only its own services
 		}
 	}
 	is.True(changed > 100 && changed < 300)
@@ -69,7 +69,7 @@
 	is.Equal(len(ownersOf("s", all, 0)), 0)
 }
 
-// Whatever comes and goes, the owners kept are those that a process finds that begins now, and that earlier versions find.
+// TestOwnershipTracksDispatchers checks that after any sequence of changes the owners equal those that a new process and earlier versions compute.
 func TestOwnershipTracksDispatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := dispatcherNames(9)
@@ -91,7 +91,7 @@
 	})
 }
 
-// A dispatcher that joins takes over what it is best for, and nothing else moves; the scores of the rest are not asked again.
+// TestJoiningDispatcherMovesOnlyServicesItOwns: a joining dispatcher takes over the services that it scores best for, and no other service moves.
 func TestJoiningDispatcherMovesOnlyServicesItOwns(t *testing.T) {
 	is := is.New(t)
 	all := dispatcherNames(240)
@@ -151,8 +151,8 @@
 	return names
 }
 
-// BenchmarkOwners places 300 services on 240 dispatchers: from nothing, and after one dispatcher has joined or left; sorted is
-// how versions up to 0b7f853 did it at each change.
+// BenchmarkOwners places 300 services on 240 dispatchers: with a new Ownership, and after one dispatcher has joined or departed.
+// The case sorted is the algorithm that versions up to 0b7f853 ran at each change.
 func BenchmarkOwners(b *testing.B) {
 	names, services := dispatcherNames(benchDispatchers), benchServiceNames()
 	requestAll := func(o *Ownership) {
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -44,7 +44,7 @@
 	v := View{Epoch: 7, Primary: a, Members: []string{a, b}}
 
 	changes := Plan(singlePartition(v, stores, 2))
-	is.Equal(changes, []Change{{0, View{Epoch: 8, Primary: b, Members: []string{a, b}}}}) // it leaves: another member leads, it stays member
+	is.Equal(changes, []Change{{0, View{Epoch: 8, Primary: b, Members: []string{a, b}}}}) // it is leaving: another member becomes primary, it stays a member
 	v = changes[0].View
 	is.Equal(Plan(singlePartition(v, stores, 2)), nil)
 
@@ -54,13 +54,13 @@
 	v = changes[0].View
 	is.Equal(v.Members, []string{b})
 	is.Equal(v.Learners[0], a)   // kept for its return
-	is.Equal(len(v.Learners), 2) // and one stands in
-	standIn := v.Learners[1]
-	is.True(standIn == c || standIn == d)
+	is.Equal(len(v.Learners), 2) // and a temporary replacement
+	replacement := v.Learners[1]
+	is.True(replacement == c || replacement == d)
 
-	is.Equal(Plan(singlePartition(v, down(stores, a, 0), 2)), nil) // it is back: nothing is to be decided yet
+	is.Equal(Plan(singlePartition(v, down(stores, a, 0), 2)), nil) // it has returned: no decision is needed yet
 	changes = Plan(singlePartition(v, stores, 2, a))
-	is.Equal(changes, []Change{{0, View{Epoch: 10, Primary: b, Members: []string{b, a}}}}) // equal: the stand-in goes
+	is.Equal(changes, []Change{{0, View{Epoch: 10, Primary: b, Members: []string{b, a}}}}) // it has caught up: the replacement is dropped
 	is.Equal(Plan(singlePartition(changes[0].View, stores, 2)), nil)
 }
 
@@ -75,7 +75,7 @@
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c, a}}
 	stores := down(down(down(fourZones(), c, 1), a, 1), d, 1)
-	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // nobody waits for them
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // no write waits for them
 	changes := Plan(singlePartition(v, stores, 2, c))
 	is.Equal(len(changes), 1) // writes wait for it
 	is.Equal(changes[0].View.Epoch, uint64(10))
@@ -96,14 +96,14 @@
 	is := is.New(t)
 	v := View{Epoch: 9, Primary: b, Members: []string{b}, Learners: []string{c}}
 	is.Equal(Plan(singlePartition(v, down(fourZones(), b, time.Hour), 2)), nil)
-	is.Equal(Plan(singlePartition(v, fourZones()[2:], 2)), nil) // also when nothing is known of it
+	is.Equal(Plan(singlePartition(v, fourZones()[2:], 2)), nil) // also if the input has no store for it
 }
 
 func TestTwoSimultaneousStoreFailures(t *testing.T) {
 	is := is.New(t)
 	stores := down(down(fourZones(), a, 1), b, 1)
 	v := View{Epoch: 3, Primary: a, Members: []string{a, b}}
-	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // both copies are gone: wait
+	is.Equal(Plan(singlePartition(v, stores, 2)), nil) // both copies are unavailable: wait
 
 	changes := Plan(singlePartition(v, down(stores, b, 0), 2))
 	is.Equal(len(changes), 1)
@@ -115,7 +115,7 @@
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Primary, c)
 	is.Equal(changes[0].View.Members, []string{c})
-	is.Equal(changes[0].View.Learners, []string{a, b, d}) // d at once; the two others if they return
+	is.Equal(changes[0].View.Learners, []string{a, b, d}) // d immediately; the two others if they return
 }
 
 func TestReplacedDiskIsANewMember(t *testing.T) {
@@ -125,23 +125,24 @@
 	changes := Plan(singlePartition(v, stores, 2))
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].View.Members, []string{b})
-	is.Equal(len(changes[0].View.Learners), 1) // the old disk is not waited for
+	is.Equal(len(changes[0].View.Learners), 1) // the old disk is not awaited
 	is.True(changes[0].View.Learners[0] != b)
 }
 
-// One store of two lost its power, the other one its disk before a third was equal: what was acknowledged is on the first and the third.
+// TestMergeWhenAllMembersLoseTheirDisks: one of two stores loses power, then the other loses its disk before a third has caught up. The
+// acknowledged records are on the first and the third store.
 func TestMergeWhenAllMembersLoseTheirDisks(t *testing.T) {
 	is := is.New(t)
 	v := View{Epoch: 4, Primary: b, Members: []string{b}, Learners: []string{a, c}}
 	outgoing := Store{Member: "storage-b/2", Zone: "b", Region: "r"}
 	stores := append(down(fourZones(), b, time.Second), outgoing)
-	is.Equal(Plan(singlePartition(v, down(stores, a, 1), 2)), nil) // a has what c may lack
+	is.Equal(Plan(singlePartition(v, down(stores, a, 1), 2)), nil) // a has records that c may lack
 	changes := Plan(singlePartition(v, down(stores, a, 0), 2))
 	is.Equal(len(changes), 1)
 	v = changes[0].View
 	is.Equal(len(v.Members), 1)
 	is.Equal(len(v.Sources), 1)
-	is.True(contains(v.Sources, a) != contains(v.Members, a)) // one takes from the other
+	is.True(contains(v.Sources, a) != contains(v.Members, a)) // one is primary, the other a source
 	is.True(contains(v.Sources, c) != contains(v.Members, c))
 	is.Equal(v.Holders, []string{b})
 	is.Equal(Plan(singlePartition(v, stores, 2)), nil)
@@ -174,7 +175,7 @@
 		}
 		in.Offers = map[int][]string{}
 		for p, v := range in.Partitions {
-			is.True(v.Primary != a) // from the first plan on
+			is.True(v.Primary != a) // as of the first plan
 			is.Equal(len(v.Members), 2)
 			if len(v.Learners) > 0 {
 				moving++
@@ -205,7 +206,7 @@
 	v := View{Epoch: 5, Primary: c, Members: []string{b, c}}
 	changes := Plan(singlePartition(v, stores, 2))
 	is.Equal(len(changes), 1)
-	is.Equal(changes[0].View.Learners, []string{b, a}) // better on a disk that is to go than on one only
+	is.Equal(changes[0].View.Learners, []string{b, a}) // a copy on a retiring disk is better than a single copy
 }
 
 func TestPartitionContinuesWithOneStore(t *testing.T) {
@@ -242,7 +243,7 @@
 			in.Offers[p] = v.Learners
 		}
 	}
-	is.True(attached <= 64*2/5+1) // a fifth of the copies, and nothing else
+	is.True(attached <= 64*2/5+1) // a fifth of the copies
 	is.True(handed <= 64/5*3)
 }
 
@@ -262,7 +263,7 @@
 		primaries[zone[v.Primary]]++
 		is.True(zone[v.Members[0]] != zone[v.Members[1]])
 	}
-	is.Equal(primaries, map[string]int{"a": 40, "b": 8, "c": 8, "d": 8}) // as their 5, 1, 1 and 1 stores
+	is.Equal(primaries, map[string]int{"a": 40, "b": 8, "c": 8, "d": 8}) // proportional to their 5, 1, 1 and 1 stores
 }
 
 func TestCopiesInDifferentRegions(t *testing.T) {
@@ -313,5 +314,5 @@
 	stores[3].Retiring, stores[3].Leaving = false, true
 	is.Equal(Plan(singlePartition(v, stores, 2))[0].View.Learners, []string{b, c})
 	stores[2].Retiring = true
-	is.Equal(Plan(singlePartition(v, stores, 2))[0].View.Learners, []string{b, d}) // one that leaves comes back
+	is.Equal(Plan(singlePartition(v, stores, 2))[0].View.Learners, []string{b, d}) // a leaving store returns
 }
--- a/placement/property_test.go
+++ b/placement/property_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// step draws one event.
+// step draws and applies one event.
 func (m *model) step(t *rapid.T) {
 	down := func(s *modelStore) bool { return s.DownFor > 0 && !m.superseded(s.Member) }
 	live := func(s *modelStore) bool { return s.DownFor == 0 }
@@ -56,7 +56,7 @@
 }
 
 // TestPlanIsSafeAndConverges lets stores crash, return, change their disks, leave, retire and be added, and checks each
-// change as it is made. Then all that can return does, and the plan is to reach a fixed point where nothing is missing.
+// change. Then all stores that can return do, and the plan must reach a fixed point at which no copy is missing.
 func TestPlanIsSafeAndConverges(t *testing.T) {
 	merges := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,8 +78,8 @@
 	t.Logf("%d merges", merges)
 }
 
-// TestAbandonedStoresBlockNoPartition is the same with stores that the operator gives up. In the end all that have not come back are given up: nothing
-// waits for a disk any more.
+// TestAbandonedStoresBlockNoPartition is like TestPlanIsSafeAndConverges with stores that the operator abandons. In the end all stores that have
+// not returned are abandoned, and no partition may wait for a disk.
 func TestAbandonedStoresBlockNoPartition(t *testing.T) {
 	merges := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -118,7 +118,7 @@
 	return numbers
 }
 
-// lasting counts the stores that are live and stay.
+// permanent counts the stores that are live and not retiring.
 func (m *model) permanent() (count int) {
 	for _, s := range m.stores {
 		if s.DownFor == 0 && !s.Retiring {
@@ -142,11 +142,11 @@
 	waiting := m.waiting()
 	for n := range m.partitions {
 		p := &m.partitions[n]
-		if slices.Contains(waiting, n) { // for disks that are gone
+		if slices.Contains(waiting, n) { // for lost or unavailable disks
 			continue
 		}
 		if len(p.view.Members) != m.copies || len(p.view.Learners) > 0 {
-			t.Fatalf("partition %d is not whole: %+v", n, p.view)
+			t.Fatalf("partition %d is not fully replicated: %+v", n, p.view)
 		}
 		m.checkSeparation(t, n, len(nodes))
 		primaries[p.view.Primary]++
@@ -186,8 +186,8 @@
 	}
 }
 
-// checkNoZoneToSave checks that no copy of a partition could go to a store with room for it so that the partition lies in fewer zones, on no fewer
-// machines.
+// checkNoZoneToSave checks that no copy of a partition could move to a store with room for it such that the partition is in fewer zones and on no
+// fewer machines.
 func (m *model) checkNoZoneToSave(t *rapid.T, n, zones int) {
 	members := m.partitions[n].view.Members
 	nodes := m.nodesOf(members)
@@ -221,7 +221,7 @@
 	return len(zones)
 }
 
-// load counts the copies that a store holds or is to get.
+// load counts the copies that a store has or will receive.
 func (m *model) load(store string) (copies int) {
 	for n := range m.partitions {
 		v := &m.partitions[n].view
@@ -232,7 +232,7 @@
 	return copies
 }
 
-// loadLimit is the number of copies that a store may have more than the even share for the sake of fewer zones: half of it.
+// loadLimit is the number of copies up to which a store may receive more to keep partitions in fewer zones: 1.5 times its even share.
 func (m *model) loadLimit() int {
 	permanent := 0
 	for _, s := range m.stores {
@@ -244,7 +244,7 @@
 	return (3*copies + 2*permanent - 1) / (2 * permanent)
 }
 
-// zonesNeeded returns the fewest zones, of so many stores each in ascending order, that have room for all copies.
+// zonesNeeded returns the minimum number of zones that have room for all copies, given the number of stores per zone in ascending order.
 func zonesNeeded(stores []int, copies int) (zones int) {
 	for _, count := range slices.Backward(stores) {
 		if copies <= 0 {
@@ -263,27 +263,27 @@
 			least, most = min(least, primaries[name]), max(most, primaries[name])
 		}
 	}
-	if most-least > 1 && !m.shared { // TestSharedZones has a bound for those that are drawn to their copies
+	if most-least > 1 && !m.shared { // TestSharedZones checks a bound for primaries that are placed near their copies
 		t.Fatalf("primaries are uneven: %v", primaries)
 	}
 }
 
-// TestInitialViewsAreAFixedPoint checks that a plan leaves first views as they are, and that they are balanced.
+// TestInitialViewsAreAFixedPoint checks that initial views are balanced and that a plan does not change them.
 func TestInitialViewsAreAFixedPoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 5, 6)
 		if len(m.partitions) == 0 {
-			t.Fatalf("nothing was founded on %v", m.order)
+			t.Fatalf("no initial views for stores %v", m.order)
 		}
 		m.checkFixedPoint(t)
 		if changes := Plan(m.input(false)); len(changes) > 0 {
-			t.Fatalf("first views are changed: %+v", changes)
+			t.Fatalf("initial views are changed: %+v", changes)
 		}
 	})
 }
 
-// TestPlanIsDeterministic checks that neither the order of the stores nor that of the offers matters, and that the input is
-// left alone.
+// TestPlanIsDeterministic checks that the plan depends neither on the order of the stores nor on that of the offers, and that
+// the input is not modified.
 func TestPlanIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 3)
@@ -299,13 +299,13 @@
 			t.Fatalf("plans differ: %+v and %+v", a, b)
 		}
 		if !reflect.DeepEqual(in, m.input(false)) {
-			t.Fatalf("the input was changed")
+			t.Fatalf("the input was modified")
 		}
 	})
 }
 
-// TestSingleLossChangesOnlyItsPartitions checks that the loss and return of a store within a short time changes only the
-// partitions that it has a copy of, and each of them twice, moves of primaries back apart.
+// TestSingleLossChangesOnlyItsPartitions checks that the loss and quick return of a store changes only the partitions that it
+// has a copy of, and each of them twice, not counting later moves of primaries for balance.
 func TestSingleLossChangesOnlyItsPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 4, 3)
--- a/placement/sharedzones_test.go
+++ b/placement/sharedzones_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// zonesOf makes stores, so many in each zone.
+// zonesOf returns stores with the given number of stores per zone.
 func zonesOf(counts ...int) (stores []Store) {
 	for zone, count := range counts {
 		for n := range count {
@@ -22,7 +22,7 @@
 	return stores[slices.IndexFunc(stores, func(s Store) bool { return s.Member == member })].Zone
 }
 
-// settlePlan carries plans out, with every learner equal at once, until nothing changes. It returns the number of changes.
+// convergePlan applies plans until nothing changes, with every learner caught up immediately. It returns the number of changes.
 func convergePlan(t *testing.T, in *Input) (changes int) {
 	t.Helper()
 	for range 10_000 {
@@ -37,11 +37,11 @@
 			in.Offers[c.Partition] = c.View.Learners
 		}
 	}
-	t.Fatal("the plan does not settle")
+	t.Fatal("the plan does not converge")
 	return 0
 }
 
-// checkShared checks that all three copies of each partition lie in one zone, and that no store leads or holds much more than its part.
+// checkShared checks that all three copies of each partition are in one zone, and that no store has many more primaries or copies than its share.
 func checkShared(is *is.I, stores []Store, views []View) {
 	is.Helper()
 	led, held := map[string]int{}, map[string]int{}
@@ -71,9 +71,9 @@
 			in := Input{Stores: stores, Copies: 3, SharedZones: true}
 			in.Partitions = InitialViewsFor(in, 512)
 			checkShared(is, stores, in.Partitions)
-			is.Equal(convergePlan(t, &in), 0) // as founded, so it stays
+			is.Equal(convergePlan(t, &in), 0) // initial views are stable
 
-			for _, lost := range []int{0, 5} { // one store after the other is away and comes back
+			for _, lost := range []int{0, 5} { // one store after the other becomes unavailable and returns
 				in.Stores[lost].DownFor = RebalanceDelay
 				convergePlan(t, &in)
 				in.Stores[lost].DownFor = 0
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestSharedZonesConsolidatesSpreadCopies begins with the views of a system that spread its copies over as many zones as there are.
+// TestSharedZonesConsolidatesSpreadCopies starts with the views of a system that spread the copies over as many zones as possible.
 func TestSharedZonesConsolidatesSpreadCopies(t *testing.T) {
 	is := is.New(t)
 	stores := zonesOf(4, 3, 4, 3, 3)
@@ -95,8 +95,8 @@
 	checkShared(is, stores, in.Partitions)
 }
 
-// TestZonesTooSmallForAllCopies has zones with fewer stores than copies: two zones are enough for a partition, with its primary where two of its
-// three copies are, also where copies were spread before.
+// TestZonesTooSmallForAllCopies has zones with fewer stores than copies: each partition is placed in two zones, with its primary where two of its
+// three copies are, even if copies were spread before.
 func TestZonesTooSmallForAllCopies(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		t.Run(fmt.Sprint("spread before: ", spread), func(t *testing.T) {
@@ -122,7 +122,8 @@
 	}
 }
 
-// TestLossInZoneWithoutSpareStores loses a store where no other of the zone can take its copies: these lie in a second zone until it is back.
+// TestLossInZoneWithoutSpareStores loses a store in a zone that has no other store for its copies: these are placed in a second zone until the
+// store returns.
 func TestLossInZoneWithoutSpareStores(t *testing.T) {
 	is := is.New(t)
 	stores := zonesOf(3, 4, 4, 4)
@@ -139,8 +140,8 @@
 	checkShared(is, stores, in.Partitions)
 }
 
-// TestZonesOfUnevenSize has zones that differ in their number of stores, also because one was added: copies in one zone are worth no store with much more
-// than its share.
+// TestZonesOfUnevenSize has zones with different numbers of stores, also after stores were added: keeping copies in one zone does not justify a
+// store with much more than its share.
 func TestZonesOfUnevenSize(t *testing.T) {
 	for _, c := range []struct {
 		before, after []int
@@ -160,7 +161,7 @@
 			in.Partitions = InitialViewsFor(in, partitions)
 			in.Stores = zonesOf(c.after...)
 			moves := convergePlan(t, &in)
-			is.True(moves < 6*partitions) // nothing goes to and fro
+			is.True(moves < 6*partitions) // no copy moves back and forth
 			held := map[string]int{}
 			for _, v := range in.Partitions {
 				is.Equal(len(v.Members), c.copies)
@@ -176,8 +177,8 @@
 	}
 }
 
-// TestSmallFirstZoneDoesNotSpreadCopies has a first zone with fewer stores than copies beside zones with room for all: partitions that were spread before
-// end in one zone each.
+// TestSmallFirstZoneDoesNotSpreadCopies has a first zone with fewer stores than copies next to zones with room for all: partitions that were spread
+// before end up in one zone each.
 func TestSmallFirstZoneDoesNotSpreadCopies(t *testing.T) {
 	is := is.New(t)
 	in := Input{Stores: zonesOf(1, 3, 3), Copies: 3}
