--- a/dissemination/dissemination_test.go
+++ b/dissemination/dissemination_test.go
@@ -21,7 +21,7 @@
 func TestApplyAcceptsOnlyNewerStates(t *testing.T) {
 	is := is.New(t)
 	s := NewState[string]()
-	is.True(!s.Apply(item("a", 0, 0))) // the zero version is no state
+	is.True(!s.Apply(item("a", 0, 0))) // the zero version is not a state
 	is.True(s.Apply(item("a", 1, 5)))
 	is.True(!s.Apply(item("a", 1, 5)))
 	is.True(!s.Apply(item("a", 1, 4)))
@@ -90,7 +90,7 @@
 	is.Equal(keys, []string{"a", "b"})
 	p.AddSource(entry("a", 1, 1), 2)
 	_, _, ok = p.Next(random)
-	is.True(!ok) // both are asked for
+	is.True(!ok) // both are in flight
 
 	p.Received(entry("b", 1, 1))
 	p.EndPull(1, keys)
@@ -100,7 +100,7 @@
 	is.Equal(keys, []string{"a"})
 	p.EndPull(2, keys)
 	_, _, ok = p.Next(random)
-	is.True(!ok) // nobody left, until it is heard of again
+	is.True(!ok) // no source remains until another report
 	p.AddSource(entry("a", 1, 1), 1)
 	_, _, ok = p.Next(random)
 	is.True(ok)
@@ -145,7 +145,7 @@
 	is.True(!s.Due(1299 * time.Millisecond))
 	is.True(s.Due(1301 * time.Millisecond))
 	is.Equal(s.NextDue(), 1600*time.Millisecond)
-	is.True(s.Due(time.Minute)) // stood still
+	is.True(s.Due(time.Minute)) // after a pause
 	is.True(!s.Due(time.Minute))
 	is.Equal(s.NextDue(), time.Minute+150*time.Millisecond)
 }
--- a/dissemination/spread_test.go
+++ b/dissemination/spread_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// group is a number of processes that push, exchange digests and pull over a network that loses some of it.
+// group is a set of processes that exchange digests and pull items over a network that loses messages.
 type group struct {
 	states []*State[string]
 	pulls  []*PullTracker[string, int]
-	others [][]int
+	peers  [][]int
 	random *rand.Rand
 	loss   float64
 }
@@ -22,20 +22,20 @@
 	for i := range n {
 		g.states = append(g.states, NewState[string]())
 		g.pulls = append(g.pulls, NewPullTracker[string, int]())
-		var others []int
+		var peers []int
 		for j := range n {
 			if j != i {
-				others = append(others, j)
+				peers = append(peers, j)
 			}
 		}
-		g.others = append(g.others, others)
+		g.peers = append(g.peers, peers)
 	}
 	return g
 }
 
 func (g *group) lost() bool { return g.random.Float64() < g.loss }
 
-// digest carries the digest of one process to another and lets both pull what they lack.
+// digest sends the digest of one process to another and lets both pull the states that they lack.
 func (g *group) digest(from, to int) {
 	if g.lost() {
 		return
@@ -72,10 +72,10 @@
 	}
 }
 
-// round lets each process send a digest to k others; it returns how many have the version after it.
+// round lets each process send a digest to k others and returns how many processes then have the version.
 func (g *group) round(k int, key string, v Version) (have int) {
 	for i := range g.states {
-		for _, to := range Sample(g.random, g.others[i], k) {
+		for _, to := range Sample(g.random, g.peers[i], k) {
 			g.digest(i, to)
 		}
 	}
@@ -89,7 +89,7 @@
 
 func TestDigestsReachAllProcesses(t *testing.T) {
 	is := is.New(t)
-	const processes, rounds = 200, 18 // 8 to 13 rounds were seen with these seeds
+	const processes, rounds = 200, 18 // these seeds take 8 to 13 rounds
 	for seed := range uint64(20) {
 		g := newGroup(processes, seed, 0.2)
 		g.states[0].Apply(item("a", 1, 1))
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestVersionsNeverDecrease lets processes publish and gossip in any order.
+// TestVersionsNeverDecrease lets processes publish and exchange digests in random order.
 func TestVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -30,7 +30,7 @@
 	is.True(ok)
 	is.Equal(award, Award{Term: 1, Holder: holder("b")})
 	is.Equal(e.Current(), award)
-	is.True(!e.Bid(310*ms, Bid{holder("a"), 0})) // it is taken
+	is.True(!e.Bid(310*ms, Bid{holder("a"), 0})) // it has a holder
 	_, ok = e.NextTick()
 	is.True(!ok)
 }
@@ -62,7 +62,7 @@
 	e.Bid(0, Bid{holder("b"), 1})
 	e.Bid(0, Bid{holder("c"), 2})
 	e.SessionEnded(holder("a"))
-	e.SessionEnded(Holder{"c", 7}) // not the one that bid
+	e.SessionEnded(Holder{"c", 7}) // not the incarnation that bid
 	e.Withdraw("b")
 	award, ok := e.Tick(200 * ms)
 	is.True(ok)
@@ -73,12 +73,12 @@
 	e.Withdraw("a")
 	_, ok = e.Tick(200 * ms)
 	is.True(!ok)
-	e.Bid(500*ms, Bid{holder("a"), 0}) // the window begins anew
+	e.Bid(500*ms, Bid{holder("a"), 0}) // a new window starts
 	at, _ := e.NextTick()
 	is.Equal(at, 700*ms)
 }
 
-// TestEachTermHasOneHolderAndTermsIncrease draws events, and has the process that runs the rounds changed in between.
+// TestEachTermHasOneHolderAndTermsIncrease draws random events, including a change of the process that runs the election.
 func TestEachTermHasOneHolderAndTermsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := New(Options{}, Award{})
@@ -91,7 +91,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				if counts := e.Bid(now, Bid{h, rapid.IntRange(0, 2).Draw(t, "rank")}); counts != wasVacant {
-					t.Fatalf("a bid counts: %v, vacant: %v", counts, wasVacant)
+					t.Fatalf("bid accepted: %v, vacant: %v", counts, wasVacant)
 				}
 			case 1:
 				e.SessionEnded(h)
@@ -110,7 +110,7 @@
 				held[award.Term] = award.Holder
 			}
 			if e.Current().Term < term {
-				t.Fatalf("term went back from %d to %d", term, e.Current().Term)
+				t.Fatalf("term decreased from %d to %d", term, e.Current().Term)
 			}
 			term = e.Current().Term
 		}
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the plain way to hold a set: it counts anew for each digest.
+// mapSource is a reference implementation of Source that recomputes every digest.
 type mapSource map[string]uint64
 
 func (p mapSource) Digest(r Range) (sum Digest) {
@@ -92,7 +92,7 @@
 	})
 }
 
-// checkNodes looks after the bounds of memory.
+// checkNodes checks the bounds on the size of nodes.
 func checkNodes(t *rapid.T, n *node[Item], depth int) {
 	if n.children == nil {
 		if len(n.elements) > leafElements || cap(n.elements) > 2*len(n.elements)+2 {
@@ -141,7 +141,8 @@
 	})
 }
 
-// exchange plays a comparison against the other side, and returns what it found and what it asked for.
+// exchange runs a comparison with the other side for at most limit+1 requests, and returns the difference and the numbers of requested digests and
+// items.
 func exchange(c *Comparison, other Source, limit int) (found Difference, digests, items int) {
 	for !c.Done() {
 		q := c.Next()
@@ -168,8 +169,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		local, other := NewTree(), make(mapSource)
-		want := make(map[Item]bool)  // own items the other needs
-		extra := make(map[Item]bool) // items the other has beyond
+		want := make(map[Item]bool)  // local items that the other side needs
+		extra := make(map[Item]bool) // items that only the other side has
 		differing := random.IntN(100)
 		for i := range random.IntN(1500) {
 			item := Item{fmt.Sprint("key", i), random.Uint64N(9)}
@@ -194,13 +195,13 @@
 		found, _, _ := exchange(c, other, 100000)
 		for _, item := range found.Changed {
 			if !want[item] {
-				t.Fatalf("changed %v, which is equal or was found before", item)
+				t.Fatalf("changed %v, which is equal or was already found", item)
 			}
 			delete(want, item)
 		}
 		for _, item := range found.Extra {
 			if !extra[item] {
-				t.Fatalf("extra %v, which is known or was found before", item)
+				t.Fatalf("extra %v, which is known or was already found", item)
 			}
 			delete(extra, item)
 		}
@@ -251,7 +252,7 @@
 	is.True(c.Done())
 }
 
-// collision is an element whose hash is given.
+// collision is an element with an arbitrary hash.
 type collision struct {
 	hash uint64
 	item Item
--- a/session/expiring_test.go
+++ b/session/expiring_test.go
@@ -21,7 +21,7 @@
 	is.Equal(len(table.ExpiringWithin(600*time.Millisecond, store, 0)), 0)
 	is.Equal(len(table.ExpiringWithin(700*time.Millisecond, store, 0)), 1)
 	soon := table.ExpiringWithin(700*time.Millisecond, store, 200*time.Millisecond)
-	is.Equal(len(soon), 2) // in order, and of that role alone
+	is.Equal(len(soon), 2) // sorted, and of that role only
 	is.Equal(soon[0].Key, "a")
 	is.Equal(soon[1].Key, "b")
 	renew(700*time.Millisecond, "a", store)
--- a/session/table_test.go
+++ b/session/table_test.go
@@ -22,7 +22,7 @@
 	return New(Options{Expiry: map[uint8]time.Duration{2: 1000 * ms, 3: 1500 * ms}})
 }
 
-// run ticks from one time to another and returns the sessions that ended.
+// run ticks from one time to another and returns the events of sessions that ended.
 func run(t *Table, from, to time.Duration) []Event {
 	var out []Event
 	for now := from; now <= to; now += tick {
@@ -52,7 +52,7 @@
 	is.True(!ended[0].ProcessStopped())
 	is.Equal(len(sessions.Snapshot()), 0)
 
-	events, ok = sessions.Renew(2000*ms, node("x", 1)) // it was only out of touch
+	events, ok = sessions.Renew(2000*ms, node("x", 1)) // it was only disconnected
 	is.True(ok)
 	is.Equal(events[0].Kind, Opened)
 }
@@ -94,10 +94,10 @@
 	is.Equal(events, []Event{{Kind: Ended, Node: node("x", 1), Cause: Replaced}, {Kind: Opened, Node: node("x", 2)}})
 	is.True(events[0].ProcessStopped())
 
-	events, ok = sessions.Renew(200*ms, node("x", 1)) // a late heartbeat
+	events, ok = sessions.Renew(200*ms, node("x", 1)) // a delayed heartbeat
 	is.True(!ok)
 	is.Equal(len(events), 0)
-	is.Equal(sessions.Leave(200*ms, "x", 1, true), nil) // and a late leave
+	is.Equal(sessions.Leave(200*ms, "x", 1, true), nil) // and a delayed leave
 	is.Equal(sessions.Snapshot(), []Node{node("x", 2)})
 }
 
@@ -121,7 +121,7 @@
 	is.True(sessions.HasSession("x", 1))
 	events := sessions.ConnectionRefused(100*ms, "x", 1)
 	is.Equal(events, []Event{{Kind: Ended, Node: node("x", 1), Cause: Refused}})
-	is.True(!events[0].ProcessStopped()) // the network may have refused for it
+	is.True(!events[0].ProcessStopped()) // the network may have refused on its behalf
 	is.True(!sessions.HasSession("x", 1))
 	is.Equal(sessions.ConnectionRefused(150*ms, "x", 1), nil)
 
@@ -130,7 +130,7 @@
 	is.Equal(events, []Event{{Kind: Opened, Node: node("x", 1)}})
 	sessions.ConnectionRefused(300*ms, "x", 1)
 	sessions.Renew(400*ms, node("x", 2))
-	_, ok = sessions.Renew(500*ms, node("x", 1)) // its successor has come meanwhile
+	_, ok = sessions.Renew(500*ms, node("x", 1)) // its successor has replaced it meanwhile
 	is.True(!ok)
 }
 
@@ -144,7 +144,7 @@
 	is.True(events[0].Node.Leaving)
 	is.Equal(sessions.Leave(150*ms, "x", 1, false), nil)
 
-	events, ok := sessions.Renew(200*ms, node("x", 1)) // a heartbeat that was under way does not take it back
+	events, ok := sessions.Renew(200*ms, node("x", 1)) // a heartbeat sent before does not revoke it
 	is.True(ok)
 	is.Equal(len(events), 0)
 
@@ -164,12 +164,12 @@
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
 	is.Equal(run(sessions, 0, 500*ms), nil)
-	is.True(sessions.Tick(5000 * ms)) // 4.5 s of pause
+	is.True(sessions.Tick(5000 * ms)) // a pause of 4.5 s
 	is.Equal(len(sessions.Expire(5000*ms)), 0)
-	is.Equal(run(sessions, 5100*ms, 5400*ms), nil) // half a second is left
+	is.Equal(run(sessions, 5100*ms, 5400*ms), nil) // half a second remains
 	is.Equal(len(run(sessions, 5500*ms, 5500*ms)), 1)
 
-	is.True(!sessions.Tick(5800 * ms)) // 300 ms are no pause
+	is.True(!sessions.Tick(5800 * ms)) // 300 ms do not count as a pause
 	is.True(sessions.Tick(6101 * ms))
 }
 
@@ -178,7 +178,7 @@
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
 	sessions.Renew(0, node("y", 1))
-	sessions.Renew(3000*ms, node("y", 1)) // the first thing that the judge does after its pause
+	sessions.Renew(3000*ms, node("y", 1)) // the first call after the pause
 	is.Equal(len(sessions.Expire(3000*ms)), 0)
 	is.Equal(len(sessions.Expired(3000*ms)), 0)
 }
@@ -188,7 +188,7 @@
 	sessions := table()
 	sessions.Renew(0, node("x", 1))
 	is.Equal(run(sessions, 0, 900*ms), nil)
-	sessions.ResetDeadlines(60000 * ms) // another judge's clock
+	sessions.ResetDeadlines(60000 * ms) // the clock of another process
 	is.Equal(run(sessions, 60000*ms, 60900*ms), nil)
 	is.Equal(len(run(sessions, 61000*ms, 61000*ms)), 1)
 
@@ -201,12 +201,12 @@
 	is.Equal(sessions.Expired(1100*ms), []string{"y", "z"})
 }
 
-// TestNoSessionEndsWithinItsExpiry compares the table with the time that its judge has been awake since each heartbeat.
+// TestNoSessionEndsWithinItsExpiry compares the table with the time since each heartbeat during which its process was not paused.
 func TestNoSessionEndsWithinItsExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sessions := table()
 		now := time.Duration(0)
-		awake := map[string]time.Duration{} // since the last heartbeat, pauses taken out
+		awake := map[string]time.Duration{} // since the last heartbeat, without pauses
 		sessions.Tick(now)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			gap := time.Duration(rapid.IntRange(1, 300).Draw(t, "gap")) * ms
@@ -232,7 +232,7 @@
 			}
 			for key, d := range awake {
 				if d >= 1000*ms {
-					t.Fatalf("%s still lives after %v", key, d)
+					t.Fatalf("%s still has a session after %v", key, d)
 				}
 			}
 		}
