--- a/dissemination/pulls.go
+++ b/dissemination/pulls.go
@@ -19,7 +19,7 @@
 type wantedItem[P cmp.Ordered] struct {
 	version  Version
 	sources  []P
-	inFlight bool // a pull is under way
+	inFlight bool // a pull is in progress
 }
 
 // NewPullTracker returns a PullTracker without wanted items.
--- a/placement/abandon.go
+++ b/placement/abandon.go
@@ -22,10 +22,10 @@
 	}
 	s := newState(in)
 	for p, v := range in.Partitions {
-		named := func(member string) bool {
+		refersTo := func(member string) bool {
 			return v.Primary == member || slices.Contains(slices.Concat(v.Members, v.Learners, v.Holders), member)
 		}
-		if slices.ContainsFunc(members, named) {
+		if slices.ContainsFunc(members, refersTo) {
 			*s.outcome(p, &a)++
 		}
 	}
@@ -36,9 +36,9 @@
 func (s *state) outcome(p int, a *Abandonment) *int {
 	v := &s.views[p]
 	lost := s.filter(s.listed(p), (*store).lost)
-	hasEverything := len(s.filter(v.members, (*store).live))+len(s.filter(s.offered[p], (*store).live)) > 0
+	hasAllRecords := len(s.filter(v.members, (*store).live))+len(s.filter(s.offered[p], (*store).live)) > 0
 	switch {
-	case hasEverything && (len(s.filter(v.sources, (*store).lost)) == 0 || len(s.offered[p]) > 0):
+	case hasAllRecords && (len(s.filter(v.sources, (*store).lost)) == 0 || len(s.offered[p]) > 0):
 		return &a.Kept
 	case len(s.awaitedDisks(p)) > 0:
 		return &a.Waiting
--- a/placement/balance.go
+++ b/placement/balance.go
@@ -45,14 +45,14 @@
 // balancePrimaries balances the number of primaries per store. It transfers primaries between members along the shortest
 // chain from a store with many primaries to one with at least two fewer.
 func (s *state) balancePrimaries() {
-	led := make([][]int, len(s.stores))
+	ledBy := make([][]int, len(s.stores))
 	for p := range s.views {
 		if i := s.views[p].primary; i != none && s.isStable(p) {
-			led[i] = append(led[i], p)
+			ledBy[i] = append(ledBy[i], p)
 		}
 	}
 	for moved := 0; moved < s.limit; {
-		chain := s.findChain(led)
+		chain := s.findChain(ledBy)
 		if chain == nil || moved > 0 && moved+len(chain) > s.limit {
 			return
 		}
@@ -61,8 +61,8 @@
 			from := next.primary
 			next.primary, next.changed = c.to, true
 			s.replace(c.partition, next)
-			led[from] = slices.DeleteFunc(led[from], func(p int) bool { return p == c.partition })
-			led[c.to] = append(led[c.to], c.partition)
+			ledBy[from] = slices.DeleteFunc(ledBy[from], func(p int) bool { return p == c.partition })
+			ledBy[c.to] = append(ledBy[c.to], c.partition)
 		}
 		moved += len(chain)
 	}
@@ -100,7 +100,7 @@
 }
 
 // findChain searches for a chain of primary transfers, starting with the stores that have the most primaries.
-func (s *state) findChain(led [][]int) []step {
+func (s *state) findChain(ledBy [][]int) []step {
 	stores := s.eligibleBy(func(i int) int { return -s.primaries[i] })
 	if len(stores) == 0 {
 		return nil
@@ -110,7 +110,7 @@
 		if s.primaries[i] < fewest+2 {
 			return nil
 		}
-		if chain := s.chainFrom(i, led); chain != nil {
+		if chain := s.chainFrom(i, ledBy); chain != nil {
 			return chain
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 // chainFrom searches breadth-first for a chain that starts at one store.
-func (s *state) chainFrom(start int, led [][]int) []step {
+func (s *state) chainFrom(start int, ledBy [][]int) []step {
 	reachedBy := make([]step, len(s.stores))
 	reached := make([]bool, len(s.stores))
 	reached[start] = true
@@ -126,7 +126,7 @@
 	for len(queue) > 0 {
 		i := queue[0]
 		queue = queue[1:]
-		for _, p := range led[i] {
+		for _, p := range ledBy[i] {
 			for _, j := range s.views[p].members {
 				if reached[j] || !s.stores[j].eligible() || s.sameZoneMembers(s.views[p].members, j) < s.sameZoneMembers(s.views[p].members, i) {
 					continue
@@ -293,7 +293,8 @@
 // overloaded reports whether a store exceeds loadLimit, which applies only when zones are shared.
 func (s *state) overloaded(i int) bool { return s.in.SharedZones && s.load[i] > s.loadLimit() }
 
-// savesZoneOnly reports whether a difference in cost affects only the number of zones, which matters for traffic but not for fault tolerance.
+// savesZoneOnly reports whether zones are shared and a difference in cost concerns only the number of zones, which matters for traffic but not for
+// fault tolerance.
 func (s *state) savesZoneOnly(difference int) bool {
 	return s.in.SharedZones && difference > 0 && difference < sameRegionCost
 }
--- a/placement/blocked.go
+++ b/placement/blocked.go
@@ -23,11 +23,11 @@
 	return !slices.ContainsFunc(list, func(j int) bool { return s.unreachable[[2]int{i, j}] })
 }
 
-// mutuallyReachable excludes holders until the remaining ones all reach each other. It excludes the one that is unreachable from the most
-// stores first, and on a tie any other than the current primary. If the remaining holders cannot reach enough live stores for Copies copies,
-// it excludes none: writes would be blocked either way.
-func (s *state) mutuallyReachable(p int, holders []int) []int {
-	rest := slices.Clone(holders)
+// mutuallyReachable excludes stores, of those with all records, until the remaining ones all reach each other. It excludes the one that is
+// unreachable from the most stores first, and on a tie any other than the current primary. If the remaining stores cannot reach enough live
+// stores for Copies copies, it excludes none: writes would be blocked either way.
+func (s *state) mutuallyReachable(p int, complete []int) []int {
+	rest := slices.Clone(complete)
 	for {
 		worst := none
 		for _, i := range rest {
@@ -40,8 +40,8 @@
 		}
 		rest = slices.DeleteFunc(rest, func(i int) bool { return i == worst })
 	}
-	if len(rest) < len(holders) && s.reachableBy(rest) < s.in.Copies {
-		return holders
+	if len(rest) < len(complete) && s.reachableBy(rest) < s.in.Copies {
+		return complete
 	}
 	return rest
 }
--- a/placement/lostsource_test.go
+++ b/placement/lostsource_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// mergeUnderWay is a merge after the disk of the only member, s3/c, was lost: s1 has yet to fetch the records of s2/b, whose disk is lost as well.
-func mergeUnderWay() Input {
+// mergeInProgress is a merge after the disk of the only member, s3/c, was lost: s1 has yet to fetch the records of s2/b, whose disk is lost as well.
+func mergeInProgress() Input {
 	return Input{
 		Stores: []Store{
 			{Member: "s1/a"}, {Member: "s2/b", DownFor: time.Second}, {Member: "s2/b2"}, {Member: "s3/c", DownFor: time.Second}, {Member: "s3/c2"},
@@ -22,7 +22,7 @@
 // its source, like a merge that has not started, until the operator has abandoned every lost disk.
 func TestLostSourceIsAwaitedUntilAllLostDisksAreAbandoned(t *testing.T) {
 	is := is.New(t)
-	in := mergeUnderWay()
+	in := mergeInProgress()
 	for _, change := range Plan(in) {
 		is.Equal(change.View.Sources, []string{"s2/b"})
 		is.Equal(change.View.Primary, "s1/a")
@@ -44,7 +44,7 @@
 // TestLostSourceIsDroppedWhenFewerDisksThanCopiesAreLost has three copies, so every record survives the loss of two disks.
 func TestLostSourceIsDroppedWhenFewerDisksThanCopiesAreLost(t *testing.T) {
 	is := is.New(t)
-	in := mergeUnderWay()
+	in := mergeInProgress()
 	in.Copies = 3
 	changes := Plan(in)
 	is.Equal(len(changes), 1)
@@ -102,7 +102,7 @@
 // partitions nevertheless.
 func TestPartitionAwaitingASourceDoesNotBlockBalancing(t *testing.T) {
 	is := is.New(t)
-	in := mergeUnderWay()
+	in := mergeInProgress()
 	in.Stores = append(in.Stores, Store{Member: "s4/d"})
 	for i := range in.Stores {
 		if in.Stores[i].DownFor > 0 {
--- a/placement/owners.go
+++ b/placement/owners.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownerRatePerS is the rate, in messages per second, up to which a single dispatcher paces a service.
+// ownerRatePerS is the rate, in deliveries per second, up to which a single dispatcher paces a service.
 const ownerRatePerS = 100
 
 // staticOwnerCount is the number of dispatchers for a static service without a rate.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -58,7 +58,7 @@
 	// all records of the primary, and its writes wait for them. Offers of earlier epochs must not be included.
 	Offers map[int][]string
 	// Blocked holds pairs of live stores that cannot reach each other. If a partition has both, one is excluded, provided that the others
-	// can provide Copies copies without it. A copy is placed on a store that cannot reach the members only if Copies cannot be reached otherwise.
+	// can provide Copies copies without it. A copy is placed on a store that cannot reach the members only if there is no other way to have Copies.
 	Blocked [][2]string
 	// MoveLimit is the maximum number of partitions that are moved at once for balance or retirement alone; 0 means DefaultMoveLimit.
 	MoveLimit int
--- a/placement/repair.go
+++ b/placement/repair.go
@@ -7,13 +7,13 @@
 func (s *state) repair(p int) {
 	v := s.views[p]
 	live := (*store).live
-	holders := append(s.filter(v.members, live), s.filter(s.offered[p], live)...)
-	if len(holders) == 0 {
+	complete := append(s.filter(v.members, live), s.filter(s.offered[p], live)...)
+	if len(complete) == 0 {
 		s.merge(p)
 		return
 	}
 	s.cancelExpectedRemoval(p)
-	members := s.trim(p, s.mutuallyReachable(p, holders))
+	members := s.trim(p, s.mutuallyReachable(p, complete))
 	learners := s.keptLearners(p, members)
 	sources := s.remainingSources(p)
 	learners = union(s.attach(p, members, learners), sources)
@@ -34,20 +34,20 @@
 	s.adjustLoad(p, 1)
 }
 
-// trim removes the least useful holders until at most Copies are left.
-func (s *state) trim(p int, holders []int) []int {
-	for len(holders) > s.in.Copies {
-		i := s.leastUseful(p, holders)
-		holders = slices.DeleteFunc(holders, func(j int) bool { return i == j })
+// trim removes the least useful stores until at most Copies are left.
+func (s *state) trim(p int, complete []int) []int {
+	for len(complete) > s.in.Copies {
+		i := s.leastUseful(p, complete)
+		complete = slices.DeleteFunc(complete, func(j int) bool { return i == j })
 	}
-	return holders
+	return complete
 }
 
 // keptLearners returns the learners and dropped members of the current view that are learners of the next one.
 func (s *state) keptLearners(p int, members []int) []int {
 	v := &s.views[p]
 	if s.permanentCount(members) >= s.in.Copies {
-		return s.moveUnderWay(p, members)
+		return s.moveInProgress(p, members)
 	}
 	var kept, down []int
 	for _, i := range slices.Concat(v.members, v.learners) {
@@ -66,9 +66,9 @@
 	return append(kept, down[:min(len(down), s.in.Copies)]...)
 }
 
-// moveUnderWay returns the learner that is to replace a member of a partition with enough copies, if there is one. Other
+// moveInProgress returns the learner that is to replace a member of a partition with enough copies, if there is one. Other
 // learners of such a partition were temporary replacements and are no longer needed.
-func (s *state) moveUnderWay(p int, members []int) []int {
+func (s *state) moveInProgress(p int, members []int) []int {
 	v := &s.views[p]
 	if !sameSet(members, v.members) {
 		return nil
@@ -118,10 +118,11 @@
 }
 
 // unreachedCandidate is used instead of candidate if no remaining store is known to reach all members. No write waits for a learner, so trying
-// a disconnected store costs nothing, while with fewer than Copies disks no write can succeed: the link may have recovered.
+// a disconnected store costs nothing, while with fewer than Copies disks no write can succeed: the link may have recovered. It prefers current
+// learners.
 func (s *state) unreachedCandidate(p int, members, learners []int) int {
-	present := s.views[p].learners
-	if i := s.bestCandidate(p, members, learners, func(i int) bool { return slices.Contains(present, i) }); i != none {
+	current := s.views[p].learners
+	if i := s.bestCandidate(p, members, learners, func(i int) bool { return slices.Contains(current, i) }); i != none {
 		return i
 	}
 	return s.bestCandidate(p, members, learners, func(int) bool { return true })
@@ -129,14 +130,14 @@
 
 // bestCandidate returns the best live store that has no copy and matches, or none.
 func (s *state) bestCandidate(p int, members, learners []int, matches func(i int) bool) int {
-	stay := append(s.filter(members, (*store).permanent), s.filter(learners, (*store).permanent)...)
+	permanent := append(s.filter(members, (*store).permanent), s.filter(learners, (*store).permanent)...)
 	best, bestRank, bestCost := none, 0, 0
 	for i := range s.stores {
 		if !s.stores[i].live() || slices.Contains(members, i) || slices.Contains(learners, i) || !matches(i) {
 			continue
 		}
 		rank := s.rank(i)
-		cost := s.costOf(i, stay, none)
+		cost := s.costOf(i, permanent, none)
 		if best != none {
 			if rank > bestRank || rank == bestRank && cost > bestCost {
 				continue
@@ -172,8 +173,8 @@
 // choosePrimary returns the current primary unless it is leaving or retiring and a better member exists, else the best member.
 func (s *state) choosePrimary(p int, members []int) int {
 	best := s.bestPrimary(p, members)
-	if now := s.views[p].primary; slices.Contains(members, now) && s.primaryRank(now) <= s.primaryRank(best) {
-		return now
+	if current := s.views[p].primary; slices.Contains(members, current) && s.primaryRank(current) <= s.primaryRank(best) {
+		return current
 	}
 	return best
 }
--- a/reconcile/comparison.go
+++ b/reconcile/comparison.go
@@ -24,7 +24,7 @@
 }
 
 // Empty reports whether there is nothing to request.
-func (q Request) Empty() bool { return len(q.Digests) == 0 && len(q.Items) == 0 }
+func (r Request) Empty() bool { return len(r.Digests) == 0 && len(r.Items) == 0 }
 
 // Difference lists the differences between the local set and that of the other side.
 type Difference struct {
@@ -58,16 +58,16 @@
 
 // Next returns the next request. It is empty if there is nothing to request before further responses arrive.
 func (c *Comparison) Next() Request {
-	var q Request
-	q.Digests, c.digests = take(c.digests, c.limits.Ranges)
-	q.Items, c.items = take(c.items, max(1, c.limits.Ranges/c.limits.Items))
-	for _, r := range q.Digests {
+	var request Request
+	request.Digests, c.digests = take(c.digests, c.limits.Ranges)
+	request.Items, c.items = take(c.items, max(1, c.limits.Ranges/c.limits.Items))
+	for _, r := range request.Digests {
 		c.pending[r] = true
 	}
-	for _, r := range q.Items {
+	for _, r := range request.Items {
 		c.pending[r] = true
 	}
-	return q
+	return request
 }
 
 func take(ranges []Range, limit int) (taken, rest []Range) {
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -145,12 +145,12 @@
 // items.
 func exchange(c *Comparison, other Source, limit int) (found Difference, digests, items int) {
 	for !c.Done() {
-		q := c.Next()
-		digests += len(q.Digests)
-		for _, r := range q.Digests {
+		request := c.Next()
+		digests += len(request.Digests)
+		for _, r := range request.Digests {
 			c.HandleDigest(r, other.Digest(r))
 		}
-		for _, r := range q.Items {
+		for _, r := range request.Items {
 			answer := other.Items(r)
 			items += len(answer)
 			c.HandleItems(r, answer)
