--- a/dissemination/schedule.go
+++ b/dissemination/schedule.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// Schedule tells when the next digest is due. A process that stood still owes only one.
+// Schedule determines when the next digest is due. After a pause of the process only one digest is due.
 type Schedule struct {
-	every time.Duration
-	next  time.Duration
+	interval time.Duration
+	next     time.Duration
 }
 
-// NewSchedule returns a schedule with a first digest at now.
-func NewSchedule(every, now time.Duration) Schedule { return Schedule{every: every, next: now} }
+// NewSchedule returns a schedule whose first digest is due at now.
+func NewSchedule(interval, now time.Duration) Schedule {
+	return Schedule{interval: interval, next: now}
+}
 
-// Due says whether a digest is to be sent now, and plans the next one if so.
+// Due reports whether a digest is due now, and if so schedules the next one.
 func (s *Schedule) Due(now time.Duration) bool {
 	if now < s.next {
 		return false
 	}
-	s.next = max(s.next+s.every, now+s.every/2)
+	s.next = max(s.next+s.interval, now+s.interval/2)
 	return true
 }
 
-// Next is the time of the next digest.
-func (s *Schedule) Next() time.Duration { return s.next }
+// NextDue returns the time of the next digest.
+func (s *Schedule) NextDue() time.Duration { return s.next }
--- a/dissemination/spread_test.go
+++ b/dissemination/spread_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// group is a number of processes that push, exchange digests and pull over a network that loses some of it.
+// group is a set of processes that exchange digests and pull items over a network that loses messages.
 type group struct {
 	states []*State[string]
-	pulls  []*Pulls[string, int]
-	others [][]int
+	pulls  []*PullTracker[string, int]
+	peers  [][]int
 	random *rand.Rand
 	loss   float64
 }
@@ -21,28 +21,28 @@
 	g := &group{random: rand.New(rand.NewPCG(seed, 7)), loss: loss}
 	for i := range n {
 		g.states = append(g.states, NewState[string]())
-		g.pulls = append(g.pulls, NewPulls[string, int]())
-		var others []int
+		g.pulls = append(g.pulls, NewPullTracker[string, int]())
+		var peers []int
 		for j := range n {
 			if j != i {
-				others = append(others, j)
+				peers = append(peers, j)
 			}
 		}
-		g.others = append(g.others, others)
+		g.peers = append(g.peers, peers)
 	}
 	return g
 }
 
 func (g *group) lost() bool { return g.random.Float64() < g.loss }
 
-// digest carries the digest of one process to another and lets both pull what they lack.
+// digest sends the digest of one process to another and lets both pull the states that they lack.
 func (g *group) digest(from, to int) {
 	if g.lost() {
 		return
 	}
 	pull, push := g.states[to].Compare(g.states[from].Digest())
 	for _, e := range pull {
-		g.pulls[to].Heard(e, from)
+		g.pulls[to].AddSource(e, from)
 	}
 	g.pull(to)
 	if len(push) == 0 || g.lost() {
@@ -50,7 +50,7 @@
 	}
 	pull, _ = g.states[from].Compare(g.states[to].Digest())
 	for _, e := range pull {
-		g.pulls[from].Heard(e, to)
+		g.pulls[from].AddSource(e, to)
 	}
 	g.pull(from)
 }
@@ -63,19 +63,19 @@
 		}
 		if !g.lost() {
 			for _, key := range keys {
-				if item, ok := g.states[peer].Get(key); ok && g.states[i].Offer(item) {
-					g.pulls[i].Got(Entry[string]{item.Key, item.Version})
+				if item, ok := g.states[peer].Get(key); ok && g.states[i].Apply(item) {
+					g.pulls[i].Received(Entry[string]{item.Key, item.Version})
 				}
 			}
 		}
-		g.pulls[i].Ended(peer, keys)
+		g.pulls[i].EndPull(peer, keys)
 	}
 }
 
-// round lets each process send a digest to k others; it returns how many have the version after it.
+// round lets each process send a digest to k others and returns how many processes then have the version.
 func (g *group) round(k int, key string, v Version) (have int) {
 	for i := range g.states {
-		for _, to := range Choose(g.random, g.others[i], k) {
+		for _, to := range Sample(g.random, g.peers[i], k) {
 			g.digest(i, to)
 		}
 	}
@@ -87,12 +87,12 @@
 	return have
 }
 
-func TestDigestsReachEverybody(t *testing.T) {
+func TestDigestsReachAllProcesses(t *testing.T) {
 	is := is.New(t)
-	const processes, rounds = 200, 18 // 8 to 13 rounds were seen with these seeds
+	const processes, rounds = 200, 18 // these seeds take 8 to 13 rounds
 	for seed := range uint64(20) {
 		g := newGroup(processes, seed, 0.2)
-		g.states[0].Offer(item("a", 1, 1))
+		g.states[0].Apply(item("a", 1, 1))
 		n := 0
 		for g.round(1, "a", Version{1, 1}) < processes {
 			n++
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestVersionsNeverGoBack lets processes publish and gossip in any order.
-func TestVersionsNeverGoBack(t *testing.T) {
+// TestVersionsNeverDecrease lets processes publish and exchange digests in random order.
+func TestVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		g := newGroup(rapid.IntRange(2, 6).Draw(t, "processes"), rapid.Uint64().Draw(t, "seed"), 0.3)
@@ -112,7 +112,7 @@
 			"publish": func(t *rapid.T) {
 				i := item(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), rapid.Uint64Range(0, 3).Draw(t, "term"),
 					rapid.Uint64Range(0, 3).Draw(t, "number"))
-				g.states[process.Draw(t, "by")].Offer(i)
+				g.states[process.Draw(t, "by")].Apply(i)
 				if i.Version.Compare(newest[i.Key]) > 0 {
 					newest[i.Key] = i.Version
 				}
--- a/election/election.go
+++ b/election/election.go
@@ -1,10 +1,10 @@
-// Package election awards a duty that one process at a time may have.
+// Package election assigns a duty to one process at a time.
 //
-// While a duty is vacant, processes bid for it. When the window since the first bid is over, the best bid wins a new term.
-// The duty is vacant again when the session of its holder ends or when the holder resigns. Terms only grow, so that what
-// a former holder still says can be told from what the present one says.
+// While a duty is vacant, processes bid for it. When the bidding window has elapsed since the first bid, the best bid wins a
+// new term. The duty becomes vacant again when the session of its holder ends or the holder resigns. Terms only increase, so
+// that messages of a former holder can be distinguished from those of the current one.
 //
-// It is pure and runs on one process, which makes each award durable before it tells anybody.
+// The package does no I/O. An election runs on one process, which persists each award before it announces it.
 package election
 
 import (
@@ -21,106 +21,107 @@
 	Incarnation uint64
 }
 
-// Bid is the offer of a process to take the duty. The lowest rank wins, then the lowest key.
+// Bid is the bid of a process for the duty. The lowest rank wins, then the lowest key.
 type Bid struct {
 	Holder
 	Rank int
 }
 
-// before reports whether the bid wins over another.
-func (b Bid) before(o Bid) bool {
+// beats reports whether the bid wins over another.
+func (b Bid) beats(o Bid) bool {
 	return cmp.Or(cmp.Compare(b.Rank, o.Rank), cmp.Compare(b.Key, o.Key)) < 0
 }
 
-// Award says who has the duty in a term; it is vacant when Holder.Key is empty.
+// Award is the assignment of the duty in a term; the duty is vacant if Holder.Key is empty.
 type Award struct {
 	Term   uint64
 	Holder Holder
 }
 
-// Vacant reports whether nobody has the duty.
+// Vacant reports whether no process holds the duty.
 func (a Award) Vacant() bool { return a.Holder.Key == "" }
 
-// Options configures a Round.
+// Options configures an Election.
 type Options struct {
 	// Window is the time from the first bid to the award; 0 means DefaultWindow.
 	Window time.Duration
 }
 
-// Round runs the elections of one duty, one after the other. It is owned by one goroutine.
-type Round struct {
+// Election runs the successive elections of one duty. It is not safe for concurrent use.
+type Election struct {
 	options Options
 	award   Award
-	// bids holds the bids of the present vacancy by key. opened is when the first came.
-	bids   map[string]Bid
-	opened time.Duration
+	// bids holds the bids of the current vacancy by key. windowStart is the time of the first one.
+	bids        map[string]Bid
+	windowStart time.Duration
 }
 
-// New returns a round whose duty was last awarded as said. After a change of the process that runs it, last is the award
-// that was made durable.
-func New(o Options, last Award) *Round {
+// New returns an election that continues from the last award. When another process takes over the election, last is the
+// persisted award.
+func New(o Options, last Award) *Election {
 	if o.Window <= 0 {
 		o.Window = DefaultWindow
 	}
-	return &Round{options: o, award: last, bids: map[string]Bid{}}
+	return &Election{options: o, award: last, bids: map[string]Bid{}}
 }
 
-// Bid takes an offer and reports whether it counts: the duty is vacant. The last bid of a process replaces its earlier ones.
-func (r *Round) Bid(now time.Duration, b Bid) bool {
-	if !r.award.Vacant() || b.Key == "" {
+// Bid submits a bid and reports whether it was accepted, which requires that the duty is vacant. A bid replaces earlier ones of the same
+// process.
+func (e *Election) Bid(now time.Duration, b Bid) bool {
+	if !e.award.Vacant() || b.Key == "" {
 		return false
 	}
-	if len(r.bids) == 0 {
-		r.opened = now
+	if len(e.bids) == 0 {
+		e.windowStart = now
 	}
-	r.bids[b.Key] = b
+	e.bids[b.Key] = b
 	return true
 }
 
-// Withdraw takes the offer of a process back.
-func (r *Round) Withdraw(key string) { delete(r.bids, key) }
+// Withdraw removes the bid of a process.
+func (e *Election) Withdraw(key string) { delete(e.bids, key) }
 
-// Tick returns a new award when one is due. It is what Current returns from then on.
-func (r *Round) Tick(now time.Duration) (Award, bool) {
-	due, pending := r.Wake()
+// Tick returns a new award when one is due. From then on Current returns the same award.
+func (e *Election) Tick(now time.Duration) (Award, bool) {
+	due, pending := e.NextTick()
 	if !pending || now < due {
 		return Award{}, false
 	}
 	var best Bid
-	for _, b := range r.bids {
-		if best.Key == "" || b.before(best) {
+	for _, b := range e.bids {
+		if best.Key == "" || b.beats(best) {
 			best = b
 		}
 	}
-	r.award = Award{Term: r.award.Term + 1, Holder: best.Holder}
-	clear(r.bids)
-	return r.award, true
+	e.award = Award{Term: e.award.Term + 1, Holder: best.Holder}
+	clear(e.bids)
+	return e.award, true
 }
 
-// Ended tells that the session of a process has ended: its bid is void, and so is its duty. It reports whether the duty
-// became vacant.
-func (r *Round) Ended(h Holder) bool {
-	if r.bids[h.Key].Incarnation == h.Incarnation {
-		delete(r.bids, h.Key)
+// SessionEnded removes the bid of a process whose session has ended and vacates the duty if the process holds it. It reports
+// whether the duty became vacant.
+func (e *Election) SessionEnded(h Holder) bool {
+	if e.bids[h.Key].Incarnation == h.Incarnation {
+		delete(e.bids, h.Key)
 	}
-	return r.vacate(h)
+	return e.vacate(h)
 }
 
-// Resign gives the duty back. It reports whether the duty became vacant.
-func (r *Round) Resign(h Holder) bool { return r.vacate(h) }
+// Resign vacates the duty if the process holds it, and reports whether the duty became vacant.
+func (e *Election) Resign(h Holder) bool { return e.vacate(h) }
 
-func (r *Round) vacate(h Holder) bool {
-	if r.award.Vacant() || r.award.Holder != h {
+func (e *Election) vacate(h Holder) bool {
+	if e.award.Vacant() || e.award.Holder != h {
 		return false
 	}
-	r.award.Holder = Holder{}
+	e.award.Holder = Holder{}
 	return true
 }
 
-// Current returns who has the duty, and the last term.
-func (r *Round) Current() Award { return r.award }
+// Current returns the holder of the duty and the last term.
+func (e *Election) Current() Award { return e.award }
 
-// Wake returns when Tick is to be called next, false when nothing is pending.
-func (r *Round) Wake() (time.Duration, bool) {
-	return r.opened + r.options.Window, r.award.Vacant() && len(r.bids) > 0
+// NextTick returns the time at which Tick must be called next; the result is false if no award is pending.
+func (e *Election) NextTick() (time.Duration, bool) {
+	return e.windowStart + e.options.Window, e.award.Vacant() && len(e.bids) > 0
 }
--- a/placement/found.go
+++ b/placement/initial.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// firstEpoch is the epoch of the first view of a partition.
+// firstEpoch is the epoch of the initial view of a partition.
 const firstEpoch = 1
 
-// Found returns the first views of a number of partitions, nil where there are fewer live stores than copies.
-func Found(stores []Store, partitions, copies int) []View {
-	return FoundWith(Input{Stores: stores, Copies: copies}, partitions)
+// InitialViews returns the initial views of a number of partitions, or nil if there are fewer eligible stores than copies.
+func InitialViews(stores []Store, partitions, copies int) []View {
+	return InitialViewsFor(Input{Stores: stores, Copies: copies}, partitions)
 }
 
-// FoundWith is Found with the stores, copies and separation of an input.
-func FoundWith(in Input, partitions int) []View {
+// InitialViewsFor is InitialViews with the stores, copies and separation rules of an input.
+func InitialViewsFor(in Input, partitions int) []View {
 	in.Partitions, in.Offers = make([]View, partitions), nil
 	s := newState(in)
 	if len(s.eligibleBy(func(int) int { return 0 })) < s.in.Copies {
@@ -25,7 +25,7 @@
 		members := s.firstMembers(p, shared)
 		s.replace(p, view{primary: s.choosePrimary(p, members), members: members})
 	}
-	s.evenOut()
+	s.balanceInPlace()
 	out := make([]View, partitions)
 	for p := range out {
 		out[p] = s.export(p, firstEpoch)
@@ -33,8 +33,8 @@
 	return out
 }
 
-// firstMembers chooses the copies of a new partition: well separated, on stores of little load, and with companions that
-// share few partitions yet, so that the work after a loss falls on many.
+// firstMembers chooses the stores of a new partition: well separated, lightly loaded, and sharing few partitions with each
+// other so far, so that the repair work after a loss is spread over many stores. shared counts the common partitions of each pair of stores.
 func (s *state) firstMembers(p int, shared [][]int) []int {
 	var members []int
 	for len(members) < s.in.Copies {
@@ -43,7 +43,7 @@
 			if !s.stores[i].eligible() || slices.Contains(members, i) {
 				continue
 			}
-			if best == none || s.companionBefore(p, members, shared, i, best) {
+			if best == none || s.betterMember(p, members, shared, i, best) {
 				best = i
 			}
 		}
@@ -57,7 +57,8 @@
 	return members
 }
 
-func (s *state) companionBefore(p int, members []int, shared [][]int, i, j int) bool {
+// betterMember reports whether store i is a better addition to the members of a new partition than store j.
+func (s *state) betterMember(p int, members []int, shared [][]int, i, j int) bool {
 	if a, b := s.costOf(i, members, none), s.costOf(j, members, none); a != b {
 		return a < b
 	}
@@ -72,11 +73,11 @@
 	if a != b {
 		return a < b
 	}
-	return s.order(p, i) < s.order(p, j)
+	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
-// evenOut carries out moves of copies and of primaries in place, until there are none.
-func (s *state) evenOut() {
+// balanceInPlace applies moves of copies and of primaries directly to the views until no move is left.
+func (s *state) balanceInPlace() {
 	for {
 		m, ok := s.findMove()
 		if !ok {
@@ -90,6 +91,6 @@
 		s.replace(m.partition, next)
 	}
 	s.limit = len(s.views) * (len(s.stores) + 1)
-	s.drawPrimariesNear()
+	s.colocatePrimaries()
 	s.balancePrimaries()
 }
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A model of stores and replica groups that Plan is let loose on. Records are bits of a mask; a write is acknowledged when
-// every member and every offered learner has it, on as many disks as there are to be copies.
+// This file models stores and replica groups to which plans are applied. Records are bits of a mask; a write is acknowledged when
+// every member and every offered learner has it, and it is on at least as many disks as the number of copies.
 
 type modelStore struct {
 	Store
@@ -21,7 +21,7 @@
 	written      int
 	acknowledged uint64
 	offered      []string
-	// active says that the primary of the present view has made every member equal to itself.
+	// active is set once the primary of the current view has synchronized every member with itself.
 	active bool
 }
 
@@ -54,7 +54,7 @@
 		m.addStore(len(m.order) % zones)
 	}
 	partitions := rapid.IntRange(1, 48).Draw(t, "partitions")
-	for _, v := range FoundWith(m.input(true), partitions) {
+	for _, v := range InitialViewsFor(m.input(true), partitions) {
 		m.partitions = append(m.partitions, modelPartition{view: v})
 	}
 	for _, s := range m.stores {
@@ -76,10 +76,10 @@
 	return name
 }
 
-func (m *model) live(name string) bool { s := m.stores[name]; return s != nil && s.GoneFor == 0 }
+func (m *model) live(name string) bool { s := m.stores[name]; return s != nil && s.DownFor == 0 }
 
 func (m *model) input(noBalance bool) Input {
-	in := Input{Copies: m.copies, Limit: m.limit, SpreadRegions: m.regions, SharedZones: m.shared, NoBalance: noBalance, Offers: map[int][]string{}}
+	in := Input{Copies: m.copies, MoveLimit: m.limit, SpreadRegions: m.regions, SharedZones: m.shared, NoBalance: noBalance, Offers: map[int][]string{}}
 	for _, name := range m.order {
 		in.Stores = append(in.Stores, m.stores[name].Store)
 	}
@@ -92,7 +92,7 @@
 	return in
 }
 
-// plan carries a plan out and checks that it is safe.
+// plan applies a plan and checks that it is safe.
 func (m *model) plan(t *rapid.T, noBalance bool) int {
 	changes := Plan(m.input(noBalance))
 	for n, c := range changes {
@@ -122,10 +122,10 @@
 		t.Fatalf("partition %d: %s: %+v (offers %v) -> %+v", c.Partition, why, old, p.offered, v)
 	}
 	if v.Epoch != old.Epoch+1 {
-		fail("epoch is not the next")
+		fail("epoch is not the successor")
 	}
 	if len(v.Members) == 0 || !contains(v.Members, v.Primary) {
-		fail("primary is no member")
+		fail("primary is not a member")
 	}
 	if !m.live(v.Primary) {
 		fail("primary is not live")
@@ -136,12 +136,12 @@
 	if len(v.Members) < m.copies {
 		for _, name := range slices.Concat(old.Members, old.Learners, old.Holders) {
 			if !contains(v.Members, name) && !contains(v.Learners, name) && !contains(v.Holders, name) {
-				fail("holder " + name + " is forgotten")
+				fail("holder " + name + " is no longer listed")
 			}
 		}
 	}
-	knowsAll := func(name string) bool { return contains(old.Members, name) || contains(p.offered, name) }
-	if !slices.ContainsFunc(v.Members, knowsAll) {
+	hasAllRecords := func(name string) bool { return contains(old.Members, name) || contains(p.offered, name) }
+	if !slices.ContainsFunc(v.Members, hasAllRecords) {
 		m.checkMerge(c, fail)
 		return
 	}
@@ -150,13 +150,13 @@
 			fail("member " + name + " was neither member nor offered")
 		}
 		if contains(v.Learners, name) {
-			fail("member is learner too")
+			fail("member is also a learner")
 		}
 		if !m.live(name) {
-			fail("member is gone though the view could change")
+			fail("member is unavailable although the view could change")
 		}
 		missing := p.acknowledged &^ m.held(c.Partition, name, v.Sources)
-		if missing != 0 && !m.gaveUp(old) {
+		if missing != 0 && !m.allLostAbandoned(old) {
 			fail("member " + name + " lacks acknowledged records")
 		}
 		p.acknowledged &^= missing
@@ -172,7 +172,7 @@
 	}
 }
 
-// held returns the records that a store and the sources have together.
+// held returns the union of the records of a store and the sources.
 func (m *model) held(partition int, name string, sources []string) uint64 {
 	records := m.stores[name].records[partition]
 	for _, source := range sources {
@@ -181,13 +181,13 @@
 	return records
 }
 
-// lost tells whether a disk is lost as far as a plan can know.
+// lost reports whether a disk is lost according to the input of a plan.
 func (m *model) lost(name string) bool {
-	return m.superseded(name) || m.stores[name].Abandoned && m.stores[name].GoneFor > 0
+	return m.superseded(name) || m.stores[name].Abandoned && m.stores[name].DownFor > 0
 }
 
-// gaveUp tells whether more disks of a partition are lost than may be, and the operator has given up each of them.
-func (m *model) gaveUp(old View) bool {
+// allLostAbandoned reports whether at least as many disks of a partition as copies are lost, and the operator has abandoned each of them.
+func (m *model) allLostAbandoned(old View) bool {
 	lost := 0
 	for _, name := range slices.Concat(old.Members, old.Learners, old.Holders) {
 		if m.lost(name) {
@@ -200,30 +200,30 @@
 	return lost >= m.copies
 }
 
-// checkMerge checks a view that is to put together what learners and holders have.
+// checkMerge checks a view that merges the records of learners and holders.
 func (m *model) checkMerge(c Change, fail func(string)) {
 	old, v := m.partitions[c.Partition].view, c.View
 	for _, name := range old.Members {
 		if !m.lost(name) {
-			fail("merged though the disk of " + name + " is there")
+			fail("merged although the disk of " + name + " is not lost")
 		}
 	}
 	for _, name := range v.Sources {
 		if !contains(v.Learners, name) || !m.live(name) {
-			fail("source " + name + " is no live learner")
+			fail("source " + name + " is not a live learner")
 		}
 	}
 	p := &m.partitions[c.Partition]
 	missing := p.acknowledged &^ m.held(c.Partition, v.Primary, v.Sources)
-	if missing != 0 && !m.gaveUp(old) {
+	if missing != 0 && !m.allLostAbandoned(old) {
 		fail("the sources lack acknowledged records")
 	}
 	p.acknowledged &^= missing
 	m.merges++
 }
 
-// serve lets the primary of a partition do its part: equalise, take a write, offer learners.
-func (m *model) serve(t *rapid.T, n int, offer bool) {
+// runPrimary runs the primary of a partition: it synchronizes the members, accepts a write and offers learners.
+func (m *model) runPrimary(t *rapid.T, n int, offer bool) {
 	p := &m.partitions[n]
 	v := &p.view
 	if !m.live(v.Primary) {
@@ -257,7 +257,7 @@
 	}
 }
 
-// write writes one record; some of the disks may have it though it is not acknowledged.
+// write writes one record. Some disks may store it even if it is not acknowledged.
 func (m *model) write(n int) {
 	p := &m.partitions[n]
 	if p.written >= 64 {
@@ -279,16 +279,16 @@
 	}
 }
 
-func (m *model) serveAll(t *rapid.T, offer bool) {
+func (m *model) runPrimaries(t *rapid.T, offer bool) {
 	for n := range m.partitions {
-		m.serve(t, n, offer)
+		m.runPrimary(t, n, offer)
 	}
 }
 
-// settle serves and plans until nothing changes any more.
-func (m *model) settle(t *rapid.T) {
+// converge runs primaries and plans until nothing changes.
+func (m *model) converge(t *rapid.T) {
 	for round := 0; ; round++ {
-		m.serveAll(t, true)
+		m.runPrimaries(t, true)
 		if m.plan(t, false) == 0 {
 			return
 		}
@@ -298,27 +298,27 @@
 	}
 }
 
-// pass adds to the time that the stores have been gone for.
-func (m *model) pass(d time.Duration) {
+// advance adds to the time for which stores have been unavailable.
+func (m *model) advance(d time.Duration) {
 	for _, s := range m.stores {
-		if s.GoneFor > 0 {
-			s.GoneFor += d
+		if s.DownFor > 0 {
+			s.DownFor += d
 		}
 	}
 }
 
 func (m *model) stop(name string) {
 	s := m.stores[name]
-	s.GoneFor, s.Leaving = time.Millisecond, false
+	s.DownFor, s.Leaving = time.Millisecond, false
 }
 
-func (m *model) start(name string) { m.stores[name].GoneFor, m.stores[name].Abandoned = 0, false }
+func (m *model) start(name string) { m.stores[name].DownFor, m.stores[name].Abandoned = 0, false }
 
-// pick returns one of the stores that fit, none when there is none.
-func (m *model) pick(t *rapid.T, fits func(s *modelStore) bool) (string, bool) {
+// pick returns one of the stores that match; the result is false if there is none.
+func (m *model) pick(t *rapid.T, matches func(s *modelStore) bool) (string, bool) {
 	var list []string
 	for _, name := range m.order {
-		if fits(m.stores[name]) {
+		if matches(m.stores[name]) {
 			list = append(list, name)
 		}
 	}
--- a/placement/owners_test.go
+++ b/placement/owners_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// ownersOf places one service on its own.
+// ownersOf returns the owners of a service according to a new Ownership.
 func ownersOf(service string, dispatchers []string, count int) []string {
 	var o Ownership
 	o.SetDispatchers(dispatchers)
-	return o.Of(service, count)
+	return o.Owners(service, count)
 }
 
-// sortedOwners is how versions up to 0b7f853 placed a service. Both run side by side in an upgrade and have to agree.
+// sortedOwners is the algorithm of versions up to 0b7f853. Both versions run side by side during an upgrade and must agree.
 func sortedOwners(service string, dispatchers []string, n int) []string {
 	list := make([]candidate, 0, len(dispatchers))
 	for _, name := range dispatchers {
@@ -42,7 +42,7 @@
 	return names
 }
 
-func TestOwnersAreSpreadAndStay(t *testing.T) {
+func TestOwnersAreBalancedAndStable(t *testing.T) {
 	is := is.New(t)
 	all := dispatcherNames(12)
 	changed, first := 0, map[string]int{}
@@ -56,7 +56,7 @@
 		if contains(owners, all[0]) {
 			changed++
 		} else {
-			is.Equal(fewer, owners) // one that goes changes only what it had
+			is.Equal(fewer, owners) // a departing dispatcher affects only its own services
 		}
 	}
 	is.True(changed > 100 && changed < 300)
@@ -69,8 +69,8 @@
 	is.Equal(len(ownersOf("s", all, 0)), 0)
 }
 
-// Whatever comes and goes, the owners kept are those that a process finds that begins now, and that earlier versions find.
-func TestOwnershipFollowsDispatchers(t *testing.T) {
+// TestOwnershipTracksDispatchers checks that after any sequence of changes the owners equal those that a new process and earlier versions compute.
+func TestOwnershipTracksDispatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := dispatcherNames(9)
 		var kept Ownership
@@ -82,7 +82,7 @@
 					continue
 				}
 				count := rapid.IntRange(0, 4).Draw(t, "count")
-				got, want := kept.Of(service, count), sortedOwners(service, names, count)
+				got, want := kept.Owners(service, count), sortedOwners(service, names, count)
 				if !slices.Equal(got, want) {
 					t.Fatalf("%s on %v of %v: %v, want %v", service, count, names, got, want)
 				}
@@ -91,8 +91,8 @@
 	})
 }
 
-// A dispatcher that joins takes over what it is best for, and nothing else moves; the scores of the rest are not asked again.
-func TestOwnersOfOthersDoNotMove(t *testing.T) {
+// TestJoiningDispatcherMovesOnlyServicesItOwns: a joining dispatcher takes over the services that it scores best for, and no other service moves.
+func TestJoiningDispatcherMovesOnlyServicesItOwns(t *testing.T) {
 	is := is.New(t)
 	all := dispatcherNames(240)
 	var o Ownership
@@ -100,12 +100,12 @@
 	before := map[string][]string{}
 	for n := range 300 {
 		service := fmt.Sprint("textgate-", n)
-		before[service] = o.Of(service, 2)
+		before[service] = o.Owners(service, 2)
 	}
 	o.SetDispatchers(all)
 	gained := 0
 	for service, owners := range before {
-		after := o.Of(service, 2)
+		after := o.Owners(service, 2)
 		if contains(after, all[0]) {
 			gained++
 			is.True(contains(owners, after[0]) || contains(owners, after[1]))
@@ -116,14 +116,14 @@
 	is.True(gained > 0 && gained < 12) // 2.5 of 300 on average
 }
 
-func TestServicesNobodyAsksForAreForgotten(t *testing.T) {
+func TestUnrequestedServicesAreDropped(t *testing.T) {
 	is := is.New(t)
 	var o Ownership
 	o.SetDispatchers(dispatcherNames(3))
-	o.Of("goes", 1)
-	o.Of("stays", 1)
+	o.Owners("goes", 1)
+	o.Owners("stays", 1)
 	o.SetDispatchers(dispatcherNames(4))
-	o.Of("stays", 1)
+	o.Owners("stays", 1)
 	o.SetDispatchers(dispatcherNames(4))
 	is.Equal(len(o.services), 1)
 	is.True(o.services["stays"] != nil)
@@ -151,13 +151,13 @@
 	return names
 }
 
-// BenchmarkOwners places 300 services on 240 dispatchers: from nothing, and after one dispatcher has joined or left; sorted is
-// how versions up to 0b7f853 did it at each change.
+// BenchmarkOwners places 300 services on 240 dispatchers: with a new Ownership, and after one dispatcher has joined or departed.
+// The case sorted is the algorithm that versions up to 0b7f853 ran at each change.
 func BenchmarkOwners(b *testing.B) {
 	names, services := dispatcherNames(benchDispatchers), benchServiceNames()
-	askAll := func(o *Ownership) {
+	requestAll := func(o *Ownership) {
 		for _, service := range services {
-			o.Of(service, 2)
+			o.Owners(service, 2)
 		}
 	}
 	b.Run("sorted", func(b *testing.B) {
@@ -171,16 +171,16 @@
 		for b.Loop() {
 			var o Ownership
 			o.SetDispatchers(names)
-			askAll(&o)
+			requestAll(&o)
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		var o Ownership
 		o.SetDispatchers(names)
-		askAll(&o)
+		requestAll(&o)
 		for n := 0; b.Loop(); n++ {
 			o.SetDispatchers(names[n%2:])
-			askAll(&o)
+			requestAll(&o)
 		}
 	})
 }
--- a/placement/property_test.go
+++ b/placement/property_test.go
@@ -10,21 +10,21 @@
 	"pgregory.net/rapid"
 )
 
-// step draws one event.
+// step draws and applies one event.
 func (m *model) step(t *rapid.T) {
-	gone := func(s *modelStore) bool { return s.GoneFor > 0 && !m.superseded(s.Member) }
-	live := func(s *modelStore) bool { return s.GoneFor == 0 }
+	down := func(s *modelStore) bool { return s.DownFor > 0 && !m.superseded(s.Member) }
+	live := func(s *modelStore) bool { return s.DownFor == 0 }
 	switch rapid.SampledFrom([]string{"plan", "plan", "plan", "serve", "serve", "crash", "return", "return", "leave", "disk", "add", "retire", "time"}).Draw(t, "event") {
 	case "plan":
 		m.plan(t, rapid.Bool().Draw(t, "noBalance"))
 	case "serve":
-		m.serve(t, rapid.IntRange(0, len(m.partitions)-1).Draw(t, "partition"), rapid.Bool().Draw(t, "offer"))
+		m.runPrimary(t, rapid.IntRange(0, len(m.partitions)-1).Draw(t, "partition"), rapid.Bool().Draw(t, "offer"))
 	case "crash":
 		if name, ok := m.pick(t, live); ok {
 			m.stop(name)
 		}
 	case "return":
-		if name, ok := m.pick(t, gone); ok {
+		if name, ok := m.pick(t, down); ok {
 			m.start(name)
 		}
 	case "leave":
@@ -32,7 +32,7 @@
 			m.stores[name].Leaving = true
 		}
 	case "disk":
-		if name, ok := m.pick(t, gone); ok && len(m.order) < 30 {
+		if name, ok := m.pick(t, down); ok && len(m.order) < 30 {
 			m.addDisk(NodeName(name), m.stores[name].Zone)
 		}
 	case "add":
@@ -45,7 +45,7 @@
 			m.stores[name].Retiring = true
 		}
 	case "time":
-		m.pass(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
+		m.advance(time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second)
 	}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // TestPlanIsSafeAndConverges lets stores crash, return, change their disks, leave, retire and be added, and checks each
-// change as it is made. Then all that can return does, and the plan is to reach a fixed point where nothing is missing.
+// change. Then all stores that can return do, and the plan must reach a fixed point at which no copy is missing.
 func TestPlanIsSafeAndConverges(t *testing.T) {
 	merges := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,41 +65,41 @@
 			m.step(t)
 		}
 		for _, name := range m.order {
-			if m.stores[name].GoneFor > 0 && !m.superseded(name) {
+			if m.stores[name].DownFor > 0 && !m.superseded(name) {
 				m.start(name)
 			}
 			m.stores[name].Leaving = false
 		}
-		m.pass(SettleTime)
-		m.settle(t)
+		m.advance(RebalanceDelay)
+		m.converge(t)
 		m.checkFixedPoint(t)
 		merges += m.merges
 	})
 	t.Logf("%d merges", merges)
 }
 
-// TestAbandonedStoresAreDoneWithout is the same with stores that the operator gives up. In the end all that have not come back are given up: nothing
-// waits for a disk any more.
-func TestAbandonedStoresAreDoneWithout(t *testing.T) {
+// TestAbandonedStoresBlockNoPartition is like TestPlanIsSafeAndConverges with stores that the operator abandons. In the end all stores that have
+// not returned are abandoned, and no partition may wait for a disk.
+func TestAbandonedStoresBlockNoPartition(t *testing.T) {
 	merges := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 2)
-		gone := func(s *modelStore) bool { return s.GoneFor > 0 && !s.Abandoned }
+		down := func(s *modelStore) bool { return s.DownFor > 0 && !s.Abandoned }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			if name, ok := m.pick(t, gone); ok && rapid.IntRange(0, 5).Draw(t, "abandon") == 0 {
+			if name, ok := m.pick(t, down); ok && rapid.IntRange(0, 5).Draw(t, "abandon") == 0 {
 				m.stores[name].Abandoned = true
 				continue
 			}
 			m.step(t)
 		}
 		for _, name := range m.order {
-			m.stores[name].Abandoned = m.stores[name].GoneFor > 0
+			m.stores[name].Abandoned = m.stores[name].DownFor > 0
 			m.stores[name].Leaving = false
 		}
-		m.pass(SettleTime)
-		m.settle(t)
+		m.advance(RebalanceDelay)
+		m.converge(t)
 		m.checkFixedPoint(t)
-		if len(m.waiting()) > 0 && m.lasting() >= m.copies {
+		if len(m.waiting()) > 0 && m.permanent() >= m.copies {
 			t.Fatalf("partitions %v wait", m.waiting())
 		}
 		merges += m.merges
@@ -118,10 +118,10 @@
 	return numbers
 }
 
-// lasting counts the stores that are live and stay.
-func (m *model) lasting() (count int) {
+// permanent counts the stores that are live and not retiring.
+func (m *model) permanent() (count int) {
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
+		if s.DownFor == 0 && !s.Retiring {
 			count++
 		}
 	}
@@ -131,27 +131,27 @@
 func (m *model) checkFixedPoint(t *rapid.T) {
 	nodes := map[string]bool{}
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
+		if s.DownFor == 0 && !s.Retiring {
 			nodes[NodeName(s.Member)] = true
 		}
 	}
-	if m.lasting() < m.copies {
+	if m.permanent() < m.copies {
 		return
 	}
 	primaries := map[string]int{}
 	waiting := m.waiting()
 	for n := range m.partitions {
 		p := &m.partitions[n]
-		if slices.Contains(waiting, n) { // for disks that are gone
+		if slices.Contains(waiting, n) { // for lost or unavailable disks
 			continue
 		}
 		if len(p.view.Members) != m.copies || len(p.view.Learners) > 0 {
-			t.Fatalf("partition %d is not whole: %+v", n, p.view)
+			t.Fatalf("partition %d is not fully replicated: %+v", n, p.view)
 		}
 		m.checkSeparation(t, n, len(nodes))
 		primaries[p.view.Primary]++
 		for _, name := range p.view.Members {
-			if s := m.stores[name]; s.GoneFor > 0 || s.Retiring {
+			if s := m.stores[name]; s.DownFor > 0 || s.Retiring {
 				t.Fatalf("partition %d keeps %s: %+v", n, name, p.view)
 			}
 		}
@@ -164,7 +164,7 @@
 func (m *model) checkSeparation(t *rapid.T, n, nodes int) {
 	zones, used, all := map[string]bool{}, map[string]bool{}, map[string]int{}
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
+		if s.DownFor == 0 && !s.Retiring {
 			all[s.Zone]++
 		}
 	}
@@ -186,14 +186,14 @@
 	}
 }
 
-// checkNoZoneToSave checks that no copy of a partition could go to a store with room for it so that the partition lies in fewer zones, on no fewer
-// machines.
+// checkNoZoneToSave checks that no copy of a partition could move to a store with room for it such that the partition is in fewer zones and on no
+// fewer machines.
 func (m *model) checkNoZoneToSave(t *rapid.T, n, zones int) {
 	members := m.partitions[n].view.Members
 	nodes := m.nodesOf(members)
 	for at, from := range members {
 		for name, s := range m.stores {
-			if s.GoneFor > 0 || s.Retiring || slices.Contains(members, name) || m.load(name) >= m.loadLimit() {
+			if s.DownFor > 0 || s.Retiring || slices.Contains(members, name) || m.load(name) >= m.loadLimit() {
 				continue
 			}
 			changed := slices.Clone(members)
@@ -221,7 +221,7 @@
 	return len(zones)
 }
 
-// load counts the copies that a store holds or is to get.
+// load counts the copies that a store has or will receive.
 func (m *model) load(store string) (copies int) {
 	for n := range m.partitions {
 		v := &m.partitions[n].view
@@ -232,19 +232,19 @@
 	return copies
 }
 
-// loadLimit is the number of copies that a store may have more than the even share for the sake of fewer zones: half of it.
+// loadLimit is the number of copies up to which a store may receive more to keep partitions in fewer zones: 1.5 times its even share.
 func (m *model) loadLimit() int {
-	lasting := 0
+	permanent := 0
 	for _, s := range m.stores {
-		if s.GoneFor == 0 && !s.Retiring {
-			lasting++
+		if s.DownFor == 0 && !s.Retiring {
+			permanent++
 		}
 	}
 	copies := m.copies * len(m.partitions)
-	return (3*copies + 2*lasting - 1) / (2 * lasting)
+	return (3*copies + 2*permanent - 1) / (2 * permanent)
 }
 
-// zonesNeeded returns the fewest zones, of so many stores each in ascending order, that have room for all copies.
+// zonesNeeded returns the minimum number of zones that have room for all copies, given the number of stores per zone in ascending order.
 func zonesNeeded(stores []int, copies int) (zones int) {
 	for _, count := range slices.Backward(stores) {
 		if copies <= 0 {
@@ -259,31 +259,31 @@
 func (m *model) checkSpread(t *rapid.T, primaries map[string]int) {
 	least, most := len(m.partitions), 0
 	for _, name := range m.order {
-		if s := m.stores[name]; s.GoneFor == 0 && !s.Retiring {
+		if s := m.stores[name]; s.DownFor == 0 && !s.Retiring {
 			least, most = min(least, primaries[name]), max(most, primaries[name])
 		}
 	}
-	if most-least > 1 && !m.shared { // TestSharedZones has a bound for those that are drawn to their copies
+	if most-least > 1 && !m.shared { // TestSharedZones checks a bound for primaries that are placed near their copies
 		t.Fatalf("primaries are uneven: %v", primaries)
 	}
 }
 
-// TestFoundIsAFixedPoint checks that a plan leaves first views as they are, and that they are balanced.
-func TestFoundIsAFixedPoint(t *testing.T) {
+// TestInitialViewsAreAFixedPoint checks that initial views are balanced and that a plan does not change them.
+func TestInitialViewsAreAFixedPoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 5, 6)
 		if len(m.partitions) == 0 {
-			t.Fatalf("nothing was founded on %v", m.order)
+			t.Fatalf("no initial views for stores %v", m.order)
 		}
 		m.checkFixedPoint(t)
 		if changes := Plan(m.input(false)); len(changes) > 0 {
-			t.Fatalf("first views are changed: %+v", changes)
+			t.Fatalf("initial views are changed: %+v", changes)
 		}
 	})
 }
 
-// TestPlanIsDeterministic checks that neither the order of the stores nor that of the offers matters, and that the input is
-// left alone.
+// TestPlanIsDeterministic checks that the plan depends neither on the order of the stores nor on that of the offers, and that
+// the input is not modified.
 func TestPlanIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 3, 3)
@@ -299,17 +299,17 @@
 			t.Fatalf("plans differ: %+v and %+v", a, b)
 		}
 		if !reflect.DeepEqual(in, m.input(false)) {
-			t.Fatalf("the input was changed")
+			t.Fatalf("the input was modified")
 		}
 	})
 }
 
-// TestOneLossTouchesOnlyItsPartitions checks that the loss and return of a store within a short time changes only the
-// partitions that it has a copy of, and each of them twice, moves of primaries back apart.
-func TestOneLossTouchesOnlyItsPartitions(t *testing.T) {
+// TestSingleLossChangesOnlyItsPartitions checks that the loss and quick return of a store changes only the partitions that it
+// has a copy of, and each of them twice, not counting later moves of primaries for balance.
+func TestSingleLossChangesOnlyItsPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, 4, 3)
-		m.serveAll(t, false)
+		m.runPrimaries(t, false)
 		lost, _ := m.pick(t, func(*modelStore) bool { return true })
 		held := 0
 		for _, p := range m.partitions {
@@ -328,12 +328,12 @@
 		if n := m.plan(t, true); n != 0 {
 			t.Fatalf("%d changes for a return before an offer", n)
 		}
-		m.serveAll(t, true)
+		m.runPrimaries(t, true)
 		if n := m.plan(t, true); n != held {
 			t.Fatalf("%d changes for the offers of %d partitions", n, held)
 		}
 		m.changes, m.attached = 0, 0
-		m.settle(t)
+		m.converge(t)
 		m.checkFixedPoint(t)
 	})
 }
--- a/placement/repair.go
+++ b/placement/repair.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// repair brings one partition nearer to Copies members that may stay, and gives it a primary that may stay. A partition of
-// which no copy that holds all records is live is left as it is, or put together from what is left.
+// repair brings one partition closer to Copies permanent members and gives it a primary that may stay. A partition without a
+// live copy that holds all records is left unchanged, or merged from the remaining records.
 func (s *state) repair(p int) {
 	v := s.views[p]
 	live := (*store).live
-	holders := append(s.filter(v.members, live), s.filter(s.offered[p], live)...)
-	if len(holders) == 0 {
+	complete := append(s.filter(v.members, live), s.filter(s.offered[p], live)...)
+	if len(complete) == 0 {
 		s.merge(p)
 		return
 	}
-	s.unexpect(p)
-	members := s.trim(p, s.connected(p, holders))
+	s.cancelExpectedRemoval(p)
+	members := s.trim(p, s.mutuallyReachable(p, complete))
 	learners := s.keptLearners(p, members)
-	sources := s.sourcesLeft(p)
+	sources := s.remainingSources(p)
 	learners = union(s.attach(p, members, learners), sources)
 	next := view{
 		primary: s.choosePrimary(p, members), members: members, learners: learners,
@@ -24,32 +24,32 @@
 	if s.worthwhile(p, next) {
 		s.replace(p, next)
 	}
-	s.expect(p)
+	s.expectRemoval(p)
 }
 
-// replace installs a view of the plan and keeps the counts.
+// replace sets the planned view of a partition and updates the load counters.
 func (s *state) replace(p int, next view) {
-	s.count(p, -1)
+	s.adjustLoad(p, -1)
 	s.views[p] = next
-	s.count(p, 1)
+	s.adjustLoad(p, 1)
 }
 
-// trim takes copies away until no more than Copies are left.
-func (s *state) trim(p int, holders []int) []int {
-	for len(holders) > s.in.Copies {
-		i := s.leastUseful(p, holders)
-		holders = slices.DeleteFunc(holders, func(j int) bool { return i == j })
+// trim removes the least useful stores until at most Copies are left.
+func (s *state) trim(p int, complete []int) []int {
+	for len(complete) > s.in.Copies {
+		i := s.leastUseful(p, complete)
+		complete = slices.DeleteFunc(complete, func(j int) bool { return i == j })
 	}
-	return holders
+	return complete
 }
 
-// keptLearners returns the learners of the present view, and the members that it loses, that stay as learners.
+// keptLearners returns the learners and dropped members of the current view that are learners of the next one.
 func (s *state) keptLearners(p int, members []int) []int {
 	v := &s.views[p]
-	if s.lastingCount(members) >= s.in.Copies {
-		return s.moveUnderWay(p, members)
+	if s.permanentCount(members) >= s.in.Copies {
+		return s.moveInProgress(p, members)
 	}
-	var kept, gone []int
+	var kept, down []int
 	for _, i := range slices.Concat(v.members, v.learners) {
 		st := &s.stores[i]
 		switch {
@@ -59,32 +59,32 @@
 				kept = append(kept, i)
 			}
 		case st.mayReturn():
-			gone = append(gone, i)
+			down = append(down, i)
 		}
 	}
-	slices.SortStableFunc(gone, func(i, j int) int { return int(s.stores[i].GoneFor - s.stores[j].GoneFor) })
-	return append(kept, gone[:min(len(gone), s.in.Copies)]...)
+	slices.SortStableFunc(down, func(i, j int) int { return int(s.stores[i].DownFor - s.stores[j].DownFor) })
+	return append(kept, down[:min(len(down), s.in.Copies)]...)
 }
 
-// moveUnderWay returns the learner that is to replace a member of a partition that lacks nothing, if there is one. Other
-// learners of such a partition have stood in for somebody and are not needed any more.
-func (s *state) moveUnderWay(p int, members []int) []int {
+// moveInProgress returns the learner that is to replace a member of a partition with enough copies, if there is one. Other
+// learners of such a partition were temporary replacements and are no longer needed.
+func (s *state) moveInProgress(p int, members []int) []int {
 	v := &s.views[p]
 	if !sameSet(members, v.members) {
 		return nil
 	}
 	for _, i := range v.learners {
-		if s.stores[i].lasting() && !slices.Contains(s.offered[p], i) && s.reachesAll(i, members) {
+		if s.stores[i].permanent() && !slices.Contains(s.offered[p], i) && s.reachesAll(i, members) {
 			return []int{i}
 		}
 	}
 	return nil
 }
 
-// attach adds learners while live copies are missing, and, as far as the limit goes, for copies that cannot stay.
+// attach adds learners for missing live copies and, within the move limit, for copies that are not permanent.
 func (s *state) attach(p int, members, learners []int) []int {
 	live := s.liveCount(members) + s.liveCount(learners)
-	lasting := s.lastingCount(members) + s.lastingCount(learners)
+	permanent := s.permanentCount(members) + s.permanentCount(learners)
 	for ; live < s.in.Copies; live++ {
 		i := s.candidate(p, members, learners, false)
 		if i == none {
@@ -93,12 +93,12 @@
 		if i == none {
 			break
 		}
-		if s.stores[i].lasting() {
-			lasting++
+		if s.stores[i].permanent() {
+			permanent++
 		}
 		learners = append(learners, i)
 	}
-	for ; lasting < s.in.Copies && s.moving < s.limit; lasting++ {
+	for ; permanent < s.in.Copies && s.moving < s.limit; permanent++ {
 		i := s.candidate(p, members, learners, true)
 		if i == none {
 			break
@@ -109,39 +109,40 @@
 	return learners
 }
 
-// candidate returns the store that is best given a copy: one that may be given something, else, unless strict, one that
-// leaves, else one that retires; well separated from the copies that stay; of little load. It reaches all members.
+// candidate returns the best store for a further copy, among those that reach all members: an eligible one or, unless strict,
+// a leaving one, or else a retiring one; then the one best separated from the permanent copies; then the least loaded.
 func (s *state) candidate(p int, members, learners []int, strict bool) int {
 	return s.bestCandidate(p, members, learners, func(i int) bool {
 		return s.reachesAll(i, members) && (!strict || s.rank(i) == 0)
 	})
 }
 
-// unreachedCandidate is candidate where no store is left that is known to reach all members. Nobody waits for a learner, so to try one that
-// was cut off costs nothing, and with fewer than Copies disks nothing can be written at all: the link may be whole again.
+// unreachedCandidate is used instead of candidate if no remaining store is known to reach all members. No write waits for a learner, so trying
+// a disconnected store costs nothing, while with fewer than Copies disks no write can succeed: the link may have recovered. It prefers current
+// learners.
 func (s *state) unreachedCandidate(p int, members, learners []int) int {
-	present := s.views[p].learners
-	if i := s.bestCandidate(p, members, learners, func(i int) bool { return slices.Contains(present, i) }); i != none {
+	current := s.views[p].learners
+	if i := s.bestCandidate(p, members, learners, func(i int) bool { return slices.Contains(current, i) }); i != none {
 		return i
 	}
 	return s.bestCandidate(p, members, learners, func(int) bool { return true })
 }
 
-// bestCandidate returns the best store among the live ones that have no copy and fit, or none.
-func (s *state) bestCandidate(p int, members, learners []int, fits func(i int) bool) int {
-	stay := append(s.filter(members, (*store).lasting), s.filter(learners, (*store).lasting)...)
+// bestCandidate returns the best live store that has no copy and matches, or none.
+func (s *state) bestCandidate(p int, members, learners []int, matches func(i int) bool) int {
+	permanent := append(s.filter(members, (*store).permanent), s.filter(learners, (*store).permanent)...)
 	best, bestRank, bestCost := none, 0, 0
 	for i := range s.stores {
-		if !s.stores[i].live() || slices.Contains(members, i) || slices.Contains(learners, i) || !fits(i) {
+		if !s.stores[i].live() || slices.Contains(members, i) || slices.Contains(learners, i) || !matches(i) {
 			continue
 		}
 		rank := s.rank(i)
-		cost := s.costOf(i, stay, none)
+		cost := s.costOf(i, permanent, none)
 		if best != none {
 			if rank > bestRank || rank == bestRank && cost > bestCost {
 				continue
 			}
-			if rank == bestRank && cost == bestCost && !s.lighter(p, i, best) {
+			if rank == bestRank && cost == bestCost && !s.lessLoaded(p, i, best) {
 				continue
 			}
 		}
@@ -150,7 +151,7 @@
 	return best
 }
 
-// rank is 0 for a store that may be given something, 1 for one that leaves, 2 for one that retires.
+// rank is 0 for an eligible store, 1 for a leaving one, 2 for a retiring one.
 func (s *state) rank(i int) int {
 	switch {
 	case s.stores[i].Retiring:
@@ -161,34 +162,35 @@
 	return 0
 }
 
-func (s *state) lighter(p, i, j int) bool {
+// lessLoaded reports whether store i has fewer copies than store j; ties are broken per partition.
+func (s *state) lessLoaded(p, i, j int) bool {
 	if s.load[i] != s.load[j] {
 		return s.load[i] < s.load[j]
 	}
-	return s.order(p, i) < s.order(p, j)
+	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
-// choosePrimary returns the present primary if no other member is better, else the best one with the fewest primaries.
+// choosePrimary returns the current primary unless it is leaving or retiring and a better member exists, else the best member.
 func (s *state) choosePrimary(p int, members []int) int {
 	best := s.bestPrimary(p, members)
-	if now := s.views[p].primary; slices.Contains(members, now) && s.primaryRank(now) <= s.primaryRank(best) {
-		return now
+	if current := s.views[p].primary; slices.Contains(members, current) && s.primaryRank(current) <= s.primaryRank(best) {
+		return current
 	}
 	return best
 }
 
-// bestPrimary returns the member that should lead if none did.
+// bestPrimary returns the member that is best suited as primary, regardless of the current one.
 func (s *state) bestPrimary(p int, members []int) int {
 	best := none
 	for _, i := range members {
-		if best == none || s.leadsBefore(p, members, i, best) {
+		if best == none || s.betterPrimary(p, members, i, best) {
 			best = i
 		}
 	}
 	return best
 }
 
-// primaryRank is lowest for stores that may stay primary. One that leaves ends sooner than one that retires.
+// primaryRank is lowest for stores that may stay primary. A leaving store ranks worst because it stops sooner than a retiring one.
 func (s *state) primaryRank(i int) int {
 	switch {
 	case s.stores[i].Leaving:
@@ -199,31 +201,32 @@
 	return 0
 }
 
-func (s *state) leadsBefore(p int, members []int, i, j int) bool {
+// betterPrimary reports whether member i is better suited as primary than member j.
+func (s *state) betterPrimary(p int, members []int, i, j int) bool {
 	if a, b := s.primaryRank(i), s.primaryRank(j); a != b {
 		return a < b
 	}
-	if a, b := s.near(members, i), s.near(members, j); a != b {
+	if a, b := s.sameZoneMembers(members, i), s.sameZoneMembers(members, j); a != b {
 		return a > b
 	}
 	if s.primaries[i] != s.primaries[j] {
 		return s.primaries[i] < s.primaries[j]
 	}
-	return s.order(p, i) < s.order(p, j)
+	return s.tieBreaker(p, i) < s.tieBreaker(p, j)
 }
 
-// worthwhile reports whether the next view is worth a new epoch. It is not when it only forgets learners that are gone and
-// that nobody waits for, in a partition that will need another view anyway.
+// worthwhile reports whether the next view justifies a new epoch. It does not if it only drops unavailable learners that no
+// write waits for, in a partition that will need another view anyway.
 func (s *state) worthwhile(p int, next view) bool {
 	v := &s.views[p]
 	if next.primary != v.primary || !sameSet(next.members, v.members) || len(s.offered[p]) == 0 && !sameSet(next.sources, v.sources) {
 		return true
 	}
 	if sameSet(next.learners, v.learners) {
-		// Writes wait for an offered learner until the next view, also when it is gone.
+		// Writes wait for an offered learner until the next view, even if it is unavailable.
 		return len(s.offered[p]) > s.liveCount(s.offered[p])
 	}
-	if len(s.offered[p]) > 0 || s.lastingCount(next.members) >= s.in.Copies {
+	if len(s.offered[p]) > 0 || s.permanentCount(next.members) >= s.in.Copies {
 		return true
 	}
 	live := (*store).live
--- a/placement/state.go
+++ b/placement/state.go
@@ -8,38 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// none stands for no store or no partition where an index is expected.
+// none is used as an index to represent the absence of a store or partition.
 const none = -1
 
-// store is a Store with what is derived from it.
+// store is a Store with derived values.
 type store struct {
 	Store
 	node string
 	hash uint64
 	// known is false for a member that the input has no Store for.
 	known bool
-	// superseded says that the node is live with another disk.
+	// superseded is set if the node is live with another disk.
 	superseded bool
 }
 
-func (s *store) live() bool { return s.known && s.GoneFor == 0 && !s.Stalled }
+func (s *store) live() bool { return s.known && s.DownFor == 0 && !s.Stalled }
 
-// lasting reports whether the store counts as a copy that may stay.
-func (s *store) lasting() bool { return s.live() && !s.Retiring }
+// permanent reports whether a copy on the store may stay: the store is live and not retiring.
+func (s *store) permanent() bool { return s.live() && !s.Retiring }
 
-// eligible reports whether the store may be given something new.
-func (s *store) eligible() bool { return s.lasting() && !s.Leaving }
+// eligible reports whether the store may be assigned new copies or primaries.
+func (s *store) eligible() bool { return s.permanent() && !s.Leaving }
 
-// lost reports whether the disk is known to be lost: the node is live with another one, or the operator has given it up.
+// lost reports whether the disk is known to be lost: the node is live with another disk, or the operator has abandoned it.
 func (s *store) lost() bool { return s.superseded || s.abandoned() }
 
-// abandoned reports whether the operator has given up the disk of a store that is gone.
+// abandoned reports whether the operator has given up the disk of an unavailable store.
 func (s *store) abandoned() bool { return s.Abandoned && !s.live() }
 
-// mayReturn reports whether a store that is gone is worth waiting for as a learner.
+// mayReturn reports whether an unavailable store is worth keeping as a learner.
 func (s *store) mayReturn() bool { return s.known && !s.Retiring && !s.lost() }
 
-// view is a View by indices of stores.
+// view is a View with indices of stores instead of names.
 type view struct {
 	primary           int
 	members, learners []int
@@ -47,7 +47,7 @@
 	changed           bool
 }
 
-// state is a plan in the making.
+// state is the working state of a plan.
 type state struct {
 	in     Input
 	limit  int
@@ -56,39 +56,39 @@
 	views  []view
 	// offered holds the offered learners of each partition.
 	offered [][]int
-	// load counts the copies of each store as they will be once the moves under way are done, primaries the partitions it
-	// is primary of.
+	// load is the number of copies of each store after completion of the moves in progress; primaries is the number of
+	// partitions that each store is primary of.
 	load, primaries []int
-	// replaced holds for each partition with a move under way the member that is expected to go.
-	replaced []int
-	// apart holds the pairs of live stores that cannot reach each other, both ways round; cutFrom counts them by store.
-	apart   map[[2]int]bool
-	cutFrom []int
-	// moving counts the partitions that are being moved though no copy is missing.
+	// outgoing holds, for each partition with a move in progress, the store that is expected to lose its copy.
+	outgoing []int
+	// unreachable holds the pairs of live stores that cannot reach each other, in both orders; unreachableCount counts them per store.
+	unreachable      map[[2]int]bool
+	unreachableCount []int
+	// moving is the number of partitions that are being moved for balance or retirement.
 	moving int
 }
 
 func newState(in Input) *state {
 	in.Copies = max(in.Copies, 1)
-	s := &state{in: in, limit: in.Limit, index: map[string]int{}}
+	s := &state{in: in, limit: in.MoveLimit, index: map[string]int{}}
 	if s.limit <= 0 {
-		s.limit = DefaultLimit
+		s.limit = DefaultMoveLimit
 	}
 	s.addStores()
 	s.addViews()
 	s.addBlocked()
 	s.load = make([]int, len(s.stores))
 	s.primaries = make([]int, len(s.stores))
-	s.replaced = make([]int, len(s.views))
+	s.outgoing = make([]int, len(s.views))
 	for p := range s.views {
-		s.replaced[p] = none
-		s.count(p, 1)
+		s.outgoing[p] = none
+		s.adjustLoad(p, 1)
 		if s.isMoving(p) {
 			s.moving++
 		}
 	}
 	for p := range s.views {
-		s.expect(p)
+		s.expectRemoval(p)
 	}
 	return s
 }
@@ -99,7 +99,7 @@
 	live := map[string]bool{}
 	for _, st := range sorted {
 		s.add(st, true)
-		if st.GoneFor == 0 && !st.Stalled {
+		if st.DownFor == 0 && !st.Stalled {
 			live[NodeName(st.Member)] = true
 		}
 	}
@@ -144,8 +144,8 @@
 	return out
 }
 
-// count adds the partition's copies and its primary to the loads, n times.
-func (s *state) count(p, n int) {
+// adjustLoad adds the copies and the primary of a partition to the load counters, weighted by n.
+func (s *state) adjustLoad(p, n int) {
 	v := &s.views[p]
 	for _, i := range v.members {
 		s.load[i] += n
@@ -160,34 +160,34 @@
 	}
 }
 
-// isMoving reports whether the partition lacks no copy and yet has a learner: a move for balance or retirement.
+// isMoving reports whether the partition has enough copies and yet a live learner: a move for balance or retirement.
 func (s *state) isMoving(p int) bool {
 	v := &s.views[p]
 	return s.liveCount(v.members) >= s.in.Copies && s.liveCount(v.learners) > 0
 }
 
-// expect takes the member off the loads that will go when the move under way is done.
-func (s *state) expect(p int) {
+// expectRemoval subtracts from the load the copy that will be removed when the move in progress completes.
+func (s *state) expectRemoval(p int) {
 	if !s.isMoving(p) {
 		return
 	}
 	v := &s.views[p]
 	all := append(s.filter(v.members, (*store).live), s.filter(v.learners, (*store).live)...)
 	if i := s.leastUseful(p, all); i != none {
-		s.replaced[p] = i
+		s.outgoing[p] = i
 		s.load[i]--
 	}
 }
 
-// unexpect undoes expect.
-func (s *state) unexpect(p int) {
-	if i := s.replaced[p]; i != none {
+// cancelExpectedRemoval reverts expectRemoval.
+func (s *state) cancelExpectedRemoval(p int) {
+	if i := s.outgoing[p]; i != none {
 		s.load[i]++
-		s.replaced[p] = none
+		s.outgoing[p] = none
 	}
 }
 
-// changes returns the views that differ, ordered by partition.
+// changes returns the views that the plan has changed, ordered by partition.
 func (s *state) changes() []Change {
 	var out []Change
 	for p := range s.views {
@@ -225,10 +225,10 @@
 	return n
 }
 
-func (s *state) lastingCount(list []int) int {
+func (s *state) permanentCount(list []int) int {
 	n := 0
 	for _, i := range list {
-		if s.stores[i].lasting() {
+		if s.stores[i].permanent() {
 			n++
 		}
 	}
@@ -245,26 +245,27 @@
 	return out
 }
 
-// order is a fixed order of the stores that differs from partition to partition, so that ties do not fall on the same store.
-func (s *state) order(p, i int) uint64 {
+// tieBreaker returns the sort key of a fixed order of the stores that differs between partitions, so that ties do not always favor the same
+// store.
+func (s *state) tieBreaker(p, i int) uint64 {
 	x := s.stores[i].hash ^ (uint64(p)+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// settled reports whether no store has gone lately that may return.
-func (s *state) settled() bool {
+// noRecentLoss reports whether no store that may return has become unavailable within RebalanceDelay.
+func (s *state) noRecentLoss() bool {
 	for i := range s.stores {
 		st := &s.stores[i]
-		if st.known && !st.live() && st.mayReturn() && st.GoneFor < SettleTime {
+		if st.known && !st.live() && st.mayReturn() && st.DownFor < RebalanceDelay {
 			return false
 		}
 	}
 	return true
 }
 
-// NodeName returns the NodeName of a member.
+// NodeName returns the NodeName part of a member, which is NodeName/DiskID.
 func NodeName(member string) string {
 	if i := strings.LastIndexByte(member, '/'); i >= 0 {
 		return member[:i]
--- a/reconcile/comparison.go
+++ b/reconcile/comparison.go
@@ -1,15 +1,15 @@
 package reconcile
 
-// Source is one side's set of items. Tree and every storage with digests are sources.
+// Source is the set of items of one side. It is implemented by Tree and by any storage that maintains digests.
 type Source interface {
 	Digest(Range) Digest
 	Items(Range) []Item
 }
 
-// Limits bound the questions of a Comparison. Zero fields take their defaults.
+// Limits bounds the requests of a Comparison. Zero fields take their defaults.
 type Limits struct {
-	Items  int // a range where both sides together hold no more than this is asked for its items; default 64
-	Ranges int // ranges in one question for digests; default 256
+	Items  int // the items of a range are requested if both sides together have no more than this number; default 64
+	Ranges int // maximum number of ranges in one request for digests; default 256
 }
 
 const (
@@ -17,75 +17,75 @@
 	defaultRanges = 256
 )
 
-// Question is what to ask the other side next: the digests of some ranges and the items of others.
-type Question struct {
+// Request is the next request to the other side: the digests of some ranges and the items of others.
+type Request struct {
 	Digests []Range
 	Items   []Range
 }
 
-// Empty tells whether there is nothing to ask.
-func (q Question) Empty() bool { return len(q.Digests) == 0 && len(q.Items) == 0 }
+// Empty reports whether there is nothing to request.
+func (r Request) Empty() bool { return len(r.Digests) == 0 && len(r.Items) == 0 }
 
-// Difference lists what makes the other side's set unlike the own one.
+// Difference lists the differences between the local set and that of the other side.
 type Difference struct {
-	Changed []Item // own items that the other side lacks or holds in another version
-	Extra   []Item // items of the other side whose keys are unknown here
+	Changed []Item // local items that the other side lacks or has in another version
+	Extra   []Item // items of the other side whose keys the local set lacks
 }
 
-// Comparison compares the own set with that of another side, for the one who asks. It begins with the range of all keys.
+// Comparison compares the local set with that of another side, on the requesting side. It starts with the range of all keys.
 //
-// The owner takes questions with Next, as many at a time as it likes, sends them, and hands in each answer with Digests and Items.
-// Both sets may change meanwhile: the result then holds for the state at the time of each answer.
+// The caller takes requests with Next, as many at a time as it wants, sends them, and passes each response to HandleDigest or
+// HandleItems. Both sets may change meanwhile: the result then reflects the state at the time of each response.
 type Comparison struct {
-	own     Source
-	limits  Limits
-	digests []Range // to ask
-	items   []Range // to ask
-	asked   map[Range]bool
-	found   Difference
+	local      Source
+	limits     Limits
+	digests    []Range // to request
+	items      []Range // to request
+	pending    map[Range]bool
+	difference Difference
 }
 
-// NewComparison begins a comparison.
-func NewComparison(own Source, limits Limits) *Comparison {
+// NewComparison returns a comparison of local with the set of another side.
+func NewComparison(local Source, limits Limits) *Comparison {
 	if limits.Items <= 0 {
 		limits.Items = defaultItems
 	}
 	if limits.Ranges <= 0 {
 		limits.Ranges = defaultRanges
 	}
-	return &Comparison{own: own, limits: limits, digests: []Range{All()}, asked: make(map[Range]bool)}
+	return &Comparison{local: local, limits: limits, digests: []Range{All()}, pending: make(map[Range]bool)}
 }
 
-// Next returns the next question, which is empty when there is none before more answers come.
-func (c *Comparison) Next() Question {
-	var q Question
-	q.Digests, c.digests = take(c.digests, c.limits.Ranges)
-	q.Items, c.items = take(c.items, max(1, c.limits.Ranges/c.limits.Items))
-	for _, r := range q.Digests {
-		c.asked[r] = true
+// Next returns the next request. It is empty if there is nothing to request before further responses arrive.
+func (c *Comparison) Next() Request {
+	var request Request
+	request.Digests, c.digests = take(c.digests, c.limits.Ranges)
+	request.Items, c.items = take(c.items, max(1, c.limits.Ranges/c.limits.Items))
+	for _, r := range request.Digests {
+		c.pending[r] = true
 	}
-	for _, r := range q.Items {
-		c.asked[r] = true
+	for _, r := range request.Items {
+		c.pending[r] = true
 	}
-	return q
+	return request
 }
 
-func take(ranges []Range, most int) (taken, rest []Range) {
-	n := min(most, len(ranges))
+func take(ranges []Range, limit int) (taken, rest []Range) {
+	n := min(limit, len(ranges))
 	return ranges[:n:n], ranges[n:]
 }
 
-// Digests hands in the other side's digest of a range. Answers that were not asked for are ignored.
-func (c *Comparison) Digests(r Range, other Digest) {
+// HandleDigest processes the other side's digest of a range. It ignores responses that were not requested.
+func (c *Comparison) HandleDigest(r Range, other Digest) {
 	if !c.answered(r) {
 		return
 	}
-	own := c.own.Digest(r)
+	local := c.local.Digest(r)
 	switch {
-	case own == other:
+	case local == other:
 	case other.Count == 0:
-		c.found.Changed = append(c.found.Changed, c.own.Items(r)...)
-	case own.Count+other.Count <= uint64(c.limits.Items) || !r.CanSplit():
+		c.difference.Changed = append(c.difference.Changed, c.local.Items(r)...)
+	case local.Count+other.Count <= uint64(c.limits.Items) || !r.CanSplit():
 		c.items = append(c.items, r)
 	default:
 		parts := r.Split()
@@ -93,8 +93,8 @@
 	}
 }
 
-// Items hands in the other side's items of a range. Answers that were not asked for are ignored.
-func (c *Comparison) Items(r Range, other []Item) {
+// HandleItems processes the other side's items of a range. It ignores responses that were not requested.
+func (c *Comparison) HandleItems(r Range, other []Item) {
 	if !c.answered(r) {
 		return
 	}
@@ -102,34 +102,35 @@
 	for _, item := range other {
 		theirs[item.Key] = item.Version
 	}
-	for _, item := range c.own.Items(r) {
+	for _, item := range c.local.Items(r) {
 		version, held := theirs[item.Key]
 		if !held || version != item.Version {
-			c.found.Changed = append(c.found.Changed, item)
+			c.difference.Changed = append(c.difference.Changed, item)
 		}
 		delete(theirs, item.Key)
 	}
 	for _, item := range other {
 		if _, extra := theirs[item.Key]; extra {
-			c.found.Extra = append(c.found.Extra, item)
+			c.difference.Extra = append(c.difference.Extra, item)
 		}
 	}
 }
 
+// answered removes a range from the pending ones and reports whether it was pending.
 func (c *Comparison) answered(r Range) bool {
-	asked := c.asked[r]
-	delete(c.asked, r)
-	return asked
+	pending := c.pending[r]
+	delete(c.pending, r)
+	return pending
 }
 
-// Found returns what was found since the last call.
-func (c *Comparison) Found() Difference {
-	found := c.found
-	c.found = Difference{}
+// TakeDifference returns the differences found since the last call.
+func (c *Comparison) TakeDifference() Difference {
+	found := c.difference
+	c.difference = Difference{}
 	return found
 }
 
-// Done tells whether all questions were asked and answered. What Found returns then is the rest.
+// Done reports whether all requests were sent and answered. TakeDifference then returns the remaining differences.
 func (c *Comparison) Done() bool {
-	return len(c.digests) == 0 && len(c.items) == 0 && len(c.asked) == 0
+	return len(c.digests) == 0 && len(c.items) == 0 && len(c.pending) == 0
 }
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the plain way to hold a set: it counts anew for each digest.
-type plain map[string]uint64
+// mapSource is a reference implementation of Source that recomputes every digest.
+type mapSource map[string]uint64
 
-func (p plain) Digest(r Range) (sum Digest) {
+func (p mapSource) Digest(r Range) (sum Digest) {
 	for key, version := range p {
 		if r.Contains(Hash(key)) {
 			sum = sum.Plus(DigestOf(Item{key, version}))
@@ -22,7 +22,7 @@
 	return sum
 }
 
-func (p plain) Items(r Range) (items []Item) {
+func (p mapSource) Items(r Range) (items []Item) {
 	for key, version := range p {
 		if r.Contains(Hash(key)) {
 			items = append(items, Item{key, version})
@@ -49,9 +49,9 @@
 	return r
 }
 
-func TestTreeAgreesWithThePlainSet(t *testing.T) {
+func TestTreeMatchesMapSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tree, set := NewTree(), make(plain)
+		tree, set := NewTree(), make(mapSource)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for range rapid.IntRange(1, 5).Draw(t, "phases") {
 			keys := 1 + random.IntN(1500)
@@ -92,7 +92,7 @@
 	})
 }
 
-// checkNodes looks after the bounds of memory.
+// checkNodes checks the bounds on the size of nodes.
 func checkNodes(t *rapid.T, n *node[Item], depth int) {
 	if n.children == nil {
 		if len(n.elements) > leafElements || cap(n.elements) > 2*len(n.elements)+2 {
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestSplitCoversARangeOnce(t *testing.T) {
+func TestSplitPartsCoverARangeExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRange(t)
 		if !r.Valid() {
@@ -141,23 +141,24 @@
 	})
 }
 
-// exchange plays a comparison against the other side, and returns what it found and what it asked for.
-func exchange(c *Comparison, other Source, most int) (found Difference, digests, items int) {
+// exchange runs a comparison with the other side for at most limit+1 requests, and returns the difference and the numbers of requested digests and
+// items.
+func exchange(c *Comparison, other Source, limit int) (found Difference, digests, items int) {
 	for !c.Done() {
-		q := c.Next()
-		digests += len(q.Digests)
-		for _, r := range q.Digests {
-			c.Digests(r, other.Digest(r))
+		request := c.Next()
+		digests += len(request.Digests)
+		for _, r := range request.Digests {
+			c.HandleDigest(r, other.Digest(r))
 		}
-		for _, r := range q.Items {
+		for _, r := range request.Items {
 			answer := other.Items(r)
 			items += len(answer)
-			c.Items(r, answer)
+			c.HandleItems(r, answer)
 		}
-		part := c.Found()
+		part := c.TakeDifference()
 		found.Changed = append(found.Changed, part.Changed...)
 		found.Extra = append(found.Extra, part.Extra...)
-		if most--; most < 0 {
+		if limit--; limit < 0 {
 			break
 		}
 	}
@@ -167,40 +168,40 @@
 func TestComparisonFindsExactlyTheDifference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		own, other := NewTree(), make(plain)
-		want := make(map[Item]bool)  // own items the other needs
-		extra := make(map[Item]bool) // items the other has beyond
+		local, other := NewTree(), make(mapSource)
+		want := make(map[Item]bool)  // local items that the other side needs
+		extra := make(map[Item]bool) // items that only the other side has
 		differing := random.IntN(100)
 		for i := range random.IntN(1500) {
 			item := Item{fmt.Sprint("key", i), random.Uint64N(9)}
 			switch kind := random.IntN(300); {
 			case kind >= differing:
-				own.Add(item.Key, item.Version)
+				local.Add(item.Key, item.Version)
 				other[item.Key] = item.Version
 			case kind%3 == 0:
-				own.Add(item.Key, item.Version)
+				local.Add(item.Key, item.Version)
 				want[item] = true
 			case kind%3 == 1:
 				other[item.Key] = item.Version
 				extra[item] = true
 			default:
-				own.Add(item.Key, item.Version)
+				local.Add(item.Key, item.Version)
 				other[item.Key] = item.Version + 1 + random.Uint64N(3)
 				want[item] = true
 			}
 		}
 		limits := Limits{Items: rapid.IntRange(0, 200).Draw(t, "items"), Ranges: rapid.IntRange(0, 40).Draw(t, "ranges")}
-		c := NewComparison(own, limits)
+		c := NewComparison(local, limits)
 		found, _, _ := exchange(c, other, 100000)
 		for _, item := range found.Changed {
 			if !want[item] {
-				t.Fatalf("changed %v, which is equal or was found before", item)
+				t.Fatalf("changed %v, which is equal or was already found", item)
 			}
 			delete(want, item)
 		}
 		for _, item := range found.Extra {
 			if !extra[item] {
-				t.Fatalf("extra %v, which is known or was found before", item)
+				t.Fatalf("extra %v, which is known or was already found", item)
 			}
 			delete(extra, item)
 		}
@@ -210,48 +211,48 @@
 	})
 }
 
-func TestComparisonOfEqualSetsAsksOnce(t *testing.T) {
+func TestComparisonOfEqualSetsNeedsOneRequest(t *testing.T) {
 	is := is.New(t)
-	own, other := NewTree(), NewTree()
+	local, other := NewTree(), NewTree()
 	for i := range 100000 {
-		own.Add(fmt.Sprint(i), 1)
+		local.Add(fmt.Sprint(i), 1)
 		other.Add(fmt.Sprint(i), 1)
 	}
-	found, digests, items := exchange(NewComparison(own, Limits{}), other, 100)
+	found, digests, items := exchange(NewComparison(local, Limits{}), other, 100)
 	is.Equal(digests, 1)
 	is.Equal(items, 0)
 	is.Equal(len(found.Changed)+len(found.Extra), 0)
 
 	other.Add("5", 2)
-	found, digests, items = exchange(NewComparison(own, Limits{}), other, 100)
+	found, digests, items = exchange(NewComparison(local, Limits{}), other, 100)
 	is.Equal(found.Changed, []Item{{"5", 1}})
 	is.True(digests <= 1+4*Fanout)
 	is.True(items <= defaultItems)
 
-	found, digests, _ = exchange(NewComparison(own, Limits{}), NewTree(), 100)
+	found, digests, _ = exchange(NewComparison(local, Limits{}), NewTree(), 100)
 	is.Equal(digests, 1)
 	is.Equal(len(found.Changed), 100000)
 }
 
-func TestAnswersThatWereNotAskedForAreIgnored(t *testing.T) {
+func TestUnrequestedResponsesAreIgnored(t *testing.T) {
 	is := is.New(t)
-	own := NewTree()
-	own.Add("a", 1)
-	c := NewComparison(own, Limits{})
-	c.Digests(All(), Digest{})
-	c.Items(All(), nil)
-	is.Equal(len(c.Found().Changed), 0)
+	local := NewTree()
+	local.Add("a", 1)
+	c := NewComparison(local, Limits{})
+	c.HandleDigest(All(), Digest{})
+	c.HandleItems(All(), nil)
+	is.Equal(len(c.TakeDifference().Changed), 0)
 	is.True(!c.Done())
 	is.Equal(len(c.Next().Digests), 1)
 	is.True(!c.Done())
-	c.Digests(All(), Digest{})
-	is.Equal(len(c.Found().Changed), 1)
-	c.Digests(All(), Digest{})
-	is.Equal(len(c.Found().Changed), 0)
+	c.HandleDigest(All(), Digest{})
+	is.Equal(len(c.TakeDifference().Changed), 1)
+	c.HandleDigest(All(), Digest{})
+	is.Equal(len(c.TakeDifference().Changed), 0)
 	is.True(c.Done())
 }
 
-// collision is an element whose hash is given.
+// collision is an element with an arbitrary hash.
 type collision struct {
 	hash uint64
 	item Item
@@ -260,7 +261,7 @@
 func (c collision) Hash() uint64 { return c.hash }
 func (c collision) Item() Item   { return c.item }
 
-func TestManyKeysOfOneHash(t *testing.T) {
+func TestHashCollisions(t *testing.T) {
 	is := is.New(t)
 	var x Index[collision]
 	for i := range 500 {
--- a/replication/outbound.go
+++ b/replication/outbound.go
@@ -161,7 +161,7 @@
 	local := localRecords{storage: r.o.Storage, group: r.o.Group}
 	p.comparison = reconcile.NewComparison(local, reconcile.Limits{Items: itemsPerRange, Ranges: rangesPerQuery})
 	p.comparison.Next() // the first query is for the digest of all records, which came with the reply
-	p.comparison.Digests(reconcile.All(), m.Digest)
+	p.comparison.HandleDigest(reconcile.All(), m.Digest)
 	r.compare(p)
 }
 
@@ -190,7 +190,7 @@
 	if !p.comparison.Done() {
 		return
 	}
-	found := p.comparison.Found()
+	found := p.comparison.TakeDifference()
 	p.comparison = nil
 	if r.lead.sources[p.id] {
 		r.mergeSource(p, found)
@@ -218,10 +218,10 @@
 	}
 	p.queries--
 	for _, d := range m.Digests {
-		p.comparison.Digests(d.Range, d.Digest)
+		p.comparison.HandleDigest(d.Range, d.Digest)
 	}
 	for _, list := range m.Items {
-		p.comparison.Items(list.Range, list.Items)
+		p.comparison.HandleItems(list.Range, list.Items)
 	}
 	r.compare(p)
 }
