--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -207,8 +207,8 @@
 	a.loop.post(func() { a.take(packed) })
 }
 
-// PublishFresh tells that the list of workers was read again, unchanged.
-func (a *Agent) PublishFresh(fresh protocol.WorkersFresh) {
+// PublishWorkersFresh tells that the list of workers was read again, unchanged.
+func (a *Agent) PublishWorkersFresh(fresh protocol.WorkersFresh) {
 	a.loop.post(func() {
 		if a.takeFresh(fresh) && a.session.primary != "" && a.session.primary != a.Node().Address {
 			a.sendDigest(a.session.primary, true) // from there it reaches all with the answers to their heartbeats
@@ -220,12 +220,12 @@
 func (a *Agent) Digest() protocol.Digest {
 	d := protocol.Digest{Key: a.Node().Key, Address: a.Node().Address, Answer: true}
 	v := a.View()
-	d.Versions, d.Fresh = v.digest, v.Fresh
+	d.Versions, d.Fresh = v.digest, v.WorkersFresh
 	return d
 }
 
-// HearDigest takes the digest that came with a heartbeat.
-func (a *Agent) HearDigest(d protocol.Digest) {
+// HandleDigest takes the digest that came with a heartbeat.
+func (a *Agent) HandleDigest(d protocol.Digest) {
 	d.Answer = true
 	a.loop.post(func() { a.hear(&d) })
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -348,7 +348,7 @@
 	peer.Publish(configuration(3, "newer"))
 	await(peer, hasConfiguration("newer"))
 	late := start(t, Options{Settings: settings, GossipEvery: time.Hour})
-	late.AskForNews(peer.Node().Address)
+	late.RequestUpdates(peer.Node().Address)
 	await(late, hasConfiguration("newer"))
 }
 
@@ -361,7 +361,7 @@
 	knowing.Publish(configuration(3, "newer"))
 	await(knowing, hasConfiguration("newer"))
 	late := start(t, Options{Settings: settings, GossipEvery: time.Hour})
-	knowing.TellOfNews([]string{late.Node().Address})
+	knowing.NotifyPeers([]string{late.Node().Address})
 	await(late, hasConfiguration("newer"))
 }
 
@@ -410,17 +410,17 @@
 	is.True(before <= agents[1].Steady())
 
 	fresh := protocol.WorkersFresh{Version: version(9, 1), ReadAt: read.Add(time.Nanosecond).UnixNano()}
-	agents[0].PublishFresh(fresh)
-	agents[0].PublishFresh(protocol.WorkersFresh{Version: version(9, 1), ReadAt: 1}) // older
+	agents[0].PublishWorkersFresh(fresh)
+	agents[0].PublishWorkersFresh(protocol.WorkersFresh{Version: version(9, 1), ReadAt: 1}) // older
 	awaitFresh(agents[2], fresh)
-	is.Equal(agents[2].View().Fresh, fresh)
+	is.Equal(agents[2].View().WorkersFresh, fresh)
 }
 
 // awaitFresh returns once the agent has heard of a reading. Readings are not announced to subscribers, so it looks again and again.
 func awaitFresh(a *Agent, fresh protocol.WorkersFresh) {
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
-	for a.View().Fresh != fresh {
+	for a.View().WorkersFresh != fresh {
 		<-ticker.C
 	}
 }
@@ -432,12 +432,12 @@
 	now := a.ClusterTime().UnixNano()
 	workers := protocol.Workers{ReadAt: now - int64(time.Hour)}
 	fresh := protocol.WorkersFresh{Version: version(1, 1), ReadAt: now}
-	a.PublishFresh(fresh)
+	a.PublishWorkersFresh(fresh)
 	a.loop.ask(func() {})
 	is.Equal(a.View().WorkersReadAt, time.Duration(0))
 	a.Publish(protocol.Item{Kind: protocol.ItemWorkers, Version: version(1, 1), Body: workers.Append(nil)})
 	a.loop.ask(func() {})
-	is.Equal(a.View().Fresh, fresh)
+	is.Equal(a.View().WorkersFresh, fresh)
 	is.True(a.View().WorkersReadAt <= a.Steady())
 	is.True(a.Steady()-a.View().WorkersReadAt < time.Minute) // by the fresh reading, not the list's own hour
 }
--- a/internal/agent/items.go
+++ b/internal/agent/items.go
@@ -129,18 +129,18 @@
 		a.items.peersStale = true
 	case protocol.ItemWorkers:
 		a.takeFresh(protocol.WorkersFresh{Version: view.WorkersVersion, ReadAt: view.Workers.ReadAt})
-		a.readAt(a.View().Fresh)
+		a.readAt(a.View().WorkersFresh)
 	}
 }
 
 // takeFresh notes a reading of the list of workers, and says whether it is news.
 func (a *Agent) takeFresh(fresh protocol.WorkersFresh) bool {
-	known := a.View().Fresh
+	known := a.View().WorkersFresh
 	if fresh.Version.Less(known.Version) || fresh.Version == known.Version && fresh.ReadAt <= known.ReadAt {
 		return false
 	}
 	next := *a.View()
-	next.Fresh = fresh
+	next.WorkersFresh = fresh
 	a.view.Store(&next)
 	a.readAt(fresh)
 	return true
@@ -174,7 +174,7 @@
 		}
 	}
 	a.takeFresh(d.Fresh)
-	known := a.View().Fresh
+	known := a.View().WorkersFresh
 	older := d.Fresh.Version.Less(known.Version) || d.Fresh.Version == known.Version && d.Fresh.ReadAt < known.ReadAt
 	if !d.Answer && (len(push) > 0 || older) {
 		a.push(d.Address, push)
@@ -263,8 +263,8 @@
 	_ = a.datagrams.Send(peer, protocol.KindItems, body) // what is lost is mended by digests
 }
 
-// AskForNews asks a process, by its internal address, for what it knows that is newer than the own view. It does not wait.
-func (a *Agent) AskForNews(address string) {
+// RequestUpdates asks a process, by its internal address, for what it knows that is newer than the own view. It does not wait.
+func (a *Agent) RequestUpdates(address string) {
 	a.loop.post(func() {
 		if a.items.mayAsk(address, a.Steady()) {
 			a.sendDigest(address, false)
@@ -282,9 +282,9 @@
 	return true
 }
 
-// TellOfNews has processes, by their internal addresses, hear within pushEvery of what is known here, so that they fetch what they lack. It is for those
+// NotifyPeers has processes, by their internal addresses, hear within pushEvery of what is known here, so that they fetch what they lack. It is for those
 // that act by what has changed: a push goes to peers drawn at random, and misses each of the others now and then. It does not wait.
-func (a *Agent) TellOfNews(addresses []string) {
+func (a *Agent) NotifyPeers(addresses []string) {
 	a.loop.post(func() {
 		for _, address := range addresses {
 			a.items.concerned[address] = true
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -22,8 +22,8 @@
 
 	// WorkersReadAt is when the list of workers was last read, on the own steady clock; 0 if it is not known.
 	WorkersReadAt time.Duration
-	// Fresh is the last reading of the list that was heard of, which may be newer than Workers.
-	Fresh protocol.WorkersFresh
+	// WorkersFresh is the last reading of the list that was heard of, which may be newer than Workers.
+	WorkersFresh protocol.WorkersFresh
 
 	byKey, byMember map[string]int // places in Nodes
 	digest          []protocol.ItemDigest
--- a/internal/roles/control/handle.go
+++ b/internal/roles/control/handle.go
@@ -57,7 +57,7 @@
 
 // receiveHeartbeat answers a heartbeat: with the primary's address where this process is not it.
 func (d *daemon) receiveHeartbeat(h *protocol.Heartbeat, reply func([]byte, error)) {
-	d.agent.HearDigest(h.Digest)
+	d.agent.HandleDigest(h.Digest)
 	var r protocol.HeartbeatReply
 	if p := d.primary; p != nil {
 		r.Accepted = p.heartbeat(d.now(), h)
--- a/internal/roles/control/reader.go
+++ b/internal/roles/control/reader.go
@@ -115,7 +115,7 @@
 	a := r.daemon.agent
 	readAt := a.ClusterTime().Add(list.ReadAt - a.Steady()).UnixNano()
 	if !changed && r.published != (protocol.ItemVersion{}) {
-		a.PublishFresh(protocol.WorkersFresh{Version: r.published, ReadAt: readAt})
+		a.PublishWorkersFresh(protocol.WorkersFresh{Version: r.published, ReadAt: readAt})
 		return
 	}
 	workers := protocol.Workers{ReadAt: readAt, Workers: instances.Entries(&list)}
--- a/internal/roles/dispatcher/dispatcher.go
+++ b/internal/roles/dispatcher/dispatcher.go
@@ -41,7 +41,7 @@
 	Node() protocol.Node
 	View() *agent.View
 	Subscribe(f func(v *agent.View, changed []protocol.ItemKind))
-	AskForNews(address string)
+	RequestUpdates(address string)
 	Pool() *rpc.Pool
 	Steady() time.Duration
 	SessionAge() time.Duration
@@ -121,7 +121,7 @@
 		Dial: d.dial(),
 	})
 	d.links = stores.New(stores.Options{Node: node, Directory: d.directory, Connections: a.Pool(), Logger: logger, Run: d.deliver})
-	d.ingress = ingress.New(ingress.Options{Directory: d.directory, Connections: a.Pool(), AskForNews: a.AskForNews, Logger: logger})
+	d.ingress = ingress.New(ingress.Options{Directory: d.directory, Connections: a.Pool(), RequestUpdates: a.RequestUpdates, Logger: logger})
 	links.Store(d.links)
 	d.directory.Subscribe(d.follow)
 	if err := d.listen(); err != nil {
--- a/internal/roles/dispatcher/fake_test.go
+++ b/internal/roles/dispatcher/fake_test.go
@@ -54,7 +54,7 @@
 func (a *fakeAgent) Steady() time.Duration                    { return time.Duration(a.steady.Load()) }
 func (a *fakeAgent) SessionAge() time.Duration                { return time.Duration(a.sessionAge.Load()) }
 func (a *fakeAgent) Leave(_ context.Context, over bool) error { a.leaves <- over; return nil }
-func (a *fakeAgent) AskForNews(string)                        {}
+func (a *fakeAgent) RequestUpdates(string)                    {}
 func (a *fakeAgent) Reload(*nodeconfig.Settings)              {}
 func (a *fakeAgent) Close()                                   { a.pool.Close() }
 func (a *fakeAgent) publish(change func(v *agent.View)) {
--- a/internal/roles/dispatcher/ingress/ingress.go
+++ b/internal/roles/dispatcher/ingress/ingress.go
@@ -26,10 +26,10 @@
 
 // Options describe an Ingress.
 type Options struct {
-	Directory   *directory.Directory
-	Connections Connections
-	AskForNews  func(address string) // asks a store for what it knows that is newer than the directory; may be nil
-	Logger      *zap.Logger
+	Directory      *directory.Directory
+	Connections    Connections
+	RequestUpdates func(address string) // asks a store for what it knows that is newer than the directory; may be nil
+	Logger         *zap.Logger
 }
 
 // Ingress answers clients' requests. It is an http.Handler.
@@ -45,8 +45,8 @@
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
 	}
-	if o.AskForNews == nil {
-		o.AskForNews = func(string) {}
+	if o.RequestUpdates == nil {
+		o.RequestUpdates = func(string) {}
 	}
 	in := &Ingress{options: o, stores: newCaller(o.Connections)}
 	in.choice = newChoice(in.stores.health)
--- a/internal/roles/dispatcher/ingress/message.go
+++ b/internal/roles/dispatcher/ingress/message.go
@@ -224,7 +224,7 @@
 		return stored
 	case protocol.AcceptNotPrimary:
 		m.comeBack, m.moved = reply.RetryAfter, true
-		in.options.AskForNews(p.Address)
+		in.options.RequestUpdates(p.Address)
 		return notTaken
 	case protocol.AcceptFull:
 		m.comeBack = reply.RetryAfter
--- a/internal/roles/dispatcher/ingress/message_test.go
+++ b/internal/roles/dispatcher/ingress/message_test.go
@@ -216,7 +216,7 @@
 			r.configurePatient(1)
 			r.table(at{before, "a"}, at{before, "a"})
 			asked := make(chan string, 100)
-			r.ingress.options.AskForNews = func(address string) {
+			r.ingress.options.RequestUpdates = func(address string) {
 				asked <- address
 				if len(asked) == 1 {
 					r.table(at{after, "a"}, at{after, "a"})
@@ -238,7 +238,7 @@
 	r := newRig(t)
 	r.configure(1)
 	r.table(at{before, "a"})
-	r.ingress.options.AskForNews = func(string) { r.table(at{after, "a"}) }
+	r.ingress.options.RequestUpdates = func(string) { r.table(at{after, "a"}) }
 	is.Equal(r.do("GET", "/message/0000-q", nil).StatusCode, 200)
 	is.Equal(after.count(), 1)
 }
--- a/internal/roles/dispatcher/ingress/status.go
+++ b/internal/roles/dispatcher/ingress/status.go
@@ -82,7 +82,7 @@
 			return reply, true
 		}
 		if isNotPrimary(err) {
-			in.options.AskForNews(p.Address)
+			in.options.RequestUpdates(p.Address)
 		}
 		wait(ctx, pause, changed)
 	}
--- a/internal/roles/store/daemon_test.go
+++ b/internal/roles/store/daemon_test.go
@@ -359,7 +359,7 @@
 func handedOut(s *store) int {
 	out := 0
 	for _, service := range s.queue.Stats() {
-		out += service.Out
+		out += service.InFlight
 	}
 	return out
 }
@@ -538,7 +538,7 @@
 	first.await(func(s *store) bool { return s.configuration.Revision == 9 })
 	answered := make(chan error, 1)
 	first.on(func(s *store) {
-		s.queue.DispatcherGone(s.now(), sessionName(d.node.Key, d.node.Incarnation), true)
+		s.queue.DispatcherDisconnected(s.now(), sessionName(d.node.Key, d.node.Incarnation), true)
 		result := protocol.Result{ID: "m1", Attempt: m1.Attempt, Outcome: protocol.OutcomeNotRun}
 		s.receiveResult(result.Append(nil), func(_ []byte, err error) { answered <- err })
 	})
--- a/internal/roles/store/deliver.go
+++ b/internal/roles/store/deliver.go
@@ -56,7 +56,7 @@
 func (s *store) deliver(now time.Duration, d *queue.Delivery) {
 	p, to := s.partitions[d.Partition], s.sessions[d.Dispatcher]
 	if to == nil || to.conn == nil {
-		s.queue.DispatcherGone(now, d.Dispatcher, false)
+		s.queue.DispatcherDisconnected(now, d.Dispatcher, false)
 		return
 	}
 	kept, err := s.takeBody(p, d.ID)
--- a/internal/roles/store/partition.go
+++ b/internal/roles/store/partition.go
@@ -180,12 +180,12 @@
 func (p *partition) entry(id string, state *messageState, cluster int64) queue.Entry {
 	return queue.Entry{
 		Partition: p.number, ID: id, Key: state.Key, Host: state.Host, URI: state.URI, Sequence: state.Sequence,
-		Revision:    revisionOf(state.Configuration),
-		DueIn:       time.Duration(state.DueAt - cluster),
-		ExpiresIn:   time.Duration(state.ExpiresAt - cluster),
-		Attempts:    int(state.Attempts),
-		LastAttempt: uint32(p.epoch) << attemptBits,
-		Counted:     state.Counted,
+		Revision:          revisionOf(state.Configuration),
+		DueIn:             time.Duration(state.DueAt - cluster),
+		ExpiresIn:         time.Duration(state.ExpiresAt - cluster),
+		Attempts:          int(state.Attempts),
+		LastAttempt:       uint32(p.epoch) << attemptBits,
+		CountedDeliveries: state.Counted,
 	}
 }
 
--- a/internal/roles/store/result.go
+++ b/internal/roles/store/result.go
@@ -55,7 +55,7 @@
 	switch t.Action {
 	case queue.Ignore, queue.Unknown:
 		reply(nil, nil) // nothing to write: counted before, ended, or it goes out again
-	case queue.Ending:
+	case queue.AlreadyEnding:
 		s.joinEnding(p, m.ID, reply)
 	case queue.Record:
 		p.writeAttempts(t, m.Attempt, reply)
@@ -145,7 +145,7 @@
 		case err == nil:
 			delete(p.endings, id)
 			p.noteEnded(id, e.state.EndedAt)
-			s.queue.Settle(s.now(), p.number, id)
+			s.queue.ConfirmEnd(s.now(), p.number, id)
 		}
 		for _, reply := range e.answers {
 			replyWritten(reply, p.number, err)
--- a/internal/roles/store/session.go
+++ b/internal/roles/store/session.go
@@ -17,8 +17,8 @@
 	incarnation uint64
 	conn        *rpc.Conn // nil while it is not connected
 	table       protocol.ItemVersion
-	held        []queue.Holding // by the last Hello
-	listed      bool            // the node table has shown this incarnation
+	held        []queue.HeldDelivery // by the last Hello
+	listed      bool                 // the node table has shown this incarnation
 }
 
 func sessionName(key string, incarnation uint64) string {
@@ -42,10 +42,10 @@
 	one.table, one.held = m.Table, holdings(m.Held)
 	if one.conn == c {
 		for _, h := range one.held {
-			s.queue.Held(now, h.Partition, h.ID, h.Attempt, name)
+			s.queue.MarkHeld(now, h.Partition, h.ID, h.Attempt, name)
 		}
 		s.queue.Resume(name, m.Zone)
-		if s.queue.HasOut(name) {
+		if s.queue.HasInFlight(name) {
 			for _, p := range s.sorted() {
 				s.giveUpUnlisted(now, one, p)
 			}
@@ -62,7 +62,7 @@
 	now := s.now()
 	if old := one.conn; old != nil {
 		old.Close()
-		s.queue.DispatcherGone(now, one.name, false)
+		s.queue.DispatcherDisconnected(now, one.name, false)
 	}
 	one.conn = c
 	c.SetTag(one)
@@ -70,10 +70,10 @@
 	s.windowsStale = true
 }
 
-func holdings(held []protocol.HeldDelivery) []queue.Holding {
-	list := make([]queue.Holding, 0, len(held))
+func holdings(held []protocol.HeldDelivery) []queue.HeldDelivery {
+	list := make([]queue.HeldDelivery, 0, len(held))
 	for _, h := range held {
-		list = append(list, queue.Holding{Partition: h.Partition, ID: h.ID, Attempt: h.Attempt})
+		list = append(list, queue.HeldDelivery{Partition: h.Partition, ID: h.ID, Attempt: h.Attempt})
 	}
 	return list
 }
@@ -81,7 +81,7 @@
 // giveUpUnlisted compares what a dispatcher said by the present epoch of a partition with what was handed out to it.
 func (s *store) giveUpUnlisted(now time.Duration, one *session, p *partition) {
 	if p.leading && p.view.Primary == s.member && !one.table.Less(p.table) {
-		s.queue.GiveUpUnlisted(now, one.name, p.number, p.view.Epoch, one.held)
+		s.queue.RequeueUnlisted(now, one.name, p.number, p.view.Epoch, one.held)
 	}
 }
 
@@ -113,7 +113,7 @@
 		return
 	}
 	one.conn = nil
-	s.queue.DispatcherGone(s.now(), one.name, s.replaced(one, s.view))
+	s.queue.DispatcherDisconnected(s.now(), one.name, s.replaced(one, s.view))
 }
 
 // replaced reports whether the process of a session is known to have ended: the node table shows a later process of the same node.
@@ -132,7 +132,7 @@
 		}
 		ended := s.replaced(one, view)
 		if ended {
-			s.queue.DispatcherGone(now, name, true)
+			s.queue.DispatcherDisconnected(now, name, true)
 		}
 		if one.conn == nil && (ended || !found) {
 			delete(s.sessions, name)
@@ -156,7 +156,7 @@
 	for _, one := range s.sessions {
 		for _, h := range one.held {
 			if h.Partition == partition {
-				s.queue.Held(now, h.Partition, h.ID, h.Attempt, one.name)
+				s.queue.MarkHeld(now, h.Partition, h.ID, h.Attempt, one.name)
 			}
 		}
 	}
--- a/internal/roles/store/table.go
+++ b/internal/roles/store/table.go
@@ -62,7 +62,7 @@
 		}
 	}
 	if len(addresses) > 0 {
-		s.agent.TellOfNews(addresses)
+		s.agent.NotifyPeers(addresses)
 	}
 }
 
--- a/internal/roles/store/windows.go
+++ b/internal/roles/store/windows.go
@@ -105,7 +105,7 @@
 	}
 	return queue.Route{
 		Name: route.Name, Service: route.Service, Fifo: route.Fifo, MaxAttempts: route.MaxAttempts, Retention: route.Retention,
-		Timeout: route.Timeout, Aim: route.TargetStart, Priority: route.Priority,
+		Timeout: route.Timeout, TargetStart: route.TargetStart, Priority: route.Priority,
 	}, true
 }
 
--- a/queue/advance.go
+++ b/queue/advance.go
@@ -55,11 +55,11 @@
 
 // ServiceStats counts the messages of one service.
 type ServiceStats struct {
-	Service string
-	Ready   int // wait for a window only
-	Late    int // of the ready ones, known to be past their wanted start
-	Out     int // at dispatchers
-	Limit   int // what may be out at once now
+	Service  string
+	Ready    int // wait for a window only
+	Late     int // of the ready ones, known to be past their wanted start
+	InFlight int // at dispatchers
+	Limit    int // what may be out at once now
 }
 
 // Stats returns the figures of the services that have something ready or out, by name.
@@ -68,7 +68,7 @@
 	for _, name := range sortedKeys(q.services) {
 		s := q.services[name]
 		if ready := s.ready(); ready > 0 || s.out > 0 {
-			stats = append(stats, ServiceStats{Service: name, Ready: ready, Late: s.late.len(), Out: s.out, Limit: s.allowed()})
+			stats = append(stats, ServiceStats{Service: name, Ready: ready, Late: s.late.len(), InFlight: s.out, Limit: s.allowed()})
 		}
 	}
 	return stats
--- a/queue/backlog_test.go
+++ b/queue/backlog_test.go
@@ -14,7 +14,7 @@
 // backlog is a queue of messages that are due, spread over services; of those, dead ones have no owner and get nothing.
 func backlog(messages, services, dead int) *queue.Queue {
 	q := queue.New(queue.Options{Zone: "a", Match: func(host, _ string) (queue.Route, bool) {
-		return queue.Route{Name: host, Service: host, MaxAttempts: 3, Timeout: time.Second, Aim: time.Second}, true
+		return queue.Route{Name: host, Service: host, MaxAttempts: 3, Timeout: time.Second, TargetStart: time.Second}, true
 	}})
 	q.SetOpen(0, 1, true)
 	q.Resume(worker, "a")
@@ -58,7 +58,7 @@
 			b.Fatalf("nothing to hand out after %d", n)
 		}
 		q.Outcome(0, d.Partition, d.ID, d.Attempt, queue.Succeeded, 0)
-		q.Settle(0, d.Partition, d.ID)
+		q.ConfirmEnd(0, d.Partition, d.ID)
 		if n++; n%300_000 == 0 {
 			b.StopTimer()
 			q = backlog(400_000, 1000, 11)
@@ -89,7 +89,7 @@
 					b.Fatalf("nothing to hand out after %d", n)
 				}
 				q.Outcome(0, d.Partition, d.ID, d.Attempt, queue.Succeeded, 0)
-				q.Settle(0, d.Partition, d.ID)
+				q.ConfirmEnd(0, d.Partition, d.ID)
 				if n%90_000 == 0 {
 					b.StopTimer()
 					fill()
--- a/queue/dispatcher.go
+++ b/queue/dispatcher.go
@@ -38,20 +38,20 @@
 
 // Hello opens a dispatcher on a new connection. Holding lists all hand-outs that it has and whose outcome has not been acknowledged to it:
 // what was handed out to it before and is not listed never arrived, and goes out again at once.
-func (q *Queue) Hello(now time.Duration, name, zone string, holding []Holding) {
+func (q *Queue) Hello(now time.Duration, name, zone string, holding []HeldDelivery) {
 	d := q.dispatcher(name)
-	listed := make(map[Holding]bool, len(holding))
+	listed := make(map[HeldDelivery]bool, len(holding))
 	for _, h := range holding {
 		listed[h] = true
 	}
 	for _, h := range d.sortedHandOuts() {
-		if !listed[Holding{h.message.partition.number, h.message.id, h.attempt}] {
+		if !listed[HeldDelivery{h.message.partition.number, h.message.id, h.attempt}] {
 			h.message.forget(h)
 			q.giveUp(now, h)
 		}
 	}
 	for _, h := range holding {
-		q.Held(now, h.Partition, h.ID, h.Attempt, name)
+		q.MarkHeld(now, h.Partition, h.ID, h.Attempt, name)
 	}
 	q.Resume(name, zone)
 }
@@ -83,9 +83,9 @@
 	}
 }
 
-// Held says that a hand-out is at a dispatcher, whoever handed it out. A message that is not known is ignored, and so is a hand-out whose
+// MarkHeld says that a hand-out is at a dispatcher, whoever handed it out. A message that is not known is ignored, and so is a hand-out whose
 // outcome was counted meanwhile: nobody would ever report it again.
-func (q *Queue) Held(now time.Duration, partition uint32, id string, attempt uint32, name string) {
+func (q *Queue) MarkHeld(now time.Duration, partition uint32, id string, attempt uint32, name string) {
 	m := q.find(partition, id)
 	if m == nil || m.ending || slices.Contains(m.concluded, attempt) {
 		return
@@ -105,31 +105,31 @@
 	}
 }
 
-// HasOut tells whether anything is out at a dispatcher.
-func (q *Queue) HasOut(name string) bool {
+// HasInFlight tells whether anything is out at a dispatcher.
+func (q *Queue) HasInFlight(name string) bool {
 	d := q.dispatchers[name]
 	return d != nil && len(d.handOuts) > 0
 }
 
-// GiveUpUnlisted gives out again what a dispatcher has not got, by a list of what it holds of a partition that it knows to be in an epoch:
+// RequeueUnlisted gives out again what a dispatcher has not got, by a list of what it holds of a partition that it knows to be in an epoch:
 // it drops what arrives later with a lower epoch. A hand-out of another store that it once held and does not list has ended there.
-func (q *Queue) GiveUpUnlisted(now time.Duration, name string, partition uint32, epoch uint64, holding []Holding) {
+func (q *Queue) RequeueUnlisted(now time.Duration, name string, partition uint32, epoch uint64, holding []HeldDelivery) {
 	d := q.dispatchers[name]
 	if d == nil {
 		return
 	}
 	for _, h := range d.sortedHandOuts() {
 		m := h.message
-		if m.partition.number == partition && h.epoch < epoch && !slices.Contains(holding, Holding{partition, m.id, h.attempt}) {
+		if m.partition.number == partition && h.epoch < epoch && !slices.Contains(holding, HeldDelivery{partition, m.id, h.attempt}) {
 			m.forget(h)
 			q.giveUp(now, h)
 		}
 	}
 }
 
-// DispatcherGone says that the connection to a dispatcher is lost. If its process is known to have ended, all that it had goes out again at
+// DispatcherDisconnected says that the connection to a dispatcher is lost. If its process is known to have ended, all that it had goes out again at
 // once; otherwise each hand-out does so when the route's time-out and a slack have passed since it was handed out.
-func (q *Queue) DispatcherGone(now time.Duration, name string, certain bool) {
+func (q *Queue) DispatcherDisconnected(now time.Duration, name string, certain bool) {
 	d := q.dispatchers[name]
 	if d == nil {
 		return
--- a/queue/model_test.go
+++ b/queue/model_test.go
@@ -136,7 +136,7 @@
 	for _, message := range m.accepted {
 		if _, ended := m.ended[message.id]; ended && !m.settled[message.id] {
 			m.settled[message.id] = true
-			m.f.Settle(m.f.now, 1, message.id)
+			m.f.ConfirmEnd(m.f.now, 1, message.id)
 			return
 		}
 	}
@@ -166,7 +166,7 @@
 			}
 		}
 	}
-	m.f.DispatcherGone(m.f.now, d, certain)
+	m.f.DispatcherDisconnected(m.f.now, d, certain)
 }
 
 // connect opens a new connection; some of what was sent on the old one never arrived.
@@ -176,14 +176,14 @@
 			continue
 		}
 		m.up[d] = true
-		var holding []queue.Holding
+		var holding []queue.HeldDelivery
 		for _, message := range m.accepted {
 			for attempt := range uint32(100) {
 				if m.out[message.id][attempt] != d {
 					continue
 				}
 				if rapid.Bool().Draw(m.t, "arrived") {
-					holding = append(holding, queue.Holding{Partition: 1, ID: message.id, Attempt: attempt})
+					holding = append(holding, queue.HeldDelivery{Partition: 1, ID: message.id, Attempt: attempt})
 				} else {
 					delete(m.out[message.id], attempt)
 				}
--- a/queue/outcome.go
+++ b/queue/outcome.go
@@ -21,7 +21,7 @@
 		return Transition{Action: Unknown, Partition: partition, ID: id}
 	}
 	if m.ending {
-		return Transition{Action: Ending, Partition: partition, ID: id, State: m.state, Attempts: m.attempts}
+		return Transition{Action: AlreadyEnding, Partition: partition, ID: id, State: m.state, Attempts: m.attempts}
 	}
 	h := m.handOut(attempt)
 	q.judgeService(now, m, h, o)
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -84,7 +84,7 @@
 	m := &message{
 		partition: p, id: e.ID, key: e.Key, host: e.Host, uri: e.URI, sequence: e.Sequence, revision: e.Revision,
 		due: now + e.DueIn, expires: now + e.ExpiresIn, readyAt: now + e.DueIn, attempts: e.Attempts, lastAttempt: e.LastAttempt,
-		concluded: slices.Clone(e.Counted),
+		concluded: slices.Clone(e.CountedDeliveries),
 		heapIndex: notInHeap, expiryIndex: notInHeap,
 	}
 	p.messages[e.ID] = m
@@ -138,8 +138,8 @@
 	delete(q.partitions, partition)
 }
 
-// Settle says that the end of a message is on disk everywhere: the message is forgotten and the next one of its key may go.
-func (q *Queue) Settle(now time.Duration, partition uint32, id string) {
+// ConfirmEnd says that the end of a message is on disk everywhere: the message is forgotten and the next one of its key may go.
+func (q *Queue) ConfirmEnd(now time.Duration, partition uint32, id string) {
 	m := q.find(partition, id)
 	if m == nil || !m.ending {
 		return
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -25,8 +25,8 @@
 
 func newFixture() *fixture {
 	f := &fixture{routes: map[string]queue.Route{
-		"plain": {Name: "plain", Service: "service", MaxAttempts: 3, Timeout: 500 * ms, Aim: 400 * ms, Priority: 1},
-		"fifo":  {Name: "fifo", Service: "service", Fifo: true, MaxAttempts: 2, Timeout: 500 * ms, Aim: 400 * ms, Priority: 0},
+		"plain": {Name: "plain", Service: "service", MaxAttempts: 3, Timeout: 500 * ms, TargetStart: 400 * ms, Priority: 1},
+		"fifo":  {Name: "fifo", Service: "service", Fifo: true, MaxAttempts: 2, Timeout: 500 * ms, TargetStart: 400 * ms, Priority: 0},
 	}}
 	f.Queue = queue.New(queue.Options{Zone: "a", Match: func(host, uri string) (queue.Route, bool) {
 		route, ok := f.routes[host]
@@ -86,7 +86,7 @@
 	is.Equal(f.take(), []string{"m1", "m3"})
 	is.Equal(f.outcome("m1", 1, queue.Succeeded).State, queue.Done)
 	is.Equal(f.take(), []string{}) // the end is not on disk yet
-	f.Settle(f.now, 1, "m1")
+	f.ConfirmEnd(f.now, 1, "m1")
 	is.Equal(f.take(), []string{"m2"})
 	is.Equal(f.outcome("m1", 1, queue.Succeeded).Action, queue.Unknown)
 }
@@ -106,10 +106,10 @@
 	is.Equal(f.take(), []string{"m1"})
 	end := f.outcome("m1", 2, queue.Failed)
 	is.Equal(end, queue.Transition{Action: queue.End, Partition: 1, ID: "m1", State: queue.DeadLetter, Attempts: 2})
-	f.Settle(f.now, 1, "m1")
+	f.ConfirmEnd(f.now, 1, "m1")
 	is.Equal(f.take(), []string{"m2"})
 	is.Equal(f.outcome("m2", 1, queue.Refused).State, queue.DeadLetter)
-	f.Settle(f.now, 1, "m2")
+	f.ConfirmEnd(f.now, 1, "m2")
 	is.Equal(f.take(), []string{"m3"})
 }
 
@@ -175,8 +175,8 @@
 	is.Equal(f.Advance(f.now), []queue.Transition{{Action: queue.End, Partition: 1, ID: "m2", State: queue.DeadLetter}})
 	is.Equal(len(f.Advance(f.now)), 0)
 	is.Equal(f.outcome("m1", 1, queue.Unclear).State, queue.DeadLetter)
-	f.Settle(f.now, 1, "m1")
-	f.Settle(f.now, 1, "m2")
+	f.ConfirmEnd(f.now, 1, "m1")
+	f.ConfirmEnd(f.now, 1, "m2")
 	is.Equal(f.Total(), 0)
 }
 
@@ -185,14 +185,14 @@
 	f := newFixture()
 	f.add("plain", "", 1, 0)
 	is.Equal(f.take(), []string{"m1"})
-	f.DispatcherGone(f.now, worker, false)
+	f.DispatcherDisconnected(f.now, worker, false)
 	f.Resume("edge-2/dispatcher", "b")
 	is.Equal(f.NextWake(), 800*ms) // time-out and slack
 	f.now = 800 * ms
 	f.Advance(f.now)
 	is.Equal(f.deliveries()[0].Attempt, uint32(2))
 	is.Equal(f.outcome("m1", 1, queue.Succeeded).State, queue.Done)
-	is.Equal(f.outcome("m1", 2, queue.Failed).Action, queue.Ending)
+	is.Equal(f.outcome("m1", 2, queue.Failed).Action, queue.AlreadyEnding)
 	is.Equal(f.take(), []string{})
 	is.Equal(len(f.Stats()), 0) // the windows are free
 }
@@ -202,7 +202,7 @@
 	f := newFixture()
 	f.add("plain", "", 1, 0)
 	f.take()
-	f.DispatcherGone(f.now, worker, false)
+	f.DispatcherDisconnected(f.now, worker, false)
 	f.Resume("edge-2/dispatcher", "b")
 	f.now = 800 * ms
 	f.Advance(f.now)
@@ -219,10 +219,10 @@
 	f := newFixture()
 	f.add("plain", "", 1, 0)
 	f.take()
-	f.DispatcherGone(f.now, worker, false)
+	f.DispatcherDisconnected(f.now, worker, false)
 	f.Resume("edge-2/dispatcher", "b")
 	is.Equal(f.take(), []string{})
-	f.DispatcherGone(f.now, worker, true)
+	f.DispatcherDisconnected(f.now, worker, true)
 	is.Equal(f.take(), []string{"m1"})
 }
 
@@ -232,8 +232,8 @@
 	f.add("plain", "", 1, 0)
 	f.add("plain", "", 2, 0)
 	is.Equal(f.take(), []string{"m1", "m2"})
-	f.DispatcherGone(f.now, worker, false)
-	f.Hello(f.now, worker, "a", []queue.Holding{{Partition: 1, ID: "m2", Attempt: 1}})
+	f.DispatcherDisconnected(f.now, worker, false)
+	f.Hello(f.now, worker, "a", []queue.HeldDelivery{{Partition: 1, ID: "m2", Attempt: 1}})
 	got := f.deliveries()
 	is.Equal(len(got), 1)
 	is.Equal(got[0].ID, "m1")
@@ -260,12 +260,12 @@
 	f.add("plain", "", 1, 0)
 	f.add("plain", "", 2, 0)
 	f.add("plain", "", 3, 0)
-	f.Held(f.now, 1, "m3", 9, worker) // handed out by another store
+	f.MarkHeld(f.now, 1, "m3", 9, worker) // handed out by another store
 	is.Equal(f.take(), []string{"m1", "m2"})
-	f.GiveUpUnlisted(f.now, worker, 1, 3, []queue.Holding{{Partition: 1, ID: "m3", Attempt: 9}})
+	f.RequeueUnlisted(f.now, worker, 1, 3, []queue.HeldDelivery{{Partition: 1, ID: "m3", Attempt: 9}})
 	is.Equal(f.take(), []string{}) // they may be on their way
 	f.SetEpoch(1, 4)
-	f.GiveUpUnlisted(f.now, worker, 1, 4, []queue.Holding{{Partition: 1, ID: "m2", Attempt: 1}})
+	f.RequeueUnlisted(f.now, worker, 1, 4, []queue.HeldDelivery{{Partition: 1, ID: "m2", Attempt: 1}})
 	got := f.deliveries()
 	is.Equal(len(got), 2)
 	is.Equal([]string{got[0].ID, got[1].ID}, []string{"m1", "m3"})
@@ -280,7 +280,7 @@
 	f.add("fifo", "k", 2, 0)
 	f.add("plain", "", 3, 0)
 	is.Equal(f.take(), []string{})
-	f.Hello(f.now, worker, "a", []queue.Holding{{Partition: 1, ID: "m1", Attempt: 4099}})
+	f.Hello(f.now, worker, "a", []queue.HeldDelivery{{Partition: 1, ID: "m1", Attempt: 4099}})
 	f.SetOpen(f.now, 1, true)
 	is.Equal(f.take(), []string{"m3"})
 	f.outcome("m1", 4099, queue.NotRun)
@@ -374,7 +374,7 @@
 		d, _ := f.Next(f.now)
 		f.outcome(d.ID, d.Attempt, queue.Failed)
 		is.Equal(len(f.take()), 8)
-		f.DispatcherGone(f.now, worker, true)
+		f.DispatcherDisconnected(f.now, worker, true)
 		f.Resume(worker, "a")
 		handOuts := 0
 		for until := f.now + 2*time.Second; f.now < until; f.now = f.NextWake() {
@@ -441,7 +441,7 @@
 		d := f.deliveries()[0]
 		keys = append(keys, d.Key)
 		t := f.outcome(d.ID, d.Attempt, queue.Succeeded)
-		f.Settle(f.now, t.Partition, t.ID)
+		f.ConfirmEnd(f.now, t.Partition, t.ID)
 	}
 	// The first of "long" has three behind it, so it counts as due at 1.5 s.
 	is.Equal(keys, []string{"short", "long", "long", "long", "long", "later"})
@@ -506,8 +506,8 @@
 		f.add("fifo", "k", 1, 0)
 		one := f.deliveries()[0]
 		f.outcome("m1", one.Attempt, outcome)
-		f.Held(f.now, 1, "m1", one.Attempt, worker)
-		f.Hello(f.now, worker, "a", []queue.Holding{{Partition: 1, ID: "m1", Attempt: one.Attempt}})
+		f.MarkHeld(f.now, 1, "m1", one.Attempt, worker)
+		f.Hello(f.now, worker, "a", []queue.HeldDelivery{{Partition: 1, ID: "m1", Attempt: one.Attempt}})
 		is.Equal(f.takeWhenReady(), []string{"m1"}) // it goes out again: nobody has it
 	}
 }
@@ -519,7 +519,7 @@
 	f.Add(f.now, queue.Entry{Partition: 1, ID: "m1", Host: "plain", Sequence: 1, ExpiresIn: minute, LastAttempt: 2 << 12})
 	const earlier = 1<<12 + 1
 	f.outcome("m1", earlier, queue.NotRun)
-	f.Held(f.now, 1, "m1", earlier, worker)
+	f.MarkHeld(f.now, 1, "m1", earlier, worker)
 	f.SetOpen(f.now, 1, true)
 	is.Equal(f.takeWhenReady(), []string{"m1"})
 }
--- a/queue/schedule.go
+++ b/queue/schedule.go
@@ -18,7 +18,7 @@
 		}
 		return
 	}
-	m.route, m.lateAt = route, m.due+route.Aim
+	m.route, m.lateAt = route, m.due+route.TargetStart
 	q.enterLane(now, m)
 	q.unschedule(m)
 	m.service = q.service(route.Service)
--- a/queue/types.go
+++ b/queue/types.go
@@ -10,24 +10,24 @@
 	MaxAttempts int           // failed attempts that end a message; 0 counts as 1
 	Retention   time.Duration // how long a message is kept at most; used by the owner when it makes an Entry
 	Timeout     time.Duration // bound of a single delivery
-	Aim         time.Duration // wanted start of a run after the message is due
+	TargetStart time.Duration // wanted start of a run after the message is due
 	Priority    int           // 0 is the highest
 }
 
 // Entry describes a message that is given to the queue.
 type Entry struct {
-	Partition   uint32
-	ID          string
-	Key         string // ordering key, empty for none
-	Host        string
-	URI         string
-	Sequence    uint64   // order of acceptance within the partition
-	Revision    Revision // revision of the configuration by which the message was accepted
-	DueIn       time.Duration
-	ExpiresIn   time.Duration
-	Attempts    int      // failed attempts so far
-	LastAttempt uint32   // hand-outs are numbered from the next one on
-	Counted     []uint32 // hand-outs whose outcome was counted before, and is not to be counted again
+	Partition         uint32
+	ID                string
+	Key               string // ordering key, empty for none
+	Host              string
+	URI               string
+	Sequence          uint64   // order of acceptance within the partition
+	Revision          Revision // revision of the configuration by which the message was accepted
+	DueIn             time.Duration
+	ExpiresIn         time.Duration
+	Attempts          int      // failed attempts so far
+	LastAttempt       uint32   // hand-outs are numbered from the next one on
+	CountedDeliveries []uint32 // hand-outs whose outcome was counted before, and is not to be counted again
 }
 
 // Delivery is a hand-out of one message to one dispatcher.
@@ -85,8 +85,8 @@
 	Record
 	// End: the message has ended. The owner writes its state, deletes its body and then calls Settle.
 	End
-	// Ending: the message has ended before, and its end is being written.
-	Ending
+	// AlreadyEnding: the message has ended before, and its end is being written.
+	AlreadyEnding
 )
 
 // Transition is a change of a message that the owner makes durable.
@@ -106,8 +106,8 @@
 	Owners []string
 }
 
-// Holding names a hand-out that a dispatcher says it has.
-type Holding struct {
+// HeldDelivery names a hand-out that a dispatcher says it has.
+type HeldDelivery struct {
 	Partition uint32
 	ID        string
 	Attempt   uint32
--- a/workerlist/reader.go
+++ b/workerlist/reader.go
@@ -38,8 +38,8 @@
 	// Number tells requests apart.
 	Number    uint64
 	PageToken string
-	// AskedAt is when the request was given out.
-	AskedAt time.Duration
+	// RequestedAt is when the request was given out.
+	RequestedAt time.Duration
 }
 
 // Reader decides which page to ask for next. It is owned by one goroutine; at most one request is under way.
@@ -99,7 +99,7 @@
 		r.reading = reading{begunAt: now, attempts: r.reading.attempts}
 	}
 	r.underWay = true
-	r.request = Request{Number: r.request.Number + 1, PageToken: r.reading.token, AskedAt: now}
+	r.request = Request{Number: r.request.Number + 1, PageToken: r.reading.token, RequestedAt: now}
 	return r.request, 0, true
 }
 
@@ -120,7 +120,7 @@
 	}
 	r.failures, r.reading.attempts = 0, 0
 	for n := range workers {
-		workers[n].settleCold(req.AskedAt)
+		workers[n].settleCold(req.RequestedAt)
 	}
 	complete, changed = r.takePage(workers, next)
 	return complete, changed, nil
