--- a/workerlist/bucket.go
+++ b/workerlist/bucket.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// roundingSlack is what a token may lack by the rounding of sums.
+// roundingSlack is the fraction of a token that may be missing because of floating-point rounding.
 const roundingSlack = 1e-6
 
-// bucket is a token bucket: one token for each call.
+// bucket is a token bucket with one token per call.
 type bucket struct {
-	// perSecond is 0 where there is no limit.
+	// perSecond is the refill rate; 0 means unlimited.
 	perSecond, size, tokens float64
-	at                      time.Duration
+	filledAt                time.Duration
 	started                 bool
 }
 
@@ -19,13 +19,13 @@
 }
 
 func (b *bucket) fill(now time.Duration) {
-	if b.started && now > b.at {
-		b.tokens = min(b.size, b.tokens+(now-b.at).Seconds()*b.perSecond)
+	if b.started && now > b.filledAt {
+		b.tokens = min(b.size, b.tokens+(now-b.filledAt).Seconds()*b.perSecond)
 	}
-	b.at, b.started = max(b.at, now), true
+	b.filledAt, b.started = max(b.filledAt, now), true
 }
 
-// wait returns how long until there is a token.
+// wait returns the time until a token is available.
 func (b *bucket) wait(now time.Duration) time.Duration {
 	if b.perSecond <= 0 {
 		return 0
--- a/workerlist/merge.go
+++ b/workerlist/merge.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Merge returns the list after a reading of it, and whether it differs from the one before. Entries that say the same as
-// before are kept as they were. Of several entries with one ID the last counts.
+// Merge returns the list that results from a scan, and whether it differs from the old one. Entries equivalent to their old
+// version are kept unchanged. Of several entries with the same ID the last one is used.
 func Merge(old List, readAt time.Duration, workers []Worker) (List, bool) {
 	next := sorted(workers)
 	changed := len(next) != len(old.Workers)
@@ -16,7 +16,7 @@
 		for i < len(old.Workers) && old.Workers[i].ID < w.ID {
 			i++
 		}
-		if i < len(old.Workers) && same(old.Workers[i], w, readAt) {
+		if i < len(old.Workers) && equivalent(old.Workers[i], w, readAt) {
 			next[n] = old.Workers[i]
 		} else {
 			changed = true
@@ -32,7 +32,7 @@
 	return List{Number: number, ReadAt: readAt, Workers: next}, changed
 }
 
-// sorted returns the workers ordered by ID, the last of each.
+// sorted returns the workers ordered by ID, keeping only the last entry of each ID.
 func sorted(workers []Worker) []Worker {
 	out := slices.Clone(workers)
 	slices.Reverse(out)
@@ -40,13 +40,13 @@
 	return slices.CompactFunc(out, func(a, b Worker) bool { return a.ID == b.ID })
 }
 
-// Difference is what changed between two lists.
+// Difference describes the changes between two lists.
 type Difference struct {
 	Added, Changed []Worker
 	Removed        []string
 }
 
-// Diff returns what changed from one list of workers, ordered by ID, to another.
+// Diff returns the changes from one list of workers to another, both ordered by ID.
 func Diff(from, to []Worker) Difference {
 	var d Difference
 	i := 0
@@ -59,7 +59,7 @@
 		case i == len(from) || from[i].ID != w.ID:
 			d.Added = append(d.Added, w)
 			continue
-		case !same(from[i], w, 0):
+		case !equivalent(from[i], w, 0):
 			d.Changed = append(d.Changed, w)
 		}
 		i++
--- a/workerlist/page.go
+++ b/workerlist/page.go
@@ -7,41 +7,41 @@
 	"github.com/valyala/fastjson"
 )
 
-// The kinds of errors, for errors.Is.
+// Error kinds, for use with errors.Is.
 var (
-	// ErrMalformed is an answer that is no page of the list. The list stays as it is.
-	ErrMalformed = errors.New("the platform's answer is no page of its list of workers")
-	// ErrRefused is a call beyond the platform's rate.
-	ErrRefused = errors.New("the platform refused the call as one too many")
-	// ErrStatus is an answer with another status than 200.
-	ErrStatus = errors.New("the platform could not give its list of workers")
+	// ErrMalformed marks a response that is not a valid page of the list. The list stays unchanged.
+	ErrMalformed = errors.New("the platform's response is not a valid page of the worker list")
+	// ErrRefused marks a call that exceeded the platform's rate limit.
+	ErrRefused = errors.New("the platform's rate limit was exceeded")
+	// ErrStatus marks a response with a status other than 200, or a request without a response.
+	ErrStatus = errors.New("the platform did not return its worker list")
 )
 
 const stateReady = "ready"
 
-// Figures beyond these are taken as these.
+// Upper bounds; larger values in a response are clamped.
 const (
 	maxCapacity = 1 << 20
 	maxColdMs   = 24 * 3600 * 1000
 )
 
 func malformed(format string, args ...any) error {
-	return errors.Mark(errors.Newf("page of the list of workers: "+format+"; it is asked for again, check CloudApi.Address if this goes on", args...), ErrMalformed)
+	return errors.Mark(errors.Newf("invalid page of the worker list: "+format+"; it will be requested again, check CloudApi.Address if this persists", args...), ErrMalformed)
 }
 
-// ParsePage reads one answer of the platform. next is empty on the last page. An answer that is not whole, or has an entry
-// without identity, is an error: such an answer does not make a worker disappear.
+// ParsePage parses one response of the platform. next is the token of the next page, empty on the last page. A truncated
+// response, or one with an entry without identity, is an error, so that it never removes a worker from the list.
 func ParsePage(body []byte) (workers []Worker, next string, err error) {
 	root, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return nil, "", malformed("not readable: %v", err)
+		return nil, "", malformed("invalid JSON: %v", err)
 	}
 	if root.Type() != fastjson.TypeObject {
-		return nil, "", malformed("found %s, wanted an object", root.Type())
+		return nil, "", malformed("got %s, want an object", root.Type())
 	}
 	list := root.Get("Instances")
 	if list == nil || list.Type() != fastjson.TypeArray {
-		return nil, "", malformed("Instances is missing or no array")
+		return nil, "", malformed("Instances is missing or not an array")
 	}
 	if next, err = parseToken(root.Get("NextPageToken")); err != nil {
 		return nil, "", err
@@ -65,12 +65,12 @@
 	case v.Type() == fastjson.TypeString:
 		return string(v.GetStringBytes()), nil
 	}
-	return "", malformed("NextPageToken is %s, wanted a string or null", v.Type())
+	return "", malformed("NextPageToken is %s, want a string or null", v.Type())
 }
 
 func parseEntry(v *fastjson.Value) (Worker, error) {
 	if v.Type() != fastjson.TypeObject {
-		return Worker{}, malformed("found %s, wanted an object", v.Type())
+		return Worker{}, malformed("got %s, want an object", v.Type())
 	}
 	text := func(name string) string { return string(v.GetStringBytes(name)) }
 	w := Worker{
--- a/workerlist/reader.go
+++ b/workerlist/reader.go
@@ -8,74 +8,74 @@
 )
 
 const (
-	// DefaultInterval is the time from the begin of one reading to that of the next.
+	// DefaultInterval is the time between the starts of two consecutive scans.
 	DefaultInterval = 400 * time.Millisecond
-	// DefaultShare is the part of the platform's rate that a reader uses: the rate is shared by all who call it.
+	// DefaultShare is the fraction of the platform's rate limit that a reader uses: all callers share the limit.
 	DefaultShare = 0.1
-	// burstTime is how long a budget that was not used is kept.
+	// burstTime is how long an unused call budget is retained.
 	burstTime = 500 * time.Millisecond
-	// attemptsPerPage is how often one page is asked for before the reading begins anew.
+	// attemptsPerPage is how many times a page is requested before the scan restarts from the first page.
 	attemptsPerPage = 3
-	// The pauses after failures double from the first to the last.
-	firstErrorPause   = 200 * time.Millisecond
-	lastErrorPause    = 2 * time.Second
-	firstRefusedPause = 500 * time.Millisecond
-	lastRefusedPause  = 5 * time.Second
+	// After failures the pause doubles from the initial to the maximum value.
+	initialErrorPause   = 200 * time.Millisecond
+	maxErrorPause       = 2 * time.Second
+	initialRefusedPause = 500 * time.Millisecond
+	maxRefusedPause     = 5 * time.Second
 )
 
 // Options configures a Reader.
 type Options struct {
-	// RatePerS is the platform's limit of calls a second, from everybody together; 0 means that none is known.
+	// RatePerS is the platform's limit on calls per second, shared by all callers; 0 means that no limit is known.
 	RatePerS float64
-	// Share is the part of RatePerS that this reader may use; 0 means DefaultShare.
+	// Share is the fraction of RatePerS that this reader may use; 0 means DefaultShare.
 	Share float64
-	// Interval is the time from the begin of one reading to that of the next; 0 means DefaultInterval.
+	// Interval is the time between the starts of two consecutive scans; 0 means DefaultInterval.
 	Interval time.Duration
 }
 
 // Request is one call to make: GET /instances with the page token, if any.
 type Request struct {
-	// Number tells requests apart.
+	// Number identifies the request.
 	Number    uint64
 	PageToken string
-	// RequestedAt is when the request was given out.
+	// RequestedAt is when Next returned the request.
 	RequestedAt time.Duration
 }
 
-// Reader decides which page to ask for next. It is owned by one goroutine; at most one request is under way.
+// Reader decides which page to request next. It must be used by one goroutine; at most one request is in flight.
 //
-// A worker disappears from its list only by a reading to the last page. As entries move between pages meanwhile, a reading
-// of several pages may overlook some: a worker that such a reading lacks stays until the next one lacks it too, unless its
-// address was given to another.
+// A worker is removed from the list only by a complete scan. As entries can move between pages during a scan of several
+// pages, the scan may miss some: a worker missing from such a scan is kept until the next scan misses it too, unless its
+// address was reassigned to another worker.
 type Reader struct {
 	options Options
 	budget  bucket
 	list    List
-	// complete says that the list was read through once.
+	// complete is set after the first complete scan.
 	complete bool
-	// missed holds the workers that the last reading lacked.
+	// missed holds the IDs of the workers that were missing from the last scan.
 	missed map[string]bool
 
-	underWay bool
+	inFlight bool
 	request  Request
-	// notBefore is when the next request may be given out, as far as the interval and pauses are concerned.
+	// notBefore is the earliest time of the next request according to the interval and the pauses, regardless of the call budget.
 	notBefore time.Duration
 	failures  int
-	reading   reading
+	scan      scan
 }
 
-// reading is a reading under way.
-type reading struct {
-	begunAt time.Duration
-	workers []Worker
-	pages   int
-	token   string
-	// seen holds the tokens so far: one that comes again would go on for ever.
+// scan is a pass over the pages of the list that is in progress.
+type scan struct {
+	startedAt time.Duration
+	workers   []Worker
+	pages     int
+	token     string
+	// seen holds the page tokens so far: following a repeated token would never end.
 	seen     map[string]bool
 	attempts int
 }
 
-// NewReader returns a reader that has read nothing.
+// NewReader returns a reader with an empty list.
 func NewReader(o Options) *Reader {
 	if o.Share <= 0 {
 		o.Share = DefaultShare
@@ -86,58 +86,59 @@
 	return &Reader{options: o, budget: newBucket(o.RatePerS * o.Share)}
 }
 
-// Next returns the request to make now. Without one, it returns how long to wait; 0 while a request is under way.
+// Next returns the request to make now. If none is due, ok is false and wait is the time until one is; 0 while a request is
+// in flight.
 func (r *Reader) Next(now time.Duration) (req Request, wait time.Duration, ok bool) {
-	if r.underWay {
+	if r.inFlight {
 		return Request{}, 0, false
 	}
 	if wait = max(r.notBefore-now, r.budget.wait(now)); wait > 0 {
 		return Request{}, wait, false
 	}
 	r.budget.take(now)
-	if r.reading.pages == 0 {
-		r.reading = reading{begunAt: now, attempts: r.reading.attempts}
+	if r.scan.pages == 0 {
+		r.scan = scan{startedAt: now, attempts: r.scan.attempts}
 	}
-	r.underWay = true
-	r.request = Request{Number: r.request.Number + 1, PageToken: r.reading.token, RequestedAt: now}
+	r.inFlight = true
+	r.request = Request{Number: r.request.Number + 1, PageToken: r.scan.token, RequestedAt: now}
 	return r.request, 0, true
 }
 
-// Answer takes the answer to a request. complete says that with it the list has been read through, changed that List is
-// another one. Answers to other requests than the one under way are ignored.
+// Answer processes the response to a request. complete reports that it completed a scan, changed that List has changed.
+// Responses to requests other than the one in flight are ignored.
 func (r *Reader) Answer(now time.Duration, req Request, status int, body []byte) (complete, changed bool, err error) {
-	if !r.underWay || req.Number != r.request.Number {
+	if !r.inFlight || req.Number != r.request.Number {
 		return false, false, nil
 	}
-	r.underWay = false
+	r.inFlight = false
 	workers, next, err := readAnswer(status, body)
-	if err == nil && next != "" && r.reading.seen[next] {
-		err = malformed("NextPageToken %q came before", next)
+	if err == nil && next != "" && r.scan.seen[next] {
+		err = malformed("NextPageToken %q is repeated", next)
 	}
 	if err != nil {
-		r.failed(now, err)
+		r.scheduleRetry(now, err)
 		return false, false, err
 	}
-	r.failures, r.reading.attempts = 0, 0
+	r.failures, r.scan.attempts = 0, 0
 	for n := range workers {
-		workers[n].settleCold(req.RequestedAt)
+		workers[n].setColdUntil(req.RequestedAt)
 	}
-	complete, changed = r.takePage(workers, next)
+	complete, changed = r.addPage(workers, next)
 	return complete, changed, nil
 }
 
-// Fail tells that a request got no answer.
+// Fail reports that a request got no response.
 func (r *Reader) Fail(now time.Duration, req Request) {
-	if r.underWay && req.Number == r.request.Number {
-		r.underWay = false
-		r.failed(now, ErrStatus)
+	if r.inFlight && req.Number == r.request.Number {
+		r.inFlight = false
+		r.scheduleRetry(now, ErrStatus)
 	}
 }
 
-// List returns the list as it is known. It is empty until it was read through once.
+// List returns the current list. It is empty until the first scan is complete.
 func (r *Reader) List() List { return r.list }
 
-// Complete reports whether the list was ever read through.
+// Complete reports whether any scan has been completed.
 func (r *Reader) Complete() bool { return r.complete }
 
 func readAnswer(status int, body []byte) ([]Worker, string, error) {
@@ -145,48 +146,48 @@
 	case http.StatusOK:
 		return ParsePage(body)
 	case http.StatusTooManyRequests:
-		return nil, "", errors.Mark(errors.New("429 from the list of workers: see that no one else calls it, and that RatePerS of CloudApi is right"), ErrRefused)
+		return nil, "", errors.Mark(errors.New("status 429 from the worker list: check that no other client calls it and that RatePerS of CloudApi is correct"), ErrRefused)
 	}
-	return nil, "", errors.Mark(errors.Newf("status %d from the list of workers; it is asked for again, check CloudApi.Address if this goes on", status), ErrStatus)
+	return nil, "", errors.Mark(errors.Newf("status %d from the worker list; it will be requested again, check CloudApi.Address if this persists", status), ErrStatus)
 }
 
-// failed sets the pause until the next request. The reading goes on with the same page, a few times.
-func (r *Reader) failed(now time.Duration, err error) {
-	first, last := firstErrorPause, lastErrorPause
+// scheduleRetry sets the pause before the next request. The same page is requested up to attemptsPerPage times in a row.
+func (r *Reader) scheduleRetry(now time.Duration, err error) {
+	initial, longest := initialErrorPause, maxErrorPause
 	if errors.Is(err, ErrRefused) {
-		first, last = firstRefusedPause, lastRefusedPause
+		initial, longest = initialRefusedPause, maxRefusedPause
 	}
-	pause := min(last, first<<min(r.failures, 16))
+	pause := min(longest, initial<<min(r.failures, 16))
 	r.failures++
 	r.notBefore = max(r.notBefore, now+pause)
-	if r.reading.attempts++; r.reading.attempts >= attemptsPerPage {
-		r.reading = reading{}
+	if r.scan.attempts++; r.scan.attempts >= attemptsPerPage {
+		r.scan = scan{}
 	}
 }
 
-// takePage adds a page to the reading and ends the reading with the last.
-func (r *Reader) takePage(workers []Worker, next string) (complete, changed bool) {
-	d := &r.reading
-	d.workers = append(d.workers, workers...)
-	d.pages++
+// addPage adds a page to the scan; the last page completes the scan.
+func (r *Reader) addPage(workers []Worker, next string) (complete, changed bool) {
+	current := &r.scan
+	current.workers = append(current.workers, workers...)
+	current.pages++
 	if next != "" {
-		if d.seen == nil {
-			d.seen = map[string]bool{}
+		if current.seen == nil {
+			current.seen = map[string]bool{}
 		}
-		d.seen[next], d.token = true, next
-		return false, r.takePart(workers)
-	}
-	done := r.reading
-	r.reading = reading{}
-	r.notBefore = max(r.notBefore, done.begunAt+r.options.Interval)
-	kept := r.overlooked(done)
-	r.list, changed = Merge(r.list, done.begunAt, append(kept, done.workers...))
+		current.seen[next], current.token = true, next
+		return false, r.mergePage(workers)
+	}
+	done := r.scan
+	r.scan = scan{}
+	r.notBefore = max(r.notBefore, done.startedAt+r.options.Interval)
+	kept := r.newlyMissed(done)
+	r.list, changed = Merge(r.list, done.startedAt, append(kept, done.workers...))
 	r.complete = true
 	return true, changed
 }
 
-// takePart takes over what the page of a long reading says of its workers, before the reading is through.
-func (r *Reader) takePart(workers []Worker) (changed bool) {
+// mergePage merges a single page into the list before the scan is complete.
+func (r *Reader) mergePage(workers []Worker) (changed bool) {
 	if !r.complete {
 		return false
 	}
@@ -195,8 +196,8 @@
 	return changed
 }
 
-// overlooked returns the workers that a reading of several pages lacks for the first time.
-func (r *Reader) overlooked(done reading) []Worker {
+// newlyMissed returns the workers that are missing for the first time, from a scan of several pages.
+func (r *Reader) newlyMissed(done scan) []Worker {
 	before := r.missed
 	r.missed = map[string]bool{}
 	if done.pages < 2 {
@@ -216,7 +217,7 @@
 	return kept
 }
 
-// withoutAddresses returns the workers whose addresses none of the others with another ID has.
+// withoutAddresses returns the workers whose address is not used in others by an entry with a different ID.
 func withoutAddresses(workers, others []Worker) []Worker {
 	owner := make(map[string]string, len(others))
 	for _, w := range others {
@@ -231,10 +232,10 @@
 	return out
 }
 
-// settleCold turns the remaining slow time into a moment on the reader's clock.
-func (w *Worker) settleCold(askedAt time.Duration) {
+// setColdUntil converts ColdRemaining into a time on the reader's clock.
+func (w *Worker) setColdUntil(requestedAt time.Duration) {
 	if w.ColdRemaining > 0 {
-		w.ColdUntil = askedAt + w.ColdRemaining
+		w.ColdUntil = requestedAt + w.ColdRemaining
 	}
 	w.ColdRemaining = 0
 }
--- a/workerlist/reader_test.go
+++ b/workerlist/reader_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// platform answers as the platform does: pages by position in a list that may change between calls.
+// platform simulates the platform's API: pages are addressed by position in a list that may change between calls.
 type platform struct {
 	ids      []string
 	pageSize int
@@ -40,7 +40,7 @@
 	return body
 }
 
-// call waits for the next request and answers it.
+// call advances the clock to the next request and answers it.
 func (p *platform) call(t interface{ Fatal(...any) }, r *Reader, now *time.Duration) (complete, changed bool) {
 	complete, changed, err := r.Answer(*now, request(t, r, now), 200, p.page(r.request.PageToken))
 	if err != nil {
@@ -49,16 +49,16 @@
 	return complete, changed
 }
 
-// request moves the clock to the next request.
+// request advances the clock to the next request.
 func request(t interface{ Fatal(...any) }, r *Reader, now *time.Duration) Request {
 	req, wait, ok := r.Next(*now)
 	if !ok {
 		if wait <= 0 {
-			t.Fatal("neither a request nor a time to wait")
+			t.Fatal("got neither a request nor a wait time")
 		}
 		*now += wait
 		if req, _, ok = r.Next(*now); !ok {
-			t.Fatal("no request after the time to wait")
+			t.Fatal("no request after the wait time")
 		}
 	}
 	return req
@@ -72,7 +72,7 @@
 	return out
 }
 
-func TestReadsThroughAllPages(t *testing.T) {
+func TestScanReadsAllPages(t *testing.T) {
 	is := is.New(t)
 	p := &platform{ids: []string{"a", "b", "c", "d", "e"}, pageSize: 2}
 	r := NewReader(Options{RatePerS: 1000})
@@ -81,19 +81,19 @@
 		is.True(!r.Complete())
 		complete, changed := p.call(t, r, &now)
 		is.Equal(complete, n == 2)
-		is.Equal(changed, n == 2) // nothing is known before the last page
+		is.Equal(changed, n == 2) // the list stays empty until the last page
 	}
 	is.True(r.Complete())
 	is.Equal(ids(r), p.ids)
 	is.Equal(r.List().ReadAt, time.Duration(0))
-	begun := now
+	startedAt := now
 	complete, changed := p.call(t, r, &now)
 	is.True(!complete && !changed)
-	is.True(now >= begun) // the next reading
+	is.True(now >= startedAt) // the next scan
 	is.Equal(now, 400*ms)
 }
 
-func TestOneRequestAtATime(t *testing.T) {
+func TestOnlyOneRequestIsInFlight(t *testing.T) {
 	is := is.New(t)
 	r := NewReader(Options{})
 	first, _, ok := r.Next(0)
@@ -104,10 +104,10 @@
 	r.Fail(1000*ms, first)
 	_, wait, ok = r.Next(1000 * ms)
 	is.True(!ok)
-	is.Equal(wait, firstErrorPause)
+	is.Equal(wait, initialErrorPause)
 	second, _, ok := r.Next(1200 * ms)
 	is.True(ok)
-	complete, _, err := r.Answer(1300*ms, first, 200, []byte(`{"Instances":[]}`)) // too late
+	complete, _, err := r.Answer(1300*ms, first, 200, []byte(`{"Instances":[]}`)) // superseded by the second request
 	is.NoErr(err)
 	is.True(!complete)
 	complete, _, err = r.Answer(1300*ms, second, 200, []byte(`{"Instances":[]}`))
@@ -115,7 +115,7 @@
 	is.True(complete)
 }
 
-func TestPausesGrow(t *testing.T) {
+func TestRetryPausesGrow(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
 		status      int
@@ -138,11 +138,11 @@
 		_, _, err = r.Answer(now, req, c.status, nil)
 		is.True(err != nil)
 		_, wait, _ := r.Next(now)
-		is.Equal(wait, c.first) // anew after a success
+		is.Equal(wait, c.first) // a success resets the pause
 	}
 }
 
-func TestBrokenAnswerKeepsTheList(t *testing.T) {
+func TestMalformedResponseKeepsTheList(t *testing.T) {
 	is := is.New(t)
 	p := &platform{ids: []string{"a", "b", "c"}, pageSize: 50}
 	r := NewReader(Options{})
@@ -154,13 +154,13 @@
 		is.True(!changed)
 	}
 	is.Equal(ids(r), p.ids)
-	p.ids = nil // a whole answer without entries is a list
+	p.ids = nil // a well-formed response without entries is a valid list
 	complete, changed := p.call(t, r, &now)
 	is.True(complete && changed)
 	is.Equal(ids(r), []string{})
 }
 
-func TestFailedPageIsAskedForAgain(t *testing.T) {
+func TestFailedPageIsRequestedAgain(t *testing.T) {
 	is := is.New(t)
 	p := &platform{ids: []string{"a", "b", "c"}, pageSize: 1}
 	r := NewReader(Options{})
@@ -171,10 +171,10 @@
 		is.Equal(req.PageToken, "p-1")
 		r.Fail(now, req)
 	}
-	is.Equal(request(t, r, &now).PageToken, "") // then the reading begins anew
+	is.Equal(request(t, r, &now).PageToken, "") // after attemptsPerPage failures the scan restarts
 }
 
-func TestTokenThatComesAgain(t *testing.T) {
+func TestRepeatedPageTokenIsMalformed(t *testing.T) {
 	is := is.New(t)
 	r := NewReader(Options{})
 	now := time.Duration(0)
@@ -185,7 +185,7 @@
 	is.True(errors.Is(err, ErrMalformed))
 }
 
-func TestEntryThatMovedBetweenPagesStays(t *testing.T) {
+func TestEntryThatMovedBetweenPagesIsKept(t *testing.T) {
 	is := is.New(t)
 	p := &platform{ids: []string{"a", "b", "c", "d"}, pageSize: 2}
 	r := NewReader(Options{})
@@ -196,19 +196,19 @@
 
 	p.call(t, r, &now) // a, b
 	p.ids = []string{"b", "c", "d"}
-	complete, _ := p.call(t, r, &now) // d: c was overlooked
+	complete, _ := p.call(t, r, &now) // returns only d: c was missed
 	is.True(complete)
 	is.Equal(ids(r), []string{"a", "b", "c", "d"})
 	p.call(t, r, &now)
 	p.call(t, r, &now)
-	is.Equal(ids(r), []string{"a", "b", "c", "d"}) // a is missing for the first time
+	is.Equal(ids(r), []string{"a", "b", "c", "d"}) // first scan without a
 	p.call(t, r, &now)
 	complete, changed := p.call(t, r, &now)
 	is.True(complete && changed)
 	is.Equal(ids(r), []string{"b", "c", "d"})
 }
 
-func TestAddressGivenToAnother(t *testing.T) {
+func TestReassignedAddressRemovesItsFormerWorker(t *testing.T) {
 	is := is.New(t)
 	r := NewReader(Options{})
 	now := time.Duration(0)
@@ -219,12 +219,12 @@
 	answer(`{"Instances":[{"Id":"a","Backend":"s","Address":"x:1","State":"ready"},{"Id":"b","Backend":"s","Address":"y:1","State":"ready"}]}`)
 	is.Equal(ids(r), []string{"a", "b"})
 	answer(`{"Instances":[{"Id":"c","Backend":"t","Address":"x:1","State":"ready"}],"NextPageToken":"p-1"}`)
-	is.Equal(ids(r), []string{"b", "c"}) // known from the first page on
+	is.Equal(ids(r), []string{"b", "c"}) // takes effect with the first page
 	answer(`{"Instances":[]}`)
 	is.Equal(ids(r), []string{"b", "c"})
 }
 
-func TestDrainingIsKnownBeforeTheLastPage(t *testing.T) {
+func TestDrainingTakesEffectBeforeTheLastPage(t *testing.T) {
 	is := is.New(t)
 	p := &platform{ids: []string{"a", "b"}, pageSize: 1}
 	r := NewReader(Options{})
@@ -237,10 +237,10 @@
 	is.NoErr(err)
 	is.True(!complete && changed)
 	is.True(r.List().Workers[0].Draining)
-	is.Equal(r.List().ReadAt, readAt) // but the list is no fresher
+	is.Equal(r.List().ReadAt, readAt) // the age of the list does not change
 }
 
-func TestColdUntil(t *testing.T) {
+func TestColdUntilIsRelativeToTheRequest(t *testing.T) {
 	is := is.New(t)
 	r := NewReader(Options{})
 	now := 10 * time.Second
@@ -250,8 +250,8 @@
 	is.Equal(r.List().Workers[0].ColdUntil, 11500*ms)
 }
 
-// TestBudget checks that no more than a tenth of the rate is used in any span, whatever the answers are.
-func TestBudget(t *testing.T) {
+// TestCallBudgetIsNotExceeded checks that at most a tenth of the rate limit is used in any interval, whatever the responses are.
+func TestCallBudgetIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 500).Draw(t, "rate")
 		r := NewReader(Options{RatePerS: rate})
@@ -273,15 +273,15 @@
 			for j := i; j < len(calls); j++ {
 				span := (calls[j] - calls[i]).Seconds()
 				if allowed := rate*DefaultShare*(span+burstTime.Seconds()) + 1; float64(j-i+1) > allowed+1e-3 {
-					t.Fatalf("%d calls in %.3f s at a rate of %.1f", j-i+1, span, rate)
+					t.Fatalf("%d calls in %.3f s at a rate limit of %.1f/s", j-i+1, span, rate)
 				}
 			}
 		}
 	})
 }
 
-// TestListFollowsThePlatform lets workers come and go between pages: one that is there all the time is never missing, and
-// when nothing changes any more the list is the platform's.
+// TestListFollowsThePlatform adds and removes workers between pages: a worker that is present throughout is never missing,
+// and after the last change the list converges to the platform's.
 func TestListFollowsThePlatform(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &platform{ids: []string{"p0", "p1", "p2"}, pageSize: rapid.IntRange(1, 4).Draw(t, "pageSize")}
@@ -290,15 +290,15 @@
 		for !r.Complete() {
 			p.call(t, r, &now)
 		}
-		read := 2 // readings since the last change
+		scans := 2 // since the last change
 		for n := range rapid.IntRange(1, 60).Draw(t, "calls") {
-			// More than one that goes within two readings could hide another from both.
-			if read >= 2 && rapid.Bool().Draw(t, "change") {
+			// More than one removal within two scans could make both scans miss the same worker.
+			if scans >= 2 && rapid.Bool().Draw(t, "change") {
 				p.change(t, n)
-				read = -1
+				scans = -1
 			}
 			if complete, _ := p.call(t, r, &now); complete {
-				read++
+				scans++
 			}
 			for _, id := range []string{"p0", "p1", "p2"} {
 				if !slices.Contains(ids(r), id) {
@@ -313,7 +313,7 @@
 		}
 		want := slices.Sorted(slices.Values(p.ids))
 		if got := ids(r); !slices.Equal(got, want) {
-			t.Fatalf("%v, wanted %v", got, want)
+			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
 }
--- a/workerlist/workerlist.go
+++ b/workerlist/workerlist.go
@@ -1,6 +1,6 @@
 // Package workerlist reads the platform's list of workers.
 //
-// It is pure: a Reader says which page to ask for and when, and takes the answers; the caller does the calls.
+// The package does no I/O: a Reader decides which page to request and when, and processes the responses; the caller makes the calls.
 package workerlist
 
 import "time"
@@ -13,29 +13,29 @@
 	Zone     string
 	Revision string
 	Capacity int
-	// Draining says that the worker is about to end, or is in a state that is not known.
+	// Draining is set if the worker is about to terminate or its state is unknown.
 	Draining bool
-	// ColdRemaining is how much longer the worker is slow from its start, at the time of the answer. ParsePage sets it.
+	// ColdRemaining is the rest of the worker's cold-start time, as of the response. ParsePage sets it.
 	ColdRemaining time.Duration
-	// ColdUntil is when the worker stops being slow, on the clock of the Reader, which sets it instead of ColdRemaining; 0
-	// when it is not slow.
+	// ColdUntil is when the worker's cold start ends, on the clock of the Reader, which sets it instead of ColdRemaining; 0
+	// if the worker is warm.
 	ColdUntil time.Duration
 }
 
-// List is the list as far as it is known, ordered by ID.
+// List is the most recent state of the list, ordered by ID.
 type List struct {
 	// Number counts the changes of Workers.
 	Number uint64
-	// ReadAt is when the first page of the last reading was asked for that has been read through.
+	// ReadAt is when the first page of the last complete scan was requested.
 	ReadAt  time.Duration
 	Workers []Worker
 }
 
-// coldTolerance is how far two answers may differ about the end of a worker's slow time without a change.
+// coldTolerance is the difference in a worker's ColdUntil between two responses that does not count as a change.
 const coldTolerance = 500 * time.Millisecond
 
-// same reports whether two entries say the same at a moment.
-func same(a, b Worker, at time.Duration) bool {
+// equivalent reports whether two entries describe the same state at the given time.
+func equivalent(a, b Worker, at time.Duration) bool {
 	cold := max(0, a.ColdUntil-at) - max(0, b.ColdUntil-at)
 	a.ColdUntil, a.ColdRemaining = b.ColdUntil, b.ColdRemaining
 	return a == b && cold.Abs() <= coldTolerance
--- a/workerlist/workerlist_test.go
+++ b/workerlist/workerlist_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestParsePageRefuses(t *testing.T) {
+func TestParsePageRejectsMalformedResponses(t *testing.T) {
 	is := is.New(t)
 	for _, body := range []string{
 		``, `[]`, `{}`, `null`, `{"Instances":null}`, `{"Instances":{}}`, `{"Instances":[1]}`, `{"Instances":[{}]}`,
@@ -44,7 +44,7 @@
 		strings.Replace(example, `"Address"`, `"x"`, 1), strings.Replace(example, `"Backend"`, `"x"`, 1), strings.Replace(example, `"State"`, `"x"`, 1),
 	} {
 		workers, _, err := ParsePage([]byte(body))
-		is.True(errors.Is(err, ErrMalformed)) // refused as a whole
+		is.True(errors.Is(err, ErrMalformed)) // the whole page is rejected
 		is.Equal(len(workers), 0)
 	}
 }
@@ -55,7 +55,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		workers, next, err := ParsePage(body)
 		if err != nil && (len(workers) > 0 || next != "") {
-			t.Fatal("both an error and a page")
+			t.Fatal("got both an error and a page")
 		}
 		for _, w := range workers {
 			if w.ID == "" || w.Address == "" || w.Service == "" || w.Capacity < 1 || w.ColdRemaining < 0 {
@@ -77,7 +77,7 @@
 	return out
 }
 
-func TestMerge(t *testing.T) {
+func TestMergeCountsChanges(t *testing.T) {
 	is := is.New(t)
 	list, changed := Merge(List{}, 1*ms, workers("b", "a", "b"))
 	is.True(changed)
@@ -93,7 +93,7 @@
 	is.Equal(len(list.Workers), 0)
 }
 
-func TestColdTimeThatPassesIsNoChange(t *testing.T) {
+func TestElapsedColdTimeIsNoChange(t *testing.T) {
 	is := is.New(t)
 	cold := func(until time.Duration) []Worker {
 		w := worker("a")
@@ -109,7 +109,7 @@
 	_, changed = Merge(list, 6000*ms, cold(9000*ms))
 	is.True(changed)
 	_, changed = Merge(List{Workers: cold(5000 * ms)}, 1000*ms, cold(0))
-	is.True(changed) // it is warm earlier than was said
+	is.True(changed) // the worker is warm earlier than announced
 }
 
 func TestDiff(t *testing.T) {
@@ -122,8 +122,8 @@
 	is.Equal(Diff(workers("a"), nil).Removed, []string{"a"})
 }
 
-// TestDiffTurnsOneListIntoTheOther applies differences.
-func TestDiffTurnsOneListIntoTheOther(t *testing.T) {
+// TestApplyingTheDiffYieldsTheOtherList applies random differences.
+func TestApplyingTheDiffYieldsTheOtherList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawList(t), drawList(t)
 		d := Diff(from, to)
@@ -142,7 +142,7 @@
 			got = append(got, w)
 		}
 		if fmt.Sprint(sorted(got)) != fmt.Sprint(to) {
-			t.Fatalf("%v with %+v is not %v", from, d, to)
+			t.Fatalf("%v with %+v applied is not %v", from, d, to)
 		}
 	})
 }
