--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is what every process of the system has in common: its internal address, its session with control, the items that
-// everybody knows, and the cluster's time.
+// Package agent implements what all processes of the system have in common: the internal address, the session with control, the
+// items that are disseminated to every process, and the cluster time.
 //
-// An agent has one goroutine, its loop, which owns the state of dissemination and of the session; everything else posts to it.
+// An agent has one goroutine, its loop, which owns the state of dissemination and of the session; other goroutines post functions to it.
 package agent
 
 import (
@@ -22,59 +22,59 @@
 )
 
 const (
-	defaultHeartbeatEvery = 200 * time.Millisecond
-	defaultGossipEvery    = 300 * time.Millisecond
-	// gossipIdleAfter is how long a connection stays open that was made to fetch items only.
+	defaultHeartbeatInterval = 200 * time.Millisecond
+	defaultGossipInterval    = 300 * time.Millisecond
+	// gossipIdleAfter is the idle time after which a connection that only serves to fetch items is closed.
 	gossipIdleAfter = 3 * time.Second
-	// listenTries is how often a port is looked for that is free for TCP and UDP, where the system chooses it.
-	listenTries = 20
+	// maxListenAttempts bounds the search for a port that is free for both TCP and UDP, if the system chooses the port.
+	maxListenAttempts = 20
 )
 
-// ErrClosed is the error of calls to an agent that was closed.
+// ErrClosed is returned by calls to an agent that has been closed.
 var ErrClosed = errors.New("agent: closed")
 
-// Options describe a process.
+// Options configures an Agent.
 type Options struct {
 	Settings *nodeconfig.Settings
 	Role     protocol.Role
 	Member   string // NodeName/DiskID; empty without a disk
 	Logger   *zap.Logger
-	// Handle gets the frames that are not the agent's own (KindDigest, KindItems and KindFetch are). It must not block. It may be
-	// called before Start returns.
+	// Handle receives all frames except those that the agent handles itself: KindDigest, KindItems and KindFetch. It must not block.
+	// It may be called before Start returns.
 	Handle rpc.HandlerFunc
 	// Report completes each heartbeat before it is sent, on the agent's goroutine; it must not block. It may be nil.
 	Report func(h *protocol.Heartbeat)
-	// HeartbeatEvery is the time between heartbeats; 200 ms by default.
-	HeartbeatEvery time.Duration
-	// GossipEvery is the time between digests to a peer at random; 300 ms by default.
-	GossipEvery time.Duration
-	// OnClose is told of each connection that ended.
+	// HeartbeatInterval is the time between heartbeats; 200 ms by default.
+	HeartbeatInterval time.Duration
+	// GossipInterval is the time between digests sent to a random peer; 300 ms by default.
+	GossipInterval time.Duration
+	// OnClose is called for each connection that has closed.
 	OnClose func(c *rpc.Conn, err error)
-	// ListenAddress overrides the internal address, for tests; with port 0 the system chooses one.
+	// ListenAddress overrides the internal address, for tests; with port 0 the system chooses a port.
 	ListenAddress string
-	// Incarnation overrides the drawn one, for tests.
+	// Incarnation overrides the random incarnation, for tests.
 	Incarnation uint64
 	// WallClock and SteadyClock override the system's clocks, for tests.
 	WallClock   func() time.Time
 	SteadyClock func() time.Duration
-	// RPC are the limits of connections; its OnClose and Logger are not used.
+	// RPC holds the limits of connections; its OnClose and Logger are ignored.
 	RPC rpc.Options
 }
 
-// Agent runs until Close.
+// Agent connects a process to the rest of the cluster until Close is called.
 type Agent struct {
 	options  Options
 	logger   *zap.Logger
-	random   *rand.Rand // of the loop
+	random   *rand.Rand // used by the loop only
 	node     atomic.Pointer[protocol.Node]
 	view     atomic.Pointer[View]
-	accepted atomic.Int64 // steady time of the request of the last accepted heartbeat
+	accepted atomic.Int64 // steady time at which the last accepted heartbeat was sent
 	clock    *clock
 
 	server    *rpc.Server
 	datagrams *rpc.DatagramSocket
 	pool      *rpc.Pool
-	fetching  *rpc.Pool // connections to peers that only items are fetched from
+	fetchPool *rpc.Pool // connections that only serve to fetch items from peers
 
 	loop        *loop
 	session     *session
@@ -84,7 +84,7 @@
 	closing     sync.Once
 }
 
-// Start listens on the internal address and begins heartbeats and gossip.
+// Start listens on the internal address and starts heartbeats and gossip.
 func Start(o Options) (*Agent, error) {
 	o = o.withDefaults()
 	s := o.Settings
@@ -93,7 +93,7 @@
 		random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		clock:  newClock(o.SteadyClock(), o.WallClock()),
 		loop:   newLoop(),
-		items:  newItems(o.GossipEvery, o.SteadyClock()),
+		items:  newItems(o.GossipInterval, o.SteadyClock()),
 	}
 	a.view.Store(&View{})
 	a.accepted.Store(int64(o.SteadyClock()))
@@ -101,14 +101,14 @@
 		Key: protocol.NodeKey(s.NodeName, o.Role), Name: s.NodeName, Role: o.Role, Incarnation: o.Incarnation, Member: o.Member,
 		Zone: s.Zone, Region: s.Region, ControlPlane: s.BindAddresses.ControlPlane, Counts: s.CountsForQuorum,
 	})
-	a.session = newSession(o.HeartbeatEvery, a.Steady())
+	a.session = newSession(o.HeartbeatInterval, a.Steady())
 	handler, limits := rpc.HandlerFunc(a.handle), o.RPC
 	a.pool = rpc.NewPool(handler, limits)
 	limits.IdleAfter = gossipIdleAfter
-	a.fetching = rpc.NewPool(handler, limits)
+	a.fetchPool = rpc.NewPool(handler, limits)
 	if err := a.listen(handler); err != nil {
 		a.pool.Close()
-		a.fetching.Close()
+		a.fetchPool.Close()
 		return nil, err
 	}
 	a.loop.post(func() { a.reload(s) })
@@ -120,11 +120,11 @@
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
 	}
-	if o.HeartbeatEvery == 0 {
-		o.HeartbeatEvery = defaultHeartbeatEvery
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = defaultHeartbeatInterval
 	}
-	if o.GossipEvery == 0 {
-		o.GossipEvery = defaultGossipEvery
+	if o.GossipInterval == 0 {
+		o.GossipInterval = defaultGossipInterval
 	}
 	for o.Incarnation == 0 {
 		o.Incarnation = rand.Uint64()
@@ -143,13 +143,14 @@
 	return o
 }
 
-// listen opens the internal address for TCP and UDP. Frames may come in before it returns; what they ask of the loop waits for it.
+// listen opens the internal address for TCP and UDP. Frames may arrive before it returns; functions that they post are queued until the
+// loop runs.
 func (a *Agent) listen(handler rpc.Handler) error {
 	_, port, err := net.SplitHostPort(a.options.ListenAddress)
 	if err != nil {
 		return errors.Wrapf(err, "agent: internal address %q", a.options.ListenAddress)
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		a.server, err = rpc.Listen(a.options.ListenAddress, handler, a.options.RPC)
 		if err != nil {
 			return err
@@ -161,13 +162,13 @@
 			return nil
 		}
 		_ = a.server.Close()
-		if port != "0" || try == listenTries {
+		if port != "0" || attempt == maxListenAttempts {
 			return err
 		}
 	}
 }
 
-// setNode replaces the announced node by a changed copy.
+// setNode replaces the announced node by a modified copy.
 func (a *Agent) setNode(change func(n *protocol.Node)) {
 	for {
 		old := a.node.Load()
@@ -179,44 +180,44 @@
 	}
 }
 
-// Node is this process as announced.
+// Node returns the description of this process that is announced to the cluster.
 func (a *Agent) Node() protocol.Node { return *a.node.Load() }
 
-// View is the present state of all items; it is never changed.
+// View returns the current state of all items; it is immutable.
 func (a *Agent) View() *View { return a.view.Load() }
 
-// Subscribe has f called in order for each change of items, on the agent's goroutine; f must not block. The first call brings the
-// present state. That the list of workers was read again, unchanged, is not announced: look at View().WorkersReadAt.
+// Subscribe registers f to be called for each change of items, in order, on the agent's goroutine; f must not block. The first call
+// reports the current state. Subscribers are not notified if the list of workers was read again unchanged: see View().WorkersReadAt.
 func (a *Agent) Subscribe(f func(v *View, changed []protocol.ItemKind)) {
 	a.loop.post(func() {
 		a.subscribers = append(a.subscribers, f)
-		var known []protocol.ItemKind
+		var present []protocol.ItemKind
 		for _, entry := range a.items.state.Digest() {
-			known = append(known, entry.Key)
+			present = append(present, entry.Key)
 		}
-		f(a.View(), known)
+		f(a.View(), present)
 	})
 }
 
-// Publish takes items made by this process and pushes them; those that are not newer than what is known are ignored.
+// Publish applies items created by this process and pushes them to peers; items that are not newer than the current state are ignored.
 func (a *Agent) Publish(items ...protocol.Item) {
-	packed := make([]protocol.Item, len(items))
+	compressed := make([]protocol.Item, len(items))
 	for i, item := range items {
-		packed[i] = protocol.Item{Kind: item.Kind, Version: item.Version, Body: pack(item.Body)}
+		compressed[i] = protocol.Item{Kind: item.Kind, Version: item.Version, Body: compress(item.Body)}
 	}
-	a.loop.post(func() { a.take(packed) })
+	a.loop.post(func() { a.applyItems(compressed) })
 }
 
-// PublishWorkersFresh tells that the list of workers was read again, unchanged.
+// PublishWorkersFresh announces that the list of workers was read again, unchanged.
 func (a *Agent) PublishWorkersFresh(fresh protocol.WorkersFresh) {
 	a.loop.post(func() {
-		if a.takeFresh(fresh) && a.session.primary != "" && a.session.primary != a.Node().Address {
-			a.sendDigest(a.session.primary, true) // from there it reaches all with the answers to their heartbeats
+		if a.applyWorkersFresh(fresh) && a.session.primary != "" && a.session.primary != a.Node().Address {
+			a.sendDigest(a.session.primary, true) // the primary passes it on in its heartbeat replies
 		}
 	})
 }
 
-// Digest is what to send along with an answer to a heartbeat.
+// Digest returns the digest to include in a heartbeat reply.
 func (a *Agent) Digest() protocol.Digest {
 	d := protocol.Digest{Key: a.Node().Key, Address: a.Node().Address, Answer: true}
 	v := a.View()
@@ -224,47 +225,47 @@
 	return d
 }
 
-// HandleDigest takes the digest that came with a heartbeat.
+// HandleDigest merges the digest that was received with a heartbeat.
 func (a *Agent) HandleDigest(d protocol.Digest) {
 	d.Answer = true
-	a.loop.post(func() { a.hear(&d) })
+	a.loop.post(func() { a.mergeDigest(&d) })
 }
 
-// Pool has the connections to other processes; their frames come to Options.Handle.
+// Pool returns the connections to other processes; frames received on them are passed to Options.Handle.
 func (a *Agent) Pool() *rpc.Pool { return a.pool }
 
-// ClusterTime is the cluster's time of day; it never goes back within a process.
+// ClusterTime returns the cluster time; it never goes back within a process.
 func (a *Agent) ClusterTime() time.Time { return a.clock.now(a.options.SteadyClock()) }
 
-// Synchronized says whether the cluster's time was learnt from control or set since the start.
+// Synchronized reports whether the cluster time has been obtained from control, or set, since the start.
 func (a *Agent) Synchronized() bool { return a.clock.isSynchronized() }
 
-// Steady is the time since a fixed moment of this process.
+// Steady returns the time since a fixed point in the life of this process, on a monotonic clock.
 func (a *Agent) Steady() time.Duration { return a.options.SteadyClock() }
 
-// SessionAge is the time since the last heartbeat that was accepted was sent, or since the start.
+// SessionAge returns the time since the last accepted heartbeat was sent, or since the start.
 func (a *Agent) SessionAge() time.Duration { return a.Steady() - time.Duration(a.accepted.Load()) }
 
-// SetClock makes the cluster's time the steady clock plus offset since 1970, gently; for control's primary.
+// SetClock slews the cluster time towards the steady clock plus offset, counted from 1970. It is used by control's primary.
 func (a *Agent) SetClock(offset time.Duration) { a.clock.set(a.Steady(), offset) }
 
-// Reload takes new settings: the seeds.
+// Reload applies new settings; only the seeds can change.
 func (a *Agent) Reload(s *nodeconfig.Settings) {
 	a.loop.post(func() { a.reload(s) })
 }
 
-// Close ends the agent, its connections and its socket. Subscribers, Report and Handle must not call it.
+// Close stops the agent and closes its connections and its socket. Subscribers, Report and Handle must not call it.
 func (a *Agent) Close() {
 	a.closing.Do(func() {
 		a.loop.end()
 		_ = a.server.Close()
 		_ = a.datagrams.Close()
 		a.pool.Close()
-		a.fetching.Close()
+		a.fetchPool.Close()
 	})
 }
 
-// handle takes the frames of connections.
+// handle processes the frames received on connections.
 func (a *Agent) handle(c *rpc.Conn, kind rpc.Kind, body []byte, reply func([]byte, error)) {
 	switch {
 	case reply == nil && (kind == protocol.KindDigest || kind == protocol.KindItems):
@@ -274,7 +275,7 @@
 	case a.options.Handle != nil:
 		a.options.Handle(c, kind, body, reply)
 	case reply != nil:
-		reply(nil, rpc.Errorf(protocol.CodeUnknownKind, "no handler for frames of kind %d here", kind))
+		reply(nil, rpc.Errorf(protocol.CodeUnknownKind, "no handler for frames of kind %d", kind))
 	}
 }
 
@@ -284,7 +285,7 @@
 	}
 }
 
-// choose picks up to k peers by chance.
-func (a *Agent) choose(peers []string, k int) []string {
+// choosePeers picks up to k random peers.
+func (a *Agent) choosePeers(peers []string, k int) []string {
 	return dissemination.Choose(a.random, peers, k)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,20 +22,20 @@
 
 var networks atomic.Uint32
 
-// ownAddress is a loopback address that no other test uses at the time.
-func ownAddress() string {
+// uniqueLoopback is a loopback address that no other test uses at the time.
+func uniqueLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid/250%64, 1+pid%250, 1+networks.Add(1)%250)
 }
 
 // fakeControl answers heartbeats as the test wants.
 type fakeControl struct {
-	server     *rpc.Server
-	mutex      sync.Mutex
-	answer     func(h *protocol.Heartbeat) protocol.HeartbeatReply
-	heartbeats chan protocol.Heartbeat
-	leaves     chan protocol.Leave
-	silent     bool
+	server       *rpc.Server
+	mutex        sync.Mutex
+	answer       func(h *protocol.Heartbeat) protocol.HeartbeatReply
+	heartbeats   chan protocol.Heartbeat
+	leaves       chan protocol.Leave
+	unresponsive bool
 }
 
 func startControl(t *testing.T, ip string) *fakeControl {
@@ -53,7 +53,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch {
-	case c.silent:
+	case c.unresponsive:
 	case kind == protocol.KindHeartbeat:
 		var h protocol.Heartbeat
 		if err := h.Decode(body); err != nil {
@@ -74,28 +74,28 @@
 	}
 }
 
-func (c *fakeControl) answers(f func(h *protocol.Heartbeat) protocol.HeartbeatReply) {
+func (c *fakeControl) setAnswer(f func(h *protocol.Heartbeat) protocol.HeartbeatReply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.answer = f
 }
 
 func (c *fakeControl) accept() {
-	c.answers(func(*protocol.Heartbeat) protocol.HeartbeatReply { return protocol.HeartbeatReply{Accepted: true} })
+	c.setAnswer(func(*protocol.Heartbeat) protocol.HeartbeatReply { return protocol.HeartbeatReply{Accepted: true} })
 }
 
 func (c *fakeControl) refuse(primary string) {
-	c.answers(func(*protocol.Heartbeat) protocol.HeartbeatReply { return protocol.HeartbeatReply{Primary: primary} })
+	c.setAnswer(func(*protocol.Heartbeat) protocol.HeartbeatReply { return protocol.HeartbeatReply{Primary: primary} })
 }
 
-func (c *fakeControl) fallSilent() {
+func (c *fakeControl) stopAnswering() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.silent = true
+	c.unresponsive = true
 }
 
-// settingsOf makes the seeds' internal control address the given one.
-func settingsOf(t *testing.T, name, control string) *nodeconfig.Settings {
+// settingsFor makes the seeds' internal control address the given one.
+func settingsFor(t *testing.T, name, control string) *nodeconfig.Settings {
 	t.Helper()
 	host, port, err := net.SplitHostPort(control)
 	is.New(t).NoErr(err)
@@ -115,11 +115,11 @@
 	if o.ListenAddress == "" {
 		o.ListenAddress = net.JoinHostPort(o.Settings.Ip, "0")
 	}
-	if o.HeartbeatEvery == 0 {
-		o.HeartbeatEvery = 5 * time.Millisecond
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 5 * time.Millisecond
 	}
-	if o.GossipEvery == 0 {
-		o.GossipEvery = 5 * time.Millisecond
+	if o.GossipInterval == 0 {
+		o.GossipInterval = 5 * time.Millisecond
 	}
 	a, err := Start(o)
 	is.New(t).NoErr(err)
@@ -148,7 +148,7 @@
 }
 
 // accepted returns once a heartbeat was accepted, at the agent too.
-func accepted(a *Agent, c *fakeControl) {
+func awaitAccepted(a *Agent, c *fakeControl) {
 	first := <-c.heartbeats
 	for h := range c.heartbeats {
 		// The answer to the one before was taken when the next is sent.
@@ -160,9 +160,9 @@
 
 func TestHeartbeatsTellOfTheProcess(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
+	control := startControl(t, uniqueLoopback())
 	a := start(t, Options{
-		Settings: settingsOf(t, "storage-1", control.server.Addr()), Member: "storage-1/d",
+		Settings: settingsFor(t, "storage-1", control.server.Addr()), Member: "storage-1/d",
 		Report: func(h *protocol.Heartbeat) { h.Primary = 7 },
 	})
 	h := <-control.heartbeats
@@ -172,22 +172,22 @@
 	is.Equal(h.Node.Member, "storage-1/d")
 	is.True(h.Node.Incarnation != 0 && h.Node.Counts && !h.Node.Leaving)
 	is.Equal(h.Node.Zone, "z")
-	accepted(a, control)
+	awaitAccepted(a, control)
 	is.True(a.SessionAge() < time.Minute)
 }
 
 func TestSessionFollowsThePrimary(t *testing.T) {
 	is := is.New(t)
-	ip := ownAddress()
+	ip := uniqueLoopback()
 	first, second := startControl(t, ip), startControl(t, ip)
 	first.refuse(second.server.Addr())
-	a := start(t, Options{Settings: settingsOf(t, "n", first.server.Addr())})
-	accepted(a, second)
+	a := start(t, Options{Settings: settingsFor(t, "n", first.server.Addr())})
+	awaitAccepted(a, second)
 
 	// The primary changes: the one before names the next.
 	first.accept()
 	second.refuse(first.server.Addr())
-	accepted(a, first)
+	awaitAccepted(a, first)
 
 	// The primary ends; the seed is the same one, and comes back as another process at the address.
 	address := first.server.Addr()
@@ -198,52 +198,52 @@
 	again.server, err = rpc.Listen(address, rpc.HandlerFunc(again.handle), rpc.Options{})
 	is.NoErr(err)
 	defer func() { _ = again.server.Close() }()
-	accepted(a, again)
+	awaitAccepted(a, again)
 }
 
 func TestSilentPrimary(t *testing.T) {
-	ip := ownAddress()
+	ip := uniqueLoopback()
 	first, second := startControl(t, ip), startControl(t, ip)
-	a := start(t, Options{Settings: settingsOf(t, "n", first.server.Addr())})
-	accepted(a, first) // before it knows of the second, which would accept as well
+	a := start(t, Options{Settings: settingsFor(t, "n", first.server.Addr())})
+	awaitAccepted(a, first) // before it knows of the second, which would accept as well
 	a.Publish(nodesItem(version(1, 1),
 		protocol.Node{Key: "a/control", Role: protocol.RoleControl, Address: first.server.Addr()},
 		protocol.Node{Key: "b/control", Role: protocol.RoleControl, Address: second.server.Addr()}))
 	await(a, func(v *View) bool { return len(v.Nodes) == 2 })
-	first.fallSilent()
-	accepted(a, second)
+	first.stopAnswering()
+	awaitAccepted(a, second)
 }
 
 func TestNewsOfThePrimaryIsFollowed(t *testing.T) {
-	ip := ownAddress()
+	ip := uniqueLoopback()
 	first, second := startControl(t, ip), startControl(t, ip)
-	a := start(t, Options{Settings: settingsOf(t, "n", first.server.Addr())})
-	accepted(a, first)
+	a := start(t, Options{Settings: settingsFor(t, "n", first.server.Addr())})
+	awaitAccepted(a, first)
 	view := protocol.ControlView{Primary: "b/1", Addresses: []protocol.MemberAddress{{Member: "b/1", Address: second.server.Addr()}}}
 	a.Publish(protocol.Item{Kind: protocol.ItemControl, Version: version(2, 1), Body: view.Append(nil)})
-	accepted(a, second)
+	awaitAccepted(a, second)
 }
 
 func TestClusterTimeIsLearnt(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
+	control := startControl(t, uniqueLoopback())
 	later := time.Now().Add(time.Hour)
-	control.answers(func(*protocol.Heartbeat) protocol.HeartbeatReply {
+	control.setAnswer(func(*protocol.Heartbeat) protocol.HeartbeatReply {
 		return protocol.HeartbeatReply{Accepted: true, ClusterTime: later.UnixNano()}
 	})
-	a := start(t, Options{Settings: settingsOf(t, "n", control.server.Addr())})
-	accepted(a, control)
+	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
+	awaitAccepted(a, control)
 	is.True(a.Synchronized())
 	is.True(!a.ClusterTime().Before(later))
 }
 
 func TestAcceptedHeartbeatsRenewTheSession(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
+	control := startControl(t, uniqueLoopback())
 	var steady atomic.Int64
 	control.refuse("")
 	a := start(t, Options{
-		Settings: settingsOf(t, "n", control.server.Addr()),
+		Settings: settingsFor(t, "n", control.server.Addr()),
 		SteadyClock: func() time.Duration { // runs by itself, so that heartbeats become due, and by leaps of the test
 			return time.Duration(steady.Add(int64(time.Millisecond)))
 		},
@@ -253,17 +253,17 @@
 	<-control.heartbeats
 	is.True(a.SessionAge() >= time.Hour)
 	control.accept()
-	accepted(a, control)
+	awaitAccepted(a, control)
 	is.True(a.SessionAge() < time.Hour)
 }
 
 // group starts agents that know each other.
-func group(t *testing.T, control *fakeControl, n int) []*Agent {
+func startGroup(t *testing.T, control *fakeControl, n int) []*Agent {
 	t.Helper()
 	agents := make([]*Agent, n)
 	nodes := make([]protocol.Node, n)
 	for i := range agents {
-		agents[i] = start(t, Options{Settings: settingsOf(t, fmt.Sprint("n", i), control.server.Addr())})
+		agents[i] = start(t, Options{Settings: settingsFor(t, fmt.Sprint("n", i), control.server.Addr())})
 		nodes[i] = agents[i].Node()
 	}
 	for _, a := range agents {
@@ -274,7 +274,7 @@
 
 func TestNewsReachesEverybody(t *testing.T) {
 	is := is.New(t)
-	agents := group(t, startControl(t, ownAddress()), 8)
+	agents := startGroup(t, startControl(t, uniqueLoopback()), 8)
 	for number, body := range []string{"small", string(make([]byte, 100_000)), "small again"} {
 		agents[number].Publish(configuration(uint64(number+1), body))
 		for _, a := range agents {
@@ -291,7 +291,7 @@
 
 func TestSubscribersSeeVersionsInOrder(t *testing.T) {
 	is := is.New(t)
-	agents := group(t, startControl(t, ownAddress()), 3)
+	agents := startGroup(t, startControl(t, uniqueLoopback()), 3)
 	const last = 200
 	seen := make(chan []uint64, 1)
 	var numbers []uint64
@@ -314,53 +314,53 @@
 
 // TestPeersAreAskedWithoutControl: a process starts while no control process runs, and hears what others know.
 func TestPeersAreAskedWithoutControl(t *testing.T) {
-	control := startControl(t, ownAddress())
+	control := startControl(t, uniqueLoopback())
 	_ = control.server.Close()
-	agents := group(t, control, 2)
+	agents := startGroup(t, control, 2)
 	agents[0].Publish(configuration(1, "kept"))
 	await(agents[1], hasConfiguration("kept"))
 
 	// A newcomer knows nobody but is known at its address, as a process that starts again is.
-	late := start(t, Options{Settings: settingsOf(t, "late", control.server.Addr())})
+	late := start(t, Options{Settings: settingsFor(t, "late", control.server.Addr())})
 	agents[0].Publish(nodesItem(version(1, 2), agents[0].Node(), agents[1].Node(), late.Node()))
 	await(late, hasConfiguration("kept"))
 }
 
 // TestSettingsNameWhomToAsk: a dispatcher on a seed's machine is asked although its control process is down and nobody knows the newcomer.
 func TestSettingsNameWhomToAsk(t *testing.T) {
-	control := startControl(t, ownAddress())
-	settings := settingsOf(t, "n", control.server.Addr())
+	control := startControl(t, uniqueLoopback())
+	settings := settingsFor(t, "n", control.server.Addr())
 	_ = control.server.Close()
 	edge := start(t, Options{
 		Settings: settings, Role: protocol.RoleDispatcher, ListenAddress: settings.InternalAddress(protocol.RoleDispatcher),
 	})
 	edge.Publish(configuration(1, "kept"))
-	late := start(t, Options{Settings: settingsOf(t, "late", control.server.Addr())})
+	late := start(t, Options{Settings: settingsFor(t, "late", control.server.Addr())})
 	await(late, hasConfiguration("kept"))
 }
 
 // TestPeerIsAskedForNews: long before the next digest is due, a process that learns that a peer knows more asks it.
 func TestPeerIsAskedForNews(t *testing.T) {
-	control := startControl(t, ownAddress())
-	settings := settingsOf(t, "n", control.server.Addr())
+	control := startControl(t, uniqueLoopback())
+	settings := settingsFor(t, "n", control.server.Addr())
 	_ = control.server.Close()
-	peer := start(t, Options{Settings: settings, GossipEvery: time.Hour})
+	peer := start(t, Options{Settings: settings, GossipInterval: time.Hour})
 	peer.Publish(configuration(3, "newer"))
 	await(peer, hasConfiguration("newer"))
-	late := start(t, Options{Settings: settings, GossipEvery: time.Hour})
+	late := start(t, Options{Settings: settings, GossipInterval: time.Hour})
 	late.RequestUpdates(peer.Node().Address)
 	await(late, hasConfiguration("newer"))
 }
 
 // TestPeerIsToldOfNews: long before the next digest is due, a process that concerns what is known here hears of it.
 func TestPeerIsToldOfNews(t *testing.T) {
-	control := startControl(t, ownAddress())
-	settings := settingsOf(t, "n", control.server.Addr())
+	control := startControl(t, uniqueLoopback())
+	settings := settingsFor(t, "n", control.server.Addr())
 	_ = control.server.Close()
-	knowing := start(t, Options{Settings: settings, GossipEvery: time.Hour})
+	knowing := start(t, Options{Settings: settings, GossipInterval: time.Hour})
 	knowing.Publish(configuration(3, "newer"))
 	await(knowing, hasConfiguration("newer"))
-	late := start(t, Options{Settings: settings, GossipEvery: time.Hour})
+	late := start(t, Options{Settings: settings, GossipInterval: time.Hour})
 	knowing.NotifyPeers([]string{late.Node().Address})
 	await(late, hasConfiguration("newer"))
 }
@@ -370,38 +370,38 @@
 	i := newItems(time.Hour, 0)
 	is.True(i.gossip.Due(0))
 	is.Equal(i.nextWake(), i.gossip.Next())
-	i.concerned["a"] = true
+	i.toNotify["a"] = true
 	is.Equal(i.nextWake(), time.Duration(0)) // the first at once
-	i.concernedAt = time.Second
-	is.Equal(i.nextWake(), time.Second+pushEvery) // what comes within pushEvery goes together
+	i.notifiedAt = time.Second
+	is.Equal(i.nextWake(), time.Second+pushInterval) // what comes within pushInterval goes together
 }
 
 func TestPeersAreNotAskedForNewsTooOften(t *testing.T) {
 	is := is.New(t)
 	i := newItems(time.Hour, 0)
-	is.True(i.mayAsk("a", 0))
-	is.True(!i.mayAsk("a", askEvery-1))
-	is.True(i.mayAsk("b", askEvery-1)) // each for itself
-	is.True(i.mayAsk("a", askEvery))
-	is.True(i.mayAsk("c", time.Hour))
-	is.Equal(len(i.askedAt), 1) // those of long ago are not remembered
+	is.True(i.allowRequest("a", 0))
+	is.True(!i.allowRequest("a", requestInterval-1))
+	is.True(i.allowRequest("b", requestInterval-1)) // each for itself
+	is.True(i.allowRequest("a", requestInterval))
+	is.True(i.allowRequest("c", time.Hour))
+	is.Equal(len(i.requestedAt), 1) // those of long ago are not remembered
 }
 
 func TestHeartbeatAnswersCarryDigests(t *testing.T) {
-	control := startControl(t, ownAddress())
-	peer := start(t, Options{Settings: settingsOf(t, "peer", control.server.Addr()), GossipEvery: time.Hour})
+	control := startControl(t, uniqueLoopback())
+	peer := start(t, Options{Settings: settingsFor(t, "peer", control.server.Addr()), GossipInterval: time.Hour})
 	peer.Publish(configuration(3, "from the peer"))
 	await(peer, hasConfiguration("from the peer"))
-	control.answers(func(*protocol.Heartbeat) protocol.HeartbeatReply {
+	control.setAnswer(func(*protocol.Heartbeat) protocol.HeartbeatReply {
 		return protocol.HeartbeatReply{Accepted: true, Digest: peer.Digest()}
 	})
-	a := start(t, Options{Settings: settingsOf(t, "n", control.server.Addr()), GossipEvery: time.Hour})
+	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr()), GossipInterval: time.Hour})
 	await(a, hasConfiguration("from the peer"))
 }
 
 func TestAgeOfTheListOfWorkers(t *testing.T) {
 	is := is.New(t)
-	agents := group(t, startControl(t, ownAddress()), 3)
+	agents := startGroup(t, startControl(t, uniqueLoopback()), 3)
 	read := agents[0].ClusterTime()
 	workers := protocol.Workers{ReadAt: read.UnixNano(), Workers: []protocol.Worker{{ID: "i-1"}}}
 	agents[0].Publish(protocol.Item{Kind: protocol.ItemWorkers, Version: version(9, 1), Body: workers.Append(nil)})
@@ -427,16 +427,16 @@
 
 func TestReadingOfANewerListIsKeptUntilTheListComes(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
-	a := start(t, Options{Settings: settingsOf(t, "n", control.server.Addr())})
+	control := startControl(t, uniqueLoopback())
+	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
 	now := a.ClusterTime().UnixNano()
 	workers := protocol.Workers{ReadAt: now - int64(time.Hour)}
 	fresh := protocol.WorkersFresh{Version: version(1, 1), ReadAt: now}
 	a.PublishWorkersFresh(fresh)
-	a.loop.ask(func() {})
+	a.loop.postAndWait(func() {})
 	is.Equal(a.View().WorkersReadAt, time.Duration(0))
 	a.Publish(protocol.Item{Kind: protocol.ItemWorkers, Version: version(1, 1), Body: workers.Append(nil)})
-	a.loop.ask(func() {})
+	a.loop.postAndWait(func() {})
 	is.Equal(a.View().WorkersFresh, fresh)
 	is.True(a.View().WorkersReadAt <= a.Steady())
 	is.True(a.Steady()-a.View().WorkersReadAt < time.Minute) // by the fresh reading, not the list's own hour
@@ -444,8 +444,8 @@
 
 func TestMalformedItemsAreLeftOut(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
-	a := start(t, Options{Settings: settingsOf(t, "n", control.server.Addr())})
+	control := startControl(t, uniqueLoopback())
+	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
 	a.Publish(protocol.Item{Kind: protocol.ItemNodes, Version: version(5, 1), Body: []byte{200}},
 		protocol.Item{Kind: 99, Version: version(5, 1)}, configuration(1, "fine"))
 	await(a, hasConfiguration("fine"))
@@ -454,16 +454,16 @@
 
 func TestFramesOfOthersAreHandedOn(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
+	control := startControl(t, uniqueLoopback())
 	ends := make(chan error, 10)
 	a := start(t, Options{
-		Settings: settingsOf(t, "n", control.server.Addr()),
+		Settings: settingsFor(t, "n", control.server.Addr()),
 		Handle: func(_ *rpc.Conn, kind rpc.Kind, body []byte, reply func([]byte, error)) {
 			reply(append(body, byte(kind)), nil)
 		},
 		OnClose: func(_ *rpc.Conn, err error) { ends <- err },
 	})
-	b := start(t, Options{Settings: settingsOf(t, "m", control.server.Addr())})
+	b := start(t, Options{Settings: settingsFor(t, "m", control.server.Addr())})
 	conn, err := b.Pool().Get(context.Background(), a.Node().Address)
 	is.NoErr(err)
 	answer, err := conn.Call(context.Background(), protocol.KindAccept, []byte("x"))
@@ -482,8 +482,8 @@
 
 func TestLeave(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
-	a := start(t, Options{Settings: settingsOf(t, "n", control.server.Addr())})
+	control := startControl(t, uniqueLoopback())
+	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
 	is.NoErr(a.Leave(context.Background(), false))
 	is.Equal(<-control.leaves, protocol.Leave{Key: "n/store", Incarnation: a.Node().Incarnation})
 	for h := range control.heartbeats {
@@ -493,14 +493,14 @@
 	}
 	is.NoErr(a.Leave(context.Background(), true))
 	is.Equal(<-control.leaves, protocol.Leave{Key: "n/store", Incarnation: a.Node().Incarnation, Over: true})
-	a.loop.ask(func() { is.True(a.session.stopped) })
+	a.loop.postAndWait(func() { is.True(a.session.stopped) })
 }
 
 func TestLeaveWithoutControl(t *testing.T) {
 	is := is.New(t)
-	control := startControl(t, ownAddress())
+	control := startControl(t, uniqueLoopback())
 	_ = control.server.Close()
-	a := start(t, Options{Settings: settingsOf(t, "n", control.server.Addr())})
+	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	is.True(a.Leave(ctx, false) != nil)
@@ -509,22 +509,22 @@
 }
 
 func TestReloadTakesNewSeeds(t *testing.T) {
-	gone, control := startControl(t, ownAddress()), startControl(t, ownAddress())
+	gone, control := startControl(t, uniqueLoopback()), startControl(t, uniqueLoopback())
 	_ = gone.server.Close()
-	a := start(t, Options{Settings: settingsOf(t, "n", gone.server.Addr())})
-	a.Reload(settingsOf(t, "n", control.server.Addr()))
-	accepted(a, control)
+	a := start(t, Options{Settings: settingsFor(t, "n", gone.server.Addr())})
+	a.Reload(settingsFor(t, "n", control.server.Addr()))
+	awaitAccepted(a, control)
 }
 
 // A machine that lost power leaves its connections hanging. Once the nodes show another incarnation there, calls on them end.
 func TestConnectionToAReplacedProcessIsDropped(t *testing.T) {
 	is := is.New(t)
-	ip := ownAddress()
+	ip := uniqueLoopback()
 	server, err := rpc.Listen(net.JoinHostPort(ip, "0"), rpc.HandlerFunc(func(*rpc.Conn, rpc.Kind, []byte, func([]byte, error)) {}), rpc.Options{}) // says nothing
 	is.NoErr(err)
 	t.Cleanup(func() { _ = server.Close() })
 	a := start(t, Options{
-		Settings: settingsOf(t, "edge-1", net.JoinHostPort(ip, "1")), RPC: rpc.Options{PingEvery: 4 * time.Millisecond, DeadAfter: time.Hour},
+		Settings: settingsFor(t, "edge-1", net.JoinHostPort(ip, "1")), RPC: rpc.Options{PingEvery: 4 * time.Millisecond, DeadAfter: time.Hour},
 	})
 	address := server.Addr()
 	store := protocol.Node{Key: "storage-1/store", Role: protocol.RoleStore, Incarnation: 1, Address: address}
--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// slewPerMille is how much faster or slower than the steady clock the cluster's time may run to approach what was learnt.
+	// slewPerMille bounds how much faster or slower than the steady clock the cluster time may run to approach its target.
 	slewPerMille = 50
-	// slowPerMille is how much slower it runs after a start with a clock that is ahead, until it was caught up once.
-	slowPerMille = 500
-	// Samples whose round trip took longer than twice the best one (and this much) are left out; the best one is forgotten gradually.
-	roundTripSlack  = time.Millisecond
-	forgetPerSample = 8 // a sample left out makes the best round trip an eighth longer
+	// initialSlowPerMille is how much slower it runs after a start with a clock that is ahead, until it has reached the target once.
+	initialSlowPerMille = 500
+	// Samples with a round trip longer than twice the best one plus roundTripSlack are discarded; the best round trip decays upwards, so
+	// that a permanently longer path is accepted in the end.
+	roundTripSlack = time.Millisecond
+	bestTripDecay  = 8 // each discarded sample makes the best round trip an eighth longer
 )
 
-// clock is the cluster's time: the steady clock and an offset that approaches what was learnt. It never goes back.
+// clock computes the cluster time: the steady clock plus an offset that is slewed towards its target. It never goes back.
 type clock struct {
-	mutex        sync.Mutex
-	at           time.Duration // steady time up to which offset was brought
-	offset       time.Duration // cluster time since 1970, less steady time
-	target       time.Duration // of the offset
-	bestTrip     time.Duration
-	synchronized bool
-	settled      bool // the target was reached once
+	mutex         sync.Mutex
+	at            time.Duration // steady time at which offset was last updated
+	offset        time.Duration // cluster time since 1970 minus steady time
+	target        time.Duration // value that offset approaches
+	bestRoundTrip time.Duration
+	synchronized  bool
+	converged     bool // the target has been reached once
 }
 
 func newClock(steady time.Duration, wall time.Time) *clock {
@@ -31,16 +32,16 @@
 	return &clock{at: steady, offset: offset, target: offset}
 }
 
-// now is the cluster's time at a steady time.
+// now returns the cluster time at a steady time.
 func (c *clock) now(steady time.Duration) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.advance(steady)
-	// Steady times of other goroutines may be a little behind; what was returned before is not taken back.
+	// Steady times read by other goroutines may be slightly older; the result must still not go back.
 	return time.Unix(0, int64(max(steady, c.at)+c.offset))
 }
 
-// advance moves the offset towards its target by what the time since the last call allows.
+// advance moves the offset towards its target as far as the slew rate allows for the time since the last call.
 func (c *clock) advance(steady time.Duration) {
 	elapsed := steady - c.at
 	if elapsed <= 0 {
@@ -48,8 +49,8 @@
 	}
 	c.at = steady
 	rate := time.Duration(slewPerMille)
-	if !c.settled && c.target < c.offset {
-		rate = slowPerMille
+	if !c.converged && c.target < c.offset {
+		rate = initialSlowPerMille
 	}
 	step := elapsed * rate / 1000
 	switch missing := c.target - c.offset; {
@@ -59,39 +60,40 @@
 		c.offset -= step
 	default:
 		c.offset = c.target
-		c.settled = c.settled || c.synchronized
+		c.converged = c.converged || c.synchronized
 	}
 }
 
-// sample learns from an answer that gave the cluster's time, in nanoseconds since 1970, to a request sent and received at steady times.
+// sample processes a reply that contains the cluster time, in nanoseconds since 1970. sent and received are the steady times of the
+// request and the reply.
 func (c *clock) sample(sent, received time.Duration, clusterTime int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	trip := received - sent
-	if c.synchronized && trip > 2*c.bestTrip+roundTripSlack {
-		c.bestTrip += c.bestTrip/forgetPerSample + roundTripSlack/forgetPerSample
+	if c.synchronized && trip > 2*c.bestRoundTrip+roundTripSlack {
+		c.bestRoundTrip += c.bestRoundTrip/bestTripDecay + roundTripSlack/bestTripDecay
 		return
 	}
-	if !c.synchronized || trip < c.bestTrip {
-		c.bestTrip = trip
+	if !c.synchronized || trip < c.bestRoundTrip {
+		c.bestRoundTrip = trip
 	}
-	c.aim(received, time.Duration(clusterTime)-(sent+trip/2))
+	c.setTarget(received, time.Duration(clusterTime)-(sent+trip/2))
 }
 
-// set makes offset the target.
+// set makes offset the new target.
 func (c *clock) set(steady, offset time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.aim(steady, offset)
+	c.setTarget(steady, offset)
 }
 
-// aim sets the target. The first one is taken at once if time does not go back by it.
-func (c *clock) aim(steady, target time.Duration) {
+// setTarget sets the target. The first target takes effect at once if that does not make time go back.
+func (c *clock) setTarget(steady, target time.Duration) {
 	c.advance(steady)
 	c.target = target
 	if !c.synchronized && target >= c.offset {
 		c.offset = target
-		c.settled = true
+		c.converged = true
 	}
 	c.synchronized = true
 }
@@ -102,7 +104,7 @@
 	return c.synchronized
 }
 
-// steadyAt is the steady time of a cluster time, as far as known.
+// steadyAt converts a cluster time to steady time, by the current target.
 func (c *clock) steadyAt(clusterTime int64) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/agent/pack_test.go
+++ b/internal/agent/compress_test.go
@@ -15,9 +15,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		body := bytes.Repeat(rapid.SliceOf(rapid.Byte()).Draw(t, "body"), rapid.IntRange(1, 100).Draw(t, "times"))
-		packed := pack(body)
-		is.True(len(packed) <= len(body)+1)
-		got, err := unpack(packed)
+		compressed := compress(body)
+		is.True(len(compressed) <= len(body)+1)
+		got, err := decompress(compressed)
 		is.NoErr(err)
 		is.True(bytes.Equal(got, body))
 	})
@@ -25,10 +25,10 @@
 
 func TestForeignPackingIsRefused(t *testing.T) {
 	is := is.New(t)
-	whole := pack(bytes.Repeat([]byte("store-chaguanas-hall-1/4f2a"), 100))
-	for _, packed := range [][]byte{nil, {9, 1, 2}, whole[:len(whole)/2]} {
-		_, err := unpack(packed)
-		is.True(errors.Is(err, errPacked))
+	whole := compress(bytes.Repeat([]byte("store-chaguanas-hall-1/4f2a"), 100))
+	for _, compressed := range [][]byte{nil, {9, 1, 2}, whole[:len(whole)/2]} {
+		_, err := decompress(compressed)
+		is.True(errors.Is(err, errCompression))
 	}
 }
 
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	body := manyNodes(91).Append(nil)
 	is.True(len(body) > 10_000)
-	is.True(len(pack(body)) < 4_000)
+	is.True(len(compress(body)) < 4_000)
 }
 
 func manyNodes(count int) *protocol.NodeTable {
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -15,51 +15,51 @@
 	"liftgauge/internal/rpc"
 )
 
-// callTimeout bounds heartbeats and the word of a planned end, with the opening of a connection.
+// callTimeout bounds heartbeats and leave calls, including the time to open a connection.
 const callTimeout = 400 * time.Millisecond
 
-// heartbeat is what the loop knows of the ways to control.
+// heartbeat holds the addresses at which the loop can find control.
 type heartbeat struct {
-	seeds []string // internal control addresses
-	known []string // addresses that may answer questions about items before any node is known
+	seeds    []string // internal control addresses
+	contacts []string // addresses to send digests to before any node is known
 }
 
-// reload takes settings on the loop.
+// reload applies settings; it runs on the loop.
 func (a *Agent) reload(s *nodeconfig.Settings) {
 	a.heartbeat.seeds = s.SeedAddresses()
-	a.heartbeat.known = nil
+	a.heartbeat.contacts = nil
 	first := s.InternalPortRange[0]
 	for _, address := range append([]string{net.JoinHostPort(s.Ip, strconv.Itoa(first))}, a.heartbeat.seeds...) {
 		host, _, err := net.SplitHostPort(address)
 		if err != nil {
 			continue
 		}
-		for offset := range internalPorts {
-			a.heartbeat.known = append(a.heartbeat.known, net.JoinHostPort(host, strconv.Itoa(first+offset)))
+		for offset := range usedInternalPorts {
+			a.heartbeat.contacts = append(a.heartbeat.contacts, net.JoinHostPort(host, strconv.Itoa(first+offset)))
 		}
 	}
-	a.heartbeat.known = distinct(a.heartbeat.known)
-	a.session.find = a.controlAddresses
-	a.session.restart()
+	a.heartbeat.contacts = distinct(a.heartbeat.contacts)
+	a.session.findCandidates = a.controlAddresses
+	a.session.resetCandidates()
 	a.items.peersStale = true
 }
 
-// internalPorts is how many ports of InternalPortRange are in use: one for each role.
-const internalPorts = 3
+// usedInternalPorts is the number of ports of InternalPortRange that are in use: one per role.
+const usedInternalPorts = 3
 
-// controlAddresses lists where control's primary may be found, the likelier first.
+// controlAddresses returns the addresses at which control's primary may be found, the most likely first.
 func (a *Agent) controlAddresses() []string {
 	v := a.View()
 	addresses := []string{v.PrimaryAddress()}
 	if node := a.Node(); node.Role == protocol.RoleControl {
-		addresses = append([]string{node.Address}, addresses...) // knows it as soon as anybody
+		addresses = append([]string{node.Address}, addresses...) // a control process has the current primary as early as any other
 	}
 	var others []string
 	for _, node := range v.Live(protocol.RoleControl) {
 		others = append(others, node.Address)
 	}
 	others = append(others, a.heartbeat.seeds...)
-	addresses = append(addresses, a.choose(others, len(others))...)
+	addresses = append(addresses, a.choosePeers(others, len(others))...)
 	for _, member := range v.Control.Addresses {
 		addresses = append(addresses, member.Address)
 	}
@@ -84,7 +84,7 @@
 	})
 }
 
-// call sends a call over the pool without waiting; done is called on some goroutine.
+// call sends a call over the pool without waiting; done is called on an arbitrary goroutine.
 func (a *Agent) call(address string, kind rpc.Kind, body []byte, done func([]byte, error)) {
 	if conn := a.pool.Peek(address); conn != nil {
 		conn.CallAsync(kind, body, callTimeout, done)
@@ -131,45 +131,45 @@
 			r.Digest.Address = address
 		}
 		r.Digest.Answer = true
-		a.hear(&r.Digest)
+		a.mergeDigest(&r.Digest)
 	}
 }
 
 func (a *Agent) logSession(address, named string, err error) {
 	if a.session.open {
-		a.logger.Info("agent: session with control", zap.String("primary", address))
+		a.logger.Info("agent: session with control established", zap.String("primary", address))
 		return
 	}
-	a.logger.Info("agent: session interrupted: looking for control's primary", zap.String("at", address), zap.String("named", named),
+	a.logger.Info("agent: session with control interrupted: searching for control's primary", zap.String("at", address), zap.String("named", named),
 		zap.Error(err))
 }
 
-// Leave tells control's primary that a planned end begins (over false) or that it is over, and returns when that was taken. It tries
-// again until ctx ends. After an end that is over no more heartbeats are sent.
+// Leave notifies control's primary that a planned shutdown begins (over is false) or is complete, and returns once the primary has
+// acknowledged it. It retries until ctx ends. Once the shutdown is complete no more heartbeats are sent.
 func (a *Agent) Leave(ctx context.Context, over bool) error {
 	a.setNode(func(n *protocol.Node) { n.Leaving = true })
 	leave := protocol.Leave{Key: a.Node().Key, Incarnation: a.Node().Incarnation, Over: over}
 	body := leave.Append(nil)
 	last := errors.New("agent: no control process is known: check SeedNodes")
-	for pause := firstPause; ; pause = min(2*pause, defaultHeartbeatEvery) {
+	for pause := initialPause; ; pause = min(2*pause, defaultHeartbeatInterval) {
 		var addresses []string
-		if !a.loop.ask(func() { addresses = a.leaveAddresses(over) }) {
+		if !a.loop.postAndWait(func() { addresses = a.leaveAddresses(over) }) {
 			return ErrClosed
 		}
 		for _, address := range addresses {
-			err := a.leaveAt(ctx, address, body)
+			err := a.sendLeave(ctx, address, body)
 			if err == nil {
 				return nil
 			}
 			last = err
 		}
 		if !wait(ctx, pause) {
-			return errors.Wrap(last, "agent: no primary of control took the word of the planned end")
+			return errors.Wrap(last, "agent: no control primary acknowledged the planned shutdown")
 		}
 	}
 }
 
-// leaveAddresses lists where to say that this process ends; it runs on the loop.
+// leaveAddresses returns the addresses to send a leave call to; it runs on the loop.
 func (a *Agent) leaveAddresses(over bool) []string {
 	if over {
 		a.session.stop()
@@ -177,14 +177,14 @@
 	return distinct(slices.Concat([]string{a.session.primary}, a.controlAddresses()))
 }
 
-func (a *Agent) leaveAt(ctx context.Context, address string, body []byte) error {
+func (a *Agent) sendLeave(ctx context.Context, address string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := a.callAndWait(ctx, address, protocol.KindLeave, body)
 	return err
 }
 
-// wait is false if ctx ends before the time is over.
+// wait pauses for d; it returns false if ctx ends first.
 func wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/agent/items.go
+++ b/internal/agent/items.go
@@ -15,104 +15,104 @@
 )
 
 const (
-	// pushTo is how many peers are told of news at once.
-	pushTo = 4
-	// pushEvery bounds how often: what changes meanwhile is told of together.
-	pushEvery = 25 * time.Millisecond
-	// askEvery bounds how often a peer is asked for news before the digests come to it.
-	askEvery = 10 * time.Millisecond
-	// strangerEvery is one digest in so many that goes to an address of the settings instead of a known node.
-	strangerEvery = 4
-	// maxHeard bounds the addresses remembered of processes that sent digests.
-	maxHeard = 16
-	// fetchTimeout bounds the fetching of items from a peer.
+	// pushFanout is the number of random peers that updates are pushed to at once.
+	pushFanout = 4
+	// pushInterval is the minimum time between pushes: changes in between are pushed together.
+	pushInterval = 25 * time.Millisecond
+	// requestInterval is the minimum time between requests for updates to the same peer.
+	requestInterval = 10 * time.Millisecond
+	// fallbackEvery: one of this many digests goes to an address from the settings or of an earlier sender instead of a known node.
+	fallbackEvery = 4
+	// maxSenders bounds the number of remembered addresses of processes that sent digests.
+	maxSenders = 16
+	// fetchTimeout bounds a fetch of items from a peer.
 	fetchTimeout = time.Second
-	// datagramItems is the size up to which items are sent in a datagram, with what is round them.
-	datagramItems = rpc.MaxDatagram - 100
+	// maxDatagramItems is the total size of items that fits into a datagram, leaving room for the encoding around them, in bytes.
+	maxDatagramItems = rpc.MaxDatagram - 100
 )
 
-// items is what the loop knows of the items and of who has them.
+// items is the loop's state of the items and of their dissemination.
 type items struct {
 	state   *dissemination.State[protocol.ItemKind]
 	pulls   *dissemination.Pulls[protocol.ItemKind, string]
 	gossip  dissemination.Schedule
-	digests int // sent by schedule
+	digests int // digests sent by the gossip schedule
 
-	peers      []string // addresses of known nodes but this
+	peers      []string // addresses of the known nodes except this one
 	peersStale bool
-	heard      []string // addresses of processes that sent digests, the latest last
+	senders    []string // addresses of processes that sent digests, the most recent last
 
-	changed  []protocol.ItemKind // since the last call of subscribers
-	news     []protocol.ItemKind // since the last push
-	pushedAt time.Duration
-	askedAt  map[string]time.Duration // when peers were asked for news, of the last askEvery
+	changed     []protocol.ItemKind // since subscribers were last called
+	unpushed    []protocol.ItemKind // since the last push
+	pushedAt    time.Duration
+	requestedAt map[string]time.Duration // when peers were sent requests for updates, within the last requestInterval
 
-	concerned   map[string]bool // addresses of processes that are to hear of the news here
-	concernedAt time.Duration   // when the last of them were told
+	toNotify   map[string]bool // addresses that a digest is to be sent to
+	notifiedAt time.Duration   // when toNotify was last processed
 }
 
-func newItems(gossipEvery, now time.Duration) items {
+func newItems(gossipInterval, now time.Duration) items {
 	return items{
 		state:  dissemination.NewState[protocol.ItemKind](),
 		pulls:  dissemination.NewPulls[protocol.ItemKind, string](),
-		gossip: dissemination.NewSchedule(gossipEvery, now), pushedAt: now - pushEvery,
-		askedAt: map[string]time.Duration{}, concerned: map[string]bool{}, concernedAt: now - pushEvery,
+		gossip: dissemination.NewSchedule(gossipInterval, now), pushedAt: now - pushInterval,
+		requestedAt: map[string]time.Duration{}, toNotify: map[string]bool{}, notifiedAt: now - pushInterval,
 	}
 }
 
 func (i *items) nextWake() time.Duration {
 	next := i.gossip.Next()
-	if len(i.news) > 0 {
-		next = min(next, i.pushedAt+pushEvery)
+	if len(i.unpushed) > 0 {
+		next = min(next, i.pushedAt+pushInterval)
 	}
-	if len(i.concerned) > 0 {
-		next = min(next, i.concernedAt+pushEvery)
+	if len(i.toNotify) > 0 {
+		next = min(next, i.notifiedAt+pushInterval)
 	}
 	return next
 }
 
-// take offers items, whose bodies are packed, to the state and the view.
-func (a *Agent) take(offered []protocol.Item) {
+// applyItems offers items with compressed bodies to the state and the view.
+func (a *Agent) applyItems(offered []protocol.Item) {
 	for _, item := range offered {
 		if dissemination.Version(item.Version).Compare(a.items.state.Version(item.Kind)) <= 0 {
 			continue
 		}
-		view, err := a.withPacked(item)
-		if errors.Is(err, errUnknownItem) {
+		view, err := a.withCompressed(item)
+		if errors.Is(err, errUnknownItemKind) {
 			continue
 		}
 		if err != nil {
-			a.logger.Warn("agent: an item cannot be read and is left out: check the versions of the processes",
+			a.logger.Warn("agent: ignoring an item that cannot be decoded: check the versions of the processes",
 				zap.Uint8("item", uint8(item.Kind)), zap.Error(err))
 			continue
 		}
 		if item.Kind == protocol.ItemNodes {
-			a.dropReplaced(a.View(), view)
+			a.dropReplacedConnections(a.View(), view)
 		}
 		version := dissemination.Version(item.Version)
 		a.items.state.Offer(dissemination.Item[protocol.ItemKind]{Key: item.Kind, Version: version, Body: item.Body})
 		a.items.pulls.Got(dissemination.Entry[protocol.ItemKind]{Key: item.Kind, Version: version})
 		a.view.Store(view)
 		a.items.changed = appendDistinct(a.items.changed, item.Kind)
-		a.items.news = appendDistinct(a.items.news, item.Kind)
-		a.itemTaken(item.Kind, view)
+		a.items.unpushed = appendDistinct(a.items.unpushed, item.Kind)
+		a.itemApplied(item.Kind, view)
 	}
 }
 
-// dropReplaced drops the connections to processes that have started anew since the nodes before: where a machine had lost power, nothing else tells
-// those that called it.
-func (a *Agent) dropReplaced(before, after *View) {
+// dropReplacedConnections drops the connections to processes that have a new incarnation in the node table: if a machine lost power,
+// callers with connections to it get no other indication.
+func (a *Agent) dropReplacedConnections(before, after *View) {
 	for i := range after.Nodes {
 		node := &after.Nodes[i]
-		if known, ok := before.NodeByKey(node.Key); ok && known.Incarnation != node.Incarnation {
+		if previous, ok := before.NodeByKey(node.Key); ok && previous.Incarnation != node.Incarnation {
 			a.pool.DropReplaced(node.Address)
 		}
 	}
 }
 
-// withPacked returns the view with an item whose body is packed.
-func (a *Agent) withPacked(item protocol.Item) (*View, error) {
-	body, err := unpack(item.Body)
+// withCompressed returns the view with an item whose body is compressed.
+func (a *Agent) withCompressed(item protocol.Item) (*View, error) {
+	body, err := decompress(item.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -120,77 +120,78 @@
 	return a.View().with(item)
 }
 
-// itemTaken does what follows from a new state of an item.
-func (a *Agent) itemTaken(kind protocol.ItemKind, view *View) {
+// itemApplied handles the consequences of a new state of an item.
+func (a *Agent) itemApplied(kind protocol.ItemKind, view *View) {
 	switch kind {
 	case protocol.ItemControl:
-		a.session.learn(view.PrimaryAddress(), a.Steady())
+		a.session.setPrimary(view.PrimaryAddress(), a.Steady())
 	case protocol.ItemNodes:
 		a.items.peersStale = true
 	case protocol.ItemWorkers:
-		a.takeFresh(protocol.WorkersFresh{Version: view.WorkersVersion, ReadAt: view.Workers.ReadAt})
-		a.readAt(a.View().WorkersFresh)
+		a.applyWorkersFresh(protocol.WorkersFresh{Version: view.WorkersVersion, ReadAt: view.Workers.ReadAt})
+		a.updateWorkersReadAt(a.View().WorkersFresh)
 	}
 }
 
-// takeFresh notes a reading of the list of workers, and says whether it is news.
-func (a *Agent) takeFresh(fresh protocol.WorkersFresh) bool {
-	known := a.View().WorkersFresh
-	if fresh.Version.Less(known.Version) || fresh.Version == known.Version && fresh.ReadAt <= known.ReadAt {
+// applyWorkersFresh records a reading of the list of workers, and reports whether it is newer than the last one.
+func (a *Agent) applyWorkersFresh(fresh protocol.WorkersFresh) bool {
+	current := a.View().WorkersFresh
+	if fresh.Version.Less(current.Version) || fresh.Version == current.Version && fresh.ReadAt <= current.ReadAt {
 		return false
 	}
 	next := *a.View()
 	next.WorkersFresh = fresh
 	a.view.Store(&next)
-	a.readAt(fresh)
+	a.updateWorkersReadAt(fresh)
 	return true
 }
 
-// readAt tells the view when its list of workers was read.
-func (a *Agent) readAt(fresh protocol.WorkersFresh) {
+// updateWorkersReadAt sets the time at which the view's list of workers was read.
+func (a *Agent) updateWorkersReadAt(fresh protocol.WorkersFresh) {
 	view := a.View()
 	if fresh.Version != view.WorkersVersion {
-		return // a newer list is on its way
+		return // the reading is of another version, which is yet to arrive
 	}
 	next := *view
 	next.WorkersReadAt = max(min(a.clock.steadyAt(fresh.ReadAt), a.Steady()), view.WorkersReadAt)
 	a.view.Store(&next)
 }
 
-// hear takes the digest of another process: what is newer there is pulled, what is older there is pushed unless the digest is an answer.
-func (a *Agent) hear(d *protocol.Digest) {
+// mergeDigest processes the digest of another process: items that are newer there are pulled, items that are older there are pushed
+// unless the digest is an answer.
+func (a *Agent) mergeDigest(d *protocol.Digest) {
 	if d.Address == "" || d.Address == a.Node().Address {
 		return
 	}
-	a.items.remember(d.Address)
+	a.items.rememberSender(d.Address)
 	theirs := make([]dissemination.Entry[protocol.ItemKind], len(d.Versions))
 	for i, v := range d.Versions {
 		theirs[i] = dissemination.Entry[protocol.ItemKind]{Key: v.Kind, Version: dissemination.Version(v.Version)}
 	}
 	pull, push := a.items.state.Compare(theirs)
 	for _, entry := range pull {
-		if entry.Key <= protocol.ItemWorkers { // later versions of the program may have more items
+		if entry.Key <= protocol.ItemWorkers { // later versions of the program may have more kinds of items
 			a.items.pulls.Heard(entry, d.Address)
 		}
 	}
-	a.takeFresh(d.Fresh)
-	known := a.View().WorkersFresh
-	older := d.Fresh.Version.Less(known.Version) || d.Fresh.Version == known.Version && d.Fresh.ReadAt < known.ReadAt
+	a.applyWorkersFresh(d.Fresh)
+	current := a.View().WorkersFresh
+	older := d.Fresh.Version.Less(current.Version) || d.Fresh.Version == current.Version && d.Fresh.ReadAt < current.ReadAt
 	if !d.Answer && (len(push) > 0 || older) {
 		a.push(d.Address, push)
 	}
 }
 
-func (i *items) remember(address string) {
-	if at := slices.Index(i.heard, address); at >= 0 {
-		i.heard = slices.Delete(i.heard, at, at+1)
-	} else if len(i.heard) == maxHeard {
-		i.heard = slices.Delete(i.heard, 0, 1)
+func (i *items) rememberSender(address string) {
+	if at := slices.Index(i.senders, address); at >= 0 {
+		i.senders = slices.Delete(i.senders, at, at+1)
+	} else if len(i.senders) == maxSenders {
+		i.senders = slices.Delete(i.senders, 0, 1)
 	}
-	i.heard = append(i.heard, address)
+	i.senders = append(i.senders, address)
 }
 
-// tickItems does what became due: news to subscribers and peers, pulls, a digest to somebody.
+// tickItems performs what is due: calls of subscribers, pulls, pushes to peers, and a digest to a random peer.
 func (a *Agent) tickItems(now time.Duration) {
 	if len(a.items.changed) > 0 {
 		changed := a.items.changed
@@ -200,32 +201,32 @@
 		}
 	}
 	a.startPulls()
-	if len(a.items.news) > 0 && now >= a.items.pushedAt+pushEvery {
-		news := a.items.news
-		a.items.news, a.items.pushedAt = nil, now
-		for _, peer := range a.choose(a.peers(), pushTo) {
-			a.push(peer, news)
+	if len(a.items.unpushed) > 0 && now >= a.items.pushedAt+pushInterval {
+		kinds := a.items.unpushed
+		a.items.unpushed, a.items.pushedAt = nil, now
+		for _, peer := range a.choosePeers(a.peers(), pushFanout) {
+			a.push(peer, kinds)
 		}
 	}
-	if len(a.items.concerned) > 0 && now >= a.items.concernedAt+pushEvery {
-		a.tellConcerned(now)
+	if len(a.items.toNotify) > 0 && now >= a.items.notifiedAt+pushInterval {
+		a.notifyQueued(now)
 	}
 	if a.items.gossip.Due(now) {
 		a.items.digests++
-		for _, peer := range a.choose(a.audience(), 1) {
+		for _, peer := range a.choosePeers(a.digestTargets(), 1) {
 			a.sendDigest(peer, false)
 		}
 	}
 }
 
-// peers lists the addresses of the known nodes but this.
+// peers returns the addresses of the known nodes except this one.
 func (a *Agent) peers() []string {
 	if a.items.peersStale {
 		a.items.peersStale = false
 		a.items.peers = nil
-		own := a.Node().Address
+		self := a.Node().Address
 		for _, node := range a.View().Nodes {
-			if node.Address != "" && node.Address != own {
+			if node.Address != "" && node.Address != self {
 				a.items.peers = append(a.items.peers, node.Address)
 			}
 		}
@@ -233,25 +234,25 @@
 	return a.items.peers
 }
 
-// audience lists who may get the next digest: the known nodes as a rule, now and then or without any those that the settings name or
-// that were heard of.
-func (a *Agent) audience() []string {
-	if peers := a.peers(); len(peers) > 0 && a.items.digests%strangerEvery != 0 {
+// digestTargets returns the possible receivers of the next digest: usually the known nodes; once in fallbackEvery digests, or if no node
+// is known, the addresses from the settings and of processes that sent digests.
+func (a *Agent) digestTargets() []string {
+	if peers := a.peers(); len(peers) > 0 && a.items.digests%fallbackEvery != 0 {
 		return peers
 	}
-	own := a.Node().Address
-	all := distinct(slices.Concat(a.heartbeat.known, a.items.heard))
-	return slices.DeleteFunc(all, func(address string) bool { return address == own })
+	self := a.Node().Address
+	all := distinct(slices.Concat(a.heartbeat.contacts, a.items.senders))
+	return slices.DeleteFunc(all, func(address string) bool { return address == self })
 }
 
-// push sends states to a peer: the items themselves if a datagram holds them, else the digest, so that the peer pulls them.
+// push sends items to a peer if they fit into a datagram, else the digest, so that the peer pulls them.
 func (a *Agent) push(peer string, kinds []protocol.ItemKind) {
 	size := 0
 	for _, kind := range kinds {
 		item, _ := a.items.state.Get(kind)
 		size += len(item.Body)
 	}
-	if size > datagramItems || len(kinds) == 0 {
+	if size > maxDatagramItems || len(kinds) == 0 {
 		a.sendDigest(peer, true)
 		return
 	}
@@ -260,44 +261,44 @@
 		a.sendDigest(peer, true)
 		return
 	}
-	_ = a.datagrams.Send(peer, protocol.KindItems, body) // what is lost is mended by digests
+	_ = a.datagrams.Send(peer, protocol.KindItems, body) // later digests make up for a lost datagram
 }
 
-// RequestUpdates asks a process, by its internal address, for what it knows that is newer than the own view. It does not wait.
+// RequestUpdates asks the process at an internal address for the items that are newer there than in the local view. It does not block.
 func (a *Agent) RequestUpdates(address string) {
 	a.loop.post(func() {
-		if a.items.mayAsk(address, a.Steady()) {
+		if a.items.allowRequest(address, a.Steady()) {
 			a.sendDigest(address, false)
 		}
 	})
 }
 
-// mayAsk tells whether a peer was not asked for news within askEvery, and notes that it is asked now.
-func (i *items) mayAsk(address string, now time.Duration) bool {
-	maps.DeleteFunc(i.askedAt, func(_ string, at time.Duration) bool { return now-at >= askEvery })
-	if _, asked := i.askedAt[address]; asked {
+// allowRequest reports whether no request for updates was sent to the peer within requestInterval, and if so records one now.
+func (i *items) allowRequest(address string, now time.Duration) bool {
+	maps.DeleteFunc(i.requestedAt, func(_ string, at time.Duration) bool { return now-at >= requestInterval })
+	if _, asked := i.requestedAt[address]; asked {
 		return false
 	}
-	i.askedAt[address] = now
+	i.requestedAt[address] = now
 	return true
 }
 
-// NotifyPeers has processes, by their internal addresses, hear within pushEvery of what is known here, so that they fetch what they lack. It is for those
-// that act by what has changed: a push goes to peers drawn at random, and misses each of the others now and then. It does not wait.
+// NotifyPeers sends a digest to the processes at the internal addresses within pushInterval, so that they fetch the items that they lack.
+// It is meant for processes that must act on a change: a push goes to random peers and so may miss any of them. It does not block.
 func (a *Agent) NotifyPeers(addresses []string) {
 	a.loop.post(func() {
 		for _, address := range addresses {
-			a.items.concerned[address] = true
+			a.items.toNotify[address] = true
 		}
 	})
 }
 
-func (a *Agent) tellConcerned(now time.Duration) {
-	for _, address := range slices.Sorted(maps.Keys(a.items.concerned)) {
+func (a *Agent) notifyQueued(now time.Duration) {
+	for _, address := range slices.Sorted(maps.Keys(a.items.toNotify)) {
 		a.sendDigest(address, true)
 	}
-	clear(a.items.concerned)
-	a.items.concernedAt = now
+	clear(a.items.toNotify)
+	a.items.notifiedAt = now
 }
 
 func (a *Agent) sendDigest(peer string, answer bool) {
@@ -306,7 +307,7 @@
 	_ = a.datagrams.Send(peer, protocol.KindDigest, d.Append(nil))
 }
 
-// bodies encodes the states of items.
+// bodies encodes the current states of items.
 func (a *Agent) bodies(kinds []protocol.ItemKind) []byte {
 	var found protocol.Items
 	for _, kind := range kinds {
@@ -318,24 +319,24 @@
 	return found.Append(nil)
 }
 
-// receive takes a digest or items; body is the loop's from now on.
+// receive processes a digest or items. It takes ownership of body.
 func (a *Agent) receive(kind rpc.Kind, body []byte) {
 	a.loop.post(func() {
 		if kind == protocol.KindDigest {
 			var d protocol.Digest
 			if d.Decode(body) == nil {
-				a.hear(&d)
+				a.mergeDigest(&d)
 			}
 			return
 		}
 		var got protocol.Items
 		if got.Decode(body) == nil {
-			a.take(got.Items)
+			a.applyItems(got.Items)
 		}
 	})
 }
 
-// receiveFetch answers with the items that were asked for.
+// receiveFetch replies with the requested items.
 func (a *Agent) receiveFetch(body []byte, reply func([]byte, error)) {
 	var f protocol.Fetch
 	if err := f.Decode(body); err != nil {
@@ -345,7 +346,7 @@
 	a.loop.post(func() { reply(a.bodies(f.Kinds), nil) })
 }
 
-// startPulls begins to fetch what was heard of and is not being fetched.
+// startPulls starts fetches of the items that are newer at a peer and are not being fetched yet.
 func (a *Agent) startPulls() {
 	for {
 		peer, kinds, ok := a.items.pulls.Next(a.random)
@@ -356,7 +357,7 @@
 			got, err := a.fetch(peer, kinds)
 			a.loop.post(func() {
 				if err == nil {
-					a.take(got.Items)
+					a.applyItems(got.Items)
 				}
 				a.items.pulls.Ended(peer, kinds)
 			})
@@ -369,7 +370,7 @@
 	defer cancel()
 	conn := a.pool.Peek(peer)
 	if conn == nil {
-		if conn, err = a.fetching.Get(ctx, peer); err != nil {
+		if conn, err = a.fetchPool.Get(ctx, peer); err != nil {
 			return got, err
 		}
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// loop is a queue of functions for one goroutine.
+// loop is a queue of functions that one goroutine executes.
 type loop struct {
 	mutex  sync.Mutex
 	queue  []func()
@@ -18,7 +18,7 @@
 	return &loop{wake: make(chan struct{}, 1), ending: make(chan struct{}), ended: make(chan struct{})}
 }
 
-// post queues f; after the end it is dropped.
+// post queues f; it is dropped if the loop has ended.
 func (l *loop) post(f func()) {
 	l.mutex.Lock()
 	l.queue = append(l.queue, f)
@@ -29,8 +29,8 @@
 	}
 }
 
-// ask runs f on the loop and waits for it; it is false if the loop ended before.
-func (l *loop) ask(f func()) bool {
+// postAndWait runs f on the loop and waits until it is done; it returns false if the loop ended first.
+func (l *loop) postAndWait(f func()) bool {
 	done := make(chan struct{})
 	l.post(func() { f(); close(done) })
 	select {
@@ -54,7 +54,7 @@
 	return taken
 }
 
-// run is the agent's goroutine.
+// run is the body of the agent's goroutine.
 func (a *Agent) run() {
 	defer close(a.loop.ended)
 	timer := time.NewTimer(0)
@@ -76,7 +76,7 @@
 	}
 }
 
-// nextWake is when something is due next.
+// nextWake returns when the next action is due.
 func (a *Agent) nextWake() time.Duration {
 	next := a.items.nextWake()
 	if due, ok := a.session.next(); ok {
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	firstPause = 50 * time.Millisecond
-	// maxNamed is how many times in a row a process that was named as control's primary is tried at once.
-	maxNamed = 3
-	// deadFor is how long a process that gave no answer is not tried again only because others name it.
-	deadFor = time.Second
+	initialPause = 50 * time.Millisecond
+	// maxRedirects is how many times in a row a redirect to another process is followed without a pause.
+	maxRedirects = 3
+	// unresponsiveFor is how long redirects to a process that did not answer are ignored.
+	unresponsiveFor = time.Second
 )
 
-// session decides where and when to send the next heartbeat. It is pure: time comes in.
+// session decides where and when to send the next heartbeat. It does no I/O, and callers pass the time.
 type session struct {
-	every   time.Duration
-	primary string // accepted the last heartbeat, or was named as primary since; empty if nobody is known
-
-	candidates []string // still to be tried, in this order
-	find       func() []string
-	due        time.Duration
-	waiting    bool // for an answer
-	pause      time.Duration
-	named      int // processes in a row that were tried because they were named
-	failures   int // in a row without an answer
-	dead       string
-	deadUntil  time.Duration // dead is not tried before because it is named
-	open       bool
-	stopped    bool
+	interval time.Duration
+	primary  string // address that accepted the last heartbeat, or was named as primary since; empty if unknown
+
+	candidates        []string // addresses still to try, in this order
+	findCandidates    func() []string
+	due               time.Duration
+	waiting           bool // a heartbeat awaits its reply
+	pause             time.Duration
+	redirects         int           // redirects followed in a row
+	failures          int           // heartbeats in a row without a reply
+	unresponsive      string        // address that did not answer last
+	unresponsiveUntil time.Duration // redirects to unresponsive are ignored until then
+	open              bool
+	stopped           bool
 }
 
-func newSession(every, now time.Duration) *session { return &session{every: every, due: now} }
+func newSession(interval, now time.Duration) *session { return &session{interval: interval, due: now} }
 
-// next is when the next heartbeat is due; it is false while one waits for its answer.
+// next returns when the next heartbeat is due; it returns false while a heartbeat awaits its reply, and after stop.
 func (s *session) next() (time.Duration, bool) { return s.due, !s.waiting && !s.stopped }
 
-// begin returns where to send a heartbeat now; ok is false if none is due.
+// begin returns the address to send a heartbeat to now; ok is false if none is due.
 func (s *session) begin(now time.Duration) (address string, ok bool) {
 	if due, ready := s.next(); !ready || now < due {
 		return "", false
 	}
 	if s.primary == "" {
-		if len(s.candidates) == 0 && s.find != nil {
-			s.candidates = s.find()
-			if len(s.candidates) > 1 && s.candidates[0] == s.dead && now < s.deadUntil {
-				s.candidates = append(s.candidates[1:len(s.candidates):len(s.candidates)], s.dead)
+		if len(s.candidates) == 0 && s.findCandidates != nil {
+			s.candidates = s.findCandidates()
+			if len(s.candidates) > 1 && s.candidates[0] == s.unresponsive && now < s.unresponsiveUntil {
+				s.candidates = append(s.candidates[1:len(s.candidates):len(s.candidates)], s.unresponsive)
 			}
 		}
 		if len(s.candidates) == 0 {
@@ -60,33 +60,35 @@
 	return address, true
 }
 
-// accept takes the answer of the primary to a heartbeat that was sent at a time. If another was learnt of meanwhile, that is next.
+// accept processes the primary's acceptance of a heartbeat sent at the given time. If another primary has been reported meanwhile, the
+// next heartbeat goes there at once.
 func (s *session) accept(address string, sent, now time.Duration) {
 	s.waiting, s.open = false, true
 	s.candidates = nil
-	s.pause, s.named, s.failures = 0, 0, 0
-	s.dead = ""
+	s.pause, s.redirects, s.failures = 0, 0, 0
+	s.unresponsive = ""
 	if s.primary != "" && s.primary != address {
 		s.due = now
 		return
 	}
 	s.primary = address
-	s.due = max(sent+s.every, now)
+	s.due = max(sent+s.interval, now)
 }
 
-// refuse takes the answer of a process that is not the primary, or not yet ready to accept.
+// refuse processes the reply of a process that is not the primary, or is not yet ready to accept. primary is the address that it names
+// as the primary, empty if it names none.
 func (s *session) refuse(address, primary string, now time.Duration) {
 	s.waiting, s.failures = false, 0
 	switch {
-	case primary == "", primary == s.dead && primary != address && now < s.deadUntil:
-		s.forget(address)
+	case primary == "", primary == s.unresponsive && primary != address && now < s.unresponsiveUntil:
+		s.clearPrimary(address)
 		s.retry(now)
 	case primary == address:
 		s.primary = address
 		s.retry(now)
 	default:
 		s.primary = primary
-		if s.named++; s.named > maxNamed {
+		if s.redirects++; s.redirects > maxRedirects {
 			s.retry(now)
 			return
 		}
@@ -94,19 +96,20 @@
 	}
 }
 
-// fail says that no answer came. A primary whose connection broke is tried once more; one that was silent, or that fails again, is left.
-func (s *session) fail(address string, silent bool, now time.Duration) {
+// fail processes a heartbeat without a reply. A primary whose connection broke is tried once more; one that timed out, or failed again,
+// is abandoned.
+func (s *session) fail(address string, timedOut bool, now time.Duration) {
 	s.waiting = false
 	s.failures++
-	if silent || s.failures > 1 || !s.open {
-		s.forget(address)
-		s.dead, s.deadUntil = address, now+deadFor
+	if timedOut || s.failures > 1 || !s.open {
+		s.clearPrimary(address)
+		s.unresponsive, s.unresponsiveUntil = address, now+unresponsiveFor
 	}
 	s.retry(now)
 }
 
-// learn takes news of who the primary is.
-func (s *session) learn(primary string, now time.Duration) {
+// setPrimary records that the process at an address was reported as the primary.
+func (s *session) setPrimary(primary string, now time.Duration) {
 	if primary == "" || primary == s.primary {
 		return
 	}
@@ -116,29 +119,29 @@
 	}
 }
 
-// restart has other candidates tried.
-func (s *session) restart() { s.candidates = nil }
+// resetCandidates discards the candidates, so that they are looked up again.
+func (s *session) resetCandidates() { s.candidates = nil }
 
-// stop sends no more heartbeats.
+// stop ends the sending of heartbeats.
 func (s *session) stop() { s.stopped = true }
 
-func (s *session) forget(address string) {
+func (s *session) clearPrimary(address string) {
 	if s.primary == address {
 		s.primary = ""
 	}
 }
 
-// retry plans the next try after a growing pause. The first tries follow quickly, so that a change of primary is found soon.
+// retry schedules the next attempt after a growing pause. The first attempts follow quickly, so that a change of primary is found soon.
 func (s *session) retry(now time.Duration) {
 	s.open = false
-	s.pause = min(max(s.pause+s.pause/2, firstPause), max(s.every, firstPause))
+	s.pause = min(max(s.pause+s.pause/2, initialPause), max(s.interval, initialPause))
 	s.due = now + s.pause
 	if s.primary == "" {
-		s.named = 0
+		s.redirects = 0
 	}
 }
 
-// distinct removes empty and repeated addresses and keeps the order of the others.
+// distinct removes empty and duplicate addresses and keeps the order of the others.
 func distinct(addresses []string) []string {
 	kept := addresses[:0:0]
 	for _, address := range addresses {
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -7,16 +7,16 @@
 	"github.com/matryer/is"
 )
 
-const every = 200 * time.Millisecond
+const heartbeatInterval = 200 * time.Millisecond
 
-func sessionOf(candidates ...string) *session {
-	s := newSession(every, 0)
-	s.find = func() []string { return candidates }
+func newTestSession(candidates ...string) *session {
+	s := newSession(heartbeatInterval, 0)
+	s.findCandidates = func() []string { return candidates }
 	return s
 }
 
 // begins checks where the heartbeat that is due at a time goes, and that none was due before.
-func begins(t *testing.T, s *session, at time.Duration, address string) {
+func expectBegin(t *testing.T, s *session, at time.Duration, address string) {
 	t.Helper()
 	is := is.New(t)
 	_, ok := s.begin(at - 1)
@@ -30,27 +30,27 @@
 
 func TestAcceptedHeartbeatsGoToThePrimary(t *testing.T) {
 	is := is.New(t)
-	s := sessionOf("a", "b")
-	begins(t, s, 0, "a")
+	s := newTestSession("a", "b")
+	expectBegin(t, s, 0, "a")
 	s.accept("a", 0, 10)
 	is.True(s.open)
-	begins(t, s, every, "a")
-	s.accept("a", every, 3*every) // a late answer: the next one is due at once
-	begins(t, s, 3*every, "a")
+	expectBegin(t, s, heartbeatInterval, "a")
+	s.accept("a", heartbeatInterval, 3*heartbeatInterval) // a late answer: the next one is due at once
+	expectBegin(t, s, 3*heartbeatInterval, "a")
 }
 
 func TestNamedPrimaryIsTriedAtOnce(t *testing.T) {
-	s := sessionOf("a", "b")
-	begins(t, s, 0, "a")
+	s := newTestSession("a", "b")
+	expectBegin(t, s, 0, "a")
 	s.refuse("a", "c", 5)
-	begins(t, s, 5, "c")
+	expectBegin(t, s, 5, "c")
 	s.accept("c", 5, 6)
-	begins(t, s, 5+every, "c")
+	expectBegin(t, s, 5+heartbeatInterval, "c")
 }
 
 func TestProcessesThatNameEachOtherAreNotTriedInABusyLoop(t *testing.T) {
 	is := is.New(t)
-	s := sessionOf("a")
+	s := newTestSession("a")
 	now, tries := time.Duration(0), 0
 	for now < 10*time.Second {
 		now = max(now, s.due)
@@ -67,69 +67,69 @@
 }
 
 func TestRefusalWithoutANameTriesOthersQuickly(t *testing.T) {
-	s := sessionOf("a", "b", "c")
-	begins(t, s, 0, "a")
+	s := newTestSession("a", "b", "c")
+	expectBegin(t, s, 0, "a")
 	s.refuse("a", "", 0)
-	begins(t, s, 50*time.Millisecond, "b")
+	expectBegin(t, s, 50*time.Millisecond, "b")
 	s.refuse("b", "", 50*time.Millisecond)
-	begins(t, s, 125*time.Millisecond, "c")
+	expectBegin(t, s, 125*time.Millisecond, "c")
 	s.refuse("c", "", 125*time.Millisecond)
-	begins(t, s, 237500*time.Microsecond, "a")
+	expectBegin(t, s, 237500*time.Microsecond, "a")
 }
 
 func TestPrimaryWithABrokenConnectionIsTriedAgain(t *testing.T) {
-	s := sessionOf("b")
-	s.learn("a", 0)
-	begins(t, s, 0, "a")
+	s := newTestSession("b")
+	s.setPrimary("a", 0)
+	expectBegin(t, s, 0, "a")
 	s.accept("a", 0, 0)
-	begins(t, s, every, "a")
-	s.fail("a", false, every)
-	begins(t, s, every+firstPause, "a")
-	s.fail("a", false, every+firstPause)
-	begins(t, s, every+firstPause+firstPause*3/2, "b")
+	expectBegin(t, s, heartbeatInterval, "a")
+	s.fail("a", false, heartbeatInterval)
+	expectBegin(t, s, heartbeatInterval+initialPause, "a")
+	s.fail("a", false, heartbeatInterval+initialPause)
+	expectBegin(t, s, heartbeatInterval+initialPause+initialPause*3/2, "b")
 }
 
 func TestSilentPrimaryIsLeftAndItsNameNotTrusted(t *testing.T) {
 	is := is.New(t)
-	s := sessionOf("a", "b", "c")
-	begins(t, s, 0, "a")
+	s := newTestSession("a", "b", "c")
+	expectBegin(t, s, 0, "a")
 	s.accept("a", 0, 0)
-	begins(t, s, every, "a")
+	expectBegin(t, s, heartbeatInterval, "a")
 	s.fail("a", true, 600*time.Millisecond)
 	is.True(!s.open)
-	begins(t, s, 650*time.Millisecond, "b") // a was the first candidate, but it was silent just now
+	expectBegin(t, s, 650*time.Millisecond, "b") // a was the first candidate, but it was silent just now
 	s.refuse("b", "a", 650*time.Millisecond)
-	begins(t, s, 725*time.Millisecond, "c")
+	expectBegin(t, s, 725*time.Millisecond, "c")
 	s.refuse("c", "b", 725*time.Millisecond)
-	begins(t, s, 725*time.Millisecond, "b")
+	expectBegin(t, s, 725*time.Millisecond, "b")
 	s.accept("b", 725*time.Millisecond, 726*time.Millisecond)
 
-	s = sessionOf("b")
-	s.learn("a", 0)
-	begins(t, s, 0, "a")
+	s = newTestSession("b")
+	s.setPrimary("a", 0)
+	expectBegin(t, s, 0, "a")
 	s.fail("a", true, 400*time.Millisecond)
-	begins(t, s, 450*time.Millisecond, "b")
-	s.refuse("b", "a", 400*time.Millisecond+deadFor) // long enough ago
-	begins(t, s, 400*time.Millisecond+deadFor, "a")
+	expectBegin(t, s, 450*time.Millisecond, "b")
+	s.refuse("b", "a", 400*time.Millisecond+unresponsiveFor) // long enough ago
+	expectBegin(t, s, 400*time.Millisecond+unresponsiveFor, "a")
 }
 
 func TestNewsOfAPrimary(t *testing.T) {
-	s := sessionOf("a")
-	begins(t, s, 0, "a")
+	s := newTestSession("a")
+	expectBegin(t, s, 0, "a")
 	s.accept("a", 0, 0)
-	s.learn("b", 10)
-	begins(t, s, 10, "b")
-	s.learn("c", 11) // while an answer is awaited
+	s.setPrimary("b", 10)
+	expectBegin(t, s, 10, "b")
+	s.setPrimary("c", 11) // while an answer is awaited
 	s.fail("b", true, 20)
-	begins(t, s, 20+firstPause, "c")
-	s.learn("d", 60*time.Millisecond)
-	s.accept("c", 20+firstPause, 60*time.Millisecond) // not yet deposed
-	begins(t, s, 60*time.Millisecond, "d")
+	expectBegin(t, s, 20+initialPause, "c")
+	s.setPrimary("d", 60*time.Millisecond)
+	s.accept("c", 20+initialPause, 60*time.Millisecond) // not yet deposed
+	expectBegin(t, s, 60*time.Millisecond, "d")
 }
 
 func TestStoppedSession(t *testing.T) {
 	is := is.New(t)
-	s := sessionOf("a")
+	s := newTestSession("a")
 	s.stop()
 	_, ok := s.begin(time.Hour)
 	is.True(!ok)
@@ -137,9 +137,9 @@
 
 func TestNobodyKnown(t *testing.T) {
 	is := is.New(t)
-	s := sessionOf()
+	s := newTestSession()
 	_, ok := s.begin(0)
 	is.True(!ok)
 	due, _ := s.next()
-	is.Equal(due, firstPause)
+	is.Equal(due, initialPause)
 }
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -10,7 +10,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// View is one state of all items. It is never changed after it was handed out.
+// View is a snapshot of all items. It is immutable once published.
 type View struct {
 	Control       protocol.ControlView
 	Configuration []byte
@@ -20,30 +20,30 @@
 
 	ControlVersion, ConfigurationVersion, NodesVersion, PartitionsVersion, WorkersVersion protocol.ItemVersion
 
-	// WorkersReadAt is when the list of workers was last read, on the own steady clock; 0 if it is not known.
+	// WorkersReadAt is when the list of workers was last read, on the local steady clock; 0 if unknown.
 	WorkersReadAt time.Duration
-	// WorkersFresh is the last reading of the list that was heard of, which may be newer than Workers.
+	// WorkersFresh is the last reported reading of the list, which may be of a newer version than Workers.
 	WorkersFresh protocol.WorkersFresh
 
-	byKey, byMember map[string]int // places in Nodes
+	byKey, byMember map[string]int // indices into Nodes
 	digest          []protocol.ItemDigest
 }
 
-// NodeByKey finds a node by its key.
+// NodeByKey returns the node with a key.
 func (v *View) NodeByKey(key string) (protocol.Node, bool) { return v.nodeAt(v.byKey, key) }
 
-// NodeByMember finds a node by its member.
+// NodeByMember returns the node with a member ID.
 func (v *View) NodeByMember(member string) (protocol.Node, bool) { return v.nodeAt(v.byMember, member) }
 
-func (v *View) nodeAt(places map[string]int, name string) (protocol.Node, bool) {
-	place, ok := places[name]
+func (v *View) nodeAt(index map[string]int, name string) (protocol.Node, bool) {
+	position, ok := index[name]
 	if !ok {
 		return protocol.Node{}, false
 	}
-	return v.Nodes[place], true
+	return v.Nodes[position], true
 }
 
-// Each goes through the nodes of a role that have a session, in order of their keys.
+// Each iterates over the nodes of a role that have a session, in order of their keys.
 func (v *View) Each(role protocol.Role) iter.Seq[*protocol.Node] {
 	return func(yield func(*protocol.Node) bool) {
 		for i := range v.Nodes {
@@ -63,16 +63,16 @@
 	return live
 }
 
-// PrimaryAddress is the internal address of control's primary, empty if it is not known.
+// PrimaryAddress returns the internal address of control's primary, empty if unknown.
 func (v *View) PrimaryAddress() string {
 	address, _ := v.Control.AddressOf(v.Control.Primary)
 	return address.Address
 }
 
-// errUnknownItem says that a later version of the program made the item.
-var errUnknownItem = errors.New("agent: item of unknown kind")
+// errUnknownItemKind is the error for an item that a later version of the program has published.
+var errUnknownItemKind = errors.New("agent: item of unknown kind")
 
-// with returns a view in which one item has another state.
+// with returns a copy of the view with a new state of one item.
 func (v *View) with(item protocol.Item) (*View, error) {
 	next := *v
 	var err error
@@ -94,7 +94,7 @@
 		next.Workers, next.WorkersVersion = protocol.Workers{}, item.Version
 		err = next.Workers.Decode(item.Body)
 	default:
-		err = errUnknownItem
+		err = errUnknownItemKind
 	}
 	if err != nil {
 		return nil, err
--- a/internal/agent/view_test.go
+++ b/internal/agent/view_test.go
@@ -60,5 +60,5 @@
 	_, err := v.with(protocol.Item{Kind: protocol.ItemNodes, Body: []byte{200}})
 	is.True(errors.Is(err, protocol.ErrMalformed))
 	_, err = v.with(protocol.Item{Kind: 99})
-	is.True(errors.Is(err, errUnknownItem))
+	is.True(errors.Is(err, errUnknownItemKind))
 }
