--- a/queue/advance.go
+++ b/queue/advance.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Never is the wake-up time of a queue that waits for no time.
+// Never is the wake-up time of a queue with no pending deadline.
 const Never = time.Duration(1<<63 - 1)
 
-// Advance makes ready what has become due, gives up what is overdue, and returns the messages that have ended by their retention or by the
-// configuration. The owner writes each end and calls Settle.
+// Advance makes due messages ready, presumes overdue deliveries lost, and returns the messages that have ended because of their retention
+// or the configuration. The owner writes each end and calls ConfirmEnd.
 func (q *Queue) Advance(now time.Duration) []Transition {
 	for q.deadlines.len() > 0 && q.deadlines.top().deadline <= now {
-		q.giveUp(now, q.deadlines.top())
+		q.presumeLost(now, q.deadlines.top())
 	}
 	for q.expiry.len() > 0 && q.expiry.top().expires <= now {
-		if m := q.expiry.pop(); !m.out() { // else its outcome decides
+		if m := q.expiry.pop(); !m.inFlight() { // otherwise its outcome decides
 			q.finishLater(m, DeadLetter)
 		}
 	}
 	for q.waiting.len() > 0 && q.waiting.top().readyAt <= now {
 		q.schedule(now, q.waiting.top())
 	}
-	for q.gates.len() > 0 && q.gates.top().closedUntil <= now {
-		q.wake(q.gates.pop())
+	for q.pausedServices.len() > 0 && q.pausedServices.top().pausedUntil <= now {
+		q.wake(q.pausedServices.pop())
 	}
 	ended := q.ended
 	q.ended = nil
 	return ended
 }
 
-// NextWake returns when Advance has something to do next: Never for nothing, and a time in the past when ends wait to be reported. It is
-// asked after Next has said that nothing can go.
+// NextWake returns when Advance must be called next: Never if nothing is pending, and 0 if ends wait to be reported. Call it after Next
+// has returned false.
 func (q *Queue) NextWake() time.Duration {
 	if len(q.ended) > 0 {
 		return 0
@@ -47,8 +47,8 @@
 	if q.waiting.len() > 0 {
 		wake = min(wake, q.waiting.top().readyAt)
 	}
-	if q.gates.len() > 0 {
-		wake = min(wake, q.gates.top().closedUntil)
+	if q.pausedServices.len() > 0 {
+		wake = min(wake, q.pausedServices.top().pausedUntil)
 	}
 	return wake
 }
@@ -56,29 +56,29 @@
 // ServiceStats counts the messages of one service.
 type ServiceStats struct {
 	Service  string
-	Ready    int // wait for a window only
-	Late     int // of the ready ones, known to be past their wanted start
-	InFlight int // at dispatchers
-	Limit    int // what may be out at once now
+	Ready    int // waiting only for room in the window
+	Late     int // ready messages known to be past their target start
+	InFlight int // deliveries at dispatchers
+	Limit    int // current maximum of InFlight
 }
 
-// Stats returns the figures of the services that have something ready or out, by name.
+// Stats returns the counts of the services that have messages ready or in flight, ordered by name.
 func (q *Queue) Stats() []ServiceStats {
 	var stats []ServiceStats
 	for _, name := range sortedKeys(q.services) {
 		s := q.services[name]
-		if ready := s.ready(); ready > 0 || s.out > 0 {
-			stats = append(stats, ServiceStats{Service: name, Ready: ready, Late: s.late.len(), InFlight: s.out, Limit: s.allowed()})
+		if ready := s.ready(); ready > 0 || s.inFlight > 0 {
+			stats = append(stats, ServiceStats{Service: name, Ready: ready, Late: s.late.len(), InFlight: s.inFlight, Limit: s.allowed()})
 		}
 	}
 	return stats
 }
 
-// Backlogged reports whether more messages of a service wait here than may be out at once, though its workers can be reached: other
-// owners may have room in their windows. Services that only some dispatchers deliver for are paced there, and never are.
+// Backlogged reports whether the window of a reachable service is full and at least another window of messages waits: other stores may
+// have room in their windows. It is false for services with Owners, since those dispatchers pace the deliveries.
 func (q *Queue) Backlogged(service string) bool {
 	s := q.services[service]
-	return s != nil && s.limit == 0 && s.window.Owners == nil && s.out >= s.window.Total && s.ready() >= s.window.Total
+	return s != nil && s.recoveryLimit == 0 && s.window.Owners == nil && s.inFlight >= s.window.Total && s.ready() >= s.window.Total
 }
 
 // Total returns the number of messages of all partitions.
--- a/queue/dispatcher.go
+++ b/queue/dispatcher.go
@@ -8,66 +8,66 @@
 )
 
 const (
-	// lostSlack is added to a route's time-out before a hand-out at a dispatcher that cannot be reached is taken for lost.
-	lostSlack = 300 * time.Millisecond
-	// holdSlack is the same for a dispatcher that can be reached: the time that it may take to find a worker.
-	holdSlack = 5 * time.Second
+	// disconnectedSlack is added to a route's timeout before a delivery at a disconnected dispatcher is presumed lost.
+	disconnectedSlack = 300 * time.Millisecond
+	// connectedSlack is the same for a connected dispatcher: the time that it may take to find a worker.
+	connectedSlack = 5 * time.Second
 )
 
-// dispatcher is a dispatcher's process as the queue sees it.
+// dispatcher is the queue's state of a dispatcher process.
 type dispatcher struct {
-	name     string
-	zone     string
-	open     bool // deliveries can be sent to it
-	handOuts map[*handOut]struct{}
-	slots    map[string]int // by service; nil where the dispatcher has said nothing
+	name    string
+	zone    string
+	open    bool // deliveries can be sent to it
+	pending map[*pendingDelivery]struct{}
+	slots   map[string]int // by service; nil if the dispatcher has reported none
 }
 
-// room reports whether the dispatcher can take one more hand-out of the service.
-func (d *dispatcher) room(s *service) bool {
+// hasCapacity reports whether the dispatcher can take one more delivery of the service.
+func (d *dispatcher) hasCapacity(s *service) bool {
 	limit := max(1, s.window.PerDispatcher)
 	if d.slots != nil {
 		limit = d.slots[s.name]
 	}
-	return d.open && s.outAt[d] < limit
+	return d.open && s.inFlightAt[d] < limit
 }
 
-func (d *dispatcher) sortedHandOuts() []*handOut {
-	return slices.SortedFunc(maps.Keys(d.handOuts), func(a, b *handOut) int { return cmp.Compare(a.order, b.order) })
+func (d *dispatcher) sortedPending() []*pendingDelivery {
+	return slices.SortedFunc(maps.Keys(d.pending), func(a, b *pendingDelivery) int { return cmp.Compare(a.order, b.order) })
 }
 
-// Hello opens a dispatcher on a new connection. Holding lists all hand-outs that it has and whose outcome has not been acknowledged to it:
-// what was handed out to it before and is not listed never arrived, and goes out again at once.
-func (q *Queue) Hello(now time.Duration, name, zone string, holding []HeldDelivery) {
+// Hello opens a dispatcher on a new connection. held lists all deliveries that the dispatcher holds and whose outcome has not been
+// acknowledged to it: an earlier delivery that is not listed never arrived, so its message is delivered again at once.
+func (q *Queue) Hello(now time.Duration, name, zone string, held []HeldDelivery) {
 	d := q.dispatcher(name)
-	listed := make(map[HeldDelivery]bool, len(holding))
-	for _, h := range holding {
+	listed := make(map[HeldDelivery]bool, len(held))
+	for _, h := range held {
 		listed[h] = true
 	}
-	for _, h := range d.sortedHandOuts() {
+	for _, h := range d.sortedPending() {
 		if !listed[HeldDelivery{h.message.partition.number, h.message.id, h.attempt}] {
-			h.message.forget(h)
-			q.giveUp(now, h)
+			h.message.removePending(h)
+			q.presumeLost(now, h)
 		}
 	}
-	for _, h := range holding {
+	for _, h := range held {
 		q.MarkHeld(now, h.Partition, h.ID, h.Attempt, name)
 	}
 	q.Resume(name, zone)
 }
 
-// Resume opens a dispatcher for hand-outs.
+// Resume opens a dispatcher for deliveries.
 func (q *Queue) Resume(name, zone string) {
 	d := q.dispatcher(name)
 	if !d.open || d.zone != zone {
 		d.open, d.zone = true, zone
-		q.listOpen()
+		q.rebuildOpenLists()
 	}
 	q.wakeAll()
 }
 
-// SetSlots sets how many hand-outs a dispatcher takes at once: of the services that it names so many, of others none. With nil the window
-// of the service decides.
+// SetSlots limits the deliveries in flight at a dispatcher, by service; services that are not listed get none. With nil, the window of the
+// service applies.
 func (q *Queue) SetSlots(name string, slots map[string]int) {
 	if d := q.dispatchers[name]; d != nil {
 		d.slots = slots
@@ -75,80 +75,81 @@
 	}
 }
 
-// Pause stops hand-outs to a dispatcher; what it has stays out.
+// Pause stops deliveries to a dispatcher; those in flight are not affected.
 func (q *Queue) Pause(name string) {
 	if d := q.dispatchers[name]; d != nil {
 		q.closeDispatcher(d)
-		q.forgetIfGone(d)
+		q.removeIfIdle(d)
 	}
 }
 
-// MarkHeld says that a hand-out is at a dispatcher, whoever handed it out. A message that is not known is ignored, and so is a hand-out whose
-// outcome was counted meanwhile: nobody would ever report it again.
+// MarkHeld records that a delivery is at a dispatcher, whichever store made it. An unknown message is ignored, and so is a delivery whose
+// outcome has been counted meanwhile: no other report of it would follow.
 func (q *Queue) MarkHeld(now time.Duration, partition uint32, id string, attempt uint32, name string) {
 	m := q.find(partition, id)
 	if m == nil || m.ending || slices.Contains(m.concluded, attempt) {
 		return
 	}
 	m.lastAttempt = max(m.lastAttempt, attempt)
-	h := m.handOut(attempt)
+	h := m.findPending(attempt)
 	if h == nil {
-		q.handOut(now, m, attempt, q.dispatcher(name))
+		q.addPending(now, m, attempt, q.dispatcher(name))
 		return
 	}
-	if h.givenUp && !m.out() {
+	if h.released && !m.inFlight() {
 		q.unschedule(m)
-		q.occupy(h, q.dispatcher(name))
+		q.countInFlight(h, q.dispatcher(name))
 	}
-	if !h.givenUp {
-		q.expect(h, now+holdSlack)
+	if !h.released {
+		q.setDeadline(h, now+connectedSlack)
 	}
 }
 
-// HasInFlight tells whether anything is out at a dispatcher.
+// HasInFlight reports whether any delivery is in flight at a dispatcher.
 func (q *Queue) HasInFlight(name string) bool {
 	d := q.dispatchers[name]
-	return d != nil && len(d.handOuts) > 0
+	return d != nil && len(d.pending) > 0
 }
 
-// RequeueUnlisted gives out again what a dispatcher has not got, by a list of what it holds of a partition that it knows to be in an epoch:
-// it drops what arrives later with a lower epoch. A hand-out of another store that it once held and does not list has ended there.
-func (q *Queue) RequeueUnlisted(now time.Duration, name string, partition uint32, epoch uint64, holding []HeldDelivery) {
+// RequeueUnlisted requeues the messages of a partition whose deliveries a dispatcher does not list as held, if they were made in a lower
+// epoch. The dispatcher has received the given epoch of the partition and drops deliveries of lower epochs that arrive later. A delivery
+// of another store that it once held and does not list has ended there.
+func (q *Queue) RequeueUnlisted(now time.Duration, name string, partition uint32, epoch uint64, held []HeldDelivery) {
 	d := q.dispatchers[name]
 	if d == nil {
 		return
 	}
-	for _, h := range d.sortedHandOuts() {
+	for _, h := range d.sortedPending() {
 		m := h.message
-		if m.partition.number == partition && h.epoch < epoch && !slices.Contains(holding, HeldDelivery{partition, m.id, h.attempt}) {
-			m.forget(h)
-			q.giveUp(now, h)
+		if m.partition.number == partition && h.epoch < epoch && !slices.Contains(held, HeldDelivery{partition, m.id, h.attempt}) {
+			m.removePending(h)
+			q.presumeLost(now, h)
 		}
 	}
 }
 
-// DispatcherDisconnected says that the connection to a dispatcher is lost. If its process is known to have ended, all that it had goes out again at
-// once; otherwise each hand-out does so when the route's time-out and a slack have passed since it was handed out.
-func (q *Queue) DispatcherDisconnected(now time.Duration, name string, certain bool) {
+// DispatcherDisconnected reports that the connection to a dispatcher is lost. If its process is known to have ended, all its messages are
+// requeued at once; otherwise each delivery is presumed lost once the route's timeout and disconnectedSlack have passed since it was made.
+func (q *Queue) DispatcherDisconnected(now time.Duration, name string, ended bool) {
 	d := q.dispatchers[name]
 	if d == nil {
 		return
 	}
 	q.closeDispatcher(d)
-	for _, h := range d.sortedHandOuts() {
-		if certain {
-			q.giveUp(now, h)
+	for _, h := range d.sortedPending() {
+		if ended {
+			q.presumeLost(now, h)
 			continue
 		}
-		q.expect(h, h.since+lostSlack)
+		q.setDeadline(h, h.dispatchedAt+disconnectedSlack)
 	}
-	q.forgetIfGone(d)
+	q.removeIfIdle(d)
 }
 
 func (q *Queue) dispatcher(name string) *dispatcher {
 	d := q.dispatchers[name]
 	if d == nil {
-		d = &dispatcher{name: name, handOuts: map[*handOut]struct{}{}}
+		d = &dispatcher{name: name, pending: map[*pendingDelivery]struct{}{}}
 		q.dispatchers[name] = d
 	}
 	return d
@@ -157,75 +158,77 @@
 func (q *Queue) closeDispatcher(d *dispatcher) {
 	if d.open {
 		d.open = false
-		q.listOpen()
+		q.rebuildOpenLists()
 	}
 }
 
-func (q *Queue) listOpen() {
-	q.near, q.far = q.near[:0], q.far[:0]
+func (q *Queue) rebuildOpenLists() {
+	q.sameZone, q.otherZones = q.sameZone[:0], q.otherZones[:0]
 	for _, name := range sortedKeys(q.dispatchers) {
 		switch d := q.dispatchers[name]; {
 		case !d.open:
 		case d.zone == q.options.Zone:
-			q.near = append(q.near, d)
+			q.sameZone = append(q.sameZone, d)
 		default:
-			q.far = append(q.far, d)
+			q.otherZones = append(q.otherZones, d)
 		}
 	}
 }
 
-func (q *Queue) forgetIfGone(d *dispatcher) {
-	if !d.open && len(d.handOuts) == 0 {
+func (q *Queue) removeIfIdle(d *dispatcher) {
+	if !d.open && len(d.pending) == 0 {
 		delete(q.dispatchers, d.name)
 	}
 }
 
-// choose returns the dispatcher with the fewest hand-outs of the service among those of the own zone that have room, else among all.
-func (q *Queue) choose(s *service) *dispatcher {
+// chooseDispatcher returns the dispatcher with capacity that has the fewest deliveries of the service in flight, preferably in the store's
+// zone.
+func (q *Queue) chooseDispatcher(s *service) *dispatcher {
 	q.rotation++
 	if s.window.Owners != nil {
 		return q.chooseOwner(s)
 	}
-	if d := q.leastOut(s, q.near); d != nil {
+	if d := q.leastLoaded(s, q.sameZone); d != nil {
 		return d
 	}
-	return q.leastOut(s, q.far)
+	return q.leastLoaded(s, q.otherZones)
 }
 
-// chooseOwner chooses among the few dispatchers that the service is placed on.
+// chooseOwner chooses among the few dispatchers that the service is assigned to.
 func (q *Queue) chooseOwner(s *service) *dispatcher {
-	var near, far []*dispatcher
+	var sameZone, otherZones []*dispatcher
 	for _, name := range s.window.Owners {
 		switch d := q.dispatchers[name]; {
 		case d == nil:
 		case d.zone == q.options.Zone:
-			near = append(near, d)
+			sameZone = append(sameZone, d)
 		default:
-			far = append(far, d)
+			otherZones = append(otherZones, d)
 		}
 	}
-	if d := q.leastOut(s, near); d != nil {
+	if d := q.leastLoaded(s, sameZone); d != nil {
 		return d
 	}
-	return q.leastOut(s, far)
+	return q.leastLoaded(s, otherZones)
 }
 
-// leastOut returns the dispatcher of a list that has room and the fewest hand-outs of the service, in turn among equals. One that has none is taken
-// without a look at the rest: with more dispatchers than hand-outs, which is the rule, the cost does not grow with their number.
-func (q *Queue) leastOut(s *service, list []*dispatcher) *dispatcher {
+// leastLoaded returns the dispatcher of a list that has capacity and the fewest deliveries of the service in flight, rotating among equals.
+// A dispatcher with none in flight is returned without checking the others: with more dispatchers than deliveries, the usual case, the
+// cost does not grow with the number of dispatchers.
+func (q *Queue) leastLoaded(s *service, list []*dispatcher) *dispatcher {
 	var best *dispatcher
 	fewest := 0
 	for index := range list {
 		d := list[(index+q.rotation)%len(list)]
-		if !d.room(s) {
+		if !d.hasCapacity(s) {
 			continue
 		}
-		out := s.outAt[d]
-		if out == 0 {
+		inFlight := s.inFlightAt[d]
+		if inFlight == 0 {
 			return d
 		}
-		if best == nil || out < fewest {
-			best, fewest = d, out
+		if best == nil || inFlight < fewest {
+			best, fewest = d, inFlight
 		}
 	}
 	return best
--- a/queue/heap.go
+++ b/queue/heap.go
@@ -1,10 +1,10 @@
 package queue
 
-// indexedHeap is a binary heap whose elements know their place, so that any of them can be removed or moved.
+// indexedHeap is a binary heap whose elements store their index, so that any of them can be removed or moved.
 type indexedHeap[T any] struct {
-	items []T
-	less  func(a, b T) bool
-	place func(item T) *int // where the element keeps its index; -1 when it is in no heap
+	items   []T
+	less    func(a, b T) bool
+	indexOf func(item T) *int // where the element stores its index; notInHeap while it is in no heap
 }
 
 const notInHeap = -1
@@ -25,11 +25,11 @@
 }
 
 func (h *indexedHeap[T]) remove(item T) {
-	index := *h.place(item)
+	index := *h.indexOf(item)
 	if index == notInHeap {
 		return
 	}
-	*h.place(item) = notInHeap
+	*h.indexOf(item) = notInHeap
 	last := len(h.items) - 1
 	moved := h.items[last]
 	var none T
@@ -52,11 +52,11 @@
 			break
 		}
 		h.items[index] = h.items[parent]
-		*h.place(h.items[index]) = index
+		*h.indexOf(h.items[index]) = index
 		index = parent
 	}
 	h.items[index] = item
-	*h.place(item) = index
+	*h.indexOf(item) = index
 }
 
 // down moves the element at index towards the leaves and reports whether it moved.
@@ -74,10 +74,10 @@
 			break
 		}
 		h.items[index] = h.items[child]
-		*h.place(h.items[index]) = index
+		*h.indexOf(h.items[index]) = index
 		index = child
 	}
 	h.items[index] = item
-	*h.place(item) = index
+	*h.indexOf(item) = index
 	return index > start
 }
--- a/queue/message.go
+++ b/queue/message.go
@@ -17,8 +17,8 @@
 	revision  Revision
 	due       time.Duration
 	expires   time.Duration
-	readyAt   time.Duration // not handed out before: the delay or the pause after an attempt
-	lateAt    time.Duration // wanted start
+	readyAt   time.Duration // not delivered before: end of the delay or of the pause after an attempt
+	lateAt    time.Duration // target start
 	route     Route
 	routed    bool
 	lane      *lane
@@ -26,48 +26,48 @@
 
 	attempts    int // failed attempts
 	lastAttempt uint32
-	retries     uint8 // outcomes of the same kind in a row, for the growth of the pause
+	retries     uint8 // consecutive outcomes of the same kind, which determine the retry pause
 	lastOutcome Outcome
-	ending      bool // an end is being written
+	ending      bool // its end is being written
 	state       State
-	handOuts    []*handOut
-	concluded   []uint32 // the last hand-outs whose outcome was counted while the message went on
+	pending     []*pendingDelivery
+	concluded   []uint32 // the last deliveries whose outcome was counted without ending the message
 
-	heap        *indexedHeap[*message] // the heap of the schedule that it is in, if any
+	heap        *indexedHeap[*message] // the heap that the message is scheduled in, if any
 	heapIndex   int
 	expiryIndex int
 }
 
-// handOut is a delivery whose outcome is not known.
-type handOut struct {
+// pendingDelivery is a delivery whose outcome is not known.
+type pendingDelivery struct {
 	message       *message
 	attempt       uint32
 	dispatcher    *dispatcher
 	service       *service
-	since         time.Duration
-	epoch         uint64 // of the partition when it was handed out; 0 if by another store
-	order         uint64 // of all hand-outs, to tell those before a Hello from those after
+	dispatchedAt  time.Duration
+	epoch         uint64 // of the partition at the time of the delivery; 0 if another store made it
+	order         uint64 // number among all deliveries, for a deterministic order
 	deadline      time.Duration
 	deadlineIndex int
-	givenUp       bool // it may have been lost, and the message may be handed out again; its outcome still counts
+	released      bool // it no longer counts in the windows: it may be lost, and the message may be delivered again; its outcome still counts
 }
 
 const (
-	// maxGivenUp bounds how many hand-outs without outcome a message remembers.
-	maxGivenUp = 4
-	// maxConcluded bounds how many hand-outs with outcome a message remembers.
+	// maxPending bounds the number of remembered deliveries per message whose outcome is unknown.
+	maxPending = 4
+	// maxConcluded bounds the number of remembered deliveries per message whose outcome was counted.
 	maxConcluded = 8
 )
 
 func (m *message) maxAttempts() int { return max(1, m.route.MaxAttempts) }
 
-// out reports whether the message is at a dispatcher.
-func (m *message) out() bool {
-	return slices.ContainsFunc(m.handOuts, func(h *handOut) bool { return !h.givenUp })
+// inFlight reports whether the message is at a dispatcher.
+func (m *message) inFlight() bool {
+	return slices.ContainsFunc(m.pending, func(h *pendingDelivery) bool { return !h.released })
 }
 
-func (m *message) handOut(attempt uint32) *handOut {
-	for _, h := range m.handOuts {
+func (m *message) findPending(attempt uint32) *pendingDelivery {
+	for _, h := range m.pending {
 		if h.attempt == attempt {
 			return h
 		}
@@ -75,14 +75,14 @@
 	return nil
 }
 
-func (m *message) forget(h *handOut) {
-	if index := slices.Index(m.handOuts, h); index >= 0 {
-		m.handOuts = slices.Delete(m.handOuts, index, index+1)
+func (m *message) removePending(h *pendingDelivery) {
+	if index := slices.Index(m.pending, h); index >= 0 {
+		m.pending = slices.Delete(m.pending, index, index+1)
 	}
 }
 
-// conclude notes that the outcome of a hand-out was counted. A dispatcher may still list it in a Hello that it wrote before the answer
-// reached it.
+// conclude records that the outcome of a delivery was counted. A dispatcher may still list the delivery in a Hello that it sent before
+// it received the acknowledgement.
 func (m *message) conclude(attempt uint32) {
 	if slices.Contains(m.concluded, attempt) {
 		return
@@ -139,7 +139,7 @@
 // partition holds the messages of one partition.
 type partition struct {
 	number   uint32
-	open     bool // hand-outs are allowed
+	open     bool // deliveries are allowed
 	epoch    uint64
 	messages map[string]*message
 }
--- a/queue/outcome.go
+++ b/queue/outcome.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The pauses before a retry: the first, and the longest that it doubles to.
+// The pauses before a retry: the initial value, and the maximum up to which it doubles.
 const (
 	notRunPause     = 20 * time.Millisecond
 	maxNotRunPause  = 500 * time.Millisecond
@@ -10,11 +10,11 @@
 	maxUnclearPause = time.Second
 	failedPause     = 30 * time.Millisecond
 	maxFailedPause  = 500 * time.Millisecond
-	maxRetries      = 16 // the pause has long stopped growing
+	maxRetries      = 16 // bounds the exponent; every pause has reached its maximum by then
 )
 
-// Outcome takes in what became of a hand-out. A success or a refusal counts whenever it comes; any other outcome counts once for each
-// hand-out. The message goes out again after retryAfter, or after a pause that grows, unless it has ended.
+// Outcome processes the outcome of a delivery. A success or a refusal counts whenever it arrives; any other outcome counts once per
+// delivery. Unless it has ended, the message is delivered again after retryAfter or after a growing pause.
 func (q *Queue) Outcome(now time.Duration, partition uint32, id string, attempt uint32, o Outcome, retryAfter time.Duration) Transition {
 	m := q.find(partition, id)
 	if m == nil {
@@ -23,8 +23,8 @@
 	if m.ending {
 		return Transition{Action: AlreadyEnding, Partition: partition, ID: id, State: m.state, Attempts: m.attempts}
 	}
-	h := m.handOut(attempt)
-	q.judgeService(now, m, h, o)
+	h := m.findPending(attempt)
+	q.updateReachability(now, m, h, o)
 	switch o {
 	case Succeeded:
 		return q.finish(m, Done)
@@ -37,7 +37,7 @@
 		return t
 	}
 	q.release(h)
-	m.forget(h)
+	m.removePending(h)
 	if o == Failed {
 		m.attempts++
 		t.Action, t.Attempts = Record, m.attempts
@@ -45,19 +45,19 @@
 			return q.finish(m, DeadLetter)
 		}
 	}
-	if m.out() {
+	if m.inFlight() {
 		return t
 	}
-	m.readyAt = max(m.readyAt, now+m.pause(o, retryAfter))
-	if q.over(now, m) {
+	m.readyAt = max(m.readyAt, now+m.retryPause(o, retryAfter))
+	if q.endsUndelivered(now, m) {
 		return q.finish(m, DeadLetter)
 	}
 	q.schedule(now, m)
 	return t
 }
 
-// judgeService lets an outcome tell whether the service can be reached.
-func (q *Queue) judgeService(now time.Duration, m *message, h *handOut, o Outcome) {
+// updateReachability updates the reachability of the service by an outcome.
+func (q *Queue) updateReachability(now time.Duration, m *message, h *pendingDelivery, o Outcome) {
 	s := m.service
 	if h != nil && h.service != nil {
 		s = h.service
@@ -65,21 +65,21 @@
 	if s == nil {
 		return
 	}
-	q.gates.remove(s) // its place there depends on what changes now
+	q.pausedServices.remove(s) // its position in the heap depends on fields that change below
 	switch {
 	case o == Succeeded || o == Refused || o == Failed:
-		s.reachable(now)
+		s.markReachable(now)
 	case h == nil:
 	case o == ServiceDown:
-		s.unreachable(now, h.since)
+		s.markUnreachable(now, h.dispatchedAt)
 	case o == NotRun || o == Unclear:
-		s.missed(now, h.since)
+		s.countUnanswered(now, h.dispatchedAt)
 	}
 	q.wake(s)
 }
 
-// pause returns how long a message waits after an outcome that is no end.
-func (m *message) pause(o Outcome, retryAfter time.Duration) time.Duration {
+// retryPause returns how long a message waits after an outcome that does not end it.
+func (m *message) retryPause(o Outcome, retryAfter time.Duration) time.Duration {
 	if m.lastOutcome != o {
 		m.lastOutcome, m.retries = o, 0
 	}
@@ -89,14 +89,14 @@
 	if retryAfter > 0 && (o == NotRun || o == ServiceDown) {
 		return retryAfter
 	}
-	first, longest := time.Duration(0), time.Duration(0)
+	initial, longest := time.Duration(0), time.Duration(0)
 	switch o {
 	case NotRun:
-		first, longest = notRunPause, maxNotRunPause
+		initial, longest = notRunPause, maxNotRunPause
 	case Unclear:
-		first, longest = unclearPause, maxUnclearPause
+		initial, longest = unclearPause, maxUnclearPause
 	case Failed:
-		first, longest = failedPause, maxFailedPause
+		initial, longest = failedPause, maxFailedPause
 	}
-	return min(first<<(m.retries-1), longest)
+	return min(initial<<(m.retries-1), longest)
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -9,31 +9,31 @@
 
 // Options are the fixed parameters of a Queue.
 type Options struct {
-	// Match finds the route of a message in the present configuration.
+	// Match finds the route of a message in the current configuration.
 	Match func(host, uri string) (Route, bool)
-	// Revision is the revision of the present configuration.
+	// Revision is the revision of the current configuration.
 	Revision Revision
 	// Zone is the zone of the store; dispatchers of the same zone are preferred.
 	Zone string
 }
 
-// Queue holds the messages of the partitions that a store is primary of. It is not safe for use by several goroutines.
+// Queue holds the messages of the partitions that a store is primary of. It is not safe for concurrent use.
 type Queue struct {
-	options     Options
-	revision    Revision
-	partitions  map[uint32]*partition
-	lanes       map[laneKey]*lane
-	services    map[string]*service
-	dispatchers map[string]*dispatcher
-	near, far   []*dispatcher // those that are open, of the own zone and of others, in order of their names
-	runnable    []*service    // services that may have something to hand out, each once
-	waiting     indexedHeap[*message]
-	expiry      indexedHeap[*message]
-	deadlines   indexedHeap[*handOut]
-	gates       indexedHeap[*service]
-	ended       []Transition // ends that Advance has still to report
-	handOuts    uint64       // hand-outs ever made
-	rotation    int
+	options              Options
+	revision             Revision
+	partitions           map[uint32]*partition
+	lanes                map[laneKey]*lane
+	services             map[string]*service
+	dispatchers          map[string]*dispatcher
+	sameZone, otherZones []*dispatcher // open dispatchers of the store's zone and of other zones, in order of their names
+	runnable             []*service    // services that may have a message to deliver, without duplicates
+	waiting              indexedHeap[*message]
+	expiry               indexedHeap[*message]
+	deadlines            indexedHeap[*pendingDelivery]
+	pausedServices       indexedHeap[*service]
+	ended                []Transition // ends that Advance has yet to report
+	deliveryCount        uint64       // deliveries made so far
+	rotation             int
 }
 
 // New returns an empty queue.
@@ -46,36 +46,36 @@
 		services:    map[string]*service{},
 		dispatchers: map[string]*dispatcher{},
 		waiting: indexedHeap[*message]{
-			less:  func(a, b *message) bool { return earlier(a, b, a.readyAt, b.readyAt) },
-			place: scheduleIndex,
+			less:    func(a, b *message) bool { return earlier(a, b, a.readyAt, b.readyAt) },
+			indexOf: scheduleIndex,
 		},
 		expiry: indexedHeap[*message]{
-			less:  func(a, b *message) bool { return earlier(a, b, a.expires, b.expires) },
-			place: func(m *message) *int { return &m.expiryIndex },
+			less:    func(a, b *message) bool { return earlier(a, b, a.expires, b.expires) },
+			indexOf: func(m *message) *int { return &m.expiryIndex },
 		},
-		deadlines: indexedHeap[*handOut]{
-			less: func(a, b *handOut) bool {
+		deadlines: indexedHeap[*pendingDelivery]{
+			less: func(a, b *pendingDelivery) bool {
 				return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.order, b.order)) < 0
 			},
-			place: func(h *handOut) *int { return &h.deadlineIndex },
+			indexOf: func(h *pendingDelivery) *int { return &h.deadlineIndex },
 		},
-		gates: indexedHeap[*service]{
+		pausedServices: indexedHeap[*service]{
 			less: func(a, b *service) bool {
-				return cmp.Or(cmp.Compare(a.closedUntil, b.closedUntil), cmp.Compare(a.name, b.name)) < 0
+				return cmp.Or(cmp.Compare(a.pausedUntil, b.pausedUntil), cmp.Compare(a.name, b.name)) < 0
 			},
-			place: func(s *service) *int { return &s.gateIndex },
+			indexOf: func(s *service) *int { return &s.pausedIndex },
 		},
 	}
 }
 
 func scheduleIndex(m *message) *int { return &m.heapIndex }
 
-// earlier orders two messages by a time, and those of the same time by their acceptance, so that every order is total.
+// earlier orders two messages by a time, and by their acceptance if the times are equal, so that the order is total.
 func earlier(a, b *message, at, bt time.Duration) bool {
 	return cmp.Or(cmp.Compare(at, bt), cmp.Compare(a.sequence, b.sequence), cmp.Compare(a.partition.number, b.partition.number)) < 0
 }
 
-// Add takes in a message whose acceptance is durable. It reports false if the queue has it already.
+// Add adds a message whose acceptance is durable. It returns false if the queue holds it already.
 func (q *Queue) Add(now time.Duration, e Entry) bool {
 	p := q.partition(e.Partition)
 	if p.messages[e.ID] != nil {
@@ -104,8 +104,8 @@
 	return 0
 }
 
-// SetOpen allows or stops hand-outs of a partition. A partition is closed at first, so that messages can be added and holdings be
-// reported before anything is handed out. What is out stays out.
+// SetOpen allows or stops deliveries from a partition. A partition is closed at first, so that messages can be added and held deliveries
+// reported before anything is delivered. Deliveries in flight are not affected.
 func (q *Queue) SetOpen(now time.Duration, partition uint32, open bool) {
 	p := q.partition(partition)
 	if p.open == open {
@@ -117,10 +117,10 @@
 	}
 }
 
-// SetEpoch sets the epoch that hand-outs of a partition bear from now on.
+// SetEpoch sets the epoch of subsequent deliveries from a partition.
 func (q *Queue) SetEpoch(partition uint32, epoch uint64) { q.partition(partition).epoch = epoch }
 
-// Drop forgets all messages of a partition.
+// Drop removes all messages of a partition.
 func (q *Queue) Drop(partition uint32) {
 	p := q.partitions[partition]
 	if p == nil {
@@ -129,7 +129,7 @@
 	p.open = false
 	for _, m := range p.sorted() {
 		q.unschedule(m)
-		q.releaseHandOuts(m)
+		q.releaseAll(m)
 		q.expiry.remove(m)
 		if m.lane != nil {
 			delete(q.lanes, m.lane.key)
@@ -138,21 +138,22 @@
 	delete(q.partitions, partition)
 }
 
-// ConfirmEnd says that the end of a message is on disk everywhere: the message is forgotten and the next one of its key may go.
+// ConfirmEnd reports that the end of a message is on disk on all replicas: the message is removed, and the next one of its key may be
+// delivered.
 func (q *Queue) ConfirmEnd(now time.Duration, partition uint32, id string) {
 	m := q.find(partition, id)
 	if m == nil || !m.ending {
 		return
 	}
 	q.unschedule(m)
-	q.releaseHandOuts(m)
+	q.releaseAll(m)
 	q.expiry.remove(m)
 	delete(m.partition.messages, id)
 	q.leaveLane(now, m)
 }
 
-// Reconfigure matches every message again: routes, time-outs and services of queued messages follow the present configuration. Messages
-// whose route is gone end; Advance reports them.
+// Reconfigure matches every message again: routes, timeouts and services of queued messages follow the current configuration. Messages
+// whose route was removed end; Advance reports them.
 func (q *Queue) Reconfigure(now time.Duration, revision Revision) {
 	q.revision = revision
 	for _, number := range slices.Sorted(maps.Keys(q.partitions)) {
--- a/queue/schedule.go
+++ b/queue/schedule.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// routeMessage matches a message by the present configuration, and puts it in its lane and schedule. Without a route it ends, if the
-// configuration is at least as new as the one by which it was accepted; else it waits for that one.
+// routeMessage matches a message against the current configuration, and puts it into its lane and schedule. Without a route it ends if
+// the configuration is at least as new as the one under which it was accepted; otherwise it waits for that configuration.
 func (q *Queue) routeMessage(now time.Duration, m *message) {
 	if m.ending {
 		return
@@ -13,7 +13,7 @@
 	if !found {
 		q.unschedule(m)
 		m.service = nil
-		if !m.out() && q.over(now, m) {
+		if !m.inFlight() && q.endsUndelivered(now, m) {
 			q.finishLater(m, DeadLetter)
 		}
 		return
@@ -25,7 +25,7 @@
 	q.schedule(now, m)
 }
 
-// enterLane moves the message into the lane that its route and key ask for.
+// enterLane moves the message into the lane that its route and key determine.
 func (q *Queue) enterLane(now time.Duration, m *message) {
 	key := laneKey{m.partition.number, m.route.Name, m.key}
 	wanted := m.route.Fifo && m.key != ""
@@ -45,13 +45,13 @@
 	}
 	m.lane = l
 	l.insert(m)
-	l.head().replace()
+	l.head().reposition()
 	if l.head() == m && len(l.messages) > 1 {
 		q.unschedule(l.messages[1])
 	}
 }
 
-// leaveLane takes the message out of its lane and schedules the next one of its key.
+// leaveLane removes the message from its lane and schedules the next one of its key.
 func (q *Queue) leaveLane(now time.Duration, m *message) {
 	l := m.lane
 	if l == nil {
@@ -66,11 +66,12 @@
 	q.schedule(now, l.head())
 }
 
-// schedule puts a message where its state asks for: among the ready ones of its service, among those that wait for a time, or nowhere.
+// schedule puts a message where its state requires: among the ready messages of its service, among the messages that wait for a time, or
+// in no heap.
 func (q *Queue) schedule(now time.Duration, m *message) {
 	q.unschedule(m)
 	switch {
-	case !m.partition.open, !m.routed, m.ending, m.service == nil, m.lane != nil && m.lane.head() != m, m.out():
+	case !m.partition.open, !m.routed, m.ending, m.service == nil, m.lane != nil && m.lane.head() != m, m.inFlight():
 	case m.readyAt > now:
 		m.heap = &q.waiting
 		q.waiting.push(m)
@@ -80,8 +81,8 @@
 	}
 }
 
-// replace gives a message that is scheduled its place again after what that depends on has changed.
-func (m *message) replace() {
+// reposition restores the heap position of a scheduled message after its sort key has changed.
+func (m *message) reposition() {
 	if h := m.heap; h != nil {
 		h.remove(m)
 		h.push(m)
@@ -95,28 +96,28 @@
 	}
 }
 
-// finish marks the message as ended. The owner writes the end and calls Settle.
+// finish marks the message as ended. The owner writes the end and calls ConfirmEnd.
 func (q *Queue) finish(m *message, state State) Transition {
 	q.unschedule(m)
-	q.releaseHandOuts(m)
+	q.releaseAll(m)
 	q.expiry.remove(m)
 	m.ending, m.state = true, state
 	return Transition{Action: End, Partition: m.partition.number, ID: m.id, State: state, Attempts: m.attempts}
 }
 
-// finishLater marks the message as ended by something else than an outcome; Advance reports it.
+// finishLater marks the message as ended for a reason other than an outcome; Advance reports it.
 func (q *Queue) finishLater(m *message, state State) {
 	q.ended = append(q.ended, q.finish(m, state))
 }
 
-// over reports whether a message that is not out has ended without a worker: its retention is over or its route is gone.
-func (q *Queue) over(now time.Duration, m *message) bool {
+// endsUndelivered reports whether a message that is not in flight must end: its retention has expired or its route was removed.
+func (q *Queue) endsUndelivered(now time.Duration, m *message) bool {
 	return m.expires <= now || !m.routed && !q.revision.Before(m.revision)
 }
 
-// requeue schedules a message that is not out any more.
+// requeue schedules a message that is no longer in flight.
 func (q *Queue) requeue(now time.Duration, m *message) {
-	if q.over(now, m) {
+	if q.endsUndelivered(now, m) {
 		q.finishLater(m, DeadLetter)
 		return
 	}
--- a/queue/service.go
+++ b/queue/service.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	defaultTotal         = 4 // window of a service of which the owner has said nothing
+	defaultTotal         = 4 // window of a service for which the owner has set none
 	defaultPerDispatcher = 2
-	// lateShare is how many hand-outs of messages in time go before one of a late message, when both wait.
+	// lateShare is the number of deliveries of on-time messages per delivery of a late message, when both kinds wait.
 	lateShare = 4
-	// behindPenalty is how much later a late message counts for each one of its key that waits behind it: where few do, those few and
-	// whatever comes next are soon in time again. It is bounded by the number, so that nothing waits for ever.
-	behindPenalty = 500 * time.Millisecond
-	// probeLimit is the window of a service that cannot be reached.
+	// followerPenalty is added to the due time of a late message for each message of its key that waits behind it. Keys with few waiting
+	// messages go first, so that they and their next messages are soon on time again. As the number of followers is finite, no message
+	// waits for ever.
+	followerPenalty = 500 * time.Millisecond
+	// probeLimit is the window of an unreachable service.
 	probeLimit = 1
-	// minMisses is how many hand-outs in a row must come back without an answer, at least, before a service counts as unreachable; a
-	// whole window of them must.
-	minMisses    = 4
-	minGatePause = 50 * time.Millisecond
-	maxGatePause = 400 * time.Millisecond
+	// minUnanswered is the minimum number of consecutive deliveries without an answer from a worker before a service counts as
+	// unreachable; if its window is larger, a whole window of them is required.
+	minUnanswered   = 4
+	minServicePause = 50 * time.Millisecond
+	maxServicePause = 400 * time.Millisecond
 )
 
-// service holds the ready messages of one service and what is out for it.
+// service holds the ready messages of one service and counts its deliveries in flight.
 type service struct {
-	name      string
-	window    Window
-	inTime    []*class // by priority
-	late      indexedHeap[*message]
-	sinceLate int
-	out       int
-	outAt     map[*dispatcher]int
-	queued    bool // it is among the runnable ones
-
-	misses      int // hand-outs without an answer of a worker in a row
-	limit       int // smaller window while the service comes back from being unreachable; 0 for none
-	downSince   time.Duration
-	gatePause   time.Duration
-	closedUntil time.Duration // nothing is handed out before
-	gateIndex   int
-}
-
-// class holds the ready messages in time of one priority.
+	name       string
+	window     Window
+	inTime     []*class // by priority
+	late       indexedHeap[*message]
+	sinceLate  int
+	inFlight   int
+	inFlightAt map[*dispatcher]int
+	runnable   bool // it is in Queue.runnable
+
+	unanswered       int // consecutive deliveries without an answer from a worker
+	recoveryLimit    int // smaller window while the service is unreachable or recovering; 0 for none
+	unreachableSince time.Duration
+	pause            time.Duration
+	pausedUntil      time.Duration // no deliveries before this time
+	pausedIndex      int
+}
+
+// class holds the ready on-time messages of one priority.
 type class struct {
 	priority int
 	messages indexedHeap[*message]
@@ -53,23 +54,23 @@
 		name:   name,
 		window: Window{Total: defaultTotal, PerDispatcher: defaultPerDispatcher},
 		late: indexedHeap[*message]{
-			less:  func(a, b *message) bool { return earlier(a, b, a.lateTurn(), b.lateTurn()) },
-			place: scheduleIndex,
+			less:    func(a, b *message) bool { return earlier(a, b, a.lateOrder(), b.lateOrder()) },
+			indexOf: scheduleIndex,
 		},
-		outAt:     map[*dispatcher]int{},
-		gateIndex: notInHeap,
+		inFlightAt:  map[*dispatcher]int{},
+		pausedIndex: notInHeap,
 	}
 }
 
-// lateTurn is the place of a late message among the late ones of its service.
-func (m *message) lateTurn() time.Duration {
+// lateOrder is the sort key of a late message among the late messages of its service.
+func (m *message) lateOrder() time.Duration {
 	if m.lane == nil {
 		return m.due
 	}
-	return m.due + time.Duration(len(m.lane.messages)-1)*behindPenalty
+	return m.due + time.Duration(len(m.lane.messages)-1)*followerPenalty
 }
 
-// add takes in a ready message.
+// add inserts a ready message.
 func (s *service) add(now time.Duration, m *message) {
 	m.heap = &s.late
 	if now < m.lateAt {
@@ -82,15 +83,15 @@
 	index, found := slices.BinarySearchFunc(s.inTime, priority, func(c *class, priority int) int { return c.priority - priority })
 	if !found {
 		c := &class{priority: priority, messages: indexedHeap[*message]{
-			less:  func(a, b *message) bool { return earlier(a, b, a.lateAt, b.lateAt) },
-			place: scheduleIndex,
+			less:    func(a, b *message) bool { return earlier(a, b, a.lateAt, b.lateAt) },
+			indexOf: scheduleIndex,
 		}}
 		s.inTime = slices.Insert(s.inTime, index, c)
 	}
 	return s.inTime[index]
 }
 
-// ready returns the number of messages that wait for the window only.
+// ready returns the number of messages that wait only for room in the window.
 func (s *service) ready() int {
 	ready := s.late.len()
 	for _, c := range s.inTime {
@@ -99,7 +100,7 @@
 	return ready
 }
 
-// next returns the message to hand out first, and leaves it where it is.
+// next returns the message to deliver next without removing it.
 func (s *service) next(now time.Duration) *message {
 	var inTime *message
 	for _, c := range s.inTime {
@@ -121,8 +122,8 @@
 	return inTime
 }
 
-// count keeps the share of late messages.
-func (s *service) count(late bool) {
+// countDispatch counts a delivery towards the share of late messages.
+func (s *service) countDispatch(late bool) {
 	if late {
 		s.sinceLate = 0
 	} else if s.sinceLate < lateShare {
@@ -130,48 +131,48 @@
 	}
 }
 
-// allowed returns how many hand-outs may be out at once.
+// allowed returns the maximum number of deliveries in flight.
 func (s *service) allowed() int {
-	if s.limit > 0 {
-		return min(s.limit, s.window.Total)
+	if s.recoveryLimit > 0 {
+		return min(s.recoveryLimit, s.window.Total)
 	}
 	return s.window.Total
 }
 
-// unreachable shrinks the window to a probe and closes the gate for a pause that grows. A hand-out from before the last such news tells
-// nothing new.
-func (s *service) unreachable(now, handedOut time.Duration) {
-	if s.limit > 0 && handedOut < s.downSince {
+// markUnreachable shrinks the window to probeLimit and stops deliveries for a pause that grows. Outcomes of deliveries that were
+// dispatched before the service was last marked carry no new information and are ignored.
+func (s *service) markUnreachable(now, dispatchedAt time.Duration) {
+	if s.recoveryLimit > 0 && dispatchedAt < s.unreachableSince {
 		return
 	}
-	s.limit, s.downSince, s.misses = probeLimit, now, 0
-	s.gatePause = min(max(2*s.gatePause, minGatePause), maxGatePause)
-	s.closedUntil = now + s.gatePause
+	s.recoveryLimit, s.unreachableSince, s.unanswered = probeLimit, now, 0
+	s.pause = min(max(2*s.pause, minServicePause), maxServicePause)
+	s.pausedUntil = now + s.pause
 }
 
-// missed counts a hand-out that came back without an answer of a worker. One alone says little; when a whole window does, the service
-// cannot be reached.
-func (s *service) missed(now, handedOut time.Duration) {
-	if s.limit > 0 && handedOut < s.downSince {
+// countUnanswered counts a delivery without an answer from a worker. A single one is not significant; a whole window of them in a row
+// marks the service as unreachable.
+func (s *service) countUnanswered(now, dispatchedAt time.Duration) {
+	if s.recoveryLimit > 0 && dispatchedAt < s.unreachableSince {
 		return
 	}
-	s.misses++
-	if s.limit > 0 && s.misses >= s.allowed() || s.misses >= max(minMisses, s.window.Total) {
-		s.unreachable(now, handedOut)
+	s.unanswered++
+	if s.recoveryLimit > 0 && s.unanswered >= s.allowed() || s.unanswered >= max(minUnanswered, s.window.Total) {
+		s.markUnreachable(now, dispatchedAt)
 	}
 }
 
-// reachable opens the gate and doubles a shrunken window.
-func (s *service) reachable(now time.Duration) {
-	s.misses = 0
-	if s.limit == 0 {
+// markReachable ends the pause and doubles a reduced window.
+func (s *service) markReachable(now time.Duration) {
+	s.unanswered = 0
+	if s.recoveryLimit == 0 {
 		return
 	}
-	s.limit *= 2
-	if s.limit >= s.window.Total {
-		s.limit = 0
+	s.recoveryLimit *= 2
+	if s.recoveryLimit >= s.window.Total {
+		s.recoveryLimit = 0
 	}
-	s.gatePause, s.closedUntil = 0, now
+	s.pause, s.pausedUntil = 0, now
 }
 
 func (q *Queue) service(name string) *service {
@@ -183,26 +184,26 @@
 	return s
 }
 
-// SetWindow sets what may be out at once for a service.
+// SetWindow sets the limits of the deliveries in flight for a service.
 func (q *Queue) SetWindow(service string, w Window) {
 	s := q.service(service)
 	s.window = w
 	q.wake(s)
 }
 
-// wake puts the service among the runnable ones if it has something ready.
+// wake makes the service runnable if it has ready messages.
 func (q *Queue) wake(s *service) {
-	if !s.queued && s.ready() > 0 {
-		s.queued = true
+	if !s.runnable && s.ready() > 0 {
+		s.runnable = true
 		q.runnable = append(q.runnable, s)
 	}
 }
 
-// wakeAll wakes every service with something ready, in order of their names.
+// wakeAll wakes every service that has ready messages, in order of their names.
 func (q *Queue) wakeAll() {
 	var ready []*service
 	for _, s := range q.services {
-		if !s.queued && s.ready() > 0 {
+		if !s.runnable && s.ready() > 0 {
 			ready = append(ready, s)
 		}
 	}
--- a/queue/types.go
+++ b/queue/types.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Route is what the present configuration says about a message.
+// Route is the part of the current configuration that applies to a message.
 type Route struct {
 	Name        string
 	Service     string
-	Fifo        bool          // messages with the same key are handed out one after the other
-	MaxAttempts int           // failed attempts that end a message; 0 counts as 1
-	Retention   time.Duration // how long a message is kept at most; used by the owner when it makes an Entry
-	Timeout     time.Duration // bound of a single delivery
-	TargetStart time.Duration // wanted start of a run after the message is due
+	Fifo        bool          // messages with the same key are delivered one after the other
+	MaxAttempts int           // failed attempts after which a message is a dead letter; 0 counts as 1
+	Retention   time.Duration // maximum time that a message is kept; used by the owner to create an Entry
+	Timeout     time.Duration // limit of a single delivery
+	TargetStart time.Duration // target for the start of processing, counted from the due time
 	Priority    int           // 0 is the highest
 }
 
-// Entry describes a message that is given to the queue.
+// Entry describes a message to add to the queue.
 type Entry struct {
 	Partition         uint32
 	ID                string
@@ -22,44 +22,44 @@
 	Host              string
 	URI               string
 	Sequence          uint64   // order of acceptance within the partition
-	Revision          Revision // revision of the configuration by which the message was accepted
+	Revision          Revision // revision of the configuration under which the message was accepted
 	DueIn             time.Duration
 	ExpiresIn         time.Duration
 	Attempts          int      // failed attempts so far
-	LastAttempt       uint32   // hand-outs are numbered from the next one on
-	CountedDeliveries []uint32 // hand-outs whose outcome was counted before, and is not to be counted again
+	LastAttempt       uint32   // number of the last delivery; new deliveries are numbered after it
+	CountedDeliveries []uint32 // deliveries whose outcome has been counted already and must not be counted again
 }
 
-// Delivery is a hand-out of one message to one dispatcher.
+// Delivery is the delivery of one message to one dispatcher.
 type Delivery struct {
 	Partition  uint32
 	ID         string
 	Host       string
 	URI        string
 	Key        string
-	Revision   Revision // of the configuration by which it was accepted
-	DueFor     time.Duration
+	Revision   Revision      // of the configuration under which it was accepted
+	DueFor     time.Duration // time since the message was due
 	ExpiresIn  time.Duration
 	Epoch      uint64 // of the partition
-	Attempt    uint32 // number of the hand-out, unique within the message
+	Attempt    uint32 // number of the delivery, unique within the message
 	Failed     int    // failed attempts before this one
 	Dispatcher string
 	Service    string
-	Late       bool // the wanted start has passed
+	Late       bool // the target start has passed
 }
 
-// Outcome is what became of a hand-out.
+// Outcome is the result of a delivery.
 type Outcome uint8
 
-// The outcomes of a hand-out. Only Failed counts as an attempt.
+// The outcomes of a delivery. Only Failed counts as a failed attempt.
 const (
-	Succeeded   Outcome = 1 + iota // a worker has done it
-	Refused                        // a worker says that it can never be done (422)
-	Failed                         // a worker has tried and failed (500)
-	NotRun                         // it surely did not run
-	Unclear                        // it may have run
-	ServiceDown                    // no worker of the service can be reached
-	NoRoute                        // the dispatcher's configuration has no route for it
+	Succeeded   Outcome = 1 + iota // a worker processed the message
+	Refused                        // a worker rejected the message for good (422)
+	Failed                         // a worker failed to process the message (500)
+	NotRun                         // the message definitely was not processed
+	Unclear                        // the message may have been processed
+	ServiceDown                    // no worker of the service is reachable
+	NoRoute                        // the dispatcher's configuration has no route for the message
 )
 
 // State is the state of a message as clients see it.
@@ -72,24 +72,24 @@
 	DeadLetter
 )
 
-// Action says what the owner does with a Transition.
+// Action tells the owner what to do with a Transition.
 type Action uint8
 
-// The actions that a Transition asks for.
+// The actions that a Transition can require.
 const (
-	// Ignore: nothing changes and nothing is written: the hand-out is out again or will be, or its outcome was counted before.
+	// Ignore: nothing is to be written: the message is or will be delivered again, or the outcome has been counted already.
 	Ignore Action = iota
-	// Unknown: the queue does not know the message; the owner's records tell whether it has ended.
+	// Unknown: the message is not in the queue; the owner's records show whether it has ended.
 	Unknown
-	// Record: the number of failed attempts has changed and is written.
+	// Record: the number of failed attempts has changed and must be written.
 	Record
-	// End: the message has ended. The owner writes its state, deletes its body and then calls Settle.
+	// End: the message has ended. The owner writes its state, deletes its body and then calls ConfirmEnd.
 	End
-	// AlreadyEnding: the message has ended before, and its end is being written.
+	// AlreadyEnding: the message has already ended, and its end is being written.
 	AlreadyEnding
 )
 
-// Transition is a change of a message that the owner makes durable.
+// Transition is a state change of a message that the owner makes durable.
 type Transition struct {
 	Action    Action
 	Partition uint32
@@ -98,15 +98,15 @@
 	Attempts  int
 }
 
-// Window bounds what is out at once for a service.
+// Window bounds the deliveries in flight for a service.
 type Window struct {
-	Total         int // hand-outs out at once
-	PerDispatcher int // hand-outs out at once at one dispatcher
-	// Owners are the only dispatchers that may deliver to the service; nil stands for any.
+	Total         int // deliveries in flight
+	PerDispatcher int // deliveries in flight at one dispatcher
+	// Owners are the only dispatchers that may deliver to the service; nil means any dispatcher.
 	Owners []string
 }
 
-// HeldDelivery names a hand-out that a dispatcher says it has.
+// HeldDelivery identifies a delivery that a dispatcher reports to hold.
 type HeldDelivery struct {
 	Partition uint32
 	ID        string
@@ -116,7 +116,7 @@
 // Revision orders configurations: by Term, then by Number.
 type Revision struct{ Term, Number uint64 }
 
-// Before says whether r is older than other.
+// Before reports whether r is older than other.
 func (r Revision) Before(other Revision) bool {
 	return r.Term < other.Term || r.Term == other.Term && r.Number < other.Number
 }
