--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,13 +22,13 @@
 
 var networks atomic.Uint32
 
-// uniqueLoopback is a loopback address that no other test uses at the time.
+// uniqueLoopback returns a loopback address that no other test uses at the same time.
 func uniqueLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid/250%64, 1+pid%250, 1+networks.Add(1)%250)
 }
 
-// fakeControl answers heartbeats as the test wants.
+// fakeControl is a control process whose replies to heartbeats a test can set.
 type fakeControl struct {
 	server       *rpc.Server
 	mutex        sync.Mutex
@@ -94,7 +94,7 @@
 	c.unresponsive = true
 }
 
-// settingsFor makes the seeds' internal control address the given one.
+// settingsFor returns settings by which the internal control address of the seeds is the given address.
 func settingsFor(t *testing.T, name, control string) *nodeconfig.Settings {
 	t.Helper()
 	host, port, err := net.SplitHostPort(control)
@@ -127,7 +127,7 @@
 	return a
 }
 
-// await returns once the view of the agent fulfils a condition.
+// await returns once the view of the agent satisfies a condition.
 func await(a *Agent, holds func(v *View) bool) {
 	held := make(chan struct{})
 	var once sync.Once
@@ -147,18 +147,18 @@
 	return protocol.Item{Kind: protocol.ItemConfiguration, Version: version(1, number), Body: []byte(body)}
 }
 
-// accepted returns once a heartbeat was accepted, at the agent too.
+// awaitAccepted returns once the agent has processed the acceptance of a heartbeat.
 func awaitAccepted(a *Agent, c *fakeControl) {
 	first := <-c.heartbeats
 	for h := range c.heartbeats {
-		// The answer to the one before was taken when the next is sent.
+		// The next heartbeat is sent only after the reply to the previous one was processed.
 		if h.Node.Incarnation == first.Node.Incarnation && h.Node.Key == a.Node().Key {
 			return
 		}
 	}
 }
 
-func TestHeartbeatsTellOfTheProcess(t *testing.T) {
+func TestHeartbeatsDescribeTheProcess(t *testing.T) {
 	is := is.New(t)
 	control := startControl(t, uniqueLoopback())
 	a := start(t, Options{
@@ -184,12 +184,12 @@
 	a := start(t, Options{Settings: settingsFor(t, "n", first.server.Addr())})
 	awaitAccepted(a, second)
 
-	// The primary changes: the one before names the next.
+	// The primary changes: the old primary redirects to the new one.
 	first.accept()
 	second.refuse(first.server.Addr())
 	awaitAccepted(a, first)
 
-	// The primary ends; the seed is the same one, and comes back as another process at the address.
+	// The primary ends; it is also the seed, and another process starts at its address.
 	address := first.server.Addr()
 	is.NoErr(first.server.Close())
 	again := &fakeControl{heartbeats: make(chan protocol.Heartbeat, 10_000)}
@@ -201,11 +201,11 @@
 	awaitAccepted(a, again)
 }
 
-func TestSilentPrimary(t *testing.T) {
+func TestUnresponsivePrimaryIsReplaced(t *testing.T) {
 	ip := uniqueLoopback()
 	first, second := startControl(t, ip), startControl(t, ip)
 	a := start(t, Options{Settings: settingsFor(t, "n", first.server.Addr())})
-	awaitAccepted(a, first) // before it knows of the second, which would accept as well
+	awaitAccepted(a, first) // before the second, which would accept as well, is published
 	a.Publish(nodesItem(version(1, 1),
 		protocol.Node{Key: "a/control", Role: protocol.RoleControl, Address: first.server.Addr()},
 		protocol.Node{Key: "b/control", Role: protocol.RoleControl, Address: second.server.Addr()}))
@@ -214,7 +214,7 @@
 	awaitAccepted(a, second)
 }
 
-func TestNewsOfThePrimaryIsFollowed(t *testing.T) {
+func TestSessionMovesToAPublishedPrimary(t *testing.T) {
 	ip := uniqueLoopback()
 	first, second := startControl(t, ip), startControl(t, ip)
 	a := start(t, Options{Settings: settingsFor(t, "n", first.server.Addr())})
@@ -224,7 +224,7 @@
 	awaitAccepted(a, second)
 }
 
-func TestClusterTimeIsLearnt(t *testing.T) {
+func TestClusterTimeIsSetByHeartbeatReplies(t *testing.T) {
 	is := is.New(t)
 	control := startControl(t, uniqueLoopback())
 	later := time.Now().Add(time.Hour)
@@ -244,7 +244,7 @@
 	control.refuse("")
 	a := start(t, Options{
 		Settings: settingsFor(t, "n", control.server.Addr()),
-		SteadyClock: func() time.Duration { // runs by itself, so that heartbeats become due, and by leaps of the test
+		SteadyClock: func() time.Duration { // advances with each call, so that heartbeats become due, and by jumps in the test
 			return time.Duration(steady.Add(int64(time.Millisecond)))
 		},
 	})
@@ -257,7 +257,7 @@
 	is.True(a.SessionAge() < time.Hour)
 }
 
-// group starts agents that know each other.
+// startGroup starts agents that have each other in their node tables.
 func startGroup(t *testing.T, control *fakeControl, n int) []*Agent {
 	t.Helper()
 	agents := make([]*Agent, n)
@@ -272,7 +272,7 @@
 	return agents
 }
 
-func TestNewsReachesEverybody(t *testing.T) {
+func TestPublishedItemsReachAllPeers(t *testing.T) {
 	is := is.New(t)
 	agents := startGroup(t, startControl(t, uniqueLoopback()), 8)
 	for number, body := range []string{"small", string(make([]byte, 100_000)), "small again"} {
@@ -312,22 +312,23 @@
 	is.Equal(len(slices.Compact(got)), len(got))
 }
 
-// TestPeersAreAskedWithoutControl: a process starts while no control process runs, and hears what others know.
-func TestPeersAreAskedWithoutControl(t *testing.T) {
+// TestItemsSpreadWithoutControl checks that a process that starts while no control process runs receives the items of other processes.
+func TestItemsSpreadWithoutControl(t *testing.T) {
 	control := startControl(t, uniqueLoopback())
 	_ = control.server.Close()
 	agents := startGroup(t, control, 2)
 	agents[0].Publish(configuration(1, "kept"))
 	await(agents[1], hasConfiguration("kept"))
 
-	// A newcomer knows nobody but is known at its address, as a process that starts again is.
+	// A new process has no node table but is in those of others, as after a restart.
 	late := start(t, Options{Settings: settingsFor(t, "late", control.server.Addr())})
 	agents[0].Publish(nodesItem(version(1, 2), agents[0].Node(), agents[1].Node(), late.Node()))
 	await(late, hasConfiguration("kept"))
 }
 
-// TestSettingsNameWhomToAsk: a dispatcher on a seed's machine is asked although its control process is down and nobody knows the newcomer.
-func TestSettingsNameWhomToAsk(t *testing.T) {
+// TestDigestsGoToAddressesOfTheSettings checks that a new process, which is in no node table, gets the items from a dispatcher on a seed's
+// machine whose control process is down.
+func TestDigestsGoToAddressesOfTheSettings(t *testing.T) {
 	control := startControl(t, uniqueLoopback())
 	settings := settingsFor(t, "n", control.server.Addr())
 	_ = control.server.Close()
@@ -339,8 +340,8 @@
 	await(late, hasConfiguration("kept"))
 }
 
-// TestPeerIsAskedForNews: long before the next digest is due, a process that learns that a peer knows more asks it.
-func TestPeerIsAskedForNews(t *testing.T) {
+// TestRequestUpdatesFetchesFromThePeer checks that a process gets newer items from a peer long before its next digest is due.
+func TestRequestUpdatesFetchesFromThePeer(t *testing.T) {
 	control := startControl(t, uniqueLoopback())
 	settings := settingsFor(t, "n", control.server.Addr())
 	_ = control.server.Close()
@@ -352,42 +353,42 @@
 	await(late, hasConfiguration("newer"))
 }
 
-// TestPeerIsToldOfNews: long before the next digest is due, a process that concerns what is known here hears of it.
-func TestPeerIsToldOfNews(t *testing.T) {
+// TestNotifyPeersReachesThePeer checks that a process is notified of newer items long before the next digest is due.
+func TestNotifyPeersReachesThePeer(t *testing.T) {
 	control := startControl(t, uniqueLoopback())
 	settings := settingsFor(t, "n", control.server.Addr())
 	_ = control.server.Close()
-	knowing := start(t, Options{Settings: settings, GossipInterval: time.Hour})
-	knowing.Publish(configuration(3, "newer"))
-	await(knowing, hasConfiguration("newer"))
+	updated := start(t, Options{Settings: settings, GossipInterval: time.Hour})
+	updated.Publish(configuration(3, "newer"))
+	await(updated, hasConfiguration("newer"))
 	late := start(t, Options{Settings: settings, GossipInterval: time.Hour})
-	knowing.NotifyPeers([]string{late.Node().Address})
+	updated.NotifyPeers([]string{late.Node().Address})
 	await(late, hasConfiguration("newer"))
 }
 
-func TestProcessesThatNewsConcernsAreToldTogether(t *testing.T) {
+func TestNotificationsAreBatched(t *testing.T) {
 	is := is.New(t)
 	i := newItems(time.Hour, 0)
 	is.True(i.gossip.Due(0))
 	is.Equal(i.nextWake(), i.gossip.Next())
 	i.toNotify["a"] = true
-	is.Equal(i.nextWake(), time.Duration(0)) // the first at once
+	is.Equal(i.nextWake(), time.Duration(0)) // the first notification is sent at once
 	i.notifiedAt = time.Second
-	is.Equal(i.nextWake(), time.Second+pushInterval) // what comes within pushInterval goes together
+	is.Equal(i.nextWake(), time.Second+pushInterval) // notifications within pushInterval are batched
 }
 
-func TestPeersAreNotAskedForNewsTooOften(t *testing.T) {
+func TestRequestsForUpdatesAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	i := newItems(time.Hour, 0)
 	is.True(i.allowRequest("a", 0))
 	is.True(!i.allowRequest("a", requestInterval-1))
-	is.True(i.allowRequest("b", requestInterval-1)) // each for itself
+	is.True(i.allowRequest("b", requestInterval-1)) // the limit is per peer
 	is.True(i.allowRequest("a", requestInterval))
 	is.True(i.allowRequest("c", time.Hour))
-	is.Equal(len(i.requestedAt), 1) // those of long ago are not remembered
+	is.Equal(len(i.requestedAt), 1) // expired entries are removed
 }
 
-func TestHeartbeatAnswersCarryDigests(t *testing.T) {
+func TestHeartbeatRepliesCarryDigests(t *testing.T) {
 	control := startControl(t, uniqueLoopback())
 	peer := start(t, Options{Settings: settingsFor(t, "peer", control.server.Addr()), GossipInterval: time.Hour})
 	peer.Publish(configuration(3, "from the peer"))
@@ -399,7 +400,7 @@
 	await(a, hasConfiguration("from the peer"))
 }
 
-func TestAgeOfTheListOfWorkers(t *testing.T) {
+func TestReadingOfTheWorkerListIsDisseminated(t *testing.T) {
 	is := is.New(t)
 	agents := startGroup(t, startControl(t, uniqueLoopback()), 3)
 	read := agents[0].ClusterTime()
@@ -416,7 +417,7 @@
 	is.Equal(agents[2].View().WorkersFresh, fresh)
 }
 
-// awaitFresh returns once the agent has heard of a reading. Readings are not announced to subscribers, so it looks again and again.
+// awaitFresh returns once the agent has received a reading. Subscribers are not notified of readings, so it polls.
 func awaitFresh(a *Agent, fresh protocol.WorkersFresh) {
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
@@ -425,7 +426,7 @@
 	}
 }
 
-func TestReadingOfANewerListIsKeptUntilTheListComes(t *testing.T) {
+func TestReadingOfANewerListIsKeptUntilTheListArrives(t *testing.T) {
 	is := is.New(t)
 	control := startControl(t, uniqueLoopback())
 	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
@@ -439,10 +440,10 @@
 	a.loop.postAndWait(func() {})
 	is.Equal(a.View().WorkersFresh, fresh)
 	is.True(a.View().WorkersReadAt <= a.Steady())
-	is.True(a.Steady()-a.View().WorkersReadAt < time.Minute) // by the fresh reading, not the list's own hour
+	is.True(a.Steady()-a.View().WorkersReadAt < time.Minute) // from the fresh reading, not the hour-old time in the list
 }
 
-func TestMalformedItemsAreLeftOut(t *testing.T) {
+func TestMalformedItemsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	control := startControl(t, uniqueLoopback())
 	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
@@ -452,7 +453,7 @@
 	is.Equal(a.View().NodesVersion, version(0, 0))
 }
 
-func TestFramesOfOthersAreHandedOn(t *testing.T) {
+func TestOtherFramesArePassedToTheHandler(t *testing.T) {
 	is := is.New(t)
 	control := startControl(t, uniqueLoopback())
 	ends := make(chan error, 10)
@@ -480,7 +481,7 @@
 	is.Equal(refusal.Code, protocol.CodeUnknownKind)
 }
 
-func TestLeave(t *testing.T) {
+func TestLeaveNotifiesControl(t *testing.T) {
 	is := is.New(t)
 	control := startControl(t, uniqueLoopback())
 	a := start(t, Options{Settings: settingsFor(t, "n", control.server.Addr())})
@@ -496,7 +497,7 @@
 	a.loop.postAndWait(func() { is.True(a.session.stopped) })
 }
 
-func TestLeaveWithoutControl(t *testing.T) {
+func TestLeaveFailsWithoutControl(t *testing.T) {
 	is := is.New(t)
 	control := startControl(t, uniqueLoopback())
 	_ = control.server.Close()
@@ -508,19 +509,20 @@
 	is.True(errors.Is(a.Leave(context.Background(), true), ErrClosed))
 }
 
-func TestReloadTakesNewSeeds(t *testing.T) {
-	gone, control := startControl(t, uniqueLoopback()), startControl(t, uniqueLoopback())
-	_ = gone.server.Close()
-	a := start(t, Options{Settings: settingsFor(t, "n", gone.server.Addr())})
+func TestReloadAppliesNewSeeds(t *testing.T) {
+	stopped, control := startControl(t, uniqueLoopback()), startControl(t, uniqueLoopback())
+	_ = stopped.server.Close()
+	a := start(t, Options{Settings: settingsFor(t, "n", stopped.server.Addr())})
 	a.Reload(settingsFor(t, "n", control.server.Addr()))
 	awaitAccepted(a, control)
 }
 
-// A machine that lost power leaves its connections hanging. Once the nodes show another incarnation there, calls on them end.
+// Connections to a machine that lost power are never closed by it. Calls on them must fail once the node table has another incarnation for
+// the address.
 func TestConnectionToAReplacedProcessIsDropped(t *testing.T) {
 	is := is.New(t)
 	ip := uniqueLoopback()
-	server, err := rpc.Listen(net.JoinHostPort(ip, "0"), rpc.HandlerFunc(func(*rpc.Conn, rpc.Kind, []byte, func([]byte, error)) {}), rpc.Options{}) // says nothing
+	server, err := rpc.Listen(net.JoinHostPort(ip, "0"), rpc.HandlerFunc(func(*rpc.Conn, rpc.Kind, []byte, func([]byte, error)) {}), rpc.Options{}) // never replies
 	is.NoErr(err)
 	t.Cleanup(func() { _ = server.Close() })
 	a := start(t, Options{
@@ -531,7 +533,7 @@
 	a.Publish(nodesItem(version(1, 1), store))
 	conn, err := a.Pool().Get(t.Context(), address)
 	is.NoErr(err)
-	for number := uint64(2); number < 10_000; number++ { // silence is counted in ticks
+	for number := uint64(2); number < 10_000; number++ { // unresponsiveness is counted in ticks
 		store.Incarnation = number
 		a.Publish(nodesItem(version(1, number), store))
 		select {
@@ -541,5 +543,5 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	t.Fatal("the connection is still there")
+	t.Fatal("the connection was not dropped")
 }
--- a/internal/agent/clock_test.go
+++ b/internal/agent/clock_test.go
@@ -12,14 +12,14 @@
 
 func at(d time.Duration) int64 { return day.Add(d).UnixNano() }
 
-func TestClockBeginsWithTheWall(t *testing.T) {
+func TestClockStartsAtWallTime(t *testing.T) {
 	is := is.New(t)
 	c := newClock(time.Minute, day)
 	is.True(c.now(time.Minute + time.Second).Equal(day.Add(time.Second)))
 	is.True(!c.isSynchronized())
 }
 
-func TestClockThatIsBehindTakesTheFirstSampleAtOnce(t *testing.T) {
+func TestClockThatIsBehindAppliesTheFirstSampleAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := newClock(0, day)
 	c.sample(0, 2*time.Millisecond, at(time.Hour))
@@ -36,7 +36,7 @@
 	is.True(c.now(30 * time.Second).Equal(day.Add(30 * time.Second)))
 }
 
-func TestClockSlewsGently(t *testing.T) {
+func TestClockSlewsAtALimitedRate(t *testing.T) {
 	is := is.New(t)
 	c := newClock(0, day)
 	c.sample(0, 0, at(0))
@@ -47,13 +47,13 @@
 	is.Equal(c.now(2*time.Second).Sub(day).Round(time.Millisecond), 2*time.Second)
 }
 
-func TestSlowAnswersAreLeftOut(t *testing.T) {
+func TestSlowSamplesAreDiscarded(t *testing.T) {
 	is := is.New(t)
 	c := newClock(0, day)
 	c.sample(0, time.Millisecond, at(0))
 	c.sample(time.Second, time.Second+100*time.Millisecond, at(time.Minute))
 	is.Equal(c.target, time.Duration(at(0))-time.Millisecond/2)
-	for range 1000 { // the way has become longer for good
+	for range 1000 { // the round trip is permanently longer
 		c.sample(time.Second, time.Second+100*time.Millisecond, at(time.Minute))
 	}
 	is.Equal(c.target, time.Duration(at(time.Minute))-time.Second-50*time.Millisecond)
--- a/internal/agent/compress_test.go
+++ b/internal/agent/compress_test.go
@@ -11,7 +11,7 @@
 	"liftgauge/internal/protocol"
 )
 
-func TestPackedBodiesComeBack(t *testing.T) {
+func TestCompressedBodiesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		body := bytes.Repeat(rapid.SliceOf(rapid.Byte()).Draw(t, "body"), rapid.IntRange(1, 100).Draw(t, "times"))
@@ -23,17 +23,17 @@
 	})
 }
 
-func TestForeignPackingIsRefused(t *testing.T) {
+func TestUnknownEncodingIsRejected(t *testing.T) {
 	is := is.New(t)
-	whole := compress(bytes.Repeat([]byte("store-chaguanas-hall-1/4f2a"), 100))
-	for _, compressed := range [][]byte{nil, {9, 1, 2}, whole[:len(whole)/2]} {
+	complete := compress(bytes.Repeat([]byte("store-chaguanas-hall-1/4f2a"), 100))
+	for _, compressed := range [][]byte{nil, {9, 1, 2}, complete[:len(complete)/2]} {
 		_, err := decompress(compressed)
 		is.True(errors.Is(err, errCompression))
 	}
 }
 
-// TestNodeTableIsPackedSmall is a bound on what each change of sessions costs for each process.
-func TestNodeTableIsPackedSmall(t *testing.T) {
+// TestNodeTableCompressesWell bounds the bytes that each change of a session costs per process.
+func TestNodeTableCompressesWell(t *testing.T) {
 	is := is.New(t)
 	body := manyNodes(91).Append(nil)
 	is.True(len(body) > 10_000)
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -15,7 +15,7 @@
 	return s
 }
 
-// begins checks where the heartbeat that is due at a time goes, and that none was due before.
+// expectBegin checks the address of the heartbeat that is due at a time, and that none was due before.
 func expectBegin(t *testing.T, s *session, at time.Duration, address string) {
 	t.Helper()
 	is := is.New(t)
@@ -25,21 +25,21 @@
 	is.True(ok)
 	is.Equal(got, address)
 	_, ok = s.begin(at)
-	is.True(!ok) // one at a time
+	is.True(!ok) // only one heartbeat is in flight
 }
 
-func TestAcceptedHeartbeatsGoToThePrimary(t *testing.T) {
+func TestHeartbeatsStayWithThePrimaryThatAccepts(t *testing.T) {
 	is := is.New(t)
 	s := newTestSession("a", "b")
 	expectBegin(t, s, 0, "a")
 	s.accept("a", 0, 10)
 	is.True(s.open)
 	expectBegin(t, s, heartbeatInterval, "a")
-	s.accept("a", heartbeatInterval, 3*heartbeatInterval) // a late answer: the next one is due at once
+	s.accept("a", heartbeatInterval, 3*heartbeatInterval) // a late reply: the next heartbeat is due at once
 	expectBegin(t, s, 3*heartbeatInterval, "a")
 }
 
-func TestNamedPrimaryIsTriedAtOnce(t *testing.T) {
+func TestRedirectIsFollowedAtOnce(t *testing.T) {
 	s := newTestSession("a", "b")
 	expectBegin(t, s, 0, "a")
 	s.refuse("a", "c", 5)
@@ -48,25 +48,25 @@
 	expectBegin(t, s, 5+heartbeatInterval, "c")
 }
 
-func TestProcessesThatNameEachOtherAreNotTriedInABusyLoop(t *testing.T) {
+func TestMutualRedirectsDoNotCauseABusyLoop(t *testing.T) {
 	is := is.New(t)
 	s := newTestSession("a")
-	now, tries := time.Duration(0), 0
+	now, attempts := time.Duration(0), 0
 	for now < 10*time.Second {
 		now = max(now, s.due)
 		address, ok := s.begin(now)
 		is.True(ok)
-		tries++
+		attempts++
 		if address == "a" {
 			s.refuse("a", "b", now)
 		} else {
 			s.refuse("b", "a", now)
 		}
 	}
-	is.True(tries < 70) // one in 200 ms, and a few at the start
+	is.True(attempts < 70) // one per 200 ms, and a few at the start
 }
 
-func TestRefusalWithoutANameTriesOthersQuickly(t *testing.T) {
+func TestRefusalWithoutARedirectTriesOtherCandidates(t *testing.T) {
 	s := newTestSession("a", "b", "c")
 	expectBegin(t, s, 0, "a")
 	s.refuse("a", "", 0)
@@ -77,7 +77,7 @@
 	expectBegin(t, s, 237500*time.Microsecond, "a")
 }
 
-func TestPrimaryWithABrokenConnectionIsTriedAgain(t *testing.T) {
+func TestPrimaryWithABrokenConnectionIsRetriedOnce(t *testing.T) {
 	s := newTestSession("b")
 	s.setPrimary("a", 0)
 	expectBegin(t, s, 0, "a")
@@ -89,7 +89,7 @@
 	expectBegin(t, s, heartbeatInterval+initialPause+initialPause*3/2, "b")
 }
 
-func TestSilentPrimaryIsLeftAndItsNameNotTrusted(t *testing.T) {
+func TestUnresponsivePrimaryIsAbandonedAndRedirectsToItIgnored(t *testing.T) {
 	is := is.New(t)
 	s := newTestSession("a", "b", "c")
 	expectBegin(t, s, 0, "a")
@@ -97,7 +97,7 @@
 	expectBegin(t, s, heartbeatInterval, "a")
 	s.fail("a", true, 600*time.Millisecond)
 	is.True(!s.open)
-	expectBegin(t, s, 650*time.Millisecond, "b") // a was the first candidate, but it was silent just now
+	expectBegin(t, s, 650*time.Millisecond, "b") // a is the first candidate, but it has just timed out
 	s.refuse("b", "a", 650*time.Millisecond)
 	expectBegin(t, s, 725*time.Millisecond, "c")
 	s.refuse("c", "b", 725*time.Millisecond)
@@ -109,25 +109,25 @@
 	expectBegin(t, s, 0, "a")
 	s.fail("a", true, 400*time.Millisecond)
 	expectBegin(t, s, 450*time.Millisecond, "b")
-	s.refuse("b", "a", 400*time.Millisecond+unresponsiveFor) // long enough ago
+	s.refuse("b", "a", 400*time.Millisecond+unresponsiveFor) // redirects to a are followed again
 	expectBegin(t, s, 400*time.Millisecond+unresponsiveFor, "a")
 }
 
-func TestNewsOfAPrimary(t *testing.T) {
+func TestReportedPrimaryIsUsedNext(t *testing.T) {
 	s := newTestSession("a")
 	expectBegin(t, s, 0, "a")
 	s.accept("a", 0, 0)
 	s.setPrimary("b", 10)
 	expectBegin(t, s, 10, "b")
-	s.setPrimary("c", 11) // while an answer is awaited
+	s.setPrimary("c", 11) // while a reply is awaited
 	s.fail("b", true, 20)
 	expectBegin(t, s, 20+initialPause, "c")
 	s.setPrimary("d", 60*time.Millisecond)
-	s.accept("c", 20+initialPause, 60*time.Millisecond) // not yet deposed
+	s.accept("c", 20+initialPause, 60*time.Millisecond) // c still accepts
 	expectBegin(t, s, 60*time.Millisecond, "d")
 }
 
-func TestStoppedSession(t *testing.T) {
+func TestStoppedSessionSendsNothing(t *testing.T) {
 	is := is.New(t)
 	s := newTestSession("a")
 	s.stop()
@@ -135,7 +135,7 @@
 	is.True(!ok)
 }
 
-func TestNobodyKnown(t *testing.T) {
+func TestSessionWithoutCandidatesRetries(t *testing.T) {
 	is := is.New(t)
 	s := newTestSession()
 	_, ok := s.begin(0)
--- a/internal/agent/view_test.go
+++ b/internal/agent/view_test.go
@@ -17,7 +17,7 @@
 	return protocol.Item{Kind: protocol.ItemNodes, Version: v, Body: (&protocol.NodeTable{Nodes: nodes}).Append(nil)}
 }
 
-func TestViewOfItems(t *testing.T) {
+func TestViewReflectsItems(t *testing.T) {
 	is := is.New(t)
 	store := protocol.Node{Key: "b/store", Role: protocol.RoleStore, Member: "b/1"}
 	edge := protocol.Node{Key: "a/dispatcher", Role: protocol.RoleDispatcher}
--- a/queue/backlog_test.go
+++ b/queue/backlog_test.go
@@ -11,16 +11,17 @@
 	"liftgauge/queue"
 )
 
-// backlog is a queue of messages that are due, spread over services; of those, dead ones have no owner and get nothing.
-func backlog(messages, services, dead int) *queue.Queue {
+// backlog returns a queue of due messages, spread over services. The only owner of the first unserved services is not connected, so they
+// get no deliveries.
+func backlog(messages, services, unserved int) *queue.Queue {
 	q := queue.New(queue.Options{Zone: "a", Match: func(host, _ string) (queue.Route, bool) {
 		return queue.Route{Name: host, Service: host, MaxAttempts: 3, Timeout: time.Second, TargetStart: time.Second}, true
 	}})
 	q.SetOpen(0, 1, true)
-	q.Resume(worker, "a")
+	q.Resume(dispatcher, "a")
 	for service := range services {
 		window := queue.Window{Total: 16, PerDispatcher: 16}
-		if service < dead {
+		if service < unserved {
 			window = queue.Window{Total: 16, PerDispatcher: 16, Owners: []string{"gone/dispatcher"}}
 		}
 		q.SetWindow(fmt.Sprintf("service-%d", service), window)
@@ -32,7 +33,7 @@
 	return q
 }
 
-// BenchmarkBacklogMemory reports the heap that one queued message takes in a backlog.
+// BenchmarkBacklogMemory reports the heap memory per queued message in a backlog.
 func BenchmarkBacklogMemory(b *testing.B) {
 	const messages = 200_000
 	for b.Loop() {
@@ -47,15 +48,16 @@
 	}
 }
 
-// BenchmarkHandOutBesideDeadServices reports what a hand-out and its end cost while some services are dead and all have a backlog.
-func BenchmarkHandOutBesideDeadServices(b *testing.B) {
+// BenchmarkDeliveryBesideServicesWithoutOwners reports the cost of a delivery and its end while some services have no connected owner and
+// all have a backlog.
+func BenchmarkDeliveryBesideServicesWithoutOwners(b *testing.B) {
 	q := backlog(400_000, 1000, 11)
 	b.ResetTimer()
 	n := 0
 	for b.Loop() {
 		d, found := q.Next(0)
 		if !found {
-			b.Fatalf("nothing to hand out after %d", n)
+			b.Fatalf("nothing to deliver after %d deliveries", n)
 		}
 		q.Outcome(0, d.Partition, d.ID, d.Attempt, queue.Succeeded, 0)
 		q.ConfirmEnd(0, d.Partition, d.ID)
@@ -67,8 +69,9 @@
 	}
 }
 
-// BenchmarkHandOutAmongDispatchers reports what a hand-out and its end cost with few and with many dispatchers open, of which an eighth is in the own zone.
-func BenchmarkHandOutAmongDispatchers(b *testing.B) {
+// BenchmarkDeliveryAmongDispatchers reports the cost of a delivery and its end with few and with many open dispatchers, an eighth of them in
+// the local zone.
+func BenchmarkDeliveryAmongDispatchers(b *testing.B) {
 	for _, dispatchers := range []int{24, 240} {
 		b.Run(fmt.Sprint(dispatchers), func(b *testing.B) {
 			var q *queue.Queue
@@ -86,7 +89,7 @@
 			for n := 1; b.Loop(); n++ {
 				d, found := q.Next(0)
 				if !found {
-					b.Fatalf("nothing to hand out after %d", n)
+					b.Fatalf("nothing to deliver after %d deliveries", n)
 				}
 				q.Outcome(0, d.Partition, d.ID, d.Attempt, queue.Succeeded, 0)
 				q.ConfirmEnd(0, d.Partition, d.ID)
@@ -100,8 +103,8 @@
 	}
 }
 
-// BenchmarkResume reports what it costs that a dispatcher says again that it is open, with many services and nothing ready. Each dispatcher does so whenever
-// the nodes, the workers or the configuration change.
+// BenchmarkResume reports the cost of resuming a dispatcher that is open already, with many services and nothing ready. Each dispatcher is
+// resumed whenever the nodes, the workers or the configuration change.
 func BenchmarkResume(b *testing.B) {
 	q := backlog(300, 300, 0)
 	for {
@@ -111,13 +114,13 @@
 	}
 	slots := map[string]int{"service-0": 1}
 	for b.Loop() {
-		q.Resume(worker, "zone")
-		q.SetSlots(worker, slots)
+		q.Resume(dispatcher, "zone")
+		q.SetSlots(dispatcher, slots)
 	}
 }
 
-// One destination with a large backlog and nobody to serve it does not hold up another.
-func TestDeadServiceDoesNotHoldUpOthers(t *testing.T) {
+// A service with a large backlog and no connected owner does not delay deliveries of another service.
+func TestServiceWithoutOwnersDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	q := backlog(2000, 2, 1)
 	for range 16 {
@@ -126,21 +129,21 @@
 		is.Equal(d.Service, "service-1")
 	}
 	_, found := q.Next(0)
-	is.True(!found) // the window of the live one is full, the dead one has no owner
+	is.True(!found) // service-1 has a full window, service-0 has no connected owner
 }
 
-func TestBackloggedOnceAFullWindowWaitsBehindAFullWindow(t *testing.T) {
+func TestBackloggedIfAFullWindowWaitsBehindAFullWindow(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.SetWindow("service", queue.Window{Total: 2, PerDispatcher: 2})
-	is.True(!f.Backlogged("service")) // not even known
+	is.True(!f.Backlogged("service")) // the service is unknown so far
 	for n := range uint64(4) {
 		f.add("plain", "", n, 0)
 		f.deliveries()
 		is.Equal(f.Backlogged("service"), n == 3)
 	}
-	f.SetWindow("service", queue.Window{Total: 2, PerDispatcher: 2, Owners: []string{worker}})
-	is.True(!f.Backlogged("service")) // its owners pace it
+	f.SetWindow("service", queue.Window{Total: 2, PerDispatcher: 2, Owners: []string{dispatcher}})
+	is.True(!f.Backlogged("service")) // its owners pace the deliveries
 	f.SetWindow("service", queue.Window{Total: 3, PerDispatcher: 3})
 	f.deliveries()
 	is.True(!f.Backlogged("service"))
--- a/queue/model_test.go
+++ b/queue/model_test.go
@@ -10,17 +10,17 @@
 	"liftgauge/queue"
 )
 
-// model remembers what a checker of the rules would: what was accepted, what is out, and what has ended.
+// model tracks the state that the invariants are checked against: accepted messages, deliveries at dispatchers, and ends.
 type model struct {
-	t        *rapid.T
-	f        *fixture
-	accepted []modelMessage
-	out      map[string]map[uint32]string // id -> attempt -> dispatcher, as far as the dispatchers have it
-	failed   map[string]int
-	ended    map[string]queue.State // decided
-	settled  map[string]bool
-	due      map[string]time.Duration
-	up       map[string]bool
+	t         *rapid.T
+	f         *fixture
+	accepted  []modelMessage
+	pending   map[string]map[uint32]string // id -> attempt -> dispatcher that holds the delivery
+	failed    map[string]int
+	ended     map[string]queue.State // by a Transition
+	confirmed map[string]bool        // ends reported to ConfirmEnd
+	due       map[string]time.Duration
+	up        map[string]bool
 }
 
 type modelMessage struct{ id, host, key string }
@@ -28,9 +28,9 @@
 var modelDispatchers = []string{"d1", "d2", "d3"}
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, f: newFixture(), out: map[string]map[uint32]string{}, failed: map[string]int{}, ended: map[string]queue.State{},
-		settled: map[string]bool{}, due: map[string]time.Duration{}, up: map[string]bool{}}
-	m.f.Pause(worker)
+	m := &model{t: t, f: newFixture(), pending: map[string]map[uint32]string{}, failed: map[string]int{}, ended: map[string]queue.State{},
+		confirmed: map[string]bool{}, due: map[string]time.Duration{}, up: map[string]bool{}}
+	m.f.Pause(dispatcher)
 	m.f.SetWindow("service", queue.Window{Total: 4, PerDispatcher: 2})
 	for _, d := range modelDispatchers {
 		m.up[d] = true
@@ -51,41 +51,41 @@
 	m.f.add(message.host, message.key, uint64(n), delay)
 }
 
-func (m *model) handOut() {
+func (m *model) deliver() {
 	for _, d := range m.f.deliveries() {
 		m.check(d)
-		if m.out[d.ID] == nil {
-			m.out[d.ID] = map[uint32]string{}
+		if m.pending[d.ID] == nil {
+			m.pending[d.ID] = map[uint32]string{}
 		}
-		if m.out[d.ID][d.Attempt] != "" {
-			m.t.Fatalf("%s is handed out twice as attempt %d", d.ID, d.Attempt)
+		if m.pending[d.ID][d.Attempt] != "" {
+			m.t.Fatalf("%s is delivered twice as attempt %d", d.ID, d.Attempt)
 		}
-		m.out[d.ID][d.Attempt] = d.Dispatcher
+		m.pending[d.ID][d.Attempt] = d.Dispatcher
 	}
 }
 
 func (m *model) check(d queue.Delivery) {
 	if _, ended := m.ended[d.ID]; ended {
-		m.t.Fatalf("%s is handed out after its end", d.ID)
+		m.t.Fatalf("%s is delivered after its end", d.ID)
 	}
 	if !m.up[d.Dispatcher] {
-		m.t.Fatalf("%s goes to %s, which is not connected", d.ID, d.Dispatcher)
+		m.t.Fatalf("%s is delivered to %s, which is not connected", d.ID, d.Dispatcher)
 	}
 	if m.f.now < m.due[d.ID] {
-		m.t.Fatalf("%s is handed out at %v, before %v", d.ID, m.f.now, m.due[d.ID])
+		m.t.Fatalf("%s is delivered at %v, before it is due at %v", d.ID, m.f.now, m.due[d.ID])
 	}
 	for _, message := range m.accepted {
 		if message.id == d.ID {
 			return
 		}
-		if message.key != "" && message.key == d.Key && !m.settled[message.id] {
-			m.t.Fatalf("%s is handed out before %s of the same key has ended", d.ID, message.id)
+		if message.key != "" && message.key == d.Key && !m.confirmed[message.id] {
+			m.t.Fatalf("%s is delivered before %s of the same key has ended", d.ID, message.id)
 		}
 	}
 }
 
-// someOut draws one delivery that a connected dispatcher has.
-func (m *model) someOut() (id string, attempt uint32, ok bool) {
+// drawPending draws one delivery that a connected dispatcher holds.
+func (m *model) drawPending() (id string, attempt uint32, ok bool) {
 	type delivery struct {
 		id      string
 		attempt uint32
@@ -93,7 +93,7 @@
 	var all []delivery
 	for _, message := range m.accepted {
 		for attempt := range uint32(100) {
-			if d := m.out[message.id][attempt]; d != "" && m.up[d] {
+			if d := m.pending[message.id][attempt]; d != "" && m.up[d] {
 				all = append(all, delivery{message.id, attempt})
 			}
 		}
@@ -106,23 +106,23 @@
 }
 
 func (m *model) outcome(outcomes []queue.Outcome) {
-	id, attempt, ok := m.someOut()
+	id, attempt, ok := m.drawPending()
 	if !ok {
 		return
 	}
 	o := rapid.SampledFrom(outcomes).Draw(m.t, "outcome")
 	if rapid.IntRange(0, 9).Draw(m.t, "acknowledged") > 0 {
-		delete(m.out[id], attempt) // else the dispatcher reports it again
+		delete(m.pending[id], attempt) // otherwise the dispatcher reports it again
 	}
-	m.take(m.f.outcome(id, attempt, o))
+	m.apply(m.f.outcome(id, attempt, o))
 }
 
-func (m *model) take(t queue.Transition) {
+func (m *model) apply(t queue.Transition) {
 	switch t.Action {
 	case queue.Record:
 		m.failed[t.ID]++
 		if m.failed[t.ID] != t.Attempts {
-			m.t.Fatalf("%s has failed %d times, and %d are recorded", t.ID, m.failed[t.ID], t.Attempts)
+			m.t.Fatalf("%s has failed %d times, but %d failures are recorded", t.ID, m.failed[t.ID], t.Attempts)
 		}
 	case queue.End:
 		if _, ended := m.ended[t.ID]; ended {
@@ -132,10 +132,10 @@
 	}
 }
 
-func (m *model) settle() {
+func (m *model) confirmEnd() {
 	for _, message := range m.accepted {
-		if _, ended := m.ended[message.id]; ended && !m.settled[message.id] {
-			m.settled[message.id] = true
+		if _, ended := m.ended[message.id]; ended && !m.confirmed[message.id] {
+			m.confirmed[message.id] = true
 			m.f.ConfirmEnd(m.f.now, 1, message.id)
 			return
 		}
@@ -145,20 +145,20 @@
 func (m *model) advance() {
 	m.f.now = max(m.f.now, min(m.f.NextWake(), m.f.now+time.Second))
 	for _, t := range m.f.Advance(m.f.now) {
-		m.take(t)
+		m.apply(t)
 	}
 }
 
-// disconnect loses a connection; the dispatcher keeps what it has or has ended.
+// disconnect drops a connection; the dispatcher either keeps its deliveries or has ended.
 func (m *model) disconnect() {
 	d := rapid.SampledFrom(modelDispatchers).Draw(m.t, "dispatcher")
 	if !m.up[d] {
 		return
 	}
 	m.up[d] = false
-	certain := rapid.Bool().Draw(m.t, "ended")
-	if certain {
-		for _, attempts := range m.out {
+	ended := rapid.Bool().Draw(m.t, "ended")
+	if ended {
+		for _, attempts := range m.pending {
 			for attempt, at := range attempts {
 				if at == d {
 					delete(attempts, attempt)
@@ -166,63 +166,63 @@
 			}
 		}
 	}
-	m.f.DispatcherDisconnected(m.f.now, d, certain)
+	m.f.DispatcherDisconnected(m.f.now, d, ended)
 }
 
-// connect opens a new connection; some of what was sent on the old one never arrived.
+// connect opens a new connection; some deliveries sent on the old one never arrived.
 func (m *model) connect() {
 	for _, d := range modelDispatchers {
 		if m.up[d] {
 			continue
 		}
 		m.up[d] = true
-		var holding []queue.HeldDelivery
+		var held []queue.HeldDelivery
 		for _, message := range m.accepted {
 			for attempt := range uint32(100) {
-				if m.out[message.id][attempt] != d {
+				if m.pending[message.id][attempt] != d {
 					continue
 				}
 				if rapid.Bool().Draw(m.t, "arrived") {
-					holding = append(holding, queue.HeldDelivery{Partition: 1, ID: message.id, Attempt: attempt})
+					held = append(held, queue.HeldDelivery{Partition: 1, ID: message.id, Attempt: attempt})
 				} else {
-					delete(m.out[message.id], attempt)
+					delete(m.pending[message.id], attempt)
 				}
 			}
 		}
-		m.f.Hello(m.f.now, d, "a", holding)
+		m.f.Hello(m.f.now, d, "a", held)
 	}
 }
 
-// drain plays to the end: every message must end and every window be free.
+// drain runs until the queue is empty: every message must end and every window must be free.
 func (m *model) drain() {
 	m.connect()
 	for range 10000 {
-		m.handOut()
+		m.deliver()
 		m.outcome([]queue.Outcome{queue.Succeeded, queue.Refused})
-		m.settle()
+		m.confirmEnd()
 		m.advance()
 		if m.f.Total() == 0 {
 			break
 		}
 	}
 	if m.f.Total() != 0 {
-		m.t.Fatalf("%d messages never end", m.f.Total())
+		m.t.Fatalf("%d messages have not ended", m.f.Total())
 	}
 	if stats := m.f.Stats(); len(stats) != 0 {
-		m.t.Fatalf("windows are not free at the end: %+v", stats)
+		m.t.Fatalf("windows are not free after the last message: %+v", stats)
 	}
 }
 
-func TestRandomStepsKeepTheOrderAndEndEveryMessage(t *testing.T) {
+func TestRandomOperationsKeepTheOrderAndEndEveryMessage(t *testing.T) {
 	all := []queue.Outcome{queue.Succeeded, queue.Refused, queue.Failed, queue.NotRun, queue.Unclear, queue.ServiceDown}
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"accept":     func(*rapid.T) { m.accept() },
-			"hand out":   func(*rapid.T) { m.handOut() },
+			"hand out":   func(*rapid.T) { m.deliver() },
 			"outcome":    func(*rapid.T) { m.outcome(all) },
-			"settle":     func(*rapid.T) { m.settle() },
-			"advance":    func(*rapid.T) { m.handOut(); m.advance() },
+			"settle":     func(*rapid.T) { m.confirmEnd() },
+			"advance":    func(*rapid.T) { m.deliver(); m.advance() },
 			"disconnect": func(*rapid.T) { m.disconnect() },
 			"connect":    func(*rapid.T) { m.connect() },
 		})
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	ms     = time.Millisecond
-	minute = time.Minute
-	worker = "edge-1/dispatcher"
+	ms         = time.Millisecond
+	minute     = time.Minute
+	dispatcher = "edge-1/dispatcher"
 )
 
-// fixture is a queue with routes that a test can change.
+// fixture is a queue whose routes a test can change.
 type fixture struct {
 	*queue.Queue
 	routes map[string]queue.Route
@@ -34,7 +34,7 @@
 	}})
 	f.SetWindow("service", queue.Window{Total: 100, PerDispatcher: 100})
 	f.SetOpen(0, 1, true)
-	f.Resume(worker, "a")
+	f.Resume(dispatcher, "a")
 	return f
 }
 
@@ -42,8 +42,8 @@
 	f.Add(f.now, queue.Entry{Partition: 1, ID: fmt.Sprint("m", sequence), Host: host, Key: key, Sequence: sequence, DueIn: due, ExpiresIn: minute})
 }
 
-// take hands out all that can go and returns the ids.
-func (f *fixture) take() []string {
+// deliver makes all deliveries that are possible now and returns the message IDs.
+func (f *fixture) deliver() []string {
 	ids := []string{}
 	for _, d := range f.deliveries() {
 		ids = append(ids, d.ID)
@@ -51,10 +51,10 @@
 	return ids
 }
 
-// takeWhenReady lets time pass until something is handed out, or nothing is waited for.
-func (f *fixture) takeWhenReady() []string {
+// deliverWhenReady advances time until something is delivered or no deadline is pending.
+func (f *fixture) deliverWhenReady() []string {
 	for {
-		if ids := f.take(); len(ids) > 0 || f.NextWake() == queue.Never {
+		if ids := f.deliver(); len(ids) > 0 || f.NextWake() == queue.Never {
 			return ids
 		}
 		f.now = f.NextWake()
@@ -77,57 +77,57 @@
 	return f.Outcome(f.now, 1, id, attempt, o, 0)
 }
 
-func TestKeyedMessagesGoOneAfterTheOtherOnceTheEndIsSettled(t *testing.T) {
+func TestNextMessageOfAKeyIsDeliveredAfterTheEndIsConfirmed(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("fifo", "k", 2, 0)
 	f.add("fifo", "k", 1, 0)
 	f.add("fifo", "other", 3, 0)
-	is.Equal(f.take(), []string{"m1", "m3"})
+	is.Equal(f.deliver(), []string{"m1", "m3"})
 	is.Equal(f.outcome("m1", 1, queue.Succeeded).State, queue.Done)
-	is.Equal(f.take(), []string{}) // the end is not on disk yet
+	is.Equal(f.deliver(), []string{}) // the end is not confirmed yet
 	f.ConfirmEnd(f.now, 1, "m1")
-	is.Equal(f.take(), []string{"m2"})
+	is.Equal(f.deliver(), []string{"m2"})
 	is.Equal(f.outcome("m1", 1, queue.Succeeded).Action, queue.Unknown)
 }
 
-func TestPoisonedHeadEndsAndFreesTheRest(t *testing.T) {
+func TestFailingHeadOfALaneBecomesADeadLetterAndUnblocksTheLane(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("fifo", "k", 1, 0)
 	f.add("fifo", "k", 2, 0)
 	f.add("fifo", "k", 3, 0)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	is.Equal(f.outcome("m1", 1, queue.Failed), queue.Transition{Action: queue.Record, Partition: 1, ID: "m1", Attempts: 1})
-	is.Equal(f.take(), []string{}) // the pause, and no other of the key meanwhile
+	is.Equal(f.deliver(), []string{}) // during the pause no other message of the key is delivered
 	f.now = f.NextWake()
 	is.Equal(f.now, 30*ms)
 	is.Equal(len(f.Advance(f.now)), 0)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	end := f.outcome("m1", 2, queue.Failed)
 	is.Equal(end, queue.Transition{Action: queue.End, Partition: 1, ID: "m1", State: queue.DeadLetter, Attempts: 2})
 	f.ConfirmEnd(f.now, 1, "m1")
-	is.Equal(f.take(), []string{"m2"})
+	is.Equal(f.deliver(), []string{"m2"})
 	is.Equal(f.outcome("m2", 1, queue.Refused).State, queue.DeadLetter)
 	f.ConfirmEnd(f.now, 1, "m2")
-	is.Equal(f.take(), []string{"m3"})
+	is.Equal(f.deliver(), []string{"m3"})
 }
 
-func TestOnlyFailuresCountAndOnlyOnceForEachHandOut(t *testing.T) {
+func TestOnlyFailuresCountAsAttemptsOncePerDelivery(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
 	for attempt, o := range []queue.Outcome{queue.NotRun, queue.Unclear, queue.ServiceDown, queue.NotRun, queue.Unclear} {
-		is.Equal(f.takeWhenReady(), []string{"m1"})
+		is.Equal(f.deliverWhenReady(), []string{"m1"})
 		is.Equal(f.outcome("m1", uint32(attempt+1), o).Attempts, 0)
-		is.Equal(f.take(), []string{}) // the pause
+		is.Equal(f.deliver(), []string{}) // during the pause
 	}
-	is.Equal(f.takeWhenReady(), []string{"m1"})
+	is.Equal(f.deliverWhenReady(), []string{"m1"})
 	is.Equal(f.outcome("m1", 6, queue.Failed).Attempts, 1)
 	is.Equal(f.outcome("m1", 6, queue.Failed), queue.Transition{Action: queue.Ignore, Partition: 1, ID: "m1", Attempts: 1})
 }
 
-func TestPausesGrow(t *testing.T) {
+func TestRetryPausesGrow(t *testing.T) {
 	for _, c := range []struct {
 		outcome queue.Outcome
 		pauses  []time.Duration
@@ -139,7 +139,7 @@
 		f := newFixture()
 		f.add("plain", "", 1, 0)
 		for index, pause := range c.pauses {
-			is.Equal(f.take(), []string{"m1"})
+			is.Equal(f.deliver(), []string{"m1"})
 			f.outcome("m1", uint32(index+1), c.outcome)
 			is.Equal(f.NextWake(), f.now+pause)
 			f.now += pause
@@ -148,27 +148,27 @@
 	}
 }
 
-func TestDelayHoldsAndHoldsTheKey(t *testing.T) {
+func TestDelayedMessageBlocksItsKey(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("fifo", "k", 1, 300*ms)
 	f.add("fifo", "k", 2, 0)
-	is.Equal(f.take(), []string{})
+	is.Equal(f.deliver(), []string{})
 	f.now = 300*ms - 1
 	f.Advance(f.now)
-	is.Equal(f.take(), []string{})
+	is.Equal(f.deliver(), []string{})
 	f.now = f.NextWake()
 	is.Equal(f.now, 300*ms)
 	f.Advance(f.now)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 }
 
-func TestRetentionEndsNeverEarlyAndNotWhileOut(t *testing.T) {
+func TestRetentionDoesNotEndMessagesEarlyOrInFlight(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.Add(f.now, queue.Entry{Partition: 1, ID: "m1", Host: "plain", Sequence: 1, ExpiresIn: 3 * time.Second})
 	f.Add(f.now, queue.Entry{Partition: 1, ID: "m2", Host: "plain", Sequence: 2, DueIn: minute, ExpiresIn: 3 * time.Second})
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	f.now = 3*time.Second - 1
 	is.Equal(len(f.Advance(f.now)), 0)
 	f.now = 3 * time.Second
@@ -180,130 +180,130 @@
 	is.Equal(f.Total(), 0)
 }
 
-func TestLateSuccessOfAnEarlierHandOutCounts(t *testing.T) {
+func TestLateSuccessOfALostDeliveryCounts(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
-	is.Equal(f.take(), []string{"m1"})
-	f.DispatcherDisconnected(f.now, worker, false)
+	is.Equal(f.deliver(), []string{"m1"})
+	f.DispatcherDisconnected(f.now, dispatcher, false)
 	f.Resume("edge-2/dispatcher", "b")
-	is.Equal(f.NextWake(), 800*ms) // time-out and slack
+	is.Equal(f.NextWake(), 800*ms) // timeout and disconnectedSlack
 	f.now = 800 * ms
 	f.Advance(f.now)
 	is.Equal(f.deliveries()[0].Attempt, uint32(2))
 	is.Equal(f.outcome("m1", 1, queue.Succeeded).State, queue.Done)
 	is.Equal(f.outcome("m1", 2, queue.Failed).Action, queue.AlreadyEnding)
-	is.Equal(f.take(), []string{})
+	is.Equal(f.deliver(), []string{})
 	is.Equal(len(f.Stats()), 0) // the windows are free
 }
 
-func TestFailureOfALostHandOutCountsWhileTheNextIsOut(t *testing.T) {
+func TestFailureOfALostDeliveryCountsWhileTheNextIsInFlight(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
-	f.take()
-	f.DispatcherDisconnected(f.now, worker, false)
+	f.deliver()
+	f.DispatcherDisconnected(f.now, dispatcher, false)
 	f.Resume("edge-2/dispatcher", "b")
 	f.now = 800 * ms
 	f.Advance(f.now)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	is.Equal(f.outcome("m1", 1, queue.Failed).Attempts, 1)
 	f.now += time.Second
 	f.Advance(f.now)
-	is.Equal(f.take(), []string{}) // it is still out
+	is.Equal(f.deliver(), []string{}) // it is still in flight
 	is.Equal(f.outcome("m1", 2, queue.Failed).Attempts, 2)
 }
 
-func TestEndedDispatcherGivesBackAtOnce(t *testing.T) {
+func TestMessagesOfAnEndedDispatcherAreRequeuedAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
-	f.take()
-	f.DispatcherDisconnected(f.now, worker, false)
+	f.deliver()
+	f.DispatcherDisconnected(f.now, dispatcher, false)
 	f.Resume("edge-2/dispatcher", "b")
-	is.Equal(f.take(), []string{})
-	f.DispatcherDisconnected(f.now, worker, true)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{})
+	f.DispatcherDisconnected(f.now, dispatcher, true)
+	is.Equal(f.deliver(), []string{"m1"})
 }
 
-func TestHelloOnANewConnectionTellsWhatNeverArrived(t *testing.T) {
+func TestHelloRequeuesDeliveriesThatNeverArrived(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
 	f.add("plain", "", 2, 0)
-	is.Equal(f.take(), []string{"m1", "m2"})
-	f.DispatcherDisconnected(f.now, worker, false)
-	f.Hello(f.now, worker, "a", []queue.HeldDelivery{{Partition: 1, ID: "m2", Attempt: 1}})
+	is.Equal(f.deliver(), []string{"m1", "m2"})
+	f.DispatcherDisconnected(f.now, dispatcher, false)
+	f.Hello(f.now, dispatcher, "a", []queue.HeldDelivery{{Partition: 1, ID: "m2", Attempt: 1}})
 	got := f.deliveries()
 	is.Equal(len(got), 1)
 	is.Equal(got[0].ID, "m1")
 	is.Equal(got[0].Attempt, uint32(2))
-	is.Equal(f.NextWake(), 5500*ms) // what it has is waited for, the time-out and what it needs to find a worker
+	is.Equal(f.NextWake(), 5500*ms) // the deadline of the held delivery: timeout and connectedSlack
 }
 
-func TestHandOutThatADispatcherNeverReportsGoesOutAgain(t *testing.T) {
+func TestUnreportedDeliveryIsRepeated(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	f.now = f.NextWake()
 	is.Equal(f.now, 5500*ms)
 	f.Advance(f.now)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	is.Equal(f.outcome("m1", 1, queue.Succeeded).State, queue.Done)
 }
 
-func TestHandOutOfALowerEpochThatIsNotListedWasDropped(t *testing.T) {
+func TestUnlistedDeliveryOfALowerEpochIsRepeated(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.SetEpoch(1, 3)
 	f.add("plain", "", 1, 0)
 	f.add("plain", "", 2, 0)
 	f.add("plain", "", 3, 0)
-	f.MarkHeld(f.now, 1, "m3", 9, worker) // handed out by another store
-	is.Equal(f.take(), []string{"m1", "m2"})
-	f.RequeueUnlisted(f.now, worker, 1, 3, []queue.HeldDelivery{{Partition: 1, ID: "m3", Attempt: 9}})
-	is.Equal(f.take(), []string{}) // they may be on their way
+	f.MarkHeld(f.now, 1, "m3", 9, dispatcher) // delivered by another store
+	is.Equal(f.deliver(), []string{"m1", "m2"})
+	f.RequeueUnlisted(f.now, dispatcher, 1, 3, []queue.HeldDelivery{{Partition: 1, ID: "m3", Attempt: 9}})
+	is.Equal(f.deliver(), []string{}) // they may still arrive
 	f.SetEpoch(1, 4)
-	f.RequeueUnlisted(f.now, worker, 1, 4, []queue.HeldDelivery{{Partition: 1, ID: "m2", Attempt: 1}})
+	f.RequeueUnlisted(f.now, dispatcher, 1, 4, []queue.HeldDelivery{{Partition: 1, ID: "m2", Attempt: 1}})
 	got := f.deliveries()
 	is.Equal(len(got), 2)
 	is.Equal([]string{got[0].ID, got[1].ID}, []string{"m1", "m3"})
 	is.Equal(got[0].Epoch, uint64(4))
 }
 
-func TestNewPrimaryWaitsForWhatIsHeld(t *testing.T) {
+func TestNewPrimaryWaitsForHeldDeliveries(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.SetOpen(f.now, 1, false)
 	f.add("fifo", "k", 1, 0)
 	f.add("fifo", "k", 2, 0)
 	f.add("plain", "", 3, 0)
-	is.Equal(f.take(), []string{})
-	f.Hello(f.now, worker, "a", []queue.HeldDelivery{{Partition: 1, ID: "m1", Attempt: 4099}})
+	is.Equal(f.deliver(), []string{})
+	f.Hello(f.now, dispatcher, "a", []queue.HeldDelivery{{Partition: 1, ID: "m1", Attempt: 4099}})
 	f.SetOpen(f.now, 1, true)
-	is.Equal(f.take(), []string{"m3"})
+	is.Equal(f.deliver(), []string{"m3"})
 	f.outcome("m1", 4099, queue.NotRun)
 	f.now = f.NextWake()
 	f.Advance(f.now)
 	is.Equal(f.deliveries()[0].Attempt, uint32(4100))
 }
 
-func TestClosedPartitionHandsOutNothing(t *testing.T) {
+func TestClosedPartitionDeliversNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
 	f.SetOpen(f.now, 1, false)
-	is.Equal(f.take(), []string{})
+	is.Equal(f.deliver(), []string{})
 	f.SetOpen(f.now, 1, true)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	f.Drop(1)
 	is.Equal(f.Total(), 0)
 	is.Equal(f.NextWake(), queue.Never)
 	is.Equal(len(f.Stats()), 0)
 }
 
-func TestWindowsInTotalAndForEachDispatcherAndZonesPreferred(t *testing.T) {
+func TestWindowsLimitDeliveriesAndTheLocalZoneIsPreferred(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.Resume("edge-2/dispatcher", "b")
@@ -316,16 +316,16 @@
 	for _, d := range all {
 		got[d.Dispatcher]++
 	}
-	is.Equal(got, map[string]int{worker: 3, "edge-2/dispatcher": 2})
+	is.Equal(got, map[string]int{dispatcher: 3, "edge-2/dispatcher": 2})
 	f.outcome(all[0].ID, 1, queue.Succeeded)
-	is.Equal(len(f.take()), 1)
+	is.Equal(len(f.deliver()), 1)
 	f.SetWindow("service", queue.Window{Total: 9, PerDispatcher: 9, Owners: []string{"edge-2/dispatcher"}})
 	for _, d := range f.deliveries() {
 		is.Equal(d.Dispatcher, "edge-2/dispatcher")
 	}
 }
 
-func TestDarkServiceIsProbedAndOpensQuickly(t *testing.T) {
+func TestUnreachableServiceIsProbedAndRecoversQuickly(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.SetWindow("service", queue.Window{Total: 8, PerDispatcher: 8})
@@ -359,7 +359,7 @@
 	is.Equal(sizes, []int{1, 2, 8, 8})
 }
 
-func TestServiceWithoutAnyAnswerIsProbedLikeADarkOne(t *testing.T) {
+func TestServiceWithoutAnyAnswerIsProbed(t *testing.T) {
 	for _, o := range []queue.Outcome{queue.NotRun, queue.Unclear} {
 		is := is.New(t)
 		f := newFixture()
@@ -367,43 +367,43 @@
 		for n := range uint64(200) {
 			f.add("plain", "", n, 0)
 		}
-		for range 7 { // a busy service answers now and then
+		for range 7 { // a busy service still answers now and then, which resets the count
 			d, _ := f.Next(f.now)
 			f.outcome(d.ID, d.Attempt, o)
 		}
 		d, _ := f.Next(f.now)
 		f.outcome(d.ID, d.Attempt, queue.Failed)
-		is.Equal(len(f.take()), 8)
-		f.DispatcherDisconnected(f.now, worker, true)
-		f.Resume(worker, "a")
-		handOuts := 0
+		is.Equal(len(f.deliver()), 8)
+		f.DispatcherDisconnected(f.now, dispatcher, true)
+		f.Resume(dispatcher, "a")
+		deliveries := 0
 		for until := f.now + 2*time.Second; f.now < until; f.now = f.NextWake() {
 			f.Advance(f.now)
 			for _, d := range f.deliveries() {
-				handOuts++
+				deliveries++
 				f.outcome(d.ID, d.Attempt, o)
 			}
 			f.deliveries()
 		}
-		is.True(handOuts <= 8+8) // the window once, then probes
+		is.True(deliveries <= 8+8) // one window, then probes
 	}
 }
 
-func TestDispatcherTakesOnlyWhatItNames(t *testing.T) {
+func TestSlotsLimitDeliveriesToADispatcher(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	for n := range uint64(9) {
 		f.add("plain", "", n, 0)
 	}
-	f.SetSlots(worker, map[string]int{"another": 5})
-	is.Equal(len(f.take()), 0)
-	f.SetSlots(worker, map[string]int{"service": 2})
-	is.Equal(len(f.take()), 2)
-	f.SetSlots(worker, nil)
-	is.Equal(len(f.take()), 7)
+	f.SetSlots(dispatcher, map[string]int{"another": 5})
+	is.Equal(len(f.deliver()), 0)
+	f.SetSlots(dispatcher, map[string]int{"service": 2})
+	is.Equal(len(f.deliver()), 2)
+	f.SetSlots(dispatcher, nil)
+	is.Equal(len(f.deliver()), 7)
 }
 
-func TestMessagesInTimeGoFirstAndLateOnesHaveAFifth(t *testing.T) {
+func TestOnTimeMessagesGoFirstAndLateOnesGetAFifth(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.SetWindow("service", queue.Window{Total: 1, PerDispatcher: 1})
@@ -425,7 +425,7 @@
 	is.Equal(late, 10)
 }
 
-func TestLateKeysWithFewMessagesGoFirstButNotForEver(t *testing.T) {
+func TestLateKeysWithFewMessagesGoFirstWithoutStarvingOthers(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.SetWindow("service", queue.Window{Total: 1, PerDispatcher: 1})
@@ -443,11 +443,11 @@
 		t := f.outcome(d.ID, d.Attempt, queue.Succeeded)
 		f.ConfirmEnd(f.now, t.Partition, t.ID)
 	}
-	// The first of "long" has three behind it, so it counts as due at 1.5 s.
+	// The first message of "long" has three behind it, so it is ordered as if due at 1.5 s.
 	is.Equal(keys, []string{"short", "long", "long", "long", "long", "later"})
 }
 
-func TestPriorityAndEarliestDueFirst(t *testing.T) {
+func TestHigherPriorityThenEarlierDueTimeGoesFirst(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 20*ms)
@@ -455,10 +455,10 @@
 	f.add("fifo", "", 3, 30*ms)
 	f.now = 40 * ms
 	f.Advance(f.now)
-	is.Equal(f.take(), []string{"m3", "m2", "m1"})
+	is.Equal(f.deliver(), []string{"m3", "m2", "m1"})
 }
 
-func TestConfigurationDropsAndMovesQueuedMessages(t *testing.T) {
+func TestReconfigurationEndsOrReroutesQueuedMessages(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.SetOpen(f.now, 1, false)
@@ -480,46 +480,46 @@
 	f := newFixture()
 	f.Add(f.now, queue.Entry{Partition: 1, ID: "m1", Host: "new", ExpiresIn: minute, Revision: queue.Revision{Term: 1, Number: 7}})
 	is.Equal(len(f.Advance(f.now)), 0)
-	is.Equal(f.take(), []string{})
+	is.Equal(f.deliver(), []string{})
 	f.routes["new"] = queue.Route{Name: "new", Service: "service"}
 	f.Reconfigure(f.now, queue.Revision{Term: 1, Number: 7})
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 	delete(f.routes, "new")
 	f.Reconfigure(f.now, queue.Revision{Term: 1, Number: 8})
-	is.Equal(len(f.Advance(f.now)), 0) // it is out: its outcome decides
+	is.Equal(len(f.Advance(f.now)), 0) // it is in flight: its outcome decides
 	is.Equal(f.outcome("m1", 1, queue.NotRun).State, queue.DeadLetter)
 }
 
-func TestAddingTwiceIsOneMessage(t *testing.T) {
+func TestAddIsIdempotent(t *testing.T) {
 	is := is.New(t)
 	f := newFixture()
 	f.add("plain", "", 1, 0)
 	f.add("plain", "", 1, 0)
 	is.Equal(f.Total(), 1)
-	is.Equal(f.take(), []string{"m1"})
+	is.Equal(f.deliver(), []string{"m1"})
 }
 
-// A dispatcher reports an outcome and, before it has the answer, greets: the hand-out is still in its list.
-func TestGreetingThatCrossesTheAnswerDoesNotHoldTheMessage(t *testing.T) {
+// A dispatcher reports an outcome and sends a Hello before it receives the acknowledgement, so the Hello still lists the delivery.
+func TestHelloSentBeforeTheAcknowledgementDoesNotBlockTheMessage(t *testing.T) {
 	for _, outcome := range []queue.Outcome{queue.NotRun, queue.Unclear, queue.Failed} {
 		is, f := is.New(t), newFixture()
 		f.add("fifo", "k", 1, 0)
 		one := f.deliveries()[0]
 		f.outcome("m1", one.Attempt, outcome)
-		f.MarkHeld(f.now, 1, "m1", one.Attempt, worker)
-		f.Hello(f.now, worker, "a", []queue.HeldDelivery{{Partition: 1, ID: "m1", Attempt: one.Attempt}})
-		is.Equal(f.takeWhenReady(), []string{"m1"}) // it goes out again: nobody has it
+		f.MarkHeld(f.now, 1, "m1", one.Attempt, dispatcher)
+		f.Hello(f.now, dispatcher, "a", []queue.HeldDelivery{{Partition: 1, ID: "m1", Attempt: one.Attempt}})
+		is.Equal(f.deliverWhenReady(), []string{"m1"}) // it is delivered again: no dispatcher holds it
 	}
 }
 
-// The same with a hand-out of the primary before, whose outcome comes before any greeting.
-func TestOutcomeOfAnotherPrimarysHandOutComesBeforeTheGreeting(t *testing.T) {
+// The same for a delivery of an earlier primary, whose outcome arrives before any Hello.
+func TestOutcomeOfAnEarlierPrimarysDeliveryArrivesBeforeHello(t *testing.T) {
 	is, f := is.New(t), newFixture()
 	f.SetOpen(0, 1, false)
 	f.Add(f.now, queue.Entry{Partition: 1, ID: "m1", Host: "plain", Sequence: 1, ExpiresIn: minute, LastAttempt: 2 << 12})
-	const earlier = 1<<12 + 1
-	f.outcome("m1", earlier, queue.NotRun)
-	f.MarkHeld(f.now, 1, "m1", earlier, worker)
+	const earlierAttempt = 1<<12 + 1
+	f.outcome("m1", earlierAttempt, queue.NotRun)
+	f.MarkHeld(f.now, 1, "m1", earlierAttempt, dispatcher)
 	f.SetOpen(f.now, 1, true)
-	is.Equal(f.takeWhenReady(), []string{"m1"})
+	is.Equal(f.deliverWhenReady(), []string{"m1"})
 }
