--- a/queue/dispatcher.go
+++ b/queue/dispatcher.go
@@ -44,10 +44,10 @@
 	for _, h := range held {
 		listed[h] = true
 	}
-	for _, h := range d.sortedPending() {
-		if !listed[HeldDelivery{h.message.partition.number, h.message.id, h.attempt}] {
-			h.message.removePending(h)
-			q.presumeLost(now, h)
+	for _, delivery := range d.sortedPending() {
+		if !listed[HeldDelivery{delivery.message.partition.number, delivery.message.id, delivery.attempt}] {
+			delivery.message.removePending(delivery)
+			q.presumeLost(now, delivery)
 		}
 	}
 	for _, h := range held {
@@ -91,17 +91,17 @@
 		return
 	}
 	m.lastAttempt = max(m.lastAttempt, attempt)
-	h := m.findPending(attempt)
-	if h == nil {
+	delivery := m.findPending(attempt)
+	if delivery == nil {
 		q.addPending(now, m, attempt, q.dispatcher(name))
 		return
 	}
-	if h.released && !m.inFlight() {
+	if delivery.released && !m.inFlight() {
 		q.unschedule(m)
-		q.countInFlight(h, q.dispatcher(name))
+		q.countInFlight(delivery, q.dispatcher(name))
 	}
-	if !h.released {
-		q.setDeadline(h, now+connectedSlack)
+	if !delivery.released {
+		q.setDeadline(delivery, now+connectedSlack)
 	}
 }
 
@@ -119,11 +119,11 @@
 	if d == nil {
 		return
 	}
-	for _, h := range d.sortedPending() {
-		m := h.message
-		if m.partition.number == partition && h.epoch < epoch && !slices.Contains(held, HeldDelivery{partition, m.id, h.attempt}) {
-			m.removePending(h)
-			q.presumeLost(now, h)
+	for _, delivery := range d.sortedPending() {
+		m := delivery.message
+		if m.partition.number == partition && delivery.epoch < epoch && !slices.Contains(held, HeldDelivery{partition, m.id, delivery.attempt}) {
+			m.removePending(delivery)
+			q.presumeLost(now, delivery)
 		}
 	}
 }
@@ -136,12 +136,12 @@
 		return
 	}
 	q.closeDispatcher(d)
-	for _, h := range d.sortedPending() {
+	for _, delivery := range d.sortedPending() {
 		if ended {
-			q.presumeLost(now, h)
+			q.presumeLost(now, delivery)
 			continue
 		}
-		q.setDeadline(h, h.dispatchedAt+disconnectedSlack)
+		q.setDeadline(delivery, delivery.dispatchedAt+disconnectedSlack)
 	}
 	q.removeIfIdle(d)
 }
--- a/queue/handout.go
+++ b/queue/handout.go
@@ -49,64 +49,64 @@
 // addPending records a delivery of the message as in flight at the dispatcher.
 func (q *Queue) addPending(now time.Duration, m *message, attempt uint32, d *dispatcher) *pendingDelivery {
 	q.unschedule(m)
-	h := &pendingDelivery{message: m, attempt: attempt, dispatchedAt: now, deadlineIndex: notInHeap}
-	m.pending = append(m.pending, h)
-	q.countInFlight(h, d)
-	q.setDeadline(h, now+connectedSlack)
-	return h
+	delivery := &pendingDelivery{message: m, attempt: attempt, dispatchedAt: now, deadlineIndex: notInHeap}
+	m.pending = append(m.pending, delivery)
+	q.countInFlight(delivery, d)
+	q.setDeadline(delivery, now+connectedSlack)
+	return delivery
 }
 
 // countInFlight counts the delivery in the windows.
-func (q *Queue) countInFlight(h *pendingDelivery, d *dispatcher) {
+func (q *Queue) countInFlight(delivery *pendingDelivery, d *dispatcher) {
 	q.deliveryCount++
-	h.order, h.dispatcher, h.service, h.released = q.deliveryCount, d, h.message.service, false
-	d.pending[h] = struct{}{}
-	if h.service != nil {
-		h.service.inFlight++
-		h.service.inFlightAt[d]++
+	delivery.order, delivery.dispatcher, delivery.service, delivery.released = q.deliveryCount, d, delivery.message.service, false
+	d.pending[delivery] = struct{}{}
+	if delivery.service != nil {
+		delivery.service.inFlight++
+		delivery.service.inFlightAt[d]++
 	}
 }
 
 // setDeadline sets when the delivery is presumed lost if there is no report of it: the route's timeout after the given time.
-func (q *Queue) setDeadline(h *pendingDelivery, from time.Duration) {
-	q.deadlines.remove(h)
-	h.deadline = from + h.message.route.Timeout
-	q.deadlines.push(h)
+func (q *Queue) setDeadline(delivery *pendingDelivery, from time.Duration) {
+	q.deadlines.remove(delivery)
+	delivery.deadline = from + delivery.message.route.Timeout
+	q.deadlines.push(delivery)
 }
 
 // release removes the delivery from the windows.
-func (q *Queue) release(h *pendingDelivery) {
-	q.deadlines.remove(h)
-	if h.released {
+func (q *Queue) release(delivery *pendingDelivery) {
+	q.deadlines.remove(delivery)
+	if delivery.released {
 		return
 	}
-	h.released = true
-	delete(h.dispatcher.pending, h)
-	q.removeIfIdle(h.dispatcher)
-	s := h.service
+	delivery.released = true
+	delete(delivery.dispatcher.pending, delivery)
+	q.removeIfIdle(delivery.dispatcher)
+	s := delivery.service
 	if s == nil {
 		return
 	}
 	s.inFlight--
-	s.inFlightAt[h.dispatcher]--
-	if s.inFlightAt[h.dispatcher] == 0 {
-		delete(s.inFlightAt, h.dispatcher)
+	s.inFlightAt[delivery.dispatcher]--
+	if s.inFlightAt[delivery.dispatcher] == 0 {
+		delete(s.inFlightAt, delivery.dispatcher)
 	}
 	q.wake(s)
 }
 
 // releaseAll releases and removes all pending deliveries of a message.
 func (q *Queue) releaseAll(m *message) {
-	for _, h := range m.pending {
-		q.release(h)
+	for _, delivery := range m.pending {
+		q.release(delivery)
 	}
 	m.pending = nil
 }
 
 // presumeLost treats a delivery as lost. Its outcome still counts if it arrives.
-func (q *Queue) presumeLost(now time.Duration, h *pendingDelivery) {
-	q.release(h)
-	m := h.message
+func (q *Queue) presumeLost(now time.Duration, delivery *pendingDelivery) {
+	q.release(delivery)
+	m := delivery.message
 	if len(m.pending) > maxPending && m.pending[0].released {
 		m.removePending(m.pending[0])
 	}
--- a/queue/message.go
+++ b/queue/message.go
@@ -63,20 +63,20 @@
 
 // inFlight reports whether the message is at a dispatcher.
 func (m *message) inFlight() bool {
-	return slices.ContainsFunc(m.pending, func(h *pendingDelivery) bool { return !h.released })
+	return slices.ContainsFunc(m.pending, func(delivery *pendingDelivery) bool { return !delivery.released })
 }
 
 func (m *message) findPending(attempt uint32) *pendingDelivery {
-	for _, h := range m.pending {
-		if h.attempt == attempt {
-			return h
+	for _, delivery := range m.pending {
+		if delivery.attempt == attempt {
+			return delivery
 		}
 	}
 	return nil
 }
 
-func (m *message) removePending(h *pendingDelivery) {
-	if index := slices.Index(m.pending, h); index >= 0 {
+func (m *message) removePending(delivery *pendingDelivery) {
+	if index := slices.Index(m.pending, delivery); index >= 0 {
 		m.pending = slices.Delete(m.pending, index, index+1)
 	}
 }
--- a/queue/outcome.go
+++ b/queue/outcome.go
@@ -23,8 +23,8 @@
 	if m.ending {
 		return Transition{Action: AlreadyEnding, Partition: partition, ID: id, State: m.state, Attempts: m.attempts}
 	}
-	h := m.findPending(attempt)
-	q.updateReachability(now, m, h, o)
+	delivery := m.findPending(attempt)
+	q.updateReachability(now, m, delivery, o)
 	switch o {
 	case Succeeded:
 		return q.finish(m, Done)
@@ -33,11 +33,11 @@
 	}
 	m.conclude(attempt)
 	t := Transition{Action: Ignore, Partition: partition, ID: id, State: Queued, Attempts: m.attempts}
-	if h == nil {
+	if delivery == nil {
 		return t
 	}
-	q.release(h)
-	m.removePending(h)
+	q.release(delivery)
+	m.removePending(delivery)
 	if o == Failed {
 		m.attempts++
 		t.Action, t.Attempts = Record, m.attempts
@@ -57,10 +57,10 @@
 }
 
 // updateReachability updates the reachability of the service by an outcome.
-func (q *Queue) updateReachability(now time.Duration, m *message, h *pendingDelivery, o Outcome) {
+func (q *Queue) updateReachability(now time.Duration, m *message, delivery *pendingDelivery, o Outcome) {
 	s := m.service
-	if h != nil && h.service != nil {
-		s = h.service
+	if delivery != nil && delivery.service != nil {
+		s = delivery.service
 	}
 	if s == nil {
 		return
@@ -69,11 +69,11 @@
 	switch {
 	case o == Succeeded || o == Refused || o == Failed:
 		s.markReachable(now)
-	case h == nil:
+	case delivery == nil:
 	case o == ServiceDown:
-		s.markUnreachable(now, h.dispatchedAt)
+		s.markUnreachable(now, delivery.dispatchedAt)
 	case o == NotRun || o == Unclear:
-		s.countUnanswered(now, h.dispatchedAt)
+		s.countUnanswered(now, delivery.dispatchedAt)
 	}
 	q.wake(s)
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -57,7 +57,7 @@
 			less: func(a, b *pendingDelivery) bool {
 				return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.order, b.order)) < 0
 			},
-			indexOf: func(h *pendingDelivery) *int { return &h.deadlineIndex },
+			indexOf: func(delivery *pendingDelivery) *int { return &delivery.deadlineIndex },
 		},
 		pausedServices: indexedHeap[*service]{
 			less: func(a, b *service) bool {
--- a/queue/service.go
+++ b/queue/service.go
@@ -35,12 +35,12 @@
 	inFlightAt map[*dispatcher]int
 	runnable   bool // it is in Queue.runnable
 
-	unanswered       int // consecutive deliveries without an answer from a worker
-	recoveryLimit    int // smaller window while the service is unreachable or recovering; 0 for none
-	unreachableSince time.Duration
-	pause            time.Duration
-	pausedUntil      time.Duration // no deliveries before this time
-	pausedIndex      int
+	unanswered          int // consecutive deliveries without an answer from a worker
+	recoveryLimit       int // smaller window while the service is unreachable or recovering; 0 for none
+	markedUnreachableAt time.Duration
+	pause               time.Duration
+	pausedUntil         time.Duration // no deliveries before this time
+	pausedIndex         int
 }
 
 // class holds the ready on-time messages of one priority.
@@ -142,10 +142,10 @@
 // markUnreachable shrinks the window to probeLimit and stops deliveries for a pause that grows. Outcomes of deliveries that were
 // dispatched before the service was last marked carry no new information and are ignored.
 func (s *service) markUnreachable(now, dispatchedAt time.Duration) {
-	if s.recoveryLimit > 0 && dispatchedAt < s.unreachableSince {
+	if s.recoveryLimit > 0 && dispatchedAt < s.markedUnreachableAt {
 		return
 	}
-	s.recoveryLimit, s.unreachableSince, s.unanswered = probeLimit, now, 0
+	s.recoveryLimit, s.markedUnreachableAt, s.unanswered = probeLimit, now, 0
 	s.pause = min(max(2*s.pause, minServicePause), maxServicePause)
 	s.pausedUntil = now + s.pause
 }
@@ -153,7 +153,7 @@
 // countUnanswered counts a delivery without an answer from a worker. A single one is not significant; a whole window of them in a row
 // marks the service as unreachable.
 func (s *service) countUnanswered(now, dispatchedAt time.Duration) {
-	if s.recoveryLimit > 0 && dispatchedAt < s.unreachableSince {
+	if s.recoveryLimit > 0 && dispatchedAt < s.markedUnreachableAt {
 		return
 	}
 	s.unanswered++
