--- a/internal/agent/items.go
+++ b/internal/agent/items.go
@@ -276,7 +276,7 @@
 // allowRequest reports whether no request for updates was sent to the peer within requestInterval, and if so records one now.
 func (i *items) allowRequest(address string, now time.Duration) bool {
 	maps.DeleteFunc(i.requestedAt, func(_ string, at time.Duration) bool { return now-at >= requestInterval })
-	if _, asked := i.requestedAt[address]; asked {
+	if _, requested := i.requestedAt[address]; requested {
 		return false
 	}
 	i.requestedAt[address] = now
--- a/queue/backlog_test.go
+++ b/queue/backlog_test.go
@@ -22,7 +22,7 @@
 	for service := range services {
 		window := queue.Window{Total: 16, PerDispatcher: 16}
 		if service < unserved {
-			window = queue.Window{Total: 16, PerDispatcher: 16, Owners: []string{"gone/dispatcher"}}
+			window = queue.Window{Total: 16, PerDispatcher: 16, Owners: []string{"disconnected/dispatcher"}}
 		}
 		q.SetWindow(fmt.Sprintf("service-%d", service), window)
 	}
