--- a/internal/agent/view_test.go
+++ b/internal/agent/view_test.go
@@ -17,7 +17,7 @@
 	return protocol.Item{Kind: protocol.ItemNodes, Version: v, Body: (&protocol.NodeTable{Nodes: nodes}).Append(nil)}
 }
 
-func TestViewOfItems(t *testing.T) {
+func TestViewReflectsItems(t *testing.T) {
 	is := is.New(t)
 	store := protocol.Node{Key: "b/store", Role: protocol.RoleStore, Member: "b/1"}
 	edge := protocol.Node{Key: "a/dispatcher", Role: protocol.RoleDispatcher}
@@ -60,5 +60,5 @@
 	_, err := v.with(protocol.Item{Kind: protocol.ItemNodes, Body: []byte{200}})
 	is.True(errors.Is(err, protocol.ErrMalformed))
 	_, err = v.with(protocol.Item{Kind: 99})
-	is.True(errors.Is(err, errUnknownItem))
+	is.True(errors.Is(err, errUnknownItemKind))
 }
