--- a/balance/api.go
+++ b/balance/api.go
@@ -23,48 +23,48 @@
 	Safe                 // may be repeated at will
 )
 
-// Group tells which workers drop the repeats of a keyed job.
-type Group uint8
+// DedupScope tells which workers drop the repeats of a keyed job.
+type DedupScope uint8
 
 // The groups, from the narrowest.
 const (
-	GroupCell Group = iota
-	GroupZone
-	GroupAll
+	DedupCell DedupScope = iota
+	DedupZone
+	DedupAll
 )
 
 // Class describes one class of jobs.
 type Class struct {
-	Aim       time.Duration // an answer within this time is in time
-	Stretch   float64       // the aim grows by this many times the job's own running time
-	Worth     float64
-	LateWorth float64       // the share of the worth that a late answer still earns
-	Limit     time.Duration // how long a client waits, over all its tries
-	Effect    Effect
-	Group     Group
-	Window    time.Duration // how long repeats of a keyed job are dropped
-	Kind      int           // the only kind of worker that runs it, or -1
-	Lane      int           // classes of one lane run on the same workers; those of others don't wait behind them
-	Streamed  bool
+	TargetLatency time.Duration // an answer within this time is in time
+	RuntimeFactor float64       // the aim grows by this many times the job's own running time
+	Value         float64
+	LateValue     float64       // the share of the worth that a late answer still earns
+	Limit         time.Duration // how long a client waits, over all its tries
+	Effect        Effect
+	DedupScope    DedupScope
+	Window        time.Duration // how long repeats of a keyed job are dropped
+	Kind          int           // the only kind of worker that runs it, or -1
+	Lane          int           // classes of one lane run on the same workers; those of others don't wait behind them
+	Streamed      bool
 }
 
 // Settings are what a dispatcher is told before it starts. New fills in a careful value for what is missing.
 type Settings struct {
-	Classes      []Class
-	Number       int // of this dispatcher, from 0
-	Dispatchers  int
-	Zone         int
-	Zones        int           // how many there are; 0 where that is not known
-	Tick         time.Duration // the shortest time between two events
-	MustAsk      bool          // the list of workers comes only to those who ask for it
-	AskWithin    time.Duration
-	Follows      bool // the list at the start is that of a process that this one takes over from
-	ListFirst    bool // the host tells by Heard when discovery has told what it has; nothing is sent before
-	RoughWeights bool // listed weights are the size, more or less
-	TellsStart   bool // workers tell when a job starts
-	TellsWritten bool // the host tells by Written when an attempt is on its way; else it is so at once
-	WorthByWork  bool // worth counts for each unit of work, not for each job
-	MarksRetry   bool // clients mark what they send again
+	Classes        []Class
+	Number         int // of this dispatcher, from 0
+	Dispatchers    int
+	Zone           int
+	Zones          int           // how many there are; 0 where that is not known
+	Tick           time.Duration // the shortest time between two events
+	ListOnRequest  bool          // the list of workers comes only to those who ask for it
+	AskWithin      time.Duration
+	ListInherited  bool // the list at the start is that of a process that this one takes over from
+	WaitForList    bool // the host tells by Heard when discovery has told what it has; nothing is sent before
+	RoughWeights   bool // listed weights are the size, more or less
+	ReportsStart   bool // workers tell when a job starts
+	ReportsWritten bool // the host tells by Written when an attempt is on its way; else it is so at once
+	ValuePerWork   bool // worth counts for each unit of work, not for each job
+	MarksRetry     bool // clients mark what they send again
 	// Load reports: the place of a value in Report, or -1.
 	FreeSlots, FreeMemory int
 
@@ -73,14 +73,14 @@
 	CanCancel      bool
 	CanProbe       bool
 	SecondCopies   bool          // two attempts of one job may be out together
-	MaxOut         time.Duration // at most between two probes of what cannot be reached; 0 for no bound
+	MaxExclusion   time.Duration // at most between two probes of what cannot be reached; 0 for no bound
 	MaxRetryAfter  time.Duration
 
 	DrainGrace     time.Duration
 	StartCapacity  float64       // a worker starts at this share of its capacity
 	WarmWithin     time.Duration // and is warm after this time
 	OverloadFactor float64       // sent more than so many times its present capacity,
-	FallTime       time.Duration // for so long, a cold worker falls over
+	OverloadTime   time.Duration // for so long, a cold worker falls over
 
 	CrossZoneFee, WasteFee, ProbeFee, LateFee, HandshakeFee float64
 }
@@ -92,7 +92,7 @@
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Worker is one entry of the list of workers.
@@ -145,12 +145,12 @@
 	ConnectFailed        // no connection
 	Reset                // the connection broke
 	Cancelled            // withdrawn by the dispatcher
-	Moot                 // never sent
+	NotSent              // never sent
 	Rejected             // the worker says that the request itself is wrong: no other would run it, and no worker is at fault
 )
 
 // NotRun reports whether the ending proves that the job never ran, where workers shed no work that they had begun.
-func (s Status) NotRun() bool { return s == Full || s == ConnectFailed || s == Moot }
+func (s Status) NotRun() bool { return s == Full || s == ConnectFailed || s == NotSent }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -28,19 +28,19 @@
 
 // Start begins the dispatcher's work on the list that it last had.
 func (d *Dispatcher) Start(now time.Duration) {
-	if d.s.MustAsk && d.s.Follows {
+	if d.s.ListOnRequest && d.s.ListInherited {
 		d.ask(0) // it starts alone, and must not miss what the process before would have heard
-	} else if d.s.MustAsk { // one service lists for all: those that start together spread their calls
+	} else if d.s.ListOnRequest { // one service lists for all: those that start together spread their calls
 		d.ask(min(2*askAgain, time.Duration(d.s.Dispatchers)*20*time.Millisecond))
 	}
-	if d.blind = d.s.ListFirst && !d.s.Follows; d.blind {
+	if d.blind = d.s.WaitForList && !d.s.ListInherited; d.blind {
 		d.do.Timer(unheard, heardToken)
 	}
 	d.ticks()
 }
 
-// Heard notes that discovery has told what it has: it counts as told to a new process, which waits for it.
-func (d *Dispatcher) Heard(now time.Duration) {
+// ListComplete notes that discovery has reported its whole list, for which a new process waits.
+func (d *Dispatcher) ListComplete(now time.Duration) {
 	if d.blind {
 		d.blind = false
 		d.changed(now)
@@ -60,13 +60,13 @@
 	}
 	for _, w := range d.known {
 		if form != ListChanges {
-			w.State = Gone // those still listed are set right below
+			w.State = Removed // those still listed are set right below
 		}
 	}
 	for _, e := range entries {
 		e.Weight = number(e.Weight)
 		w := d.workers[e.ID]
-		if e.State == Gone {
+		if e.State == Removed {
 			w.gone()
 			continue
 		}
@@ -78,10 +78,10 @@
 	d.changed(now)
 }
 
-// Offline leaves a worker out at an operator's word, or lets it serve again. Neither the list nor what is
+// SetOffline leaves a worker out at an operator's word, or lets it serve again. Neither the list nor what is
 // learnt lifts that word. What is back was perhaps started anew, and the list may be late to tell: it counts
 // as cold (from that start if it is listed), nothing known of it holds, and it gets the next job.
-func (d *Dispatcher) Offline(now time.Duration, id WorkerID, out bool) {
+func (d *Dispatcher) SetOffline(now time.Duration, id WorkerID, out bool) {
 	since := d.offline[id]
 	if (since > 0) == out {
 		return
@@ -90,7 +90,7 @@
 	if w := d.workers[id]; !out {
 		delete(d.offline, id)
 		d.back = append(slices.DeleteFunc(d.back, func(b WorkerID) bool { return b == id }), id)
-		if w != nil && w.State != Gone {
+		if w != nil && w.State != Removed {
 			e := w.Worker
 			n := d.newWorker(e)
 			if n.Worker, n.slow, n.slowAt = e, 1, 0; e.Up < since {
@@ -177,7 +177,7 @@
 	if c >= 1 || slices.Contains(d.back, w.ID) || w.Pulls {
 		return true // one job at a time is never more than it can do
 	}
-	if d.unit[r.class]*r.size*w.kind.slow > c*d.s.OverloadFactor/2*threshold*d.s.FallTime.Seconds() {
+	if d.unit[r.class]*r.size*w.kind.slow > c*d.s.OverloadFactor/2*threshold*d.s.OverloadTime.Seconds() {
 		return false // alone it is half of what the rule allows a worker that runs k jobs
 	}
 	draw := d.draw(uint64(w.ID)<<32 ^ uint64(d.count))
@@ -209,7 +209,7 @@
 func (d *Dispatcher) saw(w *worker, full bool) {
 	if k := w.kind; k.slots > 0 {
 		return // reports tell
-	} else if full && d.s.TellsStart {
+	} else if full && d.s.ReportsStart {
 		k.room += (min(k.room, max(1, w.own-1)) - k.room) * 0.1 // the job that waits does not run
 	} else if w.own+1 > k.room {
 		k.room = min(threshold+1, k.room+0.1)
@@ -218,8 +218,8 @@
 
 // usable: a worker that the list and this dispatcher's own experience allow for this attempt.
 func (d *Dispatcher) usable(now time.Duration, r *request, w *worker, turn bool) bool {
-	if a := r.trace(); a != nil && r.c.Effect == Keyed && r.c.Group != GroupAll &&
-		(w.Zone != a.w.Zone || r.c.Group == GroupCell && w.Cell != a.w.Cell) {
+	if a := r.trace(); a != nil && r.c.Effect == Keyed && r.c.DedupScope != DedupAll &&
+		(w.Zone != a.w.Zone || r.c.DedupScope == DedupCell && w.Cell != a.w.Cell) {
 		return false
 	}
 	if d.out(now, w) || !d.allowed(w) || !d.can(w, r.class) || !d.ramp(now, r, w, turn) {
@@ -248,7 +248,7 @@
 		// end: what asks for more than a small k gives would wait for ever, and keep all behind it waiting.
 		want += 0.5 * max(0, float64(n)-(now-r.tries[n-1].sent).Seconds()/(threshold*d.mean))
 	}
-	if d.s.TellsStart {
+	if d.s.ReportsStart {
 		want -= 0.5 // a job that waits is seen and mended
 	}
 	far := reach
@@ -271,7 +271,7 @@
 	for _, sure := range []bool{true, false} {
 		for _, part := range parts {
 			for more := most; more >= 0; more-- {
-				if r.late && r.c.LateWorth == 0 && more < most {
+				if r.late && r.c.LateValue == 0 && more < most {
 					break // it would earn nothing if it is late indeed: no last free slot for it
 				}
 				if w := d.walk(now, r, part, far, want, more, sure); w != nil {
@@ -333,9 +333,9 @@
 	w.turn = d.count
 	d.back = slices.DeleteFunc(d.back, func(b WorkerID) bool { return b == w.ID })
 	// Where starts are untold it tells of running times only if it surely began at once.
-	tells := d.s.TellsStart || d.spare(now, w) >= r.need+1
+	tells := d.s.ReportsStart || d.spare(now, w) >= r.need+1
 	r.tries = append(r.tries, attempt{w: w, sent: now, out: true, tells: tells})
-	if !d.s.TellsWritten {
+	if !d.s.ReportsWritten {
 		r.tries[len(r.tries)-1].wrote = now
 	}
 	r.out++
@@ -355,13 +355,13 @@
 	if r.Hint > 0 {
 		work = r.size
 	}
-	aim := r.c.Aim + seconds(r.c.Stretch*work)
+	aim := r.c.TargetLatency + seconds(r.c.RuntimeFactor*work)
 	if r.aim = r.came + aim; r.Again || !d.s.MarksRetry && r.Left >= aim {
 		r.aim -= d.first[r.class] - r.Left
 	}
 	r.aim = min(r.aim, r.end)
-	r.worth = r.c.Worth * cmp.Or(r.Weight, 1)
-	if !d.s.WorthByWork {
+	r.worth = r.c.Value * cmp.Or(r.Weight, 1)
+	if !d.s.ValuePerWork {
 		r.worth /= d.unit[r.class]
 	}
 }
@@ -506,7 +506,7 @@
 		pause, least = d.s.ConnectTimeout/4, time.Duration(d.s.Dispatchers)*100*time.Millisecond
 	}
 	w.fails, w.failedAt, w.cut, w.down = min(w.recent(now)+1, 6), now, down, down && d.s.CanProbe
-	out := min(seconds(pause.Seconds()*math.Exp2(w.fails)), cmp.Or(d.s.MaxOut, math.MaxInt64))
+	out := min(seconds(pause.Seconds()*math.Exp2(w.fails)), cmp.Or(d.s.MaxExclusion, math.MaxInt64))
 	w.outTill = now + d.around(max(least, out))
 	if !w.sick {
 		w.sick = true
@@ -590,7 +590,7 @@
 	case watchToken:
 		d.do.Watch()
 	case heardToken:
-		d.Heard(now)
+		d.ListComplete(now)
 	case tickToken:
 		d.ticking = false
 		d.health(now)
@@ -611,10 +611,10 @@
 	at := r.end - 2*d.s.Tick
 	if !r.late {
 		at = min(at, d.turnsLate(r))
-	} else if r.c.LateWorth == 0 && r.out == 0 {
+	} else if r.c.LateValue == 0 && r.out == 0 {
 		at = min(at, d.hopeless(r))
 	}
-	if i := len(r.tries) - 1; r.out > 0 && d.s.TellsStart && r.tries[i].wrote > 0 &&
+	if i := len(r.tries) - 1; r.out > 0 && d.s.ReportsStart && r.tries[i].wrote > 0 &&
 		!r.tries[i].started && !r.tries[i].called {
 		at = min(at, max(r.tries[i].wrote+d.patience, now+d.tick))
 	}
@@ -647,12 +647,12 @@
 	if !r.late && now >= d.turnsLate(r) {
 		r.late = true
 	}
-	if r.out == 0 && (r.late && r.c.LateWorth == 0 && now >= d.hopeless(r) || d.spent(now, r)) {
+	if r.out == 0 && (r.late && r.c.LateValue == 0 && now >= d.hopeless(r) || d.spent(now, r)) {
 		d.giveUp(r)
 		return
 	}
 	i := len(r.tries) - 1
-	if r.out > 0 && d.s.TellsStart && r.tries[i].wrote > 0 && !r.tries[i].started &&
+	if r.out > 0 && d.s.ReportsStart && r.tries[i].wrote > 0 && !r.tries[i].started &&
 		now-r.tries[i].wrote >= d.patience {
 		// It waits there. A safe job is taken back if another has room, but for the last two attempts (it may
 		// run on), and not where many are turned away. In thin traffic a keyed one too, but for the last.
@@ -665,7 +665,7 @@
 		if d.thin {
 			a.w.fullTill = now + memory
 		}
-		if r.late && r.c.LateWorth == 0 { // it holds a place in the queue for nothing: others go late by it
+		if r.late && r.c.LateValue == 0 { // it holds a place in the queue for nothing: others go late by it
 			d.giveUp(r)
 			return
 		}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -101,16 +101,16 @@
 }
 
 func settings() Settings {
-	class := func(e Effect, g Group) Class {
-		return Class{Aim: 200 * ms, Stretch: 2, Worth: 1, LateWorth: 0.5, Limit: 5 * time.Second, Effect: e, Group: g,
+	class := func(e Effect, g DedupScope) Class {
+		return Class{TargetLatency: 200 * ms, RuntimeFactor: 2, Value: 1, LateValue: 0.5, Limit: 5 * time.Second, Effect: e, DedupScope: g,
 			Window: 2 * time.Second, Kind: -1}
 	}
 	return Settings{
-		Classes: []Class{class(Safe, 0), class(Keyed, GroupAll), class(Keyed, GroupZone), class(Keyed, GroupCell),
+		Classes: []Class{class(Safe, 0), class(Keyed, DedupAll), class(Keyed, DedupZone), class(Keyed, DedupCell),
 			class(Unsafe, 0)},
 		Dispatchers: 1, Tick: ms, MaxAttempts: 5, ConnectTimeout: 100 * ms, CanCancel: true, CanProbe: true,
-		SecondCopies: true, TellsStart: true, FreeSlots: 0, FreeMemory: -1,
-		DrainGrace: time.Second, StartCapacity: 0.2, WarmWithin: 10 * time.Second, OverloadFactor: 3, FallTime: 2 * time.Second,
+		SecondCopies: true, ReportsStart: true, FreeSlots: 0, FreeMemory: -1,
+		DrainGrace: time.Second, StartCapacity: 0.2, WarmWithin: 10 * time.Second, OverloadFactor: 3, OverloadTime: 2 * time.Second,
 	}
 }
 
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -85,12 +85,12 @@
 // assume sets what jobs take until that is learnt, and what follows from it.
 func (d *Dispatcher) assume() {
 	// A job of a class outside the settings is handled with the most care: as unsafe.
-	d.s.Classes = append(slices.Clone(d.s.Classes), Class{Aim: time.Second, Worth: 1, Kind: -1})
+	d.s.Classes = append(slices.Clone(d.s.Classes), Class{TargetLatency: time.Second, Value: 1, Kind: -1})
 	d.tick = 100 * time.Millisecond
 	for _, c := range d.s.Classes {
-		d.unit = append(d.unit, max(c.Aim, time.Millisecond).Seconds())
-		d.tick = min(d.tick, c.Aim/10)
-		d.mean = max(d.mean, c.Aim.Seconds(), 0.001)
+		d.unit = append(d.unit, max(c.TargetLatency, time.Millisecond).Seconds())
+		d.tick = min(d.tick, c.TargetLatency/10)
+		d.mean = max(d.mean, c.TargetLatency.Seconds(), 0.001)
 	}
 	d.tick = max(d.tick, d.s.Tick)
 	d.patience = d.s.ConnectTimeout / 6
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -23,7 +23,7 @@
 
 func Example() {
 	settings := balance.Settings{
-		Classes:     []balance.Class{{Aim: 200 * time.Millisecond, Worth: 1, Effect: balance.Safe, Kind: -1}},
+		Classes:     []balance.Class{{TargetLatency: 200 * time.Millisecond, Value: 1, Effect: balance.Safe, Kind: -1}},
 		MaxAttempts: 3, FreeSlots: -1, FreeMemory: -1,
 	}
 	d := balance.New(settings, 1, printer{})
--- a/balance/handover.go
+++ b/balance/handover.go
@@ -8,8 +8,8 @@
 // What a Dispatcher hands to the one of a process that takes its place, and takes from the one before. Nothing is decided here: the
 // decisions go on where they were. Times are ages, as no two processes have one clock.
 
-// Try is an attempt of a job that changes hands.
-type Try struct {
+// AttemptRecord is an attempt of a job that changes hands.
+type AttemptRecord struct {
 	Worker  Worker        // as it was when the job changed hands
 	Sent    time.Duration // ago
 	Began   time.Duration // ago, where Started
@@ -23,14 +23,14 @@
 
 // Release lets go of an open job, as if it had never come, and returns its attempts. False: it is closed or unknown, or one of its
 // attempts is being withdrawn, whose end is this dispatcher's to hear.
-func (d *Dispatcher) Release(now time.Duration, id JobID) (tries []Try, ok bool) {
+func (d *Dispatcher) Release(now time.Duration, id JobID) (tries []AttemptRecord, ok bool) {
 	r := d.jobs[id]
 	if r == nil || r.done || slices.ContainsFunc(r.tries, func(a attempt) bool { return a.out && a.called }) {
 		return nil, false
 	}
 	for i := range r.tries {
 		a := &r.tries[i]
-		t := Try{Worker: a.w.Worker, Sent: now - a.sent, Out: a.out, Started: a.started, Clean: a.clean, Tells: a.tells, Stuck: a.stuck}
+		t := AttemptRecord{Worker: a.w.Worker, Sent: now - a.sent, Out: a.out, Started: a.started, Clean: a.clean, Tells: a.tells, Stuck: a.stuck}
 		if a.started {
 			t.Began = now - a.began
 		}
@@ -53,13 +53,13 @@
 
 // Adopt takes over a job that came some time ago to another dispatcher, with the attempts that it has made. Job.Left is what was left
 // as it came there. A worker that the list does not name any more is kept for the attempt alone.
-func (d *Dispatcher) Adopt(now time.Duration, j Job, ago time.Duration, tries []Try) {
+func (d *Dispatcher) Adopt(now time.Duration, j Job, ago time.Duration, tries []AttemptRecord) {
 	r := d.newRequest(now-ago, j)
 	for _, t := range tries {
 		w := d.workers[t.Worker.ID]
 		if w == nil || t.Out && w.Up != t.Worker.Up { // nothing known of the process that is listed holds for that one
 			w = &worker{Worker: t.Worker, kind: d.kindOf(t.Worker.Kind), slow: 1, turn: -1, replaced: true}
-			w.State = Gone
+			w.State = Removed
 		}
 		a := attempt{w: w, sent: now - t.Sent, out: t.Out, started: t.Started, clean: t.Clean, tells: t.Tells, stuck: t.Stuck}
 		if t.Started {
@@ -181,9 +181,9 @@
 	d.lists++ // turns go by what the kinds show
 }
 
-// Among says which of how many dispatchers this one is from now on, and how many of them are in its zone, where that is known otherwise than
+// SetDispatchers says which of how many dispatchers this one is from now on, and how many of them are in its zone, where that is known otherwise than
 // by the settings. The walk goes on elsewhere in the period: for as long as a period a cold worker has no second turn within a round.
-func (d *Dispatcher) Among(now time.Duration, number, dispatchers, inZone int) {
+func (d *Dispatcher) SetDispatchers(now time.Duration, number, dispatchers, inZone int) {
 	d.s.Dispatchers = min(max(dispatchers, 1), 1<<16)
 	d.s.Number = max(number, 0) % d.s.Dispatchers
 	share := d.s.Dispatchers
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -113,7 +113,7 @@
 	for round := range 60 {
 		if round%3 == 0 {
 			n := []int{3, 10, 40, 2, 300, 1}[round/3%6]
-			h.d.Among(h.now, round%n, n, n)
+			h.d.SetDispatchers(h.now, round%n, n, n)
 		}
 		for range 1 + round%4 {
 			id++
@@ -142,7 +142,7 @@
 			t.Errorf("worker %d got %d of 800 jobs", w.ID, got[w.ID])
 		}
 	}
-	h.d.Among(h.now, -5, -1, 0) // an absurd word is none
+	h.d.SetDispatchers(h.now, -5, -1, 0) // an absurd word is none
 	id++
 	if h.job(id, 0); len(h.sentFor[id]) != 1 {
 		t.Error("no send after an absurd word")
@@ -159,7 +159,7 @@
 		ws = append(ws, Worker{ID: WorkerID(i + 1), Weight: 1, Cell: i / 4})
 	}
 	h := newHost(t, set, ws...)
-	h.d.Among(h.now, 7, 90, 90)
+	h.d.SetDispatchers(h.now, 7, 90, 90)
 	for i := 0; i < len(ws); i += 2 {
 		ws[i].Up = h.now
 	}
--- a/balance/offline_test.go
+++ b/balance/offline_test.go
@@ -28,8 +28,8 @@
 		delete(h.answered, 1000)
 		h.job(1000, 0)
 	}
-	h.d.Offline(h.now, 2, true)
-	h.d.Offline(h.now, 2, true)
+	h.d.SetOffline(h.now, 2, true)
+	h.d.SetOffline(h.now, 2, true)
 	out("called out")
 	if listed, avoided := h.d.Fleet(h.now); listed != 4 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
@@ -43,20 +43,20 @@
 	out("after a probe")
 	h.d.List(h.now, ListFull, all)
 	out("after a list")
-	h.d.List(h.now, ListChanges, []Worker{{ID: 2, State: Gone}})
+	h.d.List(h.now, ListChanges, []Worker{{ID: 2, State: Removed}})
 	all[1].Up = h.now
 	h.d.List(h.now, ListChanges, all[1:2])
 	out("after it left the list and came back anew")
 
-	h.d.Offline(h.now, 2, false)
+	h.d.SetOffline(h.now, 2, false)
 	if h.serve(2000, 1); h.sends[0] != 2 {
 		t.Error("back and not the next to be sent to")
 	}
 	if n := len(slices.DeleteFunc(h.serve(2100, 80), func(w WorkerID) bool { return w != 2 })); n == 0 || n >= 16 {
 		t.Errorf("%d of 80 jobs while cold", n)
 	}
-	h.d.Offline(h.now, 3, true) // without a restart: it may have had one all the same
-	h.d.Offline(h.now, 3, false)
+	h.d.SetOffline(h.now, 3, true) // without a restart: it may have had one all the same
+	h.d.SetOffline(h.now, 3, false)
 	h.serve(2200, 1)
 	if n := len(slices.DeleteFunc(h.serve(2300, 80), func(w WorkerID) bool { return w != 3 })); n == 0 || n >= 16 {
 		t.Errorf("%d of 80 jobs while cold by the call alone", n)
@@ -70,13 +70,13 @@
 // TestOfflineUnlisted: the word holds for a worker that the list brings later, and its end makes no worker.
 func TestOfflineUnlisted(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1)...)
-	h.d.Offline(h.now, 3, true)
+	h.d.SetOffline(h.now, 3, true)
 	h.d.List(h.now, ListFull, fleet(1, 1, 1))
 	if slices.Contains(h.serve(1, 60), 3) {
 		t.Error("sent to a worker that was out before it was listed")
 	}
 	h.d.List(h.now, ListFull, fleet(1, 1))
-	h.d.Offline(h.now, 3, false)
+	h.d.SetOffline(h.now, 3, false)
 	if slices.Contains(h.serve(100, 60), 3) {
 		t.Error("sent to a worker that is not listed")
 	}
--- a/balance/pull_test.go
+++ b/balance/pull_test.go
@@ -25,12 +25,12 @@
 func (p *pulls) Timer(time.Duration, uint64) {}
 
 func pullSettings() Settings {
-	class := Class{Aim: 200 * time.Millisecond, Worth: 1, LateWorth: 0.5, Limit: 5 * time.Second, Kind: -1}
+	class := Class{TargetLatency: 200 * time.Millisecond, Value: 1, LateValue: 0.5, Limit: 5 * time.Second, Kind: -1}
 	other := class
 	other.Lane = 1
-	return Settings{Classes: []Class{class, other}, Dispatchers: 1, Tick: 2 * time.Millisecond, TellsStart: true, MaxAttempts: 4,
+	return Settings{Classes: []Class{class, other}, Dispatchers: 1, Tick: 2 * time.Millisecond, ReportsStart: true, MaxAttempts: 4,
 		ConnectTimeout: 250 * time.Millisecond, FreeSlots: -1, FreeMemory: -1, StartCapacity: 0.3, WarmWithin: 8 * time.Second,
-		OverloadFactor: 2.5, FallTime: 2 * time.Second}
+		OverloadFactor: 2.5, OverloadTime: 2 * time.Second}
 }
 
 // TestLanes: jobs that no worker runs hold up none of another lane, and no job goes to a worker that does not run its class.
--- a/balance/report_test.go
+++ b/balance/report_test.go
@@ -11,9 +11,9 @@
 // reported are settings of a deployment whose workers report free slots in every answer and do not tell when a job starts.
 func reported() Settings {
 	s := settings()
-	s.TellsStart, s.FreeSlots = false, 0
+	s.ReportsStart, s.FreeSlots = false, 0
 	for i := range s.Classes {
-		s.Classes[i].LateWorth = 0
+		s.Classes[i].LateValue = 0
 	}
 	return s
 }
@@ -105,7 +105,7 @@
 func TestInquiries(t *testing.T) {
 	h := newHost(t, reported(), fleet(1, 1, 1, 1)...)
 	h.reports(4, 4, 4, 4)
-	h.d.Offline(h.now, 3, true)
+	h.d.SetOffline(h.now, 3, true)
 	for i := range 40 {
 		h.run(h.now + 100*ms)
 		h.job(JobID(i+1), 0)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -30,7 +30,7 @@
 		{"unsafe", 4, nil},
 	}
 	for _, c := range classes {
-		for _, s := range []Status{Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
+		for _, s := range []Status{Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotSent} {
 			for _, copies := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s/%d/copies %v", c.name, s, copies), func(t *testing.T) {
 					set := settings()
@@ -118,9 +118,9 @@
 	h := newHost(t, settings(), fleet(1, 1)...)
 	h.job(1, 0)
 	h.answered[1] = "left"
-	h.d.Left(h.now, 1)
+	h.d.Disconnected(h.now, 1)
 	h.end(1, Errored) // the host fails the test if anything is sent or answered now
-	h.d.Left(h.now, 1)
+	h.d.Disconnected(h.now, 1)
 	h.d.Started(h.now, 1, 0)
 	h.d.Progress(h.now, 1, 0, 0.5)
 	h.run(h.now + 10*time.Second)
@@ -136,7 +136,7 @@
 		list []Worker
 	}{
 		{"draining", ListChanges, []Worker{{ID: 1, State: Draining, Weight: 1}}},
-		{"gone", ListChanges, []Worker{{ID: 1, State: Gone, Weight: 1}}},
+		{"gone", ListChanges, []Worker{{ID: 1, State: Removed, Weight: 1}}},
 		{"missing from a full list", ListFull, []Worker{{ID: 2, Weight: 1}}},
 	} {
 		h := newHost(t, settings(), fleet(1, 1)...)
@@ -157,7 +157,7 @@
 
 func TestColdWorkerGetsItsShareOfTheRampOnly(t *testing.T) {
 	s := settings()
-	s.Classes[0].Stretch = 10 // so that slowness alone bars nobody
+	s.Classes[0].RuntimeFactor = 10 // so that slowness alone bars nobody
 	for _, age := range []time.Duration{0, 2 * time.Second, 5 * time.Second} {
 		ws := fleet(1, 1, 1, 1)
 		h := newHost(t, s, ws...)
@@ -180,7 +180,7 @@
 
 func TestColdWorkersAreNotFloodedWhenAllAreCold(t *testing.T) {
 	s := settings()
-	s.Classes[0].Stretch = 10 // so that slowness alone bars nobody
+	s.Classes[0].RuntimeFactor = 10 // so that slowness alone bars nobody
 	h := newHost(t, s, fleet(1, 1, 1, 1)...)
 	var cold []Worker
 	for i := range 4 {
@@ -281,7 +281,7 @@
 
 func TestHopelessJobIsRefusedBeforeItsAimPasses(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateValue = 0
 	h := newHost(t, s)
 	from := h.now
 	h.job(1, 0)
@@ -326,7 +326,7 @@
 
 func TestAskedListIsAskedAgain(t *testing.T) {
 	s := settings()
-	s.MustAsk = true
+	s.ListOnRequest = true
 	h := newHost(t, s, fleet(1)...)
 	h.run(h.now + s.Tick + 20*ms) // one dispatcher has nobody to spread its call from
 	if h.watches != 1 {
@@ -411,7 +411,7 @@
 	for _, n := range []int{math.MinInt, -1, 0, 1, 1 << 40, math.MaxInt} {
 		for _, number := range []int{math.MinInt, -1, 0, 5, math.MaxInt} {
 			s := settings()
-			s.FreeSlots, s.Dispatchers, s.Number, s.MustAsk, s.AskWithin = -1, n, number, true, 10*time.Second
+			s.FreeSlots, s.Dispatchers, s.Number, s.ListOnRequest, s.AskWithin = -1, n, number, true, 10*time.Second
 			h := newHost(t, s, fleet(1, 1, 1)...)
 			h.run(h.now + 10*time.Second)
 			h.d.List(h.now, ListFailed, nil)
@@ -448,7 +448,7 @@
 func TestAsksAgainSoon(t *testing.T) {
 	for _, n := range []int{1, 20, 300} {
 		s := settings()
-		s.FreeSlots, s.Dispatchers, s.MustAsk, s.AskWithin = -1, n, true, 10*time.Second
+		s.FreeSlots, s.Dispatchers, s.ListOnRequest, s.AskWithin = -1, n, true, 10*time.Second
 		h := newHost(t, s, fleet(1, 1)...)
 		if h.run(h.now + 2*time.Second); h.watches != 1 {
 			t.Errorf("%d dispatchers: asked %d times in the first 2 s", n, h.watches)
@@ -467,23 +467,23 @@
 // sends nothing before it has heard that, or for 8.5 s where discovery says nothing, and each job still gets its answer.
 func TestNothingBeforeTheList(t *testing.T) {
 	s := settings()
-	s.FreeSlots, s.MustAsk, s.ListFirst = -1, true, true
+	s.FreeSlots, s.ListOnRequest, s.WaitForList = -1, true, true
 	start := func() *host {
 		h := newHost(t, s, fleet(1, 1)...)
 		h.job(1, 0)
 		h.d.Job(h.now, Job{ID: 2, Class: 4, Left: 300 * ms, Slots: 1})
 		h.run(h.now + 2*time.Second)
 		h.d.List(h.now, ListFailed, nil)
-		if len(h.sends) > 0 || h.d.Sees() || h.answered[1] != "" || h.answered[2] != "failed" {
-			t.Errorf("before the list: sent to %v, sees %v, answers %v", h.sends, h.d.Sees(), h.answered)
+		if len(h.sends) > 0 || h.d.HasList() || h.answered[1] != "" || h.answered[2] != "failed" {
+			t.Errorf("before the list: sent to %v, sees %v, answers %v", h.sends, h.d.HasList(), h.answered)
 		}
 		return h
 	}
 	h := start()
 	h.d.List(h.now, ListChanges, []Worker{{ID: 1, Weight: 1, State: Draining}})
-	h.d.Heard(h.now)
-	if !reflect.DeepEqual(h.sends, []WorkerID{2}) || !h.d.Sees() {
-		t.Errorf("after the list: sent to %v, sees %v", h.sends, h.d.Sees())
+	h.d.ListComplete(h.now)
+	if !reflect.DeepEqual(h.sends, []WorkerID{2}) || !h.d.HasList() {
+		t.Errorf("after the list: sent to %v, sees %v", h.sends, h.d.HasList())
 	}
 	h = start()
 	h.run(1008 * time.Second)
@@ -491,11 +491,11 @@
 	if len(h.sends) > 0 {
 		t.Errorf("sent to %v before 8.5 s", h.sends)
 	}
-	if h.run(1008*time.Second + 501*ms); len(h.sends) != 1 || !h.d.Sees() {
-		t.Errorf("after 8.5 s: sent to %v, sees %v", h.sends, h.d.Sees())
+	if h.run(1008*time.Second + 501*ms); len(h.sends) != 1 || !h.d.HasList() {
+		t.Errorf("after 8.5 s: sent to %v, sees %v", h.sends, h.d.HasList())
 	}
-	s.Follows = true // it has the list of a process that was there till now
-	if h = newHost(t, s, fleet(1, 1)...); !h.d.Sees() {
+	s.ListInherited = true // it has the list of a process that was there till now
+	if h = newHost(t, s, fleet(1, 1)...); !h.d.HasList() {
 		t.Error("a process that follows another waits for a list")
 	}
 }
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -36,7 +36,7 @@
 	for _, fee := range []float64{0, 0.02} {
 		s := settings()
 		s.Dispatchers, s.CrossZoneFee = 400, fee
-		s.Classes[0].Stretch = 20 // so that slowness alone bars nobody
+		s.Classes[0].RuntimeFactor = 20 // so that slowness alone bars nobody
 		now := 1000 * time.Second
 		ws := large(200)
 		ws[77].Up = now // at the start capacity
@@ -172,7 +172,7 @@
 func TestRoughWeightsFollowTheKindsPace(t *testing.T) {
 	s := settings()
 	s.RoughWeights = true
-	s.Classes[0].Aim = 2 * time.Second
+	s.Classes[0].TargetLatency = 2 * time.Second
 	ws := large(10)
 	for i := range ws {
 		ws[i].Kind = i % 2
@@ -196,7 +196,7 @@
 // TestZeroIsHeardAgain: a full worker reports the same 0 for long; it must not be taken for an old report.
 func TestZeroIsHeardAgain(t *testing.T) {
 	s := settings()
-	s.TellsStart = false // where starts are told, what waits is seen and trying costs little
+	s.ReportsStart = false // where starts are told, what waits is seen and trying costs little
 	h := newHost(t, s, fleet(1, 1)...)
 	h.d.Probed(h.now, 1, OK, []float32{4})
 	h.d.Probed(h.now, 2, OK, []float32{4})
@@ -243,7 +243,7 @@
 // TestUselessWaitingJobIsWithdrawn: a job that still waits when it can earn nothing must not keep others waiting.
 func TestUselessWaitingJobIsWithdrawn(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateValue = 0
 	h := newHost(t, s, fleet(1)...)
 	h.job(1, 0)
 	h.run(h.now + 700*ms)
--- a/balance/state.go
+++ b/balance/state.go
@@ -182,7 +182,7 @@
 	w.others = w.kind.usual
 	if old := d.workers[e.ID]; old != nil {
 		w.nominal, w.slow, w.slowAt = old.nominal, old.slow, old.slowAt
-		old.State, old.replaced = Gone, true // attempts that are out keep pointing at the old process
+		old.State, old.replaced = Removed, true // attempts that are out keep pointing at the old process
 	}
 	d.workers[e.ID] = w
 	d.known = append(d.known, w)
@@ -192,17 +192,17 @@
 // gone notes that the list has a worker no more; nil: it never had.
 func (w *worker) gone() {
 	if w != nil {
-		w.State = Gone
+		w.State = Removed
 	}
 }
 
 // changed follows a change of the workers known or allowed: records of those that are gone go too.
 func (d *Dispatcher) changed(now time.Duration) {
 	d.known = slices.DeleteFunc(d.known, func(w *worker) bool {
-		if w.State == Gone && !w.replaced {
+		if w.State == Removed && !w.replaced {
 			delete(d.workers, w.ID)
 		}
-		return w.State == Gone
+		return w.State == Removed
 	})
 	d.sortReady()
 	d.lists++ // periods are made anew when next used
@@ -312,7 +312,7 @@
 // Fleet counts the listed workers, and those of them that this dispatcher avoids.
 func (d *Dispatcher) Fleet(now time.Duration) (listed, avoided int) {
 	for _, w := range d.known {
-		if w.State != Gone {
+		if w.State != Removed {
 			if listed++; d.offline[w.ID] > 0 || d.out(now, w) {
 				avoided++
 			}
@@ -321,8 +321,8 @@
 	return listed, avoided
 }
 
-// Sees says whether work may be sent by the list that is held.
-func (d *Dispatcher) Sees() bool { return !d.blind }
+// HasList says whether work may be sent by the list that is held.
+func (d *Dispatcher) HasList() bool { return !d.blind }
 
 // JobOf returns the job that a timer's token is about, if it is about one. Once the job is answered and has no attempt
 // out the timer is of no use.
@@ -341,8 +341,8 @@
 	}
 }
 
-// Left notes that the client has gone.
-func (d *Dispatcher) Left(now time.Duration, id JobID) {
+// Disconnected notes that the client has gone.
+func (d *Dispatcher) Disconnected(now time.Duration, id JobID) {
 	if r := d.jobs[id]; r != nil {
 		d.close(r)
 		d.forget(r)
--- a/balance/untrue_test.go
+++ b/balance/untrue_test.go
@@ -105,7 +105,7 @@
 // TestLittleTimeIsNotALaterTry: a client with less patience than its aim takes is served, not taken for late.
 func TestLittleTimeIsNotALaterTry(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateValue = 0
 	for _, marks := range []bool{false, true} {
 		s.MarksRetry = marks
 		h := newHost(t, s, fleet(1, 1)...)
@@ -248,7 +248,7 @@
 // and of what is not written yet it is not due at all.
 func TestFreshConnectionIsNoQueue(t *testing.T) {
 	s := settings()
-	s.FreeSlots, s.TellsWritten = -1, true
+	s.FreeSlots, s.ReportsWritten = -1, true
 	for _, c := range []struct{ written, fresh, waits bool }{{false, false, false}, {true, true, false}, {true, false, true}} {
 		h := newHost(t, s, fleet(1, 1)...)
 		h.job(1, 0) // safe: it is taken back where it waits
@@ -282,7 +282,7 @@
 // TestAimByTheHint: the aim grows by the work itself, not by how long slow workers take for it.
 func TestAimByTheHint(t *testing.T) {
 	s := settings()
-	s.FreeSlots, s.Classes[0].LateWorth = -1, 0
+	s.FreeSlots, s.Classes[0].LateValue = -1, 0
 	h := newHost(t, s, fleet(1, 1)...)
 	job := func(id JobID) { h.d.Job(h.now, Job{ID: id, Left: 5 * time.Second, Slots: 1, Hint: time.Second}) }
 	for id := JobID(1); id <= 20; id++ {
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -101,7 +101,7 @@
 	case wire.EvJob:
 		d.Job(b.Now, ev.Job)
 	case wire.EvLeft:
-		d.Left(b.Now, o.Job)
+		d.Disconnected(b.Now, o.Job)
 	case wire.EvAccepted:
 		d.Accepted(b.Now, o.Job, o.Attempt)
 	}
--- a/cmd/liftgauge/pulls.go
+++ b/cmd/liftgauge/pulls.go
@@ -90,7 +90,7 @@
 	if p == nil {
 		return nil
 	}
-	fields := p.own.table.Fixed(next.table)
+	fields := p.own.table.RestartRequired(next.table)
 	if p.own.Gearman.Listen != next.Gearman.Listen || p.own.Gearman.Workers != next.Gearman.Workers {
 		fields = append(fields, "gearman.listen")
 	}
@@ -102,7 +102,7 @@
 		return nil
 	}
 	p.Reload(next.table, next.Gearman)
-	owner.Reroute(next.table.HostRuns)
+	owner.Reroute(next.table.HostClasses)
 	log.Info("settings reloaded")
 	return nil
 }
--- a/cmd/liftgauge/serve.go
+++ b/cmd/liftgauge/serve.go
@@ -143,17 +143,17 @@
 		MaxConns: southConns, Copies: c.Settings.SecondCopies, Loads: loads, Now: now, Log: log})
 	list := inventory.New(c.Discovery, known.Revision, c.Zones, c.Kinds, log)
 	list.Sink = sink
-	list.Pushed = !c.Settings.MustAsk
+	list.Pushed = !c.Settings.ListOnRequest
 	list.Spread = min(time.Duration(c.Settings.Dispatchers)*remakeFor, longestRemake)
 	module := c.Settings
 	module.Classes = own.table.Classes()
-	module.ListFirst = true
+	module.WaitForList = true
 	id := boot()
 	records, err := openCapture(c, own, id, log)
 	if err != nil {
 		return err
 	}
-	sink.Owner = owner.New(owner.Config{Seen: records.seen(), Settings: module, HostRuns: own.table.HostRuns, Seed: c.Seed, Known: known.Hosts, South: hosts,
+	sink.Owner = owner.New(owner.Config{Seen: records.seen(), Settings: module, HostRuns: own.table.HostClasses, Seed: c.Seed, Known: known.Hosts, South: hosts,
 		Inventory: list, Now: now, Queue: 4096, Log: log, Check: check,
 		Follows: n.follows, Lessons: n.learned, Ever: state.Listed, Offline: state.Offline, Listed: n.store.Listed})
 	var other north.Other
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -161,7 +161,7 @@
 		switch name := c.Classes[i]; {
 		case name == "" || strings.ContainsAny(name, "/? \t\r\n") || name == "callback" || name == "-":
 			return fmt.Errorf("settings.classes[%d].name: want a name that can lead a path", i)
-		case k.Aim < 0:
+		case k.TargetLatency < 0:
 			return fmt.Errorf("settings.classes[%d].aimNs: want no negative time", i)
 		case k.Limit <= 0 || k.Limit > time.Hour:
 			return fmt.Errorf("settings.classes[%d].hardLimitNs: want a time of at most an hour", i)
@@ -179,7 +179,7 @@
 		return errors.New("settings.limits.connectTimeoutNs: want at most a minute")
 	case c.Keepalive < 0:
 		return errors.New("settings.limits.keepaliveNs: want no negative time")
-	case s.AskWithin < 0 || s.DrainGrace < 0 || s.WarmWithin < 0 || s.FallTime < 0:
+	case s.AskWithin < 0 || s.DrainGrace < 0 || s.WarmWithin < 0 || s.OverloadTime < 0:
 		return errors.New("settings.rules: want no negative time")
 	}
 	s.Tick = max(s.Tick, time.Millisecond) // the module's own least
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,8 +24,8 @@
 	}
 	k := c.Settings.Classes[0]
 	if c.Name != "n3" || c.Listen != "127.0.0.9:1" || c.Seed != 0x8c1f30d27a5be964 || c.Memory != 192<<20 || c.Sockets != 512 ||
-		c.Keepalive != time.Minute || c.Settings.ConnectTimeout != 250*time.Millisecond || !c.Settings.MustAsk ||
-		k.Limit != 5*time.Second || k.Stretch != 2.5 || k.Kind != -1 || len(c.Zones) != 2 || !strings.Contains(string(c.Known), "41") {
+		c.Keepalive != time.Minute || c.Settings.ConnectTimeout != 250*time.Millisecond || !c.Settings.ListOnRequest ||
+		k.Limit != 5*time.Second || k.RuntimeFactor != 2.5 || k.Kind != -1 || len(c.Zones) != 2 || !strings.Contains(string(c.Known), "41") {
 		t.Errorf("config %+v", c)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -26,15 +26,15 @@
 	loads := f.Object("loadReport")
 	s = balance.Settings{
 		Number: int(f.Whole("slotNo")), Dispatchers: int(f.Whole("replicasOfMe")), Zone: int(f.Whole("locality")), Zones: len(f.Texts("dcs")),
-		Tick: f.Span("stepNs"), MustAsk: f.Text("membershipMode") == "on_request", AskWithin: rules.Span("askWithinNs"),
+		Tick: f.Span("stepNs"), ListOnRequest: f.Text("membershipMode") == "on_request", AskWithin: rules.Span("askWithinNs"),
 		RoughWeights: f.Text("weightKind") == "rough",
-		TellsStart:   family.Flag("tellsStart"),
-		WorthByWork:  f.Text("worthBy") == "work", FreeSlots: -1, FreeMemory: -1,
+		ReportsStart: family.Flag("tellsStart"),
+		ValuePerWork: f.Text("worthBy") == "work", FreeSlots: -1, FreeMemory: -1,
 		MaxAttempts: int(limits.Whole("maxAttempts")), ConnectTimeout: limits.Span("connectTimeoutNs"),
 		CanCancel: limits.Flag("cancel"), CanProbe: limits.Flag("probes"),
 		SecondCopies: limits.Flag("secondCopies"), DrainGrace: rules.Span("drainGraceNs"),
 		StartCapacity: rules.Float("startCapacity"), WarmWithin: rules.Span("warmWithinNs"),
-		OverloadFactor: rules.Float("overloadFactor"), FallTime: rules.Span("fallNs"),
+		OverloadFactor: rules.Float("overloadFactor"), OverloadTime: rules.Span("fallNs"),
 		CrossZoneFee: fees.Float("crossZone"), WasteFee: fees.Float("waste"), ProbeFee: fees.Float("probe"),
 		LateFee: fees.Float("lateFail"), HandshakeFee: fees.Float("handshake"),
 		MarksRetry: f.Object("clients").Flag("marksRetry"),
@@ -44,11 +44,11 @@
 	}
 	stretches, kinds := family.Floats("classStretch"), family.Floats("classKind")
 	for i, c := range f.Objects("classes") {
-		k := balance.Class{Aim: c.Span("aimNs"), Stretch: c.Float("aimStretch"), Worth: c.Float("credit"),
-			LateWorth: c.Float("lateValue"), Limit: c.Span("hardLimitNs"), Window: c.Span("windowNs"), Kind: -1,
+		k := balance.Class{TargetLatency: c.Span("aimNs"), RuntimeFactor: c.Float("aimStretch"), Value: c.Float("credit"),
+			LateValue: c.Float("lateValue"), Limit: c.Span("hardLimitNs"), Window: c.Span("windowNs"), Kind: -1,
 			Streamed: c.Flag("streaming")}
 		if i < len(stretches) {
-			k.Stretch = stretches[i]
+			k.RuntimeFactor = stretches[i]
 		}
 		if i < len(kinds) {
 			k.Kind = int(kinds[i])
@@ -61,9 +61,9 @@
 		}
 		switch c.Text("dedupScope") {
 		case "all":
-			k.Group = balance.GroupAll
+			k.DedupScope = balance.DedupAll
 		case "zone":
-			k.Group = balance.GroupZone
+			k.DedupScope = balance.DedupZone
 		}
 		s.Classes = append(s.Classes, k)
 		classes = append(classes, c.Text("name"))
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -20,8 +20,8 @@
 		`{"loadReport":{"how":"none","columns":[]}}`:                                                                         -1,
 		`{"membershipMode":"pushed"}`: -1,
 	} {
-		if s, err := ParseSettings([]byte(text)); err != nil || s.FreeSlots != want || s.MustAsk {
-			t.Errorf("%s: free slots at %d, asks %v, %v", text, s.FreeSlots, s.MustAsk, err)
+		if s, err := ParseSettings([]byte(text)); err != nil || s.FreeSlots != want || s.ListOnRequest {
+			t.Errorf("%s: free slots at %d, asks %v, %v", text, s.FreeSlots, s.ListOnRequest, err)
 		}
 	}
 }
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -23,14 +23,14 @@
 func TestVariants(t *testing.T) {
 	type class struct {
 		effect balance.Effect
-		group  balance.Group
+		group  balance.DedupScope
 		window time.Duration
 	}
-	safe, unsafe := class{balance.Safe, balance.GroupAll, 5 * time.Second}, class{balance.Unsafe, balance.GroupAll, 5 * time.Second}
+	safe, unsafe := class{balance.Safe, balance.DedupAll, 5 * time.Second}, class{balance.Unsafe, balance.DedupAll, 5 * time.Second}
 	for name, want := range map[string][]class{
-		"short-windows": {safe, unsafe, {balance.Keyed, balance.GroupAll, 666666 * time.Microsecond},
-			{balance.Keyed, balance.GroupCell, 833333 * time.Microsecond}, {balance.Keyed, balance.GroupZone, time.Second}, safe},
-		"untold-starts": {safe, safe, {balance.Keyed, balance.GroupZone, time.Second}, unsafe},
+		"short-windows": {safe, unsafe, {balance.Keyed, balance.DedupAll, 666666 * time.Microsecond},
+			{balance.Keyed, balance.DedupCell, 833333 * time.Microsecond}, {balance.Keyed, balance.DedupZone, time.Second}, safe},
+		"untold-starts": {safe, safe, {balance.Keyed, balance.DedupZone, time.Second}, unsafe},
 	} {
 		text, err := os.ReadFile(filepath.Join(sites, name+".settings.json"))
 		if err != nil {
@@ -44,11 +44,11 @@
 			t.Fatalf("%s: %d classes", name, len(s.Classes))
 		}
 		for i, w := range want {
-			if c := s.Classes[i]; (class{c.Effect, c.Group, c.Window.Truncate(time.Microsecond)}) != w {
+			if c := s.Classes[i]; (class{c.Effect, c.DedupScope, c.Window.Truncate(time.Microsecond)}) != w {
 				t.Errorf("%s: class %d is %+v, want %+v", name, i, c, w)
 			}
 		}
-		if pushed := name == "short-windows"; s.MustAsk == pushed || (s.FreeSlots >= 0) != pushed || s.TellsStart || s.SecondCopies != pushed || s.WarmWithin != 24*time.Second {
+		if pushed := name == "short-windows"; s.ListOnRequest == pushed || (s.FreeSlots >= 0) != pushed || s.ReportsStart || s.SecondCopies != pushed || s.WarmWithin != 24*time.Second {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -362,7 +362,7 @@
 		s.list()
 	}
 	for _, a := range never {
-		s.ended(a, balance.Moot)
+		s.ended(a, balance.NotSent)
 	}
 	c.unsaid(failed)
 	if wake {
@@ -472,7 +472,7 @@
 	}
 	tell := func() error {
 		for _, a := range moot {
-			s.ended(a, balance.Moot)
+			s.ended(a, balance.NotSent)
 		}
 		c.unsaid(failed)
 		return nil
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -34,8 +34,8 @@
 
 func classes() []balance.Class {
 	return []balance.Class{
-		{Aim: 200 * time.Millisecond, Worth: 2, LateWorth: 0.25, Limit: 5 * time.Second, Effect: balance.Keyed, Window: 7500 * time.Millisecond, Kind: -1},
-		{Aim: 200 * time.Millisecond, Worth: 10, LateWorth: 0.2, Limit: 5 * time.Second, Kind: -1},
+		{TargetLatency: 200 * time.Millisecond, Value: 2, LateValue: 0.25, Limit: 5 * time.Second, Effect: balance.Keyed, Window: 7500 * time.Millisecond, Kind: -1},
+		{TargetLatency: 200 * time.Millisecond, Value: 10, LateValue: 0.2, Limit: 5 * time.Second, Kind: -1},
 	}
 }
 
@@ -105,10 +105,10 @@
 			known = append(known, owner.Host{Name: fmt.Sprintf("s-%08x", i), Address: "x:1", Worker: balance.Worker{Weight: 1}})
 		}
 		w.o = owner.New(owner.Config{Settings: balance.Settings{Classes: table.Classes(), Dispatchers: 1, Tick: 2 * time.Millisecond,
-			TellsStart: true, MaxAttempts: 4, ConnectTimeout: 250 * time.Millisecond, CanCancel: true, CanProbe: true, FreeSlots: -1,
+			ReportsStart: true, MaxAttempts: 4, ConnectTimeout: 250 * time.Millisecond, CanCancel: true, CanProbe: true, FreeSlots: -1,
 			FreeMemory: -1, DrainGrace: 500 * time.Millisecond, StartCapacity: 0.3, WarmWithin: 8 * time.Second,
-			OverloadFactor: 2.5, FallTime: 2 * time.Second}, Seed: 7, Known: known, South: w, Inventory: w, Queue: 512, Log: log, Check: check,
-			HostRuns: table.HostRuns, Now: now})
+			OverloadFactor: 2.5, OverloadTime: 2 * time.Second}, Seed: 7, Known: known, South: w, Inventory: w, Queue: 512, Log: log, Check: check,
+			HostRuns: table.HostClasses, Now: now})
 		w.s = New(Config{Desk: w.o, Routes: table, Settings: g, Classes: table.Classes(), Name: "n0", Boot: "b", MaxConns: 64,
 			Budget: budget.New(16<<20, 4<<20), LastAnswer: 3200 * time.Millisecond, Shutdown: func() { w.shut++ }, Now: now, Log: log, Check: check})
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -349,7 +349,7 @@
 			delete(s.dirty, c)
 			if c.listed {
 				h := c.host
-				h.Worker.State = balance.Gone
+				h.Worker.State = balance.Removed
 				s.gone = append(s.gone, h)
 				s.look()
 			}
@@ -443,9 +443,9 @@
 	t := s.table.Load()
 	open := c.worker.Open()
 	h = owner.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.Kinds + 1 + t.Kind(c.client),
-		Cell: t.Cell(c.client, uint64(c.id)), Weight: 1, Up: c.since, Slots: 1, Pulls: true, Runs: t.WorkerRuns(c.client, c.worker.Can)}}
+		Cell: t.Cell(c.client, uint64(c.id)), Weight: 1, Up: c.since, Slots: 1, Pulls: true, Runs: t.WorkerClasses(c.client, c.worker.Can)}}
 	if !open {
-		h.Worker.State = balance.Gone
+		h.Worker.State = balance.Removed
 	}
 	same := open == c.listed
 	if same && open {
@@ -489,7 +489,7 @@
 func (s *Server) Send(ctx context.Context, a *owner.Attempt) {
 	w := work.Of(a.Message)
 	if w == nil {
-		s.tasks.Go(func() error { s.Desk.Ended(a, balance.Moot); return nil })
+		s.tasks.Go(func() error { s.Desk.Ended(a, balance.NotSent); return nil })
 		return
 	}
 	w.Held().Share() // until it is assigned or has ended
@@ -503,7 +503,7 @@
 	wake, ok := c.worker.Pick(s.Now(), a, w.Function)
 	if !ok {
 		s.mu.Unlock()
-		s.tasks.Go(func() error { s.ended(a, balance.Moot); return nil })
+		s.tasks.Go(func() error { s.ended(a, balance.NotSent); return nil })
 		return
 	}
 	s.active++
@@ -534,7 +534,7 @@
 	}
 	s.mu.Unlock()
 	if dropped {
-		s.ended(a, balance.Moot)
+		s.ended(a, balance.NotSent)
 	}
 }
 
--- a/internal/roles/dispatcher/delivery/actions.go
+++ b/internal/roles/dispatcher/delivery/actions.go
@@ -17,7 +17,7 @@
 	j.attempts++
 	j.out = true
 	if w == nil { // balance has it from an older list
-		s.engine.loop.post(func() { s.attempted(j, number, to, notRun(balance.Moot)) })
+		s.engine.loop.post(func() { s.attempted(j, number, to, notRun(balance.NotSent)) })
 		return
 	}
 	a := &attempt{message: j.Message, address: w.address, instance: w.instance, timeout: j.Timeout, permit: s.permit(j, w)}
@@ -55,7 +55,7 @@
 	}
 	if s.Static != "" && unreachable(end.status) {
 		// There is no other to send to, and the stores' gates pace further tries: leaving it out here would only hold up its return.
-		end.status = balance.Moot
+		end.status = balance.NotSent
 	}
 	if end.Outcome != protocol.OutcomeNotRun || !end.elsewhere || s.pacer != nil || j.expired {
 		s.balance.Outcome(now, balance.Outcome{Job: j.id, Attempt: number, Worker: to, Status: end.status, Closed: true})
--- a/internal/roles/dispatcher/delivery/client.go
+++ b/internal/roles/dispatcher/delivery/client.go
@@ -141,7 +141,7 @@
 func (c *client) send(ctx context.Context, a *attempt) ending {
 	request, err := a.request()
 	if err != nil {
-		return ending{Result: Result{Outcome: protocol.OutcomeNotRun, Pause: pauseDown}, status: balance.Moot}
+		return ending{Result: Result{Outcome: protocol.OutcomeNotRun, Pause: pauseDown}, status: balance.NotSent}
 	}
 	for try := 1; ; try++ {
 		end, again := c.exchange(ctx, a, request)
@@ -229,13 +229,13 @@
 	case sent:
 		return unknown(balance.Reset), false
 	case refused != nil:
-		return notRun(balance.Moot), false
+		return notRun(balance.NotSent), false
 	case ctx.Err() != nil || !reused:
 		end = notRun(balance.ConnectFailed)
 		end.Pause = pauseDown
 		return end, false
 	}
-	return notRun(balance.Moot), true
+	return notRun(balance.NotSent), true
 }
 
 // read takes the whole answer. One that is not of this request leaves nothing known, and its connection is closed.
--- a/internal/roles/dispatcher/delivery/service.go
+++ b/internal/roles/dispatcher/delivery/service.go
@@ -57,10 +57,10 @@
 	}
 	s.balance = balance.New(balance.Settings{
 		// The aim is for the start of a run; what the run itself takes is added.
-		Classes: []balance.Class{{Aim: aim, Stretch: 1, Worth: 1, LateWorth: 1, Limit: placeWithin, Effect: balance.Unsafe, Kind: -1}},
+		Classes: []balance.Class{{TargetLatency: aim, RuntimeFactor: 1, Value: 1, LateValue: 1, Limit: placeWithin, Effect: balance.Unsafe, Kind: -1}},
 		Number:  e.state.Number, Dispatchers: e.state.Dispatchers, Zone: e.zone, Zones: len(e.options.Zones),
 		MaxAttempts: attemptsElsewhere, ConnectTimeout: ConnectTimeout, CanProbe: settings.HealthCheckPath != "",
-		MaxRetryAfter: time.Second, MaxOut: longestOut, CrossZoneFee: foreignZoneFee, FreeSlots: -1, FreeMemory: -1,
+		MaxRetryAfter: time.Second, MaxExclusion: longestOut, CrossZoneFee: foreignZoneFee, FreeSlots: -1, FreeMemory: -1,
 	}, e.options.Seed, s)
 	s.balance.Start(e.loop.now())
 	return s
@@ -100,7 +100,7 @@
 		all = min(all, owners)
 		number, near = number%all, min(near, all)
 	}
-	s.balance.Among(now, number, all, near)
+	s.balance.SetDispatchers(now, number, all, near)
 }
 
 // refresh gives the workers as they are now to balance and to the attempts under way.
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -342,7 +342,7 @@
 			return
 		}
 		for _, h := range l.Hosts {
-			if h.Name == "" || h.Worker.Up < 0 || h.Worker.Zone > 1 || h.Address == "" && h.Worker.State != balance.Gone {
+			if h.Name == "" || h.Worker.Up < 0 || h.Worker.Zone > 1 || h.Address == "" && h.Worker.State != balance.Removed {
 				t.Errorf("host %+v", h)
 			}
 		}
--- a/internal/serve/inventory/list.go
+++ b/internal/serve/inventory/list.go
@@ -43,14 +43,14 @@
 		case "DRAINING":
 			h.Worker.State = balance.Draining
 		case "DELETED":
-			h.Worker.State = balance.Gone
+			h.Worker.State = balance.Removed
 		default:
 			m.Fail("phase", "SERVING, DRAINING or DELETED")
 		}
 		if h.Name == "" {
 			m.Fail("id", "a name")
 		}
-		if _, _, err := net.SplitHostPort(h.Address); err != nil && h.Worker.State != balance.Gone {
+		if _, _, err := net.SplitHostPort(h.Address); err != nil && h.Worker.State != balance.Removed {
 			m.Fail("host_port", "host:port")
 		}
 		l.Hosts = append(l.Hosts, h)
@@ -66,7 +66,7 @@
 			members = append(members, ',')
 		}
 		w := h.Worker
-		phase := [...]string{balance.Ready: "SERVING", balance.Draining: "DRAINING", balance.Gone: "DELETED"}[w.State]
+		phase := [...]string{balance.Ready: "SERVING", balance.Draining: "DRAINING", balance.Removed: "DELETED"}[w.State]
 		members = jsonval.AppendObject(members, jsonval.Is("id", h.Name), jsonval.Is("host_port", h.Address),
 			jsonval.Is("locality", name(d.Zones, w.Zone)), jsonval.Is("flavor", name(d.Kinds, w.Kind)), jsonval.Is("cell", w.Cell),
 			jsonval.Is("phase", phase), jsonval.Is("size", w.Weight), jsonval.Is("up_since_ms", w.Up.Milliseconds()))
--- a/internal/serve/owner/actions.go
+++ b/internal/serve/owner/actions.go
@@ -34,7 +34,7 @@
 	p.out++
 	o.counts.Attempts++
 	if !o.Check.Check(!p.answered && a.number < o.Settings.MaxAttempts && !c.busy(p, h, a), "send past what the rules allow", "message", p.Key) {
-		o.later = append(o.later, func(now time.Duration) { o.ended(now, a, balance.Moot, nil) })
+		o.later = append(o.later, func(now time.Duration) { o.ended(now, a, balance.NotSent, nil) })
 		return
 	}
 	if end < p.end {
--- a/internal/serve/owner/handover.go
+++ b/internal/serve/owner/handover.go
@@ -19,7 +19,7 @@
 // PastAttempt is one attempt of such a message. One that is out was taken by its host, whose word on it is yet to come.
 type PastAttempt struct {
 	Host   string
-	Try    balance.Try
+	Try    balance.AttemptRecord
 	Status balance.Status // of one that is over
 	Back   bool           // the host handed it back by a report
 	Ended  time.Duration  // ago, of one that is over
@@ -111,7 +111,7 @@
 	p := &open{Message: m, id: o.last, end: m.Arrived + past.Job.Left}
 	o.jobs[p.id], o.keys[m.Key] = p, p
 	p.timers = append(make([]wheel.Timer[timer], 0, 4), o.wheel.Add(max(p.end+Grace, now), timer{open: p}))
-	tries := make([]balance.Try, 0, len(past.Attempts))
+	tries := make([]balance.AttemptRecord, 0, len(past.Attempts))
 	for i, t := range past.Attempts {
 		t.Try.Worker.ID = o.ids.id(t.Host)
 		h := o.hosts[t.Try.Worker.ID]
@@ -158,6 +158,6 @@
 			number, dispatchers = o.Settings.Number, o.Settings.Dispatchers
 			inZone = dispatchers / max(o.Settings.Zones, 1)
 		}
-		o.module.Among(now, number, dispatchers, inZone)
+		o.module.SetDispatchers(now, number, dispatchers, inZone)
 	})
 }
--- a/internal/serve/owner/life.go
+++ b/internal/serve/owner/life.go
@@ -101,6 +101,6 @@
 		o.Log.Warn("no final answer from the module by the deadline", "message", p.Key)
 		p.gone = true
 		o.answer(p, Answer{Kind: Failed})
-		o.module.Left(now, p.id)
+		o.module.Disconnected(now, p.id)
 	}
 }
--- a/internal/serve/owner/list.go
+++ b/internal/serve/owner/list.go
@@ -28,7 +28,7 @@
 	o.post(func(now time.Duration) {
 		o.list(now, kind, hosts)
 		if kind != balance.ListFailed && !slices.ContainsFunc(hosts, func(h Host) bool { return h.Via != nil }) {
-			o.module.Heard(now)
+			o.module.ListComplete(now)
 		}
 	})
 }
@@ -58,13 +58,13 @@
 		if old == nil {
 			old = &host{}
 			o.hosts[w.ID] = old
-		} else if old.Worker.Up != w.Up || old.Address != h.Address || w.State == balance.Gone {
+		} else if old.Worker.Up != w.Up || old.Address != h.Address || w.State == balance.Removed {
 			o.south(old.Host).Forget(old.Host)
 		}
-		if w.State == balance.Gone { // a change may carry the id alone
+		if w.State == balance.Removed { // a change may carry the id alone
 			h.Address = old.Address
 		}
-		old.Host, old.listed = h, w.State != balance.Gone
+		old.Host, old.listed = h, w.State != balance.Removed
 		old.shut.Store(w.State != balance.Ready)
 	}
 	if kind == balance.ListFull || kind == balance.ListCached {
@@ -87,7 +87,7 @@
 	}
 	o.module.List(now, kind, entries)
 	for _, h := range hosts {
-		if h.Via != nil && h.Worker.State == balance.Gone {
+		if h.Via != nil && h.Worker.State == balance.Removed {
 			o.forget(h.Name)
 		}
 	}
@@ -98,7 +98,7 @@
 // operator's word stays.
 func (o *Owner) forget(name string) {
 	id := o.ids.id(name)
-	if h := o.hosts[id]; h != nil && h.Worker.State == balance.Gone && !h.offline.Load() { // else it is back already
+	if h := o.hosts[id]; h != nil && h.Worker.State == balance.Removed && !h.offline.Load() { // else it is back already
 		delete(o.hosts, id)
 		delete(o.ever, name)
 		delete(o.ids, id)
--- a/internal/serve/owner/operators.go
+++ b/internal/serve/owner/operators.go
@@ -27,7 +27,7 @@
 			}
 			p.gone = true
 			o.answer(p, a)
-			o.module.Left(now, p.id)
+			o.module.Disconnected(now, p.id)
 		}
 		if n > 0 {
 			o.Log.Info("concluded", "messages", n)
@@ -87,6 +87,6 @@
 	if h.offline.Swap(out) != out {
 		o.south(h.Host).Forget(h.Host) // a process started anew must not be taken for the one before
 	}
-	o.module.Offline(now, id, out)
+	o.module.SetOffline(now, id, out)
 	o.show(now)
 }
--- a/internal/serve/owner/owner.go
+++ b/internal/serve/owner/owner.go
@@ -111,7 +111,7 @@
 	now := o.Now()
 	o.wheel = wheel.New[timer](o.Settings.Tick, now)
 	settings := o.Settings
-	settings.TellsWritten, settings.Follows = true, o.Follows
+	settings.ReportsWritten, settings.ListInherited = true, o.Follows
 	o.module = balance.New(settings, o.Seed, actions{o})
 	o.wheel.Add(now+tellEvery, timer{tell: true})
 	for _, name := range o.Ever {
@@ -126,7 +126,7 @@
 	if o.Lessons != nil {
 		o.module.Learn(now, o.Lessons)
 	}
-	o.sees.Store(o.module.Sees())
+	o.sees.Store(o.module.HasList())
 	o.wheel.Add(now+showEvery, timer{show: true})
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
@@ -180,7 +180,7 @@
 	}
 	clear(o.later)
 	o.later = o.later[:0]
-	o.sees.Store(o.module.Sees())
+	o.sees.Store(o.module.HasList())
 }
 
 // offer queues an event if there is room.
@@ -224,7 +224,7 @@
 			return // the final answer and the client's leaving crossed: the answer was first
 		}
 		p.answered, p.gone, p.left, p.at = true, true, true, now
-		o.module.Left(now, p.id)
+		o.module.Disconnected(now, p.id)
 		o.settle(p)
 	})
 }
--- a/internal/serve/owner/owner_test.go
+++ b/internal/serve/owner/owner_test.go
@@ -23,14 +23,14 @@
 func testSettings() balance.Settings {
 	return balance.Settings{
 		Classes: []balance.Class{
-			{Aim: 200 * time.Millisecond, Stretch: 2.5, Worth: 2, LateWorth: 0.25, Limit: 5 * time.Second,
+			{TargetLatency: 200 * time.Millisecond, RuntimeFactor: 2.5, Value: 2, LateValue: 0.25, Limit: 5 * time.Second,
 				Effect: balance.Keyed, Window: 7500 * time.Millisecond, Kind: -1},
-			{Aim: 200 * time.Millisecond, Stretch: 2.5, Worth: 10, LateWorth: 0.2, Limit: 5 * time.Second, Kind: -1},
+			{TargetLatency: 200 * time.Millisecond, RuntimeFactor: 2.5, Value: 10, LateValue: 0.2, Limit: 5 * time.Second, Kind: -1},
 		},
-		Dispatchers: 2, Tick: 2 * time.Millisecond, MustAsk: true, AskWithin: 10 * time.Second, TellsStart: true,
+		Dispatchers: 2, Tick: 2 * time.Millisecond, ListOnRequest: true, AskWithin: 10 * time.Second, ReportsStart: true,
 		MaxAttempts: 4, ConnectTimeout: 250 * time.Millisecond, CanCancel: true, CanProbe: true, SecondCopies: true,
 		FreeSlots: -1, FreeMemory: -1, DrainGrace: 500 * time.Millisecond, StartCapacity: 0.3,
-		WarmWithin: 8 * time.Second, OverloadFactor: 2.5, FallTime: 2 * time.Second,
+		WarmWithin: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: 2 * time.Second,
 	}
 }
 
@@ -251,7 +251,7 @@
 		if s.a.Clear() {
 			t.Error("clear after the window")
 		}
-		b.ended(s, balance.Moot)
+		b.ended(s, balance.NotSent)
 		b.wait(5 * time.Second)
 		if len(m.answers) != 1 || m.answers[0].Kind != Failed || len(b.sends) != 2 {
 			t.Errorf("answers %+v, %d attempts", m.answers, len(b.sends))
@@ -280,7 +280,7 @@
 		if !errors.Is(context.Cause(s.ctx), ErrWithdrawn) {
 			t.Errorf("cause %v", context.Cause(s.ctx))
 		}
-		b.ended(s, balance.Moot)
+		b.ended(s, balance.NotSent)
 	})
 }
 
@@ -306,7 +306,7 @@
 func TestSafeIsRefusedThoughItMayRun(t *testing.T) {
 	settings := testSettings()
 	c := &settings.Classes[reading]
-	c.Effect, c.LateWorth = balance.Safe, 0
+	c.Effect, c.LateValue = balance.Safe, 0
 	withSettings(t, settings, func(t *testing.T, b *bench) {
 		m := b.submit(reading, 5*time.Second)
 		b.o.Written(b.sends[0].a, false)
@@ -474,7 +474,7 @@
 		if s.a.Clear() {
 			t.Error("clear though the host drains")
 		}
-		b.ended(s, balance.Moot)
+		b.ended(s, balance.NotSent)
 		if len(b.sends) != 2 || b.sends[1].a.Host.Name == h.Name {
 			t.Errorf("%d sends, the last to %s", len(b.sends), b.sends[len(b.sends)-1].a.Host.Name)
 		}
@@ -569,9 +569,9 @@
 		case op == 0:
 			b.submit(n%2, time.Duration(n%4)*1700*time.Millisecond)
 		case op == 1 && s != nil:
-			status := []balance.Status{balance.ConnectFailed, balance.Full, balance.Reset, balance.Errored, balance.Moot}[n%5]
+			status := []balance.Status{balance.ConnectFailed, balance.Full, balance.Reset, balance.Errored, balance.NotSent}[n%5]
 			if !s.a.Clear() {
-				status = balance.Moot
+				status = balance.NotSent
 			}
 			s.may = s.may || !s.end && !status.NotRun()
 			s.end = true
--- a/internal/serve/south/south.go
+++ b/internal/serve/south/south.go
@@ -189,15 +189,15 @@
 func (c *Client) send(ctx context.Context, a *owner.Attempt) balance.Status {
 	call := callOf(a.Message)
 	if call == nil {
-		return balance.Moot
+		return balance.NotSent
 	}
 	conn, err := c.pool.get(ctx, a.Host)
 	switch {
 	case ctx.Err() != nil:
 		c.pool.put(conn)
-		return balance.Moot
+		return balance.NotSent
 	case errors.Is(err, errNoRoom): // the shortage is here: the host is not to blame
-		return balance.Moot
+		return balance.NotSent
 	case err != nil:
 		return balance.ConnectFailed
 	}
@@ -210,7 +210,7 @@
 	// its first byte.
 	if !a.Clear() {
 		c.pool.put(conn)
-		return balance.Moot
+		return balance.NotSent
 	}
 	if a.Until > 0 { // a write that a slow host holds up must not end later: cut short, it proves that nothing ran
 		conn.SetWriteDeadline(time.Now().Add(a.Until - c.Now()))
@@ -231,7 +231,7 @@
 		case n >= int64(whole):
 			return balance.Reset
 		case ctx.Err() != nil:
-			return balance.Moot
+			return balance.NotSent
 		}
 		return balance.ConnectFailed
 	}
@@ -403,7 +403,7 @@
 	conn, err := c.pool.get(ctx, h)
 	switch {
 	case errors.Is(err, errNoRoom):
-		return nil, nil, balance.Moot
+		return nil, nil, balance.NotSent
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return nil, nil, refused
 	case err != nil:
--- a/internal/serve/south/south_test.go
+++ b/internal/serve/south/south_test.go
@@ -166,7 +166,7 @@
 	{answer: "close", want: balance.Reset, breaks: true},
 	{reads: 1, want: balance.ConnectFailed, unheard: true, breaks: true},
 	{reads: 120, want: balance.ConnectFailed, unheard: true, breaks: true},
-	{barred: true, want: balance.Moot, unheard: true, keeps: true},
+	{barred: true, want: balance.NotSent, unheard: true, keeps: true},
 	{answer: "", stop: owner.ErrWithdrawn, after: time.Second, want: balance.Cancelled, gives: true, keeps: true},
 	{answer: taken, thinks: 2 * soon, stop: owner.ErrSettled, after: soon}, // the host's word came first
 	{answer: "", stop: owner.ErrSettled, after: soon, want: balance.Reset}, // too late to count, but it ends
@@ -180,7 +180,7 @@
 	{pass: keepalive / 8, keeps: true},
 	{dial: "refused", want: balance.ConnectFailed, unheard: true},
 	{dial: "silent", want: balance.ConnectFailed, unheard: true},
-	{dial: "silent", stop: owner.ErrWithdrawn, after: soon, want: balance.Moot, unheard: true},
+	{dial: "silent", stop: owner.ErrWithdrawn, after: soon, want: balance.NotSent, unheard: true},
 	{dial: "silent", probe: true, want: balance.ConnectFailed, unheard: true},
 	// What the head says counts though the body never ends.
 	{answer: "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\n" + endless, want: balance.Full},
@@ -390,7 +390,7 @@
 		w.note(func() { w.status = nil })
 		w.c.Send(ctx, w.attempt(false))
 		synctest.Wait()
-		if len(w.status) != 1 || w.status[0] != balance.Moot {
+		if len(w.status) != 1 || w.status[0] != balance.NotSent {
 			t.Errorf("statuses %v", w.status)
 		}
 		stop(owner.ErrWithdrawn)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -266,7 +266,7 @@
 			case 1:
 				w.State = balance.Draining
 			case 3:
-				w.State = balance.Gone
+				w.State = balance.Removed
 			default:
 				return ev, fmt.Errorf("unknown state of a worker %d", state)
 			}
--- a/lab/verify.go
+++ b/lab/verify.go
@@ -263,7 +263,7 @@
 			offered[class.Name]++
 			if status == 200 {
 				took.RecordValue(max(1, t.Microseconds()))
-				if t <= class.Aim+time.Duration(class.Stretch*a.Work*float64(time.Second)) {
+				if t <= class.TargetLatency+time.Duration(class.RuntimeFactor*a.Work*float64(time.Second)) {
 					inTime[class.Name]++
 				}
 			}
--- a/plan/fleet.go
+++ b/plan/fleet.go
@@ -328,7 +328,7 @@
 		Rules: sim.Rules{DrainGrace: time.Duration(f.Rules.DrainGrace), StartCapacity: f.Rules.StartCapacity, WarmWithin: time.Duration(f.Rules.WarmWithin),
 			OverloadFactor: f.Rules.OverloadFactor, FallTime: time.Duration(f.Rules.FallTime), RestartAfter: time.Duration(f.Rules.RestartAfter)},
 		Retry: sim.Retry{Most: f.Retry.Most, Pause: time.Duration(f.Retry.Pause), Advice: f.Retry.Advice, Each: time.Duration(f.Retry.Each)},
-		Settings: balance.Settings{CrossZoneFee: 0.019, WasteFee: 0.08, ProbeFee: 0.0059, LateFee: 0.026, WorthByWork: true, Tick: 2 * time.Millisecond,
+		Settings: balance.Settings{CrossZoneFee: 0.019, WasteFee: 0.08, ProbeFee: 0.0059, LateFee: 0.026, ValuePerWork: true, Tick: 2 * time.Millisecond,
 			SecondCopies: true, MaxRetryAfter: time.Second}}
 	for i, from := range stations {
 		w.OneWay = append(w.OneWay, make([]time.Duration, len(stations)))
@@ -366,7 +366,7 @@
 		c := f.Classes[name]
 		w.Classes = append(w.Classes, sim.Class{Name: name, HintSpread: c.HintSpread,
 			Work: sim.Dist{Mean: time.Duration(c.Work.Mean).Seconds(), Shape: shapes[c.Work.Shape], Spread: c.Work.Spread},
-			Class: balance.Class{Aim: time.Duration(c.Aim), Stretch: c.Stretch, Worth: c.Worth, LateWorth: c.LateWorth, Limit: time.Duration(c.Patience),
+			Class: balance.Class{TargetLatency: time.Duration(c.Aim), RuntimeFactor: c.Stretch, Value: c.Worth, LateValue: c.LateWorth, Limit: time.Duration(c.Patience),
 				Effect: effects[c.Effect], Window: time.Duration(c.Window), Kind: -1}})
 	}
 	w.Arrivals = f.arrivals(w, seed, factor)
--- a/route/route.go
+++ b/route/route.go
@@ -42,15 +42,15 @@
 	Class      string // whose rules hold
 	Foreground int    // the module's number of the class of jobs that a client waits for
 	Background int    // and of those that nobody waits for
-	Patience   [2]time.Duration
+	Timeouts   [2]time.Duration
 	MaxQueue   int // jobs that may wait; 0 for no bound
 
 	settings settings.Function
 	hosts    bool
 }
 
-// Hosts says whether the inventory's hosts serve it too.
-func (f *Function) Hosts() bool { return f.hosts }
+// RunsOnHosts says whether the inventory's hosts serve it too.
+func (f *Function) RunsOnHosts() bool { return f.hosts }
 
 // Priority is a job's, where its packet says one.
 func (f *Function) Priority(packet Priority) Priority {
@@ -130,11 +130,11 @@
 			return nil, err
 		}
 		class := classes[i]
-		f.Patience = [2]time.Duration{time.Duration(s.Patience), time.Duration(s.Background)}
+		f.Timeouts = [2]time.Duration{time.Duration(s.Patience), time.Duration(s.Background)}
 		if class.Limit > 0 { // a client waits no longer than its class lets it
-			f.Patience[0] = min(f.Patience[0], class.Limit)
+			f.Timeouts[0] = min(f.Timeouts[0], class.Limit)
 		}
-		if f.Patience[0] <= 0 || f.Patience[1] <= 0 || f.Patience[1] > 24*time.Hour {
+		if f.Timeouts[0] <= 0 || f.Timeouts[1] <= 0 || f.Timeouts[1] > 24*time.Hour {
 			return nil, fmt.Errorf("settings: %s: want a patience over 0 and a background time of at most a day", field)
 		}
 		class.Lane, class.Kind = lane+1, -1
@@ -142,7 +142,7 @@
 			class.Window = time.Duration(s.Window)
 		}
 		f.Foreground, f.Background = len(t.classes), len(t.classes)+1
-		for _, patience := range f.Patience {
+		for _, patience := range f.Timeouts {
 			class.Limit = patience
 			t.classes = append(t.classes, class)
 		}
@@ -213,8 +213,8 @@
 	return runs
 }
 
-// HostRuns says which classes an inventory's host of a kind runs; nil: all that its kind lets it.
-func (t *Table) HostRuns(kind int) []bool {
+// HostClasses says which classes an inventory's host of a kind runs; nil: all that its kind lets it.
+func (t *Table) HostClasses(kind int) []bool {
 	if len(t.order) == 0 {
 		return nil
 	}
@@ -224,8 +224,8 @@
 	})
 }
 
-// WorkerRuns says which classes a worker runs, by its client id and the functions that it can do.
-func (t *Table) WorkerRuns(client string, can func(function string) bool) []bool {
+// WorkerClasses says which classes a worker runs, by its client id and the functions that it can do.
+func (t *Table) WorkerClasses(client string, can func(function string) bool) []bool {
 	return t.runs(t.Pool(client), can, func(int) bool { return true })
 }
 
@@ -263,15 +263,15 @@
 	return clients + int(h>>16)
 }
 
-// Fixed names what in other differs from this table and takes a restart: the module is made of it once.
-func (t *Table) Fixed(other *Table) []string {
+// RestartRequired names what in other differs from this table and takes a restart: the module is made of it once.
+func (t *Table) RestartRequired(other *Table) []string {
 	var fields []string
 	if !slices.EqualFunc(t.order, other.order, func(a, b *Function) bool { return a.Name == b.Name }) {
 		return []string{"gearman.functions"}
 	}
 	for i, f := range t.order {
 		g := other.order[i]
-		if f.Class != g.Class || f.Patience != g.Patience || f.settings.Window != g.settings.Window {
+		if f.Class != g.Class || f.Timeouts != g.Timeouts || f.settings.Window != g.settings.Window {
 			fields = append(fields, "gearman.functions."+f.Name)
 		}
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -26,7 +26,7 @@
 
 func TestOff(t *testing.T) {
 	table, err := New(names, classes, nil)
-	if err != nil || !reflect.DeepEqual(table.Classes(), classes) || table.HostRuns(0) != nil || len(table.Functions()) != 0 {
+	if err != nil || !reflect.DeepEqual(table.Classes(), classes) || table.HostClasses(0) != nil || len(table.Functions()) != 0 {
 		t.Errorf("%v, %+v", err, table)
 	}
 }
@@ -39,7 +39,7 @@
 	}
 	all := table.Classes()
 	f, ok := table.Function("send-warning")
-	if !ok || f.Class != "send-warning" || f.Patience != [2]time.Duration{3 * time.Second, time.Hour} || !f.Hosts() {
+	if !ok || f.Class != "send-warning" || f.Timeouts != [2]time.Duration{3 * time.Second, time.Hour} || !f.RunsOnHosts() {
 		t.Fatalf("%+v", f)
 	}
 	fg, bg := all[f.Foreground], all[f.Background]
@@ -49,16 +49,16 @@
 	if all[0].Lane != 0 || all[1].Lane != 0 {
 		t.Error("HTTP jobs that only hosts serve have left their lane")
 	}
-	one := table.WorkerRuns("x", func(f string) bool { return f == "send-warning" })
+	one := table.WorkerClasses("x", func(f string) bool { return f == "send-warning" })
 	for i, runs := range one {
 		if runs != (i == f.Foreground || i == f.Background) {
 			t.Errorf("class %d: %v", i, runs)
 		}
 	}
-	if runs := table.HostRuns(0); runs[1] || runs[f.Foreground] || !runs[0] {
+	if runs := table.HostClasses(0); runs[1] || runs[f.Foreground] || !runs[0] {
 		t.Errorf("a host of another kind: %v", runs)
 	}
-	if runs := table.HostRuns(1); !runs[1] || !runs[f.Foreground] {
+	if runs := table.HostClasses(1); !runs[1] || !runs[f.Foreground] {
 		t.Errorf("a host of the kind: %v", runs)
 	}
 	if table.Cell("a", 1) != table.Cell("a", 2) || table.Cell("a", 1) == table.Cell("b", 1) || table.Cell("", 1) == table.Cell("", 2) {
@@ -87,7 +87,7 @@
 		client string
 		want   []int
 	}{{"rain-n1", []int{0, rain.Foreground, rain.Background}}, {"other", []int{siren.Foreground, siren.Background}}} {
-		for i, runs := range table.WorkerRuns(c.client, all) {
+		for i, runs := range table.WorkerClasses(c.client, all) {
 			want := false
 			for _, w := range c.want {
 				want = want || w == i
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	if runs := table.HostRuns(1); runs[rain.Foreground] || !runs[siren.Foreground] || !runs[0] {
+	if runs := table.HostClasses(1); runs[rain.Foreground] || !runs[siren.Foreground] || !runs[0] {
 		t.Errorf("hosts: %v", runs)
 	}
 	if c := table.Classes(); c[0].Lane == 0 || c[1].Lane != 0 || c[0].Lane == c[rain.Foreground].Lane {
@@ -121,8 +121,8 @@
 	other := *g
 	other.Functions = map[string]settings.Function{"rain": g.Functions["rain"], "siren": function(func(f *settings.Function) { f.Class, f.Patience = "send-warning", 1 })}
 	changed, err := New(names, classes, &other)
-	if err != nil || !reflect.DeepEqual(table.Fixed(changed), []string{"gearman.functions.siren"}) {
-		t.Errorf("%v, %v", table.Fixed(changed), err)
+	if err != nil || !reflect.DeepEqual(table.RestartRequired(changed), []string{"gearman.functions.siren"}) {
+		t.Errorf("%v, %v", table.RestartRequired(changed), err)
 	}
 }
 
--- a/sim/box.go
+++ b/sim/box.go
@@ -324,7 +324,7 @@
 			}
 		}
 	}
-	b.list(balance.Gone)
+	b.list(balance.Removed)
 	if back > 0 {
 		b.r.after(back, b.restart)
 	}
@@ -381,7 +381,7 @@
 		b.phase = balance.Ready // whether it takes jobs is for the process; a dead one takes none
 	}
 	w, lag := b.listed(phase), b.r.Lag
-	if b.silent && phase == balance.Gone {
+	if b.silent && phase == balance.Removed {
 		lag = cmp.Or(b.r.SilentLag, lag)
 	}
 	b.r.after(time.Duration(b.r.late*float64(lag)), func() {
--- a/sim/dispatcher.go
+++ b/sim/dispatcher.go
@@ -59,11 +59,11 @@
 		s.Classes = append(s.Classes, c.Class)
 	}
 	s.Dispatchers, s.Number, s.Zone, s.Zones = len(r.World.Dispatchers), d.number, d.station, r.Stations
-	s.TellsStart, s.TellsWritten, s.MustAsk, s.CanCancel, s.CanProbe = !r.Untold, true, !r.Pushed, true, true
+	s.ReportsStart, s.ReportsWritten, s.ListOnRequest, s.CanCancel, s.CanProbe = !r.Untold, true, !r.Pushed, true, true
 	s.RoughWeights, s.MarksRetry = !r.Pushed, r.Retry.Marks
 	s.MaxAttempts = max(r.Attempts, 1)
 	s.ConnectTimeout, s.DrainGrace, s.StartCapacity, s.WarmWithin = r.Connect, r.Rules.DrainGrace, r.Rules.StartCapacity, r.Rules.WarmWithin
-	s.OverloadFactor, s.FallTime = r.Rules.OverloadFactor, r.Rules.FallTime
+	s.OverloadFactor, s.OverloadTime = r.Rules.OverloadFactor, r.Rules.FallTime
 	s.FreeSlots, s.FreeMemory = -1, -1
 	if r.Report != nil {
 		s.FreeSlots = slices.Index(r.Report.Fields, "free slots")
@@ -130,7 +130,7 @@
 	} else {
 		d.kept = append(d.kept, w)
 	}
-	if w.State == balance.Gone || w.Up > 0 {
+	if w.State == balance.Removed || w.Up > 0 {
 		d.idle[w.ID-1] = 0
 	}
 	d.policy.List(d.clock(), balance.ListChanges, []balance.Worker{w})
@@ -172,7 +172,7 @@
 	}
 	if !j.answered {
 		d.answer(j, Failed, 0)
-		d.policy.Left(d.clock(), j.id)
+		d.policy.Disconnected(d.clock(), j.id)
 	}
 	d.settle(j)
 }
--- a/sim/policies.go
+++ b/sim/policies.go
@@ -198,4 +198,4 @@
 func (p *plain) Progress(time.Duration, balance.JobID, int, float64)               {}
 func (p *plain) Probed(time.Duration, balance.WorkerID, balance.Status, []float32) {}
 func (p *plain) Timer(time.Duration, uint64)                                       {}
-func (p *plain) Left(time.Duration, balance.JobID)                                 {}
+func (p *plain) Disconnected(time.Duration, balance.JobID)                         {}
--- a/sim/result.go
+++ b/sim/result.go
@@ -133,7 +133,7 @@
 
 // worth is what a job is worth.
 func (w *World) worth(a *Arrival) float64 {
-	worth := w.Classes[a.Class].Worth
+	worth := w.Classes[a.Class].Value
 	if w.ByWork {
 		worth *= a.Work
 	}
@@ -276,11 +276,11 @@
 	case Served:
 		c.Latency.RecordValue(max(1, took.Microseconds()))
 		worth := r.worth(a)
-		if aim := class.Aim + time.Duration(class.Stretch*a.Work*float64(time.Second)); took <= aim {
+		if aim := class.TargetLatency + time.Duration(class.RuntimeFactor*a.Work*float64(time.Second)); took <= aim {
 			c.InTime++
 		} else {
 			c.Late++
-			worth *= class.LateWorth
+			worth *= class.LateValue
 			r.result.late += r.worth(a)
 		}
 		c.Earned += worth
@@ -352,7 +352,7 @@
 	for i := range res.Classes {
 		c := &res.Classes[i]
 		if c.Worth = 1; c.Offered > 0 {
-			c.Worth = (float64(c.InTime) + r.Classes[i].LateWorth*float64(c.Late)) / float64(c.Offered)
+			c.Worth = (float64(c.InTime) + r.Classes[i].LateValue*float64(c.Late)) / float64(c.Offered)
 		}
 	}
 	for i, b := range r.boxes {
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -219,7 +219,7 @@
 	Outcome(now time.Duration, o balance.Outcome)
 	Probed(now time.Duration, id balance.WorkerID, status balance.Status, report []float32)
 	Timer(now time.Duration, token uint64)
-	Left(now time.Duration, id balance.JobID)
+	Disconnected(now time.Duration, id balance.JobID)
 }
 
 // Module is the decision module as a Policy.
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -26,7 +26,7 @@
 // oneBox is a queue as theory has it: one box, no network, every job sent at once.
 func oneBox(cores, slots int, arrivals []Arrival) *World {
 	return &World{Stations: 1, OneWay: [][]time.Duration{{0}}, Kinds: []Kind{{Cores: cores, Slots: slots, Queue: math.MaxInt32, Speed: 1}},
-		Boxes: []Box{{}}, Classes: []Class{{Class: balance.Class{Aim: time.Hour, Worth: 1, Kind: -1}}}, Dispatchers: []int{0}, Arrivals: arrivals,
+		Boxes: []Box{{}}, Classes: []Class{{Class: balance.Class{TargetLatency: time.Hour, Value: 1, Kind: -1}}}, Dispatchers: []int{0}, Arrivals: arrivals,
 		Connect: time.Second, Attempts: 1, Policy: Plain(RoundRobin)}
 }
 
@@ -142,9 +142,9 @@
 		Kinds: []Kind{{Name: "full", Cores: 2, Slots: 3, Queue: 4, Speed: 1, Spread: 0.1, Crowding: 0.3},
 			{Name: "slow", Cores: 2, Slots: 3, Queue: 4, Speed: 0.6, Spread: 0.1, Crowding: 0.3}},
 		Classes: []Class{
-			{Class: balance.Class{Aim: 200 * time.Millisecond, Stretch: 2.5, Worth: 2, LateWorth: 0.25, Limit: 5 * time.Second, Effect: balance.Keyed,
+			{Class: balance.Class{TargetLatency: 200 * time.Millisecond, RuntimeFactor: 2.5, Value: 2, LateValue: 0.25, Limit: 5 * time.Second, Effect: balance.Keyed,
 				Window: 7500 * time.Millisecond, Kind: -1}, Work: Dist{0.5, Lognormal, 1}},
-			{Class: balance.Class{Aim: 200 * time.Millisecond, Stretch: 2.5, Worth: 10, LateWorth: 0.2, Limit: 5 * time.Second, Kind: -1},
+			{Class: balance.Class{TargetLatency: 200 * time.Millisecond, RuntimeFactor: 2.5, Value: 10, LateValue: 0.2, Limit: 5 * time.Second, Kind: -1},
 				Work: Dist{0.5, Lognormal, 1}}},
 		Rules: Rules{DrainGrace: 500 * time.Millisecond, StartCapacity: 0.3, WarmWithin: 8 * time.Second, OverloadFactor: 2.5,
 			FallTime: 2 * time.Second, RestartAfter: 5 * time.Second},
--- a/sim/site/day.go
+++ b/sim/site/day.go
@@ -90,7 +90,7 @@
 		w.ListTime = time.Duration(1e9 / calls)
 	}
 	w.Settings.Tick, w.Settings.AskWithin = seconds(s.Tick), seconds(discovery.AskWithin)
-	w.Settings.WorthByWork, w.Settings.SecondCopies, w.Settings.MaxRetryAfter = true, true, seconds(s.Retry.AdviceMost)
+	w.Settings.ValuePerWork, w.Settings.SecondCopies, w.Settings.MaxRetryAfter = true, true, seconds(s.Retry.AdviceMost)
 	w.Settings.CrossZoneFee, w.Settings.ProbeFee, w.Settings.HandshakeFee = s.Goal.Cross, s.Goal.Probe, s.Goal.Connection
 	w.Settings.WasteFee, w.Settings.LateFee = s.Goal.Waste, s.Goal.Late
 	errors := make([]Range, len(s.Kinds))
--- a/sim/site/site.go
+++ b/sim/site/site.go
@@ -265,11 +265,11 @@
 
 // plain is what the module is told of the class.
 func (c *Class) plain() balance.Class {
-	p := balance.Class{Aim: seconds(c.Aim), Stretch: c.Stretch, Worth: c.Worth, LateWorth: c.LateWorth, Limit: seconds(c.Patience), Window: seconds(c.Window),
-		Effect: map[string]balance.Effect{"unsafe": balance.Unsafe, "keyed": balance.Keyed, "safe": balance.Safe}[c.Effect],
-		Group:  map[string]balance.Group{"cell": balance.GroupCell, "zone": balance.GroupZone, "all": balance.GroupAll}[c.Group], Kind: -1}
+	p := balance.Class{TargetLatency: seconds(c.Aim), RuntimeFactor: c.Stretch, Value: c.Worth, LateValue: c.LateWorth, Limit: seconds(c.Patience), Window: seconds(c.Window),
+		Effect:     map[string]balance.Effect{"unsafe": balance.Unsafe, "keyed": balance.Keyed, "safe": balance.Safe}[c.Effect],
+		DedupScope: map[string]balance.DedupScope{"cell": balance.DedupCell, "zone": balance.DedupZone, "all": balance.DedupAll}[c.Group], Kind: -1}
 	if p.Effect != balance.Keyed {
-		p.Group = balance.GroupCell // says nothing there
+		p.DedupScope = balance.DedupCell // says nothing there
 	}
 	return p
 }
