--- a/balance/api.go
+++ b/balance/api.go
@@ -1,32 +1,32 @@
-// Package balance makes the decisions of one dispatcher that pushes jobs to workers.
+// Package balance decides for one dispatcher which worker gets a job, when, and whether it is sent again.
 //
 // The host owns the clock, the network and the clients. It creates one Dispatcher for each dispatcher process, calls
-// one method for each event with the time at which it happened, and carries out the calls made on its Actions.
+// one method for each event with the time of the event, and performs the calls made on its Actions.
 // A Dispatcher starts no goroutine, reads no clock and does no input or output. It is not safe for concurrent use.
 package balance
 
 import "time"
 
-// JobID names one try of a client's job. Every try has an id of its own.
+// JobID identifies one submission of a client's job. A resubmission has an id of its own.
 type JobID uint64
 
-// WorkerID names a worker; it stays the same when the worker's process restarts.
+// WorkerID identifies a worker; it stays the same when the worker's process restarts.
 type WorkerID uint32
 
-// Effect tells how far a class of jobs may be repeated.
+// Effect is the degree to which jobs of a class may be repeated.
 type Effect uint8
 
-// The effects. The zero value is the most careful one.
+// The effects. The zero value is the safest one.
 const (
 	Unsafe Effect = iota // must never run twice
-	Keyed                // repeats are dropped inside a group of workers, for a while
-	Safe                 // may be repeated at will
+	Keyed                // repeats are dropped within a scope of workers, for a time window
+	Safe                 // may be repeated without limit
 )
 
-// DedupScope tells which workers drop the repeats of a keyed job.
+// DedupScope is the set of workers that drop the repeats of a keyed job.
 type DedupScope uint8
 
-// The groups, from the narrowest.
+// The scopes, from the narrowest.
 const (
 	DedupCell DedupScope = iota
 	DedupZone
@@ -36,56 +36,56 @@
 // Class describes one class of jobs.
 type Class struct {
 	TargetLatency time.Duration // an answer within this time is in time
-	RuntimeFactor float64       // the aim grows by this many times the job's own running time
+	RuntimeFactor float64       // the target grows by this many times the job's running time
 	Value         float64
-	LateValue     float64       // the share of the worth that a late answer still earns
-	Limit         time.Duration // how long a client waits, over all its tries
+	LateValue     float64       // share of the value that a late answer still has
+	Limit         time.Duration // how long a client waits, over all its submissions
 	Effect        Effect
 	DedupScope    DedupScope
 	Window        time.Duration // how long repeats of a keyed job are dropped
-	Kind          int           // the only kind of worker that runs it, or -1
-	Lane          int           // classes of one lane run on the same workers; those of others don't wait behind them
+	Kind          int           // the only kind of worker that runs it, or -1 for any
+	Lane          int           // classes of one lane run on the same workers and share a queue, which does not block other lanes
 	Streamed      bool
 }
 
-// Settings are what a dispatcher is told before it starts. New fills in a careful value for what is missing.
+// Settings are the parameters of a dispatcher. New replaces missing ones by safe values.
 type Settings struct {
 	Classes        []Class
-	Number         int // of this dispatcher, from 0
+	Number         int // index of this dispatcher, from 0
 	Dispatchers    int
 	Zone           int
-	Zones          int           // how many there are; 0 where that is not known
-	Tick           time.Duration // the shortest time between two events
-	ListOnRequest  bool          // the list of workers comes only to those who ask for it
+	Zones          int           // number of zones; 0 if unknown
+	Tick           time.Duration // shortest time between two events
+	ListOnRequest  bool          // the list of workers is sent only on request
 	AskWithin      time.Duration
-	ListInherited  bool // the list at the start is that of a process that this one takes over from
-	WaitForList    bool // the host tells by Heard when discovery has told what it has; nothing is sent before
-	RoughWeights   bool // listed weights are the size, more or less
-	ReportsStart   bool // workers tell when a job starts
-	ReportsWritten bool // the host tells by Written when an attempt is on its way; else it is so at once
-	ValuePerWork   bool // worth counts for each unit of work, not for each job
-	MarksRetry     bool // clients mark what they send again
-	// Load reports: the place of a value in Report, or -1.
+	ListInherited  bool // the list at the start is that of the process that this one takes over from
+	WaitForList    bool // nothing is sent before the host calls ListComplete, or a timeout
+	RoughWeights   bool // listed weights are approximate sizes
+	ReportsStart   bool // workers report when a job starts
+	ReportsWritten bool // the host calls Written once an attempt is sent; else it counts as sent at once
+	ValuePerWork   bool // the value is per unit of work, not per job
+	MarksRetry     bool // clients mark resubmissions
+	// Load reports: the index of a value in Report, or -1.
 	FreeSlots, FreeMemory int
 
 	MaxAttempts    int
 	ConnectTimeout time.Duration
 	CanCancel      bool
 	CanProbe       bool
-	SecondCopies   bool          // two attempts of one job may be out together
-	MaxExclusion   time.Duration // at most between two probes of what cannot be reached; 0 for no bound
+	SecondCopies   bool          // two attempts of one job may be active together
+	MaxExclusion   time.Duration // longest exclusion of a failed worker, about; 0 for no bound
 	MaxRetryAfter  time.Duration
 
 	DrainGrace     time.Duration
-	StartCapacity  float64       // a worker starts at this share of its capacity
-	WarmWithin     time.Duration // and is warm after this time
-	OverloadFactor float64       // sent more than so many times its present capacity,
-	OverloadTime   time.Duration // for so long, a cold worker falls over
+	StartCapacity  float64       // a worker starts with this share of its capacity
+	WarmWithin     time.Duration // and has all of it after this time
+	OverloadFactor float64       // a cold worker that gets more than so many times its present capacity,
+	OverloadTime   time.Duration // for so long, fails from overload
 
 	CrossZoneFee, WasteFee, ProbeFee, LateFee, HandshakeFee float64
 }
 
-// State is what the list says of a worker.
+// State is the listed state of a worker.
 type State uint8
 
 // The states of a listed worker.
@@ -103,56 +103,57 @@
 	Cell   int
 	State  State
 	Weight float64
-	Up     time.Duration // when it last started; 0 for long ago
-	Runs   []bool        // by class, whether it runs its jobs; nil where it runs all
-	Slots  float64       // jobs that it takes side by side, where the host knows; else 0
-	Pulls  bool          // it asks for each job when it is free, and runs one at a time
+	Up     time.Duration // time of its last start; 0 for long ago
+	Runs   []bool        // by class: whether it runs the jobs; nil if it runs all
+	Slots  float64       // jobs that it runs at once; 0 if the host does not know
+	Pulls  bool          // it requests each job when it is free, and runs one at a time
 }
 
-// ListKind tells how to take a list.
+// ListKind is the kind of a list: how its entries are applied.
 type ListKind uint8
 
 // The kinds of lists.
 const (
-	ListFull    ListKind = iota // all workers; one that is missing has gone
+	ListFull    ListKind = iota // all workers; one that is missing was removed
 	ListChanges                 // changed entries only
-	ListCached                  // all workers as last known, perhaps long ago
-	ListFailed                  // a call to the list failed, or the watch broke; no entries
+	ListCached                  // all workers as last known, possibly outdated
+	ListFailed                  // a call for the list failed, or the watch broke; no entries
 )
 
-// Job is a client's job as it comes in.
+// Job is a client's job as it arrives.
 type Job struct {
 	ID     JobID
 	Class  int
 	Tenant int
-	Left   time.Duration // how long the client still waits
+	Left   time.Duration // remaining time for which the client waits
 	Hint   time.Duration // expected work, 0 if unknown
 	Slots  float64
 	Memory float64
-	Weight float64 // its worth is so many times that of its class; 0 for once
-	Again  bool    // the client's resubmission, where clients mark them
+	Weight float64 // factor of the value of its class; 0 for 1
+	Again  bool    // a resubmission by the client, if clients mark them
 }
 
-// Status tells how an attempt or a probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint8
 
-// The endings. NotRun reports which of them prove that the job never ran.
+// The results. NotRun reports which of them prove that the job never ran.
 const (
 	OK            Status = iota + 1
 	Errored              // the worker answered with an error
-	Full                 // turned away unseen
-	TimedOut             // no answer in time
+	Full                 // rejected without being run
+	TimedOut             // no answer within the timeout
 	ConnectFailed        // no connection
 	Reset                // the connection broke
 	Cancelled            // withdrawn by the dispatcher
-	NotSent              // never sent
-	Rejected             // the worker says that the request itself is wrong: no other would run it, and no worker is at fault
+	NotSent              // never sent to the worker
+	Rejected             // the worker reports an invalid request: no other would run it, and no worker is at fault
 )
 
-// NotRun reports whether the ending proves that the job never ran, where workers shed no work that they had begun.
+// NotRun reports whether the result proves that the job never ran, provided that workers drop no job that they have
+// started.
 func (s Status) NotRun() bool { return s == Full || s == ConnectFailed || s == NotSent }
 
-// Outcome is the end of one attempt.
+// Outcome is the end of an attempt.
 type Outcome struct {
 	Job     JobID
 	Attempt int
@@ -163,22 +164,23 @@
 	Report  []float32 // the worker's load report; empty if none came
 }
 
-// Actions is what a host does for a Dispatcher. Calls are made only from within a Dispatcher's methods.
+// Actions are the operations that a host performs for a Dispatcher. They are called only from within its methods.
 type Actions interface {
-	// Send starts the job's next attempt (they count from 0), given up after the timeout; 0 for the client's patience.
+	// Send starts the next attempt of the job (counted from 0), which ends after the timeout; 0 means the time left
+	// to the client.
 	Send(job JobID, worker WorkerID, timeout time.Duration)
-	// Refuse answers that the job was not done and may be tried again, after the wait if one is given.
+	// Refuse answers that the job was not done and may be retried, after the wait if it is not 0.
 	Refuse(job JobID, wait time.Duration)
-	// Fail answers that the job failed; it promises nothing.
+	// Fail answers that the job failed, which leaves open whether it ran.
 	Fail(job JobID)
 	// Cancel withdraws one attempt.
 	Cancel(job JobID, attempt int)
-	// Probe asks a worker for its load.
+	// Probe requests the load report of a worker.
 	Probe(worker WorkerID)
-	// Timer asks for a call of Dispatcher.Timer with the token.
+	// Timer requests a call of Dispatcher.Timer with the token.
 	Timer(after time.Duration, token uint64)
-	// Watch asks for the changes of the list of workers from here on.
+	// Watch requests the changes of the list of workers from now on.
 	Watch()
-	// Log reports a line to the operators.
+	// Log writes a line for the operators.
 	Log(line string)
 }
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -1,6 +1,6 @@
 package balance
 
-// What the decisions in balance.go rest on: estimates of workers, ways and jobs, and the order of what waits.
+// Estimates of workers, paths and jobs behind the decisions in balance.go, and the order of queued jobs.
 
 import (
 	"cmp"
@@ -8,103 +8,101 @@
 	"time"
 )
 
-// lost is the share as it counts now: half after ten seconds.
-func (y *way) lost(now time.Duration) float64 { return y.share / (1 + (now-y.at).Seconds()/10) }
+// current returns the decayed share: half after ten seconds.
+func (r *rate) current(now time.Duration) float64 { return r.share / (1 + (now-r.at).Seconds()/10) }
 
-func (y *way) saw(now time.Duration, lost bool, gain, most float64) {
-	y.share, y.at = y.lost(now)*(1-gain), now
+func (r *rate) observe(now time.Duration, lost bool, gain, maximum float64) {
+	r.share, r.at = r.current(now)*(1-gain), now
 	if lost {
-		y.share = min(most, y.share+gain)
+		r.share = min(maximum, r.share+gain)
 	}
 }
 
-// met notes whether a job met a queue, here or elsewhere.
-func (d *Dispatcher) met(now time.Duration, w *worker, queue bool) {
-	zone := &d.queues[0]
-	if w.Zone != d.s.Zone {
-		zone = &d.queues[1]
+func (d *Dispatcher) recordQueue(now time.Duration, w *worker, queue bool) {
+	zone := &d.queueRates[0]
+	if w.Zone != d.cfg.Zone {
+		zone = &d.queueRates[1]
 	}
-	zone.saw(now, queue, 0.15, 1)
+	zone.observe(now, queue, 0.15, 1)
 }
 
-// doubtful: a job of this dispatcher waits there (in thin traffic: or did), or some were lost and this one
-// must not be. It comes after all others: one that is silent holds few jobs, and serves when needed.
-func (w *worker) doubtful(now time.Duration, r *request) bool {
-	return w.waits > 0 || now < w.fullTill || r.c.Effect == Unsafe && w.errs.lost(now) > 0.05
+// suspected reports whether a job of this dispatcher waits there (in sparse traffic: or lately did), or jobs
+// were lost and this one must not be. Such workers come last: an unresponsive one holds few jobs.
+func (w *worker) suspected(now time.Duration, r *request) bool {
+	return w.overdue > 0 || now < w.queueUntil || r.rules.Effect == Unsafe && w.losses.current(now) > 0.05
 }
 
-// around draws from around a time: dispatchers that saw the same thing must not all act at one moment.
-func (d *Dispatcher) around(t time.Duration) time.Duration {
+// jitter spreads a time by a quarter: dispatchers that saw the same event must not act at the same moment.
+func (d *Dispatcher) jitter(t time.Duration) time.Duration {
 	return seconds(t.Seconds() * (0.75 + d.rng.Float64()/2))
 }
 
-// recent is what is left of a worker's failures: half after ten seconds.
+// recent returns the decayed number of recent failures: half after ten seconds.
 func (w *worker) recent(now time.Duration) float64 {
-	return w.fails / (1 + (now-w.failedAt).Seconds()/10)
+	return w.failures / (1 + (now-w.failedAt).Seconds()/10)
 }
 
-// take moves the slots that own attempts hold at a worker, and lag behind them, by the age of a report: it is
-// made a few times a second and comes late, half a second in all.
-func (d *Dispatcher) take(now time.Duration, w *worker, n float64) {
-	dt := (now - w.lagAt).Seconds()
-	w.lag += (w.own - w.lag) * dt / (dt + 0.5)
-	w.own, w.lagAt = max(0, w.own+n), now
+// addSlots changes the slots of own attempts at a worker. ownDelayed follows with the delay of its reports:
+// half a second, as they are made a few times a second and arrive late.
+func (d *Dispatcher) addSlots(now time.Duration, w *worker, n float64) {
+	dt := (now - w.ownDelayedAt).Seconds()
+	w.ownDelayed += (w.ownSlots - w.ownDelayed) * dt / (dt + 0.5)
+	w.ownSlots, w.ownDelayedAt = max(0, w.ownSlots+n), now
 }
 
-// close marks a job that has its final answer and withdraws what is still out.
+// close marks a job that has its final answer, and cancels its active attempts.
 func (d *Dispatcher) close(r *request) {
-	for i := range r.tries {
-		if r.tries[i].out && !r.done && d.s.CanCancel {
-			d.do.Cancel(r.ID, i)
+	for i := range r.attempts {
+		if r.attempts[i].active && !r.answered && d.cfg.CanCancel {
+			d.actions.Cancel(r.ID, i)
 		}
 	}
-	d.unhold(r)
-	r.done = true
+	d.dequeue(r)
+	r.answered = true
 }
 
-// pace is the running time at a worker over the usual one, forgotten in some 20 s: a slow one gets a trial.
-func pace(now time.Duration, w *worker) float64 {
-	return 1 + (w.slow-1)/(1+(now-w.slowAt).Seconds()/20)
+// currentSlowdown returns the slowdown, which decays in some 20 s so that a slow worker gets another trial.
+func currentSlowdown(now time.Duration, w *worker) float64 {
+	return 1 + (w.slowdown-1)/(1+(now-w.slowdownAt).Seconds()/20)
 }
 
-// hold keeps the held jobs in the order in which they go: most worth first, among equals the newest.
-func (d *Dispatcher) hold(r *request) {
-	if r.held {
+// enqueue queues a job in its lane: highest value first, among equals the newest.
+func (d *Dispatcher) enqueue(r *request) {
+	if r.queued {
 		return
 	}
-	r.held = true
-	d.held++
-	lane := &d.lanes[r.c.Lane]
+	r.queued = true
+	d.queued++
+	lane := &d.lanes[r.rules.Lane]
 	at, _ := slices.BinarySearchFunc(*lane, r, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(b.came, a.came), cmp.Compare(b.ID, a.ID))
+		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(b.came, a.came), cmp.Compare(b.ID, a.ID))
 	})
 	*lane = slices.Insert(*lane, at, r)
-	d.ticks()
+	d.scheduleTick()
 }
 
-// assume sets what jobs take until that is learnt, and what follows from it.
-func (d *Dispatcher) assume() {
-	// A job of a class outside the settings is handled with the most care: as unsafe.
-	d.s.Classes = append(slices.Clone(d.s.Classes), Class{TargetLatency: time.Second, Value: 1, Kind: -1})
-	d.tick = 100 * time.Millisecond
-	for _, c := range d.s.Classes {
-		d.unit = append(d.unit, max(c.TargetLatency, time.Millisecond).Seconds())
-		d.tick = min(d.tick, c.TargetLatency/10)
-		d.mean = max(d.mean, c.TargetLatency.Seconds(), 0.001)
+// setDefaults sets running times until they are measured, and what is derived from them.
+func (d *Dispatcher) setDefaults() {
+	// A job of an unconfigured class is handled as unsafe, the most careful way.
+	d.cfg.Classes = append(slices.Clone(d.cfg.Classes), Class{TargetLatency: time.Second, Value: 1, Kind: -1})
+	d.tickInterval = 100 * time.Millisecond
+	for _, c := range d.cfg.Classes {
+		d.unitTime = append(d.unitTime, max(c.TargetLatency, time.Millisecond).Seconds())
+		d.tickInterval = min(d.tickInterval, c.TargetLatency/10)
+		d.meanTime = max(d.meanTime, c.TargetLatency.Seconds(), 0.001)
 	}
-	d.tick = max(d.tick, d.s.Tick)
-	d.patience = d.s.ConnectTimeout / 6
-	share := d.s.Dispatchers // of those that mostly use the same workers
-	if d.s.CrossZoneFee > 0 {
-		share /= max(d.s.Zones, 1)
+	d.tickInterval = max(d.tickInterval, d.cfg.Tick)
+	d.startTimeout = d.cfg.ConnectTimeout / 6
+	share := d.cfg.Dispatchers // of dispatchers that mostly use the same workers
+	if d.cfg.CrossZoneFee > 0 {
+		share /= max(d.cfg.Zones, 1)
 	}
-	d.crowd(share)
+	d.setShare(share)
 }
 
-// crowd sets what follows from how many mostly use the same workers: under half a job each of all that a
-// worker takes is thin.
-func (d *Dispatcher) crowd(share int) {
-	if d.thin, d.bias = share > 2*(threshold+1), 1; d.thin {
-		d.bias = 2
+// setShare takes how many dispatchers mostly share workers; under half a job at each worker is sparse.
+func (d *Dispatcher) setShare(share int) {
+	if d.sparse, d.sizeExponent = share > 2*(threshold+1), 1; d.sparse {
+		d.sizeExponent = 2
 	}
 }
