--- a/route/route.go
+++ b/route/route.go
@@ -1,13 +1,13 @@
-// Package route says which pools serve a message, and what a Gearman function is to the decision module.
+// Package route maps messages and Gearman functions to the classes of package balance, and to the pools that serve them.
 //
-// It decides before balance does, and only this: a message's class and lane, its patience, weight and hint, and which
-// workers run that class at all. Which of them gets it, when, and whether again is balance's alone. There is no input or
-// output here, no clock and no state: a Table is made once from settings and is safe for concurrent use.
+// It sets only the class and lane of a message, its timeout, weight and hint, and which workers run that class at all.
+// Package balance alone decides which of them gets it, when, and whether it is sent again. A Table does no input or
+// output, has no clock and no mutable state: it is built once from settings and is safe for concurrent use.
 //
-// Every class of the configuration stays as it is, under its number. Every function adds two classes of its own, one for
-// jobs that somebody waits for and one for background jobs, as the module takes all jobs of a class to have the same
-// patience at first. They share a lane: they run on the same workers. docs/design-gearman.md weighs that against a module a
-// pool and against kinds inside one.
+// The classes of the configuration keep their numbers. Each function adds two classes, one for foreground jobs, for
+// which a client waits, and one for background jobs, as balance assumes the same initial timeout for all jobs of a
+// class. Both have the same lane, as they run on the same workers. docs/design-gearman.md compares this with one
+// Dispatcher for each pool, and with worker kinds inside one.
 package route
 
 import (
@@ -23,7 +23,7 @@
 	"liftgauge/internal/settings"
 )
 
-// Priority is how urgent a job is said to be.
+// Priority is the urgency of a job.
 type Priority uint8
 
 // The priorities.
@@ -33,26 +33,26 @@
 	Low
 )
 
-// Weight is how many times its class's worth a job of a priority has.
+// Weight is the factor that a priority applies to the value of the class.
 func (p Priority) Weight() float64 { return [...]float64{Normal: 1, High: 4, Low: 0.25}[p%3] }
 
-// Function is what a Gearman function is here.
+// Function maps a Gearman function to classes and pools.
 type Function struct {
 	Name       string
-	Class      string // whose rules hold
-	Foreground int    // the module's number of the class of jobs that a client waits for
-	Background int    // and of those that nobody waits for
-	Timeouts   [2]time.Duration
-	MaxQueue   int // jobs that may wait; 0 for no bound
+	Class      string           // the class of the configuration whose rules apply
+	Foreground int              // number of the class for foreground jobs
+	Background int              // number of the class for background jobs
+	Timeouts   [2]time.Duration // of foreground and background jobs
+	MaxQueue   int              // number of jobs that may wait; 0 for no bound
 
 	settings settings.Function
 	hosts    bool
 }
 
-// RunsOnHosts says whether the inventory's hosts serve it too.
+// RunsOnHosts reports whether the hosts of the inventory serve the function too.
 func (f *Function) RunsOnHosts() bool { return f.hosts }
 
-// Priority is a job's, where its packet says one.
+// Priority returns the configured priority, or else that of the packet.
 func (f *Function) Priority(packet Priority) Priority {
 	switch f.settings.Priority {
 	case "high":
@@ -65,12 +65,12 @@
 	return packet
 }
 
-// Hint is how much work a job with this data is thought to be; 0: not known.
+// Hint returns the estimated running time of a job with the given data; 0 if unknown.
 func (f *Function) Hint(data []byte) time.Duration {
 	s := f.settings
 	hint := time.Duration(s.Cost) + time.Duration(float64(s.CostPerKiB)*float64(len(data))/1024)
 	if s.CostField != "" {
-		if v, err := fastjson.ParseBytes(data); err == nil { // what is no JSON has no such field
+		if v, err := fastjson.ParseBytes(data); err == nil { // data that is not JSON has no such field
 			if us := v.GetFloat64(s.CostField); us > 0 && us < 1e12 {
 				hint += time.Duration(us * float64(time.Microsecond))
 			}
@@ -79,36 +79,36 @@
 	return hint
 }
 
-// Table is all that is routed.
+// Table holds the routes of all classes and functions.
 type Table struct {
-	names     []string // of the configuration's classes
-	classes   []balance.Class
-	functions map[string]*Function
-	order     []*Function // by number
-	g         settings.Gearman
-	byClass   []string // the function by which workers know an HTTP job's class
+	classNames      []string // of the classes of the configuration
+	classes         []balance.Class
+	functions       map[string]*Function
+	ordered         []*Function // in the order of their class numbers
+	gearman         settings.Gearman
+	workerFunctions []string // by class of the configuration: the function name that workers use for its HTTP jobs
 }
 
-// New makes a table of the configuration's classes and the settings; g nil means that Gearman is off.
-func New(names []string, classes []balance.Class, g *settings.Gearman) (*Table, error) {
-	t := &Table{names: names, classes: slices.Clone(classes), functions: map[string]*Function{}}
-	if g == nil {
+// New returns a table for the classes of the configuration and the settings. If gearman is nil, Gearman is off.
+func New(names []string, classes []balance.Class, gearman *settings.Gearman) (*Table, error) {
+	t := &Table{classNames: names, classes: slices.Clone(classes), functions: map[string]*Function{}}
+	if gearman == nil {
 		return t, nil
 	}
-	t.g = *g
-	known := map[string]bool{settings.Hosts: true, settings.Workers: true}
-	for _, p := range g.Pools {
-		known[p.Name] = true
+	t.gearman = *gearman
+	knownPools := map[string]bool{settings.Hosts: true, settings.Workers: true}
+	for _, p := range gearman.Pools {
+		knownPools[p.Name] = true
 	}
-	check := func(field string, pools []string) error {
+	checkPools := func(field string, pools []string) error {
 		for _, p := range pools {
-			if !known[p] {
+			if !knownPools[p] {
 				return fmt.Errorf("settings: %s: want the name of a pool, have %q", field, p)
 			}
 		}
 		return nil
 	}
-	functions := g.Functions
+	functions := gearman.Functions
 	if len(functions) == 0 {
 		functions = map[string]settings.Function{}
 		for _, name := range names {
@@ -126,12 +126,12 @@
 		if i < 0 {
 			return nil, fmt.Errorf("settings: %s.class: want a class of the configuration, have %q", field, f.Class)
 		}
-		if err := check(field+".pools", s.Pools); err != nil {
+		if err := checkPools(field+".pools", s.Pools); err != nil {
 			return nil, err
 		}
 		class := classes[i]
 		f.Timeouts = [2]time.Duration{time.Duration(s.Patience), time.Duration(s.Background)}
-		if class.Limit > 0 { // a client waits no longer than its class lets it
+		if class.Limit > 0 { // a client waits no longer than its class allows
 			f.Timeouts[0] = min(f.Timeouts[0], class.Limit)
 		}
 		if f.Timeouts[0] <= 0 || f.Timeouts[1] <= 0 || f.Timeouts[1] > 24*time.Hour {
@@ -142,96 +142,96 @@
 			class.Window = time.Duration(s.Window)
 		}
 		f.Foreground, f.Background = len(t.classes), len(t.classes)+1
-		for _, patience := range f.Timeouts {
-			class.Limit = patience
+		for _, timeout := range f.Timeouts {
+			class.Limit = timeout
 			t.classes = append(t.classes, class)
 		}
 		t.functions[name] = f
-		t.order = append(t.order, f)
+		t.ordered = append(t.ordered, f)
 	}
-	for name, c := range g.Classes {
+	for name, c := range gearman.Classes {
 		if !slices.Contains(names, name) {
 			return nil, fmt.Errorf("settings: gearman.classes.%s: want a class of the configuration", name)
 		}
-		if err := check("gearman.classes."+name+".pools", c.Pools); err != nil {
+		if err := checkPools("gearman.classes."+name+".pools", c.Pools); err != nil {
 			return nil, err
 		}
 	}
 	for i, name := range names {
-		f := t.g.Classes[name].Function
+		f := t.gearman.Classes[name].Function
 		if f == "" {
 			f = name
 		}
-		t.byClass = append(t.byClass, f)
-		if c := t.class(name); slices.ContainsFunc(c.Pools, func(p string) bool { return p != settings.Hosts }) {
-			// Jobs of this class no longer run on the same workers as others'.
-			t.classes[i].Lane = len(t.order) + 1 + i
+		t.workerFunctions = append(t.workerFunctions, f)
+		if c := t.classSettings(name); slices.ContainsFunc(c.Pools, func(p string) bool { return p != settings.Hosts }) {
+			// Jobs of this class no longer run on the same workers as those of other classes.
+			t.classes[i].Lane = len(t.ordered) + 1 + i
 		}
 	}
 	return t, nil
 }
 
-// class is how HTTP jobs of a class are routed.
-func (t *Table) class(name string) settings.Class {
-	c, ok := t.g.Classes[name]
+// classSettings returns how HTTP jobs of a class are routed: by default to the hosts.
+func (t *Table) classSettings(name string) settings.Class {
+	c, ok := t.gearman.Classes[name]
 	if !ok || len(c.Pools) == 0 {
 		c.Pools = []string{settings.Hosts}
 	}
 	return c
 }
 
-// Classes are the module's classes: the configuration's and then the functions'.
+// Classes returns the classes for balance: those of the configuration, then those of the functions.
 func (t *Table) Classes() []balance.Class { return slices.Clone(t.classes) }
 
-// Function finds a function.
+// Function returns the function with the given name.
 func (t *Table) Function(name string) (*Function, bool) {
 	f, ok := t.functions[name]
 	return f, ok
 }
 
-// Functions are all of them by name.
-func (t *Table) Functions() []*Function { return t.order }
+// Functions returns all functions, ordered by name.
+func (t *Table) Functions() []*Function { return t.ordered }
 
-// FunctionOf is by which function workers know HTTP jobs of a class.
+// FunctionOf returns the function name that workers use for HTTP jobs of a class.
 func (t *Table) FunctionOf(class int) string {
-	if class >= 0 && class < len(t.byClass) {
-		return t.byClass[class]
+	if class >= 0 && class < len(t.workerFunctions) {
+		return t.workerFunctions[class]
 	}
 	return ""
 }
 
-// runs fills in by class whether the members of a pool run it.
-func (t *Table) runs(pool string, can func(function string) bool, kind func(class int) bool) []bool {
-	runs := make([]bool, len(t.classes)+1) // one more: what is outside of all classes
-	for i, name := range t.names {
-		runs[i] = slices.Contains(t.class(name).Pools, pool) && can(t.byClass[i]) && kind(i)
+// runnable returns, by class, whether the members of a pool run it.
+func (t *Table) runnable(pool string, can func(function string) bool, kind func(class int) bool) []bool {
+	runs := make([]bool, len(t.classes)+1) // the last one is for unconfigured classes
+	for i, name := range t.classNames {
+		runs[i] = slices.Contains(t.classSettings(name).Pools, pool) && can(t.workerFunctions[i]) && kind(i)
 	}
-	for _, f := range t.order {
-		ok := slices.Contains(f.settings.Pools, pool) && can(f.Name) && kind(slices.Index(t.names, f.Class))
+	for _, f := range t.ordered {
+		ok := slices.Contains(f.settings.Pools, pool) && can(f.Name) && kind(slices.Index(t.classNames, f.Class))
 		runs[f.Foreground], runs[f.Background] = ok, ok
 	}
 	return runs
 }
 
-// HostClasses says which classes an inventory's host of a kind runs; nil: all that its kind lets it.
+// HostClasses returns, by class, whether an inventory host of the given kind runs it; nil if only the kind decides.
 func (t *Table) HostClasses(kind int) []bool {
-	if len(t.order) == 0 {
+	if len(t.ordered) == 0 {
 		return nil
 	}
-	return t.runs(settings.Hosts, func(string) bool { return true }, func(class int) bool {
+	return t.runnable(settings.Hosts, func(string) bool { return true }, func(class int) bool {
 		k := t.classes[class].Kind
 		return k < 0 || k == kind
 	})
 }
 
-// WorkerClasses says which classes a worker runs, by its client id and the functions that it can do.
+// WorkerClasses returns, by class, whether a worker runs it, from its client id and the functions that it registered.
 func (t *Table) WorkerClasses(client string, can func(function string) bool) []bool {
-	return t.runs(t.Pool(client), can, func(int) bool { return true })
+	return t.runnable(t.Pool(client), can, func(int) bool { return true })
 }
 
-// Pool is where a worker with a client id belongs.
+// Pool returns the name of the pool to which a client id belongs.
 func (t *Table) Pool(client string) string {
-	for _, p := range t.g.Pools {
+	for _, p := range t.gearman.Pools {
 		if p.Fits(client) {
 			return p.Name
 		}
@@ -239,16 +239,16 @@
 	return settings.Workers
 }
 
-// Kind is the module's number of a pool's workers, counted from 0.
+// Kind returns the number of the pool to which a client id belongs: 0 for the default one.
 func (t *Table) Kind(client string) int {
-	return slices.IndexFunc(t.g.Pools, func(p settings.Group) bool { return p.Fits(client) }) + 1
+	return slices.IndexFunc(t.gearman.Pools, func(p settings.Group) bool { return p.Fits(client) }) + 1
 }
 
-// Cell is the module's number of the cell in which a worker drops repeats, by its client id; alone is the number of one
-// that belongs to none. A client id is the same cell however often its worker connects.
+// Cell returns the number of the cell in which a worker drops repeats, from its client id, so that it stays the same
+// when the worker reconnects. The number alone identifies a worker that has no client id and belongs to no cell.
 func (t *Table) Cell(client string, alone uint64) int {
-	const cells, clients = 1 << 32, 1 << 33 // the inventory's numbers are far below
-	for i, c := range t.g.Cells {
+	const cells, clients = 1 << 32, 1 << 33 // the cell numbers of the inventory are far below
+	for i, c := range t.gearman.Cells {
 		if c.Fits(client) {
 			return cells + i
 		}
@@ -256,26 +256,26 @@
 	if client == "" {
 		return int(math.MaxInt64 - alone%(1<<40))
 	}
-	h := uint64(14695981039346656037) // FNV-1a
+	hash := uint64(14695981039346656037) // FNV-1a
 	for i := range len(client) {
-		h = (h ^ uint64(client[i])) * 1099511628211
+		hash = (hash ^ uint64(client[i])) * 1099511628211
 	}
-	return clients + int(h>>16)
+	return clients + int(hash>>16)
 }
 
-// RestartRequired names what in other differs from this table and takes a restart: the module is made of it once.
+// RestartRequired returns the settings fields that differ in other and need a restart, as balance reads them only once.
 func (t *Table) RestartRequired(other *Table) []string {
 	var fields []string
-	if !slices.EqualFunc(t.order, other.order, func(a, b *Function) bool { return a.Name == b.Name }) {
+	if !slices.EqualFunc(t.ordered, other.ordered, func(a, b *Function) bool { return a.Name == b.Name }) {
 		return []string{"gearman.functions"}
 	}
-	for i, f := range t.order {
-		g := other.order[i]
-		if f.Class != g.Class || f.Timeouts != g.Timeouts || f.settings.Window != g.settings.Window {
+	for i, f := range t.ordered {
+		counterpart := other.ordered[i]
+		if f.Class != counterpart.Class || f.Timeouts != counterpart.Timeouts || f.settings.Window != counterpart.settings.Window {
 			fields = append(fields, "gearman.functions."+f.Name)
 		}
 	}
-	for i, name := range t.names {
+	for i, name := range t.classNames {
 		if t.classes[i].Lane != other.classes[i].Lane {
 			fields = append(fields, "gearman.classes."+name)
 		}
