--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// host records what a Dispatcher asks for and plays its clock.
+// host records the actions of a Dispatcher and provides its clock.
 type host struct {
 	t        *testing.T
 	d        *Dispatcher
@@ -23,7 +23,7 @@
 	sends    []WorkerID
 	sentFor  map[JobID][]WorkerID
 	answered map[JobID]string
-	ended    map[JobID]int // attempts
+	ended    map[JobID]int // by job: number of ended attempts
 	watches  int
 	probes   []WorkerID
 }
@@ -62,7 +62,7 @@
 	h.timers = append(h.timers, timer{h.now + after, token})
 }
 
-// run lets time pass and plays the timers.
+// run advances the clock and fires the timers that expire.
 func (h *host) run(until time.Duration) {
 	for {
 		first := -1
@@ -86,7 +86,7 @@
 	h.d.Job(h.now, Job{ID: id, Class: class, Left: 5 * time.Second, Slots: 1})
 }
 
-// end ends the latest attempt of a job.
+// end ends the latest attempt of a job with the given status.
 func (h *host) end(id JobID, s Status) {
 	n := len(h.sentFor[id]) - 1
 	if n < 0 {
@@ -130,7 +130,7 @@
 	return ws
 }
 
-// serve sends n jobs, each ended at once, and returns the workers in turn.
+// serve submits n jobs, ends each at once, and returns the workers that got them, in order.
 func (h *host) serve(from, n int) []WorkerID {
 	h.sends = nil
 	for i := range n {
@@ -159,25 +159,25 @@
 			}
 			for j := 1; j < len(got); j++ {
 				if gap := float64(got[j] - got[j-1]); gap > 2*n/want+1 {
-					t.Errorf("weights %v: worker %d waits %.0f turns, on average %.1f", weights, i+1, gap, n/want)
+					t.Errorf("weights %v: worker %d has a gap of %.0f turns, want about %.1f", weights, i+1, gap, n/want)
 				}
 			}
 		}
 	}
 }
 
-func TestOffsetByNumber(t *testing.T) {
+func TestPeriodOffsetDependsOnDispatcherNumber(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 2
 	a := newHost(t, s, fleet(1, 1, 1, 1)...).serve(1, 64)
 	s.Number = 1
 	b := newHost(t, s, fleet(1, 1, 1, 1)...).serve(1, 64)
-	if !reflect.DeepEqual(a[16+4:48+4], b[:32]) { // and half a round, so that they do not walk in step
-		t.Errorf("the second of two dispatchers starts half a period and half a round on:\n%v\n%v", a[16:48], b[:32])
+	if !reflect.DeepEqual(a[16+4:48+4], b[:32]) { // and half a round, so that they are not in step
+		t.Errorf("the second of two dispatchers must start half a period and half a round later:\n%v\n%v", a[16:48], b[:32])
 	}
 }
 
-func TestCountIsKeptWhenTheListChanges(t *testing.T) {
+func TestJobCountIsKeptWhenTheListChanges(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1, 1)...)
 	want := newHost(t, settings(), fleet(1, 1, 1)...).serve(1, 8)
 	got := append([]WorkerID{}, h.serve(1, 4)...)
@@ -188,9 +188,9 @@
 	}
 }
 
-func TestOverflowGoesToTheNextAndWraps(t *testing.T) {
+func TestOverflowGoesToTheNextWorkerAndWrapsAround(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1, 1)...)
-	for i := range 12 { // nothing ends: every worker fills up to k+1 own jobs, the last ones by overflow
+	for i := range 12 { // nothing ends: every worker gets k+1 own jobs, the last ones by overflow
 		h.job(JobID(i+1), 0)
 	}
 	n := map[WorkerID]int{}
@@ -200,7 +200,7 @@
 	if n[1] != 3 || n[2] != 3 || n[3] != 3 {
 		t.Errorf("jobs by worker %v, want 3 each", n)
 	}
-	// Only worker 2 has room now: whoever's turn it is, the job gets there, past the end of the order too.
+	// Only worker 2 has room now: whichever worker is scheduled, the job goes there, also past the end of the order.
 	h.sends = nil
 	for _, id := range []JobID{2, 5, 8} {
 		if h.sentFor[id][0] == 2 {
@@ -217,7 +217,7 @@
 	}
 }
 
-// TestLineLimits holds the files that hold decisions to what an operator's engineer reads in one sitting.
+// TestLineLimits limits the files that make decisions to what an engineer can read in one sitting.
 func TestLineLimits(t *testing.T) {
 	n := 0
 	for _, file := range []string{"balance.go", "estimate.go"} {
@@ -235,6 +235,6 @@
 		}
 	}
 	if n > 730 {
-		t.Errorf("%d lines that are not blank, 730 allowed", n)
+		t.Errorf("%d non-blank lines, 730 allowed", n)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"liftgauge/balance"
 )
 
-// printer is a host that prints what it is asked to do.
+// printer is a host that prints the actions.
 type printer struct{}
 
 func (printer) Send(j balance.JobID, w balance.WorkerID, _ time.Duration) {
--- a/balance/untrue_test.go
+++ b/balance/failures_test.go
@@ -11,14 +11,14 @@
 	. "liftgauge/balance"
 )
 
-// TestFullIsProof: 'full' proves that the job never ran, so it may go anywhere; a reset does not.
-func TestFullIsProof(t *testing.T) {
+// TestFullProvesThatTheJobDidNotRun checks that a job may go anywhere after Full, but not after Reset.
+func TestFullProvesThatTheJobDidNotRun(t *testing.T) {
 	cellmates := []Worker{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}, {ID: 3, Zone: 1, Cell: 1, Weight: 1}}
 	for _, c := range []struct {
 		name    string
 		class   int
 		late    bool
-		again   []WorkerID // where it may go next
+		again   []WorkerID // where it may be sent next
 		refusal bool
 	}{
 		{"safe, proof", 0, false, []WorkerID{1, 2, 3}, true},
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestFailingByTurnsIsOutForLonger: a success does not wipe out what has failed a moment ago.
-func TestFailingByTurnsIsOutForLonger(t *testing.T) {
+// TestAlternatingFailuresExtendTheExclusion checks that a success does not erase a recent failure.
+func TestAlternatingFailuresExtendTheExclusion(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1, 1, 1)...)
 	met := []int{0, 0}
 	for i := range 800 {
@@ -84,12 +84,12 @@
 		h.run(h.now + 10*ms)
 	}
 	if met[1] > 75 {
-		t.Errorf("a worker that fails half of its jobs met %d and %d of 400 jobs each", met[0], met[1])
+		t.Errorf("a worker that fails half of its jobs got %d and then %d of 400 jobs, want at most 75", met[0], met[1])
 	}
 }
 
-// TestGivenUpIsAnsweredAtOnce: nothing is held back so that the client does not ask again.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+// TestAbandonedJobIsAnsweredAtOnce checks that the answer is not held back to delay a retry of the client.
+func TestAbandonedJobIsAnsweredAtOnce(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	for class, want := range map[int]string{0: "refused", 3: "refused", 4: "failed"} {
@@ -97,13 +97,14 @@
 		h.job(1, class)
 		h.end(1, Full)
 		if h.answered[1] != want {
-			t.Errorf("class %d: answered %q in the call that gave it up, want %q", class, h.answered[1], want)
+			t.Errorf("class %d: answered %q in the call that abandoned it, want %q", class, h.answered[1], want)
 		}
 	}
 }
 
-// TestLittleTimeIsNotALaterTry: a client with less patience than its aim takes is served, not taken for late.
-func TestLittleTimeIsNotALaterTry(t *testing.T) {
+// TestShortTimeoutIsNotTakenForResubmission checks that a job with less time than its target is sent, not taken for
+// late.
+func TestShortTimeoutIsNotTakenForResubmission(t *testing.T) {
 	s := settings()
 	s.Classes[0].LateValue = 0
 	for _, marks := range []bool{false, true} {
@@ -112,13 +113,13 @@
 		h.serve(1, 4)
 		h.d.Job(h.now, Job{ID: 50, Left: 150 * ms, Slots: 1})
 		if len(h.sentFor[50]) != 1 {
-			t.Errorf("marks %v: a job with little time was not sent", marks)
+			t.Errorf("marks retries %v: a job with little time was not sent", marks)
 		}
 	}
 }
 
-// TestUntrueReportsDoNoHarm: frozen reports, no numbers, and outcomes of workers that have left the list.
-func TestUntrueReportsDoNoHarm(t *testing.T) {
+// TestFalseReportsAreHandled plays frozen and invalid reports, and outcomes of workers that were removed from the list.
+func TestFalseReportsAreHandled(t *testing.T) {
 	s := settings()
 	s.FreeSlots = 0
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
@@ -144,14 +145,14 @@
 		}
 		h.d.List(h.now, ListFull, fleet(1, 1))
 		if h.sends = nil; len(h.serve(200, 1)) != 1 {
-			t.Errorf("report %v: nothing is sent any more", rep)
+			t.Errorf("report %v: no more jobs are sent", rep)
 		}
 	}
 }
 
-// TestLossyWayIsPassedBy: what is lost on the way to another zone is not the fault of who is there: the zone gets fewer
-// jobs for a while, and all of it again when the way is good.
-func TestLossyWayIsPassedBy(t *testing.T) {
+// TestLossyZoneGetsFewerJobs checks that a zone to which attempts are lost gets fewer jobs for a while, without blame
+// on its workers, and its full share again when the network recovers.
+func TestLossyZoneGetsFewerJobs(t *testing.T) {
 	s := settings()
 	s.CanProbe = false
 	h := newHost(t, s, large(40)...)
@@ -179,9 +180,9 @@
 	}
 }
 
-// TestLostJobsKeepUnsafeOnesAway: a worker that answers probes and loses jobs gets no unsafe ones while others have
-// room, but keyed ones all along, and unsafe ones again as its losses fade.
-func TestLostJobsKeepUnsafeOnesAway(t *testing.T) {
+// TestWorkerThatLostJobsGetsNoUnsafeJobs checks that a worker that answers probes but loses jobs gets no unsafe ones
+// while others have room, but keyed ones all along, and unsafe ones again as its losses decay.
+func TestWorkerThatLostJobsGetsNoUnsafeJobs(t *testing.T) {
 	s := settings()
 	s.FreeSlots = -1
 	h := newHost(t, s, fleet(1, 1)...)
@@ -217,8 +218,9 @@
 	}
 }
 
-// TestSilentWorkerHoldsFewJobs: what takes a job and does not begin it comes after all others, until it begins.
-func TestSilentWorkerHoldsFewJobs(t *testing.T) {
+// TestUnresponsiveWorkerHoldsFewJobs checks that a worker that takes a job and does not start it comes after all
+// others, until it starts.
+func TestUnresponsiveWorkerHoldsFewJobs(t *testing.T) {
 	s := settings()
 	s.FreeSlots, s.CanCancel = -1, false
 	h := newHost(t, s, fleet(1, 1)...)
@@ -234,28 +236,28 @@
 		h.end(id, OK)
 	}
 	if silent != 1 {
-		t.Errorf("%d of 40 jobs went to a worker that begins none", silent)
+		t.Errorf("%d of 40 jobs went to a worker that starts none, want 1", silent)
 	}
 	h.d.Started(h.now, silentJob, 0)
 	h.end(silentJob, OK)
 	h.serve(100, 20)
 	if !slices.Contains(h.sends, 1) {
-		t.Error("it gets no job though it has begun the one it had")
+		t.Error("the worker gets no job although it has started the one that it had")
 	}
 }
 
-// TestFreshConnectionIsNoQueue: the start of what goes out on a new connection is due later than on one that was kept,
-// and of what is not written yet it is not due at all.
-func TestFreshConnectionIsNoQueue(t *testing.T) {
+// TestNewConnectionIsNotTakenForQueue checks that the start of an attempt is due later on a new connection than on a
+// kept one, and not at all before the attempt is written.
+func TestNewConnectionIsNotTakenForQueue(t *testing.T) {
 	s := settings()
 	s.FreeSlots, s.ReportsWritten = -1, true
 	for _, c := range []struct{ written, fresh, waits bool }{{false, false, false}, {true, true, false}, {true, false, true}} {
 		h := newHost(t, s, fleet(1, 1)...)
-		h.job(1, 0) // safe: it is taken back where it waits
+		h.job(1, 0) // safe: it is withdrawn if it waits
 		if c.written {
 			h.d.Written(h.now, 1, 0, c.fresh)
 		}
-		h.run(h.now + 50*ms) // three times the patience
+		h.run(h.now + 50*ms) // three times startTimeout
 		if waits := slices.Contains(h.acts, "cancel 1 0"); waits != c.waits {
 			t.Errorf("written %v, fresh %v: waits %v", c.written, c.fresh, waits)
 		}
@@ -266,8 +268,8 @@
 	}
 }
 
-// TestKeyedJobGoesBackWhereAlone: in a cell of one worker a job that may have run has nowhere else to go.
-func TestKeyedJobGoesBackWhereAlone(t *testing.T) {
+// TestKeyedJobReturnsToTheOnlyWorkerOfItsCell: in a cell of one worker, a job that may have run can go nowhere else.
+func TestKeyedJobReturnsToTheOnlyWorkerOfItsCell(t *testing.T) {
 	h := newHost(t, settings(), Worker{ID: 1, Weight: 1}, Worker{ID: 2, Weight: 1, Cell: 1})
 	h.job(1, 3)
 	h.end(1, Reset)
@@ -279,8 +281,9 @@
 	}
 }
 
-// TestAimByTheHint: the aim grows by the work itself, not by how long slow workers take for it.
-func TestAimByTheHint(t *testing.T) {
+// TestTargetGrowsWithTheHint checks that the target grows by the work itself, not by the time that slow workers take
+// for it.
+func TestTargetGrowsWithTheHint(t *testing.T) {
 	s := settings()
 	s.FreeSlots, s.Classes[0].LateValue = -1, 0
 	h := newHost(t, s, fleet(1, 1)...)
@@ -302,10 +305,10 @@
 	}
 }
 
-// TestThinTrafficWithdrawsKeyedJobs: one of many dispatchers learns of a queue only by a job of its own that waits there.
-// A keyed one is taken back then and goes to another worker of its cell, all but its last attempt; one of a few stays, and
-// an unsafe one always does.
-func TestThinTrafficWithdrawsKeyedJobs(t *testing.T) {
+// TestSparseTrafficWithdrawsKeyedJobs: one of many dispatchers detects a queue only by a job of its own that waits
+// there. It withdraws a keyed job and sends it to another worker of its cell, except on the last attempt. One of a few
+// dispatchers does not, and an unsafe job is never withdrawn.
+func TestSparseTrafficWithdrawsKeyedJobs(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers, class int
 		want               []string
@@ -327,9 +330,10 @@
 	}
 }
 
-// TestThinTrafficRemembersQueues: where one of many dispatchers met a queue it sends elsewhere for a while, to the next in
-// order or past its own zone; a job that starts at once shows that the queue is gone. One of a few goes by its own count.
-func TestThinTrafficRemembersQueues(t *testing.T) {
+// TestSparseTrafficRemembersQueues: one of many dispatchers that met a queue sends elsewhere for a while, to the next
+// worker in order or to another zone, until a job starts there at once. One of a few dispatchers relies on its own job
+// count.
+func TestSparseTrafficRemembersQueues(t *testing.T) {
 	for _, c := range []struct{ dispatchers, soon, later int }{{80, 0, 8}, {2, 8, 8}} {
 		s := settings()
 		s.FreeSlots, s.Dispatchers, s.CrossZoneFee = -1, c.dispatchers, 0.02
@@ -355,8 +359,9 @@
 	}
 }
 
-// TestThinTrafficFavoursFastWorkers: turns go by the square of the size, with as many as six dispatchers by the size.
-func TestThinTrafficFavoursFastWorkers(t *testing.T) {
+// TestSparseTrafficFavoursFastWorkers checks that turns are proportional to the square of the size with more than six
+// dispatchers, and to the size with fewer.
+func TestSparseTrafficFavoursFastWorkers(t *testing.T) {
 	for dispatchers, want := range map[int]int{6: 40, 7: 48} {
 		s := settings()
 		s.Dispatchers = dispatchers
@@ -370,9 +375,9 @@
 	}
 }
 
-// TestIdleIsRoomEnough: where k was learnt to be one job, jobs that were turned away twice still go to a worker that has nothing of this
-// dispatcher's. Else they wait until their patience ends, and all those behind them too.
-func TestIdleIsRoomEnough(t *testing.T) {
+// TestIdleWorkerGetsRejectedJobs checks that, with a learnt k of one job, jobs that were rejected twice still go to a
+// worker without jobs of this dispatcher. Otherwise they wait until their deadlines and block the queue.
+func TestIdleWorkerGetsRejectedJobs(t *testing.T) {
 	s := settings()
 	s.FreeSlots = -1
 	h := newHost(t, s, fleet(1, 1)...)
@@ -393,6 +398,6 @@
 		}
 	}
 	if served != 30 {
-		t.Errorf("%d of 30 served by workers with nothing to do", served)
+		t.Errorf("%d of 30 jobs served by idle workers", served)
 	}
 }
--- a/balance/handover_test.go
+++ b/balance/handover_test.go
@@ -9,51 +9,52 @@
 	. "liftgauge/balance"
 )
 
-// TestReleaseAdopt: a job that changes hands counts at its worker there as it did here, goes on where it was, and is answered once.
-func TestReleaseAdopt(t *testing.T) {
+// TestAdoptedJobContinuesAndIsAnsweredOnce checks that a job that is handed over still counts at its worker, continues where it was, and is
+// answered once.
+func TestAdoptedJobContinuesAndIsAnsweredOnce(t *testing.T) {
 	old, next := newHost(t, settings(), fleet(1)...), newHost(t, settings(), fleet(1)...)
-	for id := JobID(1); id <= 4; id++ { // three run, the fourth waits for room
+	for id := JobID(1); id <= 4; id++ { // three run, the fourth is queued
 		old.job(id, 3)
 	}
 	if n := len(old.sentFor[4]); n != 0 {
-		t.Fatalf("%d sends of the fourth", n)
+		t.Fatalf("the fourth job was sent %d times, want 0", n)
 	}
 	for id := JobID(1); id <= 4; id++ {
 		tries, ok := old.d.Release(old.now, id)
 		if again, twice := old.d.Release(old.now, id); !ok || twice || again != nil {
-			t.Fatalf("released %v, again %v", ok, twice)
+			t.Fatalf("released: %v; released again: %v", ok, twice)
 		}
 		next.d.Adopt(next.now, Job{ID: id, Class: 3, Left: 5 * time.Second, Slots: 1}, time.Second, tries)
 		if len(next.sentFor[id]) != 0 {
-			t.Errorf("job %d was sent: the worker is full of what came with it", id)
+			t.Errorf("job %d was sent although the adopted attempts fill the worker", id)
 		}
 	}
-	old.job(9, 3) // what has left leaves room here
+	old.job(9, 3) // the released jobs leave room here
 	if len(old.sentFor[9]) != 1 {
-		t.Error("no room after all has gone")
+		t.Error("no room after all jobs were released")
 	}
 	next.d.Outcome(next.now, Outcome{Job: 1, Worker: 1, Status: OK, Closed: true})
 	if len(next.sentFor[4]) != 1 {
-		t.Error("the fourth does not get the room that the first had")
+		t.Error("the fourth job does not get the slot of the first")
 	}
-	next.d.Outcome(next.now, Outcome{Job: 2, Worker: 1, Status: Reset}) // keyed by cell, and this worker is all there is
+	next.d.Outcome(next.now, Outcome{Job: 2, Worker: 1, Status: Reset}) // keyed by cell, and this is the only worker
 	next.run(next.now + 5*time.Second)
 	for id := JobID(2); id <= 4; id++ {
 		if next.answered[id] == "" {
-			t.Errorf("job %d has no answer at the end of its patience", id)
+			t.Errorf("job %d has no answer at its deadline", id)
 		}
 	}
 }
 
-// TestStuckChangesHands: that a worker may have a job yet is known to the process that takes the job over, too.
-func TestStuckChangesHands(t *testing.T) {
+// TestAdoptKeepsAttemptsThatMayStillRun checks that the adopting process knows which worker may still run the job.
+func TestAdoptKeepsAttemptsThatMayStillRun(t *testing.T) {
 	s := settings()
 	s.FreeSlots = -1
 	for status, again := range map[Status]int{TimedOut: 0, Cancelled: 1} {
 		old, next := newHost(t, s, fleet(1)...), newHost(t, s, fleet(1)...)
 		old.job(1, 0)
 		old.run(old.now + 10*ms)
-		old.end(1, status) // no other worker is there: it waits
+		old.end(1, status) // there is no other worker: it is queued
 		tries, ok := old.d.Release(old.now, 1)
 		if !ok {
 			t.Fatal("not released")
@@ -65,8 +66,9 @@
 	}
 }
 
-// TestLearn: what was learnt comes over whole; what cannot have been learnt is left aside, and nothing of it breaks a decision.
-func TestLearn(t *testing.T) {
+// TestLearnTakesValidEstimatesOnly checks that estimates are taken over completely, and that invalid ones are ignored and break no
+// decision.
+func TestLearnTakesValidEstimatesOnly(t *testing.T) {
 	old, next := newHost(t, settings(), fleet(1, 1)...), newHost(t, settings(), fleet(1, 1)...)
 	for id := JobID(1); id <= 20; id++ {
 		old.job(id, 0)
@@ -76,7 +78,7 @@
 	l := old.d.Learned(old.now)
 	next.d.Learn(next.now, l)
 	if got := next.d.Learned(next.now); !reflect.DeepEqual(got, l) || l.Classes[0].Jobs != 20 || l.Classes[0].Unit > 0.1 {
-		t.Errorf("told %+v\ntook %+v", l, got)
+		t.Errorf("learned %+v\nafter Learn: %+v", l, got)
 	}
 	for _, x := range []float64{math.NaN(), math.Inf(1), -1, 1e300} {
 		h := newHost(t, settings(), fleet(1, 1)...)
@@ -91,7 +93,7 @@
 		h.d.Learn(h.now, &Learned{Classes: l.Classes[1:]})
 		bad.Mean, before.Mean = 0, 0
 		if got := h.d.Learned(h.now); !reflect.DeepEqual(got.Classes, before.Classes) || !reflect.DeepEqual(got.Kinds, before.Kinds) || !reflect.DeepEqual(got.Workers, before.Workers) {
-			t.Errorf("%v was taken: %+v", x, got)
+			t.Errorf("invalid value %v was taken over: %+v", x, got)
 		}
 		if h.job(1, 0); len(h.sentFor[1]) != 1 {
 			t.Errorf("%v: no send", x)
@@ -99,11 +101,11 @@
 	}
 }
 
-// TestAmong: the number of this dispatcher and how many there are change in the midst of traffic. A cold worker gets no second turn within a
-// round for that, thin traffic begins and ends, and the share of jobs that each worker gets stays what it was.
-func TestAmong(t *testing.T) {
+// TestSetDispatchersKeepsSharesOfWorkers changes the number of dispatchers during traffic, so that it becomes sparse and dense again. A
+// cold worker must not get a second turn within a round because of that, and the shares of the workers stay.
+func TestSetDispatchersKeepsSharesOfWorkers(t *testing.T) {
 	set := settings()
-	set.Dispatchers, set.Number, set.OverloadFactor = 3, 1, 1e6 // every turn that a cold worker may take it takes
+	set.Dispatchers, set.Number, set.OverloadFactor = 3, 1, 1e6 // a cold worker takes every turn that it may
 	ws := fleet(1, 1, 1, 1, 1, 1, 1, 1)
 	h := newHost(t, set, ws...)
 	cold := ws[3]
@@ -142,18 +144,18 @@
 			t.Errorf("worker %d got %d of 800 jobs", w.ID, got[w.ID])
 		}
 	}
-	h.d.SetDispatchers(h.now, -5, -1, 0) // an absurd word is none
+	h.d.SetDispatchers(h.now, -5, -1, 0) // invalid numbers are replaced
 	id++
 	if h.job(id, 0); len(h.sentFor[id]) != 1 {
-		t.Error("no send after an absurd word")
+		t.Error("no send after invalid numbers")
 	}
 }
 
-// TestAmongNewWorkers: one of many dispatchers, with few jobs on a large fleet, gives workers that have just started their share though the
-// count of dispatchers has changed: what never had a turn can have no second one.
-func TestAmongNewWorkers(t *testing.T) {
+// TestSetDispatchersKeepsShareOfNewWorkers checks that one of many dispatchers, with few jobs on a large fleet, gives workers that have
+// just started their share although the number of dispatchers changed: the first turn of a worker is never taken for a second one.
+func TestSetDispatchersKeepsShareOfNewWorkers(t *testing.T) {
 	set := settings()
-	set.Dispatchers, set.OverloadFactor = 300, 1e6 // every turn that a cold worker may take it takes
+	set.Dispatchers, set.OverloadFactor = 300, 1e6 // a cold worker takes every turn that it may
 	var ws []Worker
 	for i := range 100 {
 		ws = append(ws, Worker{ID: WorkerID(i + 1), Weight: 1, Cell: i / 4})
@@ -173,6 +175,6 @@
 		}
 	}
 	if cold < 15 {
-		t.Errorf("%d of 60 jobs went to the half that is new", cold)
+		t.Errorf("%d of 60 jobs went to the restarted half, want at least 15", cold)
 	}
 }
--- a/balance/pull_test.go
+++ b/balance/lanes_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pulls is a host that notes sends, for workers that pull and run some classes only.
+// pulls is a host that records sends, for workers that pull or run some classes only.
 type pulls struct {
 	sends []WorkerID
 	jobs  []JobID
@@ -33,13 +33,14 @@
 		OverloadFactor: 2.5, OverloadTime: 2 * time.Second}
 }
 
-// TestLanes: jobs that no worker runs hold up none of another lane, and no job goes to a worker that does not run its class.
-func TestLanes(t *testing.T) {
+// TestLanesDoNotBlockEachOther checks that jobs that no worker runs do not block those of another lane, and that no job
+// goes to a worker that does not run its class.
+func TestLanesDoNotBlockEachOther(t *testing.T) {
 	p := &pulls{now: time.Hour}
 	d := New(pullSettings(), 1, p)
 	d.Start(p.now)
 	d.List(p.now, ListFull, []Worker{{ID: 1, Weight: 1, Slots: 1, Pulls: true, Runs: []bool{false, true}}, {ID: 2, Weight: 1, Runs: []bool{false, false}}})
-	for id := range 40 { // far more than are looked at
+	for id := range 40 { // far more than are tried
 		d.Job(p.now, Job{ID: JobID(id + 1), Class: 0, Left: 5 * time.Second})
 	}
 	for id := range 3 {
@@ -52,12 +53,13 @@
 		d.Outcome(p.now, Outcome{Job: p.jobs[n], Worker: 1, Status: OK, Took: time.Millisecond})
 	}
 	if len(p.sends) != 3 {
-		t.Errorf("sends %v", p.sends)
+		t.Errorf("sends %v, want 3", p.sends)
 	}
 }
 
-// TestColdPull: a worker that pulls and has just come gets a job at once, though it is cold, and never more than one.
-func TestColdPull(t *testing.T) {
+// TestColdPullingWorkerGetsOneJobAtOnce checks that a pulling worker that has just joined gets a job immediately,
+// although it is cold, and never more than one.
+func TestColdPullingWorkerGetsOneJobAtOnce(t *testing.T) {
 	p := &pulls{now: time.Hour}
 	d := New(pullSettings(), 1, p)
 	d.Start(p.now)
--- a/balance/report_test.go
+++ b/balance/report_test.go
@@ -8,7 +8,7 @@
 	. "liftgauge/balance"
 )
 
-// reported are settings of a deployment whose workers report free slots in every answer and do not tell when a job starts.
+// reported returns the settings of a deployment whose workers report free slots in every answer but not the start of a job.
 func reported() Settings {
 	s := settings()
 	s.ReportsStart, s.FreeSlots = false, 0
@@ -18,17 +18,17 @@
 	return s
 }
 
-// reports has each worker say how many slots are free.
+// reports delivers a report of free slots from each worker.
 func (h *host) reports(free ...float32) {
 	for i, f := range free {
 		h.d.Probed(h.now, WorkerID(i+1), OK, []float32{f})
 	}
 }
 
-// TestFreestFirst: a worker that is past k only a little is left to the end, and the fixed order holds among those that are not.
-func TestFreestFirst(t *testing.T) {
+// TestWorkerWithMostFreeSlotsComesFirst checks that workers with few free slots come last, and that the fixed order holds among the others.
+func TestWorkerWithMostFreeSlotsComesFirst(t *testing.T) {
 	h := newHost(t, reported(), fleet(1, 1, 1, 1)...)
-	h.reports(4, 4, 4, 4) // so many slots they have
+	h.reports(4, 4, 4, 4) // their number of slots
 	for range 6 {
 		h.now += 400 * ms
 		h.reports(1, 4, 1.1, 0)
@@ -45,23 +45,23 @@
 	}
 }
 
-// TestWaitsAreNoRunningTimes guards against a vicious circle: where no start is told the time of a job that had to wait was taken for
-// its running time, short jobs were expected to be late everywhere, and were given up before they were sent while workers stood idle.
-func TestWaitsAreNoRunningTimes(t *testing.T) {
+// TestQueueingTimeIsNotRunningTime guards against a vicious circle where starts are not reported: if the time of a job that had to wait
+// counts as its running time, short jobs are expected to be late everywhere and are given up unsent while workers are idle.
+func TestQueueingTimeIsNotRunningTime(t *testing.T) {
 	h := newHost(t, reported(), fleet(1, 1)...)
 	h.reports(4, 4)
 	one := func(id JobID, took time.Duration) {
 		h.d.Job(h.now, Job{ID: id, Class: 4, Left: 5 * time.Second, Slots: 1, Hint: 100 * ms})
 		h.run(h.now + took)
 		if len(h.sentFor[id]) == 0 {
-			t.Fatalf("job %d of a tenth of a second was not sent to a fleet that has room", id)
+			t.Fatalf("job %d of 100 ms was not sent although the fleet has room", id)
 		}
 		h.end(id, OK)
 	}
 	for i := range JobID(20) { // as the hint says
 		one(1+i, 100*ms)
 	}
-	for i := range JobID(40) { // one slot is free at most: they wait
+	for i := range JobID(40) { // at most one slot is free: they wait
 		h.reports(1, 1.1)
 		one(100+i, 900*ms)
 	}
@@ -70,8 +70,9 @@
 	one(200, 100*ms)
 }
 
-// TestFarOffHintsBarNobody: a few jobs that take thirty times what their hints say do not make a worker look that slow. It got nothing more.
-func TestFarOffHintsBarNobody(t *testing.T) {
+// TestWrongHintsDoNotExcludeWorker checks that a few jobs that take thirty times as long as their hints do not make a worker look that
+// slow: such a worker got no more jobs.
+func TestWrongHintsDoNotExcludeWorker(t *testing.T) {
 	h := newHost(t, reported(), fleet(1, 1, 1)...)
 	h.reports(4, 4, 4)
 	serve := func(from JobID, n int, slow WorkerID) (to int) {
@@ -96,13 +97,13 @@
 		serve(JobID(1000+100*i), 3, 1)
 	}
 	if n := serve(2000, 30, 0); n < 5 {
-		t.Errorf("%d of 30 jobs to a worker where five took far longer than their hints said", n)
+		t.Errorf("%d of 30 jobs to a worker where five took far longer than their hints, want at least 5", n)
 	}
 }
 
-// TestInquiries: the worker that was heard of longest ago is asked as a job comes, once in a second at most, and where nothing is reported
-// nobody is. A worker that is out is not asked.
-func TestInquiries(t *testing.T) {
+// TestWorkerWithOldestReportIsProbed checks that the worker with the oldest report is probed when a job arrives, at most once a second for
+// each worker, but not if it is offline or if workers report nothing.
+func TestWorkerWithOldestReportIsProbed(t *testing.T) {
 	h := newHost(t, reported(), fleet(1, 1, 1, 1)...)
 	h.reports(4, 4, 4, 4)
 	h.d.SetOffline(h.now, 3, true)
@@ -116,51 +117,51 @@
 		asked[w]++
 	}
 	if len(h.probes) < 9 || len(h.probes) > 12 || asked[3] > 0 || asked[1] < 3 || asked[2] < 3 || asked[4] < 3 {
-		t.Errorf("%v inquiries in 4 s of 40 jobs among three workers", asked)
+		t.Errorf("probes by worker %v in 4 s with 40 jobs, want 9 to 12 among three workers", asked)
 	}
 	s := reported()
 	s.FreeSlots = -1
 	h = newHost(t, s, fleet(1, 1)...)
 	h.run(h.now + 10*time.Second)
 	if h.serve(1, 20); len(h.probes) > 0 {
-		t.Errorf("%d inquiries where workers report nothing", len(h.probes))
+		t.Errorf("%d probes where workers report nothing", len(h.probes))
 	}
 }
 
-// TestUnwellWorkerIsLeftOut: a worker that answers a probe with a no gets nothing until it answers one with a yes. One that erred at once
-// on every job kept its short queue, its turns and its good report.
-func TestUnwellWorkerIsLeftOut(t *testing.T) {
+// TestUnhealthyWorkerIsExcluded checks that a worker that answers a probe as unhealthy gets no jobs until it answers one as healthy. A
+// worker that fails every job at once would otherwise keep its short queue, its turns and its good report.
+func TestUnhealthyWorkerIsExcluded(t *testing.T) {
 	h := newHost(t, reported(), fleet(1, 1, 1)...)
 	h.reports(4, 4, 4)
 	h.d.Probed(h.now, 2, Full, []float32{4})
 	for range 3 {
 		if slices.Contains(h.serve(1+len(h.answered), 30), 2) {
-			t.Fatal("sent to a worker that says that it is not well")
+			t.Fatal("sent to a worker that reports itself unhealthy")
 		}
 		h.probes = nil
 		h.run(h.now + time.Second)
 		if !slices.Contains(h.probes, 2) {
-			t.Fatal("not asked again")
+			t.Fatal("not probed again")
 		}
 		h.d.Probed(h.now, 2, Full, nil)
 	}
 	h.run(h.now + 4*time.Second)
 	h.d.Probed(h.now, 2, OK, []float32{4})
 	if !slices.Contains(h.serve(1000, 30), 2) {
-		t.Error("well again, and nothing is sent there")
+		t.Error("no job for a worker that is healthy again")
 	}
 }
 
-// TestThinTrafficLeavesAFullZone: where traffic is thin and no start is told, workers that report no free slot tell that the own zone is
-// crowded. Each of many dispatchers took a worker that it had not heard of lately for one with room, and none ever left.
-func TestThinTrafficLeavesAFullZone(t *testing.T) {
+// TestSparseTrafficLeavesFullZone checks that in sparse traffic without reported starts, workers that report no free slot show that the own
+// zone is crowded. Otherwise each of many dispatchers takes a worker without a recent report for one with room, and no job leaves the zone.
+func TestSparseTrafficLeavesFullZone(t *testing.T) {
 	for _, c := range []struct {
 		here, there float32
 		least, most int
 	}{{0, 3, 20, 100}, {3, 3, 0, 5}, {0, 0, 0, 5}} {
 		s := reported()
 		s.Dispatchers, s.Zones, s.CrossZoneFee = 40, 2, 0.08
-		h := newHost(t, s, fleet(1, 1, 1, 1, 1, 1)...) // by turns in zone 0, the own one, and 1
+		h := newHost(t, s, fleet(1, 1, 1, 1, 1, 1)...) // alternately in zone 0, the own one, and 1
 		h.reports(4, 4, 4, 4, 4, 4)
 		left := 0
 		for i := range 100 {
@@ -184,9 +185,9 @@
 	}
 }
 
-// TestLateJobTakesNoLastSlot: a job that is late by its hint may be in time all the same where hints are far off. It is not given up at
-// once, goes where several slots are free, and not where it would take the last one.
-func TestLateJobTakesNoLastSlot(t *testing.T) {
+// TestLateJobDoesNotTakeLastSlot checks that a job that is late by its hint, which may be wrong, is not given up at once: it is sent where
+// several slots are free, but not where it would take the last one.
+func TestLateJobDoesNotTakeLastSlot(t *testing.T) {
 	for _, c := range []struct {
 		free float32
 		sent int
@@ -200,7 +201,7 @@
 			h.reports(0.01)
 		}
 		h.d.Job(h.now, Job{ID: 1, Class: 4, Left: 5 * time.Second, Slots: 1, Hint: time.Second})
-		h.run(h.now + 1800*ms) // it is wanted within 2.2 s, and would take one
+		h.run(h.now + 1800*ms) // its target is 2.2 s, and it would take 1 s
 		if len(h.sentFor[1]) > 0 || h.answered[1] != "" {
 			t.Fatalf("sent %v, answered %q before there was room", h.sentFor[1], h.answered[1])
 		}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -11,8 +11,8 @@
 	. "liftgauge/balance"
 )
 
-// TestFurtherAttempts plays every ending of a first attempt against every kind of class.
-func TestFurtherAttempts(t *testing.T) {
+// TestRetriesFollowClassAndStatus plays every status of a first attempt against every kind of class.
+func TestRetriesFollowClassAndStatus(t *testing.T) {
 	// Workers by zone and cell. The first attempt goes to worker 1.
 	fleet := []Worker{
 		{ID: 1, Zone: 0, Cell: 0, Weight: 1}, {ID: 2, Zone: 0, Cell: 0, Weight: 1}, {ID: 3, Zone: 0, Cell: 1, Weight: 1},
@@ -21,7 +21,7 @@
 	classes := []struct {
 		name  string
 		class int
-		group []WorkerID // where a job that may have run may go again
+		group []WorkerID // where a job that may have run may be sent again
 	}{
 		{"safe", 0, []WorkerID{1, 2, 3, 4, 5}},
 		{"keyed, all", 1, []WorkerID{1, 2, 3, 4, 5}},
@@ -41,7 +41,7 @@
 						t.Fatalf("first attempt at %v", h.sentFor[1])
 					}
 					h.end(1, s)
-					for range 40 { // everything else ends as a refusal by the worker
+					for range 40 { // all further attempts are rejected by the worker
 						h.run(h.now + 100*ms)
 						if h.answered[1] != "" {
 							break
@@ -98,7 +98,7 @@
 	}{
 		{"no worker at all", 5 * time.Second, nil, 0},
 		{"no answer from the worker", 5 * time.Second, fleet(1), 4},
-		{"hardly any patience", ms, nil, 0},
+		{"almost no time left", ms, nil, 0},
 		{"a class outside the settings", 3 * time.Second, nil, 99},
 		{"a negative class", 3 * time.Second, fleet(1), -1},
 	} {
@@ -114,22 +114,22 @@
 	}
 }
 
-func TestNothingAfterTheFinalAnswer(t *testing.T) {
+func TestNoActionAfterTheFinalAnswer(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1)...)
 	h.job(1, 0)
 	h.answered[1] = "left"
 	h.d.Disconnected(h.now, 1)
-	h.end(1, Errored) // the host fails the test if anything is sent or answered now
+	h.end(1, Errored) // host fails the test if anything is sent or answered now
 	h.d.Disconnected(h.now, 1)
 	h.d.Started(h.now, 1, 0)
 	h.d.Progress(h.now, 1, 0, 0.5)
 	h.run(h.now + 10*time.Second)
 	if !slices.Contains(h.acts, "cancel 1 0") {
-		t.Error("the attempt of a client that left was not withdrawn")
+		t.Error("the attempt of a disconnected client was not withdrawn")
 	}
 }
 
-func TestNothingToDrainingOrGoneWorkers(t *testing.T) {
+func TestNoJobsToDrainingOrRemovedWorkers(t *testing.T) {
 	for _, change := range []struct {
 		name string
 		kind ListKind
@@ -150,14 +150,14 @@
 		// Ready again.
 		h.d.List(h.now, ListChanges, []Worker{{ID: 1, Weight: 1}})
 		if !slices.Contains(h.serve(40, 20), 1) {
-			t.Errorf("%s: worker 1 gets nothing after its return", change.name)
+			t.Errorf("%s: worker 1 gets no jobs after its return", change.name)
 		}
 	}
 }
 
 func TestColdWorkerGetsItsShareOfTheRampOnly(t *testing.T) {
 	s := settings()
-	s.Classes[0].RuntimeFactor = 10 // so that slowness alone bars nobody
+	s.Classes[0].RuntimeFactor = 10 // so that slowness alone excludes no worker
 	for _, age := range []time.Duration{0, 2 * time.Second, 5 * time.Second} {
 		ws := fleet(1, 1, 1, 1)
 		h := newHost(t, s, ws...)
@@ -180,7 +180,7 @@
 
 func TestColdWorkersAreNotFloodedWhenAllAreCold(t *testing.T) {
 	s := settings()
-	s.Classes[0].RuntimeFactor = 10 // so that slowness alone bars nobody
+	s.Classes[0].RuntimeFactor = 10 // so that slowness alone excludes no worker
 	h := newHost(t, s, fleet(1, 1, 1, 1)...)
 	var cold []Worker
 	for i := range 4 {
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestDownWorkerIsLeftOutUntilAProbeSucceeds(t *testing.T) {
+func TestDownWorkerIsExcludedUntilAProbeSucceeds(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1)...)
 	h.job(1, 0)
 	first := h.sentFor[1][0]
@@ -221,15 +221,15 @@
 	}
 	h.d.Probed(h.now, first, ConnectFailed, nil)
 	if slices.Contains(h.serve(30, 10), first) {
-		t.Fatal("a failed probe let it back")
+		t.Fatal("a failed probe ended the exclusion")
 	}
 	h.d.Probed(h.now, first, OK, nil)
 	if !slices.Contains(h.serve(50, 10), first) {
-		t.Fatal("a good probe did not let it back")
+		t.Fatal("a successful probe did not end the exclusion")
 	}
 }
 
-func TestInstantErrorsEjectButNeverTooMany(t *testing.T) {
+func TestInstantErrorsExcludeWorkersButNeverTooMany(t *testing.T) {
 	s := settings()
 	h := newHost(t, s, fleet(1, 1, 1, 1)...)
 	play := func(from, n int, bad ...WorkerID) (wrong int) {
@@ -249,23 +249,23 @@
 		return wrong
 	}
 	if n := play(1, 40, 2); n > 8 {
-		t.Errorf("%d of 40 jobs met a worker that errs at once", n)
+		t.Errorf("%d of 40 jobs were sent to a worker that fails at once, want at most 8", n)
 	}
 	h.run(h.now + 10*time.Second)
 	h.sends = nil
 	play(100, 40)
 	if !slices.Contains(h.sends, 2) {
-		t.Error("a recovered worker got no trial")
+		t.Error("a recovered worker got no job")
 	}
-	// All err: some must still be tried.
+	// All fail: some must still be tried.
 	h.sends = nil
 	play(200, 40, 1, 2, 3, 4)
 	if len(h.sends) < 10 {
-		t.Errorf("only %d attempts of 40 jobs when all err", len(h.sends))
+		t.Errorf("only %d attempts of 40 jobs when all fail", len(h.sends))
 	}
 }
 
-func TestHeldJobIsSentWhenRoomAppears(t *testing.T) {
+func TestQueuedJobIsSentWhenRoomAppears(t *testing.T) {
 	h := newHost(t, settings(), fleet(1)...)
 	for id := range JobID(4) {
 		h.job(1+id, 0)
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestHopelessJobIsRefusedBeforeItsAimPasses(t *testing.T) {
+func TestHopelessJobIsRefusedEarly(t *testing.T) {
 	s := settings()
 	s.Classes[0].LateValue = 0
 	h := newHost(t, s)
@@ -293,14 +293,14 @@
 	}
 }
 
-func TestWaitingJobIsTakenBack(t *testing.T) {
+func TestWaitingJobIsWithdrawn(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1)...)
 	h.d.Probed(h.now, 1, OK, []float32{2})
 	h.d.Probed(h.now, 2, OK, []float32{2})
 	h.job(1, 0)
 	h.run(h.now + 50*ms)
 	if !slices.Contains(h.acts, "cancel 1 0") {
-		t.Fatalf("a job that does not start while another worker has room is not taken back: %v", h.acts)
+		t.Fatalf("a job that does not start while another worker has room is not withdrawn: %v", h.acts)
 	}
 	h.end(1, Cancelled)
 	if len(h.sentFor[1]) != 2 || h.sentFor[1][0] == h.sentFor[1][1] {
@@ -308,10 +308,10 @@
 	}
 }
 
-func TestReportedSlots(t *testing.T) {
+func TestWorkerWithoutReportedFreeSlotsGetsNoJobs(t *testing.T) {
 	h := newHost(t, settings(), fleet(1, 1)...)
 	h.d.Probed(h.now, 1, OK, []float32{4})
-	for _, free := range []float32{0, 0.1, 0, 0.1, 0, 0.1, 0, 0.1} { // of four as well: they are of one kind
+	for _, free := range []float32{0, 0.1, 0, 0.1, 0, 0.1, 0, 0.1} { // also of four slots: they are of one kind
 		h.d.Probed(h.now, 2, OK, []float32{free})
 	}
 	for id := range JobID(3) {
@@ -324,11 +324,11 @@
 	}
 }
 
-func TestAskedListIsAskedAgain(t *testing.T) {
+func TestFailedListRequestIsRepeated(t *testing.T) {
 	s := settings()
 	s.ListOnRequest = true
 	h := newHost(t, s, fleet(1)...)
-	h.run(h.now + s.Tick + 20*ms) // one dispatcher has nobody to spread its call from
+	h.run(h.now + s.Tick + 20*ms) // a single dispatcher does not delay its call
 	if h.watches != 1 {
 		t.Fatalf("%d calls at start", h.watches)
 	}
@@ -340,12 +340,12 @@
 		}
 	}
 	if got := h.serve(1, 1); len(got) != 1 {
-		t.Error("the old list does not hold after a failure")
+		t.Error("the present list is not used after a failure")
 	}
 }
 
-func TestOddEventsDoNoHarm(t *testing.T) {
-	h := newHost(t, Settings{}) // nothing is set: safe defaults
+func TestUnexpectedEventsAreHandled(t *testing.T) {
+	h := newHost(t, Settings{}) // no settings: safe defaults
 	h.d.Outcome(h.now, Outcome{Job: 9, Attempt: 3, Status: OK})
 	h.d.Probed(h.now, 5, OK, []float32{1, 2, 3})
 	h.d.Started(h.now, 9, 1)
@@ -385,8 +385,8 @@
 	}
 }
 
-// TestNoLargeJobToColdWorker: a job that alone is half of what the rule allows a worker of k slots does not go to a cold one,
-// however late it is; a smaller one does.
+// TestNoLargeJobToColdWorker checks that a job that alone is half of what the overload rule allows a worker of k slots
+// does not go to a cold one, however late it is, while a smaller one does.
 func TestNoLargeJobToColdWorker(t *testing.T) {
 	for hint, want := range map[time.Duration]bool{time.Second: true, 20 * time.Second: false} { // a hinted second takes 0.2 s at first
 		s := settings() // 0.2 of its capacity, three times that for 2 s, two slots: 1.2 s of work
@@ -406,8 +406,9 @@
 	}
 }
 
-// TestAbsurdNumbers: no number of dispatchers, and none of this one, breaks a time or a turn; failed calls are made again.
-func TestAbsurdNumbers(t *testing.T) {
+// TestExtremeDispatcherNumbersAreHandled checks that no number of dispatchers, and no number of this one, breaks a time
+// or a turn, and that failed calls are repeated.
+func TestExtremeDispatcherNumbersAreHandled(t *testing.T) {
 	for _, n := range []int{math.MinInt, -1, 0, 1, 1 << 40, math.MaxInt} {
 		for _, number := range []int{math.MinInt, -1, 0, 5, math.MaxInt} {
 			s := settings()
@@ -421,15 +422,15 @@
 			h.end(1, ConnectFailed)
 			h.end(1, OK)
 			if asked < 1 || h.watches <= asked || h.answered[1] != "served" {
-				t.Errorf("%d of %d: asked %d times, then %d, answer %q", number, n, asked, h.watches, h.answered[1])
+				t.Errorf("number %d of %d: list requested %d times, then %d, answer %q", number, n, asked, h.watches, h.answered[1])
 			}
 		}
 	}
 }
 
-// TestNotWhereItMayRunYet: an attempt whose withdrawal its worker has not heard may run there yet. Its job goes to others only, however
-// long that is ago; after one that is known to be given up the worker may have it again.
-func TestNotWhereItMayRunYet(t *testing.T) {
+// TestNoSecondAttemptWhereTheFirstMayStillRun checks that a job goes to other workers only, for any time, if its
+// withdrawal may not have reached the worker; after a confirmed withdrawal the worker may get it again.
+func TestNoSecondAttemptWhereTheFirstMayStillRun(t *testing.T) {
 	for status, again := range map[Status]int{TimedOut: 1, Cancelled: 2} {
 		s := settings()
 		s.FreeSlots = -1
@@ -443,29 +444,29 @@
 	}
 }
 
-// TestAsksAgainSoon: a failed call to the list is made again within a second, however many dispatchers there are: what discovery
-// has counts as told 6 s after it could be reached.
-func TestAsksAgainSoon(t *testing.T) {
+// TestFailedListRequestIsRepeatedWithinASecond checks this for any number of dispatchers: a change must take effect
+// within 6 s of the time at which discovery could be reached.
+func TestFailedListRequestIsRepeatedWithinASecond(t *testing.T) {
 	for _, n := range []int{1, 20, 300} {
 		s := settings()
 		s.FreeSlots, s.Dispatchers, s.ListOnRequest, s.AskWithin = -1, n, true, 10*time.Second
 		h := newHost(t, s, fleet(1, 1)...)
 		if h.run(h.now + 2*time.Second); h.watches != 1 {
-			t.Errorf("%d dispatchers: asked %d times in the first 2 s", n, h.watches)
+			t.Errorf("%d dispatchers: list requested %d times in the first 2 s", n, h.watches)
 		}
 		for range 20 {
 			before := h.watches
 			h.d.List(h.now, ListFailed, nil)
 			if h.run(h.now + time.Second); h.watches != before+1 {
-				t.Errorf("%d dispatchers: asked %d times within a second of a failure", n, h.watches-before)
+				t.Errorf("%d dispatchers: list requested %d times within a second of a failure", n, h.watches-before)
 			}
 		}
 	}
 }
 
-// TestNothingBeforeTheList: a process that has just started may hold an old list, and what discovery has counts as told to it. It
-// sends nothing before it has heard that, or for 8.5 s where discovery says nothing, and each job still gets its answer.
-func TestNothingBeforeTheList(t *testing.T) {
+// TestNoJobsBeforeTheList checks that a process that has just started, whose list may be old, sends nothing before
+// discovery has reported its list, or for 8.5 s if discovery does not answer, and that each job still gets its answer.
+func TestNoJobsBeforeTheList(t *testing.T) {
 	s := settings()
 	s.FreeSlots, s.ListOnRequest, s.WaitForList = -1, true, true
 	start := func() *host {
@@ -475,7 +476,7 @@
 		h.run(h.now + 2*time.Second)
 		h.d.List(h.now, ListFailed, nil)
 		if len(h.sends) > 0 || h.d.HasList() || h.answered[1] != "" || h.answered[2] != "failed" {
-			t.Errorf("before the list: sent to %v, sees %v, answers %v", h.sends, h.d.HasList(), h.answered)
+			t.Errorf("before the list: sent to %v, has list %v, answers %v", h.sends, h.d.HasList(), h.answered)
 		}
 		return h
 	}
@@ -483,7 +484,7 @@
 	h.d.List(h.now, ListChanges, []Worker{{ID: 1, Weight: 1, State: Draining}})
 	h.d.ListComplete(h.now)
 	if !reflect.DeepEqual(h.sends, []WorkerID{2}) || !h.d.HasList() {
-		t.Errorf("after the list: sent to %v, sees %v", h.sends, h.d.HasList())
+		t.Errorf("after the list: sent to %v, has list %v", h.sends, h.d.HasList())
 	}
 	h = start()
 	h.run(1008 * time.Second)
@@ -492,17 +493,17 @@
 		t.Errorf("sent to %v before 8.5 s", h.sends)
 	}
 	if h.run(1008*time.Second + 501*ms); len(h.sends) != 1 || !h.d.HasList() {
-		t.Errorf("after 8.5 s: sent to %v, sees %v", h.sends, h.d.HasList())
+		t.Errorf("after 8.5 s: sent to %v, has list %v", h.sends, h.d.HasList())
 	}
-	s.ListInherited = true // it has the list of a process that was there till now
+	s.ListInherited = true // it has the list of the process that it replaces
 	if h = newHost(t, s, fleet(1, 1)...); !h.d.HasList() {
-		t.Error("a process that follows another waits for a list")
+		t.Error("a process with an inherited list waits for a new one")
 	}
 }
 
-// TestProbesByFleetSize: a worker that is out is probed by one dispatcher after 0.1 s for each there is, also where probes go on
-// failing. Before, each probed it every quarter of a second or so.
-func TestProbesByFleetSize(t *testing.T) {
+// TestProbeRateIsSharedByDispatchers checks that a dispatcher probes an excluded worker after 0.1 s for each dispatcher
+// there is, also while probes keep failing, and not every quarter of a second regardless of their number.
+func TestProbeRateIsSharedByDispatchers(t *testing.T) {
 	for n, most := range map[int]int{1: 60, 80: 6} { // in 30 s
 		s := settings()
 		s.FreeSlots, s.Dispatchers = -1, n
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -18,7 +18,7 @@
 	return ws
 }
 
-// quiet is a host that only counts.
+// quiet is a host that only counts sends.
 type quiet struct{ sends map[WorkerID]int }
 
 func (q quiet) Send(_ JobID, w WorkerID, _ time.Duration) { q.sends[w]++ }
@@ -30,16 +30,16 @@
 func (quiet) Log(string)                                  {}
 func (quiet) Timer(time.Duration, uint64)                 {}
 
-// TestColdWorkerAmongHundredsOfDispatchers: each dispatcher has few jobs, so the sum over all must use the ramp of a
-// cold worker and keep to it.
+// TestColdWorkerAmongHundredsOfDispatchers checks that all dispatchers together, each with few jobs, use the ramp of a
+// cold worker and do not exceed it.
 func TestColdWorkerAmongHundredsOfDispatchers(t *testing.T) {
 	for _, fee := range []float64{0, 0.02} {
 		s := settings()
 		s.Dispatchers, s.CrossZoneFee = 400, fee
-		s.Classes[0].RuntimeFactor = 20 // so that slowness alone bars nobody
+		s.Classes[0].RuntimeFactor = 20 // so that slowness alone excludes no worker
 		now := 1000 * time.Second
 		ws := large(200)
-		ws[77].Up = now // at the start capacity
+		ws[77].Up = now // has just started
 		q := quiet{sends: map[WorkerID]int{}}
 		const jobs = 50
 		for n := range s.Dispatchers {
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestTurnsOfHundredsOfDispatchersAreEven: first jobs of all dispatchers spread by the offset alone.
+// TestTurnsOfHundredsOfDispatchersAreEven checks that the offset alone spreads the first jobs of all dispatchers.
 func TestTurnsOfHundredsOfDispatchersAreEven(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 400
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestJobPathDoesNotAllocate bounds the allocations for a job with its outcome, at a small and a large fleet alike.
+// TestJobPathDoesNotAllocate checks that a job and its outcome allocate nothing, with a small and with a large fleet.
 func TestJobPathDoesNotAllocate(t *testing.T) {
 	for _, n := range []int{10, 300} {
 		play := jobPath(n)
@@ -92,7 +92,7 @@
 	}
 }
 
-// jobPath returns a function that plays one job and its outcome at a fleet of n workers.
+// jobPath returns a function that plays one job and its outcome with a fleet of n workers.
 func jobPath(n int) func() {
 	s := settings()
 	s.Dispatchers, s.CrossZoneFee = 400, 0.02
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestTimerAFractionEarly: a host's clock may be coarser than the time asked for; the look must not be lost.
-func TestTimerAFractionEarly(t *testing.T) {
+// TestEarlyTimerIsNotLost checks that a timer may fire slightly early, as the clock of a host may be coarse.
+func TestEarlyTimerIsNotLost(t *testing.T) {
 	h := newHost(t, settings())
 	h.job(1, 4)
 	for range 10000 {
@@ -147,13 +147,13 @@
 	}
 }
 
-func TestLastAttemptsAreNotTakenBack(t *testing.T) {
+func TestLastAttemptsAreNotWithdrawn(t *testing.T) {
 	for _, most := range []int{1, 2} {
-		lastAttemptsAreNotTakenBack(t, most)
+		lastAttemptsAreNotWithdrawn(t, most)
 	}
 }
 
-func lastAttemptsAreNotTakenBack(t *testing.T, most int) {
+func lastAttemptsAreNotWithdrawn(t *testing.T, most int) {
 	s := settings()
 	s.MaxAttempts = most
 	h := newHost(t, s, fleet(1, 1)...)
@@ -163,13 +163,13 @@
 	h.run(h.now + 300*ms)
 	for _, a := range h.acts {
 		if a == "cancel 1 0" {
-			t.Error("the last attempt was taken back: the job can only be refused then")
+			t.Error("the last attempt was withdrawn: the job can only be refused then")
 		}
 	}
 }
 
-// TestRoughWeightsFollowTheKindsPace: rough weights leave out the speed; the turns must not.
-func TestRoughWeightsFollowTheKindsPace(t *testing.T) {
+// TestRoughWeightsAreCorrectedByMeasuredSpeed checks that the turns follow the speed, which rough weights leave out.
+func TestRoughWeightsAreCorrectedByMeasuredSpeed(t *testing.T) {
 	s := settings()
 	s.RoughWeights = true
 	s.Classes[0].TargetLatency = 2 * time.Second
@@ -193,10 +193,11 @@
 	}
 }
 
-// TestZeroIsHeardAgain: a full worker reports the same 0 for long; it must not be taken for an old report.
-func TestZeroIsHeardAgain(t *testing.T) {
+// TestRepeatedZeroReportCounts checks that the report of a full worker, which stays 0 for long, is not taken for an old
+// one.
+func TestRepeatedZeroReportCounts(t *testing.T) {
 	s := settings()
-	s.ReportsStart = false // where starts are told, what waits is seen and trying costs little
+	s.ReportsStart = false // where starts are reported, waiting jobs are detected and a trial costs little
 	h := newHost(t, s, fleet(1, 1)...)
 	h.d.Probed(h.now, 1, OK, []float32{4})
 	h.d.Probed(h.now, 2, OK, []float32{4})
@@ -214,7 +215,7 @@
 	}
 }
 
-func TestOddSettingsAndListsDoNoHarm(t *testing.T) {
+func TestInvalidSettingsAndListsAreHandled(t *testing.T) {
 	for _, n := range []int{-1, 0, 1, 100_000} {
 		for _, number := range []int{-5, 0, 99_999_999} {
 			s := settings()
@@ -240,8 +241,8 @@
 	}
 }
 
-// TestUselessWaitingJobIsWithdrawn: a job that still waits when it can earn nothing must not keep others waiting.
-func TestUselessWaitingJobIsWithdrawn(t *testing.T) {
+// TestWorthlessWaitingJobIsWithdrawn checks that a job that waits until its answer is worthless does not delay others.
+func TestWorthlessWaitingJobIsWithdrawn(t *testing.T) {
 	s := settings()
 	s.Classes[0].LateValue = 0
 	h := newHost(t, s, fleet(1)...)
--- a/balance/zone_test.go
+++ b/balance/zone_test.go
@@ -9,7 +9,7 @@
 	. "liftgauge/balance"
 )
 
-// last is a host that keeps the last job's worker.
+// last is a host that keeps the worker of the last job.
 type last struct {
 	quiet
 	to WorkerID
@@ -17,7 +17,7 @@
 
 func (l *last) Send(_ JobID, w WorkerID, _ time.Duration) { l.to = w }
 
-// inZone is a dispatcher of many in a zone, among workers of even ids in zone 1 and odd ones in zone 0.
+// inZone is one of many dispatchers, in a zone. Workers with even ids are in zone 1, those with odd ids in zone 0.
 type inZone struct {
 	d    *Dispatcher
 	at   *last
@@ -34,12 +34,12 @@
 	return z
 }
 
-// job plays a job that meets a queue with a probability that its zone gives, and says whether it left its own.
+// job plays a job that meets a queue with a probability that depends on the zone, and reports whether it left the own zone.
 func (z *inZone) job(now time.Duration, waits func(zone int) bool) (left bool) {
 	z.id++
 	z.d.Job(now, Job{ID: z.id, Left: 5 * time.Second, Slots: 1})
 	zone := 1 - int(z.at.to)%2
-	if waits(zone) { // its start is due after 17 ms, and a look follows
+	if waits(zone) { // its start is due after 17 ms, and a check follows
 		z.d.Timer(now+40*ms, uint64(z.id)<<2|2)
 		z.d.Started(now+50*ms, z.id, 0)
 	} else {
@@ -49,7 +49,7 @@
 	return zone != z.zone
 }
 
-// twoZones lists n workers in each of two zones.
+// twoZones returns n workers in each of two zones.
 func twoZones(n int) (ws []Worker) {
 	for i := range 2 * n {
 		ws = append(ws, Worker{ID: WorkerID(i + 1), Weight: 1, Zone: i % 2, Cell: i % 8})
@@ -57,9 +57,9 @@
 	return ws
 }
 
-// TestCrowdedZoneIsLeft: a dispatcher with one or two jobs a second, whose jobs meet queues in its zone and none elsewhere, sends most
-// elsewhere within ten jobs; it comes back within as many once there are no queues, and does not leave where both zones are full.
-func TestCrowdedZoneIsLeft(t *testing.T) {
+// TestJobsLeaveCrowdedZone: a dispatcher with one or two jobs a second, which meet queues in its zone and none elsewhere, sends most of
+// them elsewhere within ten jobs. It returns within as many once there are no queues, and stays if both zones are full.
+func TestJobsLeaveCrowdedZone(t *testing.T) {
 	z := newInZone(3, 300, 0, twoZones(30))
 	now := 1000 * time.Second
 	play := func(n int, waits func(int) bool) (left int) {
@@ -89,17 +89,17 @@
 	}
 }
 
-// TestZonesSettle: all dispatchers of a zone that has more than its workers can do decide alike, by what they met some seconds
-// ago. The more jobs come to a zone the more of them meet queues. What leaves settles, with one dispatcher as with 300, near what
-// evens the zones out, and does not swing.
-func TestZonesSettle(t *testing.T) {
+// TestZoneLoadsConverge: all dispatchers of an overloaded zone decide alike, by the queues that they met some seconds ago. The more jobs
+// come to a zone, the more of them meet queues. The share that leaves must converge, with 8 dispatchers as with 300, near the one that
+// balances the zones, and must not oscillate.
+func TestZoneLoadsConverge(t *testing.T) {
 	for _, n := range []int{8, 30, 100, 300} {
 		rng := rand.New(rand.NewPCG(uint64(n), 7))
 		var all []*inZone
 		for i := range n {
 			all = append(all, newInZone(i, max(n, 20), 0, twoZones(30)))
 		}
-		// Zone 0 asks for 1.2 of what its workers do, zone 1 for 0.4 by dispatchers that are not played.
+		// The load of zone 0 is 1.2 times its capacity; that of zone 1 is 0.4, from dispatchers that are not simulated.
 		const rate, step = 1.4, 100 * time.Millisecond
 		load := [2]float64{1.2, 0.4}
 		var left, jobs [60]float64
@@ -119,7 +119,7 @@
 					sent[0]++
 				}
 			}
-			per := 1.2 / (float64(n) * rate * step.Seconds()) // each job is so much of a zone
+			per := 1.2 / (float64(n) * rate * step.Seconds()) // load of one job, as a share of a zone
 			for zone, own := range []float64{0, 0.4} {
 				load[zone] += (own + sent[zone]*per - load[zone]) * step.Seconds() // queues fill and drain in a second
 			}
@@ -131,11 +131,11 @@
 			}
 			return l / max(j, 1)
 		}
-		if got := share(20, 60); got < 0.15 || got > 0.5 { // a third evens the zones out
+		if got := share(20, 60); got < 0.15 || got > 0.5 { // a third balances the zones
 			t.Errorf("%d dispatchers: %.2f of the jobs leave", n, got)
 		}
 		if n < 100 {
-			continue // too few jobs in 5 s to tell a swing from chance
+			continue // too few jobs in 5 s to tell an oscillation from chance
 		}
 		for s := 20; s < 60; s += 5 {
 			if got, mean := share(s, s+5), share(20, 60); math.Abs(got-mean) > 0.12 {
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestReturnedColdZoneIsSpared: jobs that leave a crowded zone for one that has just come back cold go there by the ramp, as all
-// others do: what comes to a cold worker from both zones stays under what the rule allows.
-func TestReturnedColdZoneIsSpared(t *testing.T) {
+// TestReturnedColdZoneIsNotOverloaded: jobs that leave a crowded zone for one that has just returned cold follow the ramp as all others do.
+// The jobs that a cold worker gets from both zones stay below what the overload rule allows.
+func TestReturnedColdZoneIsNotOverloaded(t *testing.T) {
 	const dispatchers, workers = 200, 20
 	now := 1000 * time.Second
 	cold := twoZones(workers)
@@ -178,13 +178,13 @@
 	s := settings()
 	warm, got := count(nil), count(cold)
 	if most := 0.7 * s.OverloadFactor * s.StartCapacity * warm; got > most || got == 0 {
-		t.Errorf("%.0f jobs came to the cold zone, %.0f to it when warm; %.0f fit the ramp", got, warm, most)
+		t.Errorf("%.0f jobs went to the cold zone, %.0f to the warm one; %.0f fit the ramp", got, warm, most)
 	}
 }
 
-// TestLastWorkerOfAZoneIsSpared: where a zone has lost all but one worker, which comes back cold, every turn of the zone's period is
-// that worker's. It gets no more of its zone's jobs than if the zone had its even part of all workers.
-func TestLastWorkerOfAZoneIsSpared(t *testing.T) {
+// TestLastColdWorkerOfAZoneIsNotOverloaded: if a zone has lost all workers but one, which returns cold, that one has every turn of the
+// period of the zone. It must get no more jobs of its zone than if the zone had an even share of all workers.
+func TestLastColdWorkerOfAZoneIsNotOverloaded(t *testing.T) {
 	const dispatchers, workers, jobs = 200, 20, 10
 	now := 1000 * time.Second
 	var left []Worker
@@ -209,14 +209,14 @@
 		}
 	}
 	s := settings()
-	warm := float64(dispatchers*jobs) / float64(len(left)) // what it would get of all jobs
+	warm := float64(dispatchers*jobs) / float64(len(left)) // its share of all jobs if warm
 	if most := 0.7 * s.OverloadFactor * s.StartCapacity * warm; float64(got) > most || got == 0 {
-		t.Errorf("%d jobs came to the cold worker, %.0f fit the ramp", got, most)
+		t.Errorf("%d jobs went to the cold worker, %.0f fit the ramp", got, most)
 	}
 }
 
-// TestLostZoneGetsNoOverflow: where no connection to the other zone comes up, what left for it comes back.
-func TestLostZoneGetsNoOverflow(t *testing.T) {
+// TestUnreachableZoneGetsNoOverflow checks that jobs stop leaving for a zone to which no connection can be made.
+func TestUnreachableZoneGetsNoOverflow(t *testing.T) {
 	z := newInZone(3, 300, 0, twoZones(30))
 	now, there := 1000*time.Second, 0
 	for i := range 60 {
@@ -236,6 +236,6 @@
 		z.d.Outcome(now+100*ms, Outcome{Job: z.id, Status: OK, Closed: true})
 	}
 	if there > 10 {
-		t.Errorf("%d of 40 jobs were sent first to a zone that is lost", there)
+		t.Errorf("%d of 40 jobs were sent first to an unreachable zone", there)
 	}
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -24,15 +24,16 @@
 	return f
 }
 
-func TestOff(t *testing.T) {
+func TestWithoutGearman(t *testing.T) {
 	table, err := New(names, classes, nil)
 	if err != nil || !reflect.DeepEqual(table.Classes(), classes) || table.HostClasses(0) != nil || len(table.Functions()) != 0 {
 		t.Errorf("%v, %+v", err, table)
 	}
 }
 
-// TestDefaults: function = class name, foreground and background apart, a client id is a cell.
-func TestDefaults(t *testing.T) {
+// TestDefaultFunctions checks that without settings each class is a function, with separate foreground and background classes, and each
+// client id is a cell.
+func TestDefaultFunctions(t *testing.T) {
 	table, err := New(names, classes, &settings.Gearman{})
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +48,7 @@
 		t.Errorf("%+v, %+v", fg, bg)
 	}
 	if all[0].Lane != 0 || all[1].Lane != 0 {
-		t.Error("HTTP jobs that only hosts serve have left their lane")
+		t.Error("the lane of HTTP jobs that only hosts serve changed")
 	}
 	one := table.WorkerClasses("x", func(f string) bool { return f == "send-warning" })
 	for i, runs := range one {
@@ -62,7 +63,7 @@
 		t.Errorf("a host of the kind: %v", runs)
 	}
 	if table.Cell("a", 1) != table.Cell("a", 2) || table.Cell("a", 1) == table.Cell("b", 1) || table.Cell("", 1) == table.Cell("", 2) {
-		t.Error("cells")
+		t.Error("cells do not depend on the client id alone, or on the number where there is none")
 	}
 }
 
@@ -101,22 +102,22 @@
 		t.Errorf("hosts: %v", runs)
 	}
 	if c := table.Classes(); c[0].Lane == 0 || c[1].Lane != 0 || c[0].Lane == c[rain.Foreground].Lane {
-		t.Error("lanes")
+		t.Error("lanes of classes that run on different workers are not separate")
 	}
 	if table.FunctionOf(0) != "rain" || table.FunctionOf(1) != "send-warning" || table.FunctionOf(7) != "" {
-		t.Error("functions of classes")
+		t.Error("FunctionOf returns wrong functions")
 	}
 	if table.Cell("rain-n1", 1) != table.Cell("rain-n2", 2) || table.Cell("rain-s1", 1) == table.Cell("rain-n2", 2) || table.Kind("rain-s") == table.Kind("x") {
-		t.Error("cells and kinds")
+		t.Error("cells and kinds do not follow the configured groups")
 	}
 	if rain.Priority(Low) != High || siren.Priority(Low) != Low {
-		t.Error("priorities")
+		t.Error("a configured priority must override that of the packet, and only then")
 	}
 	if h := siren.Hint([]byte(`{"us":250}`)); h != 250*time.Microsecond+10 {
 		t.Errorf("hint %v", h)
 	}
 	if h := siren.Hint(make([]byte, 2048)); h != 2048 {
-		t.Errorf("hint of what is no JSON: %v", h)
+		t.Errorf("hint of data that is not JSON: %v", h)
 	}
 	other := *g
 	other.Functions = map[string]settings.Function{"rain": g.Functions["rain"], "siren": function(func(f *settings.Function) { f.Class, f.Patience = "send-warning", 1 })}
@@ -126,7 +127,7 @@
 	}
 }
 
-func TestMistakes(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, g := range map[string]*settings.Gearman{
 		"gearman.functions.f.class: want a class": {Functions: map[string]settings.Function{"f": settings.DefaultFunction()}},
 		"gearman.functions.send-warning.pools: want the name of a pool, have \"x\"": {Functions: map[string]settings.Function{
