--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -19,7 +19,7 @@
 	d        *Dispatcher
 	now      time.Duration
 	timers   []timer
-	acts     []string
+	actions  []string
 	sends    []WorkerID
 	sentFor  map[JobID][]WorkerID
 	answered map[JobID]string
@@ -33,13 +33,13 @@
 	token uint64
 }
 
-func (h *host) add(f string, a ...any) { h.acts = append(h.acts, fmt.Sprintf(f, a...)) }
+func (h *host) record(f string, a ...any) { h.actions = append(h.actions, fmt.Sprintf(f, a...)) }
 
 func (h *host) Send(j JobID, w WorkerID, _ time.Duration) {
 	if h.answered[j] != "" {
 		h.t.Errorf("job %d sent after its final answer", j)
 	}
-	h.add("send %d %d", j, w)
+	h.record("send %d %d", j, w)
 	h.sends = append(h.sends, w)
 	h.sentFor[j] = append(h.sentFor[j], w)
 }
@@ -49,13 +49,13 @@
 		h.t.Errorf("job %d answered twice", j)
 	}
 	h.answered[j] = how
-	h.add("%s %d", how, j)
+	h.record("%s %d", how, j)
 }
 
 func (h *host) Refuse(j JobID, _ time.Duration) { h.final(j, "refused") }
 func (h *host) Fail(j JobID)                    { h.final(j, "failed") }
-func (h *host) Cancel(j JobID, n int)           { h.add("cancel %d %d", j, n) }
-func (h *host) Probe(w WorkerID)                { h.add("probe %d", w); h.probes = append(h.probes, w) }
+func (h *host) Cancel(j JobID, n int)           { h.record("cancel %d %d", j, n) }
+func (h *host) Probe(w WorkerID)                { h.record("probe %d", w); h.probes = append(h.probes, w) }
 func (h *host) Watch()                          { h.watches++ }
 func (h *host) Log(string)                      {}
 func (h *host) Timer(after time.Duration, token uint64) {
--- a/balance/failures_test.go
+++ b/balance/failures_test.go
@@ -155,7 +155,7 @@
 func TestLossyZoneGetsFewerJobs(t *testing.T) {
 	s := settings()
 	s.CanProbe = false
-	h := newHost(t, s, large(40)...)
+	h := newHost(t, s, largeFleet(40)...)
 	play := func(from, n int, lost bool) (far int) {
 		for i := range n {
 			id := JobID(from + i)
@@ -224,22 +224,22 @@
 	s := settings()
 	s.FreeSlots, s.CanCancel = -1, false
 	h := newHost(t, s, fleet(1, 1)...)
-	silent, silentJob := 0, JobID(0)
+	unstarted, unstartedJob := 0, JobID(0)
 	for id := JobID(1); id <= 40; id++ {
 		h.job(id, 4)
 		h.run(h.now + 20*ms)
 		if h.sentFor[id][0] == 1 {
-			silent, silentJob = silent+1, id
+			unstarted, unstartedJob = unstarted+1, id
 			continue
 		}
 		h.d.Started(h.now, id, 0)
 		h.end(id, OK)
 	}
-	if silent != 1 {
-		t.Errorf("%d of 40 jobs went to a worker that starts none, want 1", silent)
+	if unstarted != 1 {
+		t.Errorf("%d of 40 jobs went to a worker that starts none, want 1", unstarted)
 	}
-	h.d.Started(h.now, silentJob, 0)
-	h.end(silentJob, OK)
+	h.d.Started(h.now, unstartedJob, 0)
+	h.end(unstartedJob, OK)
 	h.serve(100, 20)
 	if !slices.Contains(h.sends, 1) {
 		t.Error("the worker gets no job although it has started the one that it had")
@@ -258,11 +258,11 @@
 			h.d.Written(h.now, 1, 0, c.fresh)
 		}
 		h.run(h.now + 50*ms) // three times startTimeout
-		if waits := slices.Contains(h.acts, "cancel 1 0"); waits != c.waits {
+		if waits := slices.Contains(h.actions, "cancel 1 0"); waits != c.waits {
 			t.Errorf("written %v, fresh %v: waits %v", c.written, c.fresh, waits)
 		}
 		h.run(h.now + 50*ms)
-		if waits := slices.Contains(h.acts, "cancel 1 0"); waits != c.written {
+		if waits := slices.Contains(h.actions, "cancel 1 0"); waits != c.written {
 			t.Errorf("written %v, fresh %v: waits %v in the end", c.written, c.fresh, waits)
 		}
 	}
@@ -319,11 +319,11 @@
 		h.job(1, c.class)
 		for range s.MaxAttempts {
 			h.run(h.now + 50*ms) // its start is due after 17 ms
-			if n := len(h.sentFor[1]); len(h.acts) > 0 && h.acts[len(h.acts)-1] == fmt.Sprintf("cancel 1 %d", n-1) {
+			if n := len(h.sentFor[1]); len(h.actions) > 0 && h.actions[len(h.actions)-1] == fmt.Sprintf("cancel 1 %d", n-1) {
 				h.end(1, Cancelled)
 			}
 		}
-		got := slices.DeleteFunc(slices.Clone(h.acts), func(a string) bool { return !strings.HasPrefix(a, "cancel") })
+		got := slices.DeleteFunc(slices.Clone(h.actions), func(a string) bool { return !strings.HasPrefix(a, "cancel") })
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%d dispatchers, class %d: %q, want %q", c.dispatchers, c.class, got, c.want)
 		}
--- a/balance/lanes_test.go
+++ b/balance/lanes_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// pulls is a host that records sends, for workers that pull or run some classes only.
-type pulls struct {
+// sendRecorder is a host that records sends, for workers that pull or run some classes only.
+type sendRecorder struct {
 	sends []WorkerID
 	jobs  []JobID
 	now   time.Duration
 }
 
-func (p *pulls) Send(j JobID, w WorkerID, _ time.Duration) {
+func (p *sendRecorder) Send(j JobID, w WorkerID, _ time.Duration) {
 	p.sends, p.jobs = append(p.sends, w), append(p.jobs, j)
 }
-func (p *pulls) Refuse(JobID, time.Duration) {}
-func (p *pulls) Fail(JobID)                  {}
-func (p *pulls) Cancel(JobID, int)           {}
-func (p *pulls) Probe(WorkerID)              {}
-func (p *pulls) Watch()                      {}
-func (p *pulls) Log(string)                  {}
-func (p *pulls) Timer(time.Duration, uint64) {}
+func (p *sendRecorder) Refuse(JobID, time.Duration) {}
+func (p *sendRecorder) Fail(JobID)                  {}
+func (p *sendRecorder) Cancel(JobID, int)           {}
+func (p *sendRecorder) Probe(WorkerID)              {}
+func (p *sendRecorder) Watch()                      {}
+func (p *sendRecorder) Log(string)                  {}
+func (p *sendRecorder) Timer(time.Duration, uint64) {}
 
 func pullSettings() Settings {
 	class := Class{TargetLatency: 200 * time.Millisecond, Value: 1, LateValue: 0.5, Limit: 5 * time.Second, Kind: -1}
@@ -36,7 +36,7 @@
 // TestLanesDoNotBlockEachOther checks that jobs that no worker runs do not block those of another lane, and that no job
 // goes to a worker that does not run its class.
 func TestLanesDoNotBlockEachOther(t *testing.T) {
-	p := &pulls{now: time.Hour}
+	p := &sendRecorder{now: time.Hour}
 	d := New(pullSettings(), 1, p)
 	d.Start(p.now)
 	d.List(p.now, ListFull, []Worker{{ID: 1, Weight: 1, Slots: 1, Pulls: true, Runs: []bool{false, true}}, {ID: 2, Weight: 1, Runs: []bool{false, false}}})
@@ -60,7 +60,7 @@
 // TestColdPullingWorkerGetsOneJobAtOnce checks that a pulling worker that has just joined gets a job immediately,
 // although it is cold, and never more than one.
 func TestColdPullingWorkerGetsOneJobAtOnce(t *testing.T) {
-	p := &pulls{now: time.Hour}
+	p := &sendRecorder{now: time.Hour}
 	d := New(pullSettings(), 1, p)
 	d.Start(p.now)
 	workers := []Worker{{ID: 1, Weight: 1, Slots: 1, Pulls: true, Up: p.now}}
--- a/balance/report_test.go
+++ b/balance/report_test.go
@@ -8,8 +8,8 @@
 	. "liftgauge/balance"
 )
 
-// reported returns the settings of a deployment whose workers report free slots in every answer but not the start of a job.
-func reported() Settings {
+// reportSettings returns the settings of a deployment whose workers report free slots in every answer but not the start of a job.
+func reportSettings() Settings {
 	s := settings()
 	s.ReportsStart, s.FreeSlots = false, 0
 	for i := range s.Classes {
@@ -27,7 +27,7 @@
 
 // TestWorkerWithMostFreeSlotsComesFirst checks that workers with few free slots come last, and that the fixed order holds among the others.
 func TestWorkerWithMostFreeSlotsComesFirst(t *testing.T) {
-	h := newHost(t, reported(), fleet(1, 1, 1, 1)...)
+	h := newHost(t, reportSettings(), fleet(1, 1, 1, 1)...)
 	h.reports(4, 4, 4, 4) // their number of slots
 	for range 6 {
 		h.now += 400 * ms
@@ -48,7 +48,7 @@
 // TestQueueingTimeIsNotRunningTime guards against a vicious circle where starts are not reported: if the time of a job that had to wait
 // counts as its running time, short jobs are expected to be late everywhere and are given up unsent while workers are idle.
 func TestQueueingTimeIsNotRunningTime(t *testing.T) {
-	h := newHost(t, reported(), fleet(1, 1)...)
+	h := newHost(t, reportSettings(), fleet(1, 1)...)
 	h.reports(4, 4)
 	one := func(id JobID, took time.Duration) {
 		h.d.Job(h.now, Job{ID: id, Class: 4, Left: 5 * time.Second, Slots: 1, Hint: 100 * ms})
@@ -73,7 +73,7 @@
 // TestWrongHintsDoNotExcludeWorker checks that a few jobs that take thirty times as long as their hints do not make a worker look that
 // slow: such a worker got no more jobs.
 func TestWrongHintsDoNotExcludeWorker(t *testing.T) {
-	h := newHost(t, reported(), fleet(1, 1, 1)...)
+	h := newHost(t, reportSettings(), fleet(1, 1, 1)...)
 	h.reports(4, 4, 4)
 	serve := func(from JobID, n int, slow WorkerID) (to int) {
 		for i := range JobID(n) {
@@ -104,7 +104,7 @@
 // TestWorkerWithOldestReportIsProbed checks that the worker with the oldest report is probed when a job arrives, at most once a second for
 // each worker, but not if it is offline or if workers report nothing.
 func TestWorkerWithOldestReportIsProbed(t *testing.T) {
-	h := newHost(t, reported(), fleet(1, 1, 1, 1)...)
+	h := newHost(t, reportSettings(), fleet(1, 1, 1, 1)...)
 	h.reports(4, 4, 4, 4)
 	h.d.SetOffline(h.now, 3, true)
 	for i := range 40 {
@@ -112,14 +112,14 @@
 		h.job(JobID(i+1), 0)
 		h.end(JobID(i+1), OK)
 	}
-	asked := map[WorkerID]int{}
+	probed := map[WorkerID]int{}
 	for _, w := range h.probes {
-		asked[w]++
+		probed[w]++
 	}
-	if len(h.probes) < 9 || len(h.probes) > 12 || asked[3] > 0 || asked[1] < 3 || asked[2] < 3 || asked[4] < 3 {
-		t.Errorf("probes by worker %v in 4 s with 40 jobs, want 9 to 12 among three workers", asked)
+	if len(h.probes) < 9 || len(h.probes) > 12 || probed[3] > 0 || probed[1] < 3 || probed[2] < 3 || probed[4] < 3 {
+		t.Errorf("probes by worker %v in 4 s with 40 jobs, want 9 to 12 among three workers", probed)
 	}
-	s := reported()
+	s := reportSettings()
 	s.FreeSlots = -1
 	h = newHost(t, s, fleet(1, 1)...)
 	h.run(h.now + 10*time.Second)
@@ -131,7 +131,7 @@
 // TestUnhealthyWorkerIsExcluded checks that a worker that answers a probe as unhealthy gets no jobs until it answers one as healthy. A
 // worker that fails every job at once would otherwise keep its short queue, its turns and its good report.
 func TestUnhealthyWorkerIsExcluded(t *testing.T) {
-	h := newHost(t, reported(), fleet(1, 1, 1)...)
+	h := newHost(t, reportSettings(), fleet(1, 1, 1)...)
 	h.reports(4, 4, 4)
 	h.d.Probed(h.now, 2, Full, []float32{4})
 	for range 3 {
@@ -159,7 +159,7 @@
 		here, there float32
 		least, most int
 	}{{0, 3, 20, 100}, {3, 3, 0, 5}, {0, 0, 0, 5}} {
-		s := reported()
+		s := reportSettings()
 		s.Dispatchers, s.Zones, s.CrossZoneFee = 40, 2, 0.08
 		h := newHost(t, s, fleet(1, 1, 1, 1, 1, 1)...) // alternately in zone 0, the own one, and 1
 		h.reports(4, 4, 4, 4, 4, 4)
@@ -167,7 +167,7 @@
 		for i := range 100 {
 			h.run(h.now + 700*ms)
 			at := WorkerID(i%6 + 1)
-			free := []float32{c.there, c.here}[at%2] // one report for each job, as there is with thin traffic
+			free := []float32{c.there, c.here}[at%2] // one report for each job, as in sparse traffic
 			h.d.Probed(h.now, at, OK, []float32{free + float32(i%3)/100})
 			id := JobID(i + 1)
 			h.d.Job(h.now, Job{ID: id, Class: 4, Left: 5 * time.Second, Slots: 1, Hint: 300 * ms})
@@ -192,7 +192,7 @@
 		free float32
 		sent int
 	}{{1, 0}, {4, 1}} {
-		h := newHost(t, reported(), fleet(1)...)
+		h := newHost(t, reportSettings(), fleet(1)...)
 		h.reports(4)
 		for range 8 {
 			h.now += 300 * ms
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -124,7 +124,7 @@
 	h.d.Started(h.now, 1, 0)
 	h.d.Progress(h.now, 1, 0, 0.5)
 	h.run(h.now + 10*time.Second)
-	if !slices.Contains(h.acts, "cancel 1 0") {
+	if !slices.Contains(h.actions, "cancel 1 0") {
 		t.Error("the attempt of a disconnected client was not withdrawn")
 	}
 }
@@ -136,7 +136,7 @@
 		list []Worker
 	}{
 		{"draining", ListChanges, []Worker{{ID: 1, State: Draining, Weight: 1}}},
-		{"gone", ListChanges, []Worker{{ID: 1, State: Removed, Weight: 1}}},
+		{"removed", ListChanges, []Worker{{ID: 1, State: Removed, Weight: 1}}},
 		{"missing from a full list", ListFull, []Worker{{ID: 2, Weight: 1}}},
 	} {
 		h := newHost(t, settings(), fleet(1, 1)...)
@@ -299,8 +299,8 @@
 	h.d.Probed(h.now, 2, OK, []float32{2})
 	h.job(1, 0)
 	h.run(h.now + 50*ms)
-	if !slices.Contains(h.acts, "cancel 1 0") {
-		t.Fatalf("a job that does not start while another worker has room is not withdrawn: %v", h.acts)
+	if !slices.Contains(h.actions, "cancel 1 0") {
+		t.Fatalf("a job that does not start while another worker has room is not withdrawn: %v", h.actions)
 	}
 	h.end(1, Cancelled)
 	if len(h.sentFor[1]) != 2 || h.sentFor[1][0] == h.sentFor[1][1] {
@@ -378,7 +378,7 @@
 			}
 		}
 		h.run(h.now + 6*time.Second)
-		return h.acts
+		return h.actions
 	}
 	if a, b := play(), play(); !slices.Equal(a, b) {
 		t.Error("two runs on the same events differ")
@@ -416,13 +416,13 @@
 			h := newHost(t, s, fleet(1, 1, 1)...)
 			h.run(h.now + 10*time.Second)
 			h.d.List(h.now, ListFailed, nil)
-			asked := h.watches
+			requested := h.watches
 			h.run(h.now + 21*time.Second) // twice AskWithin at most
 			h.job(1, 0)
 			h.end(1, ConnectFailed)
 			h.end(1, OK)
-			if asked < 1 || h.watches <= asked || h.answered[1] != "served" {
-				t.Errorf("number %d of %d: list requested %d times, then %d, answer %q", number, n, asked, h.watches, h.answered[1])
+			if requested < 1 || h.watches <= requested || h.answered[1] != "served" {
+				t.Errorf("number %d of %d: list requested %d times, then %d, answer %q", number, n, requested, h.watches, h.answered[1])
 			}
 		}
 	}
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -9,8 +9,8 @@
 	. "liftgauge/balance"
 )
 
-// large returns a fleet of n workers of one kind in two zones.
-func large(n int) []Worker {
+// largeFleet returns a fleet of n workers of one kind in two zones.
+func largeFleet(n int) []Worker {
 	var ws []Worker
 	for i := range n {
 		ws = append(ws, Worker{ID: WorkerID(i + 1), Weight: 1, Zone: i % 2, Cell: i % 8})
@@ -18,17 +18,17 @@
 	return ws
 }
 
-// quiet is a host that only counts sends.
-type quiet struct{ sends map[WorkerID]int }
+// countingHost is a host that only counts sends.
+type countingHost struct{ sends map[WorkerID]int }
 
-func (q quiet) Send(_ JobID, w WorkerID, _ time.Duration) { q.sends[w]++ }
-func (quiet) Refuse(JobID, time.Duration)                 {}
-func (quiet) Fail(JobID)                                  {}
-func (quiet) Cancel(JobID, int)                           {}
-func (quiet) Probe(WorkerID)                              {}
-func (quiet) Watch()                                      {}
-func (quiet) Log(string)                                  {}
-func (quiet) Timer(time.Duration, uint64)                 {}
+func (q countingHost) Send(_ JobID, w WorkerID, _ time.Duration) { q.sends[w]++ }
+func (countingHost) Refuse(JobID, time.Duration)                 {}
+func (countingHost) Fail(JobID)                                  {}
+func (countingHost) Cancel(JobID, int)                           {}
+func (countingHost) Probe(WorkerID)                              {}
+func (countingHost) Watch()                                      {}
+func (countingHost) Log(string)                                  {}
+func (countingHost) Timer(time.Duration, uint64)                 {}
 
 // TestColdWorkerAmongHundredsOfDispatchers checks that all dispatchers together, each with few jobs, use the ramp of a
 // cold worker and do not exceed it.
@@ -38,9 +38,9 @@
 		s.Dispatchers, s.CrossZoneFee = 400, fee
 		s.Classes[0].RuntimeFactor = 20 // so that slowness alone excludes no worker
 		now := 1000 * time.Second
-		ws := large(200)
+		ws := largeFleet(200)
 		ws[77].Up = now // has just started
-		q := quiet{sends: map[WorkerID]int{}}
+		q := countingHost{sends: map[WorkerID]int{}}
 		const jobs = 50
 		for n := range s.Dispatchers {
 			s.Number, s.Zone = n, n%2
@@ -65,11 +65,11 @@
 func TestTurnsOfHundredsOfDispatchersAreEven(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 400
-	q := quiet{sends: map[WorkerID]int{}}
+	q := countingHost{sends: map[WorkerID]int{}}
 	for n := range s.Dispatchers {
 		s.Number = n
 		d := New(s, uint64(n), q)
-		d.List(0, ListCached, large(100))
+		d.List(0, ListCached, largeFleet(100))
 		d.Job(0, Job{ID: 1, Left: time.Second, Slots: 1})
 	}
 	for w, n := range q.sends {
@@ -96,10 +96,10 @@
 func jobPath(n int) func() {
 	s := settings()
 	s.Dispatchers, s.CrossZoneFee = 400, 0.02
-	d := New(s, 7, quiet{sends: map[WorkerID]int{}})
+	d := New(s, 7, countingHost{sends: map[WorkerID]int{}})
 	now := 1000 * time.Second
 	d.Start(now)
-	d.List(now, ListCached, large(n))
+	d.List(now, ListCached, largeFleet(n))
 	id := JobID(0)
 	report := []float32{2}
 	return func() {
@@ -161,7 +161,7 @@
 	h.d.Probed(h.now, 2, OK, []float32{2})
 	h.job(1, 0)
 	h.run(h.now + 300*ms)
-	for _, a := range h.acts {
+	for _, a := range h.actions {
 		if a == "cancel 1 0" {
 			t.Error("the last attempt was withdrawn: the job can only be refused then")
 		}
@@ -173,7 +173,7 @@
 	s := settings()
 	s.RoughWeights = true
 	s.Classes[0].TargetLatency = 2 * time.Second
-	ws := large(10)
+	ws := largeFleet(10)
 	for i := range ws {
 		ws[i].Kind = i % 2
 	}
@@ -220,7 +220,7 @@
 		for _, number := range []int{-5, 0, 99_999_999} {
 			s := settings()
 			s.Dispatchers, s.Number = n, number
-			h := newHost(t, s, large(5000)...)
+			h := newHost(t, s, largeFleet(5000)...)
 			nan := math.NaN()
 			h.d.List(h.now, ListChanges, []Worker{{ID: 1, Weight: nan}, {ID: 2, Weight: -1}, {ID: 3, Weight: math.Inf(1)},
 				{ID: 4}, {ID: 5, Zone: -7, Kind: -9, State: 77}})
@@ -248,7 +248,7 @@
 	h := newHost(t, s, fleet(1)...)
 	h.job(1, 0)
 	h.run(h.now + 700*ms)
-	if h.answered[1] != "refused" || h.acts[len(h.acts)-1] != "cancel 1 0" {
-		t.Errorf("%v, want a refusal and the attempt withdrawn", h.acts)
+	if h.answered[1] != "refused" || h.actions[len(h.actions)-1] != "cancel 1 0" {
+		t.Errorf("%v, want a refusal and the attempt withdrawn", h.actions)
 	}
 }
--- a/balance/zone_test.go
+++ b/balance/zone_test.go
@@ -9,33 +9,33 @@
 	. "liftgauge/balance"
 )
 
-// last is a host that keeps the worker of the last job.
-type last struct {
-	quiet
+// lastSendHost is a host that keeps the worker of the last job.
+type lastSendHost struct {
+	countingHost
 	to WorkerID
 }
 
-func (l *last) Send(_ JobID, w WorkerID, _ time.Duration) { l.to = w }
+func (l *lastSendHost) Send(_ JobID, w WorkerID, _ time.Duration) { l.to = w }
 
-// inZone is one of many dispatchers, in a zone. Workers with even ids are in zone 1, those with odd ids in zone 0.
-type inZone struct {
+// zoneDispatcher is one of many dispatchers, in a zone. Workers with even ids are in zone 1, those with odd ids in zone 0.
+type zoneDispatcher struct {
 	d    *Dispatcher
-	at   *last
+	at   *lastSendHost
 	zone int
 	id   JobID
 }
 
-func newInZone(n, of, zone int, workers []Worker) *inZone {
+func newZoneDispatcher(n, of, zone int, workers []Worker) *zoneDispatcher {
 	s := settings()
 	s.Dispatchers, s.Number, s.Zone, s.Zones, s.CrossZoneFee, s.FreeSlots = of, n, zone, 2, 0.02, -1
-	z := &inZone{at: &last{}, zone: zone}
+	z := &zoneDispatcher{at: &lastSendHost{}, zone: zone}
 	z.d = New(s, uint64(n)*0x9e3779b97f4a7c15, z.at)
 	z.d.List(1000*time.Second, ListCached, workers)
 	return z
 }
 
 // job plays a job that meets a queue with a probability that depends on the zone, and reports whether it left the own zone.
-func (z *inZone) job(now time.Duration, waits func(zone int) bool) (left bool) {
+func (z *zoneDispatcher) job(now time.Duration, waits func(zone int) bool) (left bool) {
 	z.id++
 	z.d.Job(now, Job{ID: z.id, Left: 5 * time.Second, Slots: 1})
 	zone := 1 - int(z.at.to)%2
@@ -60,7 +60,7 @@
 // TestJobsLeaveCrowdedZone: a dispatcher with one or two jobs a second, which meet queues in its zone and none elsewhere, sends most of
 // them elsewhere within ten jobs. It returns within as many once there are no queues, and stays if both zones are full.
 func TestJobsLeaveCrowdedZone(t *testing.T) {
-	z := newInZone(3, 300, 0, twoZones(30))
+	z := newZoneDispatcher(3, 300, 0, twoZones(30))
 	now := 1000 * time.Second
 	play := func(n int, waits func(int) bool) (left int) {
 		for range n {
@@ -95,9 +95,9 @@
 func TestZoneLoadsConverge(t *testing.T) {
 	for _, n := range []int{8, 30, 100, 300} {
 		rng := rand.New(rand.NewPCG(uint64(n), 7))
-		var all []*inZone
+		var all []*zoneDispatcher
 		for i := range n {
-			all = append(all, newInZone(i, max(n, 20), 0, twoZones(30)))
+			all = append(all, newZoneDispatcher(i, max(n, 20), 0, twoZones(30)))
 		}
 		// The load of zone 0 is 1.2 times its capacity; that of zone 1 is 0.4, from dispatchers that are not simulated.
 		const rate, step = 1.4, 100 * time.Millisecond
@@ -111,8 +111,8 @@
 				}
 				second := (now - 1000*time.Second) / time.Second
 				jobs[second]++
-				gone := z.job(now, func(zone int) bool { return rng.Float64() < min(1, math.Pow(load[zone], 3)) })
-				if gone {
+				crossed := z.job(now, func(zone int) bool { return rng.Float64() < min(1, math.Pow(load[zone], 3)) })
+				if crossed {
 					left[second]++
 					sent[1]++
 				} else {
@@ -158,7 +158,7 @@
 	}
 	count := func(ws []Worker) (there float64) {
 		for n := range dispatchers {
-			z := newInZone(n, dispatchers, n%2, twoZones(workers))
+			z := newZoneDispatcher(n, dispatchers, n%2, twoZones(workers))
 			at := now - 20*time.Second
 			for range 20 {
 				at += 600 * ms
@@ -198,7 +198,7 @@
 	}
 	got := 0
 	for n := range dispatchers {
-		z := newInZone(n, dispatchers, n%2, twoZones(workers))
+		z := newZoneDispatcher(n, dispatchers, n%2, twoZones(workers))
 		z.d.List(now, ListFull, left)
 		for i := range jobs {
 			z.d.Job(now+time.Duration(i)*ms, Job{ID: JobID(1000 + i), Left: 5 * time.Second, Slots: 1})
@@ -217,7 +217,7 @@
 
 // TestUnreachableZoneGetsNoOverflow checks that jobs stop leaving for a zone to which no connection can be made.
 func TestUnreachableZoneGetsNoOverflow(t *testing.T) {
-	z := newInZone(3, 300, 0, twoZones(30))
+	z := newZoneDispatcher(3, 300, 0, twoZones(30))
 	now, there := 1000*time.Second, 0
 	for i := range 60 {
 		now += 600 * ms
