--- a/sim/dispatcher.go
+++ b/sim/dispatcher.go
@@ -110,9 +110,9 @@
 		}
 		for rank, d := range live {
 			if p, ok := d.policy.(interface {
-				Among(now time.Duration, number, dispatchers, inZone int)
+				SetDispatchers(now time.Duration, number, dispatchers, inZone int)
 			}); ok {
-				p.Among(d.clock(), rank, len(live), zone[d.station])
+				p.SetDispatchers(d.clock(), rank, len(live), zone[d.station])
 			}
 		}
 	})
