--- a/balance/api.go
+++ b/balance/api.go
@@ -37,7 +37,7 @@
 type Class struct {
 	TargetLatency time.Duration // an answer within this time is in time
 	RuntimeFactor float64       // the target grows by this many times the job's running time
-	Value         float64
+	Value         float64       // of an answer in time
 	LateValue     float64       // share of the value that a late answer still has
 	Limit         time.Duration // how long a client waits, over all its submissions
 	Effect        Effect
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -16,7 +16,7 @@
 	turnsPerWorker = 8   // mean turns of a worker in a period; more only refines the proportions
 	maxCandidates  = 32  // workers tried per job: its cost must not grow with the fleet
 	leaveFactor    = 3   // share of jobs that leave a zone, per difference in shares that met queues
-	leaveThreshold = 0.1 // subtracted first: crossing takes 60 ms of a mean queue's 0.5 s
+	leaveThreshold = 0.1 // subtracted from it: crossing costs some 60 ms, a queue 0.5 s on average
 
 	queueMemory = 4 * time.Second // how long a queue that a job met makes another likely
 
@@ -80,13 +80,13 @@
 // SetOffline excludes a worker on an operator's order, or readmits it. Neither the list nor measurements
 // override the order. A readmitted worker may have restarted before the list shows it: it counts as cold
 // (since its listed start, if that is new), its estimates are reset, and it gets the next job.
-func (d *Dispatcher) SetOffline(now time.Duration, id WorkerID, out bool) {
+func (d *Dispatcher) SetOffline(now time.Duration, id WorkerID, offline bool) {
 	since := d.offlineSince[id]
-	if (since > 0) == out {
+	if (since > 0) == offline {
 		return
 	}
 	d.offlineSince[id] = now
-	if w := d.workers[id]; !out {
+	if w := d.workers[id]; !offline {
 		delete(d.offlineSince, id)
 		d.readmitted = append(slices.DeleteFunc(d.readmitted, func(b WorkerID) bool { return b == id }), id)
 		if w != nil && w.State != Removed {
@@ -117,7 +117,7 @@
 	return !d.awaitingList && w.State == Ready && d.offlineSince[w.ID] == 0
 }
 
-const ownZone, wholeFleet, otherZones = 0, 1, 2 // scopes of a period
+const ownZone, wholeFleet, otherZones = 0, 1, 2 // scopes of a period: the workers that take part
 
 // period returns the ready workers that run a class, with interleaved turns in proportion to their size.
 func (d *Dispatcher) period(class, scope int) *period {
@@ -151,7 +151,7 @@
 }
 
 // size returns a worker's relative capacity: its weight, corrected by its kind's measured speed if weights
-// are rough. Sparse traffic does not see queues, which last longer at slow workers: they get fewer turns.
+// are rough. Sparse traffic does not see queues, which last longer at slow workers: those get fewer turns.
 func (d *Dispatcher) size(w *worker) float64 {
 	return math.Pow(w.nominal/w.kind.periodSlowdown, d.sizeExponent)
 }
@@ -162,7 +162,7 @@
 
 // warmth returns the share of its capacity that a worker has at least, at the slowest warm-up allowed.
 func (d *Dispatcher) warmth(now time.Duration, w *worker) float64 {
-	start := max(w.Up, w.readmittedAt) // readmitted: may have restarted unlisted
+	start := max(w.Up, w.readmittedAt) // a readmitted worker may have restarted, even if not listed so
 	age := now - start
 	if start == 0 || age >= d.cfg.WarmWithin {
 		return 1
@@ -170,8 +170,8 @@
 	return d.cfg.StartCapacity + (1-d.cfg.StartCapacity)*max(0, age.Seconds()/d.cfg.WarmWithin.Seconds())
 }
 
-// rampAllows limits a cold worker to half of what the overload rule allows, and to scheduled turns. Each turn
-// is drawn at random: saved-up turns of many dispatchers would coincide. Under overload fewer count.
+// rampAllows limits a cold worker to half of what the overload rule allows, in scheduled turns only. They are
+// drawn at random, as saved-up turns would coincide; under overload turns come faster and fewer count.
 func (d *Dispatcher) rampAllows(now time.Duration, r *request, w *worker, scheduled bool) bool {
 	c := d.warmth(now, w)
 	if c >= 1 || slices.Contains(d.readmitted, w.ID) || w.Pulls {
@@ -186,7 +186,7 @@
 		return true // most jobs are queued here
 	}
 	c *= d.cfg.OverloadFactor / 2 * max(0.3, d.placedShare) * (1 - d.rejectedShare)
-	if d.cfg.CrossZoneFee > 0 && w.Zone == d.cfg.Zone { // not all turns of a zone that lost the rest
+	if d.cfg.CrossZoneFee > 0 && w.Zone == d.cfg.Zone { // a zone's last workers must not get all its turns
 		near, all := len(d.period(r.class, ownZone).members), len(d.period(r.class, wholeFleet).members)
 		c *= min(1, float64(near*max(1, d.cfg.Zones))/float64(all))
 	}
@@ -254,7 +254,7 @@
 	}
 	limit := maxCandidates
 	if r.rules.Effect == Keyed && r.firstMayHaveRun() != nil {
-		limit, want = len(d.ready), r.slotsNeeded-1 // few may repeat it: try all, let it wait
+		limit, want = len(d.ready), r.slotsNeeded-1 // few workers may repeat it: try all, and let it wait
 	}
 	if w := d.readmittedWorker(now, r); w != nil {
 		return w
@@ -302,9 +302,9 @@
 	}
 	count := d.jobCount
 	if scope == otherZones {
-		count %= turnsPerWorker // few workers: connecting takes long; other dispatchers differ
+		count %= turnsPerWorker // only a few workers, as connecting is slow; other dispatchers use others
 	}
-	start := p.turns[(count+d.cfg.Number*(n+turnsPerWorker)/d.cfg.Dispatchers)%n] // +turns: not in step
+	start := p.turns[(count+d.cfg.Number*(n+turnsPerWorker)/d.cfg.Dispatchers)%n] // offset: not in lockstep
 	for i := range min(limit, len(p.members)) {
 		w := p.members[(start+i)%len(p.members)]
 		// More attempts are lost on the way there than here: skip most jobs; no worker is at fault.
