--- a/balance/pull_test.go
+++ b/balance/lanes_test.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// pulls is a host that notes sends, for workers that pull and run some classes only.
-type pulls struct {
+// sendRecorder is a host that records sends, for workers that pull or run some classes only.
+type sendRecorder struct {
 	sends []WorkerID
 	jobs  []JobID
 	now   time.Duration
 }
 
-func (p *pulls) Send(j JobID, w WorkerID, _ time.Duration) {
+func (p *sendRecorder) Send(j JobID, w WorkerID, _ time.Duration) {
 	p.sends, p.jobs = append(p.sends, w), append(p.jobs, j)
 }
-func (p *pulls) Refuse(JobID, time.Duration) {}
-func (p *pulls) Fail(JobID)                  {}
-func (p *pulls) Cancel(JobID, int)           {}
-func (p *pulls) Probe(WorkerID)              {}
-func (p *pulls) Watch()                      {}
-func (p *pulls) Log(string)                  {}
-func (p *pulls) Timer(time.Duration, uint64) {}
+func (p *sendRecorder) Refuse(JobID, time.Duration) {}
+func (p *sendRecorder) Fail(JobID)                  {}
+func (p *sendRecorder) Cancel(JobID, int)           {}
+func (p *sendRecorder) Probe(WorkerID)              {}
+func (p *sendRecorder) Watch()                      {}
+func (p *sendRecorder) Log(string)                  {}
+func (p *sendRecorder) Timer(time.Duration, uint64) {}
 
 func pullSettings() Settings {
-	class := Class{Aim: 200 * time.Millisecond, Worth: 1, LateWorth: 0.5, Limit: 5 * time.Second, Kind: -1}
+	class := Class{TargetLatency: 200 * time.Millisecond, Value: 1, LateValue: 0.5, Limit: 5 * time.Second, Kind: -1}
 	other := class
 	other.Lane = 1
-	return Settings{Classes: []Class{class, other}, Dispatchers: 1, Tick: 2 * time.Millisecond, TellsStart: true, MaxAttempts: 4,
+	return Settings{Classes: []Class{class, other}, Dispatchers: 1, Tick: 2 * time.Millisecond, ReportsStart: true, MaxAttempts: 4,
 		ConnectTimeout: 250 * time.Millisecond, FreeSlots: -1, FreeMemory: -1, StartCapacity: 0.3, WarmWithin: 8 * time.Second,
-		OverloadFactor: 2.5, FallTime: 2 * time.Second}
+		OverloadFactor: 2.5, OverloadTime: 2 * time.Second}
 }
 
-// TestLanes: jobs that no worker runs hold up none of another lane, and no job goes to a worker that does not run its class.
-func TestLanes(t *testing.T) {
-	p := &pulls{now: time.Hour}
+// TestLanesDoNotBlockEachOther checks that jobs that no worker runs do not block those of another lane, and that no job
+// goes to a worker that does not run its class.
+func TestLanesDoNotBlockEachOther(t *testing.T) {
+	p := &sendRecorder{now: time.Hour}
 	d := New(pullSettings(), 1, p)
 	d.Start(p.now)
 	d.List(p.now, ListFull, []Worker{{ID: 1, Weight: 1, Slots: 1, Pulls: true, Runs: []bool{false, true}}, {ID: 2, Weight: 1, Runs: []bool{false, false}}})
-	for id := range 40 { // far more than are looked at
+	for id := range 40 { // far more than are tried
 		d.Job(p.now, Job{ID: JobID(id + 1), Class: 0, Left: 5 * time.Second})
 	}
 	for id := range 3 {
@@ -52,13 +53,14 @@
 		d.Outcome(p.now, Outcome{Job: p.jobs[n], Worker: 1, Status: OK, Took: time.Millisecond})
 	}
 	if len(p.sends) != 3 {
-		t.Errorf("sends %v", p.sends)
+		t.Errorf("sends %v, want 3", p.sends)
 	}
 }
 
-// TestColdPull: a worker that pulls and has just come gets a job at once, though it is cold, and never more than one.
-func TestColdPull(t *testing.T) {
-	p := &pulls{now: time.Hour}
+// TestColdPullingWorkerGetsOneJobAtOnce checks that a pulling worker that has just joined gets a job immediately,
+// although it is cold, and never more than one.
+func TestColdPullingWorkerGetsOneJobAtOnce(t *testing.T) {
+	p := &sendRecorder{now: time.Hour}
 	d := New(pullSettings(), 1, p)
 	d.Start(p.now)
 	workers := []Worker{{ID: 1, Weight: 1, Slots: 1, Pulls: true, Up: p.now}}
--- a/balance/scale_test.go
+++ b/balance/scale_test.go
@@ -9,8 +9,8 @@
 	. "liftgauge/balance"
 )
 
-// large returns a fleet of n workers of one kind in two zones.
-func large(n int) []Worker {
+// largeFleet returns a fleet of n workers of one kind in two zones.
+func largeFleet(n int) []Worker {
 	var ws []Worker
 	for i := range n {
 		ws = append(ws, Worker{ID: WorkerID(i + 1), Weight: 1, Zone: i % 2, Cell: i % 8})
@@ -18,29 +18,29 @@
 	return ws
 }
 
-// quiet is a host that only counts.
-type quiet struct{ sends map[WorkerID]int }
+// countingHost is a host that only counts sends.
+type countingHost struct{ sends map[WorkerID]int }
 
-func (q quiet) Send(_ JobID, w WorkerID, _ time.Duration) { q.sends[w]++ }
-func (quiet) Refuse(JobID, time.Duration)                 {}
-func (quiet) Fail(JobID)                                  {}
-func (quiet) Cancel(JobID, int)                           {}
-func (quiet) Probe(WorkerID)                              {}
-func (quiet) Watch()                                      {}
-func (quiet) Log(string)                                  {}
-func (quiet) Timer(time.Duration, uint64)                 {}
+func (q countingHost) Send(_ JobID, w WorkerID, _ time.Duration) { q.sends[w]++ }
+func (countingHost) Refuse(JobID, time.Duration)                 {}
+func (countingHost) Fail(JobID)                                  {}
+func (countingHost) Cancel(JobID, int)                           {}
+func (countingHost) Probe(WorkerID)                              {}
+func (countingHost) Watch()                                      {}
+func (countingHost) Log(string)                                  {}
+func (countingHost) Timer(time.Duration, uint64)                 {}
 
-// TestColdWorkerAmongHundredsOfDispatchers: each dispatcher has few jobs, so the sum over all must use the ramp of a
-// cold worker and keep to it.
+// TestColdWorkerAmongHundredsOfDispatchers checks that all dispatchers together, each with few jobs, use the ramp of a
+// cold worker and do not exceed it.
 func TestColdWorkerAmongHundredsOfDispatchers(t *testing.T) {
 	for _, fee := range []float64{0, 0.02} {
 		s := settings()
 		s.Dispatchers, s.CrossZoneFee = 400, fee
-		s.Classes[0].Stretch = 20 // so that slowness alone bars nobody
+		s.Classes[0].RuntimeFactor = 20 // so that slowness alone excludes no worker
 		now := 1000 * time.Second
-		ws := large(200)
-		ws[77].Up = now // at the start capacity
-		q := quiet{sends: map[WorkerID]int{}}
+		ws := largeFleet(200)
+		ws[77].Up = now // has just started
+		q := countingHost{sends: map[WorkerID]int{}}
 		const jobs = 50
 		for n := range s.Dispatchers {
 			s.Number, s.Zone = n, n%2
@@ -61,15 +61,15 @@
 	}
 }
 
-// TestTurnsOfHundredsOfDispatchersAreEven: first jobs of all dispatchers spread by the offset alone.
+// TestTurnsOfHundredsOfDispatchersAreEven checks that the offset alone spreads the first jobs of all dispatchers.
 func TestTurnsOfHundredsOfDispatchersAreEven(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 400
-	q := quiet{sends: map[WorkerID]int{}}
+	q := countingHost{sends: map[WorkerID]int{}}
 	for n := range s.Dispatchers {
 		s.Number = n
 		d := New(s, uint64(n), q)
-		d.List(0, ListCached, large(100))
+		d.List(0, ListCached, largeFleet(100))
 		d.Job(0, Job{ID: 1, Left: time.Second, Slots: 1})
 	}
 	for w, n := range q.sends {
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestJobPathDoesNotAllocate bounds the allocations for a job with its outcome, at a small and a large fleet alike.
+// TestJobPathDoesNotAllocate checks that a job and its outcome allocate nothing, with a small and with a large fleet.
 func TestJobPathDoesNotAllocate(t *testing.T) {
 	for _, n := range []int{10, 300} {
 		play := jobPath(n)
@@ -92,14 +92,14 @@
 	}
 }
 
-// jobPath returns a function that plays one job and its outcome at a fleet of n workers.
+// jobPath returns a function that plays one job and its outcome with a fleet of n workers.
 func jobPath(n int) func() {
 	s := settings()
 	s.Dispatchers, s.CrossZoneFee = 400, 0.02
-	d := New(s, 7, quiet{sends: map[WorkerID]int{}})
+	d := New(s, 7, countingHost{sends: map[WorkerID]int{}})
 	now := 1000 * time.Second
 	d.Start(now)
-	d.List(now, ListCached, large(n))
+	d.List(now, ListCached, largeFleet(n))
 	id := JobID(0)
 	report := []float32{2}
 	return func() {
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestTimerAFractionEarly: a host's clock may be coarser than the time asked for; the look must not be lost.
-func TestTimerAFractionEarly(t *testing.T) {
+// TestEarlyTimerIsNotLost checks that a timer may fire slightly early, as the clock of a host may be coarse.
+func TestEarlyTimerIsNotLost(t *testing.T) {
 	h := newHost(t, settings())
 	h.job(1, 4)
 	for range 10000 {
@@ -147,13 +147,13 @@
 	}
 }
 
-func TestLastAttemptsAreNotTakenBack(t *testing.T) {
+func TestLastAttemptsAreNotWithdrawn(t *testing.T) {
 	for _, most := range []int{1, 2} {
-		lastAttemptsAreNotTakenBack(t, most)
+		lastAttemptsAreNotWithdrawn(t, most)
 	}
 }
 
-func lastAttemptsAreNotTakenBack(t *testing.T, most int) {
+func lastAttemptsAreNotWithdrawn(t *testing.T, most int) {
 	s := settings()
 	s.MaxAttempts = most
 	h := newHost(t, s, fleet(1, 1)...)
@@ -161,19 +161,19 @@
 	h.d.Probed(h.now, 2, OK, []float32{2})
 	h.job(1, 0)
 	h.run(h.now + 300*ms)
-	for _, a := range h.acts {
+	for _, a := range h.actions {
 		if a == "cancel 1 0" {
-			t.Error("the last attempt was taken back: the job can only be refused then")
+			t.Error("the last attempt was withdrawn: the job can only be refused then")
 		}
 	}
 }
 
-// TestRoughWeightsFollowTheKindsPace: rough weights leave out the speed; the turns must not.
-func TestRoughWeightsFollowTheKindsPace(t *testing.T) {
+// TestRoughWeightsAreCorrectedByMeasuredSpeed checks that the turns follow the speed, which rough weights leave out.
+func TestRoughWeightsAreCorrectedByMeasuredSpeed(t *testing.T) {
 	s := settings()
 	s.RoughWeights = true
-	s.Classes[0].Aim = 2 * time.Second
-	ws := large(10)
+	s.Classes[0].TargetLatency = 2 * time.Second
+	ws := largeFleet(10)
 	for i := range ws {
 		ws[i].Kind = i % 2
 	}
@@ -193,10 +193,11 @@
 	}
 }
 
-// TestZeroIsHeardAgain: a full worker reports the same 0 for long; it must not be taken for an old report.
-func TestZeroIsHeardAgain(t *testing.T) {
+// TestRepeatedZeroReportCounts checks that the report of a full worker, which stays 0 for long, is not taken for an old
+// one.
+func TestRepeatedZeroReportCounts(t *testing.T) {
 	s := settings()
-	s.TellsStart = false // where starts are told, what waits is seen and trying costs little
+	s.ReportsStart = false // where starts are reported, waiting jobs are detected and a trial costs little
 	h := newHost(t, s, fleet(1, 1)...)
 	h.d.Probed(h.now, 1, OK, []float32{4})
 	h.d.Probed(h.now, 2, OK, []float32{4})
@@ -214,12 +215,12 @@
 	}
 }
 
-func TestOddSettingsAndListsDoNoHarm(t *testing.T) {
+func TestInvalidSettingsAndListsAreHandled(t *testing.T) {
 	for _, n := range []int{-1, 0, 1, 100_000} {
 		for _, number := range []int{-5, 0, 99_999_999} {
 			s := settings()
 			s.Dispatchers, s.Number = n, number
-			h := newHost(t, s, large(5000)...)
+			h := newHost(t, s, largeFleet(5000)...)
 			nan := math.NaN()
 			h.d.List(h.now, ListChanges, []Worker{{ID: 1, Weight: nan}, {ID: 2, Weight: -1}, {ID: 3, Weight: math.Inf(1)},
 				{ID: 4}, {ID: 5, Zone: -7, Kind: -9, State: 77}})
@@ -240,14 +241,14 @@
 	}
 }
 
-// TestUselessWaitingJobIsWithdrawn: a job that still waits when it can earn nothing must not keep others waiting.
-func TestUselessWaitingJobIsWithdrawn(t *testing.T) {
+// TestWorthlessWaitingJobIsWithdrawn checks that a job that waits until its answer is worthless does not delay others.
+func TestWorthlessWaitingJobIsWithdrawn(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateValue = 0
 	h := newHost(t, s, fleet(1)...)
 	h.job(1, 0)
 	h.run(h.now + 700*ms)
-	if h.answered[1] != "refused" || h.acts[len(h.acts)-1] != "cancel 1 0" {
-		t.Errorf("%v, want a refusal and the attempt withdrawn", h.acts)
+	if h.answered[1] != "refused" || h.actions[len(h.actions)-1] != "cancel 1 0" {
+		t.Errorf("%v, want a refusal and the attempt withdrawn", h.actions)
 	}
 }
