--- a/internal/roles/control/run.go
+++ b/internal/roles/control/run.go
@@ -129,7 +129,7 @@
 	}
 	o := replication.ElectorOptions{
 		Self: d.self, Seeds: s.SeedAddresses(), Bootstrap: s.Bootstrap, Tolerate: s.Copies() - 1, Random: rand.Int64N,
-		BlockingPeers: func() []replication.MemberID { return d.replica.BlockingPeers() },
+		BlockingPeers:  func() []replication.MemberID { return d.replica.BlockingPeers() },
 		StalledMembers: func() []replication.MemberID { return d.replica.StalledMembers() },
 	}
 	if found {
