--- a/route/route.go
+++ b/route/route.go
@@ -245,8 +245,8 @@
 }
 
 // Cell returns the number of the cell in which a worker drops repeats, from its client id, so that it stays the same
-// when the worker reconnects. The number alone identifies a worker that has no client id and belongs to no cell.
-func (t *Table) Cell(client string, alone uint64) int {
+// when the worker reconnects. uniqueID stands in for the client id of a worker that has none and belongs to no cell.
+func (t *Table) Cell(client string, uniqueID uint64) int {
 	const cells, clients = 1 << 32, 1 << 33 // the cell numbers of the inventory are far below
 	for i, c := range t.gearman.Cells {
 		if c.Fits(client) {
@@ -254,7 +254,7 @@
 		}
 	}
 	if client == "" {
-		return int(math.MaxInt64 - alone%(1<<40))
+		return int(math.MaxInt64 - uniqueID%(1<<40))
 	}
 	hash := uint64(14695981039346656037) // FNV-1a
 	for i := range len(client) {
