--- a/cmd/liftgauge/members.go
+++ b/cmd/liftgauge/members.go
@@ -40,12 +40,12 @@
 	if err != nil {
 		return nil, err
 	}
-	conf := member.Config{Seeds: s.Seeds, Fleet: c.Settings.Dispatchers, Silent: time.Duration(s.Silent), NoRefusals: !s.Refusals, Budget: s.Bytes,
+	conf := member.Config{Seeds: s.Seeds, FleetSize: c.Settings.Dispatchers, SuspicionTimeout: time.Duration(s.Silent), IgnoreRefusals: !s.Refusals, BytesPerSecond: s.Bytes,
 		// The start's time: a process that comes back has a higher one.
-		Self: member.Peer{ID: member.ID{Name: c.Name, Inc: uint64(now() / time.Millisecond)}, Address: cmp.Or(s.Advertise, udp.Address()), Zone: c.Settings.Zone, Number: c.Settings.Number}}
+		Self: member.Peer{ID: member.ID{Name: c.Name, Incarnation: uint64(now() / time.Millisecond)}, Address: cmp.Or(s.Advertise, udp.Address()), Zone: c.Settings.Zone, Number: c.Settings.Number}}
 	log.Info("membership", "listen", udp.Address(), "cluster", s.Cluster, "seeds", len(s.Seeds))
-	return &fellows{gossip.New(gossip.Config{Member: conf.Fill(time.Duration(s.RoundTrip)), Codec: codec, Transport: udp, Seed: c.Seed, Now: now, Log: log,
-		Placed: func(p gossip.Place) { o.Among(p.Number, p.Members, p.InZone) }})}, nil
+	return &fellows{gossip.New(gossip.Config{Member: conf.WithDefaults(time.Duration(s.RoundTrip)), Codec: codec, Transport: udp, Seed: c.Seed, Now: now, Log: log,
+		OnPositionChange: func(p gossip.FleetPosition) { o.Among(p.Rank, p.Members, p.InZone) }})}, nil
 }
 
 // figures are its counts; none where membership is off.
@@ -53,7 +53,7 @@
 	if f == nil {
 		return nil
 	}
-	c, p := f.Counts(), f.Seen()
+	c, p := f.Counts(), f.Position()
 	known := int64(0)
 	if p.Known {
 		known = 1
@@ -115,7 +115,7 @@
 }
 
 func table(out io.Writer, s *gossip.Status) error {
-	fmt.Fprintf(out, "%s (incarnation %d): %s, view %d of lineage %x, number %d of %d, in touch with most: %v\n", s.Name, s.Inc, s.State, s.View, s.Lineage, s.Number, len(s.Members), s.InTouch)
+	fmt.Fprintf(out, "%s (incarnation %d): %s, view %d of lineage %x, number %d of %d, in touch with most: %v\n", s.Name, s.Incarnation, s.State, s.View, s.Lineage, s.Number, len(s.Members), s.InTouch)
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tincarnation\taddress\tzone\tstate\theard\tsuspected by")
 	for _, m := range s.Members {
@@ -123,7 +123,7 @@
 		if m.Watched {
 			heard = fmt.Sprintf("%d ms ago", m.HeardMS)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.Inc, m.Address, m.Zone, m.State, heard, strings.Join(m.Suspected, ", "))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.Incarnation, m.Address, m.Zone, m.State, heard, strings.Join(m.SuspectedBy, ", "))
 	}
 	return w.Flush()
 }
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -12,7 +12,7 @@
 )
 
 // Version is that of the format. A datagram of a newer one is dropped: what it means cannot be known here.
-const Version = 1
+const FormatVersion = 1
 
 // What a datagram can be that is not taken.
 var (
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	b, err := cbor.Marshal(&frame{Version: Version, Cluster: c.cluster, Message: body})
+	b, err := cbor.Marshal(&frame{Version: FormatVersion, Cluster: c.cluster, Message: body})
 	if err == nil && len(b) > member.MaxBytes {
 		err = ErrTooLong
 	}
@@ -72,9 +72,9 @@
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	switch {
-	case f.Version > Version:
+	case f.Version > FormatVersion:
 		return nil, ErrNewer
-	case f.Version != Version:
+	case f.Version != FormatVersion:
 		return nil, ErrMalformed
 	case f.Cluster != c.cluster:
 		return nil, ErrForeign
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -28,17 +28,17 @@
 
 // full is a message in which everything is set.
 func full() *member.Message {
-	p := member.Peer{ID: member.ID{Name: "n01", Inc: 1 << 50}, Address: "127.0.0.1:7946", Zone: 3, Number: 17}
-	v := &member.Value{Removed: member.Bits{5, 0}, Joined: []member.Peer{p}}
-	return &member.Message{Kind: member.Beat, From: p.ID, Lineage: 1 << 60, View: 9, Hash: 77, Size: 12, Digest: 1 << 30, Charges: []member.Charge{{Subject: 900, Gen: 3, Silent: 1023, Refused: 9, Left: true}},
-		Dead: member.Bits{1, 2}, Again: member.Bits{3, 4}, Joins: []member.Peer{p}, Steps: []member.Step{{From: 8, Value: *v}}, Peer: &p, Token: 5, Rank: 2, Part: &member.Chunk{Index: 1, Of: 2, Most: 12, Members: []member.Peer{p}},
-		Round: &member.Round{Ballot: 13, Gone: member.Bits{1, 0}, Promises: member.Bits{7, 0}, Best: 1, Before: v, Value: v, Votes: member.Bits{1, 1}, Has: true}}
+	p := member.Peer{ID: member.ID{Name: "n01", Incarnation: 1 << 50}, Address: "127.0.0.1:7946", Zone: 3, Number: 17}
+	v := &member.ViewChange{Removed: member.Bits{5, 0}, Joined: []member.Peer{p}}
+	return &member.Message{Kind: member.Heartbeat, From: p.ID, Lineage: 1 << 60, View: 9, Hash: 77, Size: 12, Digest: 1 << 30, Reports: []member.Report{{Subject: 900, Generation: 3, TimedOut: 1023, Refused: 9, Left: true}},
+		Dead: member.Bits{1, 2}, Rejoining: member.Bits{3, 4}, PendingJoins: []member.Peer{p}, Decisions: []member.Decision{{From: 8, Change: *v}}, Peer: &p, Token: 5, SeedRank: 2, Chunk: &member.Chunk{Index: 1, Count: 2, LargestSize: 12, Members: []member.Peer{p}},
+		Round: &member.Round{Ballot: 13, Failed: member.Bits{1, 0}, Promises: member.Bits{7, 0}, AcceptedBallot: 1, AcceptedValue: v, Value: v, Votes: member.Bits{1, 1}, HasValue: true}}
 }
 
 // TestCodec: a message comes over whole, in no more bytes than it is planned with; what is foreign, newer, cut, too long or spoilt is told apart.
 func TestCodec(t *testing.T) {
 	c := codec(t, "lab")
-	for _, m := range []*member.Message{full(), {Kind: member.Ping, From: member.ID{Name: "dispatcher-0001", Inc: 1 << 41}, Lineage: 1 << 63, View: 12, Size: 1000, Digest: 1 << 31}} {
+	for _, m := range []*member.Message{full(), {Kind: member.Ping, From: member.ID{Name: "dispatcher-0001", Incarnation: 1 << 41}, Lineage: 1 << 63, View: 12, Size: 1000, Digest: 1 << 31}} {
 		b, err := c.Encode(m)
 		if err != nil {
 			t.Fatal(err)
@@ -46,8 +46,8 @@
 		if got, err := c.Decode(b); err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("%v\n%+v\n%+v", err, got, m)
 		}
-		if len(b) > m.Bytes() {
-			t.Errorf("%d bytes, planned with %d", len(b), m.Bytes())
+		if len(b) > m.EncodedSize() {
+			t.Errorf("%d bytes, planned with %d", len(b), m.EncodedSize())
 		}
 		for i := range b {
 			if _, err := c.Decode(b[:i]); !errors.Is(err, ErrMalformed) {
@@ -58,16 +58,16 @@
 			t.Errorf("of another cluster: %v", err)
 		}
 	}
-	newer, _ := cbor.Marshal([]any{Version + 1, 1, []byte{}, 5})
+	newer, _ := cbor.Marshal([]any{FormatVersion + 1, 1, []byte{}, 5})
 	for want, b := range map[error][]byte{ErrNewer: newer, ErrTooLong: make([]byte, member.MaxBytes+1), ErrMalformed: {0xff, 1}} {
 		if _, err := c.Decode(b); !errors.Is(err, want) {
 			t.Errorf("want %v, have %v", want, err)
 		}
 	}
 	long := full()
-	long.Joins = make([]member.Peer, 40)
-	for i := range long.Joins {
-		long.Joins[i] = member.Peer{ID: member.ID{Name: strings.Repeat("n", 30)}, Address: "127.0.0.1:7946"}
+	long.PendingJoins = make([]member.Peer, 40)
+	for i := range long.PendingJoins {
+		long.PendingJoins[i] = member.Peer{ID: member.ID{Name: strings.Repeat("n", 30)}, Address: "127.0.0.1:7946"}
 	}
 	if _, err := c.Encode(long); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a long one: %v", err)
@@ -77,9 +77,9 @@
 // FuzzDatagram: whatever comes, a member that is in a view and one that is out take it without a panic, and go on.
 func FuzzDatagram(f *testing.F) {
 	c := codec(f, "lab")
-	for kind := member.Beat; kind <= member.Out; kind++ {
+	for kind := member.Heartbeat; kind <= member.Redirect; kind++ {
 		m := full()
-		m.Kind, m.From = kind, member.ID{Name: "n1", Inc: 1}
+		m.Kind, m.From = kind, member.ID{Name: "n1", Incarnation: 1}
 		for _, lineage := range []uint64{1, 2} {
 			m.Lineage, m.View = lineage, 1
 			b, err := c.Encode(m)
@@ -94,17 +94,17 @@
 		if err != nil {
 			return
 		}
-		peers := []member.Peer{{ID: member.ID{Name: "n0", Inc: 1}, Address: "a0"}, {ID: member.ID{Name: "n1", Inc: 1}, Address: "a1"}, {ID: member.ID{Name: "n2", Inc: 1}, Address: "a2"}}
+		peers := []member.Peer{{ID: member.ID{Name: "n0", Incarnation: 1}, Address: "a0"}, {ID: member.ID{Name: "n1", Incarnation: 1}, Address: "a1"}, {ID: member.ID{Name: "n2", Incarnation: 1}, Address: "a2"}}
 		for _, inside := range []bool{true, false} {
 			x := member.New(member.Config{Self: peers[0], Seeds: []string{"a1", "a2"}}, time.Hour, 1)
 			if inside {
-				x.Begin(&member.View{Lineage: 1, Number: 1, Most: 3, Members: peers})
+				x.Bootstrap(&member.View{Lineage: 1, Number: 1, LargestSize: 3, Members: peers})
 			}
 			for i := range 4 {
 				x.Receive(time.Hour, "a1", m)
 				x.Tick(time.Hour + time.Duration(i)*700*time.Millisecond)
 			}
-			x.Take()
+			x.Drain()
 			x.Members()
 		}
 	})
@@ -176,16 +176,16 @@
 func TestNodes(t *testing.T) {
 	w := &wire{at: map[string]chan packetOnWire{}, cut: map[[2]string]bool{}}
 	var mu sync.Mutex
-	places := map[int]Place{}
+	places := map[int]FleetPosition{}
 	var nodes []*Node
 	var stops []context.CancelFunc
 	var ended sync.WaitGroup
 	for i := range 3 {
 		address := []string{"a0", "a1", "a2"}[i]
-		n := New(Config{Member: member.Config{Self: member.Peer{ID: member.ID{Name: address, Inc: 1}, Address: address, Number: i, Zone: i % 2}, Seeds: []string{"a0", "a1"}, Fleet: 3,
-			Every: 2 * time.Millisecond, Beat: 10 * time.Millisecond, Ask: 200 * time.Millisecond, Silent: 5 * time.Second, Settle: 10 * time.Millisecond, Found: 30 * time.Millisecond, Budget: 1 << 20},
+		n := New(Config{Member: member.Config{Self: member.Peer{ID: member.ID{Name: address, Incarnation: 1}, Address: address, Number: i, Zone: i % 2}, Seeds: []string{"a0", "a1"}, FleetSize: 3,
+			TickInterval: 2 * time.Millisecond, HeartbeatInterval: 10 * time.Millisecond, PingAfter: 200 * time.Millisecond, SuspicionTimeout: 5 * time.Second, ProposalDelay: 10 * time.Millisecond, FoundingDelay: 30 * time.Millisecond, BytesPerSecond: 1 << 20},
 			Codec: codec(t, "lab"), Transport: w.open(address), Seed: uint64(i), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
-			Placed: func(p Place) { mu.Lock(); places[i] = p; mu.Unlock() }})
+			OnPositionChange: func(p FleetPosition) { mu.Lock(); places[i] = p; mu.Unlock() }})
 		ctx, stop := context.WithCancel(t.Context())
 		stops, nodes = append(stops, stop), append(nodes, n)
 		ended.Go(func() { n.Run(ctx) })
@@ -198,14 +198,14 @@
 			}
 		}
 	}
-	placed := func(want map[int]Place) func() bool {
+	placed := func(want map[int]FleetPosition) func() bool {
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return reflect.DeepEqual(places, want)
 		}
 	}
-	await("all three", placed(map[int]Place{0: {true, 0, 3, 2}, 1: {true, 1, 3, 1}, 2: {true, 2, 3, 2}}))
+	await("all three", placed(map[int]FleetPosition{0: {true, 0, 3, 2}, 1: {true, 1, 3, 1}, 2: {true, 2, 3, 2}}))
 	w.open("a9").Send("a0", []byte("garbage"))
 	await("garbage counted", func() bool { return nodes[0].Counts().Malformed == 1 })
 	if s, err := nodes[1].Status(t.Context()); err != nil || s.State != "inside" || len(s.Members) != 3 || s.Number != 1 || !s.InTouch {
@@ -215,7 +215,7 @@
 	await("two left", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return places[1] == Place{true, 0, 2, 1} && places[2] == Place{true, 1, 2, 1}
+		return places[1] == FleetPosition{true, 0, 2, 1} && places[2] == FleetPosition{true, 1, 2, 1}
 	})
 	stops[1]()
 	stops[2]()
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -13,10 +13,10 @@
 )
 
 // Place is what the fleet looks like from here. Where it is not Known the settings' figures hold.
-type Place struct {
-	Known           bool
-	Number, Members int // this one's rank, and how many there are
-	InZone          int // of them in the own zone
+type FleetPosition struct {
+	Known         bool
+	Rank, Members int // this one's rank, and how many there are
+	InZone        int // of them in the own zone
 }
 
 // Config is what a Node needs.
@@ -26,9 +26,9 @@
 	Transport Transport
 	Seed      uint64
 	// Placed is told of every change of the place. It must not block.
-	Placed func(Place)
-	Log    *slog.Logger
-	Now    func() time.Duration
+	OnPositionChange func(FleetPosition)
+	Log              *slog.Logger
+	Now              func() time.Duration
 }
 
 // Counts are datagrams.
@@ -38,11 +38,11 @@
 type Node struct {
 	Config
 	m     *member.Member
-	place Place
+	place FleetPosition
 	asks  chan func()
 	done  chan struct{}
 
-	seen atomic.Pointer[Place]
+	seen atomic.Pointer[FleetPosition]
 
 	sent, received, foreign, newer, malformed, refused atomic.Int64
 }
@@ -61,11 +61,11 @@
 }
 
 // Seen is the place as of a moment ago.
-func (n *Node) Seen() Place {
+func (n *Node) Position() FleetPosition {
 	if p := n.seen.Load(); p != nil {
 		return *p
 	}
-	return Place{}
+	return FleetPosition{}
 }
 
 type packet struct {
@@ -85,7 +85,7 @@
 	reader.Go(func() error { n.read(ended, packets); return nil })
 	defer reader.Wait()
 	defer n.Transport.Close()
-	every := n.Member.Fill(0).Every
+	every := n.Member.WithDefaults(0).TickInterval
 	ticks := time.NewTicker(every)
 	defer ticks.Stop()
 	leaving := ctx.Done()
@@ -94,7 +94,7 @@
 		select {
 		case p := <-packets:
 			if p.refused {
-				n.m.Refused(n.Now(), p.from)
+				n.m.ReceiveRefusal(n.Now(), p.from)
 			} else {
 				n.m.Receive(n.Now(), p.from, p.m)
 			}
@@ -151,7 +151,7 @@
 
 // act sends and tells what the member wants.
 func (n *Node) act() {
-	out, events := n.m.Take()
+	out, events := n.m.Drain()
 	for _, e := range out {
 		b, err := n.Codec.Encode(e.Message)
 		if err != nil {
@@ -168,44 +168,44 @@
 		}
 		n.Log.Info("membership: view", "lineage", e.View.Lineage, "number", e.View.Number, "members", len(e.View.Members), "reason", e.Reason)
 	}
-	var p Place
-	if v := n.m.View(); v != nil && n.m.InTouch() {
+	var p FleetPosition
+	if v := n.m.View(); v != nil && n.m.HasQuorum() {
 		p.Known = true
-		p.Number, p.Members = v.Place(n.m.Self().ID)
-		_, p.InZone = v.PlaceIn(n.m.Self().ID, n.m.Self().Zone)
+		p.Rank, p.Members = v.Rank(n.m.Self().ID)
+		_, p.InZone = v.RankInZone(n.m.Self().ID, n.m.Self().Zone)
 	}
 	if p != n.place {
 		if n.place.Known != p.Known {
-			n.Log.Info("membership: in touch", "with_most", p.Known, "number", p.Number, "members", p.Members)
+			n.Log.Info("membership: in touch", "with_most", p.Known, "number", p.Rank, "members", p.Members)
 		}
 		n.place = p
 		n.seen.Store(&p)
-		n.Placed(p)
+		n.OnPositionChange(p)
 	}
 }
 
 // Status is what the member knows, for operators.
 type Status struct {
-	State   string         `json:"state"`
-	InTouch bool           `json:"in_touch"`
-	Name    string         `json:"name"`
-	Inc     uint64         `json:"incarnation"`
-	Lineage uint64         `json:"lineage,omitempty"`
-	View    uint64         `json:"view,omitempty"`
-	Number  int            `json:"number"` // -1: not in a view
-	Members []MemberStatus `json:"members"`
+	State       string         `json:"state"`
+	InTouch     bool           `json:"in_touch"`
+	Name        string         `json:"name"`
+	Incarnation uint64         `json:"incarnation"`
+	Lineage     uint64         `json:"lineage,omitempty"`
+	View        uint64         `json:"view,omitempty"`
+	Number      int            `json:"number"` // -1: not in a view
+	Members     []MemberStatus `json:"members"`
 }
 
 // MemberStatus is one line of it.
 type MemberStatus struct {
-	Name      string   `json:"name"`
-	Inc       uint64   `json:"incarnation"`
-	Address   string   `json:"address"`
-	Zone      int      `json:"zone"`
-	State     string   `json:"state"`              // up, suspected, down or gone
-	HeardMS   int64    `json:"heard_ms,omitempty"` // ago, where this member watches it
-	Watched   bool     `json:"watched"`            // by this member
-	Suspected []string `json:"suspected_by,omitempty"`
+	Name        string   `json:"name"`
+	Incarnation uint64   `json:"incarnation"`
+	Address     string   `json:"address"`
+	Zone        int      `json:"zone"`
+	State       string   `json:"state"`              // up, suspected, down or gone
+	HeardMS     int64    `json:"heard_ms,omitempty"` // ago, where this member watches it
+	Watched     bool     `json:"watched"`            // by this member
+	SuspectedBy []string `json:"suspected_by,omitempty"`
 }
 
 // Status asks the member.
@@ -214,22 +214,22 @@
 	ask := func() {
 		defer close(answered)
 		self := n.m.Self().ID
-		s = Status{State: n.m.State().String(), InTouch: n.m.InTouch(), Name: self.Name, Inc: self.Inc, Number: -1}
+		s = Status{State: n.m.State().String(), InTouch: n.m.HasQuorum(), Name: self.Name, Incarnation: self.Incarnation, Number: -1}
 		if v := n.m.View(); v != nil {
 			s.Lineage, s.View = v.Lineage, v.Number
-			s.Number, _ = v.Place(self)
+			s.Number, _ = v.Rank(self)
 		}
 		for _, e := range n.m.Members() {
-			m := MemberStatus{Name: e.ID.Name, Inc: e.ID.Inc, Address: e.Address, Zone: e.Zone, State: "up", Suspected: append(e.Silent, e.Refused...), Watched: e.Heard >= 0}
+			m := MemberStatus{Name: e.ID.Name, Incarnation: e.ID.Incarnation, Address: e.Address, Zone: e.Zone, State: "up", SuspectedBy: append(e.TimedOutBy, e.RefusedBy...), Watched: e.SinceHeard >= 0}
 			if m.Watched {
-				m.HeardMS = e.Heard.Milliseconds()
+				m.HeardMS = e.SinceHeard.Milliseconds()
 			}
 			switch {
-			case e.Gone:
+			case e.Failed:
 				m.State = "gone"
 			case e.Down:
 				m.State = "down"
-			case len(m.Suspected) > 0:
+			case len(m.SuspectedBy) > 0:
 				m.State = "suspected"
 			}
 			s.Members = append(s.Members, m)
--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -549,7 +549,7 @@
 		var list bytes.Buffer
 		in := map[string]bool{}
 		for _, e := range s.Members {
-			fmt.Fprintf(&list, "%s/%d ", e.Name, e.Inc)
+			fmt.Fprintf(&list, "%s/%d ", e.Name, e.Incarnation)
 			in[e.Name] = true
 		}
 		key := [2]uint64{s.Lineage, s.View}
--- a/lab/membercost.go
+++ b/lab/membercost.go
@@ -197,9 +197,9 @@
 			if err != nil {
 				return err
 			}
-			self := member.Peer{ID: member.ID{Name: fmt.Sprintf("m%04d", i+1), Inc: 1}, Address: u.Address(), Zone: i % 5, Number: i + 1}
-			return gossip.New(gossip.Config{Member: member.Config{Self: self, Seeds: seeds, Fleet: c.Members}.Fill(0), Codec: codec, Transport: u, Seed: c.Seed + uint64(i),
-				Placed: func(gossip.Place) {}, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return time.Since(start) }}).Run(ctx)
+			self := member.Peer{ID: member.ID{Name: fmt.Sprintf("m%04d", i+1), Incarnation: 1}, Address: u.Address(), Zone: i % 5, Number: i + 1}
+			return gossip.New(gossip.Config{Member: member.Config{Self: self, Seeds: seeds, FleetSize: c.Members}.WithDefaults(0), Codec: codec, Transport: u, Seed: c.Seed + uint64(i),
+				OnPositionChange: func(gossip.FleetPosition) {}, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return time.Since(start) }}).Run(ctx)
 		})
 	}
 }
--- a/member/charge.go
+++ b/member/charge.go
@@ -9,40 +9,40 @@
 )
 
 // merge takes a charge: a later generation of the subject's clears what was said of the one before, and of one generation all bits count.
-func (m *Member) merge(c Charge) {
+func (m *Member) merge(c Report) {
 	have := &m.charges[c.Subject]
 	valid := uint16(1)<<len(m.rings.watchers[c.Subject]) - 1
-	c.Silent &= valid
+	c.TimedOut &= valid
 	c.Refused &= valid
 	next := *have
-	if c.Gen > next.Gen {
-		next = Charge{Subject: c.Subject, Gen: c.Gen, Left: next.Left}
+	if c.Generation > next.Generation {
+		next = Report{Subject: c.Subject, Generation: c.Generation, Left: next.Left}
 	}
-	if c.Gen == next.Gen {
-		next.Silent |= c.Silent
+	if c.Generation == next.Generation {
+		next.TimedOut |= c.TimedOut
 		next.Refused |= c.Refused
 	}
 	next.Left = next.Left || c.Left
 	if next == *have {
 		return
 	}
-	raised := next.Gen > have.Gen || next.Left && !have.Left
+	raised := next.Generation > have.Generation || next.Left && !have.Left
 	*have = next
 	m.news, m.changed = true, m.now
 	if raised || !m.dead.Has(c.Subject) { // of the dead nothing more is news
 		m.heat(c.Subject, raised)
 	}
-	if c.Subject == m.at && next.Silent|next.Refused != 0 && m.state == Inside && m.Without&Word == 0 { // the accused speaks
-		m.merge(Charge{Subject: m.at, Gen: next.Gen + 1})
+	if c.Subject == m.at && next.TimedOut|next.Refused != 0 && m.state == Inside && m.Disabled&Refutation == 0 { // the accused speaks
+		m.merge(Report{Subject: m.at, Generation: next.Generation + 1})
 	}
 }
 
 // mix is a charge's part of the digest; 0 for one that says nothing.
-func mix(c Charge) uint32 {
-	if c.Gen == 0 && c.Silent|c.Refused == 0 && !c.Left {
+func mix(c Report) uint32 {
+	if c.Generation == 0 && c.TimedOut|c.Refused == 0 && !c.Left {
 		return 0
 	}
-	x := uint64(c.Subject+1)*0x9e3779b97f4a7c15 ^ uint64(c.Gen)<<33 ^ uint64(c.Silent)<<16 ^ uint64(c.Refused)
+	x := uint64(c.Subject+1)*0x9e3779b97f4a7c15 ^ uint64(c.Generation)<<33 ^ uint64(c.TimedOut)<<16 ^ uint64(c.Refused)
 	if c.Left {
 		x ^= 1 << 62
 	}
@@ -71,7 +71,7 @@
 
 // reheat has all charges passed on once: somebody has missed some.
 func (m *Member) reheat() {
-	if len(m.hot) > 0 || m.now-m.reheated < m.Stuck {
+	if len(m.hot) > 0 || m.now-m.reheated < m.BallotTimeout {
 		return
 	}
 	m.reheated = m.now
@@ -94,17 +94,17 @@
 			continue
 		}
 		silence := m.now - s.heard
-		if silence <= m.Ask {
+		if silence <= m.PingAfter {
 			continue
 		}
-		every := max(m.Ask/4, silence/4)
+		every := max(m.PingAfter/4, silence/4)
 		if m.gone.Has(i) { // seldom: another process may be there, of another lineage
 			every = max(every, strayEvery)
 		}
 		if m.now-s.asked >= every { // more than the two asks that are wanted in as long again, then fewer and fewer
 			s.asked = m.now
 			// What is new would be lost on the dead, but the accused should know.
-			m.send(m.view.Members[i].Address, &Message{Kind: Ping, Digest: m.digest, Charges: []Charge{m.charges[i]}})
+			m.send(m.view.Members[i].Address, &Message{Kind: Ping, Digest: m.digest, Reports: []Report{m.charges[i]}})
 		}
 		c := m.charges[i]
 		bit := m.bits[i]
@@ -113,22 +113,22 @@
 		}
 		if s.refusals >= asks && c.Refused&bit != bit {
 			s.charged = m.now
-			m.merge(Charge{Subject: i, Gen: c.Gen, Refused: bit})
-		} else if silence > m.Silent && c.Silent&bit != bit && !doubts {
+			m.merge(Report{Subject: i, Generation: c.Generation, Refused: bit})
+		} else if silence > m.SuspicionTimeout && c.TimedOut&bit != bit && !doubts {
 			s.charged = m.now
-			m.merge(Charge{Subject: i, Gen: c.Gen, Silent: bit})
+			m.merge(Report{Subject: i, Generation: c.Generation, TimedOut: bit})
 		}
 	}
 }
 
 // doubts: so many of its subjects are silent, and none of these is proven dead, that this member is the likelier one to be cut off.
 func (m *Member) doubts() bool {
-	if m.Without&Doubt != 0 {
+	if m.Disabled&SelfSuspicion != 0 {
 		return false
 	}
 	silent := 0
 	for i, s := range m.subjects {
-		if m.now-s.heard > 2*m.Ask && s.refusals < asks && !m.replaced(i) {
+		if m.now-s.heard > 2*m.PingAfter && s.refusals < asks && !m.replaced(i) {
 			silent++
 		}
 	}
@@ -137,7 +137,7 @@
 
 // deaf: it has heard nobody for so long that the others should not take it for one that hears them.
 func (m *Member) deaf() bool {
-	return m.Without&Doubt == 0 && len(m.view.Members) > 2 && m.now-m.anybody > m.Silent
+	return m.Disabled&SelfSuspicion == 0 && len(m.view.Members) > 2 && m.now-m.anybody > m.SuspicionTimeout
 }
 
 // judge works out who is down and who is gone, if there is news.
@@ -158,7 +158,7 @@
 	for i, c := range m.charges {
 		if c.Left || m.replaced(i) { // it may have voted, and lives: not gone for that
 			m.down.Set(i)
-			if c.Silent|c.Refused == 0 {
+			if c.TimedOut|c.Refused == 0 {
 				m.willing++
 			}
 		}
@@ -181,7 +181,7 @@
 	}
 	// What others have worked out so counts as well: where hundreds died all single charges would take long to go round.
 	for i, c := range m.charges {
-		if c.Gen > 0 { // it has spoken since
+		if c.Generation > 0 { // it has spoken since
 			if m.dead.Has(i) {
 				m.dead[i/8] &^= 1 << (i % 8)
 			}
@@ -206,7 +206,7 @@
 	for more := true; more; {
 		more = false
 		for i, c := range m.charges {
-			if c.Silent|c.Refused != 0 && !m.down.Has(i) && m.enough(i, c.Silent|c.Refused, m.down) {
+			if c.TimedOut|c.Refused != 0 && !m.down.Has(i) && m.enough(i, c.TimedOut|c.Refused, m.down) {
 				m.down.Set(i)
 				more = true
 			}
@@ -217,7 +217,7 @@
 	m.beyond = 0
 	some := 0
 	for i, c := range m.charges {
-		n := m.charged(i, c.Silent|c.Refused, m.down)
+		n := m.charged(i, c.TimedOut|c.Refused, m.down)
 		if m.down.Has(i) || n == 0 {
 			continue
 		}
@@ -229,7 +229,7 @@
 		m.beyond = some + some/16 + 1
 	}
 	for i := range m.charges {
-		if c := m.charges[i]; c.Silent|c.Refused != 0 && m.replaced(i) && m.enough(i, c.Silent|c.Refused, m.down) {
+		if c := m.charges[i]; c.TimedOut|c.Refused != 0 && m.replaced(i) && m.enough(i, c.TimedOut|c.Refused, m.down) {
 			m.gone.Set(i)
 		}
 	}
@@ -258,7 +258,7 @@
 // enough: so many of a subject's watchers that are not out themselves say it.
 func (m *Member) enough(subject int, said uint16, out Bits) bool {
 	need := max(1, int(math.Ceil(high*float64(m.left(subject, out)))))
-	if m.Without&Marks != 0 {
+	if m.Disabled&Watermarks != 0 {
 		need = 1
 	}
 	return m.charged(subject, said, out) >= need
@@ -303,7 +303,7 @@
 // unsure: some are charged, and not by enough.
 func (m *Member) unsure() bool {
 	for i, c := range m.charges {
-		if c.Silent|c.Refused != 0 && !m.down.Has(i) {
+		if c.TimedOut|c.Refused != 0 && !m.down.Has(i) {
 			return true
 		}
 	}
@@ -331,7 +331,7 @@
 		f.n = 0
 	}
 	f.n, f.at = f.n+1, m.now
-	f.until = m.now + min(m.Flap<<min(f.n-1, 8), flapMost)
+	f.until = m.now + min(m.RejoinDelay<<min(f.n-1, 8), flapMost)
 	for name, f := range m.flaps {
 		if m.now-f.at > flapFades {
 			delete(m.flaps, name)
--- a/member/join.go
+++ b/member/join.go
@@ -13,7 +13,7 @@
 
 // seek looks for members to be let in by.
 func (m *Member) seek() {
-	if m.wantFrom != "" && m.now-m.pulled > 4*m.Every {
+	if m.wantFrom != "" && m.now-m.pulled > 4*m.TickInterval {
 		m.pullMore()
 	}
 	if m.now < m.helloAt {
@@ -26,7 +26,7 @@
 		every = strayEvery
 	}
 	m.helloAt = m.now + every/2 + time.Duration(m.rng.Int64N(int64(every)))
-	hello := func(to string) { m.send(to, &Message{Kind: Hello, Peer: &self, Rank: m.rank()}) }
+	hello := func(to string) { m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.rank()}) }
 	// Who knows of others leaves the seeds to those that don't: all start there, and few there are.
 	if len(m.Seeds) > 0 && (len(m.known) == 0 || m.rng.IntN(4) == 0) {
 		seed := m.Seeds[m.rng.IntN(len(m.Seeds))]
@@ -41,11 +41,11 @@
 	if len(m.known) > 0 {
 		hello(m.known[m.rng.IntN(len(m.known))])
 	}
-	if m.now-m.knownAt > 10*m.Found { // nobody of them is there any more
+	if m.now-m.knownAt > 10*m.FoundingDelay { // nobody of them is there any more
 		m.known = nil
 	}
-	if rank := time.Duration(m.rank()); rank > 0 && m.state == Outside && m.now-m.since >= rank*m.Found && m.now-m.lowerOut >= m.Found && m.wantFrom == "" && len(m.known) == 0 {
-		m.install(&View{Lineage: xxhash.Sum64String(self.ID.Name) ^ self.ID.Inc*0x9e3779b97f4a7c15 | 1, Number: 1, Most: 1, Members: []Peer{self}}, "founded")
+	if rank := time.Duration(m.rank()); rank > 0 && m.state == Outside && m.now-m.since >= rank*m.FoundingDelay && m.now-m.lowerOut >= m.FoundingDelay && m.wantFrom == "" && len(m.known) == 0 {
+		m.install(&View{Lineage: xxhash.Sum64String(self.ID.Name) ^ self.ID.Incarnation*0x9e3779b97f4a7c15 | 1, Number: 1, LargestSize: 1, Members: []Peer{self}}, "founded")
 	}
 }
 
@@ -53,7 +53,7 @@
 func (m *Member) token(address string, id ID) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], m.secret)
-	binary.LittleEndian.PutUint64(b[8:], id.Inc)
+	binary.LittleEndian.PutUint64(b[8:], id.Incarnation)
 	return xxhash.Sum64String(address+"\x00"+id.Name+"\x00"+string(b[:])) | 1
 }
 
@@ -63,7 +63,7 @@
 		m.dropped.Malformed++ // who says it listens elsewhere cannot be told from who cannot hear
 		return
 	}
-	if m.fill < float64(m.Budget) && msg.Rank == 0 { // beats go first; it will ask again, or somebody else
+	if m.fill < float64(m.BytesPerSecond) && msg.SeedRank == 0 { // beats go first; it will ask again, or somebody else
 		if m.fill > 0 && m.view != nil && len(m.view.Members) > m.Watchers {
 			m.refer(from)
 		}
@@ -71,12 +71,12 @@
 	}
 	if m.view == nil {
 		if m.state == Outside {
-			if own := m.rank(); msg.Rank > 0 && (own == 0 || msg.Rank < own) {
+			if own := m.rank(); msg.SeedRank > 0 && (own == 0 || msg.SeedRank < own) {
 				m.lowerOut = m.now
 			}
-			out := &Message{Kind: Out, Rank: m.rank()}
+			out := &Message{Kind: Redirect, SeedRank: m.rank()}
 			for _, address := range m.known[:min(2, len(m.known))] { // who may be in
-				out.Joins = append(out.Joins, Peer{Address: address})
+				out.PendingJoins = append(out.PendingJoins, Peer{Address: address})
 			}
 			m.send(from, out)
 		}
@@ -94,10 +94,10 @@
 
 // refer names some members to one that wants in: where many do, those that they ask first cannot see to all.
 func (m *Member) refer(to string) {
-	out := &Message{Kind: Out}
+	out := &Message{Kind: Redirect}
 	for range min(2, len(m.view.Members)) {
 		if i := m.rng.IntN(len(m.view.Members)); !m.down.Has(i) && i != m.at {
-			out.Joins = append(out.Joins, Peer{Address: m.view.Members[i].Address})
+			out.PendingJoins = append(out.PendingJoins, Peer{Address: m.view.Members[i].Address})
 		}
 	}
 	m.send(to, out)
@@ -153,7 +153,7 @@
 	if p.ID.Name == "" || p.Address == "" || m.view.Index(p.ID) >= 0 {
 		return
 	}
-	if i, there := m.view.find(p.ID.Name); there && m.view.Members[i].ID.Inc > p.ID.Inc {
+	if i, there := m.view.find(p.ID.Name); there && m.view.Members[i].ID.Incarnation > p.ID.Incarnation {
 		return // an older run: it is gone, or will hear that it is
 	} else if there && !m.again.Has(i) {
 		m.again.Set(i)
@@ -161,7 +161,7 @@
 	}
 	at, there := slices.BinarySearchFunc(m.joins, p.ID.Name, func(q Peer, name string) int { return cmp.Compare(q.ID.Name, name) })
 	switch {
-	case there && m.joins[at].ID.Inc >= p.ID.Inc:
+	case there && m.joins[at].ID.Incarnation >= p.ID.Incarnation:
 		return
 	case there:
 		m.joins[at] = p
@@ -178,7 +178,7 @@
 	}
 	m.want, m.wantFrom, m.fetched = *msg, from, m.now
 	m.sources = m.sources[:0]
-	for _, p := range msg.Joins {
+	for _, p := range msg.PendingJoins {
 		m.sources = append(m.sources, p.Address)
 	}
 	m.chunks = make([]*Chunk, (min(msg.Size, 1<<16)+chunkPeers-1)/chunkPeers)
@@ -187,7 +187,7 @@
 
 // fetch gets the view of a member that is too far ahead to be followed.
 func (m *Member) fetch(from string, msg *Message) {
-	if m.wantFrom != "" && m.now-m.pulled < 4*m.Every || msg.Size <= 0 {
+	if m.wantFrom != "" && m.now-m.pulled < 4*m.TickInterval || msg.Size <= 0 {
 		return
 	}
 	if m.wantFrom == "" || msg.View > m.want.View {
@@ -219,18 +219,18 @@
 			if len(from) > 0 && m.rng.IntN(4) > 0 {
 				to = from[m.rng.IntN(len(from))]
 			}
-			m.send(to, &Message{Kind: Pull, Token: m.want.View, Hash: m.want.Hash, Part: &Chunk{Index: i}})
+			m.send(to, &Message{Kind: ChunkRequest, Token: m.want.View, Hash: m.want.Hash, Chunk: &Chunk{Index: i}})
 			asked++
 		}
 	}
-	if m.now-m.fetched > m.Silent { // whoever it was, it says nothing more
+	if m.now-m.fetched > m.SuspicionTimeout { // whoever it was, it says nothing more
 		m.wantFrom, m.chunks = "", nil
 	}
 }
 
 // pull hands out a chunk.
 func (m *Member) pull(from string, msg *Message) {
-	if m.view == nil || msg.Part == nil || msg.Part.Index < 0 || m.fill < -float64(m.Budget) {
+	if m.view == nil || msg.Chunk == nil || msg.Chunk.Index < 0 || m.fill < -float64(m.BytesPerSecond) {
 		return
 	}
 	at := slices.IndexFunc(m.lately, func(v *View) bool { return v.Number == msg.Token && v.Hash() == msg.Hash })
@@ -239,31 +239,31 @@
 		return
 	}
 	v := m.lately[at]
-	first := msg.Part.Index * chunkPeers
+	first := msg.Chunk.Index * chunkPeers
 	if first >= len(v.Members) {
 		return
 	}
-	m.send(from, &Message{Kind: Part, Token: v.Number, Hash: msg.Hash, Part: &Chunk{Index: msg.Part.Index, Of: (len(v.Members) + chunkPeers - 1) / chunkPeers, Most: v.Most,
+	m.send(from, &Message{Kind: ChunkResponse, Token: v.Number, Hash: msg.Hash, Chunk: &Chunk{Index: msg.Chunk.Index, Count: (len(v.Members) + chunkPeers - 1) / chunkPeers, LargestSize: v.LargestSize,
 		Members: v.Members[first:min(first+chunkPeers, len(v.Members))]}})
 }
 
 // part takes a chunk, and with the last one the view.
 func (m *Member) part(from string, msg *Message) {
-	if m.wantFrom == "" || msg.Part == nil || msg.Lineage != m.want.Lineage || msg.Token != m.want.View || msg.Hash != m.want.Hash ||
-		msg.Part.Of != len(m.chunks) || msg.Part.Index < 0 || msg.Part.Index >= len(m.chunks) {
+	if m.wantFrom == "" || msg.Chunk == nil || msg.Lineage != m.want.Lineage || msg.Token != m.want.View || msg.Hash != m.want.Hash ||
+		msg.Chunk.Count != len(m.chunks) || msg.Chunk.Index < 0 || msg.Chunk.Index >= len(m.chunks) {
 		return
 	}
 	m.fetched = m.now
-	m.chunks[msg.Part.Index] = msg.Part
+	m.chunks[msg.Chunk.Index] = msg.Chunk
 	if slices.Contains(m.chunks, nil) {
-		if m.now-m.pulled > m.Every {
+		if m.now-m.pulled > m.TickInterval {
 			m.pullMore()
 		}
 		return
 	}
 	v := &View{Lineage: m.want.Lineage, Number: m.want.View}
 	for _, c := range m.chunks {
-		v.Most = c.Most
+		v.LargestSize = c.LargestSize
 		v.Members = append(v.Members, c.Members...)
 	}
 	m.wantFrom, m.chunks = "", nil
--- a/member/member.go
+++ b/member/member.go
@@ -14,25 +14,25 @@
 
 // Config is what a Member needs. Fill gives what is 0 its default.
 type Config struct {
-	Self  Peer
-	Seeds []string // addresses of members that may be asked to let one in
-	Fleet int      // how many there should be: a lineage that never had more than half of them is nobody's word
-
-	Watchers int           // of each member; 16 at most
-	Every    time.Duration // between two calls of Tick
-	Beat     time.Duration // between two beats to one watcher
-	Ask      time.Duration // of silence, before a watcher asks
-	Silent   time.Duration // of silence, before it charges: longer than any pause that is to be borne
-	Settle   time.Duration // without news, before a change is proposed
-	Stuck    time.Duration // without progress of a vote, before the next in the order tries
-	Found    time.Duration // without a member to be found, before a seed founds a lineage
-	Flap     time.Duration // how long a member that was removed waits before it is let in again; twice as long each time
-	Budget   int           // bytes a second, with heads of IP and UDP
+	Self      Peer
+	Seeds     []string // addresses of members that may be asked to let one in
+	FleetSize int      // how many there should be: a lineage that never had more than half of them is nobody's word
+
+	Watchers          int           // of each member; 16 at most
+	TickInterval      time.Duration // between two calls of Tick
+	HeartbeatInterval time.Duration // between two beats to one watcher
+	PingAfter         time.Duration // of silence, before a watcher asks
+	SuspicionTimeout  time.Duration // of silence, before it charges: longer than any pause that is to be borne
+	ProposalDelay     time.Duration // without news, before a change is proposed
+	BallotTimeout     time.Duration // without progress of a vote, before the next in the order tries
+	FoundingDelay     time.Duration // without a member to be found, before a seed founds a lineage
+	RejoinDelay       time.Duration // how long a member that was removed waits before it is let in again; twice as long each time
+	BytesPerSecond    int           // bytes a second, with heads of IP and UDP
 	// NoRefusals: "port unreachable" proves nothing here, as somebody else may say it.
-	NoRefusals bool
-	Shared     *Shared // by members of one process; may be nil
+	IgnoreRefusals bool
+	Shared         *Shared // by members of one process; may be nil
 	// Without leaves out protections, to measure what they are worth.
-	Without Protection
+	Disabled Protection
 }
 
 // Protection is a set of what keeps a member from being taken for dead.
@@ -40,14 +40,14 @@
 
 // The protections.
 const (
-	Word      Protection = 1 << iota // the accused clears itself by a later generation
-	Doubt                            // a watcher most of whose subjects are silent charges nobody, a deaf one falls silent
-	Awareness                        // a watcher that was away gives its subjects that time
-	Marks                            // it takes seven tenths of the watchers, not one
+	Refutation     Protection = 1 << iota // the accused clears itself by a later generation
+	SelfSuspicion                         // a watcher most of whose subjects are silent charges nobody, a deaf one falls silent
+	PauseDetection                        // a watcher that was away gives its subjects that time
+	Watermarks                            // it takes seven tenths of the watchers, not one
 )
 
 // Fill returns the configuration with defaults for what is missing, for a net on which a way there and back takes so long.
-func (c Config) Fill(trip time.Duration) Config {
+func (c Config) WithDefaults(trip time.Duration) Config {
 	// A beat, two asks and their answers must fit into each other whatever the way: below 50 ms there and back nothing grows.
 	grown := max(1, float64(trip)/float64(50*time.Millisecond))
 	set := func(d *time.Duration, usual time.Duration) {
@@ -55,20 +55,20 @@
 			*d = time.Duration(float64(usual) * grown)
 		}
 	}
-	set(&c.Every, 50*time.Millisecond)
-	set(&c.Beat, 500*time.Millisecond)
-	set(&c.Ask, 1250*time.Millisecond)
-	set(&c.Silent, 6*time.Second)
-	set(&c.Settle, 700*time.Millisecond)
-	set(&c.Stuck, 2*time.Second)
-	set(&c.Found, 2*time.Second)
-	set(&c.Flap, 5*time.Second)
+	set(&c.TickInterval, 50*time.Millisecond)
+	set(&c.HeartbeatInterval, 500*time.Millisecond)
+	set(&c.PingAfter, 1250*time.Millisecond)
+	set(&c.SuspicionTimeout, 6*time.Second)
+	set(&c.ProposalDelay, 700*time.Millisecond)
+	set(&c.BallotTimeout, 2*time.Second)
+	set(&c.FoundingDelay, 2*time.Second)
+	set(&c.RejoinDelay, 5*time.Second)
 	if c.Watchers <= 0 {
 		c.Watchers = 10
 	}
 	c.Watchers = min(c.Watchers, 16)
-	if c.Budget <= 0 {
-		c.Budget = 3400 // with the burst it stays under 4,000 in any minute
+	if c.BytesPerSecond <= 0 {
+		c.BytesPerSecond = 3400 // with the burst it stays under 4,000 in any minute
 	}
 	return c
 }
@@ -144,7 +144,7 @@
 	subjects map[int]*subject
 	bits     map[int]uint16 // by subject: what this member says in a charge
 	targets  []int          // of beats: the watchers, or who stands in for them
-	charges  []Charge       // by position
+	charges  []Report       // by position
 	digest   uint32
 	hot      []hot         // charges to be passed on
 	reheated time.Duration // when all of them were passed on anew
@@ -165,17 +165,17 @@
 	round    *Round
 	promised uint32
 	accepted uint32
-	voted    *Value
+	voted    *ViewChange
 	moved    time.Duration // last progress of the vote
 	version  int           // of the round as it stands here
 	toldOf   []int         // by watcher: the version that it was sent
 	toldWhat []uint32      // by watcher: the ballot whose value it was sent
 	askedFor time.Duration // when the value of a vote was asked for last
 
-	history []Step  // the newest last
-	lately  []*View // the last views, the newest last: some still fetch one of them
-	stepHot int     // how often the last one is still to be said unasked
-	next    int     // whose turn a beat is, among the watchers
+	history []Decision // the newest last
+	lately  []*View    // the last views, the newest last: some still fetch one of them
+	stepHot int        // how often the last one is still to be said unasked
+	next    int        // whose turn a beat is, among the watchers
 	beatAt  time.Duration
 	anybody time.Duration // last sign of life of anybody
 	stray   time.Duration
@@ -217,16 +217,16 @@
 
 // New returns a member that is out and wants in.
 func New(c Config, now time.Duration, seed uint64) *Member {
-	m := &Member{Config: c.Fill(0), rng: rand.New(rand.NewPCG(seed, 2)), now: now, ticked: now, since: now, anybody: now,
+	m := &Member{Config: c.WithDefaults(0), rng: rand.New(rand.NewPCG(seed, 2)), now: now, ticked: now, since: now, anybody: now,
 		sponsor: map[ID]string{}, shut: map[string]time.Duration{}, flaps: map[string]*flap{}}
 	m.secret = m.rng.Uint64()
-	m.fill = burst * float64(m.Budget)
+	m.fill = burst * float64(m.BytesPerSecond)
 	m.helloAt = now
 	return m
 }
 
 // Begin makes one that is out a member of a view that all of its members begin with. It is for fleets that are played.
-func (m *Member) Begin(v *View) {
+func (m *Member) Bootstrap(v *View) {
 	if m.state == Outside && v.Index(m.Self().ID) >= 0 {
 		m.install(v, "begun")
 	}
@@ -246,8 +246,8 @@
 
 // InTouch reports whether it is in a view and hears of enough of it to go by: as many are up as must agree
 // on the next one, and its lineage once had more than half of the fleet. One that was cut off as it started may have founded a lineage for itself.
-func (m *Member) InTouch() bool {
-	if m.view == nil || 2*m.view.Most <= m.Fleet {
+func (m *Member) HasQuorum() bool {
+	if m.view == nil || 2*m.view.LargestSize <= m.FleetSize {
 		return false
 	}
 	m.judge()
@@ -255,33 +255,33 @@
 }
 
 // Standing is what this member knows of another one.
-type Standing struct {
+type PeerStatus struct {
 	Peer
-	Down     bool
-	Gone     bool
-	Silent   []string // watchers that charge it, by name
-	Refused  []string
-	Heard    time.Duration // ago, where this member watches it; less than 0: it does not
-	Watchers int
+	Down       bool
+	Failed     bool
+	TimedOutBy []string // watchers that charge it, by name
+	RefusedBy  []string
+	SinceHeard time.Duration // ago, where this member watches it; less than 0: it does not
+	Watchers   int
 }
 
 // Members is what this member knows of all in its view.
-func (m *Member) Members() (all []Standing) {
+func (m *Member) Members() (all []PeerStatus) {
 	if m.view == nil {
 		return nil
 	}
 	m.judge()
 	for i, p := range m.view.Members {
-		s := Standing{Peer: p, Down: m.down.Has(i), Gone: m.gone.Has(i), Heard: -1, Watchers: len(m.rings.watchers[i])}
+		s := PeerStatus{Peer: p, Down: m.down.Has(i), Failed: m.gone.Has(i), SinceHeard: -1, Watchers: len(m.rings.watchers[i])}
 		if sub := m.subjects[i]; sub != nil {
-			s.Heard = m.now - sub.heard
+			s.SinceHeard = m.now - sub.heard
 		}
 		for bit, w := range m.rings.watchers[i] {
-			if m.charges[i].Silent>>bit&1 != 0 {
-				s.Silent = append(s.Silent, m.view.Members[w].ID.Name)
+			if m.charges[i].TimedOut>>bit&1 != 0 {
+				s.TimedOutBy = append(s.TimedOutBy, m.view.Members[w].ID.Name)
 			}
 			if m.charges[i].Refused>>bit&1 != 0 {
-				s.Refused = append(s.Refused, m.view.Members[w].ID.Name)
+				s.RefusedBy = append(s.RefusedBy, m.view.Members[w].ID.Name)
 			}
 		}
 		all = append(all, s)
@@ -290,7 +290,7 @@
 }
 
 // Take returns what is to be sent and told, and forgets it.
-func (m *Member) Take() ([]Envelope, []Event) {
+func (m *Member) Drain() ([]Envelope, []Event) {
 	out, events := m.out, m.events
 	m.out, m.events = nil, nil
 	return out, events
@@ -307,7 +307,7 @@
 	if m.view != nil {
 		msg.Lineage, msg.View, msg.Size = m.view.Lineage, m.view.Number, len(m.view.Members)
 	}
-	m.fill -= float64(msg.Bytes() + overhead)
+	m.fill -= float64(msg.EncodedSize() + overhead)
 	m.out = append(m.out, Envelope{to, msg})
 }
 
@@ -315,8 +315,8 @@
 func (m *Member) Tick(now time.Duration) {
 	away := now - m.ticked
 	m.now, m.ticked = now, now
-	m.fill = min(burst*float64(m.Budget), m.fill+away.Seconds()*float64(m.Budget))
-	if away > time.Second && m.Without&Awareness == 0 {
+	m.fill = min(burst*float64(m.BytesPerSecond), m.fill+away.Seconds()*float64(m.BytesPerSecond))
+	if away > time.Second && m.Disabled&PauseDetection == 0 {
 		for _, s := range m.subjects {
 			s.heard = min(now, s.heard+away)
 			s.refusals = 0
@@ -345,7 +345,7 @@
 		return
 	}
 	switch msg.Kind {
-	case Beat, Ping, Pong:
+	case Heartbeat, Ping, Pong:
 		m.gossip(from, msg)
 	case Hello:
 		m.hello(from, msg)
@@ -353,17 +353,17 @@
 		m.welcome(from, msg)
 	case Join:
 		m.join(from, msg)
-	case Notice:
+	case JoinNotice:
 		m.notice(from, msg)
-	case Pull:
+	case ChunkRequest:
 		m.pull(from, msg)
-	case Part:
+	case ChunkResponse:
 		m.part(from, msg)
-	case Out:
-		if own := m.rank(); msg.Rank > 0 && (own == 0 || msg.Rank < own) {
+	case Redirect:
+		if own := m.rank(); msg.SeedRank > 0 && (own == 0 || msg.SeedRank < own) {
 			m.lowerOut = m.now
 		}
-		for _, p := range msg.Joins {
+		for _, p := range msg.PendingJoins {
 			if m.view == nil && len(m.known) < 8 && !slices.Contains(m.known, p.Address) && p.Address != m.Self().Address {
 				m.known, m.knownAt = append(m.known, p.Address), m.now
 			}
@@ -374,9 +374,9 @@
 }
 
 // Refused says that nothing listens at an address: a datagram to it came back as "port unreachable".
-func (m *Member) Refused(now time.Duration, address string) {
+func (m *Member) ReceiveRefusal(now time.Duration, address string) {
 	m.now = max(m.now, now)
-	if m.NoRefusals {
+	if m.IgnoreRefusals {
 		return
 	}
 	if m.view == nil { // that one will not answer for a while
@@ -390,7 +390,7 @@
 		if m.view.Members[i].Address == address {
 			m.anybody = m.now // the way there and back is open
 		}
-		if m.view.Members[i].Address == address && s.asked > s.heard && m.now-s.heard > m.Ask {
+		if m.view.Members[i].Address == address && s.asked > s.heard && m.now-s.heard > m.PingAfter {
 			s.refusals++
 		}
 	}
@@ -425,17 +425,17 @@
 			m.heardOf(i, s)
 		}
 	}
-	if msg.View == m.view.Number && m.follow(msg.Steps) {
+	if msg.View == m.view.Number && m.follow(msg.Decisions) {
 		return // who was removed says so as it goes
 	}
 	switch {
 	case msg.View < m.view.Number: // behind: tell what it has missed; a ping would be asked again and again
-		if msg.Kind != Pong || len(msg.Steps) == 0 {
+		if msg.Kind != Pong || len(msg.Decisions) == 0 {
 			m.catchUp(from, msg)
 		}
 		return
 	case msg.View > m.view.Number:
-		if !m.follow(msg.Steps) {
+		if !m.follow(msg.Decisions) {
 			m.fetch(from, msg)
 			return
 		}
@@ -444,38 +444,38 @@
 		}
 	}
 	n := len(m.view.Members)
-	for _, c := range msg.Charges {
+	for _, c := range msg.Reports {
 		if c.Subject < 0 || c.Subject >= n {
 			m.dropped.Malformed++
 			return
 		}
 		m.merge(c)
 	}
-	if len(msg.Dead)+len(msg.Again) > 0 {
-		if !msg.Dead.fits(n) || !msg.Again.fits(n) {
+	if len(msg.Dead)+len(msg.Rejoining) > 0 {
+		if !msg.Dead.fits(n) || !msg.Rejoining.fits(n) {
 			m.dropped.Malformed++
 			return
 		}
-		again := m.again.or(msg.Again)
+		again := m.again.or(msg.Rejoining)
 		if m.dead.or(msg.Dead) || again {
 			m.deaths++
 			m.news, m.changed = true, m.now
 		}
 	}
-	for _, p := range msg.Joins {
+	for _, p := range msg.PendingJoins {
 		m.wait(p)
 	}
 	if msg.Round != nil {
 		m.ballot(msg.Round)
 	}
-	if r := m.round; r != nil && r.Value == nil && msg.Round != nil && msg.Round.Has && m.now-m.askedFor > m.Beat {
+	if r := m.round; r != nil && r.Value == nil && msg.Round != nil && msg.Round.HasValue && m.now-m.askedFor > m.HeartbeatInterval {
 		m.askedFor = m.now
 		m.send(from, &Message{Kind: Ping, Digest: m.digest})
 	}
 	if msg.Kind == Ping {
 		m.send(from, m.payload(&Message{Kind: Pong}, -1))
 	}
-	if msg.Digest != m.digest && len(msg.Charges) == 0 { // it has heard of other charges than this one, and says none
+	if msg.Digest != m.digest && len(msg.Reports) == 0 { // it has heard of other charges than this one, and says none
 		m.reheat()
 	}
 }
@@ -484,9 +484,9 @@
 func (m *Member) heardOf(i int, s *subject) {
 	if s.charged > 0 { // it was wrong, or it is back: the next one takes longer
 		s.refuted++
-		s.until = m.now + min(m.Silent<<min(s.refuted, 6), flapMost)
+		s.until = m.now + min(m.SuspicionTimeout<<min(s.refuted, 6), flapMost)
 		s.charged = 0
-		if c := m.charges[i]; c.Silent|c.Refused != 0 { // it should hear of it soon
+		if c := m.charges[i]; c.TimedOut|c.Refused != 0 { // it should hear of it soon
 			m.heat(i, false)
 		}
 	}
@@ -499,8 +499,8 @@
 	if len(w) == 0 || m.deaf() {
 		return
 	}
-	every := m.Beat / time.Duration(len(w))
-	if m.beatAt < m.now-m.Beat { // after a pause, or at first: not all at once
+	every := m.HeartbeatInterval / time.Duration(len(w))
+	if m.beatAt < m.now-m.HeartbeatInterval { // after a pause, or at first: not all at once
 		m.beatAt = m.now
 	}
 	for ; m.beatAt <= m.now; m.beatAt += every {
@@ -508,10 +508,10 @@
 		m.next++
 		switch {
 		case m.gone.Has(w[i]):
-		case m.down.Has(w[i]) && m.charges[w[i]].Silent|m.charges[w[i]].Refused != 0: // it should hear of that; what else is new would be lost on it
-			m.send(m.view.Members[w[i]].Address, &Message{Kind: Beat, Digest: m.digest, Charges: []Charge{m.charges[w[i]]}})
+		case m.down.Has(w[i]) && m.charges[w[i]].TimedOut|m.charges[w[i]].Refused != 0: // it should hear of that; what else is new would be lost on it
+			m.send(m.view.Members[w[i]].Address, &Message{Kind: Heartbeat, Digest: m.digest, Reports: []Report{m.charges[w[i]]}})
 		default:
-			m.send(m.view.Members[w[i]].Address, m.payload(&Message{Kind: Beat}, i))
+			m.send(m.view.Members[w[i]].Address, m.payload(&Message{Kind: Heartbeat}, i))
 		}
 	}
 }
@@ -519,17 +519,17 @@
 // payload adds to a message what is new, as far as the bucket allows. The round goes to a watcher once in each version, and to others always.
 func (m *Member) payload(msg *Message, watcher int) *Message {
 	msg.Digest = m.digest
-	room := min(MaxBytes, int(m.fill)+80) - msg.Bytes() - 8
+	room := min(MaxBytes, int(m.fill)+80) - msg.EncodedSize() - 8
 	if r := m.round; r != nil && (watcher < 0 || m.toldOf[watcher] != m.version) {
 		packed := r.pack()
-		if packed.Has = r.Value != nil; packed.Has { // the promises have done what they were for, and with what they told no datagram would hold it
-			packed.Promises, packed.Before, packed.Best = nil, nil, 0
+		if packed.HasValue = r.Value != nil; packed.HasValue { // the promises have done what they were for, and with what they told no datagram would hold it
+			packed.Promises, packed.AcceptedValue, packed.AcceptedBallot = nil, nil, 0
 		}
 		// What the vote is on is long where many join: one watcher in five hears it unasked and once, the others ask for it.
 		if watcher >= 0 && (watcher%5 != int(r.Ballot)%5 && len(m.toldOf) > 4 || m.toldWhat[watcher] == r.Ballot) {
-			packed.Value, packed.Before, packed.Best = nil, nil, 0
+			packed.Value, packed.AcceptedValue, packed.AcceptedBallot = nil, nil, 0
 		}
-		if packed.bytes() <= room || packed.Value != nil && packed.bytes() <= MaxBytes-msg.Bytes() && m.fill > -2*float64(m.Budget) { // what the vote is on goes before all else
+		if packed.bytes() <= room || packed.Value != nil && packed.bytes() <= MaxBytes-msg.EncodedSize() && m.fill > -2*float64(m.BytesPerSecond) { // what the vote is on goes before all else
 			msg.Round = packed
 			room -= packed.bytes()
 			if watcher >= 0 {
@@ -541,21 +541,21 @@
 		}
 	}
 	if m.deaths > 0 && (watcher < 0 || m.toldDead[watcher] != m.deaths) && 8+2*len(m.dead) <= room {
-		msg.Dead, msg.Again = slices.Clone(m.dead), slices.Clone(m.again)
+		msg.Dead, msg.Rejoining = slices.Clone(m.dead), slices.Clone(m.again)
 		room -= 8 + 2*len(m.dead)
 		if watcher >= 0 {
 			m.toldDead[watcher] = m.deaths
 		}
 	}
-	if n := len(m.history); m.stepHot > 0 && n > 0 && 12+m.history[n-1].Value.bytes() <= room {
-		msg.Steps = m.history[n-1:]
-		room -= 12 + m.history[n-1].Value.bytes()
+	if n := len(m.history); m.stepHot > 0 && n > 0 && 12+m.history[n-1].Change.bytes() <= room {
+		msg.Decisions = m.history[n-1:]
+		room -= 12 + m.history[n-1].Change.bytes()
 		m.stepHot--
 	}
 	kept := m.hot[:0]
 	for _, h := range m.hot {
 		if room >= 14 {
-			msg.Charges = append(msg.Charges, m.charges[h.subject])
+			msg.Reports = append(msg.Reports, m.charges[h.subject])
 			room -= 14
 			h.left--
 		}
@@ -564,8 +564,8 @@
 		}
 	}
 	m.hot = kept
-	if len(msg.Charges) > 0 && len(m.hot) > 1 { // those that found no room come first next time
-		cut := min(len(msg.Charges), len(m.hot))
+	if len(msg.Reports) > 0 && len(m.hot) > 1 { // those that found no room come first next time
+		cut := min(len(msg.Reports), len(m.hot))
 		m.hot = append(slices.Clone(m.hot[cut:]), m.hot[:cut]...)
 	}
 	return msg
@@ -574,7 +574,7 @@
 // carry tells the first two in the order, who may propose, of those that came to this member and want in. Everybody else hears of them
 // as part of the change.
 func (m *Member) carry() {
-	if m.view == nil || len(m.sponsor) == 0 || m.now-m.carried < m.Beat || m.carried > 0 && (m.now-m.carried < m.Stuck || m.fill < -float64(m.Budget)) {
+	if m.view == nil || len(m.sponsor) == 0 || m.now-m.carried < m.HeartbeatInterval || m.carried > 0 && (m.now-m.carried < m.BallotTimeout || m.fill < -float64(m.BytesPerSecond)) {
 		return
 	}
 	m.carried = m.now
@@ -595,7 +595,7 @@
 			continue
 		}
 		if i != m.at {
-			m.send(m.view.Members[i].Address, &Message{Kind: Beat, Digest: m.digest, Joins: all})
+			m.send(m.view.Members[i].Address, &Message{Kind: Heartbeat, Digest: m.digest, PendingJoins: all})
 		}
 		if told++; told == 2 {
 			return
@@ -612,7 +612,7 @@
 	to := m.Seeds[m.rng.IntN(len(m.Seeds))]
 	if !slices.ContainsFunc(m.view.Members, func(p Peer) bool { return p.Address == to }) {
 		self := m.Self()
-		m.send(to, &Message{Kind: Hello, Peer: &self, Rank: m.rank()})
+		m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.rank()})
 	}
 }
 
@@ -628,7 +628,7 @@
 	v = m.Shared.one(v)
 	m.view, m.at = v, v.Index(m.Self().ID)
 	m.rings = m.Shared.weave(v, m.Watchers)
-	m.charges = make([]Charge, len(v.Members))
+	m.charges = make([]Report, len(v.Members))
 	for i := range m.charges {
 		m.charges[i].Subject = i
 	}
@@ -645,7 +645,7 @@
 		s := &subject{heard: m.now}
 		if old != nil { // who was silent before is so still, and who is new has yet to hear of it
 			if j := old.Index(v.Members[i].ID); j < 0 {
-				s.heard += m.Silent
+				s.heard += m.SuspicionTimeout
 			} else if subjects[j] != nil {
 				s = subjects[j]
 				s.charged = 0
@@ -657,11 +657,11 @@
 	if m.state != Leaving {
 		m.state = Inside
 	} else {
-		m.merge(Charge{Subject: m.at, Left: true})
+		m.merge(Report{Subject: m.at, Left: true})
 	}
 	kept := m.joins[:0]
 	for _, p := range m.joins {
-		if i, there := v.find(p.ID.Name); !there || v.Members[i].ID.Inc < p.ID.Inc {
+		if i, there := v.find(p.ID.Name); !there || v.Members[i].ID.Incarnation < p.ID.Incarnation {
 			kept = append(kept, p)
 		}
 	}
@@ -687,13 +687,13 @@
 
 // invite tells one that has joined of the view, and of some that have it: whoever let in many cannot serve them all.
 func (m *Member) invite(old *View) *Message {
-	msg := &Message{Kind: Notice, Hash: m.view.Hash()}
+	msg := &Message{Kind: JoinNotice, Hash: m.view.Hash()}
 	if old == nil {
 		old = m.view
 	}
 	for range min(4, len(old.Members)) {
 		if p := old.Members[m.rng.IntN(len(old.Members))]; m.view.Index(p.ID) >= 0 && p.ID != m.Self().ID {
-			msg.Joins = append(msg.Joins, Peer{Address: p.Address})
+			msg.PendingJoins = append(msg.PendingJoins, Peer{Address: p.Address})
 		}
 	}
 	return msg
@@ -706,7 +706,7 @@
 	m.history, m.lately, m.knownAt = nil, nil, m.now
 	clear(m.sponsor)
 	if state == Outside {
-		m.Config.Self.ID.Inc++
+		m.Config.Self.ID.Incarnation++
 	}
 	m.say(Event{Reason: reason})
 }
@@ -727,10 +727,10 @@
 	}
 	m.judge()
 	s := fmt.Sprintf("%v view %d of %d down %d gone %d joins %d touch %v deaf %v doubts %v fill %.0f promised %d accepted %d", m.state, m.view.Number, len(m.view.Members), m.down.Count(), m.gone.Count(),
-		len(m.joins), m.InTouch(), m.deaf(), m.doubts(), m.fill, m.promised, m.accepted)
+		len(m.joins), m.HasQuorum(), m.deaf(), m.doubts(), m.fill, m.promised, m.accepted)
 	if r := m.round; r != nil {
-		s += fmt.Sprintf(" ballot %d (by %d) gone %d promises %d value %v votes %d of %d", r.Ballot, int(r.Ballot-1)%len(m.view.Members), r.Gone.Count(), r.Promises.Count(), r.Value != nil,
-			r.Votes.Count(), quorum(len(m.view.Members), r.Gone))
+		s += fmt.Sprintf(" ballot %d (by %d) gone %d promises %d value %v votes %d of %d", r.Ballot, int(r.Ballot-1)%len(m.view.Members), r.Failed.Count(), r.Promises.Count(), r.Value != nil,
+			r.Votes.Count(), quorum(len(m.view.Members), r.Failed))
 	}
 	return s
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -33,14 +33,14 @@
 // newNet has so many members in one view.
 func newNet(t testing.TB, n int, without Protection) *net {
 	w := &net{t: t, now: time.Hour, views: map[uint64]uint64{}, without: without}
-	v := &View{Lineage: 1, Number: 1, Most: n}
+	v := &View{Lineage: 1, Number: 1, LargestSize: n}
 	for i := range n {
 		w.members = append(w.members, w.make(i, 1))
 		w.up = append(w.up, true)
 		v.Members = append(v.Members, w.members[i].Self())
 	}
 	for i, m := range w.members {
-		m.Begin(v)
+		m.Bootstrap(v)
 		w.collect(i)
 	}
 	w.queue = nil
@@ -48,12 +48,12 @@
 }
 
 func (w *net) make(i int, inc uint64) *Member {
-	return New(Config{Self: Peer{ID: ID{Name: at(i), Inc: inc}, Address: at(i), Number: i}, Seeds: []string{at(0), at(1)}, Fleet: 3, Without: w.without}, w.now, uint64(i)+inc*100)
+	return New(Config{Self: Peer{ID: ID{Name: at(i), Incarnation: inc}, Address: at(i), Number: i}, Seeds: []string{at(0), at(1)}, FleetSize: 3, Disabled: w.without}, w.now, uint64(i)+inc*100)
 }
 
 // collect takes what a member sends, and checks that all views of one number are the same.
 func (w *net) collect(i int) {
-	out, events := w.members[i].Take()
+	out, events := w.members[i].Drain()
 	for _, e := range out {
 		to := slices.IndexFunc(w.members, func(m *Member) bool { return m.Self().Address == e.To })
 		w.queue = append(w.queue, sending{from: i, to: to, msg: e.Message})
@@ -75,7 +75,7 @@
 	w.queue = slices.Delete(w.queue, k, k+1)
 	switch {
 	case s.refused && w.up[s.to]:
-		w.members[s.to].Refused(w.now, w.members[s.from].Self().Address)
+		w.members[s.to].ReceiveRefusal(w.now, w.members[s.from].Self().Address)
 	case s.refused:
 	case !w.up[s.to]:
 		w.queue = append(w.queue, sending{from: s.to, to: s.from, refused: true})
@@ -131,9 +131,9 @@
 	if m == nil {
 		return ""
 	}
-	s := fmt.Sprintf("%d %d %v %x", m.Kind, m.View, m.Charges, m.Dead)
+	s := fmt.Sprintf("%d %d %v %x", m.Kind, m.View, m.Reports, m.Dead)
 	if r := m.Round; r != nil {
-		s += fmt.Sprintf(" %d %x %x %v %d", r.Ballot, r.Promises, r.Votes, r.Value, r.Best)
+		s += fmt.Sprintf(" %d %x %x %v %d", r.Ballot, r.Promises, r.Votes, r.Value, r.AcceptedBallot)
 	}
 	return s
 }
@@ -264,7 +264,7 @@
 
 // TestKnownWrong: rules that are known to be wrong are found out by the same steps.
 func TestKnownWrong(t *testing.T) {
-	for name, without := range map[string]Protection{"any accusation": Marks, "no word of the accused": Word} {
+	for name, without := range map[string]Protection{"any accusation": Watermarks, "no word of the accused": Refutation} {
 		found := false
 		explore(t, 4, 2, without, func(w *net, path []act) {
 			if found {
@@ -282,7 +282,7 @@
 				}
 			}
 			for i, m := range w.members {
-				if i != 0 && w.up[i] && w.up[0] && m.view != nil && (m.Down().Has(0) || m.view.Index(w.members[0].Self().ID) < 0) || w.up[0] && w.members[0].view != nil && w.members[0].charges[0].Silent != 0 && without == Word {
+				if i != 0 && w.up[i] && w.up[0] && m.view != nil && (m.Down().Has(0) || m.view.Index(w.members[0].Self().ID) < 0) || w.up[0] && w.members[0].view != nil && w.members[0].charges[0].TimedOut != 0 && without == Refutation {
 					found = true
 				}
 			}
@@ -359,10 +359,10 @@
 // seldom; when the later one leaves, the one before is let in again.
 func TestUpgrade(t *testing.T) {
 	w := newNet(t, 3, 0)
-	next := New(Config{Self: Peer{ID: ID{Name: at(2), Inc: 1000}, Address: "m2'", Number: 2}, Seeds: []string{at(0), at(1)}, Fleet: 3}, w.now, 77)
+	next := New(Config{Self: Peer{ID: ID{Name: at(2), Incarnation: 1000}, Address: "m2'", Number: 2}, Seeds: []string{at(0), at(1)}, FleetSize: 3}, w.now, 77)
 	w.members, w.up = append(w.members, next), append(w.up, true)
 	w.run(8 * time.Second)
-	if next.State() != Inside || w.members[2].State() != Superseded || len(next.View().Members) != 3 || w.members[2].InTouch() {
+	if next.State() != Inside || w.members[2].State() != Superseded || len(next.View().Members) != 3 || w.members[2].HasQuorum() {
 		t.Fatalf("new: %s\nold: %s", next.Dump(), w.members[2].Dump())
 	}
 	v := next.View().Number
@@ -398,10 +398,10 @@
 // TestTokens: addresses that are not a sender's own, and tokens that are not its, let nobody in.
 func TestTokens(t *testing.T) {
 	w := newNet(t, 3, 0)
-	self := Peer{ID: ID{Name: "m9", Inc: 1}, Address: "elsewhere"}
+	self := Peer{ID: ID{Name: "m9", Incarnation: 1}, Address: "elsewhere"}
 	for _, m := range []*Message{{Kind: Hello, From: self.ID, Peer: &self}, {Kind: Join, From: self.ID, Peer: &self, Token: 5}, {Kind: Join, From: self.ID, Peer: &self, Token: w.members[0].token("elsewhere", self.ID)}} {
 		w.members[0].Receive(w.now, "m9", m)
-		if out, _ := w.members[0].Take(); len(out) != 0 {
+		if out, _ := w.members[0].Drain(); len(out) != 0 {
 			t.Errorf("%d answered with %+v", m.Kind, out[0].Message)
 		}
 	}
@@ -415,17 +415,17 @@
 func TestRoundFits(t *testing.T) {
 	w := newNet(t, 7, 0)
 	m := w.members[0]
-	lists := [2]Value{}
+	lists := [2]ViewChange{}
 	for i := range lists {
 		for size, j := 0, 0; size < joinRoom-60; j++ {
-			p := Peer{ID: ID{Name: fmt.Sprintf("dispatcher-%d-%04d", i, j), Inc: 1}, Address: fmt.Sprintf("10.0.%d.%d:7946", i, j)}
+			p := Peer{ID: ID{Name: fmt.Sprintf("dispatcher-%d-%04d", i, j), Incarnation: 1}, Address: fmt.Sprintf("10.0.%d.%d:7946", i, j)}
 			lists[i].Joined = append(lists[i].Joined, p)
 			size += p.bytes()
 		}
 	}
-	m.round = &Round{Ballot: 8, Gone: newBits(7), Promises: newBits(7), Votes: newBits(7), Best: 1, Before: &lists[0], Value: &lists[1]}
+	m.round = &Round{Ballot: 8, Failed: newBits(7), Promises: newBits(7), Votes: newBits(7), AcceptedBallot: 1, AcceptedValue: &lists[0], Value: &lists[1]}
 	msg := m.payload(&Message{Kind: Pong}, -1)
-	if msg.Round == nil || !lists[1].equal(msg.Round.Value) || !msg.Round.unpack(7).good(7) || msg.Bytes() > MaxBytes {
-		t.Errorf("round %+v in %d bytes", msg.Round, msg.Bytes())
+	if msg.Round == nil || !lists[1].equal(msg.Round.Value) || !msg.Round.unpack(7).good(7) || msg.EncodedSize() > MaxBytes {
+		t.Errorf("round %+v in %d bytes", msg.Round, msg.EncodedSize())
 	}
 }
--- a/member/round.go
+++ b/member/round.go
@@ -20,7 +20,7 @@
 // pack is a copy to be sent, in which an empty set is left out, and unpack one of what came.
 func (r *Round) pack() *Round {
 	c := r.clone()
-	for _, b := range []*Bits{&c.Gone, &c.Promises, &c.Votes} {
+	for _, b := range []*Bits{&c.Failed, &c.Promises, &c.Votes} {
 		if b.Count() == 0 {
 			*b = nil
 		}
@@ -30,7 +30,7 @@
 
 func (r *Round) unpack(n int) *Round {
 	c := r.clone()
-	for _, b := range []*Bits{&c.Gone, &c.Promises, &c.Votes} {
+	for _, b := range []*Bits{&c.Failed, &c.Promises, &c.Votes} {
 		if len(*b) == 0 {
 			*b = newBits(n)
 		}
@@ -38,7 +38,7 @@
 	return c
 }
 
-func (v *Value) equal(w *Value) bool {
+func (v *ViewChange) equal(w *ViewChange) bool {
 	if v == nil || w == nil {
 		return v == w
 	}
@@ -47,9 +47,9 @@
 
 // good: a round from elsewhere can be of this view.
 func (r *Round) good(n int) bool {
-	value := func(v *Value) bool { return v == nil || v.good(n) }
-	return r.Ballot > 0 && r.Gone.fits(n) && r.Promises.fits(n) && r.Votes.fits(n) && value(r.Before) && value(r.Value) &&
-		(r.Best == 0) == (r.Before == nil)
+	value := func(v *ViewChange) bool { return v == nil || v.good(n) }
+	return r.Ballot > 0 && r.Failed.fits(n) && r.Promises.fits(n) && r.Votes.fits(n) && value(r.AcceptedValue) && value(r.Value) &&
+		(r.AcceptedBallot == 0) == (r.AcceptedValue == nil)
 }
 
 // quorum is how many must agree: more than half of a view, so that any two such sets share a member; or, where so many are gone that this
@@ -80,8 +80,8 @@
 	default:
 		changed := m.round.Promises.or(r.Promises)
 		changed = m.round.Votes.or(r.Votes) || changed
-		if r.Best > m.round.Best {
-			m.round.Best, m.round.Before, changed = r.Best, r.Before, true
+		if r.AcceptedBallot > m.round.AcceptedBallot {
+			m.round.AcceptedBallot, m.round.AcceptedValue, changed = r.AcceptedBallot, r.AcceptedValue, true
 		}
 		if m.round.Value == nil && r.Value != nil {
 			m.round.Value, changed = r.Value, true
@@ -103,24 +103,24 @@
 func (m *Member) answer() {
 	r := m.round
 	n := len(m.view.Members)
-	mine := !r.Gone.Has(m.at) // the gone are left out
+	mine := !r.Failed.Has(m.at) // the gone are left out
 	if r.Ballot > m.promised {
 		m.promised = r.Ballot
 	}
 	if r.Ballot == m.promised && r.Value == nil && mine && !r.Promises.Has(m.at) {
 		r.Promises.Set(m.at)
-		if m.accepted > r.Best {
-			r.Best, r.Before = m.accepted, m.voted
+		if m.accepted > r.AcceptedBallot {
+			r.AcceptedBallot, r.AcceptedValue = m.accepted, m.voted
 		}
 		m.turned()
 	}
 	owner := int(r.Ballot-1) % n
-	if owner == m.at && r.Value == nil && r.Promises.Count() >= quorum(n, r.Gone) {
-		if r.Value = r.Before; r.Value == nil {
+	if owner == m.at && r.Value == nil && r.Promises.Count() >= quorum(n, r.Failed) {
+		if r.Value = r.AcceptedValue; r.Value == nil {
 			r.Value = m.change()
 		}
 		if r.Value == nil { // what there was to change has gone by: the same members again, which ends the vote
-			r.Value = &Value{}
+			r.Value = &ViewChange{}
 		}
 		m.turned()
 	}
@@ -129,17 +129,17 @@
 		r.Votes.Set(m.at)
 		m.turned()
 	}
-	if r.Value != nil && r.Votes.Count() >= quorum(n, r.Gone) {
+	if r.Value != nil && r.Votes.Count() >= quorum(n, r.Failed) {
 		m.decided(*r.Value)
 	}
 }
 
 // change is what this member would have change: nil if nothing.
-func (m *Member) change() *Value {
+func (m *Member) change() *ViewChange {
 	m.judge()
-	v := &Value{Removed: slices.Clone(m.down)}
+	v := &ViewChange{Removed: slices.Clone(m.down)}
 	size := 0
-	if m.now-m.changed < m.Settle+m.Stuck { // who is only silent may speak yet: where a cut ends, or shows, there is news all the time
+	if m.now-m.changed < m.ProposalDelay+m.BallotTimeout { // who is only silent may speak yet: where a cut ends, or shows, there is news all the time
 		for i, c := range m.charges {
 			if m.down.Has(i) && !m.gone.Has(i) && !c.Left && !m.replaced(i) {
 				v.Removed[i/8] &^= 1 << (i % 8)
@@ -186,7 +186,7 @@
 		return
 	}
 	if m.alone() { // nobody to do it with; and when there is, the accused should speak first
-		m.changed, m.pending = m.now+m.Stuck, 0
+		m.changed, m.pending = m.now+m.BallotTimeout, 0
 		return
 	}
 	quiet := m.now - m.changed
@@ -197,19 +197,19 @@
 	} else if waited := (m.now - m.pending) / 3; waited > quiet && !m.unsure() && !m.silentOnes() { // there is always something new where many come
 		quiet = waited
 	}
-	patience := m.Settle + time.Duration(rank)*m.Stuck
+	patience := m.ProposalDelay + time.Duration(rank)*m.BallotTimeout
 	if len(m.joins)*m.Self().bytes() > joinRoom { // more than one change takes: no use to wait for more
-		patience -= m.Settle
+		patience -= m.ProposalDelay
 	}
 	if m.unsure() || m.silentOnes() { // more is likely to come: a cut shows one by one
-		patience += m.Stuck
+		patience += m.BallotTimeout
 	}
 	var ballot uint32
 	switch {
 	case m.round == nil && quiet >= patience && m.order(m.at) == 0 && m.promised == 0:
 		ballot = uint32(m.at) + 1
 	case m.round == nil && quiet >= patience && m.order(m.at) > 0,
-		m.round != nil && m.now-m.moved >= m.Stuck*time.Duration(1+rank):
+		m.round != nil && m.now-m.moved >= m.BallotTimeout*time.Duration(1+rank):
 		ballot = uint32(m.at) + 1 + uint32(n)
 		for ballot <= m.promised || m.round != nil && ballot <= m.round.Ballot {
 			ballot += uint32(n)
@@ -221,7 +221,7 @@
 	if m.round == nil && value == nil {
 		return // nothing to do
 	}
-	m.round = &Round{Ballot: ballot, Gone: slices.Clone(m.gone), Promises: newBits(n), Votes: newBits(n)}
+	m.round = &Round{Ballot: ballot, Failed: slices.Clone(m.gone), Promises: newBits(n), Votes: newBits(n)}
 	if ballot <= uint32(n) {
 		m.round.Value = value
 	}
@@ -230,8 +230,8 @@
 }
 
 // decided goes on to the next view.
-func (m *Member) decided(v Value) {
-	step := Step{From: m.view.Number, Value: v}
+func (m *Member) decided(v ViewChange) {
+	step := Decision{From: m.view.Number, Change: v}
 	m.history = append(m.history, step)
 	if len(m.history) > historyLen {
 		m.history = slices.Delete(m.history, 0, len(m.history)-historyLen)
@@ -240,23 +240,23 @@
 }
 
 // apply makes the view after a change this member's.
-func (m *Member) apply(s Step) {
-	next := m.view.next(&s.Value)
-	removed := s.Value.Removed.Count()
+func (m *Member) apply(s Decision) {
+	next := m.view.next(&s.Change)
+	removed := s.Change.Removed.Count()
 	for i, p := range m.view.Members {
 		// Who left, or has another process in its place, did not flap.
-		if s.Value.Removed.Has(i) && !m.charges[i].Left && !slices.ContainsFunc(s.Value.Joined, func(j Peer) bool { return j.ID.Name == p.ID.Name }) {
+		if s.Change.Removed.Has(i) && !m.charges[i].Left && !slices.ContainsFunc(s.Change.Joined, func(j Peer) bool { return j.ID.Name == p.ID.Name }) {
 			m.penalty(p.ID.Name)
 		}
 	}
 	if next.Index(m.Self().ID) < 0 {
 		for _, w := range m.targets { // the one vote that was missing may have been this one's, and nobody else knows
-			m.send(m.view.Members[w].Address, &Message{Kind: Beat, Steps: []Step{s}})
+			m.send(m.view.Members[w].Address, &Message{Kind: Heartbeat, Decisions: []Decision{s}})
 		}
 		m.without(next)
 		return
 	}
-	m.install(next, reason(removed, len(s.Value.Joined)))
+	m.install(next, reason(removed, len(s.Change.Joined)))
 }
 
 // without takes this member out of a view that it is not in.
@@ -283,16 +283,16 @@
 }
 
 // follow takes changes that lead on from this member's view, and reports whether there were any.
-func (m *Member) follow(steps []Step) (moved bool) {
+func (m *Member) follow(steps []Decision) (moved bool) {
 	for _, s := range steps {
 		if m.view == nil || s.From != m.view.Number {
 			continue
 		}
-		if !s.Value.good(len(m.view.Members)) {
+		if !s.Change.good(len(m.view.Members)) {
 			m.dropped.Malformed++
 			return moved
 		}
-		m.decided(s.Value)
+		m.decided(s.Change)
 		moved = true
 	}
 	return moved
@@ -304,12 +304,12 @@
 		return // it will ask again
 	}
 	answer := &Message{Kind: Pong, Digest: m.digest}
-	room := MaxBytes - answer.Bytes() - 40
-	at, ok := slices.BinarySearchFunc(m.history, msg.View, func(s Step, number uint64) int { return cmp.Compare(s.From, number) })
+	room := MaxBytes - answer.EncodedSize() - 40
+	at, ok := slices.BinarySearchFunc(m.history, msg.View, func(s Decision, number uint64) int { return cmp.Compare(s.From, number) })
 	if ok {
 		for _, s := range m.history[at:] {
-			if size := 12 + s.Value.bytes(); size <= room {
-				answer.Steps = append(answer.Steps, s)
+			if size := 12 + s.Change.bytes(); size <= room {
+				answer.Decisions = append(answer.Decisions, s)
 				room -= size
 				continue
 			}
--- a/member/view.go
+++ b/member/view.go
@@ -11,9 +11,9 @@
 
 // ID names one run of a member: a process that returns under its name has a higher incarnation.
 type ID struct {
-	_    struct{} `cbor:",toarray"`
-	Name string
-	Inc  uint64
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Incarnation uint64
 }
 
 // Peer is a member as a view lists it.
@@ -27,23 +27,25 @@
 
 // View is what members agree on: who is one. Views of one lineage follow each other without gaps.
 type View struct {
-	Lineage uint64
-	Number  uint64
-	Most    int    // members that any view of the lineage had so far
-	Members []Peer // by name
+	Lineage     uint64
+	Number      uint64
+	LargestSize int    // members that any view of the lineage had so far
+	Members     []Peer // by name
 
 	hash uint64
 }
 
 // Place is a member's rank among all by number and name, and how many there are. -1: it is none of them.
-func (v *View) Place(id ID) (place, count int) { return v.rank(id, func(Peer) bool { return true }) }
+func (v *View) Rank(id ID) (place, count int) {
+	return v.rankAmong(id, func(Peer) bool { return true })
+}
 
 // PlaceIn is the same among those of a zone.
-func (v *View) PlaceIn(id ID, zone int) (place, count int) {
-	return v.rank(id, func(p Peer) bool { return p.Zone == zone })
+func (v *View) RankInZone(id ID, zone int) (place, count int) {
+	return v.rankAmong(id, func(p Peer) bool { return p.Zone == zone })
 }
 
-func (v *View) rank(id ID, counts func(Peer) bool) (place, count int) {
+func (v *View) rankAmong(id ID, counts func(Peer) bool) (place, count int) {
 	at := v.Index(id)
 	if at < 0 {
 		return -1, 0
@@ -86,10 +88,10 @@
 	}
 	put(v.Lineage)
 	put(v.Number)
-	put(uint64(v.Most))
+	put(uint64(v.LargestSize))
 	for _, p := range v.Members {
 		h.WriteString(p.ID.Name)
-		put(p.ID.Inc)
+		put(p.ID.Incarnation)
 	}
 	v.hash = h.Sum64() | 1
 	return v.hash
@@ -224,7 +226,7 @@
 		for i, p := range v.Members {
 			var b [24]byte
 			binary.LittleEndian.PutUint64(b[:], uint64(ring))
-			binary.LittleEndian.PutUint64(b[8:], p.ID.Inc)
+			binary.LittleEndian.PutUint64(b[8:], p.ID.Incarnation)
 			binary.LittleEndian.PutUint64(b[16:], xxhash.Sum64String(p.ID.Name))
 			order[i] = place{xxhash.Sum64(b[:]), i}
 		}
@@ -242,13 +244,13 @@
 }
 
 // Value is a change from one view to the next.
-type Value struct {
+type ViewChange struct {
 	Removed Bits   `cbor:"1,keyasint,omitempty"` // positions in the view before; empty: none
 	Joined  []Peer `cbor:"2,keyasint,omitempty"`
 }
 
 // good: a change from elsewhere can be one of a view of n.
-func (v *Value) good(n int) bool {
+func (v *ViewChange) good(n int) bool {
 	size := 0
 	for _, p := range v.Joined {
 		if size += p.bytes(); p.ID.Name == "" {
@@ -259,7 +261,7 @@
 }
 
 // next is the view after a change.
-func (v *View) next(c *Value) *View {
+func (v *View) next(c *ViewChange) *View {
 	n := &View{Lineage: v.Lineage, Number: v.Number + 1}
 	for i, p := range v.Members {
 		if !c.Removed.Has(i) {
@@ -271,6 +273,6 @@
 			n.Members = slices.Insert(n.Members, i, p)
 		}
 	}
-	n.Most = max(v.Most, len(n.Members))
+	n.LargestSize = max(v.LargestSize, len(n.Members))
 	return n
 }
--- a/sim/members/members.go
+++ b/sim/members/members.go
@@ -180,13 +180,13 @@
 		w.start(i)
 	}
 	if c.Fault != "start" && c.Policy != "heartbeats" {
-		v := &member.View{Lineage: 1, Number: 1, Most: c.Members}
+		v := &member.View{Lineage: 1, Number: 1, LargestSize: c.Members}
 		for _, p := range w.procs {
 			v.Members = append(v.Members, p.m.Self())
 		}
 		for _, p := range w.procs {
-			p.m.Begin(v)
-			p.m.Take()
+			p.m.Bootstrap(v)
+			p.m.Drain()
 		}
 	}
 	return w, nil
@@ -209,9 +209,9 @@
 	for s := range min(6, w.Members) {
 		seeds = append(seeds, address(s))
 	}
-	without := map[string]member.Protection{"no-word": member.Word, "no-doubt": member.Doubt, "no-awareness": member.Awareness, "no-marks": member.Marks}[w.Policy]
-	p.m = member.New(member.Config{Self: member.Peer{ID: member.ID{Name: fmt.Sprintf("dispatcher-%04d", i), Inc: uint64(w.now/step)*16 + 1}, Address: address(i),
-		Zone: i % 5, Number: i}, Seeds: seeds, Fleet: w.Members, Without: without, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.inc)
+	without := map[string]member.Protection{"no-word": member.Refutation, "no-doubt": member.SelfSuspicion, "no-awareness": member.PauseDetection, "no-marks": member.Watermarks}[w.Policy]
+	p.m = member.New(member.Config{Self: member.Peer{ID: member.ID{Name: fmt.Sprintf("dispatcher-%04d", i), Incarnation: uint64(w.now/step)*16 + 1}, Address: address(i),
+		Zone: i % 5, Number: i}, Seeds: seeds, FleetSize: w.Members, Disabled: without, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.inc)
 }
 
 // post sends a datagram through the net.
@@ -270,7 +270,7 @@
 			}
 		}
 	case d.refused:
-		p.m.Refused(w.now, address(d.from))
+		p.m.ReceiveRefusal(w.now, address(d.from))
 	default:
 		p.m.Receive(w.now, address(d.from), d.msg)
 	}
@@ -282,9 +282,9 @@
 	if p.m == nil {
 		return
 	}
-	out, events := p.m.Take()
+	out, events := p.m.Drain()
 	for _, e := range out {
-		w.post(datagram{from: i, to: index(e.To), inc: p.inc, msg: e.Message}, e.Message.Bytes())
+		w.post(datagram{from: i, to: index(e.To), inc: p.inc, msg: e.Message}, e.Message.EncodedSize())
 	}
 	for _, e := range events {
 		w.told(i, e)
@@ -325,14 +325,14 @@
 	}
 	in := map[string]uint64{}
 	for _, p := range v.Members {
-		in[p.ID.Name] = p.ID.Inc
+		in[p.ID.Name] = p.ID.Incarnation
 	}
 	for i, p := range w.procs {
 		if p.m == nil || !p.up || p.m.View() == nil || p.m.View().Lineage != v.Lineage || p.m.View().Number+1 != v.Number || p.m.State() != member.Inside {
 			continue
 		}
 		self := p.m.Self().ID
-		if inc, there := in[self.Name]; (!there || inc != self.Inc) && w.fault.sound(w, i) {
+		if inc, there := in[self.Name]; (!there || inc != self.Incarnation) && w.fault.sound(w, i) {
 			w.result.False++
 			w.trace("%v %d removed though it is up", w.now, i)
 		}
@@ -533,7 +533,7 @@
 			continue
 		}
 		v := p.m.View()
-		if v == nil || !p.m.InTouch() {
+		if v == nil || !p.m.HasQuorum() {
 			r.NotInTouch++
 		}
 		if v == nil || first != nil && (v.Number != first.Number || v.Lineage != first.Lineage) {
