--- a/member/member.go
+++ b/member/member.go
@@ -47,12 +47,12 @@
 )
 
 // Fill returns the configuration with defaults for what is missing, for a net on which a way there and back takes so long.
-func (c Config) WithDefaults(trip time.Duration) Config {
+func (c Config) WithDefaults(roundTrip time.Duration) Config {
 	// A beat, two asks and their answers must fit into each other whatever the way: below 50 ms there and back nothing grows.
-	grown := max(1, float64(trip)/float64(50*time.Millisecond))
-	set := func(d *time.Duration, usual time.Duration) {
+	scale := max(1, float64(roundTrip)/float64(50*time.Millisecond))
+	set := func(d *time.Duration, standard time.Duration) {
 		if *d <= 0 {
-			*d = time.Duration(float64(usual) * grown)
+			*d = time.Duration(float64(standard) * scale)
 		}
 	}
 	set(&c.TickInterval, 50*time.Millisecond)
@@ -74,19 +74,19 @@
 }
 
 const (
-	high       = 0.7 // of a member's watchers that are not down themselves make it down
-	low        = 0.3 // of them may mean that it and the others are beyond a cut
-	burst      = 10  // seconds of the budget that may be used at once: changes are rare
-	asks       = 2   // of them refused prove a death
-	doubt      = 0.6 // of a watcher's subjects silent at once: rather it is itself
-	joinRoom   = 800 // bytes of those that join in one change: with votes and the rest they fit a datagram
-	historyLen = 32  // changes kept for those that are behind
-	latelyLen  = 8   // views kept for those that fetch one
-	flapMost   = 5 * time.Minute
-	flapFades  = 10 * time.Minute
-	helloEvery = 400 * time.Millisecond
-	helloMost  = 3 * time.Second
-	strayEvery = 5 * time.Second // a look for other lineages, and for those that have missed much
+	highWatermark      = 0.7 // of a member's watchers that are not down themselves make it down
+	lowWatermark       = 0.3 // of them may mean that it and the others are beyond a cut
+	burstSeconds       = 10  // seconds of the budget that may be used at once: changes are rare
+	refusalsForProof   = 2   // of them refused prove a death
+	selfSuspicionShare = 0.6 // of a watcher's subjects silent at once: rather it is itself
+	maxJoinBytes       = 800 // bytes of those that join in one change: with votes and the rest they fit a datagram
+	maxHistory         = 32  // changes kept for those that are behind
+	maxRecentViews     = 8   // views kept for those that fetch one
+	maxBackoff         = 5 * time.Minute
+	removalMemory      = 10 * time.Minute
+	helloInterval      = 400 * time.Millisecond
+	maxHelloInterval   = 3 * time.Second
+	slowInterval       = 5 * time.Second // a look for other lineages, and for those that have missed much
 )
 
 // Envelope is a message and where it goes.
@@ -103,12 +103,12 @@
 
 // subject is what a watcher knows of one whom it watches.
 type subject struct {
-	heard    time.Duration // last sign of life
-	asked    time.Duration // last ping
-	refusals int           // answered by "port unreachable" since then
-	charged  time.Duration // when this member charged it last; 0: not since it was heard
-	refuted  int           // how often such a charge was refuted lately
-	until    time.Duration // no charge before
+	lastHeard       time.Duration // last sign of life
+	lastPing        time.Duration // last ping
+	refusals        int           // answered by "port unreachable" since then
+	reportedAt      time.Duration // when this member charged it last; 0: not since it was heard
+	refutations     int           // how often such a charge was refuted lately
+	suppressedUntil time.Duration // no charge before
 }
 
 // State is a member's standing.
@@ -130,105 +130,105 @@
 // Member is one member. It is not safe for concurrent use.
 type Member struct {
 	Config
-	rng    *rand.Rand
-	state  State
-	now    time.Duration
-	ticked time.Duration
-	out    []Envelope
-	events []Event
-	fill   float64 // of the bucket, in bytes
-
-	view     *View
-	at       int // own position in it
-	rings    *rings
-	subjects map[int]*subject
-	bits     map[int]uint16 // by subject: what this member says in a charge
-	targets  []int          // of beats: the watchers, or who stands in for them
-	charges  []Report       // by position
-	digest   uint32
-	hot      []hot         // charges to be passed on
-	reheated time.Duration // when all of them were passed on anew
-	changed  time.Duration // last news of charges or joins
-	pending  time.Duration // the first since there was nothing to change; 0: there is not
-	news     bool          // since down was worked out
-	down     Bits
-	gone     Bits
-	beyond   int           // how many may be beyond a cut
-	willing  int           // how many are down for that they leave or are replaced alone, and vote
-	dead     Bits          // proven, by what this member has heard or by others' word
-	again    Bits          // who asks to join with a higher incarnation
-	deaths   int           // changes of these two
-	toldDead []int         // by watcher: as of which change it was told
-	joins    []Peer        // that wait, by name
-	carried  time.Duration // when those that came to this member were last said to who may propose
-
-	round    *Round
-	promised uint32
-	accepted uint32
-	voted    *ViewChange
-	moved    time.Duration // last progress of the vote
-	version  int           // of the round as it stands here
-	toldOf   []int         // by watcher: the version that it was sent
-	toldWhat []uint32      // by watcher: the ballot whose value it was sent
-	askedFor time.Duration // when the value of a vote was asked for last
-
-	history []Decision // the newest last
-	lately  []*View    // the last views, the newest last: some still fetch one of them
-	stepHot int        // how often the last one is still to be said unasked
-	next    int        // whose turn a beat is, among the watchers
-	beatAt  time.Duration
-	anybody time.Duration // last sign of life of anybody
-	stray   time.Duration
+	rng      *rand.Rand
+	state    State
+	now      time.Duration
+	lastTick time.Duration
+	outbox   []Envelope
+	events   []Event
+	tokens   float64 // of the bucket, in bytes
+
+	view                *View
+	position            int // own position in it
+	rings               *rings
+	subjects            map[int]*subject
+	watcherBits         map[int]uint16 // by subject: what this member says in a charge
+	heartbeatTargets    []int          // of beats: the watchers, or who stands in for them
+	reports             []Report       // by position
+	digest              uint32
+	reportQueue         []queuedReport // charges to be passed on
+	lastRequeue         time.Duration  // when all of them were passed on anew
+	lastChange          time.Duration  // last news of charges or joins
+	pendingSince        time.Duration  // the first since there was nothing to change; 0: there is not
+	evaluationDue       bool           // since down was worked out
+	down                Bits
+	failed              Bits
+	possiblyPartitioned int           // how many may be beyond a cut
+	downVoters          int           // how many are down for that they leave or are replaced alone, and vote
+	dead                Bits          // proven, by what this member has heard or by others' word
+	rejoining           Bits          // who asks to join with a higher incarnation
+	deadVersion         int           // changes of these two
+	sentDeadVersion     []int         // by watcher: as of which change it was told
+	pendingJoins        []Peer        // that wait, by name
+	lastJoinForward     time.Duration // when those that came to this member were last said to who may propose
+
+	round            *Round
+	promised         uint32
+	acceptedBallot   uint32
+	acceptedValue    *ViewChange
+	lastProgress     time.Duration // last progress of the vote
+	roundVersion     int           // of the round as it stands here
+	sentRoundVersion []int         // by watcher: the version that it was sent
+	sentValueBallot  []uint32      // by watcher: the ballot whose value it was sent
+	lastValueRequest time.Duration // when the value of a vote was asked for last
+
+	history           []Decision // the newest last
+	recentViews       []*View    // the last views, the newest last: some still fetch one of them
+	decisionSendsLeft int        // how often the last one is still to be said unasked
+	nextTarget        int        // whose turn a beat is, among the watchers
+	nextHeartbeat     time.Duration
+	lastContact       time.Duration // last sign of life of anybody
+	lastLineageCheck  time.Duration
 
 	// Outside.
-	since    time.Duration // out since
-	helloAt  time.Duration
-	lowerOut time.Duration            // a seed before this one was heard of, out too
-	known    []string                 // addresses of members of the last view, or that were named since
-	knownAt  time.Duration            // when the last of them was named
-	shut     map[string]time.Duration // by seed: until when nobody is taken to be there
-	chunks   []*Chunk                 // of the view that this one was let into
-	want     Message                  // the notice of that view
-	wantFrom string
-	pulled   time.Duration
-	fetched  time.Duration // last news of it
-	sources  []string      // who has it
-
-	secret  uint64
-	sponsor map[ID]string // joiners that came to this member, to be told when they are in
-	flaps   map[string]*flap
-	dropped Dropped
+	outsideSince       time.Duration // out since
+	nextHello          time.Duration
+	lowerSeedOutsideAt time.Duration            // a seed before this one was heard of, out too
+	knownAddresses     []string                 // addresses of members of the last view, or that were named since
+	lastKnownUpdate    time.Duration            // when the last of them was named
+	refusedSeeds       map[string]time.Duration // by seed: until when nobody is taken to be there
+	chunks             []*Chunk                 // of the view that this one was let into
+	wantedView         Message                  // the notice of that view
+	fetchSource        string
+	lastChunkRequest   time.Duration
+	lastChunk          time.Duration // last news of it
+	chunkSources       []string      // who has it
+
+	tokenSecret uint64
+	sponsored   map[ID]string // joiners that came to this member, to be told when they are in
+	removals    map[string]*removalRecord
+	dropped     Dropped
 }
 
 // Dropped counts what was not taken.
 type Dropped struct{ Foreign, Malformed int }
 
-type hot struct {
-	subject int
-	left    int // how often it is still to be sent
+type queuedReport struct {
+	subject   int
+	sendsLeft int // how often it is still to be sent
 }
 
 // flap is how often a name was removed lately.
-type flap struct {
-	n     int
-	at    time.Duration // when last
-	until time.Duration // it is not let in before
+type removalRecord struct {
+	count       int
+	last        time.Duration // when last
+	rejoinAfter time.Duration // it is not let in before
 }
 
 // New returns a member that is out and wants in.
 func New(c Config, now time.Duration, seed uint64) *Member {
-	m := &Member{Config: c.WithDefaults(0), rng: rand.New(rand.NewPCG(seed, 2)), now: now, ticked: now, since: now, anybody: now,
-		sponsor: map[ID]string{}, shut: map[string]time.Duration{}, flaps: map[string]*flap{}}
-	m.secret = m.rng.Uint64()
-	m.fill = burst * float64(m.BytesPerSecond)
-	m.helloAt = now
+	m := &Member{Config: c.WithDefaults(0), rng: rand.New(rand.NewPCG(seed, 2)), now: now, lastTick: now, outsideSince: now, lastContact: now,
+		sponsored: map[ID]string{}, refusedSeeds: map[string]time.Duration{}, removals: map[string]*removalRecord{}}
+	m.tokenSecret = m.rng.Uint64()
+	m.tokens = burstSeconds * float64(m.BytesPerSecond)
+	m.nextHello = now
 	return m
 }
 
 // Begin makes one that is out a member of a view that all of its members begin with. It is for fleets that are played.
 func (m *Member) Bootstrap(v *View) {
 	if m.state == Outside && v.Index(m.Self().ID) >= 0 {
-		m.install(v, "begun")
+		m.installView(v, "begun")
 	}
 }
 
@@ -250,8 +250,8 @@
 	if m.view == nil || 2*m.view.LargestSize <= m.FleetSize {
 		return false
 	}
-	m.judge()
-	return !m.alone() && !m.deaf()
+	m.evaluate()
+	return !m.lacksQuorum() && !m.cannotReceive()
 }
 
 // Standing is what this member knows of another one.
@@ -270,17 +270,17 @@
 	if m.view == nil {
 		return nil
 	}
-	m.judge()
+	m.evaluate()
 	for i, p := range m.view.Members {
-		s := PeerStatus{Peer: p, Down: m.down.Has(i), Failed: m.gone.Has(i), SinceHeard: -1, Watchers: len(m.rings.watchers[i])}
+		s := PeerStatus{Peer: p, Down: m.down.Has(i), Failed: m.failed.Has(i), SinceHeard: -1, Watchers: len(m.rings.watchers[i])}
 		if sub := m.subjects[i]; sub != nil {
-			s.SinceHeard = m.now - sub.heard
+			s.SinceHeard = m.now - sub.lastHeard
 		}
 		for bit, w := range m.rings.watchers[i] {
-			if m.charges[i].TimedOut>>bit&1 != 0 {
+			if m.reports[i].TimedOut>>bit&1 != 0 {
 				s.TimedOutBy = append(s.TimedOutBy, m.view.Members[w].ID.Name)
 			}
-			if m.charges[i].Refused>>bit&1 != 0 {
+			if m.reports[i].Refused>>bit&1 != 0 {
 				s.RefusedBy = append(s.RefusedBy, m.view.Members[w].ID.Name)
 			}
 		}
@@ -291,12 +291,12 @@
 
 // Take returns what is to be sent and told, and forgets it.
 func (m *Member) Drain() ([]Envelope, []Event) {
-	out, events := m.out, m.events
-	m.out, m.events = nil, nil
+	out, events := m.outbox, m.events
+	m.outbox, m.events = nil, nil
 	return out, events
 }
 
-func (m *Member) say(e Event) { m.events = append(m.events, e) }
+func (m *Member) emit(e Event) { m.events = append(m.events, e) }
 
 // send queues a message. It takes from the bucket, which may go below empty: what must be sent is.
 func (m *Member) send(to string, msg *Message) {
@@ -307,33 +307,33 @@
 	if m.view != nil {
 		msg.Lineage, msg.View, msg.Size = m.view.Lineage, m.view.Number, len(m.view.Members)
 	}
-	m.fill -= float64(msg.EncodedSize() + overhead)
-	m.out = append(m.out, Envelope{to, msg})
+	m.tokens -= float64(msg.EncodedSize() + datagramOverhead)
+	m.outbox = append(m.outbox, Envelope{to, msg})
 }
 
 // Tick lets time pass. One that comes late says that this process was away: it cannot tell whether others were silent.
 func (m *Member) Tick(now time.Duration) {
-	away := now - m.ticked
-	m.now, m.ticked = now, now
-	m.fill = min(burst*float64(m.BytesPerSecond), m.fill+away.Seconds()*float64(m.BytesPerSecond))
-	if away > time.Second && m.Disabled&PauseDetection == 0 {
+	elapsed := now - m.lastTick
+	m.now, m.lastTick = now, now
+	m.tokens = min(burstSeconds*float64(m.BytesPerSecond), m.tokens+elapsed.Seconds()*float64(m.BytesPerSecond))
+	if elapsed > time.Second && m.Disabled&PauseDetection == 0 {
 		for _, s := range m.subjects {
-			s.heard = min(now, s.heard+away)
+			s.lastHeard = min(now, s.lastHeard+elapsed)
 			s.refusals = 0
 		}
-		m.anybody = min(now, m.anybody+away)
-		m.moved = now
+		m.lastContact = min(now, m.lastContact+elapsed)
+		m.lastProgress = now
 	}
 	switch m.state {
 	case Inside, Leaving:
-		m.watch()
-		m.judge()
-		m.beat()
-		m.vote()
-		m.carry()
-		m.look()
+		m.probeSubjects()
+		m.evaluate()
+		m.sendHeartbeats()
+		m.startBallot()
+		m.forwardJoins()
+		m.checkOtherLineages()
 	case Outside, Superseded:
-		m.seek()
+		m.seekMembership()
 	}
 }
 
@@ -346,26 +346,26 @@
 	}
 	switch msg.Kind {
 	case Heartbeat, Ping, Pong:
-		m.gossip(from, msg)
+		m.handleGossip(from, msg)
 	case Hello:
-		m.hello(from, msg)
+		m.handleHello(from, msg)
 	case Welcome:
-		m.welcome(from, msg)
+		m.handleWelcome(from, msg)
 	case Join:
-		m.join(from, msg)
+		m.handleJoin(from, msg)
 	case JoinNotice:
-		m.notice(from, msg)
+		m.handleJoinNotice(from, msg)
 	case ChunkRequest:
-		m.pull(from, msg)
+		m.handleChunkRequest(from, msg)
 	case ChunkResponse:
-		m.part(from, msg)
+		m.handleChunkResponse(from, msg)
 	case Redirect:
-		if own := m.rank(); msg.SeedRank > 0 && (own == 0 || msg.SeedRank < own) {
-			m.lowerOut = m.now
+		if ownRank := m.seedRank(); msg.SeedRank > 0 && (ownRank == 0 || msg.SeedRank < ownRank) {
+			m.lowerSeedOutsideAt = m.now
 		}
 		for _, p := range msg.PendingJoins {
-			if m.view == nil && len(m.known) < 8 && !slices.Contains(m.known, p.Address) && p.Address != m.Self().Address {
-				m.known, m.knownAt = append(m.known, p.Address), m.now
+			if m.view == nil && len(m.knownAddresses) < 8 && !slices.Contains(m.knownAddresses, p.Address) && p.Address != m.Self().Address {
+				m.knownAddresses, m.lastKnownUpdate = append(m.knownAddresses, p.Address), m.now
 			}
 		}
 	default:
@@ -381,16 +381,16 @@
 	}
 	if m.view == nil { // that one will not answer for a while
 		if slices.Contains(m.Seeds, address) {
-			m.shut[address] = m.now + 2*strayEvery
+			m.refusedSeeds[address] = m.now + 2*slowInterval
 		}
-		m.known = slices.DeleteFunc(m.known, func(k string) bool { return k == address })
+		m.knownAddresses = slices.DeleteFunc(m.knownAddresses, func(k string) bool { return k == address })
 		return
 	}
 	for i, s := range m.subjects {
 		if m.view.Members[i].Address == address {
-			m.anybody = m.now // the way there and back is open
+			m.lastContact = m.now // the way there and back is open
 		}
-		if m.view.Members[i].Address == address && s.asked > s.heard && m.now-s.heard > m.PingAfter {
+		if m.view.Members[i].Address == address && s.lastPing > s.lastHeard && m.now-s.lastHeard > m.PingAfter {
 			s.refusals++
 		}
 	}
@@ -402,41 +402,41 @@
 	switch m.state {
 	case Inside:
 		m.state = Leaving
-		c := m.charges[m.at]
+		c := m.reports[m.position]
 		c.Left = true
-		m.merge(c)
+		m.mergeReport(c)
 	case Outside:
 		m.state = Left
 	}
 }
 
 // gossip takes a beat, a ping or a pong: a sign of life, and whatever is new in it.
-func (m *Member) gossip(from string, msg *Message) {
+func (m *Member) handleGossip(from string, msg *Message) {
 	if m.view == nil || m.state == Left || m.state == Superseded {
 		return
 	}
 	if msg.Lineage != m.view.Lineage {
-		m.foreign(from, msg)
+		m.handleOtherLineage(from, msg)
 		return
 	}
 	if i := m.view.Index(msg.From); i >= 0 {
-		m.anybody = m.now
+		m.lastContact = m.now
 		if s := m.subjects[i]; s != nil && msg.Kind != Ping {
-			m.heardOf(i, s)
+			m.markAlive(i, s)
 		}
 	}
-	if msg.View == m.view.Number && m.follow(msg.Decisions) {
+	if msg.View == m.view.Number && m.applyDecisions(msg.Decisions) {
 		return // who was removed says so as it goes
 	}
 	switch {
 	case msg.View < m.view.Number: // behind: tell what it has missed; a ping would be asked again and again
 		if msg.Kind != Pong || len(msg.Decisions) == 0 {
-			m.catchUp(from, msg)
+			m.sendMissedDecisions(from, msg)
 		}
 		return
 	case msg.View > m.view.Number:
-		if !m.follow(msg.Decisions) {
-			m.fetch(from, msg)
+		if !m.applyDecisions(msg.Decisions) {
+			m.fetchView(from, msg)
 			return
 		}
 		if m.view == nil || msg.View != m.view.Number {
@@ -449,244 +449,244 @@
 			m.dropped.Malformed++
 			return
 		}
-		m.merge(c)
+		m.mergeReport(c)
 	}
 	if len(msg.Dead)+len(msg.Rejoining) > 0 {
-		if !msg.Dead.fits(n) || !msg.Rejoining.fits(n) {
+		if !msg.Dead.fitsView(n) || !msg.Rejoining.fitsView(n) {
 			m.dropped.Malformed++
 			return
 		}
-		again := m.again.or(msg.Rejoining)
-		if m.dead.or(msg.Dead) || again {
-			m.deaths++
-			m.news, m.changed = true, m.now
+		again := m.rejoining.merge(msg.Rejoining)
+		if m.dead.merge(msg.Dead) || again {
+			m.deadVersion++
+			m.evaluationDue, m.lastChange = true, m.now
 		}
 	}
 	for _, p := range msg.PendingJoins {
-		m.wait(p)
+		m.addPendingJoin(p)
 	}
 	if msg.Round != nil {
-		m.ballot(msg.Round)
+		m.mergeRound(msg.Round)
 	}
-	if r := m.round; r != nil && r.Value == nil && msg.Round != nil && msg.Round.HasValue && m.now-m.askedFor > m.HeartbeatInterval {
-		m.askedFor = m.now
+	if r := m.round; r != nil && r.Value == nil && msg.Round != nil && msg.Round.HasValue && m.now-m.lastValueRequest > m.HeartbeatInterval {
+		m.lastValueRequest = m.now
 		m.send(from, &Message{Kind: Ping, Digest: m.digest})
 	}
 	if msg.Kind == Ping {
-		m.send(from, m.payload(&Message{Kind: Pong}, -1))
+		m.send(from, m.piggyback(&Message{Kind: Pong}, -1))
 	}
 	if msg.Digest != m.digest && len(msg.Reports) == 0 { // it has heard of other charges than this one, and says none
-		m.reheat()
+		m.requeueReports()
 	}
 }
 
 // heardOf notes a sign of life of a subject.
-func (m *Member) heardOf(i int, s *subject) {
-	if s.charged > 0 { // it was wrong, or it is back: the next one takes longer
-		s.refuted++
-		s.until = m.now + min(m.SuspicionTimeout<<min(s.refuted, 6), flapMost)
-		s.charged = 0
-		if c := m.charges[i]; c.TimedOut|c.Refused != 0 { // it should hear of it soon
-			m.heat(i, false)
+func (m *Member) markAlive(i int, s *subject) {
+	if s.reportedAt > 0 { // it was wrong, or it is back: the next one takes longer
+		s.refutations++
+		s.suppressedUntil = m.now + min(m.SuspicionTimeout<<min(s.refutations, 6), maxBackoff)
+		s.reportedAt = 0
+		if c := m.reports[i]; c.TimedOut|c.Refused != 0 { // it should hear of it soon
+			m.enqueueReport(i, false)
 		}
 	}
-	s.heard, s.refusals = m.now, 0
+	s.lastHeard, s.refusals = m.now, 0
 }
 
 // beat tells the watchers, one after another, that this member is here.
-func (m *Member) beat() {
-	w := m.targets
-	if len(w) == 0 || m.deaf() {
+func (m *Member) sendHeartbeats() {
+	targets := m.heartbeatTargets
+	if len(targets) == 0 || m.cannotReceive() {
 		return
 	}
-	every := m.HeartbeatInterval / time.Duration(len(w))
-	if m.beatAt < m.now-m.HeartbeatInterval { // after a pause, or at first: not all at once
-		m.beatAt = m.now
+	interval := m.HeartbeatInterval / time.Duration(len(targets))
+	if m.nextHeartbeat < m.now-m.HeartbeatInterval { // after a pause, or at first: not all at once
+		m.nextHeartbeat = m.now
 	}
-	for ; m.beatAt <= m.now; m.beatAt += every {
-		i := m.next % len(w)
-		m.next++
+	for ; m.nextHeartbeat <= m.now; m.nextHeartbeat += interval {
+		i := m.nextTarget % len(targets)
+		m.nextTarget++
 		switch {
-		case m.gone.Has(w[i]):
-		case m.down.Has(w[i]) && m.charges[w[i]].TimedOut|m.charges[w[i]].Refused != 0: // it should hear of that; what else is new would be lost on it
-			m.send(m.view.Members[w[i]].Address, &Message{Kind: Heartbeat, Digest: m.digest, Reports: []Report{m.charges[w[i]]}})
+		case m.failed.Has(targets[i]):
+		case m.down.Has(targets[i]) && m.reports[targets[i]].TimedOut|m.reports[targets[i]].Refused != 0: // it should hear of that; what else is new would be lost on it
+			m.send(m.view.Members[targets[i]].Address, &Message{Kind: Heartbeat, Digest: m.digest, Reports: []Report{m.reports[targets[i]]}})
 		default:
-			m.send(m.view.Members[w[i]].Address, m.payload(&Message{Kind: Heartbeat}, i))
+			m.send(m.view.Members[targets[i]].Address, m.piggyback(&Message{Kind: Heartbeat}, i))
 		}
 	}
 }
 
 // payload adds to a message what is new, as far as the bucket allows. The round goes to a watcher once in each version, and to others always.
-func (m *Member) payload(msg *Message, watcher int) *Message {
+func (m *Member) piggyback(msg *Message, watcher int) *Message {
 	msg.Digest = m.digest
-	room := min(MaxBytes, int(m.fill)+80) - msg.EncodedSize() - 8
-	if r := m.round; r != nil && (watcher < 0 || m.toldOf[watcher] != m.version) {
-		packed := r.pack()
-		if packed.HasValue = r.Value != nil; packed.HasValue { // the promises have done what they were for, and with what they told no datagram would hold it
-			packed.Promises, packed.AcceptedValue, packed.AcceptedBallot = nil, nil, 0
+	room := min(MaxBytes, int(m.tokens)+80) - msg.EncodedSize() - 8
+	if r := m.round; r != nil && (watcher < 0 || m.sentRoundVersion[watcher] != m.roundVersion) {
+		round := r.pack()
+		if round.HasValue = r.Value != nil; round.HasValue { // the promises have done what they were for, and with what they told no datagram would hold it
+			round.Promises, round.AcceptedValue, round.AcceptedBallot = nil, nil, 0
 		}
 		// What the vote is on is long where many join: one watcher in five hears it unasked and once, the others ask for it.
-		if watcher >= 0 && (watcher%5 != int(r.Ballot)%5 && len(m.toldOf) > 4 || m.toldWhat[watcher] == r.Ballot) {
-			packed.Value, packed.AcceptedValue, packed.AcceptedBallot = nil, nil, 0
+		if watcher >= 0 && (watcher%5 != int(r.Ballot)%5 && len(m.sentRoundVersion) > 4 || m.sentValueBallot[watcher] == r.Ballot) {
+			round.Value, round.AcceptedValue, round.AcceptedBallot = nil, nil, 0
 		}
-		if packed.bytes() <= room || packed.Value != nil && packed.bytes() <= MaxBytes-msg.EncodedSize() && m.fill > -2*float64(m.BytesPerSecond) { // what the vote is on goes before all else
-			msg.Round = packed
-			room -= packed.bytes()
+		if round.bytes() <= room || round.Value != nil && round.bytes() <= MaxBytes-msg.EncodedSize() && m.tokens > -2*float64(m.BytesPerSecond) { // what the vote is on goes before all else
+			msg.Round = round
+			room -= round.bytes()
 			if watcher >= 0 {
-				m.toldOf[watcher] = m.version
-				if packed.Value != nil {
-					m.toldWhat[watcher] = r.Ballot
+				m.sentRoundVersion[watcher] = m.roundVersion
+				if round.Value != nil {
+					m.sentValueBallot[watcher] = r.Ballot
 				}
 			}
 		}
 	}
-	if m.deaths > 0 && (watcher < 0 || m.toldDead[watcher] != m.deaths) && 8+2*len(m.dead) <= room {
-		msg.Dead, msg.Rejoining = slices.Clone(m.dead), slices.Clone(m.again)
+	if m.deadVersion > 0 && (watcher < 0 || m.sentDeadVersion[watcher] != m.deadVersion) && 8+2*len(m.dead) <= room {
+		msg.Dead, msg.Rejoining = slices.Clone(m.dead), slices.Clone(m.rejoining)
 		room -= 8 + 2*len(m.dead)
 		if watcher >= 0 {
-			m.toldDead[watcher] = m.deaths
+			m.sentDeadVersion[watcher] = m.deadVersion
 		}
 	}
-	if n := len(m.history); m.stepHot > 0 && n > 0 && 12+m.history[n-1].Change.bytes() <= room {
+	if n := len(m.history); m.decisionSendsLeft > 0 && n > 0 && 12+m.history[n-1].Change.bytes() <= room {
 		msg.Decisions = m.history[n-1:]
 		room -= 12 + m.history[n-1].Change.bytes()
-		m.stepHot--
+		m.decisionSendsLeft--
 	}
-	kept := m.hot[:0]
-	for _, h := range m.hot {
+	kept := m.reportQueue[:0]
+	for _, h := range m.reportQueue {
 		if room >= 14 {
-			msg.Reports = append(msg.Reports, m.charges[h.subject])
+			msg.Reports = append(msg.Reports, m.reports[h.subject])
 			room -= 14
-			h.left--
+			h.sendsLeft--
 		}
-		if h.left > 0 {
+		if h.sendsLeft > 0 {
 			kept = append(kept, h)
 		}
 	}
-	m.hot = kept
-	if len(msg.Reports) > 0 && len(m.hot) > 1 { // those that found no room come first next time
-		cut := min(len(msg.Reports), len(m.hot))
-		m.hot = append(slices.Clone(m.hot[cut:]), m.hot[:cut]...)
+	m.reportQueue = kept
+	if len(msg.Reports) > 0 && len(m.reportQueue) > 1 { // those that found no room come first next time
+		cut := min(len(msg.Reports), len(m.reportQueue))
+		m.reportQueue = append(slices.Clone(m.reportQueue[cut:]), m.reportQueue[:cut]...)
 	}
 	return msg
 }
 
 // carry tells the first two in the order, who may propose, of those that came to this member and want in. Everybody else hears of them
 // as part of the change.
-func (m *Member) carry() {
-	if m.view == nil || len(m.sponsor) == 0 || m.now-m.carried < m.HeartbeatInterval || m.carried > 0 && (m.now-m.carried < m.BallotTimeout || m.fill < -float64(m.BytesPerSecond)) {
+func (m *Member) forwardJoins() {
+	if m.view == nil || len(m.sponsored) == 0 || m.now-m.lastJoinForward < m.HeartbeatInterval || m.lastJoinForward > 0 && (m.now-m.lastJoinForward < m.BallotTimeout || m.tokens < -float64(m.BytesPerSecond)) {
 		return
 	}
-	m.carried = m.now
-	var all []Peer
+	m.lastJoinForward = m.now
+	var joins []Peer
 	size := 0
-	for _, p := range m.joins {
-		if size += p.bytes(); m.sponsor[p.ID] != "" && size <= joinRoom {
-			all = append(all, p)
+	for _, p := range m.pendingJoins {
+		if size += p.bytes(); m.sponsored[p.ID] != "" && size <= maxJoinBytes {
+			joins = append(joins, p)
 		}
 	}
-	if len(all) == 0 {
+	if len(joins) == 0 {
 		return
 	}
-	told := 0
+	sent := 0
 	for place := range m.view.Members {
-		i := (m.first() + place) % len(m.view.Members)
+		i := (m.firstProposer() + place) % len(m.view.Members)
 		if m.down.Has(i) {
 			continue
 		}
-		if i != m.at {
-			m.send(m.view.Members[i].Address, &Message{Kind: Heartbeat, Digest: m.digest, PendingJoins: all})
+		if i != m.position {
+			m.send(m.view.Members[i].Address, &Message{Kind: Heartbeat, Digest: m.digest, PendingJoins: joins})
 		}
-		if told++; told == 2 {
+		if sent++; sent == 2 {
 			return
 		}
 	}
 }
 
 // look asks a seed that is not in the view, now and then, whether it knows of another lineage.
-func (m *Member) look() {
-	if m.now-m.stray < strayEvery || len(m.Seeds) == 0 {
+func (m *Member) checkOtherLineages() {
+	if m.now-m.lastLineageCheck < slowInterval || len(m.Seeds) == 0 {
 		return
 	}
-	m.stray = m.now
+	m.lastLineageCheck = m.now
 	to := m.Seeds[m.rng.IntN(len(m.Seeds))]
 	if !slices.ContainsFunc(m.view.Members, func(p Peer) bool { return p.Address == to }) {
 		self := m.Self()
-		m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.rank()})
+		m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.seedRank()})
 	}
 }
 
 // rank is the place of this member among the seeds, from 1, or 0.
-func (m *Member) rank() int { return slices.Index(m.Seeds, m.Self().Address) + 1 }
+func (m *Member) seedRank() int { return slices.Index(m.Seeds, m.Self().Address) + 1 }
 
 // install makes a view this member's.
-func (m *Member) install(v *View, reason string) {
+func (m *Member) installView(v *View, reason string) {
 	old, subjects := m.view, m.subjects
-	if m.lately = append(m.lately, v); len(m.lately) > latelyLen {
-		m.lately = slices.Delete(m.lately, 0, 1)
-	}
-	v = m.Shared.one(v)
-	m.view, m.at = v, v.Index(m.Self().ID)
-	m.rings = m.Shared.weave(v, m.Watchers)
-	m.charges = make([]Report, len(v.Members))
-	for i := range m.charges {
-		m.charges[i].Subject = i
-	}
-	m.digest, m.hot = 0, nil
-	m.round, m.promised, m.accepted, m.voted, m.version = nil, 0, 0, nil, 1
-	m.down, m.gone = newBits(len(v.Members)), newBits(len(v.Members))
-	m.toldOf = make([]int, len(m.rings.watchers[m.at]))
-	m.toldWhat, m.toldDead = make([]uint32, len(m.toldOf)), make([]int, len(m.toldOf))
-	m.dead, m.again, m.deaths = newBits(len(v.Members)), newBits(len(v.Members)), 0
-	m.changed, m.moved, m.news, m.pending = m.now, m.now, true, 0
+	if m.recentViews = append(m.recentViews, v); len(m.recentViews) > maxRecentViews {
+		m.recentViews = slices.Delete(m.recentViews, 0, 1)
+	}
+	v = m.Shared.canonical(v)
+	m.view, m.position = v, v.Index(m.Self().ID)
+	m.rings = m.Shared.ringsOf(v, m.Watchers)
+	m.reports = make([]Report, len(v.Members))
+	for i := range m.reports {
+		m.reports[i].Subject = i
+	}
+	m.digest, m.reportQueue = 0, nil
+	m.round, m.promised, m.acceptedBallot, m.acceptedValue, m.roundVersion = nil, 0, 0, nil, 1
+	m.down, m.failed = newBits(len(v.Members)), newBits(len(v.Members))
+	m.sentRoundVersion = make([]int, len(m.rings.watchers[m.position]))
+	m.sentValueBallot, m.sentDeadVersion = make([]uint32, len(m.sentRoundVersion)), make([]int, len(m.sentRoundVersion))
+	m.dead, m.rejoining, m.deadVersion = newBits(len(v.Members)), newBits(len(v.Members)), 0
+	m.lastChange, m.lastProgress, m.evaluationDue, m.pendingSince = m.now, m.now, true, 0
 	m.subjects = map[int]*subject{}
-	m.targets = slices.Clone(m.rings.watchers[m.at])
-	for _, i := range m.rings.subjects[m.at] {
-		s := &subject{heard: m.now}
+	m.heartbeatTargets = slices.Clone(m.rings.watchers[m.position])
+	for _, i := range m.rings.subjects[m.position] {
+		s := &subject{lastHeard: m.now}
 		if old != nil { // who was silent before is so still, and who is new has yet to hear of it
 			if j := old.Index(v.Members[i].ID); j < 0 {
-				s.heard += m.SuspicionTimeout
+				s.lastHeard += m.SuspicionTimeout
 			} else if subjects[j] != nil {
 				s = subjects[j]
-				s.charged = 0
+				s.reportedAt = 0
 			}
 		}
 		m.subjects[i] = s
 	}
-	m.standIn()
+	m.assignSubstitutes()
 	if m.state != Leaving {
 		m.state = Inside
 	} else {
-		m.merge(Report{Subject: m.at, Left: true})
+		m.mergeReport(Report{Subject: m.position, Left: true})
 	}
-	kept := m.joins[:0]
-	for _, p := range m.joins {
+	kept := m.pendingJoins[:0]
+	for _, p := range m.pendingJoins {
 		if i, there := v.find(p.ID.Name); !there || v.Members[i].ID.Incarnation < p.ID.Incarnation {
 			kept = append(kept, p)
 		}
 	}
-	m.joins, m.stepHot, m.carried = kept, min(2, len(m.toldOf)), 0
-	m.known = m.known[:0]
+	m.pendingJoins, m.decisionSendsLeft, m.lastJoinForward = kept, min(2, len(m.sentRoundVersion)), 0
+	m.knownAddresses = m.knownAddresses[:0]
 	for _, p := range v.Members {
-		m.known = append(m.known, p.Address)
+		m.knownAddresses = append(m.knownAddresses, p.Address)
 	}
 	for _, p := range kept {
 		if i, there := v.find(p.ID.Name); there {
-			m.again.Set(i)
-			m.deaths++
+			m.rejoining.Set(i)
+			m.deadVersion++
 		}
 	}
 	for _, p := range v.Members {
-		if address, ok := m.sponsor[p.ID]; ok {
-			m.send(address, m.invite(old))
-			delete(m.sponsor, p.ID)
+		if address, ok := m.sponsored[p.ID]; ok {
+			m.send(address, m.joinNotice(old))
+			delete(m.sponsored, p.ID)
 		}
 	}
-	m.say(Event{View: v, Reason: reason})
+	m.emit(Event{View: v, Reason: reason})
 }
 
 // invite tells one that has joined of the view, and of some that have it: whoever let in many cannot serve them all.
-func (m *Member) invite(old *View) *Message {
+func (m *Member) joinNotice(old *View) *Message {
 	msg := &Message{Kind: JoinNotice, Hash: m.view.Hash()}
 	if old == nil {
 		old = m.view
@@ -700,15 +700,15 @@
 }
 
 // away takes this member out of its view: it is no longer one, and comes back as another incarnation unless it left or was superseded.
-func (m *Member) away(state State, reason string) {
-	m.view, m.rings, m.subjects, m.charges, m.round, m.hot = nil, nil, nil, nil, nil, nil
-	m.state, m.since, m.helloAt, m.chunks, m.joins, m.wantFrom = state, m.now, m.now, nil, nil, ""
-	m.history, m.lately, m.knownAt = nil, nil, m.now
-	clear(m.sponsor)
+func (m *Member) exitView(state State, reason string) {
+	m.view, m.rings, m.subjects, m.reports, m.round, m.reportQueue = nil, nil, nil, nil, nil, nil
+	m.state, m.outsideSince, m.nextHello, m.chunks, m.pendingJoins, m.fetchSource = state, m.now, m.now, nil, nil, ""
+	m.history, m.recentViews, m.lastKnownUpdate = nil, nil, m.now
+	clear(m.sponsored)
 	if state == Outside {
 		m.Config.Self.ID.Incarnation++
 	}
-	m.say(Event{Reason: reason})
+	m.emit(Event{Reason: reason})
 }
 
 // Down is who is down in the view, as far as this member has heard, by position. It is valid until the next call.
@@ -716,21 +716,21 @@
 	if m.view == nil {
 		return nil
 	}
-	m.judge()
+	m.evaluate()
 	return m.down
 }
 
 // Dump says in one line how the member stands, for whoever looks for a fault.
 func (m *Member) Dump() string {
 	if m.view == nil {
-		return fmt.Sprintf("%v wants %d of %d chunks from %q", m.state, len(m.chunks), m.want.Size, m.wantFrom)
+		return fmt.Sprintf("%v wants %d of %d chunks from %q", m.state, len(m.chunks), m.wantedView.Size, m.fetchSource)
 	}
-	m.judge()
-	s := fmt.Sprintf("%v view %d of %d down %d gone %d joins %d touch %v deaf %v doubts %v fill %.0f promised %d accepted %d", m.state, m.view.Number, len(m.view.Members), m.down.Count(), m.gone.Count(),
-		len(m.joins), m.HasQuorum(), m.deaf(), m.doubts(), m.fill, m.promised, m.accepted)
+	m.evaluate()
+	s := fmt.Sprintf("%v view %d of %d down %d gone %d joins %d touch %v deaf %v doubts %v fill %.0f promised %d accepted %d", m.state, m.view.Number, len(m.view.Members), m.down.Count(), m.failed.Count(),
+		len(m.pendingJoins), m.HasQuorum(), m.cannotReceive(), m.suspectsSelf(), m.tokens, m.promised, m.acceptedBallot)
 	if r := m.round; r != nil {
 		s += fmt.Sprintf(" ballot %d (by %d) gone %d promises %d value %v votes %d of %d", r.Ballot, int(r.Ballot-1)%len(m.view.Members), r.Failed.Count(), r.Promises.Count(), r.Value != nil,
-			r.Votes.Count(), quorum(len(m.view.Members), r.Failed))
+			r.Votes.Count(), quorumSize(len(m.view.Members), r.Failed))
 	}
 	return s
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -109,10 +109,10 @@
 func (w *net) state() string {
 	var b strings.Builder
 	for i, m := range w.members {
-		fmt.Fprintf(&b, "%v %s %v %x|", w.up[i], m.Dump(), m.charges, m.dead)
+		fmt.Fprintf(&b, "%v %s %v %x|", w.up[i], m.Dump(), m.reports, m.dead)
 		for j := range w.members {
 			if s := m.subjects[j]; s != nil {
-				fmt.Fprintf(&b, "%d:%v/%d ", j, (w.now - s.heard).Round(500*time.Millisecond), s.refusals)
+				fmt.Fprintf(&b, "%d:%v/%d ", j, (w.now - s.lastHeard).Round(500*time.Millisecond), s.refusals)
 			}
 		}
 		if r := m.round; r != nil {
@@ -240,7 +240,7 @@
 // ever hold different views of one number, and whatever has happened, once it is over those that live agree again and nobody who lives is left out for long.
 func TestAllOrders(t *testing.T) {
 	depth := 4
-	if raced { // there is one goroutine: the other builds go deeper
+	if raceEnabled { // there is one goroutine: the other builds go deeper
 		depth = 3
 	}
 	for _, c := range []struct{ n, depth int }{{3, depth}, {4, depth - 1}} {
@@ -282,7 +282,7 @@
 				}
 			}
 			for i, m := range w.members {
-				if i != 0 && w.up[i] && w.up[0] && m.view != nil && (m.Down().Has(0) || m.view.Index(w.members[0].Self().ID) < 0) || w.up[0] && w.members[0].view != nil && w.members[0].charges[0].TimedOut != 0 && without == Refutation {
+				if i != 0 && w.up[i] && w.up[0] && m.view != nil && (m.Down().Has(0) || m.view.Index(w.members[0].Self().ID) < 0) || w.up[0] && w.members[0].view != nil && w.members[0].reports[0].TimedOut != 0 && without == Refutation {
 					found = true
 				}
 			}
@@ -399,14 +399,14 @@
 func TestTokens(t *testing.T) {
 	w := newNet(t, 3, 0)
 	self := Peer{ID: ID{Name: "m9", Incarnation: 1}, Address: "elsewhere"}
-	for _, m := range []*Message{{Kind: Hello, From: self.ID, Peer: &self}, {Kind: Join, From: self.ID, Peer: &self, Token: 5}, {Kind: Join, From: self.ID, Peer: &self, Token: w.members[0].token("elsewhere", self.ID)}} {
+	for _, m := range []*Message{{Kind: Hello, From: self.ID, Peer: &self}, {Kind: Join, From: self.ID, Peer: &self, Token: 5}, {Kind: Join, From: self.ID, Peer: &self, Token: w.members[0].joinToken("elsewhere", self.ID)}} {
 		w.members[0].Receive(w.now, "m9", m)
 		if out, _ := w.members[0].Drain(); len(out) != 0 {
 			t.Errorf("%d answered with %+v", m.Kind, out[0].Message)
 		}
 	}
-	if n := w.members[0].Dropped().Malformed; n != 3 || len(w.members[0].joins) != 0 {
-		t.Errorf("%d dropped, %d wait", n, len(w.members[0].joins))
+	if n := w.members[0].Dropped().Malformed; n != 3 || len(w.members[0].pendingJoins) != 0 {
+		t.Errorf("%d dropped, %d wait", n, len(w.members[0].pendingJoins))
 	}
 }
 
@@ -417,15 +417,15 @@
 	m := w.members[0]
 	lists := [2]ViewChange{}
 	for i := range lists {
-		for size, j := 0, 0; size < joinRoom-60; j++ {
+		for size, j := 0, 0; size < maxJoinBytes-60; j++ {
 			p := Peer{ID: ID{Name: fmt.Sprintf("dispatcher-%d-%04d", i, j), Incarnation: 1}, Address: fmt.Sprintf("10.0.%d.%d:7946", i, j)}
 			lists[i].Joined = append(lists[i].Joined, p)
 			size += p.bytes()
 		}
 	}
 	m.round = &Round{Ballot: 8, Failed: newBits(7), Promises: newBits(7), Votes: newBits(7), AcceptedBallot: 1, AcceptedValue: &lists[0], Value: &lists[1]}
-	msg := m.payload(&Message{Kind: Pong}, -1)
-	if msg.Round == nil || !lists[1].equal(msg.Round.Value) || !msg.Round.unpack(7).good(7) || msg.EncodedSize() > MaxBytes {
+	msg := m.piggyback(&Message{Kind: Pong}, -1)
+	if msg.Round == nil || !lists[1].equal(msg.Round.Value) || !msg.Round.unpack(7).isValid(7) || msg.EncodedSize() > MaxBytes {
 		t.Errorf("round %+v in %d bytes", msg.Round, msg.EncodedSize())
 	}
 }
--- a/member/message.go
+++ b/member/message.go
@@ -80,7 +80,7 @@
 const MaxBytes = 1200
 
 // overhead is what a datagram costs beside its bytes: the heads of IP and UDP.
-const overhead = 28
+const datagramOverhead = 28
 
 // Bytes is at least what a message takes in its encoding, near enough to plan by.
 func (m *Message) EncodedSize() int {
--- a/member/norace_test.go
+++ b/member/norace_test.go
@@ -2,4 +2,4 @@
 
 package member
 
-const raced = false
+const raceEnabled = false
--- a/member/race_test.go
+++ b/member/race_test.go
@@ -2,4 +2,4 @@
 
 package member
 
-const raced = true
+const raceEnabled = true
--- a/member/view.go
+++ b/member/view.go
@@ -121,40 +121,40 @@
 }
 
 // or adds another set, and reports whether that changed anything.
-func (b Bits) or(other Bits) (changed bool) {
+func (b Bits) merge(other Bits) (changed bool) {
 	for i := range min(len(b), len(other)) {
-		if more := b[i] | other[i]; more != b[i] {
-			b[i], changed = more, true
+		if merged := b[i] | other[i]; merged != b[i] {
+			b[i], changed = merged, true
 		}
 	}
 	return changed
 }
 
 // fits: a set from elsewhere is of a view's size and has nothing beyond it.
-func (b Bits) fits(n int) bool {
+func (b Bits) fitsView(n int) bool {
 	return len(b) == (n+7)/8 && (n%8 == 0 || b[len(b)-1]>>(n%8) == 0)
 }
 
 // rings are who watches whom in a view. They follow from it alone.
 type rings struct {
-	watchers [][]int // of each member, without doubles: the position in it is its bit in a charge
-	subjects [][]int // the same the other way round
-	on       [][]int // by member and bit: the ring; empty where everybody watches everybody
-	order    [][]int // by ring: members in its order
-	place    [][]int // by ring and member: where that is
+	watchers      [][]int // of each member, without doubles: the position in it is its bit in a charge
+	subjects      [][]int // the same the other way round
+	ringOf        [][]int // by member and bit: the ring; empty where everybody watches everybody
+	membersOnRing [][]int // by ring: members in its order
+	placeOnRing   [][]int // by ring and member: where that is
 }
 
 // stand is who stands in for a watcher that is out: the first before it on the ring that is not. The watcher itself, where there is none.
-func (r *rings) stand(of, bit int, out Bits) int {
-	w := r.watchers[of][bit]
-	if len(r.on) == 0 || !out.Has(w) {
+func (r *rings) substitute(subject, bit int, excluded Bits) int {
+	w := r.watchers[subject][bit]
+	if len(r.ringOf) == 0 || !excluded.Has(w) {
 		return w
 	}
-	order, at := r.order[r.on[of][bit]], r.place[r.on[of][bit]][w]
+	order, at := r.membersOnRing[r.ringOf[subject][bit]], r.placeOnRing[r.ringOf[subject][bit]][w]
 	for range order {
 		at = (at + len(order) - 1) % len(order)
-		if by := order[at]; by != of && !out.Has(by) {
-			return by
+		if candidate := order[at]; candidate != subject && !excluded.Has(candidate) {
+			return candidate
 		}
 	}
 	return w
@@ -166,23 +166,23 @@
 	views map[uint64]*View
 }
 
-func (s *Shared) weave(v *View, watchers int) *rings {
+func (s *Shared) ringsOf(v *View, watchers int) *rings {
 	if s == nil {
-		return weave(v, watchers)
+		return buildRings(v, watchers)
 	}
 	r := s.rings[v.Hash()]
 	if r == nil {
 		if len(s.rings) > 64 || s.rings == nil { // of old views
 			s.rings, s.views = map[uint64]*rings{}, map[uint64]*View{}
 		}
-		r = weave(v, watchers)
+		r = buildRings(v, watchers)
 		s.rings[v.Hash()] = r
 	}
 	return r
 }
 
 // one returns a view that is shared by all that have the same.
-func (s *Shared) one(v *View) *View {
+func (s *Shared) canonical(v *View) *View {
 	if s == nil {
 		return v
 	}
@@ -197,21 +197,21 @@
 }
 
 // weave lays so many rings through a view, each in an order of its own, and has each member watched by the one before it on each.
-func weave(v *View, watchers int) *rings {
+func buildRings(v *View, watchers int) *rings {
 	n := len(v.Members)
 	r := &rings{watchers: make([][]int, n), subjects: make([][]int, n)}
-	watch := func(by, of int) bool {
-		if by == of || slices.Contains(r.watchers[of], by) {
+	watch := func(watcher, subject int) bool {
+		if watcher == subject || slices.Contains(r.watchers[subject], watcher) {
 			return false
 		}
-		r.watchers[of] = append(r.watchers[of], by)
-		r.subjects[by] = append(r.subjects[by], of)
+		r.watchers[subject] = append(r.watchers[subject], watcher)
+		r.subjects[watcher] = append(r.subjects[watcher], subject)
 		return true
 	}
 	if n-1 <= watchers {
-		for of := range n {
-			for by := range n {
-				watch(by, of)
+		for subject := range n {
+			for watcher := range n {
+				watch(watcher, subject)
 			}
 		}
 		return r
@@ -220,7 +220,7 @@
 		hash uint64
 		i    int
 	}
-	r.on = make([][]int, n)
+	r.ringOf = make([][]int, n)
 	order := make([]place, n)
 	for ring := range watchers {
 		for i, p := range v.Members {
@@ -235,10 +235,10 @@
 		for at, p := range order {
 			places[p.i], members[at] = at, p.i
 			if watch(order[(at+n-1)%n].i, p.i) {
-				r.on[p.i] = append(r.on[p.i], ring)
+				r.ringOf[p.i] = append(r.ringOf[p.i], ring)
 			}
 		}
-		r.order, r.place = append(r.order, members), append(r.place, places)
+		r.membersOnRing, r.placeOnRing = append(r.membersOnRing, members), append(r.placeOnRing, places)
 	}
 	return r
 }
@@ -250,14 +250,14 @@
 }
 
 // good: a change from elsewhere can be one of a view of n.
-func (v *ViewChange) good(n int) bool {
+func (v *ViewChange) isValid(n int) bool {
 	size := 0
 	for _, p := range v.Joined {
 		if size += p.bytes(); p.ID.Name == "" {
 			return false
 		}
 	}
-	return (len(v.Removed) == 0 || v.Removed.fits(n)) && size <= joinRoom
+	return (len(v.Removed) == 0 || v.Removed.fitsView(n)) && size <= maxJoinBytes
 }
 
 // next is the view after a change.
