--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -23,7 +23,7 @@
 )
 
 // frame is a datagram.
-type frame struct {
+type datagram struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint
 	Cluster uint64 // a hash of its name
@@ -34,7 +34,7 @@
 // Codec encodes and decodes for one cluster. It may be used by several goroutines.
 type Codec struct {
 	cluster uint64
-	dec     cbor.DecMode
+	decMode cbor.DecMode
 }
 
 // NewCodec returns a Codec of the cluster of that name.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	return &Codec{cluster: xxhash.Sum64String(cluster), dec: dec}, nil
+	return &Codec{cluster: xxhash.Sum64String(cluster), decMode: dec}, nil
 }
 
 // Encode returns the datagram of a message.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	b, err := cbor.Marshal(&frame{Version: FormatVersion, Cluster: c.cluster, Message: body})
+	b, err := cbor.Marshal(&datagram{Version: FormatVersion, Cluster: c.cluster, Message: body})
 	if err == nil && len(b) > member.MaxBytes {
 		err = ErrTooLong
 	}
@@ -67,8 +67,8 @@
 	if len(b) > member.MaxBytes {
 		return nil, ErrTooLong
 	}
-	var f frame
-	if err := c.dec.Unmarshal(b, &f); err != nil {
+	var f datagram
+	if err := c.decMode.Unmarshal(b, &f); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	switch {
@@ -80,7 +80,7 @@
 		return nil, ErrForeign
 	}
 	m := &member.Message{}
-	if err := c.dec.Unmarshal(f.Message, m); err != nil {
+	if err := c.decMode.Unmarshal(f.Message, m); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return m, nil
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -17,7 +17,7 @@
 	"liftgauge/member"
 )
 
-func codec(t testing.TB, cluster string) *Codec {
+func newTestCodec(t testing.TB, cluster string) *Codec {
 	t.Helper()
 	c, err := NewCodec(cluster)
 	if err != nil {
@@ -27,7 +27,7 @@
 }
 
 // full is a message in which everything is set.
-func full() *member.Message {
+func fullMessage() *member.Message {
 	p := member.Peer{ID: member.ID{Name: "n01", Incarnation: 1 << 50}, Address: "127.0.0.1:7946", Zone: 3, Number: 17}
 	v := &member.ViewChange{Removed: member.Bits{5, 0}, Joined: []member.Peer{p}}
 	return &member.Message{Kind: member.Heartbeat, From: p.ID, Lineage: 1 << 60, View: 9, Hash: 77, Size: 12, Digest: 1 << 30, Reports: []member.Report{{Subject: 900, Generation: 3, TimedOut: 1023, Refused: 9, Left: true}},
@@ -36,9 +36,9 @@
 }
 
 // TestCodec: a message comes over whole, in no more bytes than it is planned with; what is foreign, newer, cut, too long or spoilt is told apart.
-func TestCodec(t *testing.T) {
-	c := codec(t, "lab")
-	for _, m := range []*member.Message{full(), {Kind: member.Ping, From: member.ID{Name: "dispatcher-0001", Incarnation: 1 << 41}, Lineage: 1 << 63, View: 12, Size: 1000, Digest: 1 << 31}} {
+func TestCodecRoundTripsAndRejectsInvalidDatagrams(t *testing.T) {
+	c := newTestCodec(t, "lab")
+	for _, m := range []*member.Message{fullMessage(), {Kind: member.Ping, From: member.ID{Name: "dispatcher-0001", Incarnation: 1 << 41}, Lineage: 1 << 63, View: 12, Size: 1000, Digest: 1 << 31}} {
 		b, err := c.Encode(m)
 		if err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 				t.Errorf("cut at %d: %v", i, err)
 			}
 		}
-		if _, err := codec(t, "other").Decode(b); !errors.Is(err, ErrForeign) {
+		if _, err := newTestCodec(t, "other").Decode(b); !errors.Is(err, ErrForeign) {
 			t.Errorf("of another cluster: %v", err)
 		}
 	}
@@ -64,7 +64,7 @@
 			t.Errorf("want %v, have %v", want, err)
 		}
 	}
-	long := full()
+	long := fullMessage()
 	long.PendingJoins = make([]member.Peer, 40)
 	for i := range long.PendingJoins {
 		long.PendingJoins[i] = member.Peer{ID: member.ID{Name: strings.Repeat("n", 30)}, Address: "127.0.0.1:7946"}
@@ -76,9 +76,9 @@
 
 // FuzzDatagram: whatever comes, a member that is in a view and one that is out take it without a panic, and go on.
 func FuzzDatagram(f *testing.F) {
-	c := codec(f, "lab")
+	c := newTestCodec(f, "lab")
 	for kind := member.Heartbeat; kind <= member.Redirect; kind++ {
-		m := full()
+		m := fullMessage()
 		m.Kind, m.From = kind, member.ID{Name: "n1", Incarnation: 1}
 		for _, lineage := range []uint64{1, 2} {
 			m.Lineage, m.View = lineage, 1
@@ -111,39 +111,39 @@
 }
 
 // wire carries datagrams inside a test: what is sent to an address that nobody has comes back as refused.
-type wire struct {
+type testNetwork struct {
 	mu  sync.Mutex
-	at  map[string]chan packetOnWire
+	at  map[string]chan testPacket
 	cut map[[2]string]bool
 }
 
-type packetOnWire struct {
+type testPacket struct {
 	b       []byte
 	from    string
 	refused bool
 }
 
-type end struct {
-	*wire
+type testTransport struct {
+	*testNetwork
 	address string
-	in      chan packetOnWire
+	in      chan testPacket
 }
 
-func (w *wire) open(address string) *end {
+func (w *testNetwork) open(address string) *testTransport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := &end{w, address, make(chan packetOnWire, 512)}
+	e := &testTransport{w, address, make(chan testPacket, 512)}
 	w.at[address] = e.in
 	return e
 }
 
-func (e *end) Send(to string, b []byte) {
+func (e *testTransport) Send(to string, b []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	p := packetOnWire{append([]byte(nil), b...), e.address, false}
+	p := testPacket{append([]byte(nil), b...), e.address, false}
 	in := e.at[to]
 	if in == nil {
-		p, in = packetOnWire{from: to, refused: true}, e.in
+		p, in = testPacket{from: to, refused: true}, e.in
 	}
 	if e.cut[[2]string{e.address, to}] || e.at[e.address] == nil {
 		return
@@ -154,7 +154,7 @@
 	}
 }
 
-func (e *end) Receive(b []byte) (int, string, bool, error) {
+func (e *testTransport) Receive(b []byte) (int, string, bool, error) {
 	p, ok := <-e.in
 	if !ok {
 		return 0, "", false, net.ErrClosed
@@ -162,7 +162,7 @@
 	return copy(b, p.b), p.from, p.refused, nil
 }
 
-func (e *end) Close() error {
+func (e *testTransport) Close() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.at[e.address] != nil {
@@ -173,8 +173,8 @@
 }
 
 // TestNodes: three nodes find each other, each knows its place; one that leaves is out at once and the others close up; garbage is counted.
-func TestNodes(t *testing.T) {
-	w := &wire{at: map[string]chan packetOnWire{}, cut: map[[2]string]bool{}}
+func TestNodesAgreeOnPositions(t *testing.T) {
+	w := &testNetwork{at: map[string]chan testPacket{}, cut: map[[2]string]bool{}}
 	var mu sync.Mutex
 	places := map[int]FleetPosition{}
 	var nodes []*Node
@@ -184,7 +184,7 @@
 		address := []string{"a0", "a1", "a2"}[i]
 		n := New(Config{Member: member.Config{Self: member.Peer{ID: member.ID{Name: address, Incarnation: 1}, Address: address, Number: i, Zone: i % 2}, Seeds: []string{"a0", "a1"}, FleetSize: 3,
 			TickInterval: 2 * time.Millisecond, HeartbeatInterval: 10 * time.Millisecond, PingAfter: 200 * time.Millisecond, SuspicionTimeout: 5 * time.Second, ProposalDelay: 10 * time.Millisecond, FoundingDelay: 30 * time.Millisecond, BytesPerSecond: 1 << 20},
-			Codec: codec(t, "lab"), Transport: w.open(address), Seed: uint64(i), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
+			Codec: newTestCodec(t, "lab"), Transport: w.open(address), Seed: uint64(i), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
 			OnPositionChange: func(p FleetPosition) { mu.Lock(); places[i] = p; mu.Unlock() }})
 		ctx, stop := context.WithCancel(t.Context())
 		stops, nodes = append(stops, stop), append(nodes, n)
@@ -226,7 +226,7 @@
 }
 
 // TestUDP: what goes to a port that nobody has comes back with its address, and does not cost the next datagram.
-func TestUDP(t *testing.T) {
+func TestUDPReportsRefusedAddress(t *testing.T) {
 	a, err := Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -37,22 +37,22 @@
 // Node runs one member. One goroutine owns it; another one waits at the transport.
 type Node struct {
 	Config
-	m     *member.Member
-	place FleetPosition
-	asks  chan func()
-	done  chan struct{}
+	member   *member.Member
+	position FleetPosition
+	queries  chan func()
+	done     chan struct{}
 
-	seen atomic.Pointer[FleetPosition]
+	published atomic.Pointer[FleetPosition]
 
 	sent, received, foreign, newer, malformed, refused atomic.Int64
 }
 
 // leaveWithin is how long a member that ends waits for the others to agree to it.
-const leaveWithin = 2500 * time.Millisecond
+const leaveTimeout = 2500 * time.Millisecond
 
 // New returns a Node; Run starts it.
 func New(c Config) *Node {
-	return &Node{Config: c, asks: make(chan func()), done: make(chan struct{})}
+	return &Node{Config: c, queries: make(chan func()), done: make(chan struct{})}
 }
 
 // Counts returns the datagrams so far.
@@ -62,7 +62,7 @@
 
 // Seen is the place as of a moment ago.
 func (n *Node) Position() FleetPosition {
-	if p := n.seen.Load(); p != nil {
+	if p := n.published.Load(); p != nil {
 		return *p
 	}
 	return FleetPosition{}
@@ -70,53 +70,53 @@
 
 type packet struct {
 	from    string
-	m       *member.Message
+	message *member.Message
 	refused bool
 }
 
 // Run plays the member's part until the context ends, and then leaves as planned.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.done)
-	n.m = member.New(n.Member, n.Now(), n.Seed)
+	n.member = member.New(n.Member, n.Now(), n.Seed)
 	packets := make(chan packet, 256)
 	ended, end := context.WithCancel(context.Background())
 	defer end()
 	var reader errgroup.Group
-	reader.Go(func() error { n.read(ended, packets); return nil })
+	reader.Go(func() error { n.readDatagrams(ended, packets); return nil })
 	defer reader.Wait()
 	defer n.Transport.Close()
-	every := n.Member.WithDefaults(0).TickInterval
-	ticks := time.NewTicker(every)
+	tickInterval := n.Member.WithDefaults(0).TickInterval
+	ticks := time.NewTicker(tickInterval)
 	defer ticks.Stop()
 	leaving := ctx.Done()
-	var last <-chan time.Time
+	var leaveDeadline <-chan time.Time
 	for {
 		select {
 		case p := <-packets:
 			if p.refused {
-				n.m.ReceiveRefusal(n.Now(), p.from)
+				n.member.ReceiveRefusal(n.Now(), p.from)
 			} else {
-				n.m.Receive(n.Now(), p.from, p.m)
+				n.member.Receive(n.Now(), p.from, p.message)
 			}
 		case <-ticks.C:
-			n.m.Tick(n.Now())
-		case f := <-n.asks:
+			n.member.Tick(n.Now())
+		case f := <-n.queries:
 			f()
 		case <-leaving:
-			leaving, last = nil, time.After(leaveWithin)
-			n.m.Leave(n.Now())
-		case <-last:
+			leaving, leaveDeadline = nil, time.After(leaveTimeout)
+			n.member.Leave(n.Now())
+		case <-leaveDeadline:
 			return nil
 		}
-		n.act()
-		if leaving == nil && n.m.State() != member.Leaving && n.m.State() != member.Inside {
+		n.applyOutput()
+		if leaving == nil && n.member.State() != member.Leaving && n.member.State() != member.Inside {
 			return nil
 		}
 	}
 }
 
 // read takes datagrams until the transport is closed. Where the member does not keep up they are lost, as they may be anywhere.
-func (n *Node) read(ended context.Context, packets chan<- packet) {
+func (n *Node) readDatagrams(ended context.Context, packets chan<- packet) {
 	b := make([]byte, member.MaxBytes+1)
 	for {
 		size, from, refused, err := n.Transport.Receive(b)
@@ -128,7 +128,7 @@
 			n.refused.Add(1)
 		} else {
 			n.received.Add(1)
-			switch p.m, err = n.Codec.Decode(b[:size]); {
+			switch p.message, err = n.Codec.Decode(b[:size]); {
 			case errors.Is(err, ErrForeign):
 				n.foreign.Add(1)
 				continue
@@ -150,8 +150,8 @@
 }
 
 // act sends and tells what the member wants.
-func (n *Node) act() {
-	out, events := n.m.Drain()
+func (n *Node) applyOutput() {
+	out, events := n.member.Drain()
 	for _, e := range out {
 		b, err := n.Codec.Encode(e.Message)
 		if err != nil {
@@ -163,23 +163,23 @@
 	}
 	for _, e := range events {
 		if e.View == nil {
-			n.Log.Warn("membership: out of the view", "reason", e.Reason, "state", n.m.State())
+			n.Log.Warn("membership: out of the view", "reason", e.Reason, "state", n.member.State())
 			continue
 		}
 		n.Log.Info("membership: view", "lineage", e.View.Lineage, "number", e.View.Number, "members", len(e.View.Members), "reason", e.Reason)
 	}
 	var p FleetPosition
-	if v := n.m.View(); v != nil && n.m.HasQuorum() {
+	if v := n.member.View(); v != nil && n.member.HasQuorum() {
 		p.Known = true
-		p.Rank, p.Members = v.Rank(n.m.Self().ID)
-		_, p.InZone = v.RankInZone(n.m.Self().ID, n.m.Self().Zone)
+		p.Rank, p.Members = v.Rank(n.member.Self().ID)
+		_, p.InZone = v.RankInZone(n.member.Self().ID, n.member.Self().Zone)
 	}
-	if p != n.place {
-		if n.place.Known != p.Known {
+	if p != n.position {
+		if n.position.Known != p.Known {
 			n.Log.Info("membership: in touch", "with_most", p.Known, "number", p.Rank, "members", p.Members)
 		}
-		n.place = p
-		n.seen.Store(&p)
+		n.position = p
+		n.published.Store(&p)
 		n.OnPositionChange(p)
 	}
 }
@@ -211,15 +211,15 @@
 // Status asks the member.
 func (n *Node) Status(ctx context.Context) (s Status, err error) {
 	answered := make(chan struct{})
-	ask := func() {
+	query := func() {
 		defer close(answered)
-		self := n.m.Self().ID
-		s = Status{State: n.m.State().String(), InTouch: n.m.HasQuorum(), Name: self.Name, Incarnation: self.Incarnation, Number: -1}
-		if v := n.m.View(); v != nil {
+		self := n.member.Self().ID
+		s = Status{State: n.member.State().String(), InTouch: n.member.HasQuorum(), Name: self.Name, Incarnation: self.Incarnation, Number: -1}
+		if v := n.member.View(); v != nil {
 			s.Lineage, s.View = v.Lineage, v.Number
 			s.Number, _ = v.Rank(self)
 		}
-		for _, e := range n.m.Members() {
+		for _, e := range n.member.Members() {
 			m := MemberStatus{Name: e.ID.Name, Incarnation: e.ID.Incarnation, Address: e.Address, Zone: e.Zone, State: "up", SuspectedBy: append(e.TimedOutBy, e.RefusedBy...), Watched: e.SinceHeard >= 0}
 			if m.Watched {
 				m.HeardMS = e.SinceHeard.Milliseconds()
@@ -236,7 +236,7 @@
 		}
 	}
 	select {
-	case n.asks <- ask:
+	case n.queries <- query:
 		<-answered
 		return s, nil
 	case <-n.done:
--- a/internal/gossip/udp.go
+++ b/internal/gossip/udp.go
@@ -71,14 +71,14 @@
 		if errors.Is(err, net.ErrClosed) {
 			return 0, "", false, err
 		}
-		if to, ok := u.refused(); ok {
+		if to, ok := u.nextRefusal(); ok {
 			return 0, to, true, nil
 		}
 	}
 }
 
 // refused takes the next error off the socket's queue.
-func (u *UDP) refused() (to string, ok bool) {
+func (u *UDP) nextRefusal() (to string, ok bool) {
 	u.raw.Control(func(fd uintptr) {
 		var b [64]byte
 		var oob [256]byte
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -12,51 +12,51 @@
 )
 
 // net carries messages between members as a test says.
-type net struct {
-	t       testing.TB
-	now     time.Duration
-	members []*Member
-	up      []bool
-	queue   []sending
-	views   map[uint64]uint64 // by lineage and number: the hash
-	without Protection
+type testNetwork struct {
+	t        testing.TB
+	now      time.Duration
+	members  []*Member
+	running  []bool
+	queue    []inFlight
+	views    map[uint64]uint64 // by lineage and number: the hash
+	disabled Protection
 }
 
-type sending struct {
+type inFlight struct {
 	from, to int
 	msg      *Message
 	refused  bool
 }
 
-func at(i int) string { return fmt.Sprintf("m%d", i) }
+func memberName(i int) string { return fmt.Sprintf("m%d", i) }
 
 // newNet has so many members in one view.
-func newNet(t testing.TB, n int, without Protection) *net {
-	w := &net{t: t, now: time.Hour, views: map[uint64]uint64{}, without: without}
+func newTestNetwork(t testing.TB, n int, disabled Protection) *testNetwork {
+	w := &testNetwork{t: t, now: time.Hour, views: map[uint64]uint64{}, disabled: disabled}
 	v := &View{Lineage: 1, Number: 1, LargestSize: n}
 	for i := range n {
-		w.members = append(w.members, w.make(i, 1))
-		w.up = append(w.up, true)
+		w.members = append(w.members, w.newMember(i, 1))
+		w.running = append(w.running, true)
 		v.Members = append(v.Members, w.members[i].Self())
 	}
 	for i, m := range w.members {
 		m.Bootstrap(v)
-		w.collect(i)
+		w.drain(i)
 	}
 	w.queue = nil
 	return w
 }
 
-func (w *net) make(i int, inc uint64) *Member {
-	return New(Config{Self: Peer{ID: ID{Name: at(i), Incarnation: inc}, Address: at(i), Number: i}, Seeds: []string{at(0), at(1)}, FleetSize: 3, Disabled: w.without}, w.now, uint64(i)+inc*100)
+func (w *testNetwork) newMember(i int, inc uint64) *Member {
+	return New(Config{Self: Peer{ID: ID{Name: memberName(i), Incarnation: inc}, Address: memberName(i), Number: i}, Seeds: []string{memberName(0), memberName(1)}, FleetSize: 3, Disabled: w.disabled}, w.now, uint64(i)+inc*100)
 }
 
 // collect takes what a member sends, and checks that all views of one number are the same.
-func (w *net) collect(i int) {
+func (w *testNetwork) drain(i int) {
 	out, events := w.members[i].Drain()
 	for _, e := range out {
 		to := slices.IndexFunc(w.members, func(m *Member) bool { return m.Self().Address == e.To })
-		w.queue = append(w.queue, sending{from: i, to: to, msg: e.Message})
+		w.queue = append(w.queue, inFlight{from: i, to: to, msg: e.Message})
 	}
 	for _, e := range events {
 		if v := e.View; v != nil {
@@ -70,33 +70,33 @@
 }
 
 // deliver hands over the k-th message on the way.
-func (w *net) deliver(k int) {
+func (w *testNetwork) deliver(k int) {
 	s := w.queue[k]
 	w.queue = slices.Delete(w.queue, k, k+1)
 	switch {
-	case s.refused && w.up[s.to]:
+	case s.refused && w.running[s.to]:
 		w.members[s.to].ReceiveRefusal(w.now, w.members[s.from].Self().Address)
 	case s.refused:
-	case !w.up[s.to]:
-		w.queue = append(w.queue, sending{from: s.to, to: s.from, refused: true})
+	case !w.running[s.to]:
+		w.queue = append(w.queue, inFlight{from: s.to, to: s.from, refused: true})
 	default:
 		w.members[s.to].Receive(w.now, w.members[s.from].Self().Address, s.msg)
-		w.collect(s.to)
+		w.drain(s.to)
 	}
 }
 
-func (w *net) tick(d time.Duration) {
+func (w *testNetwork) tick(d time.Duration) {
 	w.now += d
 	for i, m := range w.members {
-		if w.up[i] {
+		if w.running[i] {
 			m.Tick(w.now)
-			w.collect(i)
+			w.drain(i)
 		}
 	}
 }
 
 // run lets time pass with nothing lost.
-func (w *net) run(d time.Duration) {
+func (w *testNetwork) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.tick(50 * time.Millisecond)
 		for n := len(w.queue); n > 0; n-- {
@@ -106,10 +106,10 @@
 }
 
 // state is all that decides what may follow, but for clocks.
-func (w *net) state() string {
+func (w *testNetwork) fingerprint() string {
 	var b strings.Builder
 	for i, m := range w.members {
-		fmt.Fprintf(&b, "%v %s %v %x|", w.up[i], m.Dump(), m.reports, m.dead)
+		fmt.Fprintf(&b, "%v %s %v %x|", w.running[i], m.Dump(), m.reports, m.dead)
 		for j := range w.members {
 			if s := m.subjects[j]; s != nil {
 				fmt.Fprintf(&b, "%d:%v/%d ", j, (w.now - s.lastHeard).Round(500*time.Millisecond), s.refusals)
@@ -119,15 +119,15 @@
 			fmt.Fprintf(&b, "%+v %x %x", r.Value, r.Promises, r.Votes)
 		}
 	}
-	var way []string
+	var messages []string
 	for _, s := range w.queue {
-		way = append(way, fmt.Sprintf("%d>%d %v %+v", s.from, s.to, s.refused, summary(s.msg)))
+		messages = append(messages, fmt.Sprintf("%d>%d %v %+v", s.from, s.to, s.refused, messageSummary(s.msg)))
 	}
-	slices.Sort(way)
-	return b.String() + strings.Join(way, ";")
+	slices.Sort(messages)
+	return b.String() + strings.Join(messages, ";")
 }
 
-func summary(m *Message) string {
+func messageSummary(m *Message) string {
 	if m == nil {
 		return ""
 	}
@@ -139,91 +139,91 @@
 }
 
 // act is one thing that may happen next.
-type act struct{ what, i int }
+type event struct{ kind, index int }
 
 const (
-	deliverIt = iota
-	loseIt
-	passShort // 600 ms: two beats
-	passLong  // 3 s
-	killIt
-	pauseIt // all but one let 7 s pass, message by message lost
+	deliverMessage = iota
+	dropMessage
+	advanceShort // 600 ms: two beats
+	advanceLong  // 3 s
+	killProcess
+	pauseProcess // all but one let 7 s pass, message by message lost
 )
 
-func (w *net) do(a act) {
-	switch a.what {
-	case deliverIt:
-		w.deliver(a.i)
-	case loseIt:
-		w.queue = slices.Delete(w.queue, a.i, a.i+1)
-	case passShort:
+func (w *testNetwork) apply(a event) {
+	switch a.kind {
+	case deliverMessage:
+		w.deliver(a.index)
+	case dropMessage:
+		w.queue = slices.Delete(w.queue, a.index, a.index+1)
+	case advanceShort:
 		w.tick(600 * time.Millisecond)
-	case passLong:
+	case advanceLong:
 		w.tick(time.Second)
 		w.tick(time.Second)
 		w.tick(time.Second)
-	case killIt:
-		w.up[a.i] = false
-	case pauseIt:
-		w.up[a.i] = false
+	case killProcess:
+		w.running[a.index] = false
+	case pauseProcess:
+		w.running[a.index] = false
 		for range 9 {
 			w.tick(time.Second)
 		}
-		w.up[a.i] = true
+		w.running[a.index] = true
 	}
 }
 
 // next is what can happen in a state. Of messages that are the same one is enough, and of those between two members the first: the net keeps
 // their order here, as the random steps below do not.
-func (w *net) next() (acts []act) {
+func (w *testNetwork) possibleEvents() (events []event) {
 	seen := map[string]bool{}
 	for k, s := range w.queue {
 		if pair := fmt.Sprint(s.from, s.to, s.refused); !seen[pair] {
 			seen[pair] = true
-			acts = append(acts, act{deliverIt, k}, act{loseIt, k})
+			events = append(events, event{deliverMessage, k}, event{dropMessage, k})
 		}
 	}
-	acts = append(acts, act{passShort, 0}, act{passLong, 0})
+	events = append(events, event{advanceShort, 0}, event{advanceLong, 0})
 	down := 0
-	for _, up := range w.up {
+	for _, up := range w.running {
 		if !up {
 			down++
 		}
 	}
 	for i := range w.members {
-		if w.up[i] && down < len(w.members)-1 {
-			acts = append(acts, act{killIt, i})
+		if w.running[i] && down < len(w.members)-1 {
+			events = append(events, event{killProcess, i})
 		}
 	}
 	if len(w.queue) == 0 {
 		for i := range w.members {
-			if w.up[i] {
-				acts = append(acts, act{pauseIt, i})
+			if w.running[i] {
+				events = append(events, event{pauseProcess, i})
 			}
 		}
 	}
-	return acts
+	return events
 }
 
 // explore plays all orders of steps from the start to a depth, breadth first, states that are the same once. Each state is reached again
 // by its steps, as members cannot be copied.
-func explore(t testing.TB, n, depth int, without Protection, check func(w *net, path []act)) (states int) {
+func explore(t testing.TB, n, depth int, disabled Protection, check func(w *testNetwork, path []event)) (states int) {
 	seen := map[string]bool{}
-	level := [][]act{nil}
+	level := [][]event{nil}
 	for range depth {
-		var next [][]act
+		var next [][]event
 		for _, path := range level {
-			w := newNet(t, n, without)
+			w := newTestNetwork(t, n, disabled)
 			for _, a := range path {
-				w.do(a)
+				w.apply(a)
 			}
-			for _, a := range w.next() {
-				x := newNet(t, n, without)
+			for _, a := range w.possibleEvents() {
+				x := newTestNetwork(t, n, disabled)
 				for _, b := range path {
-					x.do(b)
+					x.apply(b)
 				}
-				x.do(a)
-				if s := x.state(); !seen[s] {
+				x.apply(a)
+				if s := x.fingerprint(); !seen[s] {
 					seen[s] = true
 					p := append(slices.Clone(path), a)
 					check(x, p)
@@ -238,17 +238,17 @@
 
 // TestAllOrders: all orders of deliveries, losses, pauses, deaths and time for three members to a depth of four and four to one of three. No two members
 // ever hold different views of one number, and whatever has happened, once it is over those that live agree again and nobody who lives is left out for long.
-func TestAllOrders(t *testing.T) {
+func TestAllEventOrdersConverge(t *testing.T) {
 	depth := 4
 	if raceEnabled { // there is one goroutine: the other builds go deeper
 		depth = 3
 	}
 	for _, c := range []struct{ n, depth int }{{3, depth}, {4, depth - 1}} {
-		states := explore(t, c.n, c.depth, 0, func(w *net, path []act) {
+		states := explore(t, c.n, c.depth, 0, func(w *testNetwork, path []event) {
 			w.run(35 * time.Second) // a member that was removed waits for 5 s, and 10 the second time
 			var first *View
 			for i, m := range w.members {
-				if !w.up[i] {
+				if !w.running[i] {
 					continue
 				}
 				v := m.View()
@@ -263,10 +263,10 @@
 }
 
 // TestKnownWrong: rules that are known to be wrong are found out by the same steps.
-func TestKnownWrong(t *testing.T) {
-	for name, without := range map[string]Protection{"any accusation": Watermarks, "no word of the accused": Refutation} {
+func TestExplorationDetectsDisabledProtections(t *testing.T) {
+	for name, disabled := range map[string]Protection{"any accusation": Watermarks, "no word of the accused": Refutation} {
 		found := false
-		explore(t, 4, 2, without, func(w *net, path []act) {
+		explore(t, 4, 2, disabled, func(w *testNetwork, path []event) {
 			if found {
 				return
 			}
@@ -282,7 +282,7 @@
 				}
 			}
 			for i, m := range w.members {
-				if i != 0 && w.up[i] && w.up[0] && m.view != nil && (m.Down().Has(0) || m.view.Index(w.members[0].Self().ID) < 0) || w.up[0] && w.members[0].view != nil && w.members[0].reports[0].TimedOut != 0 && without == Refutation {
+				if i != 0 && w.running[i] && w.running[0] && m.view != nil && (m.Down().Has(0) || m.view.Index(w.members[0].Self().ID) < 0) || w.running[0] && w.members[0].view != nil && w.members[0].reports[0].TimedOut != 0 && disabled == Refutation {
 					found = true
 				}
 			}
@@ -296,13 +296,13 @@
 // TestRandom goes beyond the depth of the above with random steps in any order, also of messages repeated and kept back.
 //
 // The seed is fixed, so that every run has the same verdict; -rapid.seed and -rapid.checks look further.
-func TestRandom(t *testing.T) {
+func TestRandomEventsConverge(t *testing.T) {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		flag.Set("rapid.seed", "7")
 	}
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(r, "members")
-		w := newNet(t, n, 0)
+		w := newTestNetwork(t, n, 0)
 		inc := uint64(1)
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			switch rapid.IntRange(0, 7).Draw(r, "what") {
@@ -321,12 +321,12 @@
 				}
 			case 6:
 				i := rapid.IntRange(0, n-1).Draw(r, "who")
-				w.up[i] = false
+				w.running[i] = false
 			case 7:
 				i := rapid.IntRange(0, n-1).Draw(r, "who")
-				if !w.up[i] {
+				if !w.running[i] {
 					inc += 1000 // as a clock would: more than it came back by itself
-					w.members[i], w.up[i] = w.make(i, inc), true
+					w.members[i], w.running[i] = w.newMember(i, inc), true
 				}
 			}
 			if len(w.queue) > 400 {
@@ -334,9 +334,9 @@
 			}
 		}
 		for i := range w.members {
-			if !w.up[i] {
+			if !w.running[i] {
 				inc += 1000
-				w.members[i], w.up[i] = w.make(i, inc), true
+				w.members[i], w.running[i] = w.newMember(i, inc), true
 			}
 		}
 		w.queue = nil
@@ -357,10 +357,10 @@
 
 // TestUpgrade: two processes of one name at once, as in an upgrade: the later one takes the place of the one before, which says so and asks
 // seldom; when the later one leaves, the one before is let in again.
-func TestUpgrade(t *testing.T) {
-	w := newNet(t, 3, 0)
-	next := New(Config{Self: Peer{ID: ID{Name: at(2), Incarnation: 1000}, Address: "m2'", Number: 2}, Seeds: []string{at(0), at(1)}, FleetSize: 3}, w.now, 77)
-	w.members, w.up = append(w.members, next), append(w.up, true)
+func TestLaterIncarnationSupersedesEarlier(t *testing.T) {
+	w := newTestNetwork(t, 3, 0)
+	next := New(Config{Self: Peer{ID: ID{Name: memberName(2), Incarnation: 1000}, Address: "m2'", Number: 2}, Seeds: []string{memberName(0), memberName(1)}, FleetSize: 3}, w.now, 77)
+	w.members, w.running = append(w.members, next), append(w.running, true)
 	w.run(8 * time.Second)
 	if next.State() != Inside || w.members[2].State() != Superseded || len(next.View().Members) != 3 || w.members[2].HasQuorum() {
 		t.Fatalf("new: %s\nold: %s", next.Dump(), w.members[2].Dump())
@@ -378,17 +378,17 @@
 }
 
 // TestLeave: one that leaves is out at once, and does not wait when it comes back; the last two agree as well.
-func TestLeave(t *testing.T) {
-	w := newNet(t, 3, 0)
+func TestLeavingMemberIsRemovedAndMayRejoinAtOnce(t *testing.T) {
+	w := newTestNetwork(t, 3, 0)
 	for _, left := range []int{2, 1} {
 		w.members[left].Leave(w.now)
 		w.run(3 * time.Second)
 		if w.members[left].State() != Left || len(w.members[0].View().Members) != left {
 			t.Fatalf("%d: %s; who stays: %s", left, w.members[left].Dump(), w.members[0].Dump())
 		}
-		w.up[left] = false
+		w.running[left] = false
 	}
-	w.members[1], w.up[1] = w.make(1, 50), true
+	w.members[1], w.running[1] = w.newMember(1, 50), true
 	w.run(4 * time.Second)
 	if len(w.members[0].View().Members) != 2 {
 		t.Errorf("back: %s", w.members[0].Dump())
@@ -396,8 +396,8 @@
 }
 
 // TestTokens: addresses that are not a sender's own, and tokens that are not its, let nobody in.
-func TestTokens(t *testing.T) {
-	w := newNet(t, 3, 0)
+func TestJoinRequiresSenderAddressAndToken(t *testing.T) {
+	w := newTestNetwork(t, 3, 0)
 	self := Peer{ID: ID{Name: "m9", Incarnation: 1}, Address: "elsewhere"}
 	for _, m := range []*Message{{Kind: Hello, From: self.ID, Peer: &self}, {Kind: Join, From: self.ID, Peer: &self, Token: 5}, {Kind: Join, From: self.ID, Peer: &self, Token: w.members[0].joinToken("elsewhere", self.ID)}} {
 		w.members[0].Receive(w.now, "m9", m)
@@ -412,8 +412,8 @@
 
 // TestRoundFits: what is voted on goes out where many join, and where others were to join by an earlier ballot that some had voted in: both
 // lists are longer than a datagram.
-func TestRoundFits(t *testing.T) {
-	w := newNet(t, 7, 0)
+func TestRoundWithLongJoinListsFitsDatagram(t *testing.T) {
+	w := newTestNetwork(t, 7, 0)
 	m := w.members[0]
 	lists := [2]ViewChange{}
 	for i := range lists {
--- a/sim/members/members.go
+++ b/sim/members/members.go
@@ -79,8 +79,8 @@
 }
 
 const (
-	step = time.Millisecond
-	calm = 30 * time.Second // between the fleet's forming and the fault: those that joined last are settled by then
+	step       = time.Millisecond
+	settleTime = 30 * time.Second // between the fleet's forming and the fault: those that joined last are settled by then
 )
 
 type datagram struct {
@@ -91,40 +91,40 @@
 }
 
 type process struct {
-	m       *member.Member
-	up      bool
-	silent  bool // its machine has vanished: nothing comes back
-	paused  time.Duration
-	inbox   []datagram
-	inc     uint64
-	bytes   int
-	died    time.Duration
-	known   map[int]time.Duration // for each dead: when this member knew
-	hb      []time.Duration       // with heartbeats: last heard of, by member
-	out     []bool                // with heartbeats: removed
-	removed int
-	tickAt  time.Duration
+	member        *member.Member
+	up            bool
+	vanished      bool // its machine has vanished: nothing comes back
+	paused        time.Duration
+	inbox         []datagram
+	inc           uint64
+	bytes         int
+	died          time.Duration
+	deathKnownAt  map[int]time.Duration // for each dead: when this member knew
+	lastHeartbeat []time.Duration       // with heartbeats: last heard of, by member
+	removedPeers  []bool                // with heartbeats: removed
+	removals      int
+	nextTick      time.Duration
 }
 
 // World is a run under way.
 type World struct {
 	Config
-	now     time.Duration
-	rng     *rand.Rand
-	procs   []*process
-	wheel   [][]datagram
-	fault   faults
-	began   time.Duration // of the fault
-	ended   time.Duration // of the last one
-	views   map[uint64]map[uint64]uint64
-	last    time.Duration
-	changes int
-	result  Result
-	dead    map[int]time.Duration
-	shared  member.Shared
-	trace   func(format string, a ...any)
-	kinds   map[int][2]int // datagrams and bytes by kind, if it is set
-	each    func()         // called every second of the run, if it is set
+	now           time.Duration
+	rng           *rand.Rand
+	procs         []*process
+	timingWheel   [][]datagram
+	fault         faults
+	faultBegan    time.Duration // of the fault
+	lastFaultEnd  time.Duration // of the last one
+	viewHashes    map[uint64]map[uint64]uint64
+	lastChange    time.Duration
+	changes       int
+	result        Result
+	deadSince     map[int]time.Duration
+	shared        member.Shared
+	trace         func(format string, a ...any)
+	trafficByKind map[int][2]int // datagrams and bytes by kind, if it is set
+	everySecond   func()         // called every second of the run, if it is set
 }
 
 // Now is the time of the run.
@@ -147,8 +147,8 @@
 	if err != nil {
 		return Result{}, err
 	}
-	w.play()
-	r := w.finish()
+	w.run()
+	r := w.summarize()
 	r.WallMS = time.Since(began).Milliseconds()
 	return r, nil
 }
@@ -169,8 +169,8 @@
 	if c.Length <= 0 {
 		c.Length = time.Minute
 	}
-	w := &World{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), wheel: make([][]datagram, 4096), views: map[uint64]map[uint64]uint64{},
-		dead: map[int]time.Duration{}, trace: func(string, ...any) {}}
+	w := &World{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), timingWheel: make([][]datagram, 4096), viewHashes: map[uint64]map[uint64]uint64{},
+		deadSince: map[int]time.Duration{}, trace: func(string, ...any) {}}
 	w.result = Result{Members: c.Members, Seed: c.Seed, Fault: c.Fault, Policy: c.Policy}
 	for i := range c.Members {
 		w.procs = append(w.procs, &process{})
@@ -182,11 +182,11 @@
 	if c.Fault != "start" && c.Policy != "heartbeats" {
 		v := &member.View{Lineage: 1, Number: 1, LargestSize: c.Members}
 		for _, p := range w.procs {
-			v.Members = append(v.Members, p.m.Self())
+			v.Members = append(v.Members, p.member.Self())
 		}
 		for _, p := range w.procs {
-			p.m.Bootstrap(v)
-			p.m.Drain()
+			p.member.Bootstrap(v)
+			p.member.Drain()
 		}
 	}
 	return w, nil
@@ -196,12 +196,12 @@
 func (w *World) start(i int) {
 	p := w.procs[i]
 	p.inc++
-	*p = process{up: true, inc: p.inc, bytes: p.bytes, removed: p.removed, known: map[int]time.Duration{}, tickAt: w.now + time.Duration(w.rng.Int64N(int64(50*time.Millisecond)))}
-	delete(w.dead, i)
+	*p = process{up: true, inc: p.inc, bytes: p.bytes, removals: p.removals, deathKnownAt: map[int]time.Duration{}, nextTick: w.now + time.Duration(w.rng.Int64N(int64(50*time.Millisecond)))}
+	delete(w.deadSince, i)
 	if w.Policy == "heartbeats" {
-		p.hb, p.out = make([]time.Duration, w.Members), make([]bool, w.Members)
-		for j := range p.hb {
-			p.hb[j] = w.now
+		p.lastHeartbeat, p.removedPeers = make([]time.Duration, w.Members), make([]bool, w.Members)
+		for j := range p.lastHeartbeat {
+			p.lastHeartbeat[j] = w.now
 		}
 		return
 	}
@@ -209,45 +209,45 @@
 	for s := range min(6, w.Members) {
 		seeds = append(seeds, address(s))
 	}
-	without := map[string]member.Protection{"no-word": member.Refutation, "no-doubt": member.SelfSuspicion, "no-awareness": member.PauseDetection, "no-marks": member.Watermarks}[w.Policy]
-	p.m = member.New(member.Config{Self: member.Peer{ID: member.ID{Name: fmt.Sprintf("dispatcher-%04d", i), Incarnation: uint64(w.now/step)*16 + 1}, Address: address(i),
-		Zone: i % 5, Number: i}, Seeds: seeds, FleetSize: w.Members, Disabled: without, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.inc)
+	disabled := map[string]member.Protection{"no-word": member.Refutation, "no-doubt": member.SelfSuspicion, "no-awareness": member.PauseDetection, "no-marks": member.Watermarks}[w.Policy]
+	p.member = member.New(member.Config{Self: member.Peer{ID: member.ID{Name: fmt.Sprintf("dispatcher-%04d", i), Incarnation: uint64(w.now/step)*16 + 1}, Address: address(i),
+		Zone: i % 5, Number: i}, Seeds: seeds, FleetSize: w.Members, Disabled: disabled, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.inc)
 }
 
 // post sends a datagram through the net.
-func (w *World) post(d datagram, size int) {
+func (w *World) send(d datagram, size int) {
 	if d.to < 0 || d.to >= len(w.procs) {
 		return
 	}
 	w.procs[d.from].bytes += size + 28
-	if w.kinds != nil && d.msg != nil {
-		n := w.kinds[int(d.msg.Kind)]
-		w.kinds[int(d.msg.Kind)] = [2]int{n[0] + 1, n[1] + size + 28}
+	if w.trafficByKind != nil && d.msg != nil {
+		n := w.trafficByKind[int(d.msg.Kind)]
+		w.trafficByKind[int(d.msg.Kind)] = [2]int{n[0] + 1, n[1] + size + 28}
 	}
-	if w.fault.lost(w, d.from, d.to) {
+	if w.fault.drops(w, d.from, d.to) {
 		return
 	}
-	w.at(w.delay(), d)
+	w.schedule(w.delay(), d)
 }
 
 func (w *World) delay() time.Duration {
 	return time.Duration((1 + 4*w.rng.Float64()) * float64(time.Millisecond))
 }
 
-func (w *World) at(after time.Duration, d datagram) {
-	slot := int((w.now+max(after, step))/step) % len(w.wheel)
-	w.wheel[slot] = append(w.wheel[slot], d)
+func (w *World) schedule(after time.Duration, d datagram) {
+	slot := int((w.now+max(after, step))/step) % len(w.timingWheel)
+	w.timingWheel[slot] = append(w.timingWheel[slot], d)
 }
 
 // arrive has a datagram reach a process.
 func (w *World) arrive(d datagram) {
 	p := w.procs[d.to]
 	switch {
-	case !p.up && p.silent, d.refused && !p.up:
+	case !p.up && p.vanished, d.refused && !p.up:
 		return
 	case !p.up: // its machine says so, if the way back is open
-		if !w.fault.lost(w, d.to, d.from) {
-			w.at(w.delay(), datagram{from: d.to, to: d.from, inc: w.procs[d.from].inc, refused: true})
+		if !w.fault.drops(w, d.to, d.from) {
+			w.schedule(w.delay(), datagram{from: d.to, to: d.from, inc: w.procs[d.from].inc, refused: true})
 		}
 		return
 	case w.now < p.paused:
@@ -257,70 +257,70 @@
 		return
 	}
 	w.deliver(p, d)
-	w.collect(d.to)
+	w.drain(d.to)
 }
 
 func (w *World) deliver(p *process, d datagram) {
 	switch {
 	case w.Policy == "heartbeats":
 		if !d.refused {
-			if p.hb[d.from] = w.now; p.out[d.from] {
-				p.out[d.from] = false
-				w.last = w.now
+			if p.lastHeartbeat[d.from] = w.now; p.removedPeers[d.from] {
+				p.removedPeers[d.from] = false
+				w.lastChange = w.now
 			}
 		}
 	case d.refused:
-		p.m.ReceiveRefusal(w.now, address(d.from))
+		p.member.ReceiveRefusal(w.now, address(d.from))
 	default:
-		p.m.Receive(w.now, address(d.from), d.msg)
+		p.member.Receive(w.now, address(d.from), d.msg)
 	}
 }
 
 // collect takes what a member wants sent and told.
-func (w *World) collect(i int) {
+func (w *World) drain(i int) {
 	p := w.procs[i]
-	if p.m == nil {
+	if p.member == nil {
 		return
 	}
-	out, events := p.m.Drain()
+	out, events := p.member.Drain()
 	for _, e := range out {
-		w.post(datagram{from: i, to: index(e.To), inc: p.inc, msg: e.Message}, e.Message.EncodedSize())
+		w.send(datagram{from: i, to: index(e.To), inc: p.inc, msg: e.Message}, e.Message.EncodedSize())
 	}
 	for _, e := range events {
-		w.told(i, e)
+		w.recordEvent(i, e)
 	}
 }
 
 // told follows a member's views, and checks that all of one number are the same.
-func (w *World) told(i int, e member.Event) {
-	w.last = w.now
+func (w *World) recordEvent(i int, e member.Event) {
+	w.lastChange = w.now
 	if e.View == nil {
 		p := w.procs[i]
 		w.trace("%v %d out: %s", w.now, i, e.Reason)
 		if e.Reason == "removed by the others" {
-			p.removed++
-			w.result.InAndOut = max(w.result.InAndOut, p.removed)
+			p.removals++
+			w.result.InAndOut = max(w.result.InAndOut, p.removals)
 		}
 		return
 	}
 	v := e.View
-	if w.views[v.Lineage] == nil {
-		w.views[v.Lineage] = map[uint64]uint64{}
+	if w.viewHashes[v.Lineage] == nil {
+		w.viewHashes[v.Lineage] = map[uint64]uint64{}
 	}
-	hash, seen := w.views[v.Lineage][v.Number]
+	hash, seen := w.viewHashes[v.Lineage][v.Number]
 	if !seen {
-		w.views[v.Lineage][v.Number] = v.Hash()
+		w.viewHashes[v.Lineage][v.Number] = v.Hash()
 		w.changes++
 		w.trace("%v view %x/%d of %d: %s", w.now, v.Lineage, v.Number, len(v.Members), e.Reason)
-		w.removals(v)
+		w.countFalseRemovals(v)
 	} else if hash != v.Hash() {
 		w.result.Disagree++
 	}
 }
 
 // removals counts who is not in a new view though it was up and in touch, once.
-func (w *World) removals(v *member.View) {
-	if w.began == 0 {
+func (w *World) countFalseRemovals(v *member.View) {
+	if w.faultBegan == 0 {
 		return
 	}
 	in := map[string]uint64{}
@@ -328,24 +328,24 @@
 		in[p.ID.Name] = p.ID.Incarnation
 	}
 	for i, p := range w.procs {
-		if p.m == nil || !p.up || p.m.View() == nil || p.m.View().Lineage != v.Lineage || p.m.View().Number+1 != v.Number || p.m.State() != member.Inside {
+		if p.member == nil || !p.up || p.member.View() == nil || p.member.View().Lineage != v.Lineage || p.member.View().Number+1 != v.Number || p.member.State() != member.Inside {
 			continue
 		}
-		self := p.m.Self().ID
-		if inc, there := in[self.Name]; (!there || inc != self.Incarnation) && w.fault.sound(w, i) {
+		self := p.member.Self().ID
+		if inc, there := in[self.Name]; (!there || inc != self.Incarnation) && w.fault.mustStay(w, i) {
 			w.result.False++
 			w.trace("%v %d removed though it is up", w.now, i)
 		}
 	}
 }
 
-func (w *World) play() {
+func (w *World) run() {
 	formed, begins := false, time.Duration(-1)
 	end := w.Warm
 	for ; w.now < end; w.now += step {
-		slot := int(w.now/step) % len(w.wheel)
-		due := w.wheel[slot]
-		w.wheel[slot] = nil
+		slot := int(w.now/step) % len(w.timingWheel)
+		due := w.timingWheel[slot]
+		w.timingWheel[slot] = nil
 		for _, d := range due {
 			if w.procs[d.to].up && d.refused && w.procs[d.to].inc != d.inc {
 				continue
@@ -353,7 +353,7 @@
 			w.arrive(d)
 		}
 		for i, p := range w.procs {
-			if !p.up || w.now < p.tickAt {
+			if !p.up || w.now < p.nextTick {
 				continue
 			}
 			if w.now < p.paused {
@@ -365,37 +365,37 @@
 				}
 				p.inbox = nil
 			}
-			p.tickAt = w.now + 50*time.Millisecond
+			p.nextTick = w.now + 50*time.Millisecond
 			w.tick(i, p)
 		}
-		if w.each != nil && w.now%time.Second == 0 {
-			w.each()
+		if w.everySecond != nil && w.now%time.Second == 0 {
+			w.everySecond()
 		}
-		if w.began > 0 {
-			w.fault.act(w)
-			if len(w.dead) > 0 && w.now%(20*time.Millisecond) == 0 {
-				w.notice()
+		if w.faultBegan > 0 {
+			w.fault.advance(w)
+			if len(w.deadSince) > 0 && w.now%(20*time.Millisecond) == 0 {
+				w.recordKnownDeaths()
 			}
-		} else if w.now%(100*time.Millisecond) == 0 && !formed && w.together() {
+		} else if w.now%(100*time.Millisecond) == 0 && !formed && w.converged() {
 			formed = true
 			w.result.FormedMS = float64(w.now / time.Millisecond)
 			end = w.now + 20*time.Second
 			if w.Fault != "start" {
-				begins = w.now + calm
+				begins = w.now + settleTime
 				end = begins + w.Length
 			}
 		}
 		if w.now == begins {
-			w.begin()
+			w.beginFault()
 		}
 	}
 }
 
 // begin begins the fault.
-func (w *World) begin() {
-	w.began, w.ended, w.changes = w.now, w.now, 0
+func (w *World) beginFault() {
+	w.faultBegan, w.lastFaultEnd, w.changes = w.now, w.now, 0
 	for _, p := range w.procs {
-		p.bytes, p.removed = 0, 0
+		p.bytes, p.removals = 0, 0
 	}
 	w.result.InAndOut = 0
 	w.fault = newFaults(w)
@@ -404,22 +404,22 @@
 // tick lets a process act.
 func (w *World) tick(i int, p *process) {
 	if w.Policy != "heartbeats" {
-		p.m.Tick(w.now)
-		w.collect(i)
+		p.member.Tick(w.now)
+		w.drain(i)
 		return
 	}
-	if p.tickAt%(500*time.Millisecond) < 50*time.Millisecond {
+	if p.nextTick%(500*time.Millisecond) < 50*time.Millisecond {
 		for j := range w.procs {
 			if j != i {
-				w.post(datagram{from: i, to: j, inc: p.inc}, 30)
+				w.send(datagram{from: i, to: j, inc: p.inc}, 30)
 			}
 		}
 	}
-	for j, at := range p.hb {
-		if j != i && !p.out[j] && w.now-at > 2500*time.Millisecond {
-			p.out[j] = true
-			w.last = w.now
-			if w.began > 0 && w.procs[j].up && w.fault.sound(w, j) && w.fault.sound(w, i) {
+	for j, at := range p.lastHeartbeat {
+		if j != i && !p.removedPeers[j] && w.now-at > 2500*time.Millisecond {
+			p.removedPeers[j] = true
+			w.lastChange = w.now
+			if w.faultBegan > 0 && w.procs[j].up && w.fault.mustStay(w, j) && w.fault.mustStay(w, i) {
 				w.result.False++
 			}
 		}
@@ -427,7 +427,7 @@
 }
 
 // together: all that are up hold one view of all that are up.
-func (w *World) together() bool {
+func (w *World) converged() bool {
 	if w.Policy == "heartbeats" {
 		return w.now > 3*time.Second
 	}
@@ -438,7 +438,7 @@
 			continue
 		}
 		n++
-		v := p.m.View()
+		v := p.member.View()
 		if v == nil || first != nil && (v.Number != first.Number || v.Lineage != first.Lineage) {
 			return false
 		}
@@ -448,64 +448,64 @@
 }
 
 // notice looks who knows of the dead by now.
-func (w *World) notice() {
+func (w *World) recordKnownDeaths() {
 	for _, p := range w.procs {
 		if !p.up || w.now < p.paused {
 			continue
 		}
-		if len(p.known) == len(w.dead) {
+		if len(p.deathKnownAt) == len(w.deadSince) {
 			continue
 		}
 		if w.Policy == "heartbeats" {
-			for d := range w.dead {
-				if _, ok := p.known[d]; !ok && p.out[d] {
-					p.known[d] = w.now
+			for d := range w.deadSince {
+				if _, ok := p.deathKnownAt[d]; !ok && p.removedPeers[d] {
+					p.deathKnownAt[d] = w.now
 				}
 			}
 			continue
 		}
-		v := p.m.View()
+		v := p.member.View()
 		if v == nil {
 			continue
 		}
-		down := p.m.Down()
-		for d := range w.dead {
-			if _, ok := p.known[d]; ok {
+		down := p.member.Down()
+		for d := range w.deadSince {
+			if _, ok := p.deathKnownAt[d]; ok {
 				continue
 			}
 			name := fmt.Sprintf("dispatcher-%04d", d)
 			i, there := slices.BinarySearchFunc(v.Members, name, func(m member.Peer, name string) int { return cmp.Compare(m.ID.Name, name) })
 			if !there || down.Has(i) {
-				p.known[d] = w.now
+				p.deathKnownAt[d] = w.now
 			}
 		}
 	}
 }
 
-func (w *World) finish() Result {
+func (w *World) summarize() Result {
 	r := &w.result
 	r.Views = w.changes
-	r.SettledMS = math.Max(0, float64(w.last-w.ended)/float64(time.Millisecond))
-	length := (w.now - w.began).Seconds()
-	ups := 0
+	r.SettledMS = math.Max(0, float64(w.lastChange-w.lastFaultEnd)/float64(time.Millisecond))
+	length := (w.now - w.faultBegan).Seconds()
+	running := 0
 	for _, p := range w.procs {
 		if !p.up {
 			continue
 		}
-		ups++
+		running++
 		rate := float64(p.bytes) / length
 		r.BytesMean += rate
 		r.BytesWorst = math.Max(r.BytesWorst, rate)
 	}
-	r.BytesMean /= math.Max(1, float64(ups))
+	r.BytesMean /= math.Max(1, float64(running))
 	var known []float64
-	for d, died := range w.dead {
+	for d, died := range w.deadSince {
 		worst := time.Duration(0)
 		for i, p := range w.procs {
-			if !p.up || !w.fault.sound(w, i) {
+			if !p.up || !w.fault.mustStay(w, i) {
 				continue
 			}
-			at, ok := p.known[d]
+			at, ok := p.deathKnownAt[d]
 			if !ok {
 				worst = -1
 				break
@@ -529,11 +529,11 @@
 	var first *member.View
 	r.Agreed = true
 	for i, p := range w.procs {
-		if !p.up || !w.fault.sound(w, i) {
+		if !p.up || !w.fault.mustStay(w, i) {
 			continue
 		}
-		v := p.m.View()
-		if v == nil || !p.m.HasQuorum() {
+		v := p.member.View()
+		if v == nil || !p.member.HasQuorum() {
 			r.NotInTouch++
 		}
 		if v == nil || first != nil && (v.Number != first.Number || v.Lineage != first.Lineage) {
@@ -542,7 +542,7 @@
 		}
 		first = v
 	}
-	if first != nil && len(w.dead) > 0 {
+	if first != nil && len(w.deadSince) > 0 {
 		r.ViewWorstMS = r.SettledMS
 	}
 	return *r
--- a/sim/members/members_test.go
+++ b/sim/members/members_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestPromises plays every fault at small sizes and holds the design's promises against what came of it.
-func TestPromises(t *testing.T) {
+func TestGuaranteesHoldUnderEveryFault(t *testing.T) {
 	sizes, seeds := []int{3, 10, 40}, uint64(2)
-	if raced { // there is one goroutine: this is for the other builds
+	if raceEnabled { // there is one goroutine: this is for the other builds
 		sizes, seeds = []int{3, 10}, 1
 	}
 	for _, n := range sizes {
@@ -55,9 +55,9 @@
 
 // TestStart: a hundred that start at once are one fleet within half a minute though half of the seeds are dead, and few seeds are not
 // drowned by all that ask them.
-func TestStart(t *testing.T) {
+func TestConcurrentStartWithDeadSeedsFormsOneFleet(t *testing.T) {
 	seeds := []uint64{1, 17}
-	if raced { // there is one goroutine: this is for the other builds
+	if raceEnabled { // there is one goroutine: this is for the other builds
 		seeds = nil
 	}
 	for _, seed := range seeds {
@@ -69,7 +69,7 @@
 }
 
 // TestSameSeed: a run depends on its seed alone.
-func TestSameSeed(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	for _, fault := range []string{"start", "loss", "return", "kill-70"} {
 		c := Config{Members: 25, Seed: 7, Fault: fault, Policy: "member", Length: 20 * time.Second}
 		a, _ := Run(c)
@@ -81,8 +81,8 @@
 }
 
 // TestWorth: without a protection the faults that it is there for remove members that are up; so the checks above can fail.
-func TestWorth(t *testing.T) {
-	if raced {
+func TestDisabledProtectionsWorsenResults(t *testing.T) {
+	if raceEnabled {
 		return
 	}
 	for _, c := range []struct{ policy, fault string }{{"heartbeats", "pauses"}, {"heartbeats", "loss"}, {"no-word", "halves"}, {"no-doubt", "halves"}, {"no-marks", "halves"}} {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for _, c := range []Config{{Members: 0, Fault: "none", Policy: "member"}, {Members: 5000, Fault: "none", Policy: "member"}, {Members: 3, Fault: "x", Policy: "member"}, {Members: 3, Fault: "none", Policy: "x"}} {
 		if _, err := Run(c); err == nil {
 			t.Errorf("%+v was played", c)
--- a/sim/members/norace_test.go
+++ b/sim/members/norace_test.go
@@ -2,4 +2,4 @@
 
 package members
 
-const raced = false
+const raceEnabled = false
--- a/sim/members/race_test.go
+++ b/sim/members/race_test.go
@@ -2,4 +2,4 @@
 
 package members
 
-const raced = true
+const raceEnabled = true
