--- a/member/charge.go
+++ b/member/charge.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// merge takes a charge: a later generation of the subject's clears what was said of the one before, and of one generation all bits count.
+// mergeReport merges a report: a later generation of the subject clears the reports on earlier ones, and within one generation all
+// bits are combined.
 func (m *Member) mergeReport(c Report) {
 	have := &m.reports[c.Subject]
 	valid := uint16(1)<<len(m.rings.watchers[c.Subject]) - 1
@@ -29,15 +30,16 @@
 	raised := next.Generation > have.Generation || next.Left && !have.Left
 	*have = next
 	m.evaluationDue, m.lastChange = true, m.now
-	if raised || !m.dead.Has(c.Subject) { // of the dead nothing more is news
+	if raised || !m.dead.Has(c.Subject) { // reports on the dead are not gossiped any more
 		m.enqueueReport(c.Subject, raised)
 	}
-	if c.Subject == m.position && next.TimedOut|next.Refused != 0 && m.state == Inside && m.Disabled&Refutation == 0 { // the accused speaks
+	if c.Subject == m.position && next.TimedOut|next.Refused != 0 && m.state == Inside && m.Disabled&Refutation == 0 {
+		// The reported member refutes.
 		m.mergeReport(Report{Subject: m.position, Generation: next.Generation + 1})
 	}
 }
 
-// mix is a charge's part of the digest; 0 for one that says nothing.
+// reportDigest returns a report's share of the digest; 0 for an empty report.
 func reportDigest(c Report) uint32 {
 	if c.Generation == 0 && c.TimedOut|c.Refused == 0 && !c.Left {
 		return 0
@@ -50,12 +52,12 @@
 	return uint32(x >> 32)
 }
 
-// heat has a charge passed on.
+// enqueueReport queues a report for gossip.
 func (m *Member) enqueueReport(subject int, first bool) {
-	// Half of the watchers are enough for all to hear of it, even where a third gets lost; what that misses the digests show.
+	// Half of the watchers suffice to reach all members even if a third of the messages is lost; digests reveal what was missed.
 	times := (len(m.sentRoundVersion) + 1) / 2
 	i := slices.IndexFunc(m.reportQueue, func(h queuedReport) bool { return h.subject == subject })
-	if first { // the accused's own word goes before all charges, and twice as often
+	if first { // a refutation precedes all reports and is sent twice as often
 		if i >= 0 {
 			m.reportQueue = slices.Delete(m.reportQueue, i, i+1)
 		}
@@ -69,7 +71,7 @@
 	m.reportQueue = append(m.reportQueue, queuedReport{subject, times})
 }
 
-// reheat has all charges passed on once: somebody has missed some.
+// requeueReports queues all reports once more: some member has missed some.
 func (m *Member) requeueReports() {
 	if len(m.reportQueue) > 0 || m.now-m.lastRequeue < m.BallotTimeout {
 		return
@@ -85,10 +87,10 @@
 	}
 }
 
-// watch asks the subjects that are silent, and charges those that stay so.
+// probeSubjects pings silent subjects and reports those that remain silent.
 func (m *Member) probeSubjects() {
 	selfSuspected := m.suspectsSelf()
-	for i := range m.view.Members { // in order: what is sent must not hang on a map's
+	for i := range m.view.Members { // not in map order: what is sent must be deterministic
 		s := m.subjects[i]
 		if s == nil || m.watcherBits[i] == 0 {
 			continue
@@ -98,12 +100,12 @@
 			continue
 		}
 		interval := max(m.PingAfter/4, silence/4)
-		if m.failed.Has(i) { // seldom: another process may be there, of another lineage
+		if m.failed.Has(i) { // rarely: a process of another lineage may be there
 			interval = max(interval, slowInterval)
 		}
-		if m.now-s.lastPing >= interval { // more than the two asks that are wanted in as long again, then fewer and fewer
+		if m.now-s.lastPing >= interval { // more than the required two pings in another PingAfter, then at growing intervals
 			s.lastPing = m.now
-			// What is new would be lost on the dead, but the accused should know.
+			// A failed member would lose other updates, but a reported one needs the report to refute it.
 			m.send(m.view.Members[i].Address, &Message{Kind: Ping, Digest: m.digest, Reports: []Report{m.reports[i]}})
 		}
 		c := m.reports[i]
@@ -121,7 +123,8 @@
 	}
 }
 
-// doubts: so many of its subjects are silent, and none of these is proven dead, that this member is the likelier one to be cut off.
+// suspectsSelf reports whether so many subjects are silent, without being proven dead, that this member is more likely to be
+// partitioned.
 func (m *Member) suspectsSelf() bool {
 	if m.Disabled&SelfSuspicion != 0 {
 		return false
@@ -135,12 +138,13 @@
 	return silent > 1 && float64(silent) > selfSuspicionShare*float64(len(m.subjects))
 }
 
-// deaf: it has heard nobody for so long that the others should not take it for one that hears them.
+// cannotReceive reports whether this member has received nothing for so long that others should not assume that it receives
+// anything.
 func (m *Member) cannotReceive() bool {
 	return m.Disabled&SelfSuspicion == 0 && len(m.view.Members) > 2 && m.now-m.lastContact > m.SuspicionTimeout
 }
 
-// judge works out who is down and who is gone, if there is news.
+// evaluate computes which members are down and which have failed, if reports or joins have changed.
 func (m *Member) evaluate() {
 	if !m.evaluationDue {
 		return
@@ -156,15 +160,15 @@
 	clear(m.failed)
 	m.downVoters = 0
 	for i, c := range m.reports {
-		if c.Left || m.isRejoining(i) { // it may have voted, and lives: not gone for that
+		if c.Left || m.isRejoining(i) { // it is alive and may have voted, so it has not failed
 			m.down.Set(i)
 			if c.TimedOut|c.Refused == 0 {
 				m.downVoters++
 			}
 		}
 	}
-	// A refusal is a proof and not a doubt: two watchers are enough, against a mistaken address, or one where no other is left. The
-	// watchers of one that died may be dead as well, so all that were refused are taken for gone at first.
+	// A refusal is proof, unlike a time-out: two watchers suffice, which guards against a wrong address, or one if no other is
+	// left. The watchers of a dead member may be dead as well, so all refused members are assumed to have failed at first.
 	for i, c := range m.reports {
 		if c.Refused != 0 {
 			m.failed.Set(i)
@@ -179,9 +183,9 @@
 			}
 		}
 	}
-	// What others have worked out so counts as well: where hundreds died all single charges would take long to go round.
+	// Results of other members count as well: after hundreds of failures single reports would take long to spread.
 	for i, c := range m.reports {
-		if c.Generation > 0 { // it has spoken since
+		if c.Generation > 0 { // it has refuted since
 			if m.dead.Has(i) {
 				m.dead[i/8] &^= 1 << (i % 8)
 			}
@@ -193,7 +197,7 @@
 		m.deadVersion++
 		m.lastChange = m.now
 	}
-	// The digest leaves out what was said of the dead: it is not passed on any more.
+	// The digest omits reports on the dead, which are no longer gossiped.
 	m.digest = uint32(xxhash.Sum64(m.dead))
 	for i, c := range m.reports {
 		if !m.dead.Has(i) {
@@ -201,8 +205,8 @@
 		}
 	}
 	m.down.merge(m.failed)
-	// Silence proves nothing: a member is down when those charge it that are not. Watchers that are down say nothing, and what they said
-	// before counts for nothing: each that goes may make others go.
+	// A time-out proves nothing: a member is down when enough of its watchers report it that are not down themselves. Reports of
+	// watchers that are down do not count, so each member that goes down may bring others down.
 	for changed := true; changed; {
 		changed = false
 		for i, c := range m.reports {
@@ -212,8 +216,9 @@
 			}
 		}
 	}
-	// Who is charged by some watchers and not by enough may be beyond a cut that other watchers are beyond as well. Where a quarter of all
-	// are charged by anybody that is likelier than that so many watchers err: then a single one counts.
+	// A member with some reports, but not enough, may be partitioned together with its other watchers. Where more than a quarter
+	// of all members are reported by any watcher, a partition is more likely than so many wrong reports: then a single report
+	// counts.
 	m.possiblyPartitioned = 0
 	reported := 0
 	for i, c := range m.reports {
@@ -225,7 +230,7 @@
 			m.possiblyPartitioned++
 		}
 	}
-	if 4*reported > len(m.reports) { // and a few of them have no watcher here at all
+	if 4*reported > len(m.reports) { // a few of the partitioned members have no watcher on this side
 		m.possiblyPartitioned = reported + reported/16 + 1
 	}
 	for i := range m.reports {
@@ -235,7 +240,7 @@
 	}
 }
 
-// left is how many of a subject's watchers are not out.
+// watchersOutside returns the number of a subject's watchers that are not excluded.
 func (m *Member) watchersOutside(subject int, excluded Bits) (n int) {
 	for _, w := range m.rings.watchers[subject] {
 		if !excluded.Has(w) {
@@ -245,7 +250,7 @@
 	return n
 }
 
-// charged is how many of a subject's watchers that are not out say it.
+// reportingWatchers returns the number of a subject's watchers that report it and are not excluded.
 func (m *Member) reportingWatchers(subject int, reports uint16, excluded Bits) (n int) {
 	for bit, w := range m.rings.watchers[subject] {
 		if !excluded.Has(w) && reports>>bit&1 != 0 {
@@ -255,7 +260,7 @@
 	return n
 }
 
-// enough: so many of a subject's watchers that are not out themselves say it.
+// reachesHighWatermark reports whether enough of a subject's watchers, not excluded themselves, report it.
 func (m *Member) reachesHighWatermark(subject int, reports uint16, excluded Bits) bool {
 	need := max(1, int(math.Ceil(highWatermark*float64(m.watchersOutside(subject, excluded)))))
 	if m.Disabled&Watermarks != 0 {
@@ -264,8 +269,8 @@
 	return m.reportingWatchers(subject, reports, excluded) >= need
 }
 
-// standIn has this member watch for watchers that are gone, and beat to those that stand in for its own. Where most are dead the watchers
-// of some would all be, and nobody would say so.
+// assignSubstitutes lets this member watch in place of failed watchers, and send heartbeats to the substitutes of its own. Where
+// most members are dead, all watchers of some would be, and nobody would report them.
 func (m *Member) assignSubstitutes() {
 	m.watcherBits = map[int]uint16{}
 	for _, i := range m.rings.subjects[m.position] {
@@ -291,16 +296,16 @@
 	}
 }
 
-// alone: with those that are down, and those that may be beyond a cut, too few are left to agree on anything.
+// lacksQuorum reports whether too few members remain to agree, without those that are down or possibly partitioned.
 func (m *Member) lacksQuorum() bool {
 	n := len(m.view.Members)
 	return n-m.down.Count()+m.downVoters-m.possiblyPartitioned < quorumSize(n, m.failed) || m.suspectsSelf()
 }
 
-// replaced: a later process of the same name wants in.
+// isRejoining reports whether a later process of the same name asks to join.
 func (m *Member) isRejoining(i int) bool { return m.rejoining.Has(i) }
 
-// unsure: some are charged, and not by enough.
+// hasUnconfirmedReports reports whether members are reported by too few watchers.
 func (m *Member) hasUnconfirmedReports() bool {
 	for i, c := range m.reports {
 		if c.TimedOut|c.Refused != 0 && !m.down.Has(i) {
@@ -310,7 +315,7 @@
 	return false
 }
 
-// silentOnes: some are down and not by proof or their own word.
+// hasUnresponsiveDown reports whether members are down because of time-outs alone, neither by proof nor by their own announcement.
 func (m *Member) hasUnresponsiveDown() bool {
 	for i, c := range m.reports {
 		if m.down.Has(i) && !m.failed.Has(i) && !c.Left && !m.isRejoining(i) {
@@ -320,7 +325,7 @@
 	return false
 }
 
-// penalty notes that a name was removed without its will, and is not let in for a while.
+// delayRejoin records that a name was removed against its will, and delays its next admission.
 func (m *Member) delayRejoin(name string) {
 	record := m.removals[name]
 	if record == nil {
--- a/member/join.go
+++ b/member/join.go
@@ -11,7 +11,7 @@
 
 const peersPerChunk = 16 // a chunk of peers with long names still fits a datagram
 
-// seek looks for members to be let in by.
+// seekMembership looks for members that admit this one.
 func (m *Member) seekMembership() {
 	if m.fetchSource != "" && m.now-m.lastChunkRequest > 4*m.TickInterval {
 		m.requestChunks()
@@ -20,28 +20,28 @@
 		return
 	}
 	self := m.Self()
-	// The longer it takes the more others are likely to want in as well.
+	// The longer it takes, the more processes are likely to be joining as well.
 	interval := min(helloInterval+(m.now-m.outsideSince)/8, maxHelloInterval)
 	if m.state == Superseded {
 		interval = slowInterval
 	}
 	m.nextHello = m.now + interval/2 + time.Duration(m.rng.Int64N(int64(interval)))
 	hello := func(to string) { m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.seedRank()}) }
-	// Who knows of others leaves the seeds to those that don't: all start there, and few there are.
+	// A process that has other addresses spares the few seeds, where all start, for those that have none.
 	if len(m.Seeds) > 0 && (len(m.knownAddresses) == 0 || m.rng.IntN(4) == 0) {
 		seed := m.Seeds[m.rng.IntN(len(m.Seeds))]
 		for attempts := len(m.Seeds); m.now < m.refusedSeeds[seed] && attempts > 0; attempts-- {
 			seed = m.Seeds[m.rng.IntN(len(m.Seeds))]
 		}
 		hello(seed)
-		if rank := m.seedRank(); rank > 1 { // is one before it there?
+		if rank := m.seedRank(); rank > 1 { // is a seed of lower rank there?
 			hello(m.Seeds[m.rng.IntN(rank-1)])
 		}
 	}
 	if len(m.knownAddresses) > 0 {
 		hello(m.knownAddresses[m.rng.IntN(len(m.knownAddresses))])
 	}
-	if m.now-m.lastKnownUpdate > 10*m.FoundingDelay { // nobody of them is there any more
+	if m.now-m.lastKnownUpdate > 10*m.FoundingDelay { // none of them is there any more
 		m.knownAddresses = nil
 	}
 	if rank := time.Duration(m.seedRank()); rank > 0 && m.state == Outside && m.now-m.outsideSince >= rank*m.FoundingDelay && m.now-m.lowerSeedOutsideAt >= m.FoundingDelay && m.fetchSource == "" && len(m.knownAddresses) == 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// token proves that who says it back at an address has heard what was said there.
+// joinToken returns a token that proves that a process receives messages at an address.
 func (m *Member) joinToken(address string, id ID) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], m.tokenSecret)
@@ -57,13 +57,13 @@
 	return xxhash.Sum64String(address+"\x00"+id.Name+"\x00"+string(b[:])) | 1
 }
 
-// hello answers one that wants in, or looks for another lineage.
+// handleHello answers a process that wants to join, or a member of another lineage.
 func (m *Member) handleHello(from string, msg *Message) {
 	if msg.Peer == nil || msg.Peer.ID != msg.From || msg.Peer.Address != from {
-		m.dropped.Malformed++ // who says it listens elsewhere cannot be told from who cannot hear
+		m.dropped.Malformed++ // with a different address it cannot be told from a process that cannot receive
 		return
 	}
-	if m.tokens < float64(m.BytesPerSecond) && msg.SeedRank == 0 { // beats go first; it will ask again, or somebody else
+	if m.tokens < float64(m.BytesPerSecond) && msg.SeedRank == 0 { // heartbeats take precedence; the sender will repeat it, or ask another member
 		if m.tokens > 0 && m.view != nil && len(m.view.Members) > m.Watchers {
 			m.redirect(from)
 		}
@@ -75,7 +75,7 @@
 				m.lowerSeedOutsideAt = m.now
 			}
 			response := &Message{Kind: Redirect, SeedRank: m.seedRank()}
-			for _, address := range m.knownAddresses[:min(2, len(m.knownAddresses))] { // who may be in
+			for _, address := range m.knownAddresses[:min(2, len(m.knownAddresses))] { // these may be inside
 				response.PendingJoins = append(response.PendingJoins, Peer{Address: address})
 			}
 			m.send(from, response)
@@ -83,7 +83,7 @@
 		return
 	}
 	if msg.Lineage == m.view.Lineage && msg.View > 0 {
-		return // a member that has missed much, or is ahead: beats see to that
+		return // a member that is behind or ahead: heartbeats bring it up to date
 	}
 	if msg.Lineage != 0 {
 		m.handleOtherLineage(from, msg)
@@ -92,7 +92,7 @@
 	m.send(from, &Message{Kind: Welcome, Token: m.joinToken(from, msg.From), Hash: m.view.Hash()})
 }
 
-// refer names some members to one that wants in: where many do, those that they ask first cannot see to all.
+// redirect names some members to a process that wants to join: where many join at once, the first members asked cannot serve all.
 func (m *Member) redirect(to string) {
 	response := &Message{Kind: Redirect}
 	for range min(2, len(m.view.Members)) {
@@ -103,7 +103,7 @@
 	m.send(to, response)
 }
 
-// welcome is the answer of a member. One that is in a smaller lineage leaves it for the larger.
+// handleWelcome answers a member's token with a join. A member of a smaller lineage leaves it for the larger one.
 func (m *Member) handleWelcome(from string, msg *Message) {
 	if m.view != nil {
 		m.handleOtherLineage(from, msg)
@@ -114,10 +114,10 @@
 	}
 	self := m.Self()
 	m.send(from, &Message{Kind: Join, Peer: &self, Token: msg.Token})
-	m.nextHello = max(m.nextHello, m.now+maxHelloInterval) // a change takes a second or two
+	m.nextHello = max(m.nextHello, m.now+maxHelloInterval) // a view change takes a second or two
 }
 
-// foreign deals with a member of another lineage: of the two that should be one the smaller gives way.
+// handleOtherLineage handles a message of a member of another lineage: of two lineages the smaller one gives way.
 func (m *Member) handleOtherLineage(from string, msg *Message) {
 	if msg.Lineage == 0 || msg.Lineage == m.view.Lineage || m.state != Inside {
 		return
@@ -128,33 +128,33 @@
 		m.knownAddresses = known
 		return
 	}
-	if msg.Kind != Welcome { // that one should know
+	if msg.Kind != Welcome { // the sender's lineage is to give way
 		m.send(from, &Message{Kind: Welcome, Hash: m.view.Hash()})
 	}
 }
 
-// join takes the word of one that has said the token back.
+// handleJoin accepts a join with a valid token.
 func (m *Member) handleJoin(from string, msg *Message) {
 	if m.view == nil || msg.Peer == nil || msg.Peer.ID != msg.From || msg.Peer.Address != from || msg.Token != m.joinToken(from, msg.From) {
 		m.dropped.Malformed++
 		return
 	}
-	if m.view.Index(msg.From) >= 0 { // it has not heard
+	if m.view.Index(msg.From) >= 0 { // it has not received the notice
 		m.send(from, m.joinNotice(nil))
 		return
 	}
-	m.lastContact = m.now // the way there and back is open
+	m.lastContact = m.now // both directions work
 	m.sponsored[msg.From] = from
 	m.addPendingJoin(*msg.Peer)
 }
 
-// wait keeps one that wants in until it is. Of one name the highest incarnation counts.
+// addPendingJoin keeps a join until it is decided. Of one name the highest incarnation counts.
 func (m *Member) addPendingJoin(p Peer) {
 	if p.ID.Name == "" || p.Address == "" || m.view.Index(p.ID) >= 0 {
 		return
 	}
 	if i, there := m.view.find(p.ID.Name); there && m.view.Members[i].ID.Incarnation > p.ID.Incarnation {
-		return // an older run: it is gone, or will hear that it is
+		return // an earlier run: it is gone, or will learn that it is superseded
 	} else if there && !m.rejoining.Has(i) {
 		m.rejoining.Set(i)
 		m.deadVersion++
@@ -171,7 +171,7 @@
 	m.evaluationDue, m.lastChange = true, m.now
 }
 
-// notice says that this member is in a view, which it fetches.
+// handleJoinNotice starts to fetch the view that this member has been admitted to.
 func (m *Member) handleJoinNotice(from string, msg *Message) {
 	if m.state != Outside && m.state != Superseded || msg.Lineage == 0 || msg.Size <= 0 || m.fetchSource != "" && msg.Lineage == m.wantedView.Lineage && msg.View <= m.wantedView.View {
 		return
@@ -185,13 +185,13 @@
 	m.requestChunks()
 }
 
-// fetch gets the view of a member that is too far ahead to be followed.
+// fetchView fetches the view of a member that is too far ahead for its decisions to be followed.
 func (m *Member) fetchView(from string, msg *Message) {
 	if m.fetchSource != "" && m.now-m.lastChunkRequest < 4*m.TickInterval || msg.Size <= 0 {
 		return
 	}
 	if m.fetchSource == "" || msg.View > m.wantedView.View {
-		if msg.Hash == 0 { // a beat does not say it
+		if msg.Hash == 0 { // heartbeats have no hash
 			m.send(from, &Message{Kind: Ping, Digest: m.digest})
 			return
 		}
@@ -201,11 +201,12 @@
 	m.requestChunks()
 }
 
-// pullMore asks for chunks that are missing, a few at a time.
+// requestChunks requests a few of the missing chunks.
 func (m *Member) requestChunks() {
 	m.lastChunkRequest = m.now
 	requested := 0
-	sources := slices.Clone(m.chunkSources) // and those that are in it by what came already: one member alone cannot serve all that join
+	// Members named in the chunks received so far have the view as well: a single member cannot serve all that join.
+	sources := slices.Clone(m.chunkSources)
 	for _, c := range m.chunks {
 		if c != nil {
 			for _, p := range c.Members {
@@ -223,18 +224,18 @@
 			requested++
 		}
 	}
-	if m.now-m.lastChunk > m.SuspicionTimeout { // whoever it was, it says nothing more
+	if m.now-m.lastChunk > m.SuspicionTimeout { // the source does not answer any more
 		m.fetchSource, m.chunks = "", nil
 	}
 }
 
-// pull hands out a chunk.
+// handleChunkRequest sends a chunk of a recent view.
 func (m *Member) handleChunkRequest(from string, msg *Message) {
 	if m.view == nil || msg.Chunk == nil || msg.Chunk.Index < 0 || m.tokens < -float64(m.BytesPerSecond) {
 		return
 	}
 	at := slices.IndexFunc(m.recentViews, func(v *View) bool { return v.Number == msg.Token && v.Hash() == msg.Hash })
-	if at < 0 { // it is too old
+	if at < 0 { // no longer among the recent views
 		m.send(from, m.joinNotice(nil))
 		return
 	}
@@ -247,7 +248,7 @@
 		Members: v.Members[first:min(first+peersPerChunk, len(v.Members))]}})
 }
 
-// part takes a chunk, and with the last one the view.
+// handleChunkResponse stores a chunk, and installs the view when it is complete.
 func (m *Member) handleChunkResponse(from string, msg *Message) {
 	if m.fetchSource == "" || msg.Chunk == nil || msg.Lineage != m.wantedView.Lineage || msg.Token != m.wantedView.View || msg.Hash != m.wantedView.Hash ||
 		msg.Chunk.Count != len(m.chunks) || msg.Chunk.Index < 0 || msg.Chunk.Index >= len(m.chunks) {
@@ -275,7 +276,7 @@
 		return
 	}
 	if v.Index(m.Self().ID) < 0 {
-		if m.view != nil { // else it is not in any more, and asks again
+		if m.view != nil { // an outside process is not admitted any more, and asks again
 			m.handleExclusion(v)
 		}
 		return
--- a/member/member.go
+++ b/member/member.go
@@ -1,8 +1,8 @@
-// Package member decides who of a fleet's processes live, and has all that are in touch agree on it.
+// Package member maintains an agreed view of which processes of a fleet are alive.
 //
-// A Member does no I/O, reads no clock and starts no goroutine: it takes messages, times and a seed, and returns what is to be sent and
-// what has changed. Its host calls Tick at least every Config.Every and passes on every datagram that comes. What it promises, and how it
-// goes about it, stands in docs/design-membership.md.
+// A Member does no I/O, reads no clock and starts no goroutine: it is given messages, times and a seed, and returns the messages
+// to send and the changes of its view. Its host calls Tick at least every Config.TickInterval and passes on every received
+// datagram. docs/design-membership.md describes the protocol and its guarantees.
 package member
 
 import (
@@ -12,43 +12,43 @@
 	"time"
 )
 
-// Config is what a Member needs. Fill gives what is 0 its default.
+// Config configures a Member. WithDefaults replaces zero values.
 type Config struct {
 	Self      Peer
-	Seeds     []string // addresses of members that may be asked to let one in
-	FleetSize int      // how many there should be: a lineage that never had more than half of them is nobody's word
-
-	Watchers          int           // of each member; 16 at most
-	TickInterval      time.Duration // between two calls of Tick
-	HeartbeatInterval time.Duration // between two beats to one watcher
-	PingAfter         time.Duration // of silence, before a watcher asks
-	SuspicionTimeout  time.Duration // of silence, before it charges: longer than any pause that is to be borne
-	ProposalDelay     time.Duration // without news, before a change is proposed
-	BallotTimeout     time.Duration // without progress of a vote, before the next in the order tries
-	FoundingDelay     time.Duration // without a member to be found, before a seed founds a lineage
-	RejoinDelay       time.Duration // how long a member that was removed waits before it is let in again; twice as long each time
-	BytesPerSecond    int           // bytes a second, with heads of IP and UDP
-	// NoRefusals: "port unreachable" proves nothing here, as somebody else may say it.
+	Seeds     []string // addresses of members that may be asked for admission
+	FleetSize int      // intended number of members: a lineage that never had more than half of them has no quorum
+
+	Watchers          int           // per member; at most 16
+	TickInterval      time.Duration // longest time between two calls of Tick
+	HeartbeatInterval time.Duration // between two heartbeats to one watcher
+	PingAfter         time.Duration // silence after which a watcher pings its subject
+	SuspicionTimeout  time.Duration // silence after which a watcher reports its subject; longer than any pause to be tolerated
+	ProposalDelay     time.Duration // time without new reports or joins before a change is proposed
+	BallotTimeout     time.Duration // time without progress after which the next proposer starts a ballot
+	FoundingDelay     time.Duration // time without finding a member after which a seed founds a lineage
+	RejoinDelay       time.Duration // before a removed member is admitted again; doubles with each removal
+	BytesPerSecond    int           // including IP and UDP headers
+	// IgnoreRefusals disregards "port unreachable" as proof, for networks where another host may send it.
 	IgnoreRefusals bool
-	Shared         *Shared // by members of one process; may be nil
-	// Without leaves out protections, to measure what they are worth.
+	Shared         *Shared // between members of one process; may be nil
+	// Disabled switches protections off, to measure their effect.
 	Disabled Protection
 }
 
-// Protection is a set of what keeps a member from being taken for dead.
+// Protection is a set of measures against false failure detection.
 type Protection uint8
 
-// The protections.
 const (
-	Refutation     Protection = 1 << iota // the accused clears itself by a later generation
-	SelfSuspicion                         // a watcher most of whose subjects are silent charges nobody, a deaf one falls silent
-	PauseDetection                        // a watcher that was away gives its subjects that time
-	Watermarks                            // it takes seven tenths of the watchers, not one
+	Refutation     Protection = 1 << iota // a reported member clears itself with a higher generation
+	SelfSuspicion                         // a watcher that finds most subjects silent reports none of them; one that receives nothing sends no heartbeats
+	PauseDetection                        // a watcher that was paused extends its subjects' timeouts by the pause
+	Watermarks                            // a member is down when 0.7 of its watchers report it, not one
 )
 
-// Fill returns the configuration with defaults for what is missing, for a net on which a way there and back takes so long.
+// WithDefaults returns the configuration with defaults for zero values, scaled to the network's round-trip time.
 func (c Config) WithDefaults(roundTrip time.Duration) Config {
-	// A beat, two asks and their answers must fit into each other whatever the way: below 50 ms there and back nothing grows.
+	// A heartbeat, two pings and their answers must fit into these intervals at any round-trip time. They scale with round-trip
+	// times above 50 ms.
 	scale := max(1, float64(roundTrip)/float64(50*time.Millisecond))
 	set := func(d *time.Duration, standard time.Duration) {
 		if *d <= 0 {
@@ -68,66 +68,65 @@
 	}
 	c.Watchers = min(c.Watchers, 16)
 	if c.BytesPerSecond <= 0 {
-		c.BytesPerSecond = 3400 // with the burst it stays under 4,000 in any minute
+		c.BytesPerSecond = 3400 // with the burst, less than 4,000 in any minute
 	}
 	return c
 }
 
 const (
-	highWatermark      = 0.7 // of a member's watchers that are not down themselves make it down
-	lowWatermark       = 0.3 // of them may mean that it and the others are beyond a cut
-	burstSeconds       = 10  // seconds of the budget that may be used at once: changes are rare
-	refusalsForProof   = 2   // of them refused prove a death
-	selfSuspicionShare = 0.6 // of a watcher's subjects silent at once: rather it is itself
-	maxJoinBytes       = 800 // bytes of those that join in one change: with votes and the rest they fit a datagram
-	maxHistory         = 32  // changes kept for those that are behind
-	maxRecentViews     = 8   // views kept for those that fetch one
+	highWatermark      = 0.7 // share of a member's watchers, not down themselves, whose reports make it down
+	lowWatermark       = 0.3 // share whose reports suggest that the member and its other watchers are partitioned
+	burstSeconds       = 10  // seconds of the byte rate that may be used at once, as changes are rare
+	refusalsForProof   = 2   // refused pings that prove a failure
+	selfSuspicionShare = 0.6 // share of silent subjects above which a watcher suspects itself
+	maxJoinBytes       = 800 // joins in one change: with votes and the other fields they fit a datagram
+	maxHistory         = 32  // decisions kept for members that are behind
+	maxRecentViews     = 8   // views kept for members that are fetching one
 	maxBackoff         = 5 * time.Minute
 	removalMemory      = 10 * time.Minute
 	helloInterval      = 400 * time.Millisecond
 	maxHelloInterval   = 3 * time.Second
-	slowInterval       = 5 * time.Second // a look for other lineages, and for those that have missed much
+	slowInterval       = 5 * time.Second // checks for other lineages; hellos and pings that are rarely answered
 )
 
-// Envelope is a message and where it goes.
+// Envelope is a message with its destination address.
 type Envelope struct {
 	To      string
 	Message *Message
 }
 
-// Event is something that the host is told.
+// Event reports a change of the view to the host.
 type Event struct {
-	View   *View // of a change of the view; else nil
+	View   *View // the new view; nil: the member left its view
 	Reason string
 }
 
-// subject is what a watcher knows of one whom it watches.
+// subject is the state that a watcher keeps of a member it watches.
 type subject struct {
-	lastHeard       time.Duration // last sign of life
-	lastPing        time.Duration // last ping
-	refusals        int           // answered by "port unreachable" since then
-	reportedAt      time.Duration // when this member charged it last; 0: not since it was heard
-	refutations     int           // how often such a charge was refuted lately
-	suppressedUntil time.Duration // no charge before
+	lastHeard       time.Duration
+	lastPing        time.Duration
+	refusals        int           // pings since lastHeard that were answered by "port unreachable"
+	reportedAt      time.Duration // when this member last reported it; 0: not since lastHeard
+	refutations     int           // number of reports that were refuted
+	suppressedUntil time.Duration // no report before this time
 }
 
-// State is a member's standing.
+// State is the membership state of this process.
 type State uint8
 
-// The states.
 const (
-	Outside    State = iota // wants in
+	Outside    State = iota // not in a view, wants to join
 	Inside                  // in the view
-	Leaving                 // has said that it leaves
-	Left                    // and is out, as planned
-	Superseded              // another process of its name took its place; it asks seldom, and is let in when that one is out
+	Leaving                 // in the view, has announced its departure
+	Left                    // departed as announced
+	Superseded              // replaced by another process of the same name; says hello rarely, and is admitted once that process has departed
 )
 
 func (s State) String() string {
 	return [...]string{"outside", "inside", "leaving", "left", "superseded"}[s]
 }
 
-// Member is one member. It is not safe for concurrent use.
+// Member is one member of the fleet. It is not safe for concurrent use.
 type Member struct {
 	Config
 	rng      *rand.Rand
@@ -136,86 +135,86 @@
 	lastTick time.Duration
 	outbox   []Envelope
 	events   []Event
-	tokens   float64 // of the bucket, in bytes
+	tokens   float64 // bytes in the token bucket of the byte rate
 
 	view                *View
-	position            int // own position in it
+	position            int // of this member in the view
 	rings               *rings
 	subjects            map[int]*subject
-	watcherBits         map[int]uint16 // by subject: what this member says in a charge
-	heartbeatTargets    []int          // of beats: the watchers, or who stands in for them
+	watcherBits         map[int]uint16 // by subject: this member's bits in a report
+	heartbeatTargets    []int          // the watchers, or their substitutes
 	reports             []Report       // by position
 	digest              uint32
-	reportQueue         []queuedReport // charges to be passed on
-	lastRequeue         time.Duration  // when all of them were passed on anew
-	lastChange          time.Duration  // last news of charges or joins
-	pendingSince        time.Duration  // the first since there was nothing to change; 0: there is not
-	evaluationDue       bool           // since down was worked out
+	reportQueue         []queuedReport // reports to be gossiped
+	lastRequeue         time.Duration  // when all reports were last queued again
+	lastChange          time.Duration  // of reports or joins
+	pendingSince        time.Duration  // start of the wait for the pending change; 0: nothing to change
+	evaluationDue       bool           // reports or joins have changed since evaluate
 	down                Bits
 	failed              Bits
-	possiblyPartitioned int           // how many may be beyond a cut
-	downVoters          int           // how many are down for that they leave or are replaced alone, and vote
-	dead                Bits          // proven, by what this member has heard or by others' word
-	rejoining           Bits          // who asks to join with a higher incarnation
-	deadVersion         int           // changes of these two
-	sentDeadVersion     []int         // by watcher: as of which change it was told
-	pendingJoins        []Peer        // that wait, by name
-	lastJoinForward     time.Duration // when those that came to this member were last said to who may propose
+	possiblyPartitioned int           // members that may be on the other side of a partition
+	downVoters          int           // members that are down only because they leave or are replaced, and still vote
+	dead                Bits          // proven dead by this member's reports or by others
+	rejoining           Bits          // members of which a later incarnation asks to join
+	deadVersion         int           // counts changes of dead and rejoining
+	sentDeadVersion     []int         // by watcher: the last deadVersion sent
+	pendingJoins        []Peer        // by name
+	lastJoinForward     time.Duration // when sponsored joins were last forwarded to the proposers
 
 	round            *Round
 	promised         uint32
 	acceptedBallot   uint32
 	acceptedValue    *ViewChange
-	lastProgress     time.Duration // last progress of the vote
-	roundVersion     int           // of the round as it stands here
-	sentRoundVersion []int         // by watcher: the version that it was sent
-	sentValueBallot  []uint32      // by watcher: the ballot whose value it was sent
-	lastValueRequest time.Duration // when the value of a vote was asked for last
-
-	history           []Decision // the newest last
-	recentViews       []*View    // the last views, the newest last: some still fetch one of them
-	decisionSendsLeft int        // how often the last one is still to be said unasked
-	nextTarget        int        // whose turn a beat is, among the watchers
+	lastProgress     time.Duration // of the round
+	roundVersion     int           // counts changes of the local copy of the round
+	sentRoundVersion []int         // by watcher: the last roundVersion sent
+	sentValueBallot  []uint32      // by watcher: the last ballot whose value was sent
+	lastValueRequest time.Duration // when the value of a round was last requested
+
+	history           []Decision // newest last
+	recentViews       []*View    // newest last: other members may still be fetching one of them
+	decisionSendsLeft int        // how often the last decision is still to be sent unrequested
+	nextTarget        int        // index into heartbeatTargets
 	nextHeartbeat     time.Duration
-	lastContact       time.Duration // last sign of life of anybody
+	lastContact       time.Duration // last sign of life of any member
 	lastLineageCheck  time.Duration
 
-	// Outside.
-	outsideSince       time.Duration // out since
+	// State while outside a view.
+	outsideSince       time.Duration
 	nextHello          time.Duration
-	lowerSeedOutsideAt time.Duration            // a seed before this one was heard of, out too
-	knownAddresses     []string                 // addresses of members of the last view, or that were named since
-	lastKnownUpdate    time.Duration            // when the last of them was named
-	refusedSeeds       map[string]time.Duration // by seed: until when nobody is taken to be there
-	chunks             []*Chunk                 // of the view that this one was let into
-	wantedView         Message                  // the notice of that view
+	lowerSeedOutsideAt time.Duration            // when a seed of lower rank was last heard of that is outside too
+	knownAddresses     []string                 // members of the last view, or named in redirects since
+	lastKnownUpdate    time.Duration            // when an address was last added
+	refusedSeeds       map[string]time.Duration // by seed: assumed absent until this time
+	chunks             []*Chunk                 // of the view that is being fetched
+	wantedView         Message                  // the message that announced that view
 	fetchSource        string
 	lastChunkRequest   time.Duration
-	lastChunk          time.Duration // last news of it
-	chunkSources       []string      // who has it
+	lastChunk          time.Duration // when a chunk last arrived
+	chunkSources       []string      // addresses of other members that have the view
 
 	tokenSecret uint64
-	sponsored   map[ID]string // joiners that came to this member, to be told when they are in
+	sponsored   map[ID]string // joiners that this member admits, to be notified when they are in the view
 	removals    map[string]*removalRecord
 	dropped     Dropped
 }
 
-// Dropped counts what was not taken.
+// Dropped counts rejected messages.
 type Dropped struct{ Foreign, Malformed int }
 
 type queuedReport struct {
 	subject   int
-	sendsLeft int // how often it is still to be sent
+	sendsLeft int
 }
 
-// flap is how often a name was removed lately.
+// removalRecord counts the recent removals of a name.
 type removalRecord struct {
 	count       int
-	last        time.Duration // when last
-	rejoinAfter time.Duration // it is not let in before
+	last        time.Duration
+	rejoinAfter time.Duration
 }
 
-// New returns a member that is out and wants in.
+// New returns a member that is outside and wants to join.
 func New(c Config, now time.Duration, seed uint64) *Member {
 	m := &Member{Config: c.WithDefaults(0), rng: rand.New(rand.NewPCG(seed, 2)), now: now, lastTick: now, outsideSince: now, lastContact: now,
 		sponsored: map[ID]string{}, refusedSeeds: map[string]time.Duration{}, removals: map[string]*removalRecord{}}
@@ -225,27 +224,27 @@
 	return m
 }
 
-// Begin makes one that is out a member of a view that all of its members begin with. It is for fleets that are played.
+// Bootstrap installs an initial view that all of its members start with. It is used by simulations.
 func (m *Member) Bootstrap(v *View) {
 	if m.state == Outside && v.Index(m.Self().ID) >= 0 {
 		m.installView(v, "begun")
 	}
 }
 
-// View is the view as this member has it; nil while it is out.
+// View returns the current view, or nil while outside.
 func (m *Member) View() *View { return m.view }
 
-// State is how it stands.
+// State returns the membership state.
 func (m *Member) State() State { return m.state }
 
-// Self is who it is now: the incarnation grows when it comes back.
+// Self returns this member's current identity: its incarnation grows when it rejoins.
 func (m *Member) Self() Peer { return m.Config.Self }
 
-// Dropped is what was not taken so far.
+// Dropped returns the counts of rejected messages.
 func (m *Member) Dropped() Dropped { return m.dropped }
 
-// InTouch reports whether it is in a view and hears of enough of it to go by: as many are up as must agree
-// on the next one, and its lineage once had more than half of the fleet. One that was cut off as it started may have founded a lineage for itself.
+// HasQuorum reports whether the member is in a view and in contact with a quorum of it, and its lineage once had more than half of
+// the fleet. A member that was partitioned at its start may have founded a lineage of its own.
 func (m *Member) HasQuorum() bool {
 	if m.view == nil || 2*m.view.LargestSize <= m.FleetSize {
 		return false
@@ -254,18 +253,18 @@
 	return !m.lacksQuorum() && !m.cannotReceive()
 }
 
-// Standing is what this member knows of another one.
+// PeerStatus is what this member has recorded of another one.
 type PeerStatus struct {
 	Peer
 	Down       bool
 	Failed     bool
-	TimedOutBy []string // watchers that charge it, by name
+	TimedOutBy []string // names of watchers that report it as timed out
 	RefusedBy  []string
-	SinceHeard time.Duration // ago, where this member watches it; less than 0: it does not
+	SinceHeard time.Duration // time since its last sign of life; negative: not watched by this member
 	Watchers   int
 }
 
-// Members is what this member knows of all in its view.
+// Members returns the status of all members of the view.
 func (m *Member) Members() (all []PeerStatus) {
 	if m.view == nil {
 		return nil
@@ -289,7 +288,7 @@
 	return all
 }
 
-// Take returns what is to be sent and told, and forgets it.
+// Drain returns and clears the messages to send and the events.
 func (m *Member) Drain() ([]Envelope, []Event) {
 	out, events := m.outbox, m.events
 	m.outbox, m.events = nil, nil
@@ -298,7 +297,7 @@
 
 func (m *Member) emit(e Event) { m.events = append(m.events, e) }
 
-// send queues a message. It takes from the bucket, which may go below empty: what must be sent is.
+// send queues a message. The token bucket may go below zero: required messages are sent in any case.
 func (m *Member) send(to string, msg *Message) {
 	if to == "" || to == m.Self().Address {
 		return
@@ -311,7 +310,7 @@
 	m.outbox = append(m.outbox, Envelope{to, msg})
 }
 
-// Tick lets time pass. One that comes late says that this process was away: it cannot tell whether others were silent.
+// Tick advances time. A late call shows that this process was paused, and cannot tell whether others were silent.
 func (m *Member) Tick(now time.Duration) {
 	elapsed := now - m.lastTick
 	m.now, m.lastTick = now, now
@@ -337,7 +336,7 @@
 	}
 }
 
-// Receive takes a message from an address.
+// Receive handles a message from an address.
 func (m *Member) Receive(now time.Duration, from string, msg *Message) {
 	m.now = max(m.now, now)
 	if msg.From == m.Self().ID || msg.From.Name == "" {
@@ -373,13 +372,14 @@
 	}
 }
 
-// Refused says that nothing listens at an address: a datagram to it came back as "port unreachable".
+// ReceiveRefusal handles a "port unreachable": nothing listens at the address.
 func (m *Member) ReceiveRefusal(now time.Duration, address string) {
 	m.now = max(m.now, now)
 	if m.IgnoreRefusals {
 		return
 	}
-	if m.view == nil { // that one will not answer for a while
+	// Outside, an address that refused is not tried again for a while.
+	if m.view == nil {
 		if slices.Contains(m.Seeds, address) {
 			m.refusedSeeds[address] = m.now + 2*slowInterval
 		}
@@ -388,7 +388,7 @@
 	}
 	for i, s := range m.subjects {
 		if m.view.Members[i].Address == address {
-			m.lastContact = m.now // the way there and back is open
+			m.lastContact = m.now // both directions work
 		}
 		if m.view.Members[i].Address == address && s.lastPing > s.lastHeard && m.now-s.lastHeard > m.PingAfter {
 			s.refusals++
@@ -396,7 +396,7 @@
 	}
 }
 
-// Leave says that this process is about to end. It is Left once the others agree, and then, or soon anyway, may end.
+// Leave announces the end of this process. It may end once it is Left, or after a short time anyway.
 func (m *Member) Leave(now time.Duration) {
 	m.now = max(m.now, now)
 	switch m.state {
@@ -410,7 +410,7 @@
 	}
 }
 
-// gossip takes a beat, a ping or a pong: a sign of life, and whatever is new in it.
+// handleGossip takes a heartbeat, ping or pong as a sign of life, and merges its contents.
 func (m *Member) handleGossip(from string, msg *Message) {
 	if m.view == nil || m.state == Left || m.state == Superseded {
 		return
@@ -426,10 +426,11 @@
 		}
 	}
 	if msg.View == m.view.Number && m.applyDecisions(msg.Decisions) {
-		return // who was removed says so as it goes
+		return // a member that was removed passes on the decision before it leaves the view
 	}
 	switch {
-	case msg.View < m.view.Number: // behind: tell what it has missed; a ping would be asked again and again
+	case msg.View < m.view.Number:
+		// The sender is behind: it gets the decisions it has missed. A ping would be repeated.
 		if msg.Kind != Pong || len(msg.Decisions) == 0 {
 			m.sendMissedDecisions(from, msg)
 		}
@@ -475,32 +476,32 @@
 	if msg.Kind == Ping {
 		m.send(from, m.piggyback(&Message{Kind: Pong}, -1))
 	}
-	if msg.Digest != m.digest && len(msg.Reports) == 0 { // it has heard of other charges than this one, and says none
+	if msg.Digest != m.digest && len(msg.Reports) == 0 { // the sender has other reports, and sent none
 		m.requeueReports()
 	}
 }
 
-// heardOf notes a sign of life of a subject.
+// markAlive records a sign of life of a subject.
 func (m *Member) markAlive(i int, s *subject) {
-	if s.reportedAt > 0 { // it was wrong, or it is back: the next one takes longer
+	if s.reportedAt > 0 { // a false report, or the subject is back: the next report takes longer
 		s.refutations++
 		s.suppressedUntil = m.now + min(m.SuspicionTimeout<<min(s.refutations, 6), maxBackoff)
 		s.reportedAt = 0
-		if c := m.reports[i]; c.TimedOut|c.Refused != 0 { // it should hear of it soon
+		if c := m.reports[i]; c.TimedOut|c.Refused != 0 { // it should receive the report soon, to refute it
 			m.enqueueReport(i, false)
 		}
 	}
 	s.lastHeard, s.refusals = m.now, 0
 }
 
-// beat tells the watchers, one after another, that this member is here.
+// sendHeartbeats sends heartbeats to the watchers in turn.
 func (m *Member) sendHeartbeats() {
 	targets := m.heartbeatTargets
 	if len(targets) == 0 || m.cannotReceive() {
 		return
 	}
 	interval := m.HeartbeatInterval / time.Duration(len(targets))
-	if m.nextHeartbeat < m.now-m.HeartbeatInterval { // after a pause, or at first: not all at once
+	if m.nextHeartbeat < m.now-m.HeartbeatInterval { // after a pause and at the start: not all at once
 		m.nextHeartbeat = m.now
 	}
 	for ; m.nextHeartbeat <= m.now; m.nextHeartbeat += interval {
@@ -508,7 +509,8 @@
 		m.nextTarget++
 		switch {
 		case m.failed.Has(targets[i]):
-		case m.down.Has(targets[i]) && m.reports[targets[i]].TimedOut|m.reports[targets[i]].Refused != 0: // it should hear of that; what else is new would be lost on it
+		case m.down.Has(targets[i]) && m.reports[targets[i]].TimedOut|m.reports[targets[i]].Refused != 0:
+			// It needs the report to refute it; other updates would be lost on a member that is down.
 			m.send(m.view.Members[targets[i]].Address, &Message{Kind: Heartbeat, Digest: m.digest, Reports: []Report{m.reports[targets[i]]}})
 		default:
 			m.send(m.view.Members[targets[i]].Address, m.piggyback(&Message{Kind: Heartbeat}, i))
@@ -516,20 +518,23 @@
 	}
 }
 
-// payload adds to a message what is new, as far as the bucket allows. The round goes to a watcher once in each version, and to others always.
+// piggyback adds updates to a message, as far as the token bucket allows. A watcher gets each version of the round once, other
+// receivers (watcher < 0) get it always.
 func (m *Member) piggyback(msg *Message, watcher int) *Message {
 	msg.Digest = m.digest
 	room := min(MaxBytes, int(m.tokens)+80) - msg.EncodedSize() - 8
 	if r := m.round; r != nil && (watcher < 0 || m.sentRoundVersion[watcher] != m.roundVersion) {
 		round := r.pack()
-		if round.HasValue = r.Value != nil; round.HasValue { // the promises have done what they were for, and with what they told no datagram would hold it
+		if round.HasValue = r.Value != nil; round.HasValue {
+			// With a value the promises have served their purpose, and both together would not fit a datagram.
 			round.Promises, round.AcceptedValue, round.AcceptedBallot = nil, nil, 0
 		}
-		// What the vote is on is long where many join: one watcher in five hears it unasked and once, the others ask for it.
+		// The value is long where many join: one watcher in five gets it unrequested and once, the others request it.
 		if watcher >= 0 && (watcher%5 != int(r.Ballot)%5 && len(m.sentRoundVersion) > 4 || m.sentValueBallot[watcher] == r.Ballot) {
 			round.Value, round.AcceptedValue, round.AcceptedBallot = nil, nil, 0
 		}
-		if round.bytes() <= room || round.Value != nil && round.bytes() <= MaxBytes-msg.EncodedSize() && m.tokens > -2*float64(m.BytesPerSecond) { // what the vote is on goes before all else
+		if round.bytes() <= room || round.Value != nil && round.bytes() <= MaxBytes-msg.EncodedSize() && m.tokens > -2*float64(m.BytesPerSecond) {
+			// The value takes precedence over everything else.
 			msg.Round = round
 			room -= round.bytes()
 			if watcher >= 0 {
@@ -564,15 +569,14 @@
 		}
 	}
 	m.reportQueue = kept
-	if len(msg.Reports) > 0 && len(m.reportQueue) > 1 { // those that found no room come first next time
+	if len(msg.Reports) > 0 && len(m.reportQueue) > 1 { // reports that did not fit go first next time
 		cut := min(len(msg.Reports), len(m.reportQueue))
 		m.reportQueue = append(slices.Clone(m.reportQueue[cut:]), m.reportQueue[:cut]...)
 	}
 	return msg
 }
 
-// carry tells the first two in the order, who may propose, of those that came to this member and want in. Everybody else hears of them
-// as part of the change.
+// forwardJoins sends joins that this member sponsors to the first two proposers. All others receive them as part of the change.
 func (m *Member) forwardJoins() {
 	if m.view == nil || len(m.sponsored) == 0 || m.now-m.lastJoinForward < m.HeartbeatInterval || m.lastJoinForward > 0 && (m.now-m.lastJoinForward < m.BallotTimeout || m.tokens < -float64(m.BytesPerSecond)) {
 		return
@@ -603,7 +607,7 @@
 	}
 }
 
-// look asks a seed that is not in the view, now and then, whether it knows of another lineage.
+// checkOtherLineages sends a hello to a seed outside the view from time to time, to discover other lineages.
 func (m *Member) checkOtherLineages() {
 	if m.now-m.lastLineageCheck < slowInterval || len(m.Seeds) == 0 {
 		return
@@ -616,10 +620,10 @@
 	}
 }
 
-// rank is the place of this member among the seeds, from 1, or 0.
+// seedRank returns the rank of this member among the seeds, from 1; 0: it is not a seed.
 func (m *Member) seedRank() int { return slices.Index(m.Seeds, m.Self().Address) + 1 }
 
-// install makes a view this member's.
+// installView replaces the current view.
 func (m *Member) installView(v *View, reason string) {
 	old, subjects := m.view, m.subjects
 	if m.recentViews = append(m.recentViews, v); len(m.recentViews) > maxRecentViews {
@@ -643,7 +647,7 @@
 	m.heartbeatTargets = slices.Clone(m.rings.watchers[m.position])
 	for _, i := range m.rings.subjects[m.position] {
 		s := &subject{lastHeard: m.now}
-		if old != nil { // who was silent before is so still, and who is new has yet to hear of it
+		if old != nil { // silent members remain silent, and new ones have yet to learn of the view
 			if j := old.Index(v.Members[i].ID); j < 0 {
 				s.lastHeard += m.SuspicionTimeout
 			} else if subjects[j] != nil {
@@ -685,7 +689,8 @@
 	m.emit(Event{View: v, Reason: reason})
 }
 
-// invite tells one that has joined of the view, and of some that have it: whoever let in many cannot serve them all.
+// joinNotice announces the view to a joiner, with the addresses of some members that have it: a member that sponsors many cannot
+// serve all.
 func (m *Member) joinNotice(old *View) *Message {
 	msg := &Message{Kind: JoinNotice, Hash: m.view.Hash()}
 	if old == nil {
@@ -699,7 +704,7 @@
 	return msg
 }
 
-// away takes this member out of its view: it is no longer one, and comes back as another incarnation unless it left or was superseded.
+// exitView takes this member out of its view. It rejoins with a higher incarnation unless it left or was superseded.
 func (m *Member) exitView(state State, reason string) {
 	m.view, m.rings, m.subjects, m.reports, m.round, m.reportQueue = nil, nil, nil, nil, nil, nil
 	m.state, m.outsideSince, m.nextHello, m.chunks, m.pendingJoins, m.fetchSource = state, m.now, m.now, nil, nil, ""
@@ -711,7 +716,7 @@
 	m.emit(Event{Reason: reason})
 }
 
-// Down is who is down in the view, as far as this member has heard, by position. It is valid until the next call.
+// Down returns the members that are down according to this member, by position. It is valid until the next call.
 func (m *Member) Down() Bits {
 	if m.view == nil {
 		return nil
@@ -720,7 +725,7 @@
 	return m.down
 }
 
-// Dump says in one line how the member stands, for whoever looks for a fault.
+// Dump returns a one-line summary for debugging.
 func (m *Member) Dump() string {
 	if m.view == nil {
 		return fmt.Sprintf("%v wants %d of %d chunks from %q", m.state, len(m.chunks), m.wantedView.Size, m.fetchSource)
--- a/member/message.go
+++ b/member/message.go
@@ -1,88 +1,87 @@
 package member
 
-// Kind is what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds.
 const (
-	Heartbeat     Kind = iota + 1 // I am here; with what is new
-	Ping                          // are you?
-	Pong                          // I am; with what is new
-	Hello                         // may I join?
-	Welcome                       // here is a token: say it back
-	Join                          // with the token
-	JoinNotice                    // you are in, as of this view
-	ChunkRequest                  // one chunk of it, please
-	ChunkResponse                 // a chunk of a view
-	Redirect                      // the answer to a hello by one that is out too
+	Heartbeat     Kind = iota + 1 // sign of life, with updates
+	Ping                          // asks for a sign of life
+	Pong                          // answers a ping, with updates
+	Hello                         // asks for admission
+	Welcome                       // answers a hello, with the token that a join must echo
+	Join                          // asks for admission, with the token
+	JoinNotice                    // announces the view that the receiver has been admitted to
+	ChunkRequest                  // asks for a chunk of a view
+	ChunkResponse                 // holds a chunk of a view
+	Redirect                      // answers a hello with the addresses of members that may admit the sender
 )
 
-// Message is all that members say to each other. What a kind has no use for is left empty.
+// Message is a message between members. Fields that a kind does not use are empty.
 type Message struct {
 	Kind    Kind   `cbor:"1,keyasint"`
 	From    ID     `cbor:"2,keyasint"`
 	Lineage uint64 `cbor:"3,keyasint,omitempty"`
-	View    uint64 `cbor:"4,keyasint,omitempty"` // number of the sender's
+	View    uint64 `cbor:"4,keyasint,omitempty"` // of the sender's view
 	Hash    uint64 `cbor:"5,keyasint,omitempty"` // of that view
-	Size    int    `cbor:"6,keyasint,omitempty"` // members in it
+	Size    int    `cbor:"6,keyasint,omitempty"` // number of members in that view
 
-	Digest       uint32     `cbor:"7,keyasint,omitempty"` // of all charges known
+	Digest       uint32     `cbor:"7,keyasint,omitempty"` // of all reports that the sender has
 	Reports      []Report   `cbor:"8,keyasint,omitempty"`
-	Dead         Bits       `cbor:"16,keyasint,omitempty"` // whose death is proven, as far as the sender has heard
-	Rejoining    Bits       `cbor:"17,keyasint,omitempty"` // who asks to join with a higher incarnation
+	Dead         Bits       `cbor:"16,keyasint,omitempty"` // members proven dead, according to the sender
+	Rejoining    Bits       `cbor:"17,keyasint,omitempty"` // members of which a later incarnation asks to join
 	Round        *Round     `cbor:"9,keyasint,omitempty"`
 	PendingJoins []Peer     `cbor:"10,keyasint,omitempty"`
-	Decisions    []Decision `cbor:"11,keyasint,omitempty"` // changes that led to views the receiver has not heard of
+	Decisions    []Decision `cbor:"11,keyasint,omitempty"` // decisions that the receiver may lack
 
-	Peer     *Peer  `cbor:"12,keyasint,omitempty"` // who wants to join
+	Peer     *Peer  `cbor:"12,keyasint,omitempty"` // the process that asks to join
 	Token    uint64 `cbor:"13,keyasint,omitempty"`
 	Chunk    *Chunk `cbor:"14,keyasint,omitempty"`
-	SeedRank int    `cbor:"15,keyasint,omitempty"` // place among the seeds, from 1; 0: none
+	SeedRank int    `cbor:"15,keyasint,omitempty"` // rank among the seeds, from 1; 0: not a seed
 }
 
-// Charge is what watchers say of one member.
+// Report combines what the watchers of one member report about it.
 type Report struct {
 	_          struct{} `cbor:",toarray"`
 	Subject    int      // position in the view
-	Generation uint32   // generation of the subject's that it is about
-	TimedOut   uint16   // bits of watchers
+	Generation uint32   // of the subject; it raises it to refute a report
+	TimedOut   uint16   // bit set of watchers that received nothing
 	Refused    uint16
-	Left       bool // by its own word
+	Left       bool // announced by the subject
 }
 
-// Step is a change that was decided.
+// Decision is a change that a quorum has decided.
 type Decision struct {
-	From   uint64     `cbor:"1,keyasint"` // number of the view before
+	From   uint64     `cbor:"1,keyasint"` // number of the view it applies to
 	Change ViewChange `cbor:"2,keyasint"`
 }
 
-// Round is how the vote on the next view stands, as far as the sender has heard.
+// Round is the state of the ballot on the next view, as far as the sender has it.
 type Round struct {
 	Ballot         uint32      `cbor:"1,keyasint"`
-	Failed         Bits        `cbor:"2,keyasint,omitempty"` // who is left out of the quorum, for all of this ballot
+	Failed         Bits        `cbor:"2,keyasint,omitempty"` // members excluded from the quorum for the whole ballot
 	Promises       Bits        `cbor:"3,keyasint,omitempty"`
-	AcceptedBallot uint32      `cbor:"4,keyasint,omitempty"` // the highest ballot that one who promised had voted in,
-	AcceptedValue  *ViewChange `cbor:"5,keyasint,omitempty"` // and for what
-	Value          *ViewChange `cbor:"6,keyasint,omitempty"` // what the vote is on
+	AcceptedBallot uint32      `cbor:"4,keyasint,omitempty"` // highest ballot accepted by a member that promised
+	AcceptedValue  *ViewChange `cbor:"5,keyasint,omitempty"` // value accepted in that ballot
+	Value          *ViewChange `cbor:"6,keyasint,omitempty"` // value of this ballot
 	Votes          Bits        `cbor:"7,keyasint,omitempty"`
-	HasValue       bool        `cbor:"8,keyasint,omitempty"` // the sender knows the value, whether it says it here or not
+	HasValue       bool        `cbor:"8,keyasint,omitempty"` // the sender has the value, even if it is not included here
 }
 
-// Chunk is a part of a view's list.
+// Chunk is a part of a view's member list.
 type Chunk struct {
 	Index       int    `cbor:"1,keyasint"`
 	Count       int    `cbor:"2,keyasint"`
-	LargestSize int    `cbor:"4,keyasint,omitempty"` // as the view says
+	LargestSize int    `cbor:"4,keyasint,omitempty"` // of the view
 	Members     []Peer `cbor:"3,keyasint,omitempty"`
 }
 
-// MaxBytes is the most that a message takes on the wire.
+// MaxBytes is the largest size of an encoded message.
 const MaxBytes = 1200
 
-// overhead is what a datagram costs beside its bytes: the heads of IP and UDP.
+// datagramOverhead is the size of the IP and UDP headers.
 const datagramOverhead = 28
 
-// Bytes is at least what a message takes in its encoding, near enough to plan by.
+// EncodedSize returns an upper estimate of the encoded size.
 func (m *Message) EncodedSize() int {
 	n := 52 + len(m.From.Name)
 	n += 14 * len(m.Reports)
--- a/member/round.go
+++ b/member/round.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The vote on the view after this one: single-decree Paxos, whose promises and votes travel as sets that everybody merges. A ballot is
-// owned by one member: position + 1 + round * size. Round 0 is for the first in the order alone, who may skip the promises: no lower ballot
-// exists that anybody could have voted in.
+// The next view is decided by single-decree Paxos, whose promises and votes are sets that are gossiped and merged. A ballot
+// belongs to one member: position + 1 + round * size. Round 0 is reserved for the first proposer, who may skip the promises: there
+// is no lower ballot in which anybody could have voted.
 
 func (r *Round) clone() *Round {
 	c := *r
@@ -17,7 +17,7 @@
 	return &c
 }
 
-// pack is a copy to be sent, in which an empty set is left out, and unpack one of what came.
+// pack returns a copy to send, without empty sets; unpack returns a copy of a received round, with them.
 func (r *Round) pack() *Round {
 	c := r.clone()
 	for _, b := range []*Bits{&c.Failed, &c.Promises, &c.Votes} {
@@ -45,18 +45,19 @@
 	return bytes.Equal(v.Removed, w.Removed) && slices.Equal(v.Joined, w.Joined)
 }
 
-// good: a round from elsewhere can be of this view.
+// isValid reports whether a received round is possible in a view of n members.
 func (r *Round) isValid(n int) bool {
 	value := func(v *ViewChange) bool { return v == nil || v.isValid(n) }
 	return r.Ballot > 0 && r.Failed.fitsView(n) && r.Promises.fitsView(n) && r.Votes.fitsView(n) && value(r.AcceptedValue) && value(r.Value) &&
 		(r.AcceptedBallot == 0) == (r.AcceptedValue == nil)
 }
 
-// quorum is how many must agree: more than half of a view, so that any two such sets share a member; or, where so many are gone that this
-// cannot be, all that are not gone. A member that lives and has heard of a decision is then among them, though those that made it are dead.
+// quorumSize returns how many members must agree: more than half of the view, so that any two quorums share a member; or, where
+// too many have failed for that, all that have not. Any live member that has received a decision is then among them, even if those
+// that made it are dead.
 func quorumSize(n int, gone Bits) int { return min(n/2+1, n-gone.Count()) }
 
-// order is the place of a position in this view's order of proposers, and first who has place 0.
+// proposerRank returns the rank of a position in this view's order of proposers, and firstProposer the position of rank 0.
 func (m *Member) proposerRank(i int) int {
 	n := len(m.view.Members)
 	return (i + n - m.firstProposer()) % n
@@ -64,7 +65,7 @@
 
 func (m *Member) firstProposer() int { return int(m.view.Number * 7919 % uint64(len(m.view.Members))) }
 
-// ballot takes a round as another member has it.
+// mergeRound merges the round received from another member.
 func (m *Member) mergeRound(r *Round) {
 	n := len(m.view.Members)
 	if r = r.unpack(n); !r.isValid(n) {
@@ -93,17 +94,17 @@
 	m.advanceRound()
 }
 
-// turned notes news of the vote.
+// markProgress records a change of the round.
 func (m *Member) markProgress() {
 	m.roundVersion++
 	m.lastProgress = m.now
 }
 
-// answer adds this member's promise and vote where it owes them, lets the owner of the ballot go on, and counts.
+// advanceRound adds this member's promise and vote where they are due, sets the value of its own ballot, and counts the votes.
 func (m *Member) advanceRound() {
 	r := m.round
 	n := len(m.view.Members)
-	included := !r.Failed.Has(m.position) // the gone are left out
+	included := !r.Failed.Has(m.position) // failed members are not part of the quorum
 	if r.Ballot > m.promised {
 		m.promised = r.Ballot
 	}
@@ -119,7 +120,7 @@
 		if r.Value = r.AcceptedValue; r.Value == nil {
 			r.Value = m.nextChange()
 		}
-		if r.Value == nil { // what there was to change has gone by: the same members again, which ends the vote
+		if r.Value == nil { // the change is obsolete: an empty one keeps the same members and ends the ballot
 			r.Value = &ViewChange{}
 		}
 		m.markProgress()
@@ -134,12 +135,13 @@
 	}
 }
 
-// change is what this member would have change: nil if nothing.
+// nextChange returns the change that this member would propose, or nil.
 func (m *Member) nextChange() *ViewChange {
 	m.evaluate()
 	v := &ViewChange{Removed: slices.Clone(m.down)}
 	size := 0
-	if m.now-m.lastChange < m.ProposalDelay+m.BallotTimeout { // who is only silent may speak yet: where a cut ends, or shows, there is news all the time
+	if m.now-m.lastChange < m.ProposalDelay+m.BallotTimeout {
+		// Unresponsive members may still refute: where a partition begins or ends, reports change all the time.
 		for i, c := range m.reports {
 			if m.down.Has(i) && !m.failed.Has(i) && !c.Left && !m.isRejoining(i) {
 				v.Removed[i/8] &^= 1 << (i % 8)
@@ -153,7 +155,7 @@
 		if i, there := m.view.find(p.ID.Name); there && !m.down.Has(i) {
 			continue
 		}
-		// No more than were there: these alone are a quorum, while the others still fetch the view.
+		// Fewer than the present members, who form a quorum on their own while the new ones still fetch the view.
 		if size += p.bytes(); size <= maxJoinBytes && len(v.Joined) < max(1, len(m.view.Members)-1) {
 			v.Joined = append(v.Joined, p)
 		}
@@ -169,23 +171,23 @@
 	return v
 }
 
-// vote starts a ballot where that is this member's turn.
+// startBallot starts a ballot when it is this member's turn.
 func (m *Member) startBallot() {
 	if m.view == nil || m.cannotReceive() {
 		return
 	}
 	m.evaluate()
 	n := len(m.view.Members)
-	rank := 0 // of those that may propose
+	rank := 0 // among the members that may propose
 	for i := range n {
 		if !m.down.Has(i) && m.proposerRank(i) < m.proposerRank(m.position) {
 			rank++
 		}
 	}
-	if m.down.Has(m.position) { // who leaves votes, and lets others propose
+	if m.down.Has(m.position) { // a departing member votes, but lets others propose
 		return
 	}
-	if m.lacksQuorum() { // nobody to do it with; and when there is, the accused should speak first
+	if m.lacksQuorum() { // nothing can be agreed; once it can, reported members should refute first
 		m.lastChange, m.pendingSince = m.now+m.BallotTimeout, 0
 		return
 	}
@@ -194,14 +196,15 @@
 		m.pendingSince = 0
 	} else if m.pendingSince == 0 {
 		m.pendingSince = m.now
-	} else if pendingShare := (m.now - m.pendingSince) / 3; pendingShare > quiet && !m.hasUnconfirmedReports() && !m.hasUnresponsiveDown() { // there is always something new where many come
+	} else if pendingShare := (m.now - m.pendingSince) / 3; pendingShare > quiet && !m.hasUnconfirmedReports() && !m.hasUnresponsiveDown() {
+		// Where many join, changes never cease.
 		quiet = pendingShare
 	}
 	delay := m.ProposalDelay + time.Duration(rank)*m.BallotTimeout
-	if len(m.pendingJoins)*m.Self().bytes() > maxJoinBytes { // more than one change takes: no use to wait for more
+	if len(m.pendingJoins)*m.Self().bytes() > maxJoinBytes { // more than one change can hold: waiting for more is useless
 		delay -= m.ProposalDelay
 	}
-	if m.hasUnconfirmedReports() || m.hasUnresponsiveDown() { // more is likely to come: a cut shows one by one
+	if m.hasUnconfirmedReports() || m.hasUnresponsiveDown() { // more reports are likely: a partition is detected member by member
 		delay += m.BallotTimeout
 	}
 	var ballot uint32
@@ -219,7 +222,7 @@
 	}
 	value := m.nextChange()
 	if m.round == nil && value == nil {
-		return // nothing to do
+		return
 	}
 	m.round = &Round{Ballot: ballot, Failed: slices.Clone(m.failed), Promises: newBits(n), Votes: newBits(n)}
 	if ballot <= uint32(n) {
@@ -229,7 +232,7 @@
 	m.advanceRound()
 }
 
-// decided goes on to the next view.
+// applyDecision records a decided change and enters the next view.
 func (m *Member) applyDecision(v ViewChange) {
 	step := Decision{From: m.view.Number, Change: v}
 	m.history = append(m.history, step)
@@ -239,18 +242,18 @@
 	m.enterNextView(step)
 }
 
-// apply makes the view after a change this member's.
+// enterNextView installs the view after a decision.
 func (m *Member) enterNextView(s Decision) {
 	next := m.view.next(&s.Change)
 	removed := s.Change.Removed.Count()
 	for i, p := range m.view.Members {
-		// Who left, or has another process in its place, did not flap.
+		// Members that left or were replaced by a process of the same name did not flap.
 		if s.Change.Removed.Has(i) && !m.reports[i].Left && !slices.ContainsFunc(s.Change.Joined, func(j Peer) bool { return j.ID.Name == p.ID.Name }) {
 			m.delayRejoin(p.ID.Name)
 		}
 	}
 	if next.Index(m.Self().ID) < 0 {
-		for _, w := range m.heartbeatTargets { // the one vote that was missing may have been this one's, and nobody else knows
+		for _, w := range m.heartbeatTargets { // this member's vote may have been the deciding one, and no other member has the decision
 			m.send(m.view.Members[w].Address, &Message{Kind: Heartbeat, Decisions: []Decision{s}})
 		}
 		m.handleExclusion(next)
@@ -259,7 +262,7 @@
 	m.installView(next, changeReason(removed, len(s.Change.Joined)))
 }
 
-// without takes this member out of a view that it is not in.
+// handleExclusion takes this member out of a view that no longer lists it.
 func (m *Member) handleExclusion(v *View) {
 	_, nameTaken := v.find(m.Self().ID.Name)
 	switch {
@@ -282,7 +285,7 @@
 	return "removed and joined"
 }
 
-// follow takes changes that lead on from this member's view, and reports whether there were any.
+// applyDecisions applies decisions that lead on from the current view, and reports whether there were any.
 func (m *Member) applyDecisions(steps []Decision) (moved bool) {
 	for _, s := range steps {
 		if m.view == nil || s.From != m.view.Number {
@@ -298,7 +301,8 @@
 	return moved
 }
 
-// catchUp tells a member that is behind what it has missed, as far as it is remembered; if it is not, that one fetches the view.
+// sendMissedDecisions sends a member that is behind the decisions it has missed, if they are still in the history; otherwise it
+// fetches the view.
 func (m *Member) sendMissedDecisions(to string, msg *Message) {
 	if m.tokens < 0 {
 		return // it will ask again
--- a/member/view.go
+++ b/member/view.go
@@ -9,38 +9,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID names one run of a member: a process that returns under its name has a higher incarnation.
+// ID identifies one run of a member: a process that returns under the same name has a higher incarnation.
 type ID struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64
 }
 
-// Peer is a member as a view lists it.
+// Peer is a member as listed in a view.
 type Peer struct {
 	_       struct{} `cbor:",toarray"`
 	ID      ID
 	Address string
 	Zone    int
-	Number  int // as its settings say
+	Number  int // from the member's settings
 }
 
-// View is what members agree on: who is one. Views of one lineage follow each other without gaps.
+// View is the agreed list of members. The views of a lineage are numbered without gaps.
 type View struct {
 	Lineage     uint64
 	Number      uint64
-	LargestSize int    // members that any view of the lineage had so far
-	Members     []Peer // by name
+	LargestSize int    // largest number of members of any view of the lineage so far
+	Members     []Peer // sorted by name
 
 	hash uint64
 }
 
-// Place is a member's rank among all by number and name, and how many there are. -1: it is none of them.
+// Rank returns a member's rank among all by number and name, and their count; rank -1 if it is not in the view.
 func (v *View) Rank(id ID) (place, count int) {
 	return v.rankAmong(id, func(Peer) bool { return true })
 }
 
-// PlaceIn is the same among those of a zone.
+// RankInZone returns the same among the members of a zone.
 func (v *View) RankInZone(id ID, zone int) (place, count int) {
 	return v.rankAmong(id, func(p Peer) bool { return p.Zone == zone })
 }
@@ -62,7 +62,7 @@
 	return place, count
 }
 
-// Index is where a member stands in Members, or -1.
+// Index returns a member's position in Members, or -1.
 func (v *View) Index(id ID) int {
 	i, ok := v.find(id.Name)
 	if !ok || v.Members[i].ID != id {
@@ -75,7 +75,7 @@
 	return slices.BinarySearchFunc(v.Members, name, func(p Peer, name string) int { return cmp.Compare(p.ID.Name, name) })
 }
 
-// Hash tells views of one number apart.
+// Hash distinguishes views of the same number.
 func (v *View) Hash() uint64 {
 	if v.hash != 0 {
 		return v.hash
@@ -105,14 +105,14 @@
 // Has reports whether a position is in the set.
 func (b Bits) Has(i int) bool { return i >= 0 && i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
-// Set adds a position within the size that it was made for.
+// Set adds a position; positions outside the size of the set are ignored.
 func (b Bits) Set(i int) {
 	if i >= 0 && i/8 < len(b) {
 		b[i/8] |= 1 << (i % 8)
 	}
 }
 
-// Count is how many are in it.
+// Count returns the number of positions in the set.
 func (b Bits) Count() (n int) {
 	for _, x := range b {
 		n += bits.OnesCount8(x)
@@ -120,7 +120,7 @@
 	return n
 }
 
-// or adds another set, and reports whether that changed anything.
+// merge adds another set, and reports whether that changed anything.
 func (b Bits) merge(other Bits) (changed bool) {
 	for i := range min(len(b), len(other)) {
 		if merged := b[i] | other[i]; merged != b[i] {
@@ -130,21 +130,22 @@
 	return changed
 }
 
-// fits: a set from elsewhere is of a view's size and has nothing beyond it.
+// fitsView reports whether a received set has the size for a view of n members and no positions beyond it.
 func (b Bits) fitsView(n int) bool {
 	return len(b) == (n+7)/8 && (n%8 == 0 || b[len(b)-1]>>(n%8) == 0)
 }
 
-// rings are who watches whom in a view. They follow from it alone.
+// rings defines who watches whom in a view. It is derived from the view alone.
 type rings struct {
-	watchers      [][]int // of each member, without doubles: the position in it is its bit in a charge
-	subjects      [][]int // the same the other way round
-	ringOf        [][]int // by member and bit: the ring; empty where everybody watches everybody
-	membersOnRing [][]int // by ring: members in its order
-	placeOnRing   [][]int // by ring and member: where that is
+	watchers      [][]int // by member, without duplicates; an index here is the watcher's bit in a report
+	subjects      [][]int // the inverse
+	ringOf        [][]int // by member and bit: the ring; empty where all members watch each other
+	membersOnRing [][]int // by ring: members in ring order
+	placeOnRing   [][]int // by ring and member: position on the ring
 }
 
-// stand is who stands in for a watcher that is out: the first before it on the ring that is not. The watcher itself, where there is none.
+// substitute returns the member that stands in for an excluded watcher: its nearest predecessor on the ring that is not excluded,
+// or the watcher itself if there is none.
 func (r *rings) substitute(subject, bit int, excluded Bits) int {
 	w := r.watchers[subject][bit]
 	if len(r.ringOf) == 0 || !excluded.Has(w) {
@@ -160,7 +161,7 @@
 	return w
 }
 
-// Shared is what members in one process may share: the rings of a view are the same for all of them. It is not safe for concurrent use.
+// Shared lets members in one process share rings and views, which are equal for all of them. It is not safe for concurrent use.
 type Shared struct {
 	rings map[uint64]*rings
 	views map[uint64]*View
@@ -172,7 +173,7 @@
 	}
 	r := s.rings[v.Hash()]
 	if r == nil {
-		if len(s.rings) > 64 || s.rings == nil { // of old views
+		if len(s.rings) > 64 || s.rings == nil { // entries of old views
 			s.rings, s.views = map[uint64]*rings{}, map[uint64]*View{}
 		}
 		r = buildRings(v, watchers)
@@ -181,7 +182,7 @@
 	return r
 }
 
-// one returns a view that is shared by all that have the same.
+// canonical returns one instance for all equal views.
 func (s *Shared) canonical(v *View) *View {
 	if s == nil {
 		return v
@@ -196,7 +197,8 @@
 	return v
 }
 
-// weave lays so many rings through a view, each in an order of its own, and has each member watched by the one before it on each.
+// buildRings arranges the members of a view on the given number of rings, each in its own order. A member is watched by its
+// predecessor on each ring.
 func buildRings(v *View, watchers int) *rings {
 	n := len(v.Members)
 	r := &rings{watchers: make([][]int, n), subjects: make([][]int, n)}
@@ -243,13 +245,13 @@
 	return r
 }
 
-// Value is a change from one view to the next.
+// ViewChange is a change from one view to the next.
 type ViewChange struct {
-	Removed Bits   `cbor:"1,keyasint,omitempty"` // positions in the view before; empty: none
+	Removed Bits   `cbor:"1,keyasint,omitempty"` // positions in the previous view; empty: none
 	Joined  []Peer `cbor:"2,keyasint,omitempty"`
 }
 
-// good: a change from elsewhere can be one of a view of n.
+// isValid reports whether a received change is possible for a view of n members.
 func (v *ViewChange) isValid(n int) bool {
 	size := 0
 	for _, p := range v.Joined {
@@ -260,7 +262,7 @@
 	return (len(v.Removed) == 0 || v.Removed.fitsView(n)) && size <= maxJoinBytes
 }
 
-// next is the view after a change.
+// next returns the view after a change.
 func (v *View) next(c *ViewChange) *View {
 	n := &View{Lineage: v.Lineage, Number: v.Number + 1}
 	for i, p := range v.Members {
