--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -1,4 +1,4 @@
-// Package gossip carries what package member says over UDP: one datagram a message, in CBOR, for one cluster.
+// Package gossip carries the messages of package member over UDP: one CBOR-encoded message per datagram, for one cluster.
 package gossip
 
 import (
@@ -11,33 +11,33 @@
 	"liftgauge/member"
 )
 
-// Version is that of the format. A datagram of a newer one is dropped: what it means cannot be known here.
+// FormatVersion is the version of the datagram format. Datagrams of a newer version are dropped, as they cannot be interpreted.
 const FormatVersion = 1
 
-// What a datagram can be that is not taken.
+// Reasons to reject a datagram.
 var (
-	ErrForeign   = errors.New("of another cluster")
-	ErrNewer     = errors.New("of a newer format")
-	ErrTooLong   = errors.New("too long")
-	ErrMalformed = errors.New("malformed")
+	ErrForeign   = errors.New("datagram of another cluster")
+	ErrNewer     = errors.New("datagram of a newer format version")
+	ErrTooLong   = errors.New("datagram too long")
+	ErrMalformed = errors.New("malformed datagram")
 )
 
-// frame is a datagram.
+// datagram is the envelope of a message.
 type datagram struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint
-	Cluster uint64 // a hash of its name
-	Proof   []byte // of the sender; empty, as the net is trusted for now
+	Cluster uint64 // hash of the cluster's name
+	Proof   []byte // authenticates the sender; empty, as the network is trusted for now
 	Message cbor.RawMessage
 }
 
-// Codec encodes and decodes for one cluster. It may be used by several goroutines.
+// Codec encodes and decodes the messages of one cluster. It is safe for concurrent use.
 type Codec struct {
 	cluster uint64
 	decMode cbor.DecMode
 }
 
-// NewCodec returns a Codec of the cluster of that name.
+// NewCodec returns the Codec of the cluster with the given name.
 func NewCodec(cluster string) (*Codec, error) {
 	dec, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1024, MaxMapPairs: 64, DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return &Codec{cluster: xxhash.Sum64String(cluster), decMode: dec}, nil
 }
 
-// Encode returns the datagram of a message.
+// Encode returns the datagram for a message.
 func (c *Codec) Encode(m *member.Message) ([]byte, error) {
 	body, err := cbor.Marshal(m)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return b, nil
 }
 
-// Decode returns the message of a datagram, or one of the errors above. Members look at what a message says; here it is only read.
+// Decode returns the message in a datagram, or one of the errors above. It checks the encoding only; the member validates the
+// contents.
 func (c *Codec) Decode(b []byte) (*member.Message, error) {
 	if len(b) > member.MaxBytes {
 		return nil, ErrTooLong
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -26,16 +26,17 @@
 	return c
 }
 
-// full is a message in which everything is set.
+// fullMessage returns a message with all fields set.
 func fullMessage() *member.Message {
 	p := member.Peer{ID: member.ID{Name: "n01", Incarnation: 1 << 50}, Address: "127.0.0.1:7946", Zone: 3, Number: 17}
 	v := &member.ViewChange{Removed: member.Bits{5, 0}, Joined: []member.Peer{p}}
 	return &member.Message{Kind: member.Heartbeat, From: p.ID, Lineage: 1 << 60, View: 9, Hash: 77, Size: 12, Digest: 1 << 30, Reports: []member.Report{{Subject: 900, Generation: 3, TimedOut: 1023, Refused: 9, Left: true}},
-		Dead: member.Bits{1, 2}, Rejoining: member.Bits{3, 4}, PendingJoins: []member.Peer{p}, Decisions: []member.Decision{{From: 8, Change: *v}}, Peer: &p, Token: 5, SeedRank: 2, Chunk: &member.Chunk{Index: 1, Count: 2, LargestSize: 12, Members: []member.Peer{p}},
+		Dead: member.Bits{1, 2}, Rejoining: member.Bits{3, 4}, Peers: []member.Peer{p}, Decisions: []member.Decision{{From: 8, Change: *v}}, Peer: &p, Token: 5, SeedRank: 2, Chunk: &member.Chunk{Index: 1, Count: 2, LargestSize: 12, Members: []member.Peer{p}},
 		Round: &member.Round{Ballot: 13, Failed: member.Bits{1, 0}, Promises: member.Bits{7, 0}, AcceptedBallot: 1, AcceptedValue: v, Value: v, Votes: member.Bits{1, 1}, HasValue: true}}
 }
 
-// TestCodec: a message comes over whole, in no more bytes than it is planned with; what is foreign, newer, cut, too long or spoilt is told apart.
+// A message survives encoding and decoding and takes no more bytes than EncodedSize; datagrams that are foreign, newer, truncated,
+// too long or malformed are told apart.
 func TestCodecRoundTripsAndRejectsInvalidDatagrams(t *testing.T) {
 	c := newTestCodec(t, "lab")
 	for _, m := range []*member.Message{fullMessage(), {Kind: member.Ping, From: member.ID{Name: "dispatcher-0001", Incarnation: 1 << 41}, Lineage: 1 << 63, View: 12, Size: 1000, Digest: 1 << 31}} {
@@ -65,16 +66,16 @@
 		}
 	}
 	long := fullMessage()
-	long.PendingJoins = make([]member.Peer, 40)
-	for i := range long.PendingJoins {
-		long.PendingJoins[i] = member.Peer{ID: member.ID{Name: strings.Repeat("n", 30)}, Address: "127.0.0.1:7946"}
+	long.Peers = make([]member.Peer, 40)
+	for i := range long.Peers {
+		long.Peers[i] = member.Peer{ID: member.ID{Name: strings.Repeat("n", 30)}, Address: "127.0.0.1:7946"}
 	}
 	if _, err := c.Encode(long); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a long one: %v", err)
 	}
 }
 
-// FuzzDatagram: whatever comes, a member that is in a view and one that is out take it without a panic, and go on.
+// FuzzDatagram feeds arbitrary datagrams to members inside and outside of a view: they must not panic.
 func FuzzDatagram(f *testing.F) {
 	c := newTestCodec(f, "lab")
 	for kind := member.Heartbeat; kind <= member.Redirect; kind++ {
@@ -110,7 +111,7 @@
 	})
 }
 
-// wire carries datagrams inside a test: what is sent to an address that nobody has comes back as refused.
+// testNetwork carries datagrams in memory: a datagram to an address without a transport is reported as refused.
 type testNetwork struct {
 	mu  sync.Mutex
 	at  map[string]chan testPacket
@@ -172,7 +173,8 @@
 	return nil
 }
 
-// TestNodes: three nodes find each other, each knows its place; one that leaves is out at once and the others close up; garbage is counted.
+// Three nodes find each other and agree on their positions; a departing one is removed and the others move up; malformed datagrams
+// are counted.
 func TestNodesAgreeOnPositions(t *testing.T) {
 	w := &testNetwork{at: map[string]chan testPacket{}, cut: map[[2]string]bool{}}
 	var mu sync.Mutex
@@ -225,7 +227,7 @@
 	}
 }
 
-// TestUDP: what goes to a port that nobody has comes back with its address, and does not cost the next datagram.
+// A datagram to a closed port is reported with its address, and the next datagram is sent nevertheless.
 func TestUDPReportsRefusedAddress(t *testing.T) {
 	a, err := Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -12,29 +12,29 @@
 	"liftgauge/member"
 )
 
-// Place is what the fleet looks like from here. Where it is not Known the settings' figures hold.
+// FleetPosition is this member's position in the fleet. Where it is not Known, the configured values apply.
 type FleetPosition struct {
 	Known         bool
-	Rank, Members int // this one's rank, and how many there are
-	InZone        int // of them in the own zone
+	Rank, Members int // this member's rank, and the number of members
+	InZone        int // members in this member's zone
 }
 
-// Config is what a Node needs.
+// Config configures a Node.
 type Config struct {
 	Member    member.Config
 	Codec     *Codec
 	Transport Transport
 	Seed      uint64
-	// Placed is told of every change of the place. It must not block.
+	// OnPositionChange is called at every change of the position. It must not block.
 	OnPositionChange func(FleetPosition)
 	Log              *slog.Logger
 	Now              func() time.Duration
 }
 
-// Counts are datagrams.
+// Counts are numbers of datagrams.
 type Counts struct{ Sent, Received, Foreign, Newer, Malformed, Refused int64 }
 
-// Node runs one member. One goroutine owns it; another one waits at the transport.
+// Node runs one member. One goroutine owns the member; another one reads from the transport.
 type Node struct {
 	Config
 	member   *member.Member
@@ -47,20 +47,20 @@
 	sent, received, foreign, newer, malformed, refused atomic.Int64
 }
 
-// leaveWithin is how long a member that ends waits for the others to agree to it.
+// leaveTimeout limits how long a departing member waits for the others to agree.
 const leaveTimeout = 2500 * time.Millisecond
 
-// New returns a Node; Run starts it.
+// New returns a Node, which Run starts.
 func New(c Config) *Node {
 	return &Node{Config: c, queries: make(chan func()), done: make(chan struct{})}
 }
 
-// Counts returns the datagrams so far.
+// Counts returns the numbers of datagrams so far.
 func (n *Node) Counts() Counts {
 	return Counts{n.sent.Load(), n.received.Load(), n.foreign.Load(), n.newer.Load(), n.malformed.Load(), n.refused.Load()}
 }
 
-// Seen is the place as of a moment ago.
+// Position returns the last published position.
 func (n *Node) Position() FleetPosition {
 	if p := n.published.Load(); p != nil {
 		return *p
@@ -74,7 +74,7 @@
 	refused bool
 }
 
-// Run plays the member's part until the context ends, and then leaves as planned.
+// Run runs the member until the context ends, and then leaves the view.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.done)
 	n.member = member.New(n.Member, n.Now(), n.Seed)
@@ -115,7 +115,8 @@
 	}
 }
 
-// read takes datagrams until the transport is closed. Where the member does not keep up they are lost, as they may be anywhere.
+// readDatagrams reads until the transport is closed. Where the member does not keep up, datagrams are dropped, as the network may
+// do as well.
 func (n *Node) readDatagrams(ended context.Context, packets chan<- packet) {
 	b := make([]byte, member.MaxBytes+1)
 	for {
@@ -149,7 +150,7 @@
 	}
 }
 
-// act sends and tells what the member wants.
+// applyOutput sends the member's messages, logs its events and publishes its position.
 func (n *Node) applyOutput() {
 	out, events := n.member.Drain()
 	for _, e := range out {
@@ -184,7 +185,7 @@
 	}
 }
 
-// Status is what the member knows, for operators.
+// Status is the member's state for operators.
 type Status struct {
 	State       string         `json:"state"`
 	InTouch     bool           `json:"in_touch"`
@@ -196,19 +197,19 @@
 	Members     []MemberStatus `json:"members"`
 }
 
-// MemberStatus is one line of it.
+// MemberStatus is the state of one member of the view.
 type MemberStatus struct {
 	Name        string   `json:"name"`
 	Incarnation uint64   `json:"incarnation"`
 	Address     string   `json:"address"`
 	Zone        int      `json:"zone"`
 	State       string   `json:"state"`              // up, suspected, down or gone
-	HeardMS     int64    `json:"heard_ms,omitempty"` // ago, where this member watches it
+	HeardMS     int64    `json:"heard_ms,omitempty"` // time since the last sign of life, where this member watches it
 	Watched     bool     `json:"watched"`            // by this member
 	SuspectedBy []string `json:"suspected_by,omitempty"`
 }
 
-// Status asks the member.
+// Status queries the goroutine that owns the member.
 func (n *Node) Status(ctx context.Context) (s Status, err error) {
 	answered := make(chan struct{})
 	query := func() {
--- a/internal/gossip/udp.go
+++ b/internal/gossip/udp.go
@@ -10,22 +10,23 @@
 	"syscall"
 )
 
-// Transport carries datagrams. A fake one carries the tests.
+// Transport carries datagrams.
 type Transport interface {
-	// Send sends a datagram, or drops it.
+	// Send sends a datagram, without a guarantee of delivery.
 	Send(to string, b []byte)
-	// Receive waits for the next datagram, until the transport is closed. Refused says that one to that address came back instead.
+	// Receive waits for the next datagram, until the transport is closed. If refused, a datagram to the address from was answered
+	// by "port unreachable".
 	Receive(b []byte) (n int, from string, refused bool, err error)
 	Close() error
 }
 
-// UDP is a Transport of one UDP socket.
+// UDP is a Transport over one UDP socket.
 type UDP struct {
 	conn *net.UDPConn
 	raw  syscall.RawConn
 }
 
-// Listen opens a socket at an address, which is also what its datagrams come from.
+// Listen opens a socket at an address, which is also the source address of its datagrams.
 func Listen(ctx context.Context, address string) (*UDP, error) {
 	var c net.ListenConfig
 	p, err := c.ListenPacket(ctx, "udp4", address)
@@ -34,7 +35,7 @@
 	}
 	u := &UDP{conn: p.(*net.UDPConn)}
 	if u.raw, err = u.conn.SyscallConn(); err == nil {
-		// What comes back as "port unreachable" is queued with the address that it is about.
+		// The kernel queues each "port unreachable" with the address that it refers to.
 		cerr := u.raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, syscall.IP_RECVERR, 1) })
 		err = errors.Join(err, cerr)
 	}
@@ -45,10 +46,10 @@
 	return u, nil
 }
 
-// Address is where it listens.
+// Address returns the local address.
 func (u *UDP) Address() string { return u.conn.LocalAddr().String() }
 
-// Send sends a datagram. An error that waits on the socket is about an earlier one: this one goes at the second try.
+// Send sends a datagram. An error pending on the socket concerns an earlier datagram: the second attempt sends this one.
 func (u *UDP) Send(to string, b []byte) {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// Receive waits for a datagram, or for one that came back.
+// Receive waits for a datagram or a refusal.
 func (u *UDP) Receive(b []byte) (n int, from string, refused bool, err error) {
 	for {
 		n, at, err := u.conn.ReadFromUDPAddrPort(b)
@@ -77,7 +78,7 @@
 	}
 }
 
-// refused takes the next error off the socket's queue.
+// nextRefusal takes the next error from the socket's error queue.
 func (u *UDP) nextRefusal() (to string, ok bool) {
 	u.raw.Control(func(fd uintptr) {
 		var b [64]byte
@@ -92,7 +93,7 @@
 			return
 		}
 		for _, m := range messages {
-			// struct sock_extended_err begins with the error's number.
+			// struct sock_extended_err begins with the error number.
 			if m.Header.Level == syscall.IPPROTO_IP && m.Header.Type == syscall.IP_RECVERR && len(m.Data) >= 4 &&
 				syscall.Errno(binary.NativeEndian.Uint32(m.Data)) == syscall.ECONNREFUSED {
 				to, ok = netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)).String(), true
@@ -102,5 +103,4 @@
 	return to, ok
 }
 
-// Close ends it.
 func (u *UDP) Close() error { return u.conn.Close() }
--- a/member/charge.go
+++ b/member/charge.go
@@ -10,42 +10,42 @@
 
 // mergeReport merges a report: a later generation of the subject clears the reports on earlier ones, and within one generation all
 // bits are combined.
-func (m *Member) mergeReport(c Report) {
-	have := &m.reports[c.Subject]
-	valid := uint16(1)<<len(m.rings.watchers[c.Subject]) - 1
-	c.TimedOut &= valid
-	c.Refused &= valid
+func (m *Member) mergeReport(report Report) {
+	have := &m.reports[report.Subject]
+	valid := uint16(1)<<len(m.rings.watchers[report.Subject]) - 1
+	report.TimedOut &= valid
+	report.Refused &= valid
 	next := *have
-	if c.Generation > next.Generation {
-		next = Report{Subject: c.Subject, Generation: c.Generation, Left: next.Left}
+	if report.Generation > next.Generation {
+		next = Report{Subject: report.Subject, Generation: report.Generation, Left: next.Left}
 	}
-	if c.Generation == next.Generation {
-		next.TimedOut |= c.TimedOut
-		next.Refused |= c.Refused
+	if report.Generation == next.Generation {
+		next.TimedOut |= report.TimedOut
+		next.Refused |= report.Refused
 	}
-	next.Left = next.Left || c.Left
+	next.Left = next.Left || report.Left
 	if next == *have {
 		return
 	}
 	raised := next.Generation > have.Generation || next.Left && !have.Left
 	*have = next
 	m.evaluationDue, m.lastChange = true, m.now
-	if raised || !m.dead.Has(c.Subject) { // reports on the dead are not gossiped any more
-		m.enqueueReport(c.Subject, raised)
+	if raised || !m.dead.Has(report.Subject) { // reports on the dead are not gossiped any more
+		m.enqueueReport(report.Subject, raised)
 	}
-	if c.Subject == m.position && next.TimedOut|next.Refused != 0 && m.state == Inside && m.Disabled&Refutation == 0 {
+	if report.Subject == m.position && next.TimedOut|next.Refused != 0 && m.state == Inside && m.Disabled&Refutation == 0 {
 		// The reported member refutes.
 		m.mergeReport(Report{Subject: m.position, Generation: next.Generation + 1})
 	}
 }
 
 // reportDigest returns a report's share of the digest; 0 for an empty report.
-func reportDigest(c Report) uint32 {
-	if c.Generation == 0 && c.TimedOut|c.Refused == 0 && !c.Left {
+func reportDigest(report Report) uint32 {
+	if report.Generation == 0 && report.TimedOut|report.Refused == 0 && !report.Left {
 		return 0
 	}
-	x := uint64(c.Subject+1)*0x9e3779b97f4a7c15 ^ uint64(c.Generation)<<33 ^ uint64(c.TimedOut)<<16 ^ uint64(c.Refused)
-	if c.Left {
+	x := uint64(report.Subject+1)*0x9e3779b97f4a7c15 ^ uint64(report.Generation)<<33 ^ uint64(report.TimedOut)<<16 ^ uint64(report.Refused)
+	if report.Left {
 		x ^= 1 << 62
 	}
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
@@ -53,11 +53,11 @@
 }
 
 // enqueueReport queues a report for gossip.
-func (m *Member) enqueueReport(subject int, first bool) {
+func (m *Member) enqueueReport(subject int, refutation bool) {
 	// Half of the watchers suffice to reach all members even if a third of the messages is lost; digests reveal what was missed.
 	times := (len(m.sentRoundVersion) + 1) / 2
-	i := slices.IndexFunc(m.reportQueue, func(h queuedReport) bool { return h.subject == subject })
-	if first { // a refutation precedes all reports and is sent twice as often
+	i := slices.IndexFunc(m.reportQueue, func(queued queuedReport) bool { return queued.subject == subject })
+	if refutation { // a refutation precedes all reports and is sent twice as often
 		if i >= 0 {
 			m.reportQueue = slices.Delete(m.reportQueue, i, i+1)
 		}
@@ -80,8 +80,8 @@
 	for i := range m.sentDeadVersion {
 		m.sentDeadVersion[i] = -1
 	}
-	for i, c := range m.reports {
-		if reportDigest(c) != 0 && !m.dead.Has(i) {
+	for i, report := range m.reports {
+		if reportDigest(report) != 0 && !m.dead.Has(i) {
 			m.reportQueue = append(m.reportQueue, queuedReport{i, 1})
 		}
 	}
@@ -108,17 +108,17 @@
 			// A failed member would lose other updates, but a reported one needs the report to refute it.
 			m.send(m.view.Members[i].Address, &Message{Kind: Ping, Digest: m.digest, Reports: []Report{m.reports[i]}})
 		}
-		c := m.reports[i]
+		report := m.reports[i]
 		bit := m.watcherBits[i]
 		if m.now < s.suppressedUntil || m.cannotReceive() {
 			continue
 		}
-		if s.refusals >= refusalsForProof && c.Refused&bit != bit {
+		if s.refusals >= refusalsForProof && report.Refused&bit != bit {
 			s.reportedAt = m.now
-			m.mergeReport(Report{Subject: i, Generation: c.Generation, Refused: bit})
-		} else if silence > m.SuspicionTimeout && c.TimedOut&bit != bit && !selfSuspected {
+			m.mergeReport(Report{Subject: i, Generation: report.Generation, Refused: bit})
+		} else if silence > m.SuspicionTimeout && report.TimedOut&bit != bit && !selfSuspected {
 			s.reportedAt = m.now
-			m.mergeReport(Report{Subject: i, Generation: c.Generation, TimedOut: bit})
+			m.mergeReport(Report{Subject: i, Generation: report.Generation, TimedOut: bit})
 		}
 	}
 }
@@ -159,33 +159,33 @@
 	clear(m.down)
 	clear(m.failed)
 	m.downVoters = 0
-	for i, c := range m.reports {
-		if c.Left || m.isRejoining(i) { // it is alive and may have voted, so it has not failed
+	for i, report := range m.reports {
+		if report.Left || m.isRejoining(i) { // it is alive and may have voted, so it has not failed
 			m.down.Set(i)
-			if c.TimedOut|c.Refused == 0 {
+			if report.TimedOut|report.Refused == 0 {
 				m.downVoters++
 			}
 		}
 	}
 	// A refusal is proof, unlike a time-out: two watchers suffice, which guards against a wrong address, or one if no other is
 	// left. The watchers of a dead member may be dead as well, so all refused members are assumed to have failed at first.
-	for i, c := range m.reports {
-		if c.Refused != 0 {
+	for i, report := range m.reports {
+		if report.Refused != 0 {
 			m.failed.Set(i)
 		}
 	}
 	for changed := true; changed; {
 		changed = false
-		for i, c := range m.reports {
-			if m.failed.Has(i) && bits.OnesCount16(c.Refused) < max(1, min(2, m.watchersOutside(i, m.failed))) {
+		for i, report := range m.reports {
+			if m.failed.Has(i) && bits.OnesCount16(report.Refused) < max(1, min(2, m.remainingWatchers(i, m.failed))) {
 				m.failed[i/8] &^= 1 << (i % 8)
 				changed = true
 			}
 		}
 	}
 	// Results of other members count as well: after hundreds of failures single reports would take long to spread.
-	for i, c := range m.reports {
-		if c.Generation > 0 { // it has refuted since
+	for i, report := range m.reports {
+		if report.Generation > 0 { // it has refuted since
 			if m.dead.Has(i) {
 				m.dead[i/8] &^= 1 << (i % 8)
 			}
@@ -199,9 +199,9 @@
 	}
 	// The digest omits reports on the dead, which are no longer gossiped.
 	m.digest = uint32(xxhash.Sum64(m.dead))
-	for i, c := range m.reports {
+	for i, report := range m.reports {
 		if !m.dead.Has(i) {
-			m.digest ^= reportDigest(c)
+			m.digest ^= reportDigest(report)
 		}
 	}
 	m.down.merge(m.failed)
@@ -209,8 +209,8 @@
 	// watchers that are down do not count, so each member that goes down may bring others down.
 	for changed := true; changed; {
 		changed = false
-		for i, c := range m.reports {
-			if c.TimedOut|c.Refused != 0 && !m.down.Has(i) && m.reachesHighWatermark(i, c.TimedOut|c.Refused, m.down) {
+		for i, report := range m.reports {
+			if report.TimedOut|report.Refused != 0 && !m.down.Has(i) && m.reachesHighWatermark(i, report.TimedOut|report.Refused, m.down) {
 				m.down.Set(i)
 				changed = true
 			}
@@ -221,12 +221,12 @@
 	// counts.
 	m.possiblyPartitioned = 0
 	reported := 0
-	for i, c := range m.reports {
-		n := m.reportingWatchers(i, c.TimedOut|c.Refused, m.down)
+	for i, report := range m.reports {
+		n := m.reportingWatchers(i, report.TimedOut|report.Refused, m.down)
 		if m.down.Has(i) || n == 0 {
 			continue
 		}
-		if reported++; n >= int(math.Ceil(lowWatermark*float64(m.watchersOutside(i, m.down)))) {
+		if reported++; n >= int(math.Ceil(lowWatermark*float64(m.remainingWatchers(i, m.down)))) {
 			m.possiblyPartitioned++
 		}
 	}
@@ -234,14 +234,14 @@
 		m.possiblyPartitioned = reported + reported/16 + 1
 	}
 	for i := range m.reports {
-		if c := m.reports[i]; c.TimedOut|c.Refused != 0 && m.isRejoining(i) && m.reachesHighWatermark(i, c.TimedOut|c.Refused, m.down) {
+		if report := m.reports[i]; report.TimedOut|report.Refused != 0 && m.isRejoining(i) && m.reachesHighWatermark(i, report.TimedOut|report.Refused, m.down) {
 			m.failed.Set(i)
 		}
 	}
 }
 
 // watchersOutside returns the number of a subject's watchers that are not excluded.
-func (m *Member) watchersOutside(subject int, excluded Bits) (n int) {
+func (m *Member) remainingWatchers(subject int, excluded Bits) (n int) {
 	for _, w := range m.rings.watchers[subject] {
 		if !excluded.Has(w) {
 			n++
@@ -262,7 +262,7 @@
 
 // reachesHighWatermark reports whether enough of a subject's watchers, not excluded themselves, report it.
 func (m *Member) reachesHighWatermark(subject int, reports uint16, excluded Bits) bool {
-	need := max(1, int(math.Ceil(highWatermark*float64(m.watchersOutside(subject, excluded)))))
+	need := max(1, int(math.Ceil(highWatermark*float64(m.remainingWatchers(subject, excluded)))))
 	if m.Disabled&Watermarks != 0 {
 		need = 1
 	}
@@ -307,8 +307,8 @@
 
 // hasUnconfirmedReports reports whether members are reported by too few watchers.
 func (m *Member) hasUnconfirmedReports() bool {
-	for i, c := range m.reports {
-		if c.TimedOut|c.Refused != 0 && !m.down.Has(i) {
+	for i, report := range m.reports {
+		if report.TimedOut|report.Refused != 0 && !m.down.Has(i) {
 			return true
 		}
 	}
@@ -317,8 +317,8 @@
 
 // hasUnresponsiveDown reports whether members are down because of time-outs alone, neither by proof nor by their own announcement.
 func (m *Member) hasUnresponsiveDown() bool {
-	for i, c := range m.reports {
-		if m.down.Has(i) && !m.failed.Has(i) && !c.Left && !m.isRejoining(i) {
+	for i, report := range m.reports {
+		if m.down.Has(i) && !m.failed.Has(i) && !report.Left && !m.isRejoining(i) {
 			return true
 		}
 	}
--- a/member/join.go
+++ b/member/join.go
@@ -26,20 +26,20 @@
 		interval = slowInterval
 	}
 	m.nextHello = m.now + interval/2 + time.Duration(m.rng.Int64N(int64(interval)))
-	hello := func(to string) { m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.seedRank()}) }
+	sendHello := func(to string) { m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.seedRank()}) }
 	// A process that has other addresses spares the few seeds, where all start, for those that have none.
 	if len(m.Seeds) > 0 && (len(m.knownAddresses) == 0 || m.rng.IntN(4) == 0) {
 		seed := m.Seeds[m.rng.IntN(len(m.Seeds))]
 		for attempts := len(m.Seeds); m.now < m.refusedSeeds[seed] && attempts > 0; attempts-- {
 			seed = m.Seeds[m.rng.IntN(len(m.Seeds))]
 		}
-		hello(seed)
+		sendHello(seed)
 		if rank := m.seedRank(); rank > 1 { // is a seed of lower rank there?
-			hello(m.Seeds[m.rng.IntN(rank-1)])
+			sendHello(m.Seeds[m.rng.IntN(rank-1)])
 		}
 	}
 	if len(m.knownAddresses) > 0 {
-		hello(m.knownAddresses[m.rng.IntN(len(m.knownAddresses))])
+		sendHello(m.knownAddresses[m.rng.IntN(len(m.knownAddresses))])
 	}
 	if m.now-m.lastKnownUpdate > 10*m.FoundingDelay { // none of them is there any more
 		m.knownAddresses = nil
@@ -76,7 +76,7 @@
 			}
 			response := &Message{Kind: Redirect, SeedRank: m.seedRank()}
 			for _, address := range m.knownAddresses[:min(2, len(m.knownAddresses))] { // these may be inside
-				response.PendingJoins = append(response.PendingJoins, Peer{Address: address})
+				response.Peers = append(response.Peers, Peer{Address: address})
 			}
 			m.send(from, response)
 		}
@@ -97,7 +97,7 @@
 	response := &Message{Kind: Redirect}
 	for range min(2, len(m.view.Members)) {
 		if i := m.rng.IntN(len(m.view.Members)); !m.down.Has(i) && i != m.position {
-			response.PendingJoins = append(response.PendingJoins, Peer{Address: m.view.Members[i].Address})
+			response.Peers = append(response.Peers, Peer{Address: m.view.Members[i].Address})
 		}
 	}
 	m.send(to, response)
@@ -153,17 +153,17 @@
 	if p.ID.Name == "" || p.Address == "" || m.view.Index(p.ID) >= 0 {
 		return
 	}
-	if i, there := m.view.find(p.ID.Name); there && m.view.Members[i].ID.Incarnation > p.ID.Incarnation {
+	if i, found := m.view.find(p.ID.Name); found && m.view.Members[i].ID.Incarnation > p.ID.Incarnation {
 		return // an earlier run: it is gone, or will learn that it is superseded
-	} else if there && !m.rejoining.Has(i) {
+	} else if found && !m.rejoining.Has(i) {
 		m.rejoining.Set(i)
 		m.deadVersion++
 	}
-	at, there := slices.BinarySearchFunc(m.pendingJoins, p.ID.Name, func(q Peer, name string) int { return cmp.Compare(q.ID.Name, name) })
+	at, found := slices.BinarySearchFunc(m.pendingJoins, p.ID.Name, func(q Peer, name string) int { return cmp.Compare(q.ID.Name, name) })
 	switch {
-	case there && m.pendingJoins[at].ID.Incarnation >= p.ID.Incarnation:
+	case found && m.pendingJoins[at].ID.Incarnation >= p.ID.Incarnation:
 		return
-	case there:
+	case found:
 		m.pendingJoins[at] = p
 	default:
 		m.pendingJoins = slices.Insert(m.pendingJoins, at, p)
@@ -178,7 +178,7 @@
 	}
 	m.wantedView, m.fetchSource, m.lastChunk = *msg, from, m.now
 	m.chunkSources = m.chunkSources[:0]
-	for _, p := range msg.PendingJoins {
+	for _, p := range msg.Peers {
 		m.chunkSources = append(m.chunkSources, p.Address)
 	}
 	m.chunks = make([]*Chunk, (min(msg.Size, 1<<16)+peersPerChunk-1)/peersPerChunk)
@@ -282,5 +282,5 @@
 		return
 	}
 	m.history = nil
-	m.installView(v, "let in")
+	m.installView(v, "admitted")
 }
--- a/member/member.go
+++ b/member/member.go
@@ -224,7 +224,7 @@
 	return m
 }
 
-// Bootstrap installs an initial view that all of its members start with. It is used by simulations.
+// Bootstrap installs an initial view that all of its members start with. It is used by simulations and tests.
 func (m *Member) Bootstrap(v *View) {
 	if m.state == Outside && v.Index(m.Self().ID) >= 0 {
 		m.installView(v, "begun")
@@ -271,28 +271,28 @@
 	}
 	m.evaluate()
 	for i, p := range m.view.Members {
-		s := PeerStatus{Peer: p, Down: m.down.Has(i), Failed: m.failed.Has(i), SinceHeard: -1, Watchers: len(m.rings.watchers[i])}
-		if sub := m.subjects[i]; sub != nil {
-			s.SinceHeard = m.now - sub.lastHeard
+		status := PeerStatus{Peer: p, Down: m.down.Has(i), Failed: m.failed.Has(i), SinceHeard: -1, Watchers: len(m.rings.watchers[i])}
+		if watched := m.subjects[i]; watched != nil {
+			status.SinceHeard = m.now - watched.lastHeard
 		}
 		for bit, w := range m.rings.watchers[i] {
 			if m.reports[i].TimedOut>>bit&1 != 0 {
-				s.TimedOutBy = append(s.TimedOutBy, m.view.Members[w].ID.Name)
+				status.TimedOutBy = append(status.TimedOutBy, m.view.Members[w].ID.Name)
 			}
 			if m.reports[i].Refused>>bit&1 != 0 {
-				s.RefusedBy = append(s.RefusedBy, m.view.Members[w].ID.Name)
+				status.RefusedBy = append(status.RefusedBy, m.view.Members[w].ID.Name)
 			}
 		}
-		all = append(all, s)
+		all = append(all, status)
 	}
 	return all
 }
 
 // Drain returns and clears the messages to send and the events.
 func (m *Member) Drain() ([]Envelope, []Event) {
-	out, events := m.outbox, m.events
+	messages, events := m.outbox, m.events
 	m.outbox, m.events = nil, nil
-	return out, events
+	return messages, events
 }
 
 func (m *Member) emit(e Event) { m.events = append(m.events, e) }
@@ -362,7 +362,7 @@
 		if ownRank := m.seedRank(); msg.SeedRank > 0 && (ownRank == 0 || msg.SeedRank < ownRank) {
 			m.lowerSeedOutsideAt = m.now
 		}
-		for _, p := range msg.PendingJoins {
+		for _, p := range msg.Peers {
 			if m.view == nil && len(m.knownAddresses) < 8 && !slices.Contains(m.knownAddresses, p.Address) && p.Address != m.Self().Address {
 				m.knownAddresses, m.lastKnownUpdate = append(m.knownAddresses, p.Address), m.now
 			}
@@ -402,9 +402,9 @@
 	switch m.state {
 	case Inside:
 		m.state = Leaving
-		c := m.reports[m.position]
-		c.Left = true
-		m.mergeReport(c)
+		report := m.reports[m.position]
+		report.Left = true
+		m.mergeReport(report)
 	case Outside:
 		m.state = Left
 	}
@@ -430,7 +430,7 @@
 	}
 	switch {
 	case msg.View < m.view.Number:
-		// The sender is behind: it gets the decisions it has missed. A ping would be repeated.
+		// The sender is behind: it gets the decisions it has missed. An unanswered ping would be repeated.
 		if msg.Kind != Pong || len(msg.Decisions) == 0 {
 			m.sendMissedDecisions(from, msg)
 		}
@@ -445,25 +445,25 @@
 		}
 	}
 	n := len(m.view.Members)
-	for _, c := range msg.Reports {
-		if c.Subject < 0 || c.Subject >= n {
+	for _, report := range msg.Reports {
+		if report.Subject < 0 || report.Subject >= n {
 			m.dropped.Malformed++
 			return
 		}
-		m.mergeReport(c)
+		m.mergeReport(report)
 	}
 	if len(msg.Dead)+len(msg.Rejoining) > 0 {
 		if !msg.Dead.fitsView(n) || !msg.Rejoining.fitsView(n) {
 			m.dropped.Malformed++
 			return
 		}
-		again := m.rejoining.merge(msg.Rejoining)
-		if m.dead.merge(msg.Dead) || again {
+		rejoiningChanged := m.rejoining.merge(msg.Rejoining)
+		if m.dead.merge(msg.Dead) || rejoiningChanged {
 			m.deadVersion++
 			m.evaluationDue, m.lastChange = true, m.now
 		}
 	}
-	for _, p := range msg.PendingJoins {
+	for _, p := range msg.Peers {
 		m.addPendingJoin(p)
 	}
 	if msg.Round != nil {
@@ -487,7 +487,7 @@
 		s.refutations++
 		s.suppressedUntil = m.now + min(m.SuspicionTimeout<<min(s.refutations, 6), maxBackoff)
 		s.reportedAt = 0
-		if c := m.reports[i]; c.TimedOut|c.Refused != 0 { // it should receive the report soon, to refute it
+		if report := m.reports[i]; report.TimedOut|report.Refused != 0 { // it should receive the report soon, to refute it
 			m.enqueueReport(i, false)
 		}
 	}
@@ -558,14 +558,14 @@
 		m.decisionSendsLeft--
 	}
 	kept := m.reportQueue[:0]
-	for _, h := range m.reportQueue {
+	for _, queued := range m.reportQueue {
 		if room >= 14 {
-			msg.Reports = append(msg.Reports, m.reports[h.subject])
+			msg.Reports = append(msg.Reports, m.reports[queued.subject])
 			room -= 14
-			h.sendsLeft--
+			queued.sendsLeft--
 		}
-		if h.sendsLeft > 0 {
-			kept = append(kept, h)
+		if queued.sendsLeft > 0 {
+			kept = append(kept, queued)
 		}
 	}
 	m.reportQueue = kept
@@ -593,13 +593,13 @@
 		return
 	}
 	sent := 0
-	for place := range m.view.Members {
-		i := (m.firstProposer() + place) % len(m.view.Members)
+	for rank := range m.view.Members {
+		i := (m.firstProposer() + rank) % len(m.view.Members)
 		if m.down.Has(i) {
 			continue
 		}
 		if i != m.position {
-			m.send(m.view.Members[i].Address, &Message{Kind: Heartbeat, Digest: m.digest, PendingJoins: joins})
+			m.send(m.view.Members[i].Address, &Message{Kind: Heartbeat, Digest: m.digest, Peers: joins})
 		}
 		if sent++; sent == 2 {
 			return
@@ -625,7 +625,7 @@
 
 // installView replaces the current view.
 func (m *Member) installView(v *View, reason string) {
-	old, subjects := m.view, m.subjects
+	previous, previousSubjects := m.view, m.subjects
 	if m.recentViews = append(m.recentViews, v); len(m.recentViews) > maxRecentViews {
 		m.recentViews = slices.Delete(m.recentViews, 0, 1)
 	}
@@ -647,11 +647,11 @@
 	m.heartbeatTargets = slices.Clone(m.rings.watchers[m.position])
 	for _, i := range m.rings.subjects[m.position] {
 		s := &subject{lastHeard: m.now}
-		if old != nil { // silent members remain silent, and new ones have yet to learn of the view
-			if j := old.Index(v.Members[i].ID); j < 0 {
+		if previous != nil { // silent members remain silent, and new ones have yet to learn of the view
+			if j := previous.Index(v.Members[i].ID); j < 0 {
 				s.lastHeard += m.SuspicionTimeout
-			} else if subjects[j] != nil {
-				s = subjects[j]
+			} else if previousSubjects[j] != nil {
+				s = previousSubjects[j]
 				s.reportedAt = 0
 			}
 		}
@@ -665,7 +665,7 @@
 	}
 	kept := m.pendingJoins[:0]
 	for _, p := range m.pendingJoins {
-		if i, there := v.find(p.ID.Name); !there || v.Members[i].ID.Incarnation < p.ID.Incarnation {
+		if i, found := v.find(p.ID.Name); !found || v.Members[i].ID.Incarnation < p.ID.Incarnation {
 			kept = append(kept, p)
 		}
 	}
@@ -675,14 +675,14 @@
 		m.knownAddresses = append(m.knownAddresses, p.Address)
 	}
 	for _, p := range kept {
-		if i, there := v.find(p.ID.Name); there {
+		if i, found := v.find(p.ID.Name); found {
 			m.rejoining.Set(i)
 			m.deadVersion++
 		}
 	}
 	for _, p := range v.Members {
 		if address, ok := m.sponsored[p.ID]; ok {
-			m.send(address, m.joinNotice(old))
+			m.send(address, m.joinNotice(previous))
 			delete(m.sponsored, p.ID)
 		}
 	}
@@ -691,14 +691,14 @@
 
 // joinNotice announces the view to a joiner, with the addresses of some members that have it: a member that sponsors many cannot
 // serve all.
-func (m *Member) joinNotice(old *View) *Message {
+func (m *Member) joinNotice(previous *View) *Message {
 	msg := &Message{Kind: JoinNotice, Hash: m.view.Hash()}
-	if old == nil {
-		old = m.view
+	if previous == nil {
+		previous = m.view
 	}
-	for range min(4, len(old.Members)) {
-		if p := old.Members[m.rng.IntN(len(old.Members))]; m.view.Index(p.ID) >= 0 && p.ID != m.Self().ID {
-			msg.PendingJoins = append(msg.PendingJoins, Peer{Address: p.Address})
+	for range min(4, len(previous.Members)) {
+		if p := previous.Members[m.rng.IntN(len(previous.Members))]; m.view.Index(p.ID) >= 0 && p.ID != m.Self().ID {
+			msg.Peers = append(msg.Peers, Peer{Address: p.Address})
 		}
 	}
 	return msg
@@ -728,13 +728,13 @@
 // Dump returns a one-line summary for debugging.
 func (m *Member) Dump() string {
 	if m.view == nil {
-		return fmt.Sprintf("%v wants %d of %d chunks from %q", m.state, len(m.chunks), m.wantedView.Size, m.fetchSource)
+		return fmt.Sprintf("%v fetches %d chunks of a view of %d from %q", m.state, len(m.chunks), m.wantedView.Size, m.fetchSource)
 	}
 	m.evaluate()
-	s := fmt.Sprintf("%v view %d of %d down %d gone %d joins %d touch %v deaf %v doubts %v fill %.0f promised %d accepted %d", m.state, m.view.Number, len(m.view.Members), m.down.Count(), m.failed.Count(),
+	s := fmt.Sprintf("%v view %d of %d down %d failed %d joins %d has_quorum %v cannot_receive %v suspects_self %v tokens %.0f promised %d accepted %d", m.state, m.view.Number, len(m.view.Members), m.down.Count(), m.failed.Count(),
 		len(m.pendingJoins), m.HasQuorum(), m.cannotReceive(), m.suspectsSelf(), m.tokens, m.promised, m.acceptedBallot)
 	if r := m.round; r != nil {
-		s += fmt.Sprintf(" ballot %d (by %d) gone %d promises %d value %v votes %d of %d", r.Ballot, int(r.Ballot-1)%len(m.view.Members), r.Failed.Count(), r.Promises.Count(), r.Value != nil,
+		s += fmt.Sprintf(" ballot %d (by %d) failed %d promises %d value %v votes %d of %d", r.Ballot, int(r.Ballot-1)%len(m.view.Members), r.Failed.Count(), r.Promises.Count(), r.Value != nil,
 			r.Votes.Count(), quorumSize(len(m.view.Members), r.Failed))
 	}
 	return s
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// net carries messages between members as a test says.
+// testNetwork carries messages between members in an order that the test determines.
 type testNetwork struct {
 	t        testing.TB
 	now      time.Duration
 	members  []*Member
 	running  []bool
 	queue    []inFlight
-	views    map[uint64]uint64 // by lineage and number: the hash
+	views    map[uint64]uint64 // hashes by lineage and number
 	disabled Protection
 }
 
@@ -30,7 +30,7 @@
 
 func memberName(i int) string { return fmt.Sprintf("m%d", i) }
 
-// newNet has so many members in one view.
+// newTestNetwork returns n members in one view.
 func newTestNetwork(t testing.TB, n int, disabled Protection) *testNetwork {
 	w := &testNetwork{t: t, now: time.Hour, views: map[uint64]uint64{}, disabled: disabled}
 	v := &View{Lineage: 1, Number: 1, LargestSize: n}
@@ -51,7 +51,7 @@
 	return New(Config{Self: Peer{ID: ID{Name: memberName(i), Incarnation: inc}, Address: memberName(i), Number: i}, Seeds: []string{memberName(0), memberName(1)}, FleetSize: 3, Disabled: w.disabled}, w.now, uint64(i)+inc*100)
 }
 
-// collect takes what a member sends, and checks that all views of one number are the same.
+// drain queues the messages of a member, and checks that all views of one number are the same.
 func (w *testNetwork) drain(i int) {
 	out, events := w.members[i].Drain()
 	for _, e := range out {
@@ -69,7 +69,7 @@
 	}
 }
 
-// deliver hands over the k-th message on the way.
+// deliver delivers the k-th queued message.
 func (w *testNetwork) deliver(k int) {
 	s := w.queue[k]
 	w.queue = slices.Delete(w.queue, k, k+1)
@@ -95,7 +95,7 @@
 	}
 }
 
-// run lets time pass with nothing lost.
+// run advances time without losses.
 func (w *testNetwork) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.tick(50 * time.Millisecond)
@@ -105,7 +105,7 @@
 	}
 }
 
-// state is all that decides what may follow, but for clocks.
+// fingerprint identifies all state that determines what may follow, except for clocks.
 func (w *testNetwork) fingerprint() string {
 	var b strings.Builder
 	for i, m := range w.members {
@@ -138,16 +138,16 @@
 	return s
 }
 
-// act is one thing that may happen next.
+// event is a step of the exploration.
 type event struct{ kind, index int }
 
 const (
 	deliverMessage = iota
 	dropMessage
-	advanceShort // 600 ms: two beats
+	advanceShort // 600 ms: more than one heartbeat interval
 	advanceLong  // 3 s
 	killProcess
-	pauseProcess // all but one let 7 s pass, message by message lost
+	pauseProcess // the others advance 9 s while one process is paused; nothing is delivered
 )
 
 func (w *testNetwork) apply(a event) {
@@ -173,8 +173,8 @@
 	}
 }
 
-// next is what can happen in a state. Of messages that are the same one is enough, and of those between two members the first: the net keeps
-// their order here, as the random steps below do not.
+// possibleEvents returns the events that can follow. Of the messages between two members only the first can be delivered or
+// dropped: the network keeps their order here, unlike in the random test below.
 func (w *testNetwork) possibleEvents() (events []event) {
 	seen := map[string]bool{}
 	for k, s := range w.queue {
@@ -205,8 +205,8 @@
 	return events
 }
 
-// explore plays all orders of steps from the start to a depth, breadth first, states that are the same once. Each state is reached again
-// by its steps, as members cannot be copied.
+// explore runs all sequences of events up to a depth, breadth first, and visits equal states once. Each state is reached again by
+// its events, as members cannot be copied.
 func explore(t testing.TB, n, depth int, disabled Protection, check func(w *testNetwork, path []event)) (states int) {
 	seen := map[string]bool{}
 	level := [][]event{nil}
@@ -236,16 +236,17 @@
 	return len(seen)
 }
 
-// TestAllOrders: all orders of deliveries, losses, pauses, deaths and time for three members to a depth of four and four to one of three. No two members
-// ever hold different views of one number, and whatever has happened, once it is over those that live agree again and nobody who lives is left out for long.
+// Explores all orders of deliveries, losses, pauses, deaths and time: for three members to depth four, for four members to depth
+// three. No two members may ever hold different views of one number, and afterwards all live members must agree again on a view
+// that includes them.
 func TestAllEventOrdersConverge(t *testing.T) {
 	depth := 4
-	if raceEnabled { // there is one goroutine: the other builds go deeper
+	if raceEnabled { // a single goroutine: builds without the race detector go deeper
 		depth = 3
 	}
 	for _, c := range []struct{ n, depth int }{{3, depth}, {4, depth - 1}} {
 		states := explore(t, c.n, c.depth, 0, func(w *testNetwork, path []event) {
-			w.run(35 * time.Second) // a member that was removed waits for 5 s, and 10 the second time
+			w.run(35 * time.Second) // a removed member waits for 5 s, and 10 s the second time
 			var first *View
 			for i, m := range w.members {
 				if !w.running[i] {
@@ -262,7 +263,7 @@
 	}
 }
 
-// TestKnownWrong: rules that are known to be wrong are found out by the same steps.
+// The exploration must find the faults that arise without a protection, or it would prove nothing.
 func TestExplorationDetectsDisabledProtections(t *testing.T) {
 	for name, disabled := range map[string]Protection{"any accusation": Watermarks, "no word of the accused": Refutation} {
 		found := false
@@ -270,7 +271,7 @@
 			if found {
 				return
 			}
-			// One way is cut: member 1 does not hear member 0, and all others do.
+			// A link is cut in one direction: member 1 does not receive from member 0, all others do.
 			for range 300 {
 				w.tick(50 * time.Millisecond)
 				for n := len(w.queue); n > 0; n-- {
@@ -293,9 +294,9 @@
 	}
 }
 
-// TestRandom goes beyond the depth of the above with random steps in any order, also of messages repeated and kept back.
+// Goes beyond the depth of the exploration with random events in any order, including duplicated and delayed messages.
 //
-// The seed is fixed, so that every run has the same verdict; -rapid.seed and -rapid.checks look further.
+// The seed is fixed, so that all runs give the same result; -rapid.seed and -rapid.checks explore further.
 func TestRandomEventsConverge(t *testing.T) {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		flag.Set("rapid.seed", "7")
@@ -315,7 +316,7 @@
 			case 4:
 				w.tick(time.Duration(rapid.IntRange(1, 9000).Draw(r, "late")) * time.Millisecond)
 			case 5:
-				if len(w.queue) > 0 { // twice
+				if len(w.queue) > 0 { // duplicate
 					k := rapid.IntRange(0, len(w.queue)-1).Draw(r, "message")
 					w.queue = append(w.queue, w.queue[k])
 				}
@@ -325,7 +326,7 @@
 			case 7:
 				i := rapid.IntRange(0, n-1).Draw(r, "who")
 				if !w.running[i] {
-					inc += 1000 // as a clock would: more than it came back by itself
+					inc += 1000 // like a clock: higher than the incarnations of its own rejoins
 					w.members[i], w.running[i] = w.newMember(i, inc), true
 				}
 			}
@@ -340,7 +341,7 @@
 			}
 		}
 		w.queue = nil
-		w.run(8 * time.Minute) // the longest wait of one that flapped is five
+		w.run(8 * time.Minute) // the longest rejoin delay is five minutes
 		var first *View
 		for i, m := range w.members {
 			if v := m.View(); v == nil || len(v.Members) != n || first != nil && v.Hash() != first.Hash() {
@@ -355,8 +356,8 @@
 	})
 }
 
-// TestUpgrade: two processes of one name at once, as in an upgrade: the later one takes the place of the one before, which says so and asks
-// seldom; when the later one leaves, the one before is let in again.
+// Two processes of one name run at once, as in an upgrade: the later one replaces the earlier, which reports itself as superseded
+// and says hello rarely; when the later one leaves, the earlier is admitted again.
 func TestLaterIncarnationSupersedesEarlier(t *testing.T) {
 	w := newTestNetwork(t, 3, 0)
 	next := New(Config{Self: Peer{ID: ID{Name: memberName(2), Incarnation: 1000}, Address: "m2'", Number: 2}, Seeds: []string{memberName(0), memberName(1)}, FleetSize: 3}, w.now, 77)
@@ -377,7 +378,7 @@
 	}
 }
 
-// TestLeave: one that leaves is out at once, and does not wait when it comes back; the last two agree as well.
+// A departing member is removed at once and may rejoin without delay; the last two members can agree on it as well.
 func TestLeavingMemberIsRemovedAndMayRejoinAtOnce(t *testing.T) {
 	w := newTestNetwork(t, 3, 0)
 	for _, left := range []int{2, 1} {
@@ -395,7 +396,7 @@
 	}
 }
 
-// TestTokens: addresses that are not a sender's own, and tokens that are not its, let nobody in.
+// A join needs the sender's own address and the token sent to that address.
 func TestJoinRequiresSenderAddressAndToken(t *testing.T) {
 	w := newTestNetwork(t, 3, 0)
 	self := Peer{ID: ID{Name: "m9", Incarnation: 1}, Address: "elsewhere"}
@@ -410,8 +411,8 @@
 	}
 }
 
-// TestRoundFits: what is voted on goes out where many join, and where others were to join by an earlier ballot that some had voted in: both
-// lists are longer than a datagram.
+// A round is sent even if many join and an accepted value of an earlier ballot holds other joins: both lists together exceed a
+// datagram.
 func TestRoundWithLongJoinListsFitsDatagram(t *testing.T) {
 	w := newTestNetwork(t, 7, 0)
 	m := w.members[0]
--- a/member/message.go
+++ b/member/message.go
@@ -25,13 +25,13 @@
 	Hash    uint64 `cbor:"5,keyasint,omitempty"` // of that view
 	Size    int    `cbor:"6,keyasint,omitempty"` // number of members in that view
 
-	Digest       uint32     `cbor:"7,keyasint,omitempty"` // of all reports that the sender has
-	Reports      []Report   `cbor:"8,keyasint,omitempty"`
-	Dead         Bits       `cbor:"16,keyasint,omitempty"` // members proven dead, according to the sender
-	Rejoining    Bits       `cbor:"17,keyasint,omitempty"` // members of which a later incarnation asks to join
-	Round        *Round     `cbor:"9,keyasint,omitempty"`
-	PendingJoins []Peer     `cbor:"10,keyasint,omitempty"`
-	Decisions    []Decision `cbor:"11,keyasint,omitempty"` // decisions that the receiver may lack
+	Digest    uint32     `cbor:"7,keyasint,omitempty"` // of all reports that the sender has
+	Reports   []Report   `cbor:"8,keyasint,omitempty"`
+	Dead      Bits       `cbor:"16,keyasint,omitempty"` // members proven dead, according to the sender
+	Rejoining Bits       `cbor:"17,keyasint,omitempty"` // members of which a later incarnation asks to join
+	Round     *Round     `cbor:"9,keyasint,omitempty"`
+	Peers     []Peer     `cbor:"10,keyasint,omitempty"` // processes that ask to join; in a notice or redirect, addresses of members
+	Decisions []Decision `cbor:"11,keyasint,omitempty"` // decisions that the receiver may lack
 
 	Peer     *Peer  `cbor:"12,keyasint,omitempty"` // the process that asks to join
 	Token    uint64 `cbor:"13,keyasint,omitempty"`
@@ -88,7 +88,7 @@
 	if len(m.Dead)+len(m.Rejoining) > 0 {
 		n += 8 + len(m.Dead) + len(m.Rejoining)
 	}
-	for _, p := range m.PendingJoins {
+	for _, p := range m.Peers {
 		n += p.bytes()
 	}
 	if m.Peer != nil {
--- a/member/round.go
+++ b/member/round.go
@@ -55,7 +55,7 @@
 // quorumSize returns how many members must agree: more than half of the view, so that any two quorums share a member; or, where
 // too many have failed for that, all that have not. Any live member that has received a decision is then among them, even if those
 // that made it are dead.
-func quorumSize(n int, gone Bits) int { return min(n/2+1, n-gone.Count()) }
+func quorumSize(n int, failed Bits) int { return min(n/2+1, n-failed.Count()) }
 
 // proposerRank returns the rank of a position in this view's order of proposers, and firstProposer the position of rank 0.
 func (m *Member) proposerRank(i int) int {
@@ -142,17 +142,17 @@
 	size := 0
 	if m.now-m.lastChange < m.ProposalDelay+m.BallotTimeout {
 		// Unresponsive members may still refute: where a partition begins or ends, reports change all the time.
-		for i, c := range m.reports {
-			if m.down.Has(i) && !m.failed.Has(i) && !c.Left && !m.isRejoining(i) {
+		for i, report := range m.reports {
+			if m.down.Has(i) && !m.failed.Has(i) && !report.Left && !m.isRejoining(i) {
 				v.Removed[i/8] &^= 1 << (i % 8)
 			}
 		}
 	}
 	for _, p := range m.pendingJoins {
-		if f := m.removals[p.ID.Name]; f != nil && m.now < f.rejoinAfter {
+		if record := m.removals[p.ID.Name]; record != nil && m.now < record.rejoinAfter {
 			continue
 		}
-		if i, there := m.view.find(p.ID.Name); there && !m.down.Has(i) {
+		if i, found := m.view.find(p.ID.Name); found && !m.down.Has(i) {
 			continue
 		}
 		// Fewer than the present members, who form a quorum on their own while the new ones still fetch the view.
@@ -197,7 +197,7 @@
 	} else if m.pendingSince == 0 {
 		m.pendingSince = m.now
 	} else if pendingShare := (m.now - m.pendingSince) / 3; pendingShare > quiet && !m.hasUnconfirmedReports() && !m.hasUnresponsiveDown() {
-		// Where many join, changes never cease.
+		// Where many join, changes never cease: a third of the time waited counts as quiet.
 		quiet = pendingShare
 	}
 	delay := m.ProposalDelay + time.Duration(rank)*m.BallotTimeout
@@ -233,33 +233,33 @@
 }
 
 // applyDecision records a decided change and enters the next view.
-func (m *Member) applyDecision(v ViewChange) {
-	step := Decision{From: m.view.Number, Change: v}
-	m.history = append(m.history, step)
+func (m *Member) applyDecision(change ViewChange) {
+	decision := Decision{From: m.view.Number, Change: change}
+	m.history = append(m.history, decision)
 	if len(m.history) > maxHistory {
 		m.history = slices.Delete(m.history, 0, len(m.history)-maxHistory)
 	}
-	m.enterNextView(step)
+	m.enterNextView(decision)
 }
 
 // enterNextView installs the view after a decision.
-func (m *Member) enterNextView(s Decision) {
-	next := m.view.next(&s.Change)
-	removed := s.Change.Removed.Count()
+func (m *Member) enterNextView(decision Decision) {
+	next := m.view.next(&decision.Change)
+	removed := decision.Change.Removed.Count()
 	for i, p := range m.view.Members {
 		// Members that left or were replaced by a process of the same name did not flap.
-		if s.Change.Removed.Has(i) && !m.reports[i].Left && !slices.ContainsFunc(s.Change.Joined, func(j Peer) bool { return j.ID.Name == p.ID.Name }) {
+		if decision.Change.Removed.Has(i) && !m.reports[i].Left && !slices.ContainsFunc(decision.Change.Joined, func(j Peer) bool { return j.ID.Name == p.ID.Name }) {
 			m.delayRejoin(p.ID.Name)
 		}
 	}
 	if next.Index(m.Self().ID) < 0 {
 		for _, w := range m.heartbeatTargets { // this member's vote may have been the deciding one, and no other member has the decision
-			m.send(m.view.Members[w].Address, &Message{Kind: Heartbeat, Decisions: []Decision{s}})
+			m.send(m.view.Members[w].Address, &Message{Kind: Heartbeat, Decisions: []Decision{decision}})
 		}
 		m.handleExclusion(next)
 		return
 	}
-	m.installView(next, changeReason(removed, len(s.Change.Joined)))
+	m.installView(next, changeReason(removed, len(decision.Change.Joined)))
 }
 
 // handleExclusion takes this member out of a view that no longer lists it.
@@ -267,7 +267,7 @@
 	_, nameTaken := v.find(m.Self().ID.Name)
 	switch {
 	case nameTaken:
-		m.exitView(Superseded, "another process of this name is in")
+		m.exitView(Superseded, "another process of this name is a member")
 	case m.state == Leaving:
 		m.exitView(Left, "left")
 	default:
@@ -286,16 +286,16 @@
 }
 
 // applyDecisions applies decisions that lead on from the current view, and reports whether there were any.
-func (m *Member) applyDecisions(steps []Decision) (moved bool) {
-	for _, s := range steps {
-		if m.view == nil || s.From != m.view.Number {
+func (m *Member) applyDecisions(decisions []Decision) (moved bool) {
+	for _, decision := range decisions {
+		if m.view == nil || decision.From != m.view.Number {
 			continue
 		}
-		if !s.Change.isValid(len(m.view.Members)) {
+		if !decision.Change.isValid(len(m.view.Members)) {
 			m.dropped.Malformed++
 			return moved
 		}
-		m.applyDecision(s.Change)
+		m.applyDecision(decision.Change)
 		moved = true
 	}
 	return moved
@@ -309,11 +309,11 @@
 	}
 	response := &Message{Kind: Pong, Digest: m.digest}
 	room := MaxBytes - response.EncodedSize() - 40
-	at, ok := slices.BinarySearchFunc(m.history, msg.View, func(s Decision, number uint64) int { return cmp.Compare(s.From, number) })
+	at, ok := slices.BinarySearchFunc(m.history, msg.View, func(decision Decision, number uint64) int { return cmp.Compare(decision.From, number) })
 	if ok {
-		for _, s := range m.history[at:] {
-			if size := 12 + s.Change.bytes(); size <= room {
-				response.Decisions = append(response.Decisions, s)
+		for _, decision := range m.history[at:] {
+			if size := 12 + decision.Change.bytes(); size <= room {
+				response.Decisions = append(response.Decisions, decision)
 				room -= size
 				continue
 			}
--- a/member/view.go
+++ b/member/view.go
@@ -45,14 +45,14 @@
 	return v.rankAmong(id, func(p Peer) bool { return p.Zone == zone })
 }
 
-func (v *View) rankAmong(id ID, counts func(Peer) bool) (place, count int) {
+func (v *View) rankAmong(id ID, included func(Peer) bool) (place, count int) {
 	at := v.Index(id)
 	if at < 0 {
 		return -1, 0
 	}
 	self := v.Members[at]
 	for _, p := range v.Members {
-		if counts(p) {
+		if included(p) {
 			count++
 			if cmp.Or(cmp.Compare(p.Number, self.Number), cmp.Compare(p.ID.Name, self.ID.Name)) < 0 {
 				place++
@@ -263,15 +263,15 @@
 }
 
 // next returns the view after a change.
-func (v *View) next(c *ViewChange) *View {
+func (v *View) next(change *ViewChange) *View {
 	n := &View{Lineage: v.Lineage, Number: v.Number + 1}
 	for i, p := range v.Members {
-		if !c.Removed.Has(i) {
+		if !change.Removed.Has(i) {
 			n.Members = append(n.Members, p)
 		}
 	}
-	for _, p := range c.Joined {
-		if i, there := n.find(p.ID.Name); !there {
+	for _, p := range change.Joined {
+		if i, found := n.find(p.ID.Name); !found {
 			n.Members = slices.Insert(n.Members, i, p)
 		}
 	}
--- a/sim/members/faults.go
+++ b/sim/members/faults.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// faults is what is wrong with the net and the processes of a run.
+// faults is the state of the fault that a run injects.
 type faults struct {
 	kind         string
 	loss         float64
-	affected     []bool // members that the fault is about
+	affected     []bool // members that the fault applies to
 	partitionEnd time.Duration
 	nextPause    []time.Duration
 	restartAt    map[int]time.Duration
@@ -16,7 +16,7 @@
 	healed       bool
 }
 
-// newFaults begins the run's fault.
+// newFaults starts the fault of a run.
 func newFaults(w *World) faults {
 	f := faults{kind: w.Fault, affected: make([]bool, w.Members), nextPause: make([]time.Duration, w.Members), restartAt: map[int]time.Duration{}}
 	affect := func(share float64) []int {
@@ -64,7 +64,7 @@
 	return f
 }
 
-// kill ends a process, or its machine.
+// kill ends a process, or its machine if it vanishes.
 func (w *World) kill(i int, vanished bool) {
 	p := w.procs[i]
 	p.up, p.vanished, p.died, p.inbox = false, vanished, w.now, nil
@@ -74,7 +74,7 @@
 	}
 }
 
-// lost says whether a datagram gets lost on its way.
+// drops reports whether the network loses a datagram.
 func (f *faults) drops(w *World, from, to int) bool {
 	if f.affected == nil {
 		return false
@@ -94,9 +94,9 @@
 	return false
 }
 
-// sound: a member that nothing is wrong with, or nothing that it should be removed for.
+// mustStay reports whether a member has no fault that justifies its removal.
 func (f *faults) mustStay(w *World, i int) bool {
-	if f.affected != nil && f.kind == "halves" { // the smaller one, if one is, is removed
+	if f.affected != nil && f.kind == "halves" { // the smaller half, if there is one, is removed
 		return f.affected[i] || w.Members%2 == 0
 	}
 	if f.affected == nil || !f.affected[i] {
@@ -109,7 +109,7 @@
 	return true
 }
 
-// act goes on with the fault.
+// advance continues the fault.
 func (f *faults) advance(w *World) {
 	switch f.kind {
 	case "pauses", "long-pauses":
@@ -129,7 +129,7 @@
 			f.healed, w.lastFaultEnd = true, w.now
 		}
 	case "return":
-		for i := range w.Members { // in order: a start draws
+		for i := range w.Members { // not in map order: a start draws random numbers
 			if at, due := f.restartAt[i]; due && w.now >= at {
 				delete(f.restartAt, i)
 				w.start(i)
--- a/sim/members/members.go
+++ b/sim/members/members.go
@@ -1,5 +1,5 @@
-// Package members plays package member in virtual time: up to a thousand members on a net that loses, delays and cuts, whose processes
-// pause, die and return. A run depends on its seed alone.
+// Package members simulates package member in virtual time: up to 4096 members on a network that loses, delays and partitions,
+// whose processes pause, die and return. A run is determined by its seed.
 package members
 
 import (
@@ -13,17 +13,17 @@
 	"liftgauge/member"
 )
 
-// Config is one run.
+// Config configures a run.
 type Config struct {
 	Members int
 	Seed    uint64
 	Fault   string // one of Faults
 	Policy  string // one of Policies
 	Warm    time.Duration
-	Length  time.Duration // after the fleet has formed, or at most Warm has gone by
+	Length  time.Duration // after the fleet has formed, or Warm has passed
 }
 
-// Faults are what can go wrong, with what it means.
+// Faults lists the faults that can be injected.
 var Faults = []struct{ Name, Means string }{
 	{"none", "nothing"},
 	{"loss", "30% of all datagrams are lost"},
@@ -43,7 +43,7 @@
 	{"start", "all start at once, half of the seeds dead"},
 }
 
-// Policies are what is compared.
+// Policies lists the policies to compare.
 var Policies = []struct{ Name, Means string }{
 	{"member", "as it is"},
 	{"heartbeats", "all to all twice a second, each removes by itself who was silent for 2.5 s"},
@@ -53,15 +53,17 @@
 	{"no-marks", "one accuser is enough"},
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Members int    `json:"members"`
 	Seed    uint64 `json:"seed"`
 	Fault   string `json:"fault"`
 	Policy  string `json:"policy"`
-	// False is how many times a member that was up, heard and hearing was removed; with heartbeats, from anybody's list.
+	// False is the number of removals of members that were up and could send and receive; with heartbeats, removals from any
+	// member's list.
 	False int `json:"false_removals"`
-	// KnownMS and ViewMS are from a death on: until all that are in touch know (median and worst over the dead), and until their view says so.
+	// KnownMedianMS, KnownWorstMS and ViewWorstMS are measured from a death: until all members in touch have detected it (median
+	// and worst of the dead), and until their view reflects it.
 	KnownMedianMS float64 `json:"known_median_ms,omitempty"`
 	KnownWorstMS  float64 `json:"known_worst_ms,omitempty"`
 	ViewWorstMS   float64 `json:"view_worst_ms,omitempty"`
@@ -69,44 +71,44 @@
 	Views         int     `json:"views"`       // since the fault began
 	SettledMS     float64 `json:"settled_ms"`  // from the last fault to the last change of any view
 	FormedMS      float64 `json:"formed_ms"`   // from the start until all are in one view
-	BytesMean     float64 `json:"bytes_mean"`  // a second a member, sent
-	BytesWorst    float64 `json:"bytes_worst"` // of one member, over the whole run
-	InAndOut      int     `json:"in_and_out"`  // the most often that one member was removed
-	Disagree      int     `json:"disagree"`    // views of one lineage and number that differ: must be 0
-	Agreed        bool    `json:"agreed"`      // in the end all that can be in touch hold one view
+	BytesMean     float64 `json:"bytes_mean"`  // sent, per second and member
+	BytesWorst    float64 `json:"bytes_worst"` // of the member that sent most, over the whole run
+	InAndOut      int     `json:"in_and_out"`  // largest number of removals of one member
+	Disagree      int     `json:"disagree"`    // views of the same lineage and number that differ: must be 0
+	Agreed        bool    `json:"agreed"`      // at the end all members that can be in touch hold one view
 	NotInTouch    int     `json:"not_in_touch"`
 	WallMS        int64   `json:"wall_ms"`
 }
 
 const (
 	step       = time.Millisecond
-	settleTime = 30 * time.Second // between the fleet's forming and the fault: those that joined last are settled by then
+	settleTime = 30 * time.Second // between the fleet's formation and the fault, so that the last joins are complete
 )
 
 type datagram struct {
 	from, to int
-	inc      uint64 // of the process it was sent from
+	inc      uint64 // incarnation of the sending process
 	msg      *member.Message
-	refused  bool // a datagram of to's to from came back
+	refused  bool // reports that a datagram in the opposite direction was refused
 }
 
 type process struct {
 	member        *member.Member
 	up            bool
-	vanished      bool // its machine has vanished: nothing comes back
+	vanished      bool // its machine has vanished: nothing is refused
 	paused        time.Duration
 	inbox         []datagram
 	inc           uint64
 	bytes         int
 	died          time.Duration
-	deathKnownAt  map[int]time.Duration // for each dead: when this member knew
-	lastHeartbeat []time.Duration       // with heartbeats: last heard of, by member
-	removedPeers  []bool                // with heartbeats: removed
+	deathKnownAt  map[int]time.Duration // by dead member: when this one detected the death
+	lastHeartbeat []time.Duration       // policy heartbeats: by member
+	removedPeers  []bool                // policy heartbeats: by member
 	removals      int
 	nextTick      time.Duration
 }
 
-// World is a run under way.
+// World is the state of a run.
 type World struct {
 	Config
 	now           time.Duration
@@ -114,8 +116,8 @@
 	procs         []*process
 	timingWheel   [][]datagram
 	fault         faults
-	faultBegan    time.Duration // of the fault
-	lastFaultEnd  time.Duration // of the last one
+	faultBegan    time.Duration // when the fault began
+	lastFaultEnd  time.Duration // when its last event ended
 	viewHashes    map[uint64]map[uint64]uint64
 	lastChange    time.Duration
 	changes       int
@@ -123,11 +125,11 @@
 	deadSince     map[int]time.Duration
 	shared        member.Shared
 	trace         func(format string, a ...any)
-	trafficByKind map[int][2]int // datagrams and bytes by kind, if it is set
-	everySecond   func()         // called every second of the run, if it is set
+	trafficByKind map[int][2]int // datagrams and bytes by message kind, if set
+	everySecond   func()         // called every second of the run, if set
 }
 
-// Now is the time of the run.
+// Now returns the virtual time.
 func (w *World) Now() time.Duration { return w.now }
 
 func address(i int) string { return fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255) }
@@ -140,7 +142,7 @@
 	return a<<16 | b<<8 | c
 }
 
-// Run plays a run.
+// Run executes a run.
 func Run(c Config) (Result, error) {
 	began := time.Now()
 	w, err := newWorld(c)
@@ -158,10 +160,10 @@
 		return nil, fmt.Errorf("members: want 1 to 4096, have %d", c.Members)
 	}
 	if !slices.ContainsFunc(Faults, func(f struct{ Name, Means string }) bool { return f.Name == c.Fault }) {
-		return nil, fmt.Errorf("fault: %q is none", c.Fault)
+		return nil, fmt.Errorf("fault: %q is unknown", c.Fault)
 	}
 	if !slices.ContainsFunc(Policies, func(p struct{ Name, Means string }) bool { return p.Name == c.Policy }) {
-		return nil, fmt.Errorf("policy: %q is none", c.Policy)
+		return nil, fmt.Errorf("policy: %q is unknown", c.Policy)
 	}
 	if c.Warm <= 0 {
 		c.Warm = 3 * time.Minute
@@ -214,7 +216,7 @@
 		Zone: i % 5, Number: i}, Seeds: seeds, FleetSize: w.Members, Disabled: disabled, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.inc)
 }
 
-// post sends a datagram through the net.
+// send sends a datagram through the network.
 func (w *World) send(d datagram, size int) {
 	if d.to < 0 || d.to >= len(w.procs) {
 		return
@@ -239,19 +241,19 @@
 	w.timingWheel[slot] = append(w.timingWheel[slot], d)
 }
 
-// arrive has a datagram reach a process.
+// arrive handles a datagram that reaches a process's machine.
 func (w *World) arrive(d datagram) {
 	p := w.procs[d.to]
 	switch {
 	case !p.up && p.vanished, d.refused && !p.up:
 		return
-	case !p.up: // its machine says so, if the way back is open
+	case !p.up: // its machine refuses, if the return path works
 		if !w.fault.drops(w, d.to, d.from) {
 			w.schedule(w.delay(), datagram{from: d.to, to: d.from, inc: w.procs[d.from].inc, refused: true})
 		}
 		return
 	case w.now < p.paused:
-		if len(p.inbox) < 256 { // what a socket's buffer holds
+		if len(p.inbox) < 256 { // capacity of the socket's buffer
 			p.inbox = append(p.inbox, d)
 		}
 		return
@@ -276,7 +278,7 @@
 	}
 }
 
-// collect takes what a member wants sent and told.
+// drain sends a member's messages and records its events.
 func (w *World) drain(i int) {
 	p := w.procs[i]
 	if p.member == nil {
@@ -291,7 +293,7 @@
 	}
 }
 
-// told follows a member's views, and checks that all of one number are the same.
+// recordEvent records a member's view, and checks that all views of one number are the same.
 func (w *World) recordEvent(i int, e member.Event) {
 	w.lastChange = w.now
 	if e.View == nil {
@@ -318,7 +320,7 @@
 	}
 }
 
-// removals counts who is not in a new view though it was up and in touch, once.
+// countFalseRemovals counts members that are missing from a new view although they were up and in touch, once per view.
 func (w *World) countFalseRemovals(v *member.View) {
 	if w.faultBegan == 0 {
 		return
@@ -391,7 +393,7 @@
 	}
 }
 
-// begin begins the fault.
+// beginFault starts the fault.
 func (w *World) beginFault() {
 	w.faultBegan, w.lastFaultEnd, w.changes = w.now, w.now, 0
 	for _, p := range w.procs {
@@ -426,7 +428,7 @@
 	}
 }
 
-// together: all that are up hold one view of all that are up.
+// converged reports whether all processes that are up hold one view of exactly these.
 func (w *World) converged() bool {
 	if w.Policy == "heartbeats" {
 		return w.now > 3*time.Second
@@ -447,7 +449,7 @@
 	return first != nil && len(first.Members) == n
 }
 
-// notice looks who knows of the dead by now.
+// recordKnownDeaths records which members have detected which deaths.
 func (w *World) recordKnownDeaths() {
 	for _, p := range w.procs {
 		if !p.up || w.now < p.paused {
--- a/sim/members/members_test.go
+++ b/sim/members/members_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestPromises plays every fault at small sizes and holds the design's promises against what came of it.
+// Runs every fault at small sizes and checks the protocol's guarantees.
 func TestGuaranteesHoldUnderEveryFault(t *testing.T) {
 	sizes, seeds := []int{3, 10, 40}, uint64(2)
-	if raceEnabled { // there is one goroutine: this is for the other builds
+	if raceEnabled { // a single goroutine: covered by builds without the race detector
 		sizes, seeds = []int{3, 10}, 1
 	}
 	for _, n := range sizes {
@@ -19,12 +19,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				// Who pauses for longer than the time-out may be removed and may be on its way back as the run ends.
+				// A member that pauses for longer than the timeout may be removed, and may be rejoining when the run ends.
 				coming := f.Name == "long-pauses" || f.Name == "flap" || f.Name == "return"
 				if r.False != 0 || r.Disagree != 0 || r.Undetected != 0 || !r.Agreed && !coming {
 					t.Errorf("%+v", r)
 				}
-				if r.NotInTouch != 0 && !coming && !(n == 3 && f.Name == "start") { // two of three seeds dead: never more than half
+				if r.NotInTouch != 0 && !coming && !(n == 3 && f.Name == "start") { // two of three seeds are dead: never more than half of the fleet
 					t.Errorf("not in touch at the end: %+v", r)
 				}
 				if r.BytesWorst > 4000 && f.Name != "start" {
@@ -53,11 +53,11 @@
 	}
 }
 
-// TestStart: a hundred that start at once are one fleet within half a minute though half of the seeds are dead, and few seeds are not
-// drowned by all that ask them.
+// A hundred members that start at once with half of the seeds dead form one fleet within half a minute: the few seeds must not be
+// overwhelmed by their hellos.
 func TestConcurrentStartWithDeadSeedsFormsOneFleet(t *testing.T) {
 	seeds := []uint64{1, 17}
-	if raceEnabled { // there is one goroutine: this is for the other builds
+	if raceEnabled { // a single goroutine: covered by builds without the race detector
 		seeds = nil
 	}
 	for _, seed := range seeds {
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestSameSeed: a run depends on its seed alone.
+// A run is determined by its seed.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	for _, fault := range []string{"start", "loss", "return", "kill-70"} {
 		c := Config{Members: 25, Seed: 7, Fault: fault, Policy: "member", Length: 20 * time.Second}
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestWorth: without a protection the faults that it is there for remove members that are up; so the checks above can fail.
+// Without a protection the faults that it guards against give worse results, which shows that the checks above can fail.
 func TestDisabledProtectionsWorsenResults(t *testing.T) {
 	if raceEnabled {
 		return
