--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -48,11 +48,11 @@
 			t.Errorf("%v\n%+v\n%+v", err, got, m)
 		}
 		if len(b) > m.EncodedSize() {
-			t.Errorf("%d bytes, planned with %d", len(b), m.EncodedSize())
+			t.Errorf("%d bytes, EncodedSize %d", len(b), m.EncodedSize())
 		}
 		for i := range b {
 			if _, err := c.Decode(b[:i]); !errors.Is(err, ErrMalformed) {
-				t.Errorf("cut at %d: %v", i, err)
+				t.Errorf("truncated at %d: %v", i, err)
 			}
 		}
 		if _, err := newTestCodec(t, "other").Decode(b); !errors.Is(err, ErrForeign) {
@@ -71,7 +71,7 @@
 		long.Peers[i] = member.Peer{ID: member.ID{Name: strings.Repeat("n", 30)}, Address: "127.0.0.1:7946"}
 	}
 	if _, err := c.Encode(long); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a long one: %v", err)
+		t.Errorf("long message: %v", err)
 	}
 }
 
@@ -97,29 +97,29 @@
 		}
 		peers := []member.Peer{{ID: member.ID{Name: "n0", Incarnation: 1}, Address: "a0"}, {ID: member.ID{Name: "n1", Incarnation: 1}, Address: "a1"}, {ID: member.ID{Name: "n2", Incarnation: 1}, Address: "a2"}}
 		for _, inside := range []bool{true, false} {
-			x := member.New(member.Config{Self: peers[0], Seeds: []string{"a1", "a2"}}, time.Hour, 1)
+			receiver := member.New(member.Config{Self: peers[0], Seeds: []string{"a1", "a2"}}, time.Hour, 1)
 			if inside {
-				x.Bootstrap(&member.View{Lineage: 1, Number: 1, LargestSize: 3, Members: peers})
+				receiver.Bootstrap(&member.View{Lineage: 1, Number: 1, LargestSize: 3, Members: peers})
 			}
 			for i := range 4 {
-				x.Receive(time.Hour, "a1", m)
-				x.Tick(time.Hour + time.Duration(i)*700*time.Millisecond)
+				receiver.Receive(time.Hour, "a1", m)
+				receiver.Tick(time.Hour + time.Duration(i)*700*time.Millisecond)
 			}
-			x.Drain()
-			x.Members()
+			receiver.Drain()
+			receiver.Members()
 		}
 	})
 }
 
 // testNetwork carries datagrams in memory: a datagram to an address without a transport is reported as refused.
 type testNetwork struct {
-	mu  sync.Mutex
-	at  map[string]chan testPacket
-	cut map[[2]string]bool
+	mu         sync.Mutex
+	transports map[string]chan testPacket
+	cut        map[[2]string]bool
 }
 
 type testPacket struct {
-	b       []byte
+	data    []byte
 	from    string
 	refused bool
 }
@@ -134,7 +134,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := &testTransport{w, address, make(chan testPacket, 512)}
-	w.at[address] = e.in
+	w.transports[address] = e.in
 	return e
 }
 
@@ -142,11 +142,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := testPacket{append([]byte(nil), b...), e.address, false}
-	in := e.at[to]
+	in := e.transports[to]
 	if in == nil {
 		p, in = testPacket{from: to, refused: true}, e.in
 	}
-	if e.cut[[2]string{e.address, to}] || e.at[e.address] == nil {
+	if e.cut[[2]string{e.address, to}] || e.transports[e.address] == nil {
 		return
 	}
 	select {
@@ -160,14 +160,14 @@
 	if !ok {
 		return 0, "", false, net.ErrClosed
 	}
-	return copy(b, p.b), p.from, p.refused, nil
+	return copy(b, p.data), p.from, p.refused, nil
 }
 
 func (e *testTransport) Close() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.at[e.address] != nil {
-		delete(e.at, e.address)
+	if e.transports[e.address] != nil {
+		delete(e.transports, e.address)
 		close(e.in)
 	}
 	return nil
@@ -176,39 +176,39 @@
 // Three nodes find each other and agree on their positions; a departing one is removed and the others move up; malformed datagrams
 // are counted.
 func TestNodesAgreeOnPositions(t *testing.T) {
-	w := &testNetwork{at: map[string]chan testPacket{}, cut: map[[2]string]bool{}}
+	network := &testNetwork{transports: map[string]chan testPacket{}, cut: map[[2]string]bool{}}
 	var mu sync.Mutex
-	places := map[int]FleetPosition{}
+	positions := map[int]FleetPosition{}
 	var nodes []*Node
 	var stops []context.CancelFunc
-	var ended sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range 3 {
 		address := []string{"a0", "a1", "a2"}[i]
 		n := New(Config{Member: member.Config{Self: member.Peer{ID: member.ID{Name: address, Incarnation: 1}, Address: address, Number: i, Zone: i % 2}, Seeds: []string{"a0", "a1"}, FleetSize: 3,
 			TickInterval: 2 * time.Millisecond, HeartbeatInterval: 10 * time.Millisecond, PingAfter: 200 * time.Millisecond, SuspicionTimeout: 5 * time.Second, ProposalDelay: 10 * time.Millisecond, FoundingDelay: 30 * time.Millisecond, BytesPerSecond: 1 << 20},
-			Codec: newTestCodec(t, "lab"), Transport: w.open(address), Seed: uint64(i), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
-			OnPositionChange: func(p FleetPosition) { mu.Lock(); places[i] = p; mu.Unlock() }})
+			Codec: newTestCodec(t, "lab"), Transport: network.open(address), Seed: uint64(i), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
+			OnPositionChange: func(p FleetPosition) { mu.Lock(); positions[i] = p; mu.Unlock() }})
 		ctx, stop := context.WithCancel(t.Context())
 		stops, nodes = append(stops, stop), append(nodes, n)
-		ended.Go(func() { n.Run(ctx) })
+		running.Go(func() { n.Run(ctx) })
 	}
-	await := func(what string, is func() bool) {
+	await := func(what string, condition func() bool) {
 		t.Helper()
-		for start := time.Now(); !is(); time.Sleep(time.Millisecond) {
+		for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
 			if time.Since(start) > time.Minute {
-				t.Fatalf("%s: not within a minute: %+v", what, places)
+				t.Fatalf("%s: not within a minute: %+v", what, positions)
 			}
 		}
 	}
-	placed := func(want map[int]FleetPosition) func() bool {
+	positionsAre := func(want map[int]FleetPosition) func() bool {
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return reflect.DeepEqual(places, want)
+			return reflect.DeepEqual(positions, want)
 		}
 	}
-	await("all three", placed(map[int]FleetPosition{0: {true, 0, 3, 2}, 1: {true, 1, 3, 1}, 2: {true, 2, 3, 2}}))
-	w.open("a9").Send("a0", []byte("garbage"))
+	await("all three", positionsAre(map[int]FleetPosition{0: {true, 0, 3, 2}, 1: {true, 1, 3, 1}, 2: {true, 2, 3, 2}}))
+	network.open("a9").Send("a0", []byte("garbage"))
 	await("garbage counted", func() bool { return nodes[0].Counts().Malformed == 1 })
 	if s, err := nodes[1].Status(t.Context()); err != nil || s.State != "inside" || len(s.Members) != 3 || s.Number != 1 || !s.InTouch {
 		t.Errorf("%v, %+v", err, s)
@@ -217,13 +217,13 @@
 	await("two left", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return places[1] == FleetPosition{true, 0, 2, 1} && places[2] == FleetPosition{true, 1, 2, 1}
+		return positions[1] == FleetPosition{true, 0, 2, 1} && positions[2] == FleetPosition{true, 1, 2, 1}
 	})
 	stops[1]()
 	stops[2]()
-	ended.Wait()
+	running.Wait()
 	if _, err := nodes[1].Status(t.Context()); err == nil {
-		t.Error("one that has ended still answers")
+		t.Error("a stopped node still answers")
 	}
 }
 
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -79,10 +79,10 @@
 	defer close(n.done)
 	n.member = member.New(n.Member, n.Now(), n.Seed)
 	packets := make(chan packet, 256)
-	ended, end := context.WithCancel(context.Background())
-	defer end()
+	readerContext, stopReader := context.WithCancel(context.Background())
+	defer stopReader()
 	var reader errgroup.Group
-	reader.Go(func() error { n.readDatagrams(ended, packets); return nil })
+	reader.Go(func() error { n.readDatagrams(readerContext, packets); return nil })
 	defer reader.Wait()
 	defer n.Transport.Close()
 	tickInterval := n.Member.WithDefaults(0).TickInterval
@@ -100,8 +100,8 @@
 			}
 		case <-ticks.C:
 			n.member.Tick(n.Now())
-		case f := <-n.queries:
-			f()
+		case query := <-n.queries:
+			query()
 		case <-leaving:
 			leaving, leaveDeadline = nil, time.After(leaveTimeout)
 			n.member.Leave(n.Now())
@@ -117,7 +117,7 @@
 
 // readDatagrams reads until the transport is closed. Where the member does not keep up, datagrams are dropped, as the network may
 // do as well.
-func (n *Node) readDatagrams(ended context.Context, packets chan<- packet) {
+func (n *Node) readDatagrams(ctx context.Context, packets chan<- packet) {
 	b := make([]byte, member.MaxBytes+1)
 	for {
 		size, from, refused, err := n.Transport.Receive(b)
@@ -143,7 +143,7 @@
 		}
 		select {
 		case packets <- p:
-		case <-ended.Done():
+		case <-ctx.Done():
 			return
 		default:
 		}
@@ -152,8 +152,8 @@
 
 // applyOutput sends the member's messages, logs its events and publishes its position.
 func (n *Node) applyOutput() {
-	out, events := n.member.Drain()
-	for _, e := range out {
+	messages, events := n.member.Drain()
+	for _, e := range messages {
 		b, err := n.Codec.Encode(e.Message)
 		if err != nil {
 			n.Log.Warn("membership: message not sent", "kind", e.Message.Kind, "err", err)
@@ -164,7 +164,7 @@
 	}
 	for _, e := range events {
 		if e.View == nil {
-			n.Log.Warn("membership: out of the view", "reason", e.Reason, "state", n.member.State())
+			n.Log.Warn("membership: left the view", "reason", e.Reason, "state", n.member.State())
 			continue
 		}
 		n.Log.Info("membership: view", "lineage", e.View.Lineage, "number", e.View.Number, "members", len(e.View.Members), "reason", e.Reason)
@@ -177,7 +177,7 @@
 	}
 	if p != n.position {
 		if n.position.Known != p.Known {
-			n.Log.Info("membership: in touch", "with_most", p.Known, "number", p.Rank, "members", p.Members)
+			n.Log.Info("membership: contact with a quorum changed", "with_most", p.Known, "number", p.Rank, "members", p.Members)
 		}
 		n.position = p
 		n.published.Store(&p)
@@ -241,7 +241,7 @@
 		<-answered
 		return s, nil
 	case <-n.done:
-		return s, errors.New("membership has ended")
+		return s, errors.New("membership has stopped")
 	case <-ctx.Done():
 		return s, ctx.Err()
 	}
--- a/member/join.go
+++ b/member/join.go
@@ -123,9 +123,9 @@
 		return
 	}
 	if cmp.Or(cmp.Compare(msg.Size, len(m.view.Members)), cmp.Compare(m.view.Lineage, msg.Lineage)) > 0 {
-		known := []string{from}
+		addresses := []string{from}
 		m.exitView(Outside, "its lineage gives way to a larger one")
-		m.knownAddresses = known
+		m.knownAddresses = addresses
 		return
 	}
 	if msg.Kind != Welcome { // the sender's lineage is to give way
@@ -276,7 +276,7 @@
 		return
 	}
 	if v.Index(m.Self().ID) < 0 {
-		if m.view != nil { // an outside process is not admitted any more, and asks again
+		if m.view != nil { // without a view, this process asks for admission again
 			m.handleExclusion(v)
 		}
 		return
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -47,14 +47,14 @@
 	return w
 }
 
-func (w *testNetwork) newMember(i int, inc uint64) *Member {
-	return New(Config{Self: Peer{ID: ID{Name: memberName(i), Incarnation: inc}, Address: memberName(i), Number: i}, Seeds: []string{memberName(0), memberName(1)}, FleetSize: 3, Disabled: w.disabled}, w.now, uint64(i)+inc*100)
+func (w *testNetwork) newMember(i int, incarnation uint64) *Member {
+	return New(Config{Self: Peer{ID: ID{Name: memberName(i), Incarnation: incarnation}, Address: memberName(i), Number: i}, Seeds: []string{memberName(0), memberName(1)}, FleetSize: 3, Disabled: w.disabled}, w.now, uint64(i)+incarnation*100)
 }
 
 // drain queues the messages of a member, and checks that all views of one number are the same.
 func (w *testNetwork) drain(i int) {
-	out, events := w.members[i].Drain()
-	for _, e := range out {
+	messages, events := w.members[i].Drain()
+	for _, e := range messages {
 		to := slices.IndexFunc(w.members, func(m *Member) bool { return m.Self().Address == e.To })
 		w.queue = append(w.queue, inFlight{from: i, to: to, msg: e.Message})
 	}
@@ -207,27 +207,27 @@
 
 // explore runs all sequences of events up to a depth, breadth first, and visits equal states once. Each state is reached again by
 // its events, as members cannot be copied.
-func explore(t testing.TB, n, depth int, disabled Protection, check func(w *testNetwork, path []event)) (states int) {
+func explore(t testing.TB, n, depth int, disabled Protection, check func(network *testNetwork, path []event)) (states int) {
 	seen := map[string]bool{}
 	level := [][]event{nil}
 	for range depth {
 		var next [][]event
 		for _, path := range level {
-			w := newTestNetwork(t, n, disabled)
+			network := newTestNetwork(t, n, disabled)
 			for _, a := range path {
-				w.apply(a)
+				network.apply(a)
 			}
-			for _, a := range w.possibleEvents() {
-				x := newTestNetwork(t, n, disabled)
+			for _, a := range network.possibleEvents() {
+				successor := newTestNetwork(t, n, disabled)
 				for _, b := range path {
-					x.apply(b)
+					successor.apply(b)
 				}
-				x.apply(a)
-				if s := x.fingerprint(); !seen[s] {
+				successor.apply(a)
+				if s := successor.fingerprint(); !seen[s] {
 					seen[s] = true
-					p := append(slices.Clone(path), a)
-					check(x, p)
-					next = append(next, p)
+					extended := append(slices.Clone(path), a)
+					check(successor, extended)
+					next = append(next, extended)
 				}
 			}
 		}
@@ -254,7 +254,7 @@
 				}
 				v := m.View()
 				if v == nil || first != nil && v.Hash() != first.Hash() {
-					t.Fatalf("%d members, after %v: %d stands at %s", c.n, path, i, m.Dump())
+					t.Fatalf("%d members, after %v: member %d: %s", c.n, path, i, m.Dump())
 				}
 				first = v
 			}
@@ -265,7 +265,7 @@
 
 // The exploration must find the faults that arise without a protection, or it would prove nothing.
 func TestExplorationDetectsDisabledProtections(t *testing.T) {
-	for name, disabled := range map[string]Protection{"any accusation": Watermarks, "no word of the accused": Refutation} {
+	for name, disabled := range map[string]Protection{"one report suffices": Watermarks, "no refutation": Refutation} {
 		found := false
 		explore(t, 4, 2, disabled, func(w *testNetwork, path []event) {
 			if found {
@@ -289,7 +289,7 @@
 			}
 		})
 		if !found {
-			t.Errorf("%s: not found out", name)
+			t.Errorf("%s: fault not found", name)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(r, "members")
 		w := newTestNetwork(t, n, 0)
-		inc := uint64(1)
+		incarnation := uint64(1)
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			switch rapid.IntRange(0, 7).Draw(r, "what") {
 			case 0, 1, 2:
@@ -326,8 +326,8 @@
 			case 7:
 				i := rapid.IntRange(0, n-1).Draw(r, "who")
 				if !w.running[i] {
-					inc += 1000 // like a clock: higher than the incarnations of its own rejoins
-					w.members[i], w.running[i] = w.newMember(i, inc), true
+					incarnation += 1000 // like a clock: higher than the incarnations of its own rejoins
+					w.members[i], w.running[i] = w.newMember(i, incarnation), true
 				}
 			}
 			if len(w.queue) > 400 {
@@ -336,8 +336,8 @@
 		}
 		for i := range w.members {
 			if !w.running[i] {
-				inc += 1000
-				w.members[i], w.running[i] = w.newMember(i, inc), true
+				incarnation += 1000
+				w.members[i], w.running[i] = w.newMember(i, incarnation), true
 			}
 		}
 		w.queue = nil
@@ -348,7 +348,7 @@
 				for i, m := range w.members {
 					t.Logf("%d, %v, %s", i, m.Self().ID, m.Dump())
 				}
-				t.Fatalf("%d of %d", i, n)
+				t.Fatalf("member %d of %d has a different or incomplete view", i, n)
 			} else {
 				first = v
 			}
@@ -369,7 +369,7 @@
 	v := next.View().Number
 	w.run(10 * time.Second)
 	if next.View().Number != v {
-		t.Errorf("they go on pushing each other out: view %d after %d", next.View().Number, v)
+		t.Errorf("the two processes keep replacing each other: view %d after %d", next.View().Number, v)
 	}
 	next.Leave(w.now)
 	w.run(20 * time.Second)
@@ -385,14 +385,14 @@
 		w.members[left].Leave(w.now)
 		w.run(3 * time.Second)
 		if w.members[left].State() != Left || len(w.members[0].View().Members) != left {
-			t.Fatalf("%d: %s; who stays: %s", left, w.members[left].Dump(), w.members[0].Dump())
+			t.Fatalf("member %d: %s; remaining member: %s", left, w.members[left].Dump(), w.members[0].Dump())
 		}
 		w.running[left] = false
 	}
 	w.members[1], w.running[1] = w.newMember(1, 50), true
 	w.run(4 * time.Second)
 	if len(w.members[0].View().Members) != 2 {
-		t.Errorf("back: %s", w.members[0].Dump())
+		t.Errorf("not admitted after its return: %s", w.members[0].Dump())
 	}
 }
 
@@ -407,7 +407,7 @@
 		}
 	}
 	if n := w.members[0].Dropped().Malformed; n != 3 || len(w.members[0].pendingJoins) != 0 {
-		t.Errorf("%d dropped, %d wait", n, len(w.members[0].pendingJoins))
+		t.Errorf("%d messages dropped, %d joins pending", n, len(w.members[0].pendingJoins))
 	}
 }
 
--- a/member/view.go
+++ b/member/view.go
@@ -36,16 +36,16 @@
 }
 
 // Rank returns a member's rank among all by number and name, and their count; rank -1 if it is not in the view.
-func (v *View) Rank(id ID) (place, count int) {
+func (v *View) Rank(id ID) (rank, count int) {
 	return v.rankAmong(id, func(Peer) bool { return true })
 }
 
 // RankInZone returns the same among the members of a zone.
-func (v *View) RankInZone(id ID, zone int) (place, count int) {
+func (v *View) RankInZone(id ID, zone int) (rank, count int) {
 	return v.rankAmong(id, func(p Peer) bool { return p.Zone == zone })
 }
 
-func (v *View) rankAmong(id ID, included func(Peer) bool) (place, count int) {
+func (v *View) rankAmong(id ID, included func(Peer) bool) (rank, count int) {
 	at := v.Index(id)
 	if at < 0 {
 		return -1, 0
@@ -55,11 +55,11 @@
 		if included(p) {
 			count++
 			if cmp.Or(cmp.Compare(p.Number, self.Number), cmp.Compare(p.ID.Name, self.ID.Name)) < 0 {
-				place++
+				rank++
 			}
 		}
 	}
-	return place, count
+	return rank, count
 }
 
 // Index returns a member's position in Members, or -1.
--- a/sim/members/faults.go
+++ b/sim/members/faults.go
@@ -67,7 +67,7 @@
 // kill ends a process, or its machine if it vanishes.
 func (w *World) kill(i int, vanished bool) {
 	p := w.procs[i]
-	p.up, p.vanished, p.died, p.inbox = false, vanished, w.now, nil
+	p.up, p.vanished, p.diedAt, p.inbox = false, vanished, w.now, nil
 	w.deadSince[i] = w.now
 	for _, q := range w.procs {
 		delete(q.deathKnownAt, i)
@@ -119,9 +119,9 @@
 		}
 		for i, at := range f.nextPause {
 			if at > 0 && w.now >= at {
-				w.procs[i].paused = w.now + time.Second + time.Duration(w.rng.Int64N(int64(longest)))
-				f.nextPause[i] = w.procs[i].paused + time.Second + time.Duration(w.rng.Int64N(int64(20*time.Second)))
-				w.lastFaultEnd = max(w.lastFaultEnd, w.procs[i].paused)
+				w.procs[i].pausedUntil = w.now + time.Second + time.Duration(w.rng.Int64N(int64(longest)))
+				f.nextPause[i] = w.procs[i].pausedUntil + time.Second + time.Duration(w.rng.Int64N(int64(20*time.Second)))
+				w.lastFaultEnd = max(w.lastFaultEnd, w.procs[i].pausedUntil)
 			}
 		}
 	case "halves":
@@ -137,8 +137,8 @@
 			}
 		}
 	case "flap":
-		for i, marked := range f.affected {
-			if !marked || w.now-w.faultBegan > w.Length/2 {
+		for i, affected := range f.affected {
+			if !affected || w.now-w.faultBegan > w.Length/2 {
 				continue
 			}
 			if p := w.procs[i]; p.up && w.now >= f.nextFlap {
--- a/sim/members/members.go
+++ b/sim/members/members.go
@@ -86,21 +86,21 @@
 )
 
 type datagram struct {
-	from, to int
-	inc      uint64 // incarnation of the sending process
-	msg      *member.Message
-	refused  bool // reports that a datagram in the opposite direction was refused
+	from, to    int
+	incarnation uint64 // incarnation of the sending process
+	message     *member.Message
+	refused     bool // reports that a datagram in the opposite direction was refused
 }
 
 type process struct {
 	member        *member.Member
 	up            bool
 	vanished      bool // its machine has vanished: nothing is refused
-	paused        time.Duration
+	pausedUntil   time.Duration
 	inbox         []datagram
-	inc           uint64
+	incarnation   uint64
 	bytes         int
-	died          time.Duration
+	diedAt        time.Duration
 	deathKnownAt  map[int]time.Duration // by dead member: when this one detected the death
 	lastHeartbeat []time.Duration       // policy heartbeats: by member
 	removedPeers  []bool                // policy heartbeats: by member
@@ -120,7 +120,7 @@
 	lastFaultEnd  time.Duration // when its last event ended
 	viewHashes    map[uint64]map[uint64]uint64
 	lastChange    time.Duration
-	changes       int
+	viewChanges   int
 	result        Result
 	deadSince     map[int]time.Duration
 	shared        member.Shared
@@ -197,8 +197,8 @@
 // start starts a member's process.
 func (w *World) start(i int) {
 	p := w.procs[i]
-	p.inc++
-	*p = process{up: true, inc: p.inc, bytes: p.bytes, removals: p.removals, deathKnownAt: map[int]time.Duration{}, nextTick: w.now + time.Duration(w.rng.Int64N(int64(50*time.Millisecond)))}
+	p.incarnation++
+	*p = process{up: true, incarnation: p.incarnation, bytes: p.bytes, removals: p.removals, deathKnownAt: map[int]time.Duration{}, nextTick: w.now + time.Duration(w.rng.Int64N(int64(50*time.Millisecond)))}
 	delete(w.deadSince, i)
 	if w.Policy == "heartbeats" {
 		p.lastHeartbeat, p.removedPeers = make([]time.Duration, w.Members), make([]bool, w.Members)
@@ -213,7 +213,7 @@
 	}
 	disabled := map[string]member.Protection{"no-word": member.Refutation, "no-doubt": member.SelfSuspicion, "no-awareness": member.PauseDetection, "no-marks": member.Watermarks}[w.Policy]
 	p.member = member.New(member.Config{Self: member.Peer{ID: member.ID{Name: fmt.Sprintf("dispatcher-%04d", i), Incarnation: uint64(w.now/step)*16 + 1}, Address: address(i),
-		Zone: i % 5, Number: i}, Seeds: seeds, FleetSize: w.Members, Disabled: disabled, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.inc)
+		Zone: i % 5, Number: i}, Seeds: seeds, FleetSize: w.Members, Disabled: disabled, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.incarnation)
 }
 
 // send sends a datagram through the network.
@@ -222,9 +222,9 @@
 		return
 	}
 	w.procs[d.from].bytes += size + 28
-	if w.trafficByKind != nil && d.msg != nil {
-		n := w.trafficByKind[int(d.msg.Kind)]
-		w.trafficByKind[int(d.msg.Kind)] = [2]int{n[0] + 1, n[1] + size + 28}
+	if w.trafficByKind != nil && d.message != nil {
+		n := w.trafficByKind[int(d.message.Kind)]
+		w.trafficByKind[int(d.message.Kind)] = [2]int{n[0] + 1, n[1] + size + 28}
 	}
 	if w.fault.drops(w, d.from, d.to) {
 		return
@@ -249,10 +249,10 @@
 		return
 	case !p.up: // its machine refuses, if the return path works
 		if !w.fault.drops(w, d.to, d.from) {
-			w.schedule(w.delay(), datagram{from: d.to, to: d.from, inc: w.procs[d.from].inc, refused: true})
+			w.schedule(w.delay(), datagram{from: d.to, to: d.from, incarnation: w.procs[d.from].incarnation, refused: true})
 		}
 		return
-	case w.now < p.paused:
+	case w.now < p.pausedUntil:
 		if len(p.inbox) < 256 { // capacity of the socket's buffer
 			p.inbox = append(p.inbox, d)
 		}
@@ -274,7 +274,7 @@
 	case d.refused:
 		p.member.ReceiveRefusal(w.now, address(d.from))
 	default:
-		p.member.Receive(w.now, address(d.from), d.msg)
+		p.member.Receive(w.now, address(d.from), d.message)
 	}
 }
 
@@ -284,9 +284,9 @@
 	if p.member == nil {
 		return
 	}
-	out, events := p.member.Drain()
-	for _, e := range out {
-		w.send(datagram{from: i, to: index(e.To), inc: p.inc, msg: e.Message}, e.Message.EncodedSize())
+	messages, events := p.member.Drain()
+	for _, e := range messages {
+		w.send(datagram{from: i, to: index(e.To), incarnation: p.incarnation, message: e.Message}, e.Message.EncodedSize())
 	}
 	for _, e := range events {
 		w.recordEvent(i, e)
@@ -312,7 +312,7 @@
 	hash, seen := w.viewHashes[v.Lineage][v.Number]
 	if !seen {
 		w.viewHashes[v.Lineage][v.Number] = v.Hash()
-		w.changes++
+		w.viewChanges++
 		w.trace("%v view %x/%d of %d: %s", w.now, v.Lineage, v.Number, len(v.Members), e.Reason)
 		w.countFalseRemovals(v)
 	} else if hash != v.Hash() {
@@ -325,16 +325,16 @@
 	if w.faultBegan == 0 {
 		return
 	}
-	in := map[string]uint64{}
+	incarnations := map[string]uint64{}
 	for _, p := range v.Members {
-		in[p.ID.Name] = p.ID.Incarnation
+		incarnations[p.ID.Name] = p.ID.Incarnation
 	}
 	for i, p := range w.procs {
 		if p.member == nil || !p.up || p.member.View() == nil || p.member.View().Lineage != v.Lineage || p.member.View().Number+1 != v.Number || p.member.State() != member.Inside {
 			continue
 		}
 		self := p.member.Self().ID
-		if inc, there := in[self.Name]; (!there || inc != self.Incarnation) && w.fault.mustStay(w, i) {
+		if incarnation, found := incarnations[self.Name]; (!found || incarnation != self.Incarnation) && w.fault.mustStay(w, i) {
 			w.result.False++
 			w.trace("%v %d removed though it is up", w.now, i)
 		}
@@ -342,14 +342,14 @@
 }
 
 func (w *World) run() {
-	formed, begins := false, time.Duration(-1)
+	formed, faultStart := false, time.Duration(-1)
 	end := w.Warm
 	for ; w.now < end; w.now += step {
 		slot := int(w.now/step) % len(w.timingWheel)
 		due := w.timingWheel[slot]
 		w.timingWheel[slot] = nil
 		for _, d := range due {
-			if w.procs[d.to].up && d.refused && w.procs[d.to].inc != d.inc {
+			if w.procs[d.to].up && d.refused && w.procs[d.to].incarnation != d.incarnation {
 				continue
 			}
 			w.arrive(d)
@@ -358,7 +358,7 @@
 			if !p.up || w.now < p.nextTick {
 				continue
 			}
-			if w.now < p.paused {
+			if w.now < p.pausedUntil {
 				continue
 			}
 			if len(p.inbox) > 0 {
@@ -383,11 +383,11 @@
 			w.result.FormedMS = float64(w.now / time.Millisecond)
 			end = w.now + 20*time.Second
 			if w.Fault != "start" {
-				begins = w.now + settleTime
-				end = begins + w.Length
+				faultStart = w.now + settleTime
+				end = faultStart + w.Length
 			}
 		}
-		if w.now == begins {
+		if w.now == faultStart {
 			w.beginFault()
 		}
 	}
@@ -395,7 +395,7 @@
 
 // beginFault starts the fault.
 func (w *World) beginFault() {
-	w.faultBegan, w.lastFaultEnd, w.changes = w.now, w.now, 0
+	w.faultBegan, w.lastFaultEnd, w.viewChanges = w.now, w.now, 0
 	for _, p := range w.procs {
 		p.bytes, p.removals = 0, 0
 	}
@@ -413,7 +413,7 @@
 	if p.nextTick%(500*time.Millisecond) < 50*time.Millisecond {
 		for j := range w.procs {
 			if j != i {
-				w.send(datagram{from: i, to: j, inc: p.inc}, 30)
+				w.send(datagram{from: i, to: j, incarnation: p.incarnation}, 30)
 			}
 		}
 	}
@@ -452,7 +452,7 @@
 // recordKnownDeaths records which members have detected which deaths.
 func (w *World) recordKnownDeaths() {
 	for _, p := range w.procs {
-		if !p.up || w.now < p.paused {
+		if !p.up || w.now < p.pausedUntil {
 			continue
 		}
 		if len(p.deathKnownAt) == len(w.deadSince) {
@@ -476,8 +476,8 @@
 				continue
 			}
 			name := fmt.Sprintf("dispatcher-%04d", d)
-			i, there := slices.BinarySearchFunc(v.Members, name, func(m member.Peer, name string) int { return cmp.Compare(m.ID.Name, name) })
-			if !there || down.Has(i) {
+			i, found := slices.BinarySearchFunc(v.Members, name, func(m member.Peer, name string) int { return cmp.Compare(m.ID.Name, name) })
+			if !found || down.Has(i) {
 				p.deathKnownAt[d] = w.now
 			}
 		}
@@ -486,7 +486,7 @@
 
 func (w *World) summarize() Result {
 	r := &w.result
-	r.Views = w.changes
+	r.Views = w.viewChanges
 	r.SettledMS = math.Max(0, float64(w.lastChange-w.lastFaultEnd)/float64(time.Millisecond))
 	length := (w.now - w.faultBegan).Seconds()
 	running := 0
--- a/sim/members/members_test.go
+++ b/sim/members/members_test.go
@@ -20,11 +20,11 @@
 					t.Fatal(err)
 				}
 				// A member that pauses for longer than the timeout may be removed, and may be rejoining when the run ends.
-				coming := f.Name == "long-pauses" || f.Name == "flap" || f.Name == "return"
-				if r.False != 0 || r.Disagree != 0 || r.Undetected != 0 || !r.Agreed && !coming {
+				mayBeRejoining := f.Name == "long-pauses" || f.Name == "flap" || f.Name == "return"
+				if r.False != 0 || r.Disagree != 0 || r.Undetected != 0 || !r.Agreed && !mayBeRejoining {
 					t.Errorf("%+v", r)
 				}
-				if r.NotInTouch != 0 && !coming && !(n == 3 && f.Name == "start") { // two of three seeds are dead: never more than half of the fleet
+				if r.NotInTouch != 0 && !mayBeRejoining && !(n == 3 && f.Name == "start") { // two of three seeds are dead: never more than half of the fleet
 					t.Errorf("not in touch at the end: %+v", r)
 				}
 				if r.BytesWorst > 4000 && f.Name != "start" {
@@ -37,11 +37,11 @@
 					}
 				case "crash", "kill-30", "kill-70":
 					if r.KnownWorstMS > 5000 || r.Views > 3 {
-						t.Errorf("known after %.0f ms, %d views: %+v", r.KnownWorstMS, r.Views, r)
+						t.Errorf("detected after %.0f ms, %d views: %+v", r.KnownWorstMS, r.Views, r)
 					}
 				case "deaf", "unheard":
 					if r.InAndOut > 1 {
-						t.Errorf("out %d times: %+v", r.InAndOut, r)
+						t.Errorf("removed %d times: %+v", r.InAndOut, r)
 					}
 				case "start":
 					if r.FormedMS == 0 && n > 3 {
@@ -98,7 +98,7 @@
 			}
 		}
 		if worse == 0 {
-			t.Errorf("%s under %s is no worse", c.policy, c.fault)
+			t.Errorf("policy %s with fault %s gives no worse results", c.policy, c.fault)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 func TestInvalidConfigIsRejected(t *testing.T) {
 	for _, c := range []Config{{Members: 0, Fault: "none", Policy: "member"}, {Members: 5000, Fault: "none", Policy: "member"}, {Members: 3, Fault: "x", Policy: "member"}, {Members: 3, Fault: "none", Policy: "x"}} {
 		if _, err := Run(c); err == nil {
-			t.Errorf("%+v was played", c)
+			t.Errorf("%+v was accepted", c)
 		}
 	}
 }
