--- a/member/charge.go
+++ b/member/charge.go
@@ -302,7 +302,7 @@
 	return n-m.down.Count()+m.downVoters-m.possiblyPartitioned < quorumSize(n, m.failed) || m.suspectsSelf()
 }
 
-// isRejoining reports whether a later process of the same name asks to join.
+// isRejoining reports whether a later process of the same name requests to join.
 func (m *Member) isRejoining(i int) bool { return m.rejoining.Has(i) }
 
 // hasUnconfirmedReports reports whether members are reported by too few watchers.
--- a/member/join.go
+++ b/member/join.go
@@ -154,7 +154,7 @@
 		return
 	}
 	if i, found := m.view.find(p.ID.Name); found && m.view.Members[i].ID.Incarnation > p.ID.Incarnation {
-		return // an earlier run: it is gone, or will learn that it is superseded
+		return // an earlier run: it has ended, or will learn that it is superseded
 	} else if found && !m.rejoining.Has(i) {
 		m.rejoining.Set(i)
 		m.deadVersion++
@@ -276,7 +276,7 @@
 		return
 	}
 	if v.Index(m.Self().ID) < 0 {
-		if m.view != nil { // without a view, this process asks for admission again
+		if m.view != nil { // without a view, this process requests admission again
 			m.handleExclusion(v)
 		}
 		return
--- a/member/member.go
+++ b/member/member.go
@@ -155,7 +155,7 @@
 	possiblyPartitioned int           // members that may be on the other side of a partition
 	downVoters          int           // members that are down only because they leave or are replaced, and still vote
 	dead                Bits          // proven dead by this member's reports or by others
-	rejoining           Bits          // members of which a later incarnation asks to join
+	rejoining           Bits          // members of which a later incarnation requests to join
 	deadVersion         int           // counts changes of dead and rejoining
 	sentDeadVersion     []int         // by watcher: the last deadVersion sent
 	pendingJoins        []Peer        // by name
--- a/member/message.go
+++ b/member/message.go
@@ -5,13 +5,13 @@
 
 const (
 	Heartbeat     Kind = iota + 1 // sign of life, with updates
-	Ping                          // asks for a sign of life
+	Ping                          // requests a sign of life
 	Pong                          // answers a ping, with updates
-	Hello                         // asks for admission
+	Hello                         // requests admission
 	Welcome                       // answers a hello, with the token that a join must echo
-	Join                          // asks for admission, with the token
+	Join                          // requests admission, with the token
 	JoinNotice                    // announces the view that the receiver has been admitted to
-	ChunkRequest                  // asks for a chunk of a view
+	ChunkRequest                  // requests a chunk of a view
 	ChunkResponse                 // holds a chunk of a view
 	Redirect                      // answers a hello with the addresses of members that may admit the sender
 )
@@ -28,12 +28,12 @@
 	Digest    uint32     `cbor:"7,keyasint,omitempty"` // of all reports that the sender has
 	Reports   []Report   `cbor:"8,keyasint,omitempty"`
 	Dead      Bits       `cbor:"16,keyasint,omitempty"` // members proven dead, according to the sender
-	Rejoining Bits       `cbor:"17,keyasint,omitempty"` // members of which a later incarnation asks to join
+	Rejoining Bits       `cbor:"17,keyasint,omitempty"` // members of which a later incarnation requests to join
 	Round     *Round     `cbor:"9,keyasint,omitempty"`
-	Peers     []Peer     `cbor:"10,keyasint,omitempty"` // processes that ask to join; in a notice or redirect, addresses of members
+	Peers     []Peer     `cbor:"10,keyasint,omitempty"` // processes that request to join; in a notice or redirect, addresses of members
 	Decisions []Decision `cbor:"11,keyasint,omitempty"` // decisions that the receiver may lack
 
-	Peer     *Peer  `cbor:"12,keyasint,omitempty"` // the process that asks to join
+	Peer     *Peer  `cbor:"12,keyasint,omitempty"` // the process that requests to join
 	Token    uint64 `cbor:"13,keyasint,omitempty"`
 	Chunk    *Chunk `cbor:"14,keyasint,omitempty"`
 	SeedRank int    `cbor:"15,keyasint,omitempty"` // rank among the seeds, from 1; 0: not a seed
