--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -12,111 +12,112 @@
 	"liftgauge/member"
 )
 
-// Place is what the fleet looks like from here. Where it is not Known the settings' figures hold.
-type Place struct {
-	Known           bool
-	Number, Members int // this one's rank, and how many there are
-	InZone          int // of them in the own zone
+// FleetPosition is this member's position in the fleet. Where it is not Known, the configured values apply.
+type FleetPosition struct {
+	Known         bool
+	Rank, Members int // this member's rank, and the number of members
+	InZone        int // members in this member's zone
 }
 
-// Config is what a Node needs.
+// Config configures a Node.
 type Config struct {
 	Member    member.Config
 	Codec     *Codec
 	Transport Transport
 	Seed      uint64
-	// Placed is told of every change of the place. It must not block.
-	Placed func(Place)
-	Log    *slog.Logger
-	Now    func() time.Duration
+	// OnPositionChange is called at every change of the position. It must not block.
+	OnPositionChange func(FleetPosition)
+	Log              *slog.Logger
+	Now              func() time.Duration
 }
 
-// Counts are datagrams.
+// Counts are numbers of datagrams.
 type Counts struct{ Sent, Received, Foreign, Newer, Malformed, Refused int64 }
 
-// Node runs one member. One goroutine owns it; another one waits at the transport.
+// Node runs one member. One goroutine owns the member; another one reads from the transport.
 type Node struct {
 	Config
-	m     *member.Member
-	place Place
-	asks  chan func()
-	done  chan struct{}
+	member   *member.Member
+	position FleetPosition
+	queries  chan func()
+	done     chan struct{}
 
-	seen atomic.Pointer[Place]
+	published atomic.Pointer[FleetPosition]
 
 	sent, received, foreign, newer, malformed, refused atomic.Int64
 }
 
-// leaveWithin is how long a member that ends waits for the others to agree to it.
-const leaveWithin = 2500 * time.Millisecond
+// leaveTimeout limits how long a departing member waits for the others to agree.
+const leaveTimeout = 2500 * time.Millisecond
 
-// New returns a Node; Run starts it.
+// New returns a Node, which Run starts.
 func New(c Config) *Node {
-	return &Node{Config: c, asks: make(chan func()), done: make(chan struct{})}
+	return &Node{Config: c, queries: make(chan func()), done: make(chan struct{})}
 }
 
-// Counts returns the datagrams so far.
+// Counts returns the numbers of datagrams so far.
 func (n *Node) Counts() Counts {
 	return Counts{n.sent.Load(), n.received.Load(), n.foreign.Load(), n.newer.Load(), n.malformed.Load(), n.refused.Load()}
 }
 
-// Seen is the place as of a moment ago.
-func (n *Node) Seen() Place {
-	if p := n.seen.Load(); p != nil {
+// Position returns the last published position.
+func (n *Node) Position() FleetPosition {
+	if p := n.published.Load(); p != nil {
 		return *p
 	}
-	return Place{}
+	return FleetPosition{}
 }
 
 type packet struct {
 	from    string
-	m       *member.Message
+	message *member.Message
 	refused bool
 }
 
-// Run plays the member's part until the context ends, and then leaves as planned.
+// Run runs the member until the context ends, and then leaves the view.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.done)
-	n.m = member.New(n.Member, n.Now(), n.Seed)
+	n.member = member.New(n.Member, n.Now(), n.Seed)
 	packets := make(chan packet, 256)
-	ended, end := context.WithCancel(context.Background())
-	defer end()
+	readerContext, stopReader := context.WithCancel(context.Background())
+	defer stopReader()
 	var reader errgroup.Group
-	reader.Go(func() error { n.read(ended, packets); return nil })
+	reader.Go(func() error { n.readDatagrams(readerContext, packets); return nil })
 	defer reader.Wait()
 	defer n.Transport.Close()
-	every := n.Member.Fill(0).Every
-	ticks := time.NewTicker(every)
+	tickInterval := n.Member.WithDefaults(0).TickInterval
+	ticks := time.NewTicker(tickInterval)
 	defer ticks.Stop()
 	leaving := ctx.Done()
-	var last <-chan time.Time
+	var leaveDeadline <-chan time.Time
 	for {
 		select {
 		case p := <-packets:
 			if p.refused {
-				n.m.Refused(n.Now(), p.from)
+				n.member.ReceiveRefusal(n.Now(), p.from)
 			} else {
-				n.m.Receive(n.Now(), p.from, p.m)
+				n.member.Receive(n.Now(), p.from, p.message)
 			}
 		case <-ticks.C:
-			n.m.Tick(n.Now())
-		case f := <-n.asks:
-			f()
+			n.member.Tick(n.Now())
+		case query := <-n.queries:
+			query()
 		case <-leaving:
-			leaving, last = nil, time.After(leaveWithin)
-			n.m.Leave(n.Now())
-		case <-last:
+			leaving, leaveDeadline = nil, time.After(leaveTimeout)
+			n.member.Leave(n.Now())
+		case <-leaveDeadline:
 			return nil
 		}
-		n.act()
-		if leaving == nil && n.m.State() != member.Leaving && n.m.State() != member.Inside {
+		n.applyOutput()
+		if leaving == nil && n.member.State() != member.Leaving && n.member.State() != member.Inside {
 			return nil
 		}
 	}
 }
 
-// read takes datagrams until the transport is closed. Where the member does not keep up they are lost, as they may be anywhere.
-func (n *Node) read(ended context.Context, packets chan<- packet) {
+// readDatagrams reads until the transport is closed. Where the member does not keep up, datagrams are dropped, as the network may
+// do as well.
+func (n *Node) readDatagrams(ctx context.Context, packets chan<- packet) {
 	b := make([]byte, member.MaxBytes+1)
 	for {
 		size, from, refused, err := n.Transport.Receive(b)
@@ -128,7 +129,7 @@
 			n.refused.Add(1)
 		} else {
 			n.received.Add(1)
-			switch p.m, err = n.Codec.Decode(b[:size]); {
+			switch p.message, err = n.Codec.Decode(b[:size]); {
 			case errors.Is(err, ErrForeign):
 				n.foreign.Add(1)
 				continue
@@ -142,17 +143,17 @@
 		}
 		select {
 		case packets <- p:
-		case <-ended.Done():
+		case <-ctx.Done():
 			return
 		default:
 		}
 	}
 }
 
-// act sends and tells what the member wants.
-func (n *Node) act() {
-	out, events := n.m.Take()
-	for _, e := range out {
+// applyOutput sends the member's messages, logs its events and publishes its position.
+func (n *Node) applyOutput() {
+	messages, events := n.member.Drain()
+	for _, e := range messages {
 		b, err := n.Codec.Encode(e.Message)
 		if err != nil {
 			n.Log.Warn("membership: message not sent", "kind", e.Message.Kind, "err", err)
@@ -163,84 +164,84 @@
 	}
 	for _, e := range events {
 		if e.View == nil {
-			n.Log.Warn("membership: out of the view", "reason", e.Reason, "state", n.m.State())
+			n.Log.Warn("membership: left the view", "reason", e.Reason, "state", n.member.State())
 			continue
 		}
 		n.Log.Info("membership: view", "lineage", e.View.Lineage, "number", e.View.Number, "members", len(e.View.Members), "reason", e.Reason)
 	}
-	var p Place
-	if v := n.m.View(); v != nil && n.m.InTouch() {
+	var p FleetPosition
+	if v := n.member.View(); v != nil && n.member.HasQuorum() {
 		p.Known = true
-		p.Number, p.Members = v.Place(n.m.Self().ID)
-		_, p.InZone = v.PlaceIn(n.m.Self().ID, n.m.Self().Zone)
+		p.Rank, p.Members = v.Rank(n.member.Self().ID)
+		_, p.InZone = v.RankInZone(n.member.Self().ID, n.member.Self().Zone)
 	}
-	if p != n.place {
-		if n.place.Known != p.Known {
-			n.Log.Info("membership: in touch", "with_most", p.Known, "number", p.Number, "members", p.Members)
+	if p != n.position {
+		if n.position.Known != p.Known {
+			n.Log.Info("membership: contact with a quorum changed", "with_most", p.Known, "number", p.Rank, "members", p.Members)
 		}
-		n.place = p
-		n.seen.Store(&p)
-		n.Placed(p)
+		n.position = p
+		n.published.Store(&p)
+		n.OnPositionChange(p)
 	}
 }
 
-// Status is what the member knows, for operators.
+// Status is the member's state for operators.
 type Status struct {
-	State   string         `json:"state"`
-	InTouch bool           `json:"in_touch"`
-	Name    string         `json:"name"`
-	Inc     uint64         `json:"incarnation"`
-	Lineage uint64         `json:"lineage,omitempty"`
-	View    uint64         `json:"view,omitempty"`
-	Number  int            `json:"number"` // -1: not in a view
-	Members []MemberStatus `json:"members"`
+	State       string         `json:"state"`
+	InTouch     bool           `json:"in_touch"`
+	Name        string         `json:"name"`
+	Incarnation uint64         `json:"incarnation"`
+	Lineage     uint64         `json:"lineage,omitempty"`
+	View        uint64         `json:"view,omitempty"`
+	Number      int            `json:"number"` // -1: not in a view
+	Members     []MemberStatus `json:"members"`
 }
 
-// MemberStatus is one line of it.
+// MemberStatus is the state of one member of the view.
 type MemberStatus struct {
-	Name      string   `json:"name"`
-	Inc       uint64   `json:"incarnation"`
-	Address   string   `json:"address"`
-	Zone      int      `json:"zone"`
-	State     string   `json:"state"`              // up, suspected, down or gone
-	HeardMS   int64    `json:"heard_ms,omitempty"` // ago, where this member watches it
-	Watched   bool     `json:"watched"`            // by this member
-	Suspected []string `json:"suspected_by,omitempty"`
+	Name        string   `json:"name"`
+	Incarnation uint64   `json:"incarnation"`
+	Address     string   `json:"address"`
+	Zone        int      `json:"zone"`
+	State       string   `json:"state"`              // up, suspected, down or gone
+	HeardMS     int64    `json:"heard_ms,omitempty"` // time since the last sign of life, where this member watches it
+	Watched     bool     `json:"watched"`            // by this member
+	SuspectedBy []string `json:"suspected_by,omitempty"`
 }
 
-// Status asks the member.
+// Status queries the goroutine that owns the member.
 func (n *Node) Status(ctx context.Context) (s Status, err error) {
 	answered := make(chan struct{})
-	ask := func() {
+	query := func() {
 		defer close(answered)
-		self := n.m.Self().ID
-		s = Status{State: n.m.State().String(), InTouch: n.m.InTouch(), Name: self.Name, Inc: self.Inc, Number: -1}
-		if v := n.m.View(); v != nil {
+		self := n.member.Self().ID
+		s = Status{State: n.member.State().String(), InTouch: n.member.HasQuorum(), Name: self.Name, Incarnation: self.Incarnation, Number: -1}
+		if v := n.member.View(); v != nil {
 			s.Lineage, s.View = v.Lineage, v.Number
-			s.Number, _ = v.Place(self)
+			s.Number, _ = v.Rank(self)
 		}
-		for _, e := range n.m.Members() {
-			m := MemberStatus{Name: e.ID.Name, Inc: e.ID.Inc, Address: e.Address, Zone: e.Zone, State: "up", Suspected: append(e.Silent, e.Refused...), Watched: e.Heard >= 0}
+		for _, e := range n.member.Members() {
+			m := MemberStatus{Name: e.ID.Name, Incarnation: e.ID.Incarnation, Address: e.Address, Zone: e.Zone, State: "up", SuspectedBy: append(e.TimedOutBy, e.RefusedBy...), Watched: e.SinceHeard >= 0}
 			if m.Watched {
-				m.HeardMS = e.Heard.Milliseconds()
+				m.HeardMS = e.SinceHeard.Milliseconds()
 			}
 			switch {
-			case e.Gone:
+			case e.Failed:
 				m.State = "gone"
 			case e.Down:
 				m.State = "down"
-			case len(m.Suspected) > 0:
+			case len(m.SuspectedBy) > 0:
 				m.State = "suspected"
 			}
 			s.Members = append(s.Members, m)
 		}
 	}
 	select {
-	case n.asks <- ask:
+	case n.queries <- query:
 		<-answered
 		return s, nil
 	case <-n.done:
-		return s, errors.New("membership has ended")
+		return s, errors.New("membership has stopped")
 	case <-ctx.Done():
 		return s, ctx.Err()
 	}
--- a/member/join.go
+++ b/member/join.go
@@ -9,265 +9,266 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const chunkPeers = 16 // a chunk of peers with long names still fits a datagram
+const peersPerChunk = 16 // a chunk of peers with long names still fits a datagram
 
-// seek looks for members to be let in by.
-func (m *Member) seek() {
-	if m.wantFrom != "" && m.now-m.pulled > 4*m.Every {
-		m.pullMore()
+// seekMembership looks for members that admit this one.
+func (m *Member) seekMembership() {
+	if m.fetchSource != "" && m.now-m.lastChunkRequest > 4*m.TickInterval {
+		m.requestChunks()
 	}
-	if m.now < m.helloAt {
+	if m.now < m.nextHello {
 		return
 	}
 	self := m.Self()
-	// The longer it takes the more others are likely to want in as well.
-	every := min(helloEvery+(m.now-m.since)/8, helloMost)
+	// The longer it takes, the more processes are likely to be joining as well.
+	interval := min(helloInterval+(m.now-m.outsideSince)/8, maxHelloInterval)
 	if m.state == Superseded {
-		every = strayEvery
+		interval = slowInterval
 	}
-	m.helloAt = m.now + every/2 + time.Duration(m.rng.Int64N(int64(every)))
-	hello := func(to string) { m.send(to, &Message{Kind: Hello, Peer: &self, Rank: m.rank()}) }
-	// Who knows of others leaves the seeds to those that don't: all start there, and few there are.
-	if len(m.Seeds) > 0 && (len(m.known) == 0 || m.rng.IntN(4) == 0) {
+	m.nextHello = m.now + interval/2 + time.Duration(m.rng.Int64N(int64(interval)))
+	sendHello := func(to string) { m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.seedRank()}) }
+	// A process that has other addresses spares the few seeds, where all start, for those that have none.
+	if len(m.Seeds) > 0 && (len(m.knownAddresses) == 0 || m.rng.IntN(4) == 0) {
 		seed := m.Seeds[m.rng.IntN(len(m.Seeds))]
-		for tries := len(m.Seeds); m.now < m.shut[seed] && tries > 0; tries-- {
+		for attempts := len(m.Seeds); m.now < m.refusedSeeds[seed] && attempts > 0; attempts-- {
 			seed = m.Seeds[m.rng.IntN(len(m.Seeds))]
 		}
-		hello(seed)
-		if rank := m.rank(); rank > 1 { // is one before it there?
-			hello(m.Seeds[m.rng.IntN(rank-1)])
+		sendHello(seed)
+		if rank := m.seedRank(); rank > 1 { // is a seed of lower rank there?
+			sendHello(m.Seeds[m.rng.IntN(rank-1)])
 		}
 	}
-	if len(m.known) > 0 {
-		hello(m.known[m.rng.IntN(len(m.known))])
+	if len(m.knownAddresses) > 0 {
+		sendHello(m.knownAddresses[m.rng.IntN(len(m.knownAddresses))])
 	}
-	if m.now-m.knownAt > 10*m.Found { // nobody of them is there any more
-		m.known = nil
+	if m.now-m.lastKnownUpdate > 10*m.FoundingDelay { // none of them is there any more
+		m.knownAddresses = nil
 	}
-	if rank := time.Duration(m.rank()); rank > 0 && m.state == Outside && m.now-m.since >= rank*m.Found && m.now-m.lowerOut >= m.Found && m.wantFrom == "" && len(m.known) == 0 {
-		m.install(&View{Lineage: xxhash.Sum64String(self.ID.Name) ^ self.ID.Inc*0x9e3779b97f4a7c15 | 1, Number: 1, Most: 1, Members: []Peer{self}}, "founded")
+	if rank := time.Duration(m.seedRank()); rank > 0 && m.state == Outside && m.now-m.outsideSince >= rank*m.FoundingDelay && m.now-m.lowerSeedOutsideAt >= m.FoundingDelay && m.fetchSource == "" && len(m.knownAddresses) == 0 {
+		m.installView(&View{Lineage: xxhash.Sum64String(self.ID.Name) ^ self.ID.Incarnation*0x9e3779b97f4a7c15 | 1, Number: 1, LargestSize: 1, Members: []Peer{self}}, "founded")
 	}
 }
 
-// token proves that who says it back at an address has heard what was said there.
-func (m *Member) token(address string, id ID) uint64 {
+// joinToken returns a token that proves that a process receives messages at an address.
+func (m *Member) joinToken(address string, id ID) uint64 {
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:], m.secret)
-	binary.LittleEndian.PutUint64(b[8:], id.Inc)
+	binary.LittleEndian.PutUint64(b[:], m.tokenSecret)
+	binary.LittleEndian.PutUint64(b[8:], id.Incarnation)
 	return xxhash.Sum64String(address+"\x00"+id.Name+"\x00"+string(b[:])) | 1
 }
 
-// hello answers one that wants in, or looks for another lineage.
-func (m *Member) hello(from string, msg *Message) {
+// handleHello answers a process that wants to join, or a member of another lineage.
+func (m *Member) handleHello(from string, msg *Message) {
 	if msg.Peer == nil || msg.Peer.ID != msg.From || msg.Peer.Address != from {
-		m.dropped.Malformed++ // who says it listens elsewhere cannot be told from who cannot hear
+		m.dropped.Malformed++ // with a different address it cannot be told from a process that cannot receive
 		return
 	}
-	if m.fill < float64(m.Budget) && msg.Rank == 0 { // beats go first; it will ask again, or somebody else
-		if m.fill > 0 && m.view != nil && len(m.view.Members) > m.Watchers {
-			m.refer(from)
+	if m.tokens < float64(m.BytesPerSecond) && msg.SeedRank == 0 { // heartbeats take precedence; the sender will repeat it, or ask another member
+		if m.tokens > 0 && m.view != nil && len(m.view.Members) > m.Watchers {
+			m.redirect(from)
 		}
 		return
 	}
 	if m.view == nil {
 		if m.state == Outside {
-			if own := m.rank(); msg.Rank > 0 && (own == 0 || msg.Rank < own) {
-				m.lowerOut = m.now
+			if ownRank := m.seedRank(); msg.SeedRank > 0 && (ownRank == 0 || msg.SeedRank < ownRank) {
+				m.lowerSeedOutsideAt = m.now
 			}
-			out := &Message{Kind: Out, Rank: m.rank()}
-			for _, address := range m.known[:min(2, len(m.known))] { // who may be in
-				out.Joins = append(out.Joins, Peer{Address: address})
+			response := &Message{Kind: Redirect, SeedRank: m.seedRank()}
+			for _, address := range m.knownAddresses[:min(2, len(m.knownAddresses))] { // these may be inside
+				response.Peers = append(response.Peers, Peer{Address: address})
 			}
-			m.send(from, out)
+			m.send(from, response)
 		}
 		return
 	}
 	if msg.Lineage == m.view.Lineage && msg.View > 0 {
-		return // a member that has missed much, or is ahead: beats see to that
+		return // a member that is behind or ahead: heartbeats bring it up to date
 	}
 	if msg.Lineage != 0 {
-		m.foreign(from, msg)
+		m.handleOtherLineage(from, msg)
 		return
 	}
-	m.send(from, &Message{Kind: Welcome, Token: m.token(from, msg.From), Hash: m.view.Hash()})
+	m.send(from, &Message{Kind: Welcome, Token: m.joinToken(from, msg.From), Hash: m.view.Hash()})
 }
 
-// refer names some members to one that wants in: where many do, those that they ask first cannot see to all.
-func (m *Member) refer(to string) {
-	out := &Message{Kind: Out}
+// redirect names some members to a process that wants to join: where many join at once, the first members asked cannot serve all.
+func (m *Member) redirect(to string) {
+	response := &Message{Kind: Redirect}
 	for range min(2, len(m.view.Members)) {
-		if i := m.rng.IntN(len(m.view.Members)); !m.down.Has(i) && i != m.at {
-			out.Joins = append(out.Joins, Peer{Address: m.view.Members[i].Address})
+		if i := m.rng.IntN(len(m.view.Members)); !m.down.Has(i) && i != m.position {
+			response.Peers = append(response.Peers, Peer{Address: m.view.Members[i].Address})
 		}
 	}
-	m.send(to, out)
+	m.send(to, response)
 }
 
-// welcome is the answer of a member. One that is in a smaller lineage leaves it for the larger.
-func (m *Member) welcome(from string, msg *Message) {
+// handleWelcome answers a member's token with a join. A member of a smaller lineage leaves it for the larger one.
+func (m *Member) handleWelcome(from string, msg *Message) {
 	if m.view != nil {
-		m.foreign(from, msg)
+		m.handleOtherLineage(from, msg)
 		return
 	}
-	if m.state != Outside && m.state != Superseded || m.wantFrom != "" || msg.Token == 0 {
+	if m.state != Outside && m.state != Superseded || m.fetchSource != "" || msg.Token == 0 {
 		return
 	}
 	self := m.Self()
 	m.send(from, &Message{Kind: Join, Peer: &self, Token: msg.Token})
-	m.helloAt = max(m.helloAt, m.now+helloMost) // a change takes a second or two
+	m.nextHello = max(m.nextHello, m.now+maxHelloInterval) // a view change takes a second or two
 }
 
-// foreign deals with a member of another lineage: of the two that should be one the smaller gives way.
-func (m *Member) foreign(from string, msg *Message) {
+// handleOtherLineage handles a message of a member of another lineage: of two lineages the smaller one gives way.
+func (m *Member) handleOtherLineage(from string, msg *Message) {
 	if msg.Lineage == 0 || msg.Lineage == m.view.Lineage || m.state != Inside {
 		return
 	}
 	if cmp.Or(cmp.Compare(msg.Size, len(m.view.Members)), cmp.Compare(m.view.Lineage, msg.Lineage)) > 0 {
-		known := []string{from}
-		m.away(Outside, "its lineage gives way to a larger one")
-		m.known = known
+		addresses := []string{from}
+		m.exitView(Outside, "its lineage gives way to a larger one")
+		m.knownAddresses = addresses
 		return
 	}
-	if msg.Kind != Welcome { // that one should know
+	if msg.Kind != Welcome { // the sender's lineage is to give way
 		m.send(from, &Message{Kind: Welcome, Hash: m.view.Hash()})
 	}
 }
 
-// join takes the word of one that has said the token back.
-func (m *Member) join(from string, msg *Message) {
-	if m.view == nil || msg.Peer == nil || msg.Peer.ID != msg.From || msg.Peer.Address != from || msg.Token != m.token(from, msg.From) {
+// handleJoin accepts a join with a valid token.
+func (m *Member) handleJoin(from string, msg *Message) {
+	if m.view == nil || msg.Peer == nil || msg.Peer.ID != msg.From || msg.Peer.Address != from || msg.Token != m.joinToken(from, msg.From) {
 		m.dropped.Malformed++
 		return
 	}
-	if m.view.Index(msg.From) >= 0 { // it has not heard
-		m.send(from, m.invite(nil))
+	if m.view.Index(msg.From) >= 0 { // it has not received the notice
+		m.send(from, m.joinNotice(nil))
 		return
 	}
-	m.anybody = m.now // the way there and back is open
-	m.sponsor[msg.From] = from
-	m.wait(*msg.Peer)
+	m.lastContact = m.now // both directions work
+	m.sponsored[msg.From] = from
+	m.addPendingJoin(*msg.Peer)
 }
 
-// wait keeps one that wants in until it is. Of one name the highest incarnation counts.
-func (m *Member) wait(p Peer) {
+// addPendingJoin keeps a join until it is decided. Of one name the highest incarnation counts.
+func (m *Member) addPendingJoin(p Peer) {
 	if p.ID.Name == "" || p.Address == "" || m.view.Index(p.ID) >= 0 {
 		return
 	}
-	if i, there := m.view.find(p.ID.Name); there && m.view.Members[i].ID.Inc > p.ID.Inc {
-		return // an older run: it is gone, or will hear that it is
-	} else if there && !m.again.Has(i) {
-		m.again.Set(i)
-		m.deaths++
+	if i, found := m.view.find(p.ID.Name); found && m.view.Members[i].ID.Incarnation > p.ID.Incarnation {
+		return // an earlier run: it has ended, or will learn that it is superseded
+	} else if found && !m.rejoining.Has(i) {
+		m.rejoining.Set(i)
+		m.deadVersion++
 	}
-	at, there := slices.BinarySearchFunc(m.joins, p.ID.Name, func(q Peer, name string) int { return cmp.Compare(q.ID.Name, name) })
+	at, found := slices.BinarySearchFunc(m.pendingJoins, p.ID.Name, func(q Peer, name string) int { return cmp.Compare(q.ID.Name, name) })
 	switch {
-	case there && m.joins[at].ID.Inc >= p.ID.Inc:
+	case found && m.pendingJoins[at].ID.Incarnation >= p.ID.Incarnation:
 		return
-	case there:
-		m.joins[at] = p
+	case found:
+		m.pendingJoins[at] = p
 	default:
-		m.joins = slices.Insert(m.joins, at, p)
+		m.pendingJoins = slices.Insert(m.pendingJoins, at, p)
 	}
-	m.news, m.changed = true, m.now
+	m.evaluationDue, m.lastChange = true, m.now
 }
 
-// notice says that this member is in a view, which it fetches.
-func (m *Member) notice(from string, msg *Message) {
-	if m.state != Outside && m.state != Superseded || msg.Lineage == 0 || msg.Size <= 0 || m.wantFrom != "" && msg.Lineage == m.want.Lineage && msg.View <= m.want.View {
+// handleJoinNotice starts to fetch the view that this member has been admitted to.
+func (m *Member) handleJoinNotice(from string, msg *Message) {
+	if m.state != Outside && m.state != Superseded || msg.Lineage == 0 || msg.Size <= 0 || m.fetchSource != "" && msg.Lineage == m.wantedView.Lineage && msg.View <= m.wantedView.View {
 		return
 	}
-	m.want, m.wantFrom, m.fetched = *msg, from, m.now
-	m.sources = m.sources[:0]
-	for _, p := range msg.Joins {
-		m.sources = append(m.sources, p.Address)
+	m.wantedView, m.fetchSource, m.lastChunk = *msg, from, m.now
+	m.chunkSources = m.chunkSources[:0]
+	for _, p := range msg.Peers {
+		m.chunkSources = append(m.chunkSources, p.Address)
 	}
-	m.chunks = make([]*Chunk, (min(msg.Size, 1<<16)+chunkPeers-1)/chunkPeers)
-	m.pullMore()
+	m.chunks = make([]*Chunk, (min(msg.Size, 1<<16)+peersPerChunk-1)/peersPerChunk)
+	m.requestChunks()
 }
 
-// fetch gets the view of a member that is too far ahead to be followed.
-func (m *Member) fetch(from string, msg *Message) {
-	if m.wantFrom != "" && m.now-m.pulled < 4*m.Every || msg.Size <= 0 {
+// fetchView fetches the view of a member that is too far ahead for its decisions to be followed.
+func (m *Member) fetchView(from string, msg *Message) {
+	if m.fetchSource != "" && m.now-m.lastChunkRequest < 4*m.TickInterval || msg.Size <= 0 {
 		return
 	}
-	if m.wantFrom == "" || msg.View > m.want.View {
-		if msg.Hash == 0 { // a beat does not say it
+	if m.fetchSource == "" || msg.View > m.wantedView.View {
+		if msg.Hash == 0 { // heartbeats have no hash
 			m.send(from, &Message{Kind: Ping, Digest: m.digest})
 			return
 		}
-		m.want, m.wantFrom, m.fetched, m.sources = *msg, from, m.now, nil
-		m.chunks = make([]*Chunk, (min(msg.Size, 1<<16)+chunkPeers-1)/chunkPeers)
+		m.wantedView, m.fetchSource, m.lastChunk, m.chunkSources = *msg, from, m.now, nil
+		m.chunks = make([]*Chunk, (min(msg.Size, 1<<16)+peersPerChunk-1)/peersPerChunk)
 	}
-	m.pullMore()
+	m.requestChunks()
 }
 
-// pullMore asks for chunks that are missing, a few at a time.
-func (m *Member) pullMore() {
-	m.pulled = m.now
-	asked := 0
-	from := slices.Clone(m.sources) // and those that are in it by what came already: one member alone cannot serve all that join
+// requestChunks requests a few of the missing chunks.
+func (m *Member) requestChunks() {
+	m.lastChunkRequest = m.now
+	requested := 0
+	// Members named in the chunks received so far have the view as well: a single member cannot serve all that join.
+	sources := slices.Clone(m.chunkSources)
 	for _, c := range m.chunks {
 		if c != nil {
 			for _, p := range c.Members {
-				from = append(from, p.Address)
+				sources = append(sources, p.Address)
 			}
 		}
 	}
 	for i, c := range m.chunks {
-		if c == nil && asked < 4 {
-			to := m.wantFrom
-			if len(from) > 0 && m.rng.IntN(4) > 0 {
-				to = from[m.rng.IntN(len(from))]
+		if c == nil && requested < 4 {
+			to := m.fetchSource
+			if len(sources) > 0 && m.rng.IntN(4) > 0 {
+				to = sources[m.rng.IntN(len(sources))]
 			}
-			m.send(to, &Message{Kind: Pull, Token: m.want.View, Hash: m.want.Hash, Part: &Chunk{Index: i}})
-			asked++
+			m.send(to, &Message{Kind: ChunkRequest, Token: m.wantedView.View, Hash: m.wantedView.Hash, Chunk: &Chunk{Index: i}})
+			requested++
 		}
 	}
-	if m.now-m.fetched > m.Silent { // whoever it was, it says nothing more
-		m.wantFrom, m.chunks = "", nil
+	if m.now-m.lastChunk > m.SuspicionTimeout { // the source does not answer any more
+		m.fetchSource, m.chunks = "", nil
 	}
 }
 
-// pull hands out a chunk.
-func (m *Member) pull(from string, msg *Message) {
-	if m.view == nil || msg.Part == nil || msg.Part.Index < 0 || m.fill < -float64(m.Budget) {
+// handleChunkRequest sends a chunk of a recent view.
+func (m *Member) handleChunkRequest(from string, msg *Message) {
+	if m.view == nil || msg.Chunk == nil || msg.Chunk.Index < 0 || m.tokens < -float64(m.BytesPerSecond) {
 		return
 	}
-	at := slices.IndexFunc(m.lately, func(v *View) bool { return v.Number == msg.Token && v.Hash() == msg.Hash })
-	if at < 0 { // it is too old
-		m.send(from, m.invite(nil))
+	at := slices.IndexFunc(m.recentViews, func(v *View) bool { return v.Number == msg.Token && v.Hash() == msg.Hash })
+	if at < 0 { // no longer among the recent views
+		m.send(from, m.joinNotice(nil))
 		return
 	}
-	v := m.lately[at]
-	first := msg.Part.Index * chunkPeers
+	v := m.recentViews[at]
+	first := msg.Chunk.Index * peersPerChunk
 	if first >= len(v.Members) {
 		return
 	}
-	m.send(from, &Message{Kind: Part, Token: v.Number, Hash: msg.Hash, Part: &Chunk{Index: msg.Part.Index, Of: (len(v.Members) + chunkPeers - 1) / chunkPeers, Most: v.Most,
-		Members: v.Members[first:min(first+chunkPeers, len(v.Members))]}})
+	m.send(from, &Message{Kind: ChunkResponse, Token: v.Number, Hash: msg.Hash, Chunk: &Chunk{Index: msg.Chunk.Index, Count: (len(v.Members) + peersPerChunk - 1) / peersPerChunk, LargestSize: v.LargestSize,
+		Members: v.Members[first:min(first+peersPerChunk, len(v.Members))]}})
 }
 
-// part takes a chunk, and with the last one the view.
-func (m *Member) part(from string, msg *Message) {
-	if m.wantFrom == "" || msg.Part == nil || msg.Lineage != m.want.Lineage || msg.Token != m.want.View || msg.Hash != m.want.Hash ||
-		msg.Part.Of != len(m.chunks) || msg.Part.Index < 0 || msg.Part.Index >= len(m.chunks) {
+// handleChunkResponse stores a chunk, and installs the view when it is complete.
+func (m *Member) handleChunkResponse(from string, msg *Message) {
+	if m.fetchSource == "" || msg.Chunk == nil || msg.Lineage != m.wantedView.Lineage || msg.Token != m.wantedView.View || msg.Hash != m.wantedView.Hash ||
+		msg.Chunk.Count != len(m.chunks) || msg.Chunk.Index < 0 || msg.Chunk.Index >= len(m.chunks) {
 		return
 	}
-	m.fetched = m.now
-	m.chunks[msg.Part.Index] = msg.Part
+	m.lastChunk = m.now
+	m.chunks[msg.Chunk.Index] = msg.Chunk
 	if slices.Contains(m.chunks, nil) {
-		if m.now-m.pulled > m.Every {
-			m.pullMore()
+		if m.now-m.lastChunkRequest > m.TickInterval {
+			m.requestChunks()
 		}
 		return
 	}
-	v := &View{Lineage: m.want.Lineage, Number: m.want.View}
+	v := &View{Lineage: m.wantedView.Lineage, Number: m.wantedView.View}
 	for _, c := range m.chunks {
-		v.Most = c.Most
+		v.LargestSize = c.LargestSize
 		v.Members = append(v.Members, c.Members...)
 	}
-	m.wantFrom, m.chunks = "", nil
-	if v.Hash() != m.want.Hash || !slices.IsSortedFunc(v.Members, func(a, b Peer) int { return cmp.Compare(a.ID.Name, b.ID.Name) }) {
+	m.fetchSource, m.chunks = "", nil
+	if v.Hash() != m.wantedView.Hash || !slices.IsSortedFunc(v.Members, func(a, b Peer) int { return cmp.Compare(a.ID.Name, b.ID.Name) }) {
 		m.dropped.Malformed++
 		return
 	}
@@ -275,11 +276,11 @@
 		return
 	}
 	if v.Index(m.Self().ID) < 0 {
-		if m.view != nil { // else it is not in any more, and asks again
-			m.without(v)
+		if m.view != nil { // without a view, this process requests admission again
+			m.handleExclusion(v)
 		}
 		return
 	}
 	m.history = nil
-	m.install(v, "let in")
+	m.installView(v, "admitted")
 }
--- a/member/member.go
+++ b/member/member.go
@@ -1,8 +1,8 @@
-// Package member decides who of a fleet's processes live, and has all that are in touch agree on it.
+// Package member maintains an agreed view of which processes of a fleet are alive.
 //
-// A Member does no I/O, reads no clock and starts no goroutine: it takes messages, times and a seed, and returns what is to be sent and
-// what has changed. Its host calls Tick at least every Config.Every and passes on every datagram that comes. What it promises, and how it
-// goes about it, stands in docs/design-membership.md.
+// A Member does no I/O, reads no clock and starts no goroutine: it is given messages, times and a seed, and returns the messages
+// to send and the changes of its view. Its host calls Tick at least every Config.TickInterval and passes on every received
+// datagram. docs/design-membership.md describes the protocol and its guarantees.
 package member
 
 import (
@@ -12,293 +12,292 @@
 	"time"
 )
 
-// Config is what a Member needs. Fill gives what is 0 its default.
+// Config configures a Member. WithDefaults replaces zero values.
 type Config struct {
-	Self  Peer
-	Seeds []string // addresses of members that may be asked to let one in
-	Fleet int      // how many there should be: a lineage that never had more than half of them is nobody's word
-
-	Watchers int           // of each member; 16 at most
-	Every    time.Duration // between two calls of Tick
-	Beat     time.Duration // between two beats to one watcher
-	Ask      time.Duration // of silence, before a watcher asks
-	Silent   time.Duration // of silence, before it charges: longer than any pause that is to be borne
-	Settle   time.Duration // without news, before a change is proposed
-	Stuck    time.Duration // without progress of a vote, before the next in the order tries
-	Found    time.Duration // without a member to be found, before a seed founds a lineage
-	Flap     time.Duration // how long a member that was removed waits before it is let in again; twice as long each time
-	Budget   int           // bytes a second, with heads of IP and UDP
-	// NoRefusals: "port unreachable" proves nothing here, as somebody else may say it.
-	NoRefusals bool
-	Shared     *Shared // by members of one process; may be nil
-	// Without leaves out protections, to measure what they are worth.
-	Without Protection
+	Self      Peer
+	Seeds     []string // addresses of members that may be asked for admission
+	FleetSize int      // intended number of members: a lineage that never had more than half of them has no quorum
+
+	Watchers          int           // per member; at most 16
+	TickInterval      time.Duration // longest time between two calls of Tick
+	HeartbeatInterval time.Duration // between two heartbeats to one watcher
+	PingAfter         time.Duration // silence after which a watcher pings its subject
+	SuspicionTimeout  time.Duration // silence after which a watcher reports its subject; longer than any pause to be tolerated
+	ProposalDelay     time.Duration // time without new reports or joins before a change is proposed
+	BallotTimeout     time.Duration // time without progress after which the next proposer starts a ballot
+	FoundingDelay     time.Duration // time without finding a member after which a seed founds a lineage
+	RejoinDelay       time.Duration // before a removed member is admitted again; doubles with each removal
+	BytesPerSecond    int           // including IP and UDP headers
+	// IgnoreRefusals disregards "port unreachable" as proof, for networks where another host may send it.
+	IgnoreRefusals bool
+	Shared         *Shared // between members of one process; may be nil
+	// Disabled switches protections off, to measure their effect.
+	Disabled Protection
 }
 
-// Protection is a set of what keeps a member from being taken for dead.
+// Protection is a set of measures against false failure detection.
 type Protection uint8
 
-// The protections.
 const (
-	Word      Protection = 1 << iota // the accused clears itself by a later generation
-	Doubt                            // a watcher most of whose subjects are silent charges nobody, a deaf one falls silent
-	Awareness                        // a watcher that was away gives its subjects that time
-	Marks                            // it takes seven tenths of the watchers, not one
+	Refutation     Protection = 1 << iota // a reported member clears itself with a higher generation
+	SelfSuspicion                         // a watcher that finds most subjects silent reports none of them; one that receives nothing sends no heartbeats
+	PauseDetection                        // a watcher that was paused extends its subjects' timeouts by the pause
+	Watermarks                            // a member is down when 0.7 of its watchers report it, not one
 )
 
-// Fill returns the configuration with defaults for what is missing, for a net on which a way there and back takes so long.
-func (c Config) Fill(trip time.Duration) Config {
-	// A beat, two asks and their answers must fit into each other whatever the way: below 50 ms there and back nothing grows.
-	grown := max(1, float64(trip)/float64(50*time.Millisecond))
-	set := func(d *time.Duration, usual time.Duration) {
+// WithDefaults returns the configuration with defaults for zero values, scaled to the network's round-trip time.
+func (c Config) WithDefaults(roundTrip time.Duration) Config {
+	// A heartbeat, two pings and their answers must fit into these intervals at any round-trip time. They scale with round-trip
+	// times above 50 ms.
+	scale := max(1, float64(roundTrip)/float64(50*time.Millisecond))
+	set := func(d *time.Duration, standard time.Duration) {
 		if *d <= 0 {
-			*d = time.Duration(float64(usual) * grown)
+			*d = time.Duration(float64(standard) * scale)
 		}
 	}
-	set(&c.Every, 50*time.Millisecond)
-	set(&c.Beat, 500*time.Millisecond)
-	set(&c.Ask, 1250*time.Millisecond)
-	set(&c.Silent, 6*time.Second)
-	set(&c.Settle, 700*time.Millisecond)
-	set(&c.Stuck, 2*time.Second)
-	set(&c.Found, 2*time.Second)
-	set(&c.Flap, 5*time.Second)
+	set(&c.TickInterval, 50*time.Millisecond)
+	set(&c.HeartbeatInterval, 500*time.Millisecond)
+	set(&c.PingAfter, 1250*time.Millisecond)
+	set(&c.SuspicionTimeout, 6*time.Second)
+	set(&c.ProposalDelay, 700*time.Millisecond)
+	set(&c.BallotTimeout, 2*time.Second)
+	set(&c.FoundingDelay, 2*time.Second)
+	set(&c.RejoinDelay, 5*time.Second)
 	if c.Watchers <= 0 {
 		c.Watchers = 10
 	}
 	c.Watchers = min(c.Watchers, 16)
-	if c.Budget <= 0 {
-		c.Budget = 3400 // with the burst it stays under 4,000 in any minute
+	if c.BytesPerSecond <= 0 {
+		c.BytesPerSecond = 3400 // with the burst, less than 4,000 in any minute
 	}
 	return c
 }
 
 const (
-	high       = 0.7 // of a member's watchers that are not down themselves make it down
-	low        = 0.3 // of them may mean that it and the others are beyond a cut
-	burst      = 10  // seconds of the budget that may be used at once: changes are rare
-	asks       = 2   // of them refused prove a death
-	doubt      = 0.6 // of a watcher's subjects silent at once: rather it is itself
-	joinRoom   = 800 // bytes of those that join in one change: with votes and the rest they fit a datagram
-	historyLen = 32  // changes kept for those that are behind
-	latelyLen  = 8   // views kept for those that fetch one
-	flapMost   = 5 * time.Minute
-	flapFades  = 10 * time.Minute
-	helloEvery = 400 * time.Millisecond
-	helloMost  = 3 * time.Second
-	strayEvery = 5 * time.Second // a look for other lineages, and for those that have missed much
+	highWatermark      = 0.7 // share of a member's watchers, not down themselves, whose reports make it down
+	lowWatermark       = 0.3 // share whose reports suggest that the member and its other watchers are partitioned
+	burstSeconds       = 10  // seconds of the byte rate that may be used at once, as changes are rare
+	refusalsForProof   = 2   // refused pings that prove a failure
+	selfSuspicionShare = 0.6 // share of silent subjects above which a watcher suspects itself
+	maxJoinBytes       = 800 // joins in one change: with votes and the other fields they fit a datagram
+	maxHistory         = 32  // decisions kept for members that are behind
+	maxRecentViews     = 8   // views kept for members that are fetching one
+	maxBackoff         = 5 * time.Minute
+	removalMemory      = 10 * time.Minute
+	helloInterval      = 400 * time.Millisecond
+	maxHelloInterval   = 3 * time.Second
+	slowInterval       = 5 * time.Second // checks for other lineages; hellos and pings that are rarely answered
 )
 
-// Envelope is a message and where it goes.
+// Envelope is a message with its destination address.
 type Envelope struct {
 	To      string
 	Message *Message
 }
 
-// Event is something that the host is told.
+// Event reports a change of the view to the host.
 type Event struct {
-	View   *View // of a change of the view; else nil
+	View   *View // the new view; nil: the member left its view
 	Reason string
 }
 
-// subject is what a watcher knows of one whom it watches.
+// subject is the state that a watcher keeps of a member it watches.
 type subject struct {
-	heard    time.Duration // last sign of life
-	asked    time.Duration // last ping
-	refusals int           // answered by "port unreachable" since then
-	charged  time.Duration // when this member charged it last; 0: not since it was heard
-	refuted  int           // how often such a charge was refuted lately
-	until    time.Duration // no charge before
+	lastHeard       time.Duration
+	lastPing        time.Duration
+	refusals        int           // pings since lastHeard that were answered by "port unreachable"
+	reportedAt      time.Duration // when this member last reported it; 0: not since lastHeard
+	refutations     int           // number of reports that were refuted
+	suppressedUntil time.Duration // no report before this time
 }
 
-// State is a member's standing.
+// State is the membership state of this process.
 type State uint8
 
-// The states.
 const (
-	Outside    State = iota // wants in
+	Outside    State = iota // not in a view, wants to join
 	Inside                  // in the view
-	Leaving                 // has said that it leaves
-	Left                    // and is out, as planned
-	Superseded              // another process of its name took its place; it asks seldom, and is let in when that one is out
+	Leaving                 // in the view, has announced its departure
+	Left                    // departed as announced
+	Superseded              // replaced by another process of the same name; says hello rarely, and is admitted once that process has departed
 )
 
 func (s State) String() string {
 	return [...]string{"outside", "inside", "leaving", "left", "superseded"}[s]
 }
 
-// Member is one member. It is not safe for concurrent use.
+// Member is one member of the fleet. It is not safe for concurrent use.
 type Member struct {
 	Config
-	rng    *rand.Rand
-	state  State
-	now    time.Duration
-	ticked time.Duration
-	out    []Envelope
-	events []Event
-	fill   float64 // of the bucket, in bytes
-
-	view     *View
-	at       int // own position in it
-	rings    *rings
-	subjects map[int]*subject
-	bits     map[int]uint16 // by subject: what this member says in a charge
-	targets  []int          // of beats: the watchers, or who stands in for them
-	charges  []Charge       // by position
-	digest   uint32
-	hot      []hot         // charges to be passed on
-	reheated time.Duration // when all of them were passed on anew
-	changed  time.Duration // last news of charges or joins
-	pending  time.Duration // the first since there was nothing to change; 0: there is not
-	news     bool          // since down was worked out
-	down     Bits
-	gone     Bits
-	beyond   int           // how many may be beyond a cut
-	willing  int           // how many are down for that they leave or are replaced alone, and vote
-	dead     Bits          // proven, by what this member has heard or by others' word
-	again    Bits          // who asks to join with a higher incarnation
-	deaths   int           // changes of these two
-	toldDead []int         // by watcher: as of which change it was told
-	joins    []Peer        // that wait, by name
-	carried  time.Duration // when those that came to this member were last said to who may propose
-
-	round    *Round
-	promised uint32
-	accepted uint32
-	voted    *Value
-	moved    time.Duration // last progress of the vote
-	version  int           // of the round as it stands here
-	toldOf   []int         // by watcher: the version that it was sent
-	toldWhat []uint32      // by watcher: the ballot whose value it was sent
-	askedFor time.Duration // when the value of a vote was asked for last
-
-	history []Step  // the newest last
-	lately  []*View // the last views, the newest last: some still fetch one of them
-	stepHot int     // how often the last one is still to be said unasked
-	next    int     // whose turn a beat is, among the watchers
-	beatAt  time.Duration
-	anybody time.Duration // last sign of life of anybody
-	stray   time.Duration
-
-	// Outside.
-	since    time.Duration // out since
-	helloAt  time.Duration
-	lowerOut time.Duration            // a seed before this one was heard of, out too
-	known    []string                 // addresses of members of the last view, or that were named since
-	knownAt  time.Duration            // when the last of them was named
-	shut     map[string]time.Duration // by seed: until when nobody is taken to be there
-	chunks   []*Chunk                 // of the view that this one was let into
-	want     Message                  // the notice of that view
-	wantFrom string
-	pulled   time.Duration
-	fetched  time.Duration // last news of it
-	sources  []string      // who has it
-
-	secret  uint64
-	sponsor map[ID]string // joiners that came to this member, to be told when they are in
-	flaps   map[string]*flap
-	dropped Dropped
+	rng      *rand.Rand
+	state    State
+	now      time.Duration
+	lastTick time.Duration
+	outbox   []Envelope
+	events   []Event
+	tokens   float64 // bytes in the token bucket of the byte rate
+
+	view                *View
+	position            int // of this member in the view
+	rings               *rings
+	subjects            map[int]*subject
+	watcherBits         map[int]uint16 // by subject: this member's bits in a report
+	heartbeatTargets    []int          // the watchers, or their substitutes
+	reports             []Report       // by position
+	digest              uint32
+	reportQueue         []queuedReport // reports to be gossiped
+	lastRequeue         time.Duration  // when all reports were last queued again
+	lastChange          time.Duration  // of reports or joins
+	pendingSince        time.Duration  // start of the wait for the pending change; 0: nothing to change
+	evaluationDue       bool           // reports or joins have changed since evaluate
+	down                Bits
+	failed              Bits
+	possiblyPartitioned int           // members that may be on the other side of a partition
+	downVoters          int           // members that are down only because they leave or are replaced, and still vote
+	dead                Bits          // proven dead by this member's reports or by others
+	rejoining           Bits          // members of which a later incarnation requests to join
+	deadVersion         int           // counts changes of dead and rejoining
+	sentDeadVersion     []int         // by watcher: the last deadVersion sent
+	pendingJoins        []Peer        // by name
+	lastJoinForward     time.Duration // when sponsored joins were last forwarded to the proposers
+
+	round            *Round
+	promised         uint32
+	acceptedBallot   uint32
+	acceptedValue    *ViewChange
+	lastProgress     time.Duration // of the round
+	roundVersion     int           // counts changes of the local copy of the round
+	sentRoundVersion []int         // by watcher: the last roundVersion sent
+	sentValueBallot  []uint32      // by watcher: the last ballot whose value was sent
+	lastValueRequest time.Duration // when the value of a round was last requested
+
+	history           []Decision // newest last
+	recentViews       []*View    // newest last: other members may still be fetching one of them
+	decisionSendsLeft int        // how often the last decision is still to be sent unrequested
+	nextTarget        int        // index into heartbeatTargets
+	nextHeartbeat     time.Duration
+	lastContact       time.Duration // last sign of life of any member
+	lastLineageCheck  time.Duration
+
+	// State while outside a view.
+	outsideSince       time.Duration
+	nextHello          time.Duration
+	lowerSeedOutsideAt time.Duration            // when a seed of lower rank was last heard of that is outside too
+	knownAddresses     []string                 // members of the last view, or named in redirects since
+	lastKnownUpdate    time.Duration            // when an address was last added
+	refusedSeeds       map[string]time.Duration // by seed: assumed absent until this time
+	chunks             []*Chunk                 // of the view that is being fetched
+	wantedView         Message                  // the message that announced that view
+	fetchSource        string
+	lastChunkRequest   time.Duration
+	lastChunk          time.Duration // when a chunk last arrived
+	chunkSources       []string      // addresses of other members that have the view
+
+	tokenSecret uint64
+	sponsored   map[ID]string // joiners that this member admits, to be notified when they are in the view
+	removals    map[string]*removalRecord
+	dropped     Dropped
 }
 
-// Dropped counts what was not taken.
+// Dropped counts rejected messages.
 type Dropped struct{ Foreign, Malformed int }
 
-type hot struct {
-	subject int
-	left    int // how often it is still to be sent
+type queuedReport struct {
+	subject   int
+	sendsLeft int
 }
 
-// flap is how often a name was removed lately.
-type flap struct {
-	n     int
-	at    time.Duration // when last
-	until time.Duration // it is not let in before
+// removalRecord counts the recent removals of a name.
+type removalRecord struct {
+	count       int
+	last        time.Duration
+	rejoinAfter time.Duration
 }
 
-// New returns a member that is out and wants in.
+// New returns a member that is outside and wants to join.
 func New(c Config, now time.Duration, seed uint64) *Member {
-	m := &Member{Config: c.Fill(0), rng: rand.New(rand.NewPCG(seed, 2)), now: now, ticked: now, since: now, anybody: now,
-		sponsor: map[ID]string{}, shut: map[string]time.Duration{}, flaps: map[string]*flap{}}
-	m.secret = m.rng.Uint64()
-	m.fill = burst * float64(m.Budget)
-	m.helloAt = now
+	m := &Member{Config: c.WithDefaults(0), rng: rand.New(rand.NewPCG(seed, 2)), now: now, lastTick: now, outsideSince: now, lastContact: now,
+		sponsored: map[ID]string{}, refusedSeeds: map[string]time.Duration{}, removals: map[string]*removalRecord{}}
+	m.tokenSecret = m.rng.Uint64()
+	m.tokens = burstSeconds * float64(m.BytesPerSecond)
+	m.nextHello = now
 	return m
 }
 
-// Begin makes one that is out a member of a view that all of its members begin with. It is for fleets that are played.
-func (m *Member) Begin(v *View) {
+// Bootstrap installs an initial view that all of its members start with. It is used by simulations and tests.
+func (m *Member) Bootstrap(v *View) {
 	if m.state == Outside && v.Index(m.Self().ID) >= 0 {
-		m.install(v, "begun")
+		m.installView(v, "begun")
 	}
 }
 
-// View is the view as this member has it; nil while it is out.
+// View returns the current view, or nil while outside.
 func (m *Member) View() *View { return m.view }
 
-// State is how it stands.
+// State returns the membership state.
 func (m *Member) State() State { return m.state }
 
-// Self is who it is now: the incarnation grows when it comes back.
+// Self returns this member's current identity: its incarnation grows when it rejoins.
 func (m *Member) Self() Peer { return m.Config.Self }
 
-// Dropped is what was not taken so far.
+// Dropped returns the counts of rejected messages.
 func (m *Member) Dropped() Dropped { return m.dropped }
 
-// InTouch reports whether it is in a view and hears of enough of it to go by: as many are up as must agree
-// on the next one, and its lineage once had more than half of the fleet. One that was cut off as it started may have founded a lineage for itself.
-func (m *Member) InTouch() bool {
-	if m.view == nil || 2*m.view.Most <= m.Fleet {
+// HasQuorum reports whether the member is in a view and in contact with a quorum of it, and its lineage once had more than half of
+// the fleet. A member that was partitioned at its start may have founded a lineage of its own.
+func (m *Member) HasQuorum() bool {
+	if m.view == nil || 2*m.view.LargestSize <= m.FleetSize {
 		return false
 	}
-	m.judge()
-	return !m.alone() && !m.deaf()
+	m.evaluate()
+	return !m.lacksQuorum() && !m.cannotReceive()
 }
 
-// Standing is what this member knows of another one.
-type Standing struct {
+// PeerStatus is what this member has recorded of another one.
+type PeerStatus struct {
 	Peer
-	Down     bool
-	Gone     bool
-	Silent   []string // watchers that charge it, by name
-	Refused  []string
-	Heard    time.Duration // ago, where this member watches it; less than 0: it does not
-	Watchers int
+	Down       bool
+	Failed     bool
+	TimedOutBy []string // names of watchers that report it as timed out
+	RefusedBy  []string
+	SinceHeard time.Duration // time since its last sign of life; negative: not watched by this member
+	Watchers   int
 }
 
-// Members is what this member knows of all in its view.
-func (m *Member) Members() (all []Standing) {
+// Members returns the status of all members of the view.
+func (m *Member) Members() (all []PeerStatus) {
 	if m.view == nil {
 		return nil
 	}
-	m.judge()
+	m.evaluate()
 	for i, p := range m.view.Members {
-		s := Standing{Peer: p, Down: m.down.Has(i), Gone: m.gone.Has(i), Heard: -1, Watchers: len(m.rings.watchers[i])}
-		if sub := m.subjects[i]; sub != nil {
-			s.Heard = m.now - sub.heard
+		status := PeerStatus{Peer: p, Down: m.down.Has(i), Failed: m.failed.Has(i), SinceHeard: -1, Watchers: len(m.rings.watchers[i])}
+		if watched := m.subjects[i]; watched != nil {
+			status.SinceHeard = m.now - watched.lastHeard
 		}
 		for bit, w := range m.rings.watchers[i] {
-			if m.charges[i].Silent>>bit&1 != 0 {
-				s.Silent = append(s.Silent, m.view.Members[w].ID.Name)
+			if m.reports[i].TimedOut>>bit&1 != 0 {
+				status.TimedOutBy = append(status.TimedOutBy, m.view.Members[w].ID.Name)
 			}
-			if m.charges[i].Refused>>bit&1 != 0 {
-				s.Refused = append(s.Refused, m.view.Members[w].ID.Name)
+			if m.reports[i].Refused>>bit&1 != 0 {
+				status.RefusedBy = append(status.RefusedBy, m.view.Members[w].ID.Name)
 			}
 		}
-		all = append(all, s)
+		all = append(all, status)
 	}
 	return all
 }
 
-// Take returns what is to be sent and told, and forgets it.
-func (m *Member) Take() ([]Envelope, []Event) {
-	out, events := m.out, m.events
-	m.out, m.events = nil, nil
-	return out, events
+// Drain returns and clears the messages to send and the events.
+func (m *Member) Drain() ([]Envelope, []Event) {
+	messages, events := m.outbox, m.events
+	m.outbox, m.events = nil, nil
+	return messages, events
 }
 
-func (m *Member) say(e Event) { m.events = append(m.events, e) }
+func (m *Member) emit(e Event) { m.events = append(m.events, e) }
 
-// send queues a message. It takes from the bucket, which may go below empty: what must be sent is.
+// send queues a message. The token bucket may go below zero: required messages are sent in any case.
 func (m *Member) send(to string, msg *Message) {
 	if to == "" || to == m.Self().Address {
 		return
@@ -307,37 +306,37 @@
 	if m.view != nil {
 		msg.Lineage, msg.View, msg.Size = m.view.Lineage, m.view.Number, len(m.view.Members)
 	}
-	m.fill -= float64(msg.Bytes() + overhead)
-	m.out = append(m.out, Envelope{to, msg})
+	m.tokens -= float64(msg.EncodedSize() + datagramOverhead)
+	m.outbox = append(m.outbox, Envelope{to, msg})
 }
 
-// Tick lets time pass. One that comes late says that this process was away: it cannot tell whether others were silent.
+// Tick advances time. A late call shows that this process was paused, and cannot tell whether others were silent.
 func (m *Member) Tick(now time.Duration) {
-	away := now - m.ticked
-	m.now, m.ticked = now, now
-	m.fill = min(burst*float64(m.Budget), m.fill+away.Seconds()*float64(m.Budget))
-	if away > time.Second && m.Without&Awareness == 0 {
+	elapsed := now - m.lastTick
+	m.now, m.lastTick = now, now
+	m.tokens = min(burstSeconds*float64(m.BytesPerSecond), m.tokens+elapsed.Seconds()*float64(m.BytesPerSecond))
+	if elapsed > time.Second && m.Disabled&PauseDetection == 0 {
 		for _, s := range m.subjects {
-			s.heard = min(now, s.heard+away)
+			s.lastHeard = min(now, s.lastHeard+elapsed)
 			s.refusals = 0
 		}
-		m.anybody = min(now, m.anybody+away)
-		m.moved = now
+		m.lastContact = min(now, m.lastContact+elapsed)
+		m.lastProgress = now
 	}
 	switch m.state {
 	case Inside, Leaving:
-		m.watch()
-		m.judge()
-		m.beat()
-		m.vote()
-		m.carry()
-		m.look()
+		m.probeSubjects()
+		m.evaluate()
+		m.sendHeartbeats()
+		m.startBallot()
+		m.forwardJoins()
+		m.checkOtherLineages()
 	case Outside, Superseded:
-		m.seek()
+		m.seekMembership()
 	}
 }
 
-// Receive takes a message from an address.
+// Receive handles a message from an address.
 func (m *Member) Receive(now time.Duration, from string, msg *Message) {
 	m.now = max(m.now, now)
 	if msg.From == m.Self().ID || msg.From.Name == "" {
@@ -345,27 +344,27 @@
 		return
 	}
 	switch msg.Kind {
-	case Beat, Ping, Pong:
-		m.gossip(from, msg)
+	case Heartbeat, Ping, Pong:
+		m.handleGossip(from, msg)
 	case Hello:
-		m.hello(from, msg)
+		m.handleHello(from, msg)
 	case Welcome:
-		m.welcome(from, msg)
+		m.handleWelcome(from, msg)
 	case Join:
-		m.join(from, msg)
-	case Notice:
-		m.notice(from, msg)
-	case Pull:
-		m.pull(from, msg)
-	case Part:
-		m.part(from, msg)
-	case Out:
-		if own := m.rank(); msg.Rank > 0 && (own == 0 || msg.Rank < own) {
-			m.lowerOut = m.now
-		}
-		for _, p := range msg.Joins {
-			if m.view == nil && len(m.known) < 8 && !slices.Contains(m.known, p.Address) && p.Address != m.Self().Address {
-				m.known, m.knownAt = append(m.known, p.Address), m.now
+		m.handleJoin(from, msg)
+	case JoinNotice:
+		m.handleJoinNotice(from, msg)
+	case ChunkRequest:
+		m.handleChunkRequest(from, msg)
+	case ChunkResponse:
+		m.handleChunkResponse(from, msg)
+	case Redirect:
+		if ownRank := m.seedRank(); msg.SeedRank > 0 && (ownRank == 0 || msg.SeedRank < ownRank) {
+			m.lowerSeedOutsideAt = m.now
+		}
+		for _, p := range msg.Peers {
+			if m.view == nil && len(m.knownAddresses) < 8 && !slices.Contains(m.knownAddresses, p.Address) && p.Address != m.Self().Address {
+				m.knownAddresses, m.lastKnownUpdate = append(m.knownAddresses, p.Address), m.now
 			}
 		}
 	default:
@@ -373,70 +372,72 @@
 	}
 }
 
-// Refused says that nothing listens at an address: a datagram to it came back as "port unreachable".
-func (m *Member) Refused(now time.Duration, address string) {
+// ReceiveRefusal handles a "port unreachable": nothing listens at the address.
+func (m *Member) ReceiveRefusal(now time.Duration, address string) {
 	m.now = max(m.now, now)
-	if m.NoRefusals {
+	if m.IgnoreRefusals {
 		return
 	}
-	if m.view == nil { // that one will not answer for a while
+	// Outside, an address that refused is not tried again for a while.
+	if m.view == nil {
 		if slices.Contains(m.Seeds, address) {
-			m.shut[address] = m.now + 2*strayEvery
+			m.refusedSeeds[address] = m.now + 2*slowInterval
 		}
-		m.known = slices.DeleteFunc(m.known, func(k string) bool { return k == address })
+		m.knownAddresses = slices.DeleteFunc(m.knownAddresses, func(k string) bool { return k == address })
 		return
 	}
 	for i, s := range m.subjects {
 		if m.view.Members[i].Address == address {
-			m.anybody = m.now // the way there and back is open
+			m.lastContact = m.now // both directions work
 		}
-		if m.view.Members[i].Address == address && s.asked > s.heard && m.now-s.heard > m.Ask {
+		if m.view.Members[i].Address == address && s.lastPing > s.lastHeard && m.now-s.lastHeard > m.PingAfter {
 			s.refusals++
 		}
 	}
 }
 
-// Leave says that this process is about to end. It is Left once the others agree, and then, or soon anyway, may end.
+// Leave announces the end of this process. It may end once it is Left, or after a short time anyway.
 func (m *Member) Leave(now time.Duration) {
 	m.now = max(m.now, now)
 	switch m.state {
 	case Inside:
 		m.state = Leaving
-		c := m.charges[m.at]
-		c.Left = true
-		m.merge(c)
+		report := m.reports[m.position]
+		report.Left = true
+		m.mergeReport(report)
 	case Outside:
 		m.state = Left
 	}
 }
 
-// gossip takes a beat, a ping or a pong: a sign of life, and whatever is new in it.
-func (m *Member) gossip(from string, msg *Message) {
+// handleGossip takes a heartbeat, ping or pong as a sign of life, and merges its contents.
+func (m *Member) handleGossip(from string, msg *Message) {
 	if m.view == nil || m.state == Left || m.state == Superseded {
 		return
 	}
 	if msg.Lineage != m.view.Lineage {
-		m.foreign(from, msg)
+		m.handleOtherLineage(from, msg)
 		return
 	}
 	if i := m.view.Index(msg.From); i >= 0 {
-		m.anybody = m.now
+		m.lastContact = m.now
 		if s := m.subjects[i]; s != nil && msg.Kind != Ping {
-			m.heardOf(i, s)
+			m.markAlive(i, s)
 		}
 	}
-	if msg.View == m.view.Number && m.follow(msg.Steps) {
-		return // who was removed says so as it goes
+	if msg.View == m.view.Number && m.applyDecisions(msg.Decisions) {
+		return // a member that was removed passes on the decision before it leaves the view
 	}
 	switch {
-	case msg.View < m.view.Number: // behind: tell what it has missed; a ping would be asked again and again
-		if msg.Kind != Pong || len(msg.Steps) == 0 {
-			m.catchUp(from, msg)
+	case msg.View < m.view.Number:
+		// The sender is behind: it gets the decisions it has missed. An unanswered ping would be repeated.
+		if msg.Kind != Pong || len(msg.Decisions) == 0 {
+			m.sendMissedDecisions(from, msg)
 		}
 		return
 	case msg.View > m.view.Number:
-		if !m.follow(msg.Steps) {
-			m.fetch(from, msg)
+		if !m.applyDecisions(msg.Decisions) {
+			m.fetchView(from, msg)
 			return
 		}
 		if m.view == nil || msg.View != m.view.Number {
@@ -444,293 +445,297 @@
 		}
 	}
 	n := len(m.view.Members)
-	for _, c := range msg.Charges {
-		if c.Subject < 0 || c.Subject >= n {
+	for _, report := range msg.Reports {
+		if report.Subject < 0 || report.Subject >= n {
 			m.dropped.Malformed++
 			return
 		}
-		m.merge(c)
+		m.mergeReport(report)
 	}
-	if len(msg.Dead)+len(msg.Again) > 0 {
-		if !msg.Dead.fits(n) || !msg.Again.fits(n) {
+	if len(msg.Dead)+len(msg.Rejoining) > 0 {
+		if !msg.Dead.fitsView(n) || !msg.Rejoining.fitsView(n) {
 			m.dropped.Malformed++
 			return
 		}
-		again := m.again.or(msg.Again)
-		if m.dead.or(msg.Dead) || again {
-			m.deaths++
-			m.news, m.changed = true, m.now
+		rejoiningChanged := m.rejoining.merge(msg.Rejoining)
+		if m.dead.merge(msg.Dead) || rejoiningChanged {
+			m.deadVersion++
+			m.evaluationDue, m.lastChange = true, m.now
 		}
 	}
-	for _, p := range msg.Joins {
-		m.wait(p)
+	for _, p := range msg.Peers {
+		m.addPendingJoin(p)
 	}
 	if msg.Round != nil {
-		m.ballot(msg.Round)
+		m.mergeRound(msg.Round)
 	}
-	if r := m.round; r != nil && r.Value == nil && msg.Round != nil && msg.Round.Has && m.now-m.askedFor > m.Beat {
-		m.askedFor = m.now
+	if r := m.round; r != nil && r.Value == nil && msg.Round != nil && msg.Round.HasValue && m.now-m.lastValueRequest > m.HeartbeatInterval {
+		m.lastValueRequest = m.now
 		m.send(from, &Message{Kind: Ping, Digest: m.digest})
 	}
 	if msg.Kind == Ping {
-		m.send(from, m.payload(&Message{Kind: Pong}, -1))
+		m.send(from, m.piggyback(&Message{Kind: Pong}, -1))
 	}
-	if msg.Digest != m.digest && len(msg.Charges) == 0 { // it has heard of other charges than this one, and says none
-		m.reheat()
+	if msg.Digest != m.digest && len(msg.Reports) == 0 { // the sender has other reports, and sent none
+		m.requeueReports()
 	}
 }
 
-// heardOf notes a sign of life of a subject.
-func (m *Member) heardOf(i int, s *subject) {
-	if s.charged > 0 { // it was wrong, or it is back: the next one takes longer
-		s.refuted++
-		s.until = m.now + min(m.Silent<<min(s.refuted, 6), flapMost)
-		s.charged = 0
-		if c := m.charges[i]; c.Silent|c.Refused != 0 { // it should hear of it soon
-			m.heat(i, false)
+// markAlive records a sign of life of a subject.
+func (m *Member) markAlive(i int, s *subject) {
+	if s.reportedAt > 0 { // a false report, or the subject is back: the next report takes longer
+		s.refutations++
+		s.suppressedUntil = m.now + min(m.SuspicionTimeout<<min(s.refutations, 6), maxBackoff)
+		s.reportedAt = 0
+		if report := m.reports[i]; report.TimedOut|report.Refused != 0 { // it should receive the report soon, to refute it
+			m.enqueueReport(i, false)
 		}
 	}
-	s.heard, s.refusals = m.now, 0
+	s.lastHeard, s.refusals = m.now, 0
 }
 
-// beat tells the watchers, one after another, that this member is here.
-func (m *Member) beat() {
-	w := m.targets
-	if len(w) == 0 || m.deaf() {
+// sendHeartbeats sends heartbeats to the watchers in turn.
+func (m *Member) sendHeartbeats() {
+	targets := m.heartbeatTargets
+	if len(targets) == 0 || m.cannotReceive() {
 		return
 	}
-	every := m.Beat / time.Duration(len(w))
-	if m.beatAt < m.now-m.Beat { // after a pause, or at first: not all at once
-		m.beatAt = m.now
+	interval := m.HeartbeatInterval / time.Duration(len(targets))
+	if m.nextHeartbeat < m.now-m.HeartbeatInterval { // after a pause and at the start: not all at once
+		m.nextHeartbeat = m.now
 	}
-	for ; m.beatAt <= m.now; m.beatAt += every {
-		i := m.next % len(w)
-		m.next++
+	for ; m.nextHeartbeat <= m.now; m.nextHeartbeat += interval {
+		i := m.nextTarget % len(targets)
+		m.nextTarget++
 		switch {
-		case m.gone.Has(w[i]):
-		case m.down.Has(w[i]) && m.charges[w[i]].Silent|m.charges[w[i]].Refused != 0: // it should hear of that; what else is new would be lost on it
-			m.send(m.view.Members[w[i]].Address, &Message{Kind: Beat, Digest: m.digest, Charges: []Charge{m.charges[w[i]]}})
+		case m.failed.Has(targets[i]):
+		case m.down.Has(targets[i]) && m.reports[targets[i]].TimedOut|m.reports[targets[i]].Refused != 0:
+			// It needs the report to refute it; other updates would be lost on a member that is down.
+			m.send(m.view.Members[targets[i]].Address, &Message{Kind: Heartbeat, Digest: m.digest, Reports: []Report{m.reports[targets[i]]}})
 		default:
-			m.send(m.view.Members[w[i]].Address, m.payload(&Message{Kind: Beat}, i))
+			m.send(m.view.Members[targets[i]].Address, m.piggyback(&Message{Kind: Heartbeat}, i))
 		}
 	}
 }
 
-// payload adds to a message what is new, as far as the bucket allows. The round goes to a watcher once in each version, and to others always.
-func (m *Member) payload(msg *Message, watcher int) *Message {
+// piggyback adds updates to a message, as far as the token bucket allows. A watcher gets each version of the round once, other
+// receivers (watcher < 0) get it always.
+func (m *Member) piggyback(msg *Message, watcher int) *Message {
 	msg.Digest = m.digest
-	room := min(MaxBytes, int(m.fill)+80) - msg.Bytes() - 8
-	if r := m.round; r != nil && (watcher < 0 || m.toldOf[watcher] != m.version) {
-		packed := r.pack()
-		if packed.Has = r.Value != nil; packed.Has { // the promises have done what they were for, and with what they told no datagram would hold it
-			packed.Promises, packed.Before, packed.Best = nil, nil, 0
-		}
-		// What the vote is on is long where many join: one watcher in five hears it unasked and once, the others ask for it.
-		if watcher >= 0 && (watcher%5 != int(r.Ballot)%5 && len(m.toldOf) > 4 || m.toldWhat[watcher] == r.Ballot) {
-			packed.Value, packed.Before, packed.Best = nil, nil, 0
-		}
-		if packed.bytes() <= room || packed.Value != nil && packed.bytes() <= MaxBytes-msg.Bytes() && m.fill > -2*float64(m.Budget) { // what the vote is on goes before all else
-			msg.Round = packed
-			room -= packed.bytes()
+	room := min(MaxBytes, int(m.tokens)+80) - msg.EncodedSize() - 8
+	if r := m.round; r != nil && (watcher < 0 || m.sentRoundVersion[watcher] != m.roundVersion) {
+		round := r.pack()
+		if round.HasValue = r.Value != nil; round.HasValue {
+			// With a value the promises have served their purpose, and both together would not fit a datagram.
+			round.Promises, round.AcceptedValue, round.AcceptedBallot = nil, nil, 0
+		}
+		// The value is long where many join: one watcher in five gets it unrequested and once, the others request it.
+		if watcher >= 0 && (watcher%5 != int(r.Ballot)%5 && len(m.sentRoundVersion) > 4 || m.sentValueBallot[watcher] == r.Ballot) {
+			round.Value, round.AcceptedValue, round.AcceptedBallot = nil, nil, 0
+		}
+		if round.bytes() <= room || round.Value != nil && round.bytes() <= MaxBytes-msg.EncodedSize() && m.tokens > -2*float64(m.BytesPerSecond) {
+			// The value takes precedence over everything else.
+			msg.Round = round
+			room -= round.bytes()
 			if watcher >= 0 {
-				m.toldOf[watcher] = m.version
-				if packed.Value != nil {
-					m.toldWhat[watcher] = r.Ballot
+				m.sentRoundVersion[watcher] = m.roundVersion
+				if round.Value != nil {
+					m.sentValueBallot[watcher] = r.Ballot
 				}
 			}
 		}
 	}
-	if m.deaths > 0 && (watcher < 0 || m.toldDead[watcher] != m.deaths) && 8+2*len(m.dead) <= room {
-		msg.Dead, msg.Again = slices.Clone(m.dead), slices.Clone(m.again)
+	if m.deadVersion > 0 && (watcher < 0 || m.sentDeadVersion[watcher] != m.deadVersion) && 8+2*len(m.dead) <= room {
+		msg.Dead, msg.Rejoining = slices.Clone(m.dead), slices.Clone(m.rejoining)
 		room -= 8 + 2*len(m.dead)
 		if watcher >= 0 {
-			m.toldDead[watcher] = m.deaths
+			m.sentDeadVersion[watcher] = m.deadVersion
 		}
 	}
-	if n := len(m.history); m.stepHot > 0 && n > 0 && 12+m.history[n-1].Value.bytes() <= room {
-		msg.Steps = m.history[n-1:]
-		room -= 12 + m.history[n-1].Value.bytes()
-		m.stepHot--
+	if n := len(m.history); m.decisionSendsLeft > 0 && n > 0 && 12+m.history[n-1].Change.bytes() <= room {
+		msg.Decisions = m.history[n-1:]
+		room -= 12 + m.history[n-1].Change.bytes()
+		m.decisionSendsLeft--
 	}
-	kept := m.hot[:0]
-	for _, h := range m.hot {
+	kept := m.reportQueue[:0]
+	for _, queued := range m.reportQueue {
 		if room >= 14 {
-			msg.Charges = append(msg.Charges, m.charges[h.subject])
+			msg.Reports = append(msg.Reports, m.reports[queued.subject])
 			room -= 14
-			h.left--
+			queued.sendsLeft--
 		}
-		if h.left > 0 {
-			kept = append(kept, h)
+		if queued.sendsLeft > 0 {
+			kept = append(kept, queued)
 		}
 	}
-	m.hot = kept
-	if len(msg.Charges) > 0 && len(m.hot) > 1 { // those that found no room come first next time
-		cut := min(len(msg.Charges), len(m.hot))
-		m.hot = append(slices.Clone(m.hot[cut:]), m.hot[:cut]...)
+	m.reportQueue = kept
+	if len(msg.Reports) > 0 && len(m.reportQueue) > 1 { // reports that did not fit go first next time
+		cut := min(len(msg.Reports), len(m.reportQueue))
+		m.reportQueue = append(slices.Clone(m.reportQueue[cut:]), m.reportQueue[:cut]...)
 	}
 	return msg
 }
 
-// carry tells the first two in the order, who may propose, of those that came to this member and want in. Everybody else hears of them
-// as part of the change.
-func (m *Member) carry() {
-	if m.view == nil || len(m.sponsor) == 0 || m.now-m.carried < m.Beat || m.carried > 0 && (m.now-m.carried < m.Stuck || m.fill < -float64(m.Budget)) {
+// forwardJoins sends joins that this member sponsors to the first two proposers. All others receive them as part of the change.
+func (m *Member) forwardJoins() {
+	if m.view == nil || len(m.sponsored) == 0 || m.now-m.lastJoinForward < m.HeartbeatInterval || m.lastJoinForward > 0 && (m.now-m.lastJoinForward < m.BallotTimeout || m.tokens < -float64(m.BytesPerSecond)) {
 		return
 	}
-	m.carried = m.now
-	var all []Peer
+	m.lastJoinForward = m.now
+	var joins []Peer
 	size := 0
-	for _, p := range m.joins {
-		if size += p.bytes(); m.sponsor[p.ID] != "" && size <= joinRoom {
-			all = append(all, p)
+	for _, p := range m.pendingJoins {
+		if size += p.bytes(); m.sponsored[p.ID] != "" && size <= maxJoinBytes {
+			joins = append(joins, p)
 		}
 	}
-	if len(all) == 0 {
+	if len(joins) == 0 {
 		return
 	}
-	told := 0
-	for place := range m.view.Members {
-		i := (m.first() + place) % len(m.view.Members)
+	sent := 0
+	for rank := range m.view.Members {
+		i := (m.firstProposer() + rank) % len(m.view.Members)
 		if m.down.Has(i) {
 			continue
 		}
-		if i != m.at {
-			m.send(m.view.Members[i].Address, &Message{Kind: Beat, Digest: m.digest, Joins: all})
+		if i != m.position {
+			m.send(m.view.Members[i].Address, &Message{Kind: Heartbeat, Digest: m.digest, Peers: joins})
 		}
-		if told++; told == 2 {
+		if sent++; sent == 2 {
 			return
 		}
 	}
 }
 
-// look asks a seed that is not in the view, now and then, whether it knows of another lineage.
-func (m *Member) look() {
-	if m.now-m.stray < strayEvery || len(m.Seeds) == 0 {
+// checkOtherLineages sends a hello to a seed outside the view from time to time, to discover other lineages.
+func (m *Member) checkOtherLineages() {
+	if m.now-m.lastLineageCheck < slowInterval || len(m.Seeds) == 0 {
 		return
 	}
-	m.stray = m.now
+	m.lastLineageCheck = m.now
 	to := m.Seeds[m.rng.IntN(len(m.Seeds))]
 	if !slices.ContainsFunc(m.view.Members, func(p Peer) bool { return p.Address == to }) {
 		self := m.Self()
-		m.send(to, &Message{Kind: Hello, Peer: &self, Rank: m.rank()})
+		m.send(to, &Message{Kind: Hello, Peer: &self, SeedRank: m.seedRank()})
 	}
 }
 
-// rank is the place of this member among the seeds, from 1, or 0.
-func (m *Member) rank() int { return slices.Index(m.Seeds, m.Self().Address) + 1 }
-
-// install makes a view this member's.
-func (m *Member) install(v *View, reason string) {
-	old, subjects := m.view, m.subjects
-	if m.lately = append(m.lately, v); len(m.lately) > latelyLen {
-		m.lately = slices.Delete(m.lately, 0, 1)
-	}
-	v = m.Shared.one(v)
-	m.view, m.at = v, v.Index(m.Self().ID)
-	m.rings = m.Shared.weave(v, m.Watchers)
-	m.charges = make([]Charge, len(v.Members))
-	for i := range m.charges {
-		m.charges[i].Subject = i
-	}
-	m.digest, m.hot = 0, nil
-	m.round, m.promised, m.accepted, m.voted, m.version = nil, 0, 0, nil, 1
-	m.down, m.gone = newBits(len(v.Members)), newBits(len(v.Members))
-	m.toldOf = make([]int, len(m.rings.watchers[m.at]))
-	m.toldWhat, m.toldDead = make([]uint32, len(m.toldOf)), make([]int, len(m.toldOf))
-	m.dead, m.again, m.deaths = newBits(len(v.Members)), newBits(len(v.Members)), 0
-	m.changed, m.moved, m.news, m.pending = m.now, m.now, true, 0
+// seedRank returns the rank of this member among the seeds, from 1; 0: it is not a seed.
+func (m *Member) seedRank() int { return slices.Index(m.Seeds, m.Self().Address) + 1 }
+
+// installView replaces the current view.
+func (m *Member) installView(v *View, reason string) {
+	previous, previousSubjects := m.view, m.subjects
+	if m.recentViews = append(m.recentViews, v); len(m.recentViews) > maxRecentViews {
+		m.recentViews = slices.Delete(m.recentViews, 0, 1)
+	}
+	v = m.Shared.canonical(v)
+	m.view, m.position = v, v.Index(m.Self().ID)
+	m.rings = m.Shared.ringsOf(v, m.Watchers)
+	m.reports = make([]Report, len(v.Members))
+	for i := range m.reports {
+		m.reports[i].Subject = i
+	}
+	m.digest, m.reportQueue = 0, nil
+	m.round, m.promised, m.acceptedBallot, m.acceptedValue, m.roundVersion = nil, 0, 0, nil, 1
+	m.down, m.failed = newBits(len(v.Members)), newBits(len(v.Members))
+	m.sentRoundVersion = make([]int, len(m.rings.watchers[m.position]))
+	m.sentValueBallot, m.sentDeadVersion = make([]uint32, len(m.sentRoundVersion)), make([]int, len(m.sentRoundVersion))
+	m.dead, m.rejoining, m.deadVersion = newBits(len(v.Members)), newBits(len(v.Members)), 0
+	m.lastChange, m.lastProgress, m.evaluationDue, m.pendingSince = m.now, m.now, true, 0
 	m.subjects = map[int]*subject{}
-	m.targets = slices.Clone(m.rings.watchers[m.at])
-	for _, i := range m.rings.subjects[m.at] {
-		s := &subject{heard: m.now}
-		if old != nil { // who was silent before is so still, and who is new has yet to hear of it
-			if j := old.Index(v.Members[i].ID); j < 0 {
-				s.heard += m.Silent
-			} else if subjects[j] != nil {
-				s = subjects[j]
-				s.charged = 0
+	m.heartbeatTargets = slices.Clone(m.rings.watchers[m.position])
+	for _, i := range m.rings.subjects[m.position] {
+		s := &subject{lastHeard: m.now}
+		if previous != nil { // silent members remain silent, and new ones have yet to learn of the view
+			if j := previous.Index(v.Members[i].ID); j < 0 {
+				s.lastHeard += m.SuspicionTimeout
+			} else if previousSubjects[j] != nil {
+				s = previousSubjects[j]
+				s.reportedAt = 0
 			}
 		}
 		m.subjects[i] = s
 	}
-	m.standIn()
+	m.assignSubstitutes()
 	if m.state != Leaving {
 		m.state = Inside
 	} else {
-		m.merge(Charge{Subject: m.at, Left: true})
+		m.mergeReport(Report{Subject: m.position, Left: true})
 	}
-	kept := m.joins[:0]
-	for _, p := range m.joins {
-		if i, there := v.find(p.ID.Name); !there || v.Members[i].ID.Inc < p.ID.Inc {
+	kept := m.pendingJoins[:0]
+	for _, p := range m.pendingJoins {
+		if i, found := v.find(p.ID.Name); !found || v.Members[i].ID.Incarnation < p.ID.Incarnation {
 			kept = append(kept, p)
 		}
 	}
-	m.joins, m.stepHot, m.carried = kept, min(2, len(m.toldOf)), 0
-	m.known = m.known[:0]
+	m.pendingJoins, m.decisionSendsLeft, m.lastJoinForward = kept, min(2, len(m.sentRoundVersion)), 0
+	m.knownAddresses = m.knownAddresses[:0]
 	for _, p := range v.Members {
-		m.known = append(m.known, p.Address)
+		m.knownAddresses = append(m.knownAddresses, p.Address)
 	}
 	for _, p := range kept {
-		if i, there := v.find(p.ID.Name); there {
-			m.again.Set(i)
-			m.deaths++
+		if i, found := v.find(p.ID.Name); found {
+			m.rejoining.Set(i)
+			m.deadVersion++
 		}
 	}
 	for _, p := range v.Members {
-		if address, ok := m.sponsor[p.ID]; ok {
-			m.send(address, m.invite(old))
-			delete(m.sponsor, p.ID)
+		if address, ok := m.sponsored[p.ID]; ok {
+			m.send(address, m.joinNotice(previous))
+			delete(m.sponsored, p.ID)
 		}
 	}
-	m.say(Event{View: v, Reason: reason})
+	m.emit(Event{View: v, Reason: reason})
 }
 
-// invite tells one that has joined of the view, and of some that have it: whoever let in many cannot serve them all.
-func (m *Member) invite(old *View) *Message {
-	msg := &Message{Kind: Notice, Hash: m.view.Hash()}
-	if old == nil {
-		old = m.view
+// joinNotice announces the view to a joiner, with the addresses of some members that have it: a member that sponsors many cannot
+// serve all.
+func (m *Member) joinNotice(previous *View) *Message {
+	msg := &Message{Kind: JoinNotice, Hash: m.view.Hash()}
+	if previous == nil {
+		previous = m.view
 	}
-	for range min(4, len(old.Members)) {
-		if p := old.Members[m.rng.IntN(len(old.Members))]; m.view.Index(p.ID) >= 0 && p.ID != m.Self().ID {
-			msg.Joins = append(msg.Joins, Peer{Address: p.Address})
+	for range min(4, len(previous.Members)) {
+		if p := previous.Members[m.rng.IntN(len(previous.Members))]; m.view.Index(p.ID) >= 0 && p.ID != m.Self().ID {
+			msg.Peers = append(msg.Peers, Peer{Address: p.Address})
 		}
 	}
 	return msg
 }
 
-// away takes this member out of its view: it is no longer one, and comes back as another incarnation unless it left or was superseded.
-func (m *Member) away(state State, reason string) {
-	m.view, m.rings, m.subjects, m.charges, m.round, m.hot = nil, nil, nil, nil, nil, nil
-	m.state, m.since, m.helloAt, m.chunks, m.joins, m.wantFrom = state, m.now, m.now, nil, nil, ""
-	m.history, m.lately, m.knownAt = nil, nil, m.now
-	clear(m.sponsor)
+// exitView takes this member out of its view. It rejoins with a higher incarnation unless it left or was superseded.
+func (m *Member) exitView(state State, reason string) {
+	m.view, m.rings, m.subjects, m.reports, m.round, m.reportQueue = nil, nil, nil, nil, nil, nil
+	m.state, m.outsideSince, m.nextHello, m.chunks, m.pendingJoins, m.fetchSource = state, m.now, m.now, nil, nil, ""
+	m.history, m.recentViews, m.lastKnownUpdate = nil, nil, m.now
+	clear(m.sponsored)
 	if state == Outside {
-		m.Config.Self.ID.Inc++
+		m.Config.Self.ID.Incarnation++
 	}
-	m.say(Event{Reason: reason})
+	m.emit(Event{Reason: reason})
 }
 
-// Down is who is down in the view, as far as this member has heard, by position. It is valid until the next call.
+// Down returns the members that are down according to this member, by position. It is valid until the next call.
 func (m *Member) Down() Bits {
 	if m.view == nil {
 		return nil
 	}
-	m.judge()
+	m.evaluate()
 	return m.down
 }
 
-// Dump says in one line how the member stands, for whoever looks for a fault.
+// Dump returns a one-line summary for debugging.
 func (m *Member) Dump() string {
 	if m.view == nil {
-		return fmt.Sprintf("%v wants %d of %d chunks from %q", m.state, len(m.chunks), m.want.Size, m.wantFrom)
+		return fmt.Sprintf("%v fetches %d chunks of a view of %d from %q", m.state, len(m.chunks), m.wantedView.Size, m.fetchSource)
 	}
-	m.judge()
-	s := fmt.Sprintf("%v view %d of %d down %d gone %d joins %d touch %v deaf %v doubts %v fill %.0f promised %d accepted %d", m.state, m.view.Number, len(m.view.Members), m.down.Count(), m.gone.Count(),
-		len(m.joins), m.InTouch(), m.deaf(), m.doubts(), m.fill, m.promised, m.accepted)
+	m.evaluate()
+	s := fmt.Sprintf("%v view %d of %d down %d failed %d joins %d has_quorum %v cannot_receive %v suspects_self %v tokens %.0f promised %d accepted %d", m.state, m.view.Number, len(m.view.Members), m.down.Count(), m.failed.Count(),
+		len(m.pendingJoins), m.HasQuorum(), m.cannotReceive(), m.suspectsSelf(), m.tokens, m.promised, m.acceptedBallot)
 	if r := m.round; r != nil {
-		s += fmt.Sprintf(" ballot %d (by %d) gone %d promises %d value %v votes %d of %d", r.Ballot, int(r.Ballot-1)%len(m.view.Members), r.Gone.Count(), r.Promises.Count(), r.Value != nil,
-			r.Votes.Count(), quorum(len(m.view.Members), r.Gone))
+		s += fmt.Sprintf(" ballot %d (by %d) failed %d promises %d value %v votes %d of %d", r.Ballot, int(r.Ballot-1)%len(m.view.Members), r.Failed.Count(), r.Promises.Count(), r.Value != nil,
+			r.Votes.Count(), quorumSize(len(m.view.Members), r.Failed))
 	}
 	return s
 }
--- a/member/view.go
+++ b/member/view.go
@@ -9,58 +9,60 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID names one run of a member: a process that returns under its name has a higher incarnation.
+// ID identifies one run of a member: a process that returns under the same name has a higher incarnation.
 type ID struct {
-	_    struct{} `cbor:",toarray"`
-	Name string
-	Inc  uint64
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Incarnation uint64
 }
 
-// Peer is a member as a view lists it.
+// Peer is a member as listed in a view.
 type Peer struct {
 	_       struct{} `cbor:",toarray"`
 	ID      ID
 	Address string
 	Zone    int
-	Number  int // as its settings say
+	Number  int // from the member's settings
 }
 
-// View is what members agree on: who is one. Views of one lineage follow each other without gaps.
+// View is the agreed list of members. The views of a lineage are numbered without gaps.
 type View struct {
-	Lineage uint64
-	Number  uint64
-	Most    int    // members that any view of the lineage had so far
-	Members []Peer // by name
+	Lineage     uint64
+	Number      uint64
+	LargestSize int    // largest number of members of any view of the lineage so far
+	Members     []Peer // sorted by name
 
 	hash uint64
 }
 
-// Place is a member's rank among all by number and name, and how many there are. -1: it is none of them.
-func (v *View) Place(id ID) (place, count int) { return v.rank(id, func(Peer) bool { return true }) }
+// Rank returns a member's rank among all by number and name, and their count; rank -1 if it is not in the view.
+func (v *View) Rank(id ID) (rank, count int) {
+	return v.rankAmong(id, func(Peer) bool { return true })
+}
 
-// PlaceIn is the same among those of a zone.
-func (v *View) PlaceIn(id ID, zone int) (place, count int) {
-	return v.rank(id, func(p Peer) bool { return p.Zone == zone })
+// RankInZone returns the same among the members of a zone.
+func (v *View) RankInZone(id ID, zone int) (rank, count int) {
+	return v.rankAmong(id, func(p Peer) bool { return p.Zone == zone })
 }
 
-func (v *View) rank(id ID, counts func(Peer) bool) (place, count int) {
+func (v *View) rankAmong(id ID, included func(Peer) bool) (rank, count int) {
 	at := v.Index(id)
 	if at < 0 {
 		return -1, 0
 	}
 	self := v.Members[at]
 	for _, p := range v.Members {
-		if counts(p) {
+		if included(p) {
 			count++
 			if cmp.Or(cmp.Compare(p.Number, self.Number), cmp.Compare(p.ID.Name, self.ID.Name)) < 0 {
-				place++
+				rank++
 			}
 		}
 	}
-	return place, count
+	return rank, count
 }
 
-// Index is where a member stands in Members, or -1.
+// Index returns a member's position in Members, or -1.
 func (v *View) Index(id ID) int {
 	i, ok := v.find(id.Name)
 	if !ok || v.Members[i].ID != id {
@@ -73,7 +75,7 @@
 	return slices.BinarySearchFunc(v.Members, name, func(p Peer, name string) int { return cmp.Compare(p.ID.Name, name) })
 }
 
-// Hash tells views of one number apart.
+// Hash distinguishes views of the same number.
 func (v *View) Hash() uint64 {
 	if v.hash != 0 {
 		return v.hash
@@ -86,10 +88,10 @@
 	}
 	put(v.Lineage)
 	put(v.Number)
-	put(uint64(v.Most))
+	put(uint64(v.LargestSize))
 	for _, p := range v.Members {
 		h.WriteString(p.ID.Name)
-		put(p.ID.Inc)
+		put(p.ID.Incarnation)
 	}
 	v.hash = h.Sum64() | 1
 	return v.hash
@@ -103,14 +105,14 @@
 // Has reports whether a position is in the set.
 func (b Bits) Has(i int) bool { return i >= 0 && i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
-// Set adds a position within the size that it was made for.
+// Set adds a position; positions outside the size of the set are ignored.
 func (b Bits) Set(i int) {
 	if i >= 0 && i/8 < len(b) {
 		b[i/8] |= 1 << (i % 8)
 	}
 }
 
-// Count is how many are in it.
+// Count returns the number of positions in the set.
 func (b Bits) Count() (n int) {
 	for _, x := range b {
 		n += bits.OnesCount8(x)
@@ -118,69 +120,70 @@
 	return n
 }
 
-// or adds another set, and reports whether that changed anything.
-func (b Bits) or(other Bits) (changed bool) {
+// merge adds another set, and reports whether that changed anything.
+func (b Bits) merge(other Bits) (changed bool) {
 	for i := range min(len(b), len(other)) {
-		if more := b[i] | other[i]; more != b[i] {
-			b[i], changed = more, true
+		if merged := b[i] | other[i]; merged != b[i] {
+			b[i], changed = merged, true
 		}
 	}
 	return changed
 }
 
-// fits: a set from elsewhere is of a view's size and has nothing beyond it.
-func (b Bits) fits(n int) bool {
+// fitsView reports whether a received set has the size for a view of n members and no positions beyond it.
+func (b Bits) fitsView(n int) bool {
 	return len(b) == (n+7)/8 && (n%8 == 0 || b[len(b)-1]>>(n%8) == 0)
 }
 
-// rings are who watches whom in a view. They follow from it alone.
+// rings defines who watches whom in a view. It is derived from the view alone.
 type rings struct {
-	watchers [][]int // of each member, without doubles: the position in it is its bit in a charge
-	subjects [][]int // the same the other way round
-	on       [][]int // by member and bit: the ring; empty where everybody watches everybody
-	order    [][]int // by ring: members in its order
-	place    [][]int // by ring and member: where that is
+	watchers      [][]int // by member, without duplicates; an index here is the watcher's bit in a report
+	subjects      [][]int // the inverse
+	ringOf        [][]int // by member and bit: the ring; empty where all members watch each other
+	membersOnRing [][]int // by ring: members in ring order
+	placeOnRing   [][]int // by ring and member: position on the ring
 }
 
-// stand is who stands in for a watcher that is out: the first before it on the ring that is not. The watcher itself, where there is none.
-func (r *rings) stand(of, bit int, out Bits) int {
-	w := r.watchers[of][bit]
-	if len(r.on) == 0 || !out.Has(w) {
+// substitute returns the member that stands in for an excluded watcher: its nearest predecessor on the ring that is not excluded,
+// or the watcher itself if there is none.
+func (r *rings) substitute(subject, bit int, excluded Bits) int {
+	w := r.watchers[subject][bit]
+	if len(r.ringOf) == 0 || !excluded.Has(w) {
 		return w
 	}
-	order, at := r.order[r.on[of][bit]], r.place[r.on[of][bit]][w]
+	order, at := r.membersOnRing[r.ringOf[subject][bit]], r.placeOnRing[r.ringOf[subject][bit]][w]
 	for range order {
 		at = (at + len(order) - 1) % len(order)
-		if by := order[at]; by != of && !out.Has(by) {
-			return by
+		if candidate := order[at]; candidate != subject && !excluded.Has(candidate) {
+			return candidate
 		}
 	}
 	return w
 }
 
-// Shared is what members in one process may share: the rings of a view are the same for all of them. It is not safe for concurrent use.
+// Shared lets members in one process share rings and views, which are equal for all of them. It is not safe for concurrent use.
 type Shared struct {
 	rings map[uint64]*rings
 	views map[uint64]*View
 }
 
-func (s *Shared) weave(v *View, watchers int) *rings {
+func (s *Shared) ringsOf(v *View, watchers int) *rings {
 	if s == nil {
-		return weave(v, watchers)
+		return buildRings(v, watchers)
 	}
 	r := s.rings[v.Hash()]
 	if r == nil {
-		if len(s.rings) > 64 || s.rings == nil { // of old views
+		if len(s.rings) > 64 || s.rings == nil { // entries of old views
 			s.rings, s.views = map[uint64]*rings{}, map[uint64]*View{}
 		}
-		r = weave(v, watchers)
+		r = buildRings(v, watchers)
 		s.rings[v.Hash()] = r
 	}
 	return r
 }
 
-// one returns a view that is shared by all that have the same.
-func (s *Shared) one(v *View) *View {
+// canonical returns one instance for all equal views.
+func (s *Shared) canonical(v *View) *View {
 	if s == nil {
 		return v
 	}
@@ -194,22 +197,23 @@
 	return v
 }
 
-// weave lays so many rings through a view, each in an order of its own, and has each member watched by the one before it on each.
-func weave(v *View, watchers int) *rings {
+// buildRings arranges the members of a view on the given number of rings, each in its own order. A member is watched by its
+// predecessor on each ring.
+func buildRings(v *View, watchers int) *rings {
 	n := len(v.Members)
 	r := &rings{watchers: make([][]int, n), subjects: make([][]int, n)}
-	watch := func(by, of int) bool {
-		if by == of || slices.Contains(r.watchers[of], by) {
+	watch := func(watcher, subject int) bool {
+		if watcher == subject || slices.Contains(r.watchers[subject], watcher) {
 			return false
 		}
-		r.watchers[of] = append(r.watchers[of], by)
-		r.subjects[by] = append(r.subjects[by], of)
+		r.watchers[subject] = append(r.watchers[subject], watcher)
+		r.subjects[watcher] = append(r.subjects[watcher], subject)
 		return true
 	}
 	if n-1 <= watchers {
-		for of := range n {
-			for by := range n {
-				watch(by, of)
+		for subject := range n {
+			for watcher := range n {
+				watch(watcher, subject)
 			}
 		}
 		return r
@@ -218,13 +222,13 @@
 		hash uint64
 		i    int
 	}
-	r.on = make([][]int, n)
+	r.ringOf = make([][]int, n)
 	order := make([]place, n)
 	for ring := range watchers {
 		for i, p := range v.Members {
 			var b [24]byte
 			binary.LittleEndian.PutUint64(b[:], uint64(ring))
-			binary.LittleEndian.PutUint64(b[8:], p.ID.Inc)
+			binary.LittleEndian.PutUint64(b[8:], p.ID.Incarnation)
 			binary.LittleEndian.PutUint64(b[16:], xxhash.Sum64String(p.ID.Name))
 			order[i] = place{xxhash.Sum64(b[:]), i}
 		}
@@ -233,44 +237,44 @@
 		for at, p := range order {
 			places[p.i], members[at] = at, p.i
 			if watch(order[(at+n-1)%n].i, p.i) {
-				r.on[p.i] = append(r.on[p.i], ring)
+				r.ringOf[p.i] = append(r.ringOf[p.i], ring)
 			}
 		}
-		r.order, r.place = append(r.order, members), append(r.place, places)
+		r.membersOnRing, r.placeOnRing = append(r.membersOnRing, members), append(r.placeOnRing, places)
 	}
 	return r
 }
 
-// Value is a change from one view to the next.
-type Value struct {
-	Removed Bits   `cbor:"1,keyasint,omitempty"` // positions in the view before; empty: none
+// ViewChange is a change from one view to the next.
+type ViewChange struct {
+	Removed Bits   `cbor:"1,keyasint,omitempty"` // positions in the previous view; empty: none
 	Joined  []Peer `cbor:"2,keyasint,omitempty"`
 }
 
-// good: a change from elsewhere can be one of a view of n.
-func (v *Value) good(n int) bool {
+// isValid reports whether a received change is possible for a view of n members.
+func (v *ViewChange) isValid(n int) bool {
 	size := 0
 	for _, p := range v.Joined {
 		if size += p.bytes(); p.ID.Name == "" {
 			return false
 		}
 	}
-	return (len(v.Removed) == 0 || v.Removed.fits(n)) && size <= joinRoom
+	return (len(v.Removed) == 0 || v.Removed.fitsView(n)) && size <= maxJoinBytes
 }
 
-// next is the view after a change.
-func (v *View) next(c *Value) *View {
+// next returns the view after a change.
+func (v *View) next(change *ViewChange) *View {
 	n := &View{Lineage: v.Lineage, Number: v.Number + 1}
 	for i, p := range v.Members {
-		if !c.Removed.Has(i) {
+		if !change.Removed.Has(i) {
 			n.Members = append(n.Members, p)
 		}
 	}
-	for _, p := range c.Joined {
-		if i, there := n.find(p.ID.Name); !there {
+	for _, p := range change.Joined {
+		if i, found := n.find(p.ID.Name); !found {
 			n.Members = slices.Insert(n.Members, i, p)
 		}
 	}
-	n.Most = max(v.Most, len(n.Members))
+	n.LargestSize = max(v.LargestSize, len(n.Members))
 	return n
 }
--- a/sim/members/members.go
+++ b/sim/members/members.go
@@ -1,5 +1,5 @@
-// Package members plays package member in virtual time: up to a thousand members on a net that loses, delays and cuts, whose processes
-// pause, die and return. A run depends on its seed alone.
+// Package members simulates package member in virtual time: up to 4096 members on a network that loses, delays and partitions,
+// whose processes pause, die and return. A run is determined by its seed.
 package members
 
 import (
@@ -13,17 +13,17 @@
 	"liftgauge/member"
 )
 
-// Config is one run.
+// Config configures a run.
 type Config struct {
 	Members int
 	Seed    uint64
 	Fault   string // one of Faults
 	Policy  string // one of Policies
 	Warm    time.Duration
-	Length  time.Duration // after the fleet has formed, or at most Warm has gone by
+	Length  time.Duration // after the fleet has formed, or Warm has passed
 }
 
-// Faults are what can go wrong, with what it means.
+// Faults lists the faults that can be injected.
 var Faults = []struct{ Name, Means string }{
 	{"none", "nothing"},
 	{"loss", "30% of all datagrams are lost"},
@@ -43,7 +43,7 @@
 	{"start", "all start at once, half of the seeds dead"},
 }
 
-// Policies are what is compared.
+// Policies lists the policies to compare.
 var Policies = []struct{ Name, Means string }{
 	{"member", "as it is"},
 	{"heartbeats", "all to all twice a second, each removes by itself who was silent for 2.5 s"},
@@ -53,15 +53,17 @@
 	{"no-marks", "one accuser is enough"},
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Members int    `json:"members"`
 	Seed    uint64 `json:"seed"`
 	Fault   string `json:"fault"`
 	Policy  string `json:"policy"`
-	// False is how many times a member that was up, heard and hearing was removed; with heartbeats, from anybody's list.
+	// False is the number of removals of members that were up and could send and receive; with heartbeats, removals from any
+	// member's list.
 	False int `json:"false_removals"`
-	// KnownMS and ViewMS are from a death on: until all that are in touch know (median and worst over the dead), and until their view says so.
+	// KnownMedianMS, KnownWorstMS and ViewWorstMS are measured from a death: until all members in touch have detected it (median
+	// and worst of the dead), and until their view reflects it.
 	KnownMedianMS float64 `json:"known_median_ms,omitempty"`
 	KnownWorstMS  float64 `json:"known_worst_ms,omitempty"`
 	ViewWorstMS   float64 `json:"view_worst_ms,omitempty"`
@@ -69,65 +71,65 @@
 	Views         int     `json:"views"`       // since the fault began
 	SettledMS     float64 `json:"settled_ms"`  // from the last fault to the last change of any view
 	FormedMS      float64 `json:"formed_ms"`   // from the start until all are in one view
-	BytesMean     float64 `json:"bytes_mean"`  // a second a member, sent
-	BytesWorst    float64 `json:"bytes_worst"` // of one member, over the whole run
-	InAndOut      int     `json:"in_and_out"`  // the most often that one member was removed
-	Disagree      int     `json:"disagree"`    // views of one lineage and number that differ: must be 0
-	Agreed        bool    `json:"agreed"`      // in the end all that can be in touch hold one view
+	BytesMean     float64 `json:"bytes_mean"`  // sent, per second and member
+	BytesWorst    float64 `json:"bytes_worst"` // of the member that sent most, over the whole run
+	InAndOut      int     `json:"in_and_out"`  // largest number of removals of one member
+	Disagree      int     `json:"disagree"`    // views of the same lineage and number that differ: must be 0
+	Agreed        bool    `json:"agreed"`      // at the end all members that can be in touch hold one view
 	NotInTouch    int     `json:"not_in_touch"`
 	WallMS        int64   `json:"wall_ms"`
 }
 
 const (
-	step = time.Millisecond
-	calm = 30 * time.Second // between the fleet's forming and the fault: those that joined last are settled by then
+	step       = time.Millisecond
+	settleTime = 30 * time.Second // between the fleet's formation and the fault, so that the last joins are complete
 )
 
 type datagram struct {
-	from, to int
-	inc      uint64 // of the process it was sent from
-	msg      *member.Message
-	refused  bool // a datagram of to's to from came back
+	from, to    int
+	incarnation uint64 // incarnation of the sending process
+	message     *member.Message
+	refused     bool // reports that a datagram in the opposite direction was refused
 }
 
 type process struct {
-	m       *member.Member
-	up      bool
-	silent  bool // its machine has vanished: nothing comes back
-	paused  time.Duration
-	inbox   []datagram
-	inc     uint64
-	bytes   int
-	died    time.Duration
-	known   map[int]time.Duration // for each dead: when this member knew
-	hb      []time.Duration       // with heartbeats: last heard of, by member
-	out     []bool                // with heartbeats: removed
-	removed int
-	tickAt  time.Duration
+	member        *member.Member
+	up            bool
+	vanished      bool // its machine has vanished: nothing is refused
+	pausedUntil   time.Duration
+	inbox         []datagram
+	incarnation   uint64
+	bytes         int
+	diedAt        time.Duration
+	deathKnownAt  map[int]time.Duration // by dead member: when this one detected the death
+	lastHeartbeat []time.Duration       // policy heartbeats: by member
+	removedPeers  []bool                // policy heartbeats: by member
+	removals      int
+	nextTick      time.Duration
 }
 
-// World is a run under way.
+// World is the state of a run.
 type World struct {
 	Config
-	now     time.Duration
-	rng     *rand.Rand
-	procs   []*process
-	wheel   [][]datagram
-	fault   faults
-	began   time.Duration // of the fault
-	ended   time.Duration // of the last one
-	views   map[uint64]map[uint64]uint64
-	last    time.Duration
-	changes int
-	result  Result
-	dead    map[int]time.Duration
-	shared  member.Shared
-	trace   func(format string, a ...any)
-	kinds   map[int][2]int // datagrams and bytes by kind, if it is set
-	each    func()         // called every second of the run, if it is set
+	now           time.Duration
+	rng           *rand.Rand
+	procs         []*process
+	timingWheel   [][]datagram
+	fault         faults
+	faultBegan    time.Duration // when the fault began
+	lastFaultEnd  time.Duration // when its last event ended
+	viewHashes    map[uint64]map[uint64]uint64
+	lastChange    time.Duration
+	viewChanges   int
+	result        Result
+	deadSince     map[int]time.Duration
+	shared        member.Shared
+	trace         func(format string, a ...any)
+	trafficByKind map[int][2]int // datagrams and bytes by message kind, if set
+	everySecond   func()         // called every second of the run, if set
 }
 
-// Now is the time of the run.
+// Now returns the virtual time.
 func (w *World) Now() time.Duration { return w.now }
 
 func address(i int) string { return fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255) }
@@ -140,15 +142,15 @@
 	return a<<16 | b<<8 | c
 }
 
-// Run plays a run.
+// Run executes a run.
 func Run(c Config) (Result, error) {
 	began := time.Now()
 	w, err := newWorld(c)
 	if err != nil {
 		return Result{}, err
 	}
-	w.play()
-	r := w.finish()
+	w.run()
+	r := w.summarize()
 	r.WallMS = time.Since(began).Milliseconds()
 	return r, nil
 }
@@ -158,10 +160,10 @@
 		return nil, fmt.Errorf("members: want 1 to 4096, have %d", c.Members)
 	}
 	if !slices.ContainsFunc(Faults, func(f struct{ Name, Means string }) bool { return f.Name == c.Fault }) {
-		return nil, fmt.Errorf("fault: %q is none", c.Fault)
+		return nil, fmt.Errorf("fault: %q is unknown", c.Fault)
 	}
 	if !slices.ContainsFunc(Policies, func(p struct{ Name, Means string }) bool { return p.Name == c.Policy }) {
-		return nil, fmt.Errorf("policy: %q is none", c.Policy)
+		return nil, fmt.Errorf("policy: %q is unknown", c.Policy)
 	}
 	if c.Warm <= 0 {
 		c.Warm = 3 * time.Minute
@@ -169,8 +171,8 @@
 	if c.Length <= 0 {
 		c.Length = time.Minute
 	}
-	w := &World{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), wheel: make([][]datagram, 4096), views: map[uint64]map[uint64]uint64{},
-		dead: map[int]time.Duration{}, trace: func(string, ...any) {}}
+	w := &World{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), timingWheel: make([][]datagram, 4096), viewHashes: map[uint64]map[uint64]uint64{},
+		deadSince: map[int]time.Duration{}, trace: func(string, ...any) {}}
 	w.result = Result{Members: c.Members, Seed: c.Seed, Fault: c.Fault, Policy: c.Policy}
 	for i := range c.Members {
 		w.procs = append(w.procs, &process{})
@@ -180,13 +182,13 @@
 		w.start(i)
 	}
 	if c.Fault != "start" && c.Policy != "heartbeats" {
-		v := &member.View{Lineage: 1, Number: 1, Most: c.Members}
+		v := &member.View{Lineage: 1, Number: 1, LargestSize: c.Members}
 		for _, p := range w.procs {
-			v.Members = append(v.Members, p.m.Self())
+			v.Members = append(v.Members, p.member.Self())
 		}
 		for _, p := range w.procs {
-			p.m.Begin(v)
-			p.m.Take()
+			p.member.Bootstrap(v)
+			p.member.Drain()
 		}
 	}
 	return w, nil
@@ -195,13 +197,13 @@
 // start starts a member's process.
 func (w *World) start(i int) {
 	p := w.procs[i]
-	p.inc++
-	*p = process{up: true, inc: p.inc, bytes: p.bytes, removed: p.removed, known: map[int]time.Duration{}, tickAt: w.now + time.Duration(w.rng.Int64N(int64(50*time.Millisecond)))}
-	delete(w.dead, i)
+	p.incarnation++
+	*p = process{up: true, incarnation: p.incarnation, bytes: p.bytes, removals: p.removals, deathKnownAt: map[int]time.Duration{}, nextTick: w.now + time.Duration(w.rng.Int64N(int64(50*time.Millisecond)))}
+	delete(w.deadSince, i)
 	if w.Policy == "heartbeats" {
-		p.hb, p.out = make([]time.Duration, w.Members), make([]bool, w.Members)
-		for j := range p.hb {
-			p.hb[j] = w.now
+		p.lastHeartbeat, p.removedPeers = make([]time.Duration, w.Members), make([]bool, w.Members)
+		for j := range p.lastHeartbeat {
+			p.lastHeartbeat[j] = w.now
 		}
 		return
 	}
@@ -209,154 +211,154 @@
 	for s := range min(6, w.Members) {
 		seeds = append(seeds, address(s))
 	}
-	without := map[string]member.Protection{"no-word": member.Word, "no-doubt": member.Doubt, "no-awareness": member.Awareness, "no-marks": member.Marks}[w.Policy]
-	p.m = member.New(member.Config{Self: member.Peer{ID: member.ID{Name: fmt.Sprintf("dispatcher-%04d", i), Inc: uint64(w.now/step)*16 + 1}, Address: address(i),
-		Zone: i % 5, Number: i}, Seeds: seeds, Fleet: w.Members, Without: without, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.inc)
+	disabled := map[string]member.Protection{"no-word": member.Refutation, "no-doubt": member.SelfSuspicion, "no-awareness": member.PauseDetection, "no-marks": member.Watermarks}[w.Policy]
+	p.member = member.New(member.Config{Self: member.Peer{ID: member.ID{Name: fmt.Sprintf("dispatcher-%04d", i), Incarnation: uint64(w.now/step)*16 + 1}, Address: address(i),
+		Zone: i % 5, Number: i}, Seeds: seeds, FleetSize: w.Members, Disabled: disabled, Shared: &w.shared}, w.now, w.Seed<<20^uint64(i)<<4^p.incarnation)
 }
 
-// post sends a datagram through the net.
-func (w *World) post(d datagram, size int) {
+// send sends a datagram through the network.
+func (w *World) send(d datagram, size int) {
 	if d.to < 0 || d.to >= len(w.procs) {
 		return
 	}
 	w.procs[d.from].bytes += size + 28
-	if w.kinds != nil && d.msg != nil {
-		n := w.kinds[int(d.msg.Kind)]
-		w.kinds[int(d.msg.Kind)] = [2]int{n[0] + 1, n[1] + size + 28}
+	if w.trafficByKind != nil && d.message != nil {
+		n := w.trafficByKind[int(d.message.Kind)]
+		w.trafficByKind[int(d.message.Kind)] = [2]int{n[0] + 1, n[1] + size + 28}
 	}
-	if w.fault.lost(w, d.from, d.to) {
+	if w.fault.drops(w, d.from, d.to) {
 		return
 	}
-	w.at(w.delay(), d)
+	w.schedule(w.delay(), d)
 }
 
 func (w *World) delay() time.Duration {
 	return time.Duration((1 + 4*w.rng.Float64()) * float64(time.Millisecond))
 }
 
-func (w *World) at(after time.Duration, d datagram) {
-	slot := int((w.now+max(after, step))/step) % len(w.wheel)
-	w.wheel[slot] = append(w.wheel[slot], d)
+func (w *World) schedule(after time.Duration, d datagram) {
+	slot := int((w.now+max(after, step))/step) % len(w.timingWheel)
+	w.timingWheel[slot] = append(w.timingWheel[slot], d)
 }
 
-// arrive has a datagram reach a process.
+// arrive handles a datagram that reaches a process's machine.
 func (w *World) arrive(d datagram) {
 	p := w.procs[d.to]
 	switch {
-	case !p.up && p.silent, d.refused && !p.up:
+	case !p.up && p.vanished, d.refused && !p.up:
 		return
-	case !p.up: // its machine says so, if the way back is open
-		if !w.fault.lost(w, d.to, d.from) {
-			w.at(w.delay(), datagram{from: d.to, to: d.from, inc: w.procs[d.from].inc, refused: true})
+	case !p.up: // its machine refuses, if the return path works
+		if !w.fault.drops(w, d.to, d.from) {
+			w.schedule(w.delay(), datagram{from: d.to, to: d.from, incarnation: w.procs[d.from].incarnation, refused: true})
 		}
 		return
-	case w.now < p.paused:
-		if len(p.inbox) < 256 { // what a socket's buffer holds
+	case w.now < p.pausedUntil:
+		if len(p.inbox) < 256 { // capacity of the socket's buffer
 			p.inbox = append(p.inbox, d)
 		}
 		return
 	}
 	w.deliver(p, d)
-	w.collect(d.to)
+	w.drain(d.to)
 }
 
 func (w *World) deliver(p *process, d datagram) {
 	switch {
 	case w.Policy == "heartbeats":
 		if !d.refused {
-			if p.hb[d.from] = w.now; p.out[d.from] {
-				p.out[d.from] = false
-				w.last = w.now
+			if p.lastHeartbeat[d.from] = w.now; p.removedPeers[d.from] {
+				p.removedPeers[d.from] = false
+				w.lastChange = w.now
 			}
 		}
 	case d.refused:
-		p.m.Refused(w.now, address(d.from))
+		p.member.ReceiveRefusal(w.now, address(d.from))
 	default:
-		p.m.Receive(w.now, address(d.from), d.msg)
+		p.member.Receive(w.now, address(d.from), d.message)
 	}
 }
 
-// collect takes what a member wants sent and told.
-func (w *World) collect(i int) {
+// drain sends a member's messages and records its events.
+func (w *World) drain(i int) {
 	p := w.procs[i]
-	if p.m == nil {
+	if p.member == nil {
 		return
 	}
-	out, events := p.m.Take()
-	for _, e := range out {
-		w.post(datagram{from: i, to: index(e.To), inc: p.inc, msg: e.Message}, e.Message.Bytes())
+	messages, events := p.member.Drain()
+	for _, e := range messages {
+		w.send(datagram{from: i, to: index(e.To), incarnation: p.incarnation, message: e.Message}, e.Message.EncodedSize())
 	}
 	for _, e := range events {
-		w.told(i, e)
+		w.recordEvent(i, e)
 	}
 }
 
-// told follows a member's views, and checks that all of one number are the same.
-func (w *World) told(i int, e member.Event) {
-	w.last = w.now
+// recordEvent records a member's view, and checks that all views of one number are the same.
+func (w *World) recordEvent(i int, e member.Event) {
+	w.lastChange = w.now
 	if e.View == nil {
 		p := w.procs[i]
 		w.trace("%v %d out: %s", w.now, i, e.Reason)
 		if e.Reason == "removed by the others" {
-			p.removed++
-			w.result.InAndOut = max(w.result.InAndOut, p.removed)
+			p.removals++
+			w.result.InAndOut = max(w.result.InAndOut, p.removals)
 		}
 		return
 	}
 	v := e.View
-	if w.views[v.Lineage] == nil {
-		w.views[v.Lineage] = map[uint64]uint64{}
+	if w.viewHashes[v.Lineage] == nil {
+		w.viewHashes[v.Lineage] = map[uint64]uint64{}
 	}
-	hash, seen := w.views[v.Lineage][v.Number]
+	hash, seen := w.viewHashes[v.Lineage][v.Number]
 	if !seen {
-		w.views[v.Lineage][v.Number] = v.Hash()
-		w.changes++
+		w.viewHashes[v.Lineage][v.Number] = v.Hash()
+		w.viewChanges++
 		w.trace("%v view %x/%d of %d: %s", w.now, v.Lineage, v.Number, len(v.Members), e.Reason)
-		w.removals(v)
+		w.countFalseRemovals(v)
 	} else if hash != v.Hash() {
 		w.result.Disagree++
 	}
 }
 
-// removals counts who is not in a new view though it was up and in touch, once.
-func (w *World) removals(v *member.View) {
-	if w.began == 0 {
+// countFalseRemovals counts members that are missing from a new view although they were up and in touch, once per view.
+func (w *World) countFalseRemovals(v *member.View) {
+	if w.faultBegan == 0 {
 		return
 	}
-	in := map[string]uint64{}
+	incarnations := map[string]uint64{}
 	for _, p := range v.Members {
-		in[p.ID.Name] = p.ID.Inc
+		incarnations[p.ID.Name] = p.ID.Incarnation
 	}
 	for i, p := range w.procs {
-		if p.m == nil || !p.up || p.m.View() == nil || p.m.View().Lineage != v.Lineage || p.m.View().Number+1 != v.Number || p.m.State() != member.Inside {
+		if p.member == nil || !p.up || p.member.View() == nil || p.member.View().Lineage != v.Lineage || p.member.View().Number+1 != v.Number || p.member.State() != member.Inside {
 			continue
 		}
-		self := p.m.Self().ID
-		if inc, there := in[self.Name]; (!there || inc != self.Inc) && w.fault.sound(w, i) {
+		self := p.member.Self().ID
+		if incarnation, found := incarnations[self.Name]; (!found || incarnation != self.Incarnation) && w.fault.mustStay(w, i) {
 			w.result.False++
 			w.trace("%v %d removed though it is up", w.now, i)
 		}
 	}
 }
 
-func (w *World) play() {
-	formed, begins := false, time.Duration(-1)
+func (w *World) run() {
+	formed, faultStart := false, time.Duration(-1)
 	end := w.Warm
 	for ; w.now < end; w.now += step {
-		slot := int(w.now/step) % len(w.wheel)
-		due := w.wheel[slot]
-		w.wheel[slot] = nil
+		slot := int(w.now/step) % len(w.timingWheel)
+		due := w.timingWheel[slot]
+		w.timingWheel[slot] = nil
 		for _, d := range due {
-			if w.procs[d.to].up && d.refused && w.procs[d.to].inc != d.inc {
+			if w.procs[d.to].up && d.refused && w.procs[d.to].incarnation != d.incarnation {
 				continue
 			}
 			w.arrive(d)
 		}
 		for i, p := range w.procs {
-			if !p.up || w.now < p.tickAt {
+			if !p.up || w.now < p.nextTick {
 				continue
 			}
-			if w.now < p.paused {
+			if w.now < p.pausedUntil {
 				continue
 			}
 			if len(p.inbox) > 0 {
@@ -365,37 +367,37 @@
 				}
 				p.inbox = nil
 			}
-			p.tickAt = w.now + 50*time.Millisecond
+			p.nextTick = w.now + 50*time.Millisecond
 			w.tick(i, p)
 		}
-		if w.each != nil && w.now%time.Second == 0 {
-			w.each()
+		if w.everySecond != nil && w.now%time.Second == 0 {
+			w.everySecond()
 		}
-		if w.began > 0 {
-			w.fault.act(w)
-			if len(w.dead) > 0 && w.now%(20*time.Millisecond) == 0 {
-				w.notice()
+		if w.faultBegan > 0 {
+			w.fault.advance(w)
+			if len(w.deadSince) > 0 && w.now%(20*time.Millisecond) == 0 {
+				w.recordKnownDeaths()
 			}
-		} else if w.now%(100*time.Millisecond) == 0 && !formed && w.together() {
+		} else if w.now%(100*time.Millisecond) == 0 && !formed && w.converged() {
 			formed = true
 			w.result.FormedMS = float64(w.now / time.Millisecond)
 			end = w.now + 20*time.Second
 			if w.Fault != "start" {
-				begins = w.now + calm
-				end = begins + w.Length
+				faultStart = w.now + settleTime
+				end = faultStart + w.Length
 			}
 		}
-		if w.now == begins {
-			w.begin()
+		if w.now == faultStart {
+			w.beginFault()
 		}
 	}
 }
 
-// begin begins the fault.
-func (w *World) begin() {
-	w.began, w.ended, w.changes = w.now, w.now, 0
+// beginFault starts the fault.
+func (w *World) beginFault() {
+	w.faultBegan, w.lastFaultEnd, w.viewChanges = w.now, w.now, 0
 	for _, p := range w.procs {
-		p.bytes, p.removed = 0, 0
+		p.bytes, p.removals = 0, 0
 	}
 	w.result.InAndOut = 0
 	w.fault = newFaults(w)
@@ -404,30 +406,30 @@
 // tick lets a process act.
 func (w *World) tick(i int, p *process) {
 	if w.Policy != "heartbeats" {
-		p.m.Tick(w.now)
-		w.collect(i)
+		p.member.Tick(w.now)
+		w.drain(i)
 		return
 	}
-	if p.tickAt%(500*time.Millisecond) < 50*time.Millisecond {
+	if p.nextTick%(500*time.Millisecond) < 50*time.Millisecond {
 		for j := range w.procs {
 			if j != i {
-				w.post(datagram{from: i, to: j, inc: p.inc}, 30)
+				w.send(datagram{from: i, to: j, incarnation: p.incarnation}, 30)
 			}
 		}
 	}
-	for j, at := range p.hb {
-		if j != i && !p.out[j] && w.now-at > 2500*time.Millisecond {
-			p.out[j] = true
-			w.last = w.now
-			if w.began > 0 && w.procs[j].up && w.fault.sound(w, j) && w.fault.sound(w, i) {
+	for j, at := range p.lastHeartbeat {
+		if j != i && !p.removedPeers[j] && w.now-at > 2500*time.Millisecond {
+			p.removedPeers[j] = true
+			w.lastChange = w.now
+			if w.faultBegan > 0 && w.procs[j].up && w.fault.mustStay(w, j) && w.fault.mustStay(w, i) {
 				w.result.False++
 			}
 		}
 	}
 }
 
-// together: all that are up hold one view of all that are up.
-func (w *World) together() bool {
+// converged reports whether all processes that are up hold one view of exactly these.
+func (w *World) converged() bool {
 	if w.Policy == "heartbeats" {
 		return w.now > 3*time.Second
 	}
@@ -438,7 +440,7 @@
 			continue
 		}
 		n++
-		v := p.m.View()
+		v := p.member.View()
 		if v == nil || first != nil && (v.Number != first.Number || v.Lineage != first.Lineage) {
 			return false
 		}
@@ -447,65 +449,65 @@
 	return first != nil && len(first.Members) == n
 }
 
-// notice looks who knows of the dead by now.
-func (w *World) notice() {
+// recordKnownDeaths records which members have detected which deaths.
+func (w *World) recordKnownDeaths() {
 	for _, p := range w.procs {
-		if !p.up || w.now < p.paused {
+		if !p.up || w.now < p.pausedUntil {
 			continue
 		}
-		if len(p.known) == len(w.dead) {
+		if len(p.deathKnownAt) == len(w.deadSince) {
 			continue
 		}
 		if w.Policy == "heartbeats" {
-			for d := range w.dead {
-				if _, ok := p.known[d]; !ok && p.out[d] {
-					p.known[d] = w.now
+			for d := range w.deadSince {
+				if _, ok := p.deathKnownAt[d]; !ok && p.removedPeers[d] {
+					p.deathKnownAt[d] = w.now
 				}
 			}
 			continue
 		}
-		v := p.m.View()
+		v := p.member.View()
 		if v == nil {
 			continue
 		}
-		down := p.m.Down()
-		for d := range w.dead {
-			if _, ok := p.known[d]; ok {
+		down := p.member.Down()
+		for d := range w.deadSince {
+			if _, ok := p.deathKnownAt[d]; ok {
 				continue
 			}
 			name := fmt.Sprintf("dispatcher-%04d", d)
-			i, there := slices.BinarySearchFunc(v.Members, name, func(m member.Peer, name string) int { return cmp.Compare(m.ID.Name, name) })
-			if !there || down.Has(i) {
-				p.known[d] = w.now
+			i, found := slices.BinarySearchFunc(v.Members, name, func(m member.Peer, name string) int { return cmp.Compare(m.ID.Name, name) })
+			if !found || down.Has(i) {
+				p.deathKnownAt[d] = w.now
 			}
 		}
 	}
 }
 
-func (w *World) finish() Result {
+func (w *World) summarize() Result {
 	r := &w.result
-	r.Views = w.changes
-	r.SettledMS = math.Max(0, float64(w.last-w.ended)/float64(time.Millisecond))
-	length := (w.now - w.began).Seconds()
-	ups := 0
+	r.Views = w.viewChanges
+	r.SettledMS = math.Max(0, float64(w.lastChange-w.lastFaultEnd)/float64(time.Millisecond))
+	length := (w.now - w.faultBegan).Seconds()
+	running := 0
 	for _, p := range w.procs {
 		if !p.up {
 			continue
 		}
-		ups++
+		running++
 		rate := float64(p.bytes) / length
 		r.BytesMean += rate
 		r.BytesWorst = math.Max(r.BytesWorst, rate)
 	}
-	r.BytesMean /= math.Max(1, float64(ups))
+	r.BytesMean /= math.Max(1, float64(running))
 	var known []float64
-	for d, died := range w.dead {
+	for d, died := range w.deadSince {
 		worst := time.Duration(0)
 		for i, p := range w.procs {
-			if !p.up || !w.fault.sound(w, i) {
+			if !p.up || !w.fault.mustStay(w, i) {
 				continue
 			}
-			at, ok := p.known[d]
+			at, ok := p.deathKnownAt[d]
 			if !ok {
 				worst = -1
 				break
@@ -529,11 +531,11 @@
 	var first *member.View
 	r.Agreed = true
 	for i, p := range w.procs {
-		if !p.up || !w.fault.sound(w, i) {
+		if !p.up || !w.fault.mustStay(w, i) {
 			continue
 		}
-		v := p.m.View()
-		if v == nil || !p.m.InTouch() {
+		v := p.member.View()
+		if v == nil || !p.member.HasQuorum() {
 			r.NotInTouch++
 		}
 		if v == nil || first != nil && (v.Number != first.Number || v.Lineage != first.Lineage) {
@@ -542,7 +544,7 @@
 		}
 		first = v
 	}
-	if first != nil && len(w.dead) > 0 {
+	if first != nil && len(w.deadSince) > 0 {
 		r.ViewWorstMS = r.SettledMS
 	}
 	return *r
