--- a/internal/roles/dispatcher/delivery/actions.go
+++ b/internal/roles/dispatcher/delivery/actions.go
@@ -15,9 +15,9 @@
 	j, w := s.jobs[id], s.workers[to]
 	number := j.attempts
 	j.attempts++
-	j.out = true
+	j.inFlight = true
 	if w == nil { // balance has it from an older list
-		s.engine.loop.post(func() { s.attempted(j, number, to, notRun(balance.NotSent)) })
+		s.engine.loop.post(func() { s.attemptEnded(j, number, to, notRun(balance.NotSent)) })
 		return
 	}
 	a := &attempt{message: j.Message, address: w.address, instance: w.instance, timeout: j.Timeout, permit: s.permit(j, w)}
@@ -25,47 +25,47 @@
 	go func() {
 		defer s.engine.attempts.Done()
 		end := s.client.send(context.Background(), a)
-		s.engine.loop.post(func() { s.attempted(j, number, to, end) })
+		s.engine.loop.post(func() { s.attemptEnded(j, number, to, end) })
 	}()
 }
 
 // permit returns the check that is made right before the first byte for a worker.
 func (s *service) permit(j *job, w *worker) func() error {
-	paced, began, taken := s.pacer != nil, time.Now(), j.taken
+	rateLimited, began, received := s.pacer != nil, time.Now(), j.received
 	return func() error {
-		if time.Since(taken) > jobStale {
-			return errJobStale
+		if time.Since(received) > maxJobAge {
+			return errJobTooOld
 		}
-		if paced && time.Since(began) > tokenStale {
-			return errTokenStale
+		if rateLimited && time.Since(began) > maxTokenAge {
+			return errTokenExpired
 		}
-		return s.roster.check(w)
+		return s.allowed.check(w)
 	}
 }
 
 // attempted takes the end of an attempt.
-func (s *service) attempted(j *job, number int, to balance.WorkerID, end ending) {
+func (s *service) attemptEnded(j *job, number int, to balance.WorkerID, end attemptResult) {
 	now := s.engine.loop.now()
-	j.out = false
-	if end.stranger {
+	j.inFlight = false
+	if end.wrongInstance {
 		if w := s.workers[to]; w != nil && w.instance != "" {
-			s.strangers[w.instance] = true
-			s.refresh()
+			s.wrongInstances[w.instance] = true
+			s.refreshWorkers()
 		}
 	}
 	if s.Static != "" && unreachable(end.status) {
 		// There is no other to send to, and the stores' gates pace further tries: leaving it out here would only hold up its return.
 		end.status = balance.NotSent
 	}
-	if end.Outcome != protocol.OutcomeNotRun || !end.elsewhere || s.pacer != nil || j.expired {
+	if end.Outcome != protocol.OutcomeNotRun || !end.retryElsewhere || s.pacer != nil || j.expired {
 		s.balance.Outcome(now, balance.Outcome{Job: j.id, Attempt: number, Worker: to, Status: end.status, Closed: true})
 		s.finish(j, end.Result)
 		return
 	}
-	j.last = end.Result
+	j.lastResult = end.Result
 	s.balance.Outcome(now, balance.Outcome{Job: j.id, Attempt: number, Worker: to, Status: end.status})
-	if j.expired && !j.out {
-		s.finish(j, j.last)
+	if j.expired && !j.inFlight {
+		s.finish(j, j.lastResult)
 	}
 }
 
@@ -83,8 +83,8 @@
 	if j == nil {
 		return
 	}
-	if j.expired = true; !j.out {
-		s.finish(j, j.last)
+	if j.expired = true; !j.inFlight {
+		s.finish(j, j.lastResult)
 	}
 }
 
@@ -106,11 +106,11 @@
 
 // Timer implements balance.Actions.
 func (s *service) Timer(after time.Duration, token uint64) {
-	var alive func() bool
+	var needed func() bool
 	if id, ok := balance.JobOf(token); ok {
-		alive = func() bool { return s.jobs[id] != nil }
+		needed = func() bool { return s.jobs[id] != nil }
 	}
-	s.engine.loop.after(after, func() { s.balance.Timer(s.engine.loop.now(), token) }, alive)
+	s.engine.loop.after(after, func() { s.balance.Timer(s.engine.loop.now(), token) }, needed)
 }
 
 // Watch implements balance.Actions; the list comes unasked.
--- a/internal/roles/dispatcher/delivery/answer.go
+++ b/internal/roles/dispatcher/delivery/answer.go
@@ -18,26 +18,26 @@
 )
 
 // ending is how one attempt ended.
-type ending struct {
+type attemptResult struct {
 	Result
 	status balance.Status
 	// elsewhere says that another worker may be tried at once: this one surely did not run it.
-	elsewhere bool
+	retryElsewhere bool
 	// stranger says that another worker has the address now.
-	stranger bool
+	wrongInstance bool
 }
 
-func notRun(status balance.Status) ending {
-	return ending{Result: Result{Outcome: protocol.OutcomeNotRun, Pause: pauseNoRoom}, status: status, elsewhere: true}
+func notRun(status balance.Status) attemptResult {
+	return attemptResult{Result: Result{Outcome: protocol.OutcomeNotRun, Pause: pauseFull}, status: status, retryElsewhere: true}
 }
 
-func unknown(status balance.Status) ending {
-	return ending{Result: Result{Outcome: protocol.OutcomeUnknown}, status: status}
+func unknown(status balance.Status) attemptResult {
+	return attemptResult{Result: Result{Outcome: protocol.OutcomeUnknown}, status: status}
 }
 
 // classify judges a whole answer that belongs to the request.
-func classify(code int, header http.Header) ending {
-	e := ending{Result: Result{Status: uint16(code)}}
+func classify(code int, header http.Header) attemptResult {
+	e := attemptResult{Result: Result{Status: uint16(code)}}
 	signature := header.Get(headerSignature)
 	_, notExecuted := header[headerNotExecuted]
 	success := code >= http.StatusOK && code < http.StatusMultipleChoices
@@ -45,14 +45,14 @@
 	case success && signature != "":
 		e.Outcome, e.Signature, e.status = protocol.OutcomeSucceeded, signature, balance.OK
 	case code == http.StatusMisdirectedRequest:
-		e.Outcome, e.status, e.elsewhere, e.stranger = protocol.OutcomeNotRun, balance.Full, true, true
-		e.Pause = pauseNoRoom
+		e.Outcome, e.status, e.retryElsewhere, e.wrongInstance = protocol.OutcomeNotRun, balance.Full, true, true
+		e.Pause = pauseFull
 	case notExecuted && code == http.StatusConflict:
 		e.Outcome, e.status, e.Pause = protocol.OutcomeNotRun, balance.Rejected, pauseRunning
 	case notExecuted && (code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests):
-		e.Outcome, e.status, e.elsewhere, e.Pause = protocol.OutcomeNotRun, balance.Full, true, pauseNoRoom
+		e.Outcome, e.status, e.retryElsewhere, e.Pause = protocol.OutcomeNotRun, balance.Full, true, pauseFull
 	case notExecuted:
-		e.Outcome, e.status, e.Pause = protocol.OutcomeNotRun, balance.Rejected, pauseNoRoom
+		e.Outcome, e.status, e.Pause = protocol.OutcomeNotRun, balance.Rejected, pauseFull
 	case code == http.StatusInternalServerError: // of the message rather than of the worker: some fail everywhere
 		e.Outcome, e.status = protocol.OutcomeFailed, balance.Rejected
 	case code == http.StatusUnprocessableEntity:
--- a/internal/roles/dispatcher/delivery/client.go
+++ b/internal/roles/dispatcher/delivery/client.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	defaultKeepAlive = 4 * time.Second // of a worker's idle connections, until it tells
-	maxAnswer        = 16 << 20        // bytes of an answer that are read; a longer one is taken as broken off
-	maxAnswerHeader  = 64 << 10
-	writeBuffer      = 8 << 10
-	readBuffer       = 2 << 10
-	sendsUnsent      = 3 // connections tried for one attempt while nothing of it was sent
+	defaultKeepAlive       = 4 * time.Second // of a worker's idle connections, until it tells
+	maxResponseBytes       = 16 << 20        // bytes of an answer that are read; a longer one is taken as broken off
+	maxResponseHeaderBytes = 64 << 10
+	writeBuffer            = 8 << 10
+	readBuffer             = 2 << 10
+	maxUnsentExchanges     = 3 // connections tried for one attempt while nothing of it was sent
 )
 
-var errAnswerTooLong = errors.New("delivery: the answer is too long: let the service answer with less")
+var errResponseTooLong = errors.New("delivery: the answer is too long: let the service answer with less")
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -59,12 +59,12 @@
 	defer c.mu.Unlock()
 	if c.limit != limit {
 		c.limit = limit
-		c.retire()
+		c.retireTransport()
 	}
 }
 
 // present is the limit in force.
-func (c *client) present() int {
+func (c *client) currentLimit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limit
@@ -79,16 +79,16 @@
 			continue
 		}
 		c.mu.Lock()
-		if told := time.Duration(seconds) * time.Second; told < c.keepAlive || told >= 2*c.keepAlive {
-			c.keepAlive = told
-			c.retire() // else the connections that are open are worth more
+		if timeout := time.Duration(seconds) * time.Second; timeout < c.keepAlive || timeout >= 2*c.keepAlive {
+			c.keepAlive = timeout
+			c.retireTransport() // else the connections that are open are worth more
 		}
 		c.mu.Unlock()
 	}
 }
 
 // retire has later requests use a new transport; the caller holds the lock.
-func (c *client) retire() {
+func (c *client) retireTransport() {
 	if c.transport != nil {
 		c.transport.CloseIdleConnections() // also keeps connections that are busy from going back to the pool
 		c.transport = nil
@@ -98,11 +98,11 @@
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.retire()
+	c.retireTransport()
 }
 
 // current returns the transport in use and how long its connections may be idle.
-func (c *client) current() (*http.Transport, time.Duration) {
+func (c *client) currentTransport() (*http.Transport, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.transport == nil {
@@ -112,7 +112,7 @@
 			MaxConnsPerHost:        c.limit,
 			MaxIdleConnsPerHost:    max(c.limit, 64),
 			IdleConnTimeout:        c.idleLimit(),
-			MaxResponseHeaderBytes: maxAnswerHeader,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 			WriteBufferSize:        writeBuffer,
 			ReadBufferSize:         readBuffer,
 		}
@@ -138,14 +138,14 @@
 }
 
 // send makes an attempt. It uses another connection only while nothing of the request was given to a socket.
-func (c *client) send(ctx context.Context, a *attempt) ending {
+func (c *client) send(ctx context.Context, a *attempt) attemptResult {
 	request, err := a.request()
 	if err != nil {
-		return ending{Result: Result{Outcome: protocol.OutcomeNotRun, Pause: pauseDown}, status: balance.NotSent}
+		return attemptResult{Result: Result{Outcome: protocol.OutcomeNotRun, Pause: pauseUnreachable}, status: balance.NotSent}
 	}
-	for try := 1; ; try++ {
-		end, again := c.exchange(ctx, a, request)
-		if !again || try == sendsUnsent {
+	for exchanges := 1; ; exchanges++ {
+		end, retry := c.exchange(ctx, a, request)
+		if !retry || exchanges == maxUnsentExchanges {
 			return end
 		}
 	}
@@ -195,18 +195,18 @@
 
 // exchange sends the request on one connection and reads the answer. again says that nothing was sent, and that another
 // connection may do better.
-func (c *client) exchange(ctx context.Context, a *attempt, request *http.Request) (end ending, again bool) {
+func (c *client) exchange(ctx context.Context, a *attempt, request *http.Request) (end attemptResult, retry bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	transport, idleLimit := c.current()
-	timer := time.AfterFunc(ConnectTimeout+lateAnswer, func() { time.AfterFunc(readBefore, cancel) })
+	transport, idleLimit := c.currentTransport()
+	timer := time.AfterFunc(ConnectTimeout+responseGrace, func() { time.AfterFunc(readGrace, cancel) })
 	defer timer.Stop()
-	g := &gate{id: a.message.RequestID, idleLimit: idleLimit, permit: a.permit,
-		opened: func() { timer.Reset(a.timeout + lateAnswer) }}
+	g := &sendGuard{id: a.message.RequestID, idleLimit: idleLimit, permit: a.permit,
+		onSend: func() { timer.Reset(a.timeout + responseGrace) }}
 	reused := false
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		reused = info.Reused
-		g.use(info.Conn.(*workerConn))
+		g.bind(info.Conn.(*workerConn))
 	}}
 	request = request.WithContext(httptrace.WithClientTrace(ctx, trace))
 	if request.Body = nil; len(a.message.Body) > 0 {
@@ -214,32 +214,32 @@
 	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return failure(g, ctx, reused)
+		return classifyFailure(g, ctx, reused)
 	}
 	defer response.Body.Close()
-	return c.read(ctx, g, a, response), false
+	return c.readResponse(ctx, g, a, response), false
 }
 
 // failure judges an exchange without an answer.
-func failure(g *gate, ctx context.Context, reused bool) (end ending, again bool) {
-	sent, refused := g.sent()
+func classifyFailure(g *sendGuard, ctx context.Context, reused bool) (end attemptResult, retry bool) {
+	sent, denied := g.sent()
 	switch {
 	case sent && ctx.Err() != nil:
 		return unknown(balance.TimedOut), false
 	case sent:
 		return unknown(balance.Reset), false
-	case refused != nil:
+	case denied != nil:
 		return notRun(balance.NotSent), false
 	case ctx.Err() != nil || !reused:
 		end = notRun(balance.ConnectFailed)
-		end.Pause = pauseDown
+		end.Pause = pauseUnreachable
 		return end, false
 	}
 	return notRun(balance.NotSent), true
 }
 
 // read takes the whole answer. One that is not of this request leaves nothing known, and its connection is closed.
-func (c *client) read(ctx context.Context, g *gate, a *attempt, response *http.Response) ending {
+func (c *client) readResponse(ctx context.Context, g *sendGuard, a *attempt, response *http.Response) attemptResult {
 	if response.Header.Get(headerRequestID) != a.message.RequestID {
 		g.connection().Close()
 		return unknown(balance.Errored)
@@ -251,15 +251,15 @@
 		}
 		return unknown(balance.Reset)
 	}
-	g.connection().idle(time.Now())
+	g.connection().markIdle(time.Now())
 	c.learnKeepAlive(response.Header)
 	return classify(response.StatusCode, response.Header)
 }
 
 func discard(body io.Reader) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(body, maxAnswer+1))
-	if err == nil && n > maxAnswer {
-		return errAnswerTooLong
+	n, err := io.Copy(io.Discard, io.LimitReader(body, maxResponseBytes+1))
+	if err == nil && n > maxResponseBytes {
+		return errResponseTooLong
 	}
 	return err
 }
@@ -273,7 +273,7 @@
 		return balance.ConnectFailed
 	}
 	request.Header["User-Agent"] = nil
-	transport, _ := c.current()
+	transport, _ := c.currentTransport()
 	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return balance.ConnectFailed
@@ -282,7 +282,7 @@
 	if discard(response.Body) != nil || response.StatusCode != http.StatusOK {
 		return balance.Full
 	}
-	if told := response.Header.Get("X-Instance-Id"); instance != "" && told != "" && told != instance {
+	if answeredBy := response.Header.Get("X-Instance-Id"); instance != "" && answeredBy != "" && answeredBy != instance {
 		return balance.Full
 	}
 	return balance.OK
--- a/internal/roles/dispatcher/delivery/delivery.go
+++ b/internal/roles/dispatcher/delivery/delivery.go
@@ -20,27 +20,27 @@
 	// ConnectTimeout bounds the opening of a connection to a worker.
 	ConnectTimeout = time.Second
 	// placeWithin is how long a message waits for a worker that has room before it is given back to its store.
-	placeWithin = 2 * time.Second
+	placementTimeout = 2 * time.Second
 	// tokenWithin is how long a message of a rate-limited service waits for its turn before it is given back.
-	tokenWithin = time.Second
+	tokenTimeout = time.Second
 	// lateAnswer is how much longer than the time-out of an attempt its answer is awaited: the worker tells that it gave up.
-	lateAnswer = 150 * time.Millisecond
+	responseGrace = 150 * time.Millisecond
 	// readBefore is left, once an answer is overdue, to read what has arrived by then: a process that had no processor for a while finds its
 	// timers and its sockets due at the same moment, and an answer that was read counts.
-	readBefore = 30 * time.Millisecond
+	readGrace = 30 * time.Millisecond
 	// jobStale is the age of a job from which on it is not sent any more: its store may have given it out again. Only a process that stood
 	// still has such jobs, as a rule.
-	jobStale = placeWithin + tokenWithin
+	maxJobAge = placementTimeout + tokenTimeout
 	// tokenStale is how long after its turn a message of a rate-limited service may still be sent: turns must not gather.
-	tokenStale = 250 * time.Millisecond
+	maxTokenAge = 250 * time.Millisecond
 )
 
 // Pauses that are asked of the store before a message is handed out again.
 const (
-	pauseNoRoom  = 100 * time.Millisecond // no worker had room
-	pauseDown    = 250 * time.Millisecond // no worker could be reached, or none is listed
-	pauseRunning = 50 * time.Millisecond  // a worker says that an earlier attempt is still running
-	pauseElse    = 100 * time.Millisecond // this dispatcher is not one that sends to the service
+	pauseFull        = 100 * time.Millisecond // no worker had room
+	pauseUnreachable = 250 * time.Millisecond // no worker could be reached, or none is listed
+	pauseRunning     = 50 * time.Millisecond  // a worker says that an earlier attempt is still running
+	pauseNotOwner    = 100 * time.Millisecond // this dispatcher is not one that sends to the service
 )
 
 // Service is a service as the operator's configuration has it.
@@ -50,12 +50,12 @@
 	MaxConnections  int    // of one worker, from all callers together; 0 where that is not known
 	RatePerS        float64
 	Static          string        // address of its single endpoint; empty where workers are listed
-	Aim             time.Duration // within which a message should begin to run
+	TargetStart     time.Duration // within which a message should begin to run
 	// Owners is how many dispatchers send to it; 0 means all of them.
 	Owners int
 }
 
-func (s *Service) paced() bool { return s.RatePerS > 0 }
+func (s *Service) rateLimited() bool { return s.RatePerS > 0 }
 
 // State is what an Engine goes by: configuration, workers and the other dispatchers.
 type State struct {
@@ -93,7 +93,7 @@
 	Seed   uint64   // of random choices
 	Logger *zap.Logger
 	// MayPace tells whether messages may go to rate-limited services now; nil for always.
-	MayPace func() bool
+	AllowRateLimited func() bool
 	// Dial opens connections to workers; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/internal/roles/dispatcher/delivery/engine.go
+++ b/internal/roles/dispatcher/delivery/engine.go
@@ -13,9 +13,9 @@
 	"liftgauge/internal/protocol"
 )
 
-var errJobStale = errors.New("delivery: the message came long ago, and may have been given out again: give it back")
+var errJobTooOld = errors.New("delivery: the message came long ago, and may have been given out again: give it back")
 
-var errTokenStale = errors.New("delivery: the turn of a rate-limited message is over: wait for another")
+var errTokenExpired = errors.New("delivery: the turn of a rate-limited message is over: wait for another")
 
 // Engine delivers messages. Its methods may be called from any goroutine.
 type Engine struct {
@@ -47,10 +47,12 @@
 	return e
 }
 
-func (e *Engine) mayPace() bool { return e.options.MayPace == nil || e.options.MayPace() }
+func (e *Engine) rateLimitedAllowed() bool {
+	return e.options.AllowRateLimited == nil || e.options.AllowRateLimited()
+}
 
 // same compares all but the slices.
-func (s *State) same(other *State) bool {
+func (s *State) sameExceptSlices(other *State) bool {
 	return s.ListVersion == other.ListVersion && s.Number == other.Number && s.Dispatchers == other.Dispatchers && s.InZone == other.InZone
 }
 
@@ -63,9 +65,9 @@
 	for _, w := range state.Workers {
 		byService[w.Service] = append(byService[w.Service], w)
 	}
-	named := make(map[string]bool, len(state.Services))
+	configured := make(map[string]bool, len(state.Services))
 	for _, settings := range state.Services {
-		named[settings.Name] = true
+		configured[settings.Name] = true
 		s := e.services[settings.Name]
 		if s == nil {
 			s = newService(e, settings)
@@ -74,7 +76,7 @@
 		s.update(settings, byService[settings.Name], &e.state)
 	}
 	for name, s := range e.services {
-		if !named[name] {
+		if !configured[name] {
 			e.remove(name, s)
 		}
 	}
@@ -84,22 +86,22 @@
 func (e *Engine) remove(name string, s *service) {
 	delete(e.services, name)
 	s.removed = true
-	s.release(pauseElse)
-	s.refresh()
+	s.returnWaiting(pauseNotOwner)
+	s.refreshWorkers()
 	s.client.close()
 }
 
 // Submit begins a job.
 func (e *Engine) Submit(j Job) {
-	taken := time.Now()
+	received := time.Now()
 	e.loop.post(func() {
 		switch s := e.services[j.Service]; {
 		case e.draining:
 			j.Done(Result{Outcome: protocol.OutcomeNotRun})
 		case s == nil:
-			j.Done(Result{Outcome: protocol.OutcomeNotRun, Pause: pauseElse})
+			j.Done(Result{Outcome: protocol.OutcomeNotRun, Pause: pauseNotOwner})
 		default:
-			s.take(&job{Job: j, taken: taken})
+			s.start(&job{Job: j, received: received})
 		}
 	})
 }
@@ -109,7 +111,7 @@
 	e.loop.post(func() {
 		e.draining = true
 		for _, s := range e.services {
-			s.release(0)
+			s.returnWaiting(0)
 		}
 	})
 }
--- a/internal/roles/dispatcher/delivery/engine_test.go
+++ b/internal/roles/dispatcher/delivery/engine_test.go
@@ -94,7 +94,7 @@
 				is := is.New(t)
 				is.Equal(r.Outcome, c.want)
 				if name == "full" || name == "too many" { // proven not to have run: it may be offered again, here after a while
-					is.True(calls >= 1 && calls <= attemptsElsewhere)
+					is.True(calls >= 1 && calls <= maxWorkersPerJob)
 				} else {
 					is.Equal(calls, 1)
 				}
@@ -257,7 +257,7 @@
 		began := time.Now()
 		b.list()
 		is.Equal(b.deliver(message("m")).Outcome, protocol.OutcomeNotRun)
-		is.True(time.Since(began) <= placeWithin+100*time.Millisecond)
+		is.True(time.Since(began) <= placementTimeout+100*time.Millisecond)
 	})
 }
 
@@ -545,12 +545,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, w := &service{}, &worker{id: 1, instance: "i-1"}
-		s.roster.set(map[balance.WorkerID]*worker{1: w})
-		permit := s.permit(&job{taken: time.Now()}, w)
-		time.Sleep(jobStale) // in the bubble: nobody waits
+		s.allowed.set(map[balance.WorkerID]*worker{1: w})
+		permit := s.permit(&job{received: time.Now()}, w)
+		time.Sleep(maxJobAge) // in the bubble: nobody waits
 		is.NoErr(permit())
 		time.Sleep(time.Nanosecond)
-		is.Equal(permit(), errJobStale)
+		is.Equal(permit(), errJobTooOld)
 	})
 }
 
@@ -559,11 +559,11 @@
 	inBubble(t, func(t *testing.T, b *bench) {
 		is := is.New(t)
 		for after, outcome := range map[time.Duration]protocol.Outcome{
-			0: protocol.OutcomeSucceeded, readBefore / 2: protocol.OutcomeSucceeded, 2 * readBefore: protocol.OutcomeUnknown,
+			0: protocol.OutcomeSucceeded, readGrace / 2: protocol.OutcomeSucceeded, 2 * readGrace: protocol.OutcomeUnknown,
 		} {
 			name := fmt.Sprint("w", int(after))
 			b.serve(t, name, func(w http.ResponseWriter, r *http.Request) {
-				time.Sleep(500*time.Millisecond + lateAnswer + after)
+				time.Sleep(500*time.Millisecond + responseGrace + after)
 				succeed(w, r)
 			})
 			b.list(protocol.Worker{ID: name})
@@ -583,7 +583,7 @@
 		}
 		time.Sleep(3 * time.Second) // of the bubble's clock: each is tried, and fails
 		b.serve(t, "w1", succeed)
-		time.Sleep(2 * longestOut)
+		time.Sleep(2 * maxProbeInterval)
 		is.Equal(b.deliver(message("again")).Outcome, protocol.OutcomeSucceeded)
 	})
 }
--- a/internal/roles/dispatcher/delivery/fake_test.go
+++ b/internal/roles/dispatcher/delivery/fake_test.go
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := &bench{network: newNetwork(), t: t, results: map[string]Result{}}
 		b.mayPace.Store(true)
-		b.engine = New(Options{Zone: "a", Zones: []string{"a", "b"}, Seed: 1, Dial: b.dial, MayPace: b.mayPace.Load})
+		b.engine = New(Options{Zone: "a", Zones: []string{"a", "b"}, Seed: 1, Dial: b.dial, AllowRateLimited: b.mayPace.Load})
 		b.state = State{Number: 0, Dispatchers: 1, InZone: 1, Services: []Service{{Name: "orders"}}, ListVersion: protocol.ItemVersion{Term: 1}}
 		defer b.engine.Close()
 		test(t, b)
--- a/internal/roles/dispatcher/delivery/loop.go
+++ b/internal/roles/dispatcher/delivery/loop.go
@@ -8,9 +8,9 @@
 
 // timer is a call that falls due; one whose alive says no is dropped without a wake-up.
 type timer struct {
-	at    time.Duration
-	call  func()
-	alive func() bool // nil for always
+	at     time.Duration
+	call   func()
+	needed func() bool // nil for always
 }
 
 type timers []timer
@@ -58,8 +58,8 @@
 }
 
 // after has f called after a time; only from the loop itself.
-func (l *loop) after(wait time.Duration, f func(), alive func() bool) {
-	heap.Push(&l.timers, timer{at: l.now() + wait, call: f, alive: alive})
+func (l *loop) after(wait time.Duration, f func(), needed func() bool) {
+	heap.Push(&l.timers, timer{at: l.now() + wait, call: f, needed: needed})
 }
 
 func (l *loop) close() {
@@ -103,7 +103,7 @@
 	if len(l.timers) == 0 || l.timers[0].at > l.now() {
 		return false
 	}
-	if t := heap.Pop(&l.timers).(timer); t.alive == nil || t.alive() {
+	if t := heap.Pop(&l.timers).(timer); t.needed == nil || t.needed() {
 		t.call()
 	}
 	return true
@@ -111,7 +111,7 @@
 
 // next is the time until the first timer that is still wanted.
 func (l *loop) next() (time.Duration, bool) {
-	for len(l.timers) > 0 && l.timers[0].alive != nil && !l.timers[0].alive() {
+	for len(l.timers) > 0 && l.timers[0].needed != nil && !l.timers[0].needed() {
 		heap.Pop(&l.timers)
 	}
 	if len(l.timers) == 0 {
--- a/internal/roles/dispatcher/delivery/pacer_test.go
+++ b/internal/roles/dispatcher/delivery/pacer_test.go
@@ -19,7 +19,7 @@
 	p := newPacer(time.Second, 10)
 	wait, ok := p.take(time.Second)
 	is.True(!ok)
-	is.Equal(wait, 100*time.Millisecond+leastWait)
+	is.Equal(wait, 100*time.Millisecond+minWait)
 	_, ok = p.take(time.Second + wait)
 	is.True(ok)
 }
@@ -175,10 +175,10 @@
 	is := is.New(t)
 	s := &Service{MaxConnections: 130}
 	listed := []protocol.Worker{{Capacity: 9}}
-	is.Equal(keepLimit(s, 0, listed, 12), 9)
-	is.Equal(keepLimit(s, 9, listed, 11), 9)  // 10 would be right, 9 are enough
-	is.Equal(keepLimit(s, 9, listed, 13), 9)  // 117 of 130
-	is.Equal(keepLimit(s, 9, listed, 15), 7)  // 135 would be too many
-	is.Equal(keepLimit(s, 5, listed, 11), 10) // too few for the slots
-	is.Equal(keepLimit(&Service{}, 9, listed, 12), 0)
+	is.Equal(adjustLimit(s, 0, listed, 12), 9)
+	is.Equal(adjustLimit(s, 9, listed, 11), 9)  // 10 would be right, 9 are enough
+	is.Equal(adjustLimit(s, 9, listed, 13), 9)  // 117 of 130
+	is.Equal(adjustLimit(s, 9, listed, 15), 7)  // 135 would be too many
+	is.Equal(adjustLimit(s, 5, listed, 11), 10) // too few for the slots
+	is.Equal(adjustLimit(&Service{}, 9, listed, 12), 0)
 }
--- a/internal/roles/dispatcher/delivery/pacing.go
+++ b/internal/roles/dispatcher/delivery/pacing.go
@@ -7,29 +7,29 @@
 )
 
 // share is this dispatcher's part of the service's rate.
-func (s *service) share() float64 { return s.RatePerS / float64(max(1, s.Owners)) }
+func (s *service) rateShare() float64 { return s.RatePerS / float64(max(1, s.Owners)) }
 
 // serveQueue sends what has a token, and gives back what has waited too long.
 func (s *service) serveQueue() {
 	now := s.engine.loop.now()
 	for len(s.queue) > 0 {
 		j := s.queue[0]
-		if now >= j.until || s.pacer == nil || !s.engine.mayPace() {
+		if now >= j.tokenDeadline || s.pacer == nil || !s.engine.rateLimitedAllowed() {
 			s.queue = s.queue[1:]
-			s.finish(j, Result{Outcome: protocol.OutcomeNotRun, Pause: pauseDown})
+			s.finish(j, Result{Outcome: protocol.OutcomeNotRun, Pause: pauseUnreachable})
 			continue
 		}
 		wait, ok := s.pacer.take(now)
 		if !ok {
-			s.awaitToken(min(wait, j.until-now))
+			s.awaitToken(min(wait, j.tokenDeadline-now))
 			return
 		}
 		s.queue = s.queue[1:]
 		s.offer(j)
-		if !j.ended && !j.out { // it must not wait with its token: they would gather
+		if !j.ended && !j.inFlight { // it must not wait with its token: they would gather
 			s.balance.Release(now, j.id)
-			s.pacer.giveBack()
-			s.finish(j, Result{Outcome: protocol.OutcomeNotRun, Pause: pauseDown})
+			s.pacer.refund()
+			s.finish(j, Result{Outcome: protocol.OutcomeNotRun, Pause: pauseUnreachable})
 		}
 	}
 }
--- a/internal/roles/dispatcher/delivery/service.go
+++ b/internal/roles/dispatcher/delivery/service.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	attemptsElsewhere = 4   // workers that a message is offered to before it is given back
-	foreignZoneFee    = 0.1 // for balance: any fee makes it prefer the own zone
-	usualAim          = time.Second
+	maxWorkersPerJob   = 4   // workers that a message is offered to before it is given back
+	crossZoneFee       = 0.1 // for balance: any fee makes it prefer the own zone
+	defaultTargetStart = time.Second
 	// longestOut bounds the pause between two probes of a worker that cannot be reached: a service comes back as one.
-	longestOut = time.Second
+	maxProbeInterval = time.Second
 )
 
 // job is a Job under way. It is owned by the loop.
 type job struct {
 	Job
-	id       balance.JobID
-	attempts int // sent so far
-	out      bool
-	expired  bool // not to be sent again
-	ended    bool
-	last     Result // why it was not run
-	taken    time.Time
-	until    time.Duration
+	id            balance.JobID
+	attempts      int // sent so far
+	inFlight      bool
+	expired       bool // not to be sent again
+	ended         bool
+	lastResult    Result // why it was not run
+	received      time.Time
+	tokenDeadline time.Duration
 }
 
 // service sends the messages of one service. It is owned by the loop, and carries out what its balance.Dispatcher decides.
 type service struct {
 	Service
-	engine     *Engine
-	balance    *balance.Dispatcher
-	client     *client
-	roster     roster
-	workers    map[balance.WorkerID]*worker
-	numbers    *numbering
-	listed     []protocol.Worker
-	seen       State // without its slices: what update went by
-	strangers  map[string]bool
-	jobs       map[balance.JobID]*job
-	pacer      *pacer // nil without a rate
-	queue      []*job // in wait for a token
-	queueTimer bool
-	updated    bool
-	removed    bool
+	engine         *Engine
+	balance        *balance.Dispatcher
+	client         *client
+	allowed        allowlist
+	workers        map[balance.WorkerID]*worker
+	workerIDs      *workerIDs
+	listed         []protocol.Worker
+	applied        State // without its slices: what update went by
+	wrongInstances map[string]bool
+	jobs           map[balance.JobID]*job
+	pacer          *pacer // nil without a rate
+	queue          []*job // in wait for a token
+	queueTimer     bool
+	updated        bool
+	removed        bool
 }
 
 func newService(e *Engine, settings Service) *service {
 	s := &service{Service: settings, engine: e, client: newClient(e.options.Dial), workers: map[balance.WorkerID]*worker{},
-		numbers: newNumbering(), strangers: map[string]bool{}, jobs: map[balance.JobID]*job{}}
-	aim := settings.Aim
-	if aim <= 0 {
-		aim = usualAim
+		workerIDs: newWorkerIDs(), wrongInstances: map[string]bool{}, jobs: map[balance.JobID]*job{}}
+	targetStart := settings.TargetStart
+	if targetStart <= 0 {
+		targetStart = defaultTargetStart
 	}
 	s.balance = balance.New(balance.Settings{
 		// The aim is for the start of a run; what the run itself takes is added.
-		Classes: []balance.Class{{TargetLatency: aim, RuntimeFactor: 1, Value: 1, LateValue: 1, Limit: placeWithin, Effect: balance.Unsafe, Kind: -1}},
+		Classes: []balance.Class{{TargetLatency: targetStart, RuntimeFactor: 1, Value: 1, LateValue: 1, Limit: placementTimeout, Effect: balance.Unsafe, Kind: -1}},
 		Number:  e.state.Number, Dispatchers: e.state.Dispatchers, Zone: e.zone, Zones: len(e.options.Zones),
-		MaxAttempts: attemptsElsewhere, ConnectTimeout: ConnectTimeout, CanProbe: settings.HealthCheckPath != "",
-		MaxRetryAfter: time.Second, MaxExclusion: longestOut, CrossZoneFee: foreignZoneFee, FreeSlots: -1, FreeMemory: -1,
+		MaxAttempts: maxWorkersPerJob, ConnectTimeout: ConnectTimeout, CanProbe: settings.HealthCheckPath != "",
+		MaxRetryAfter: time.Second, MaxExclusion: maxProbeInterval, CrossZoneFee: crossZoneFee, FreeSlots: -1, FreeMemory: -1,
 	}, e.options.Seed, s)
 	s.balance.Start(e.loop.now())
 	return s
@@ -69,60 +69,60 @@
 // update follows a new state of the system.
 func (s *service) update(settings Service, listed []protocol.Worker, state *State) {
 	now := s.engine.loop.now()
-	seen := State{ListVersion: state.ListVersion, Number: state.Number, Dispatchers: state.Dispatchers, InZone: state.InZone}
-	if s.updated && s.Service == settings && s.seen.same(&seen) {
+	next := State{ListVersion: state.ListVersion, Number: state.Number, Dispatchers: state.Dispatchers, InZone: state.InZone}
+	if s.updated && s.Service == settings && s.applied.sameExceptSlices(&next) {
 		return
 	}
-	if s.seen.ListVersion != seen.ListVersion {
-		clear(s.strangers)
+	if s.applied.ListVersion != next.ListVersion {
+		clear(s.wrongInstances)
 	}
-	if !s.updated || s.seen.Number != seen.Number || s.seen.Dispatchers != seen.Dispatchers || s.seen.InZone != seen.InZone {
-		s.among(now, &seen, settings.Owners)
+	if !s.updated || s.applied.Number != next.Number || s.applied.Dispatchers != next.Dispatchers || s.applied.InZone != next.InZone {
+		s.setDispatchers(now, &next, settings.Owners)
 	}
-	s.Service, s.listed, s.seen, s.updated = settings, listed, seen, true
+	s.Service, s.listed, s.applied, s.updated = settings, listed, next, true
 	switch {
-	case !s.paced():
+	case !s.rateLimited():
 		s.pacer = nil
 	case s.pacer == nil:
-		s.pacer = newPacer(now, s.share())
-	case s.pacer.rate != s.share():
-		s.pacer.setRate(now, s.share())
+		s.pacer = newPacer(now, s.rateShare())
+	case s.pacer.rate != s.rateShare():
+		s.pacer.setRate(now, s.rateShare())
 	}
-	s.client.setLimit(keepLimit(&s.Service, s.client.present(), listed, state.Dispatchers))
-	s.refresh()
+	s.client.setLimit(adjustLimit(&s.Service, s.client.currentLimit(), listed, state.Dispatchers))
+	s.refreshWorkers()
 	s.serveQueue()
 }
 
 // among tells balance of the dispatchers that send to the service.
-func (s *service) among(now time.Duration, state *State, owners int) {
-	number, all, near := state.Number, max(1, state.Dispatchers), max(1, state.InZone)
+func (s *service) setDispatchers(now time.Duration, state *State, owners int) {
+	number, all, inZone := state.Number, max(1, state.Dispatchers), max(1, state.InZone)
 	if owners > 0 {
 		all = min(all, owners)
-		number, near = number%all, min(near, all)
+		number, inZone = number%all, min(inZone, all)
 	}
-	s.balance.SetDispatchers(now, number, all, near)
+	s.balance.SetDispatchers(now, number, all, inZone)
 }
 
 // refresh gives the workers as they are now to balance and to the attempts under way.
-func (s *service) refresh() {
+func (s *service) refreshWorkers() {
 	now := s.engine.loop.now()
-	f := fleet{service: &s.Service, listed: s.listed, dispatchers: s.engine.state.Dispatchers, ownZone: s.engine.zone,
-		zones: s.engine.zones, numbers: s.numbers, strangers: s.strangers}
+	b := workerBuilder{service: &s.Service, listed: s.listed, dispatchers: s.engine.state.Dispatchers, localZone: s.engine.zone,
+		zones: s.engine.zones, ids: s.workerIDs, wrongInstances: s.wrongInstances}
 	if s.removed {
-		f.listed, f.service = nil, &Service{}
+		b.listed, b.service = nil, &Service{}
 	}
-	s.workers = f.workers()
-	s.roster.set(s.workers) // before anything is sent by the new list
+	s.workers = b.build()
+	s.allowed.set(s.workers) // before anything is sent by the new list
 	s.balance.List(now, balance.ListFull, entriesOf(s.workers))
 }
 
 // take begins a job.
-func (s *service) take(j *job) {
+func (s *service) start(j *job) {
 	if s.pacer == nil {
 		s.offer(j)
 		return
 	}
-	j.until = s.engine.loop.now() + tokenWithin
+	j.tokenDeadline = s.engine.loop.now() + tokenTimeout
 	s.queue = append(s.queue, j)
 	s.serveQueue()
 }
@@ -131,24 +131,24 @@
 func (s *service) offer(j *job) {
 	s.engine.lastJob++
 	j.id = s.engine.lastJob
-	j.last = Result{Outcome: protocol.OutcomeNotRun, Pause: pauseNoRoom}
+	j.lastResult = Result{Outcome: protocol.OutcomeNotRun, Pause: pauseFull}
 	s.jobs[j.id] = j
-	s.balance.Job(s.engine.loop.now(), balance.Job{ID: j.id, Left: placeWithin, Slots: 1})
+	s.balance.Job(s.engine.loop.now(), balance.Job{ID: j.id, Left: placementTimeout, Slots: 1})
 }
 
 // release gives back all that waits.
-func (s *service) release(pause time.Duration) {
-	back := Result{Outcome: protocol.OutcomeNotRun, Pause: pause}
+func (s *service) returnWaiting(pause time.Duration) {
+	result := Result{Outcome: protocol.OutcomeNotRun, Pause: pause}
 	queue := s.queue
 	s.queue = nil
 	for _, j := range queue {
-		s.finish(j, back)
+		s.finish(j, result)
 	}
 	for _, j := range s.jobs {
 		j.expired = true
-		if !j.out {
+		if !j.inFlight {
 			s.balance.Release(s.engine.loop.now(), j.id)
-			s.finish(j, back)
+			s.finish(j, result)
 		}
 	}
 }
--- a/internal/roles/dispatcher/delivery/windows.go
+++ b/internal/roles/dispatcher/delivery/windows.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	leastWindow    = 4    // deliveries of a service at a time from each store
-	windowShare    = 2.0  // times this dispatcher's part of the slots of all workers
-	pacedWindowFor = 0.2  // seconds of a rate that each store hands out ahead
-	leastPaced     = 2    // deliveries of a rate-limited service at a time from each store
-	mostWindow     = 4096 // so that a mistaken list is no invitation to send everything here
+	minWindow            = 4    // deliveries of a service at a time from each store
+	windowFactor         = 2.0  // times this dispatcher's part of the slots of all workers
+	rateLimitedWindowS   = 0.2  // seconds of a rate that each store hands out ahead
+	minRateLimitedWindow = 2    // deliveries of a rate-limited service at a time from each store
+	maxWindow            = 4096 // so that a mistaken list is no invitation to send everything here
 )
 
 // Windows tells stores how many deliveries of each service this dispatcher takes at a time. Services that are not in the state are
@@ -28,16 +28,16 @@
 	windows := make([]protocol.ServiceWindow, 0, len(state.Services))
 	for i := range state.Services {
 		s := &state.Services[i]
-		slots := windowShare * capacity[s.Name] / float64(max(1, state.Dispatchers))
+		slots := windowFactor * capacity[s.Name] / float64(max(1, state.Dispatchers))
 		if s.Static != "" {
 			slots = staticSlots(s, connectionLimit(s, state.Dispatchers))
 		}
-		least := float64(leastWindow)
-		if s.paced() {
-			least = leastPaced
-			slots = min(slots, s.RatePerS/float64(max(1, s.Owners))*pacedWindowFor)
+		least := float64(minWindow)
+		if s.rateLimited() {
+			least = minRateLimitedWindow
+			slots = min(slots, s.RatePerS/float64(max(1, s.Owners))*rateLimitedWindowS)
 		}
-		slots = min(max(least, math.Ceil(slots)), mostWindow)
+		slots = min(max(least, math.Ceil(slots)), maxWindow)
 		windows = append(windows, protocol.ServiceWindow{Service: s.Name, Slots: uint32(slots)})
 	}
 	slices.SortFunc(windows, func(a, b protocol.ServiceWindow) int { return cmp.Compare(a.Service, b.Service) })
--- a/internal/roles/dispatcher/delivery/workers.go
+++ b/internal/roles/dispatcher/delivery/workers.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	connectionShare = 0.9  // of a worker's connections, for all dispatchers together
-	fullShare       = 0.97 // of them, where a change of the number of dispatchers would cost connections
-	staticShare     = 0.6  // of a single endpoint's connections, for jobs at the same time
-	mostStaticSlots = 16   // jobs at the same time at a single endpoint, which tells no capacity
+	connectionShare    = 0.9  // of a worker's connections, for all dispatchers together
+	maxConnectionShare = 0.97 // of them, where a change of the number of dispatchers would cost connections
+	staticSlotShare    = 0.6  // of a single endpoint's connections, for jobs at the same time
+	maxStaticSlots     = 16   // jobs at the same time at a single endpoint, which tells no capacity
 )
 
 var errNotListed = errors.New("delivery: the worker is draining or gone: send the message to another")
@@ -30,11 +30,11 @@
 }
 
 // roster is who may be sent to, for the goroutines of attempts: by instance, or by address for a single endpoint.
-type roster struct {
+type allowlist struct {
 	allowed atomic.Pointer[map[string]bool]
 }
 
-func (r *roster) set(workers map[balance.WorkerID]*worker) {
+func (r *allowlist) set(workers map[balance.WorkerID]*worker) {
 	allowed := make(map[string]bool, len(workers))
 	for _, w := range workers {
 		if w.listed.State == balance.Ready {
@@ -45,7 +45,7 @@
 }
 
 // check is nil if the worker may be sent to by the newest list.
-func (r *roster) check(w *worker) error {
+func (r *allowlist) check(w *worker) error {
 	if allowed := r.allowed.Load(); allowed != nil && (*allowed)[cmp.Or(w.instance, w.address)] {
 		return nil
 	}
@@ -53,33 +53,33 @@
 }
 
 // numbering gives each instance a number. It is drawn from the name, so that all dispatchers have the workers in the same order.
-type numbering struct {
-	numbers map[string]balance.WorkerID
-	taken   map[balance.WorkerID]bool
+type workerIDs struct {
+	ids  map[string]balance.WorkerID
+	used map[balance.WorkerID]bool
 }
 
-func newNumbering() *numbering {
-	return &numbering{numbers: map[string]balance.WorkerID{}, taken: map[balance.WorkerID]bool{}}
+func newWorkerIDs() *workerIDs {
+	return &workerIDs{ids: map[string]balance.WorkerID{}, used: map[balance.WorkerID]bool{}}
 }
 
-func (n *numbering) of(instance string) balance.WorkerID {
-	if id, ok := n.numbers[instance]; ok {
+func (n *workerIDs) of(instance string) balance.WorkerID {
+	if id, ok := n.ids[instance]; ok {
 		return id
 	}
 	id := balance.WorkerID(xxhash.Sum64String(instance))
-	for id == 0 || n.taken[id] {
+	for id == 0 || n.used[id] {
 		id++
 	}
-	n.numbers[instance], n.taken[id] = id, true
+	n.ids[instance], n.used[id] = id, true
 	return id
 }
 
 // keep forgets all instances but those given. A number is free again only then.
-func (n *numbering) keep(instances map[string]bool) {
-	for instance, id := range n.numbers {
+func (n *workerIDs) keep(instances map[string]bool) {
+	for instance, id := range n.ids {
 		if !instances[instance] {
-			delete(n.numbers, instance)
-			delete(n.taken, id)
+			delete(n.ids, instance)
+			delete(n.used, id)
 		}
 	}
 }
@@ -98,20 +98,20 @@
 
 // keepLimit is the limit in force as long as it does, else the one that is right: a change closes connections, and dispatchers come
 // and go.
-func keepLimit(s *Service, present int, listed []protocol.Worker, dispatchers int) int {
-	right := connectionLimit(s, dispatchers)
-	if present == 0 || right == 0 || s.Owners > 0 {
-		return right
+func adjustLimit(s *Service, current int, listed []protocol.Worker, dispatchers int) int {
+	target := connectionLimit(s, dispatchers)
+	if current == 0 || target == 0 || s.Owners > 0 {
+		return target
 	}
 	wanted := 1
 	for i := range listed {
 		wanted = max(wanted, int(listed[i].Capacity))
 	}
-	all := float64(present * max(1, dispatchers))
-	if present >= min(wanted, right) && (all <= fullShare*float64(s.MaxConnections) || present == 1) {
-		return present
+	all := float64(current * max(1, dispatchers))
+	if current >= min(wanted, target) && (all <= maxConnectionShare*float64(s.MaxConnections) || current == 1) {
+		return current
 	}
-	return right
+	return target
 }
 
 // slotsOf is how many jobs a listed worker gets at the same time.
@@ -125,9 +125,9 @@
 
 // staticSlots is how many jobs a single endpoint gets at the same time.
 func staticSlots(s *Service, limit int) float64 {
-	slots := mostStaticSlots
+	slots := maxStaticSlots
 	if s.MaxConnections > 0 {
-		slots = max(1, min(slots, int(staticShare*float64(s.MaxConnections))))
+		slots = max(1, min(slots, int(staticSlotShare*float64(s.MaxConnections))))
 	}
 	if limit > 0 {
 		slots = min(slots, limit)
@@ -136,41 +136,41 @@
 }
 
 // fleet is what the workers of a service are made from.
-type fleet struct {
-	service     *Service
-	listed      []protocol.Worker // of the service
-	dispatchers int
-	ownZone     int
-	zones       map[string]int
-	numbers     *numbering
-	strangers   map[string]bool // instances whose address answered as another
+type workerBuilder struct {
+	service        *Service
+	listed         []protocol.Worker // of the service
+	dispatchers    int
+	localZone      int
+	zones          map[string]int
+	ids            *workerIDs
+	wrongInstances map[string]bool // instances whose address answered as another
 }
 
 // workers makes the workers of a service.
-func (f *fleet) workers() map[balance.WorkerID]*worker {
-	limit := connectionLimit(f.service, f.dispatchers)
+func (b *workerBuilder) build() map[balance.WorkerID]*worker {
+	limit := connectionLimit(b.service, b.dispatchers)
 	workers := map[balance.WorkerID]*worker{}
-	if address := f.service.Static; address != "" {
-		id, slots := f.numbers.of(address), staticSlots(f.service, limit)
+	if address := b.service.Static; address != "" {
+		id, slots := b.ids.of(address), staticSlots(b.service, limit)
 		workers[id] = &worker{id: id, address: address,
-			listed: balance.Worker{ID: id, Zone: f.ownZone, Weight: slots, Slots: slots}}
+			listed: balance.Worker{ID: id, Zone: b.localZone, Weight: slots, Slots: slots}}
 		return workers
 	}
 	seen := map[string]bool{}
-	for i := range f.listed {
-		w := &f.listed[i]
+	for i := range b.listed {
+		w := &b.listed[i]
 		seen[w.ID] = true
-		if f.strangers[w.ID] {
+		if b.wrongInstances[w.ID] {
 			continue
 		}
-		id, slots := f.numbers.of(w.ID), slotsOf(w.Capacity, limit)
-		entry := balance.Worker{ID: id, Zone: f.zones[w.Zone], Weight: slots, Slots: slots}
+		id, slots := b.ids.of(w.ID), slotsOf(w.Capacity, limit)
+		entry := balance.Worker{ID: id, Zone: b.zones[w.Zone], Weight: slots, Slots: slots}
 		if w.Draining {
 			entry.State = balance.Draining
 		}
 		workers[id] = &worker{id: id, instance: w.ID, address: w.Address, listed: entry}
 	}
-	f.numbers.keep(seen)
+	b.ids.keep(seen)
 	return workers
 }
 
--- a/internal/roles/dispatcher/directory/directory.go
+++ b/internal/roles/dispatcher/directory/directory.go
@@ -44,7 +44,7 @@
 	TableVersion         protocol.ItemVersion
 	Partitions           []Partition
 	// Near holds the partitions that have a live primary: those in the own zone, then in the own region, then all others.
-	Near [3][]uint32
+	ByDistance [3][]uint32
 	// Stores are ordered by key.
 	Stores []Store
 	// Dispatchers are the keys of those that are live and not about to end, in order; InZone counts those of the own zone.
@@ -56,8 +56,8 @@
 	WorkersVersion protocol.ItemVersion
 	WorkersReadAt  time.Duration // on the agent's steady clock
 
-	view       *agent.View
-	ownReading bool // Workers were read by this process itself
+	view         *agent.View
+	localWorkers bool // Workers were read by this process itself
 }
 
 // Ready tells whether messages can be taken by this state: there are a configuration, partitions, and primaries of them.
@@ -65,7 +65,7 @@
 	if s.Configuration == nil {
 		return false
 	}
-	for _, near := range s.Near {
+	for _, near := range s.ByDistance {
 		if len(near) > 0 {
 			return true
 		}
@@ -116,34 +116,34 @@
 }
 
 // Follow takes a newer view of the items that everybody knows; one that is older than the last is ignored.
-func (d *Directory) Follow(view *agent.View) {
+func (d *Directory) Update(view *agent.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.current.Load()
-	if before.view != nil && older(view, before.view) {
+	if before.view != nil && isOlder(view, before.view) {
 		return
 	}
 	after := *before
 	after.view = view
-	d.takeConfiguration(&after, view)
+	d.applyConfiguration(&after, view)
 	if before.view == nil || before.TableVersion != view.PartitionsVersion || before.view.NodesVersion != view.NodesVersion {
-		d.takeNodes(&after, view)
+		d.applyNodes(&after, view)
 	}
-	if !before.ownReading || before.WorkersReadAt < view.WorkersReadAt {
+	if !before.localWorkers || before.WorkersReadAt < view.WorkersReadAt {
 		after.Workers, after.WorkersVersion, after.WorkersReadAt = view.Workers.Workers, view.WorkersVersion, view.WorkersReadAt
-		after.ownReading = false
+		after.localWorkers = false
 	}
 	d.publish(before, &after)
 }
 
 // older tells whether a view was made before another.
-func older(view, than *agent.View) bool {
+func isOlder(view, than *agent.View) bool {
 	return view.ConfigurationVersion.Less(than.ConfigurationVersion) || view.PartitionsVersion.Less(than.PartitionsVersion) ||
 		view.NodesVersion.Less(than.NodesVersion) || view.WorkersVersion.Less(than.WorkersVersion)
 }
 
 // ReadWorkers takes the list of workers as this process has read it itself. It holds until a later reading is known.
-func (d *Directory) ReadWorkers(workers []protocol.Worker, version protocol.ItemVersion, readAt time.Duration) {
+func (d *Directory) SetWorkers(workers []protocol.Worker, version protocol.ItemVersion, readAt time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.current.Load()
@@ -151,7 +151,7 @@
 		return
 	}
 	after := *before
-	after.ownReading = true
+	after.localWorkers = true
 	after.Workers, after.WorkersVersion, after.WorkersReadAt = workers, version, readAt
 	d.publish(before, &after)
 }
@@ -166,7 +166,7 @@
 }
 
 // takeConfiguration keeps the configuration before if the new one cannot be read.
-func (d *Directory) takeConfiguration(s *Snapshot, view *agent.View) {
+func (d *Directory) applyConfiguration(s *Snapshot, view *agent.View) {
 	if !s.ConfigurationVersion.Less(view.ConfigurationVersion) {
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // takeNodes finds the processes and where partitions are.
-func (d *Directory) takeNodes(s *Snapshot, view *agent.View) {
+func (d *Directory) applyNodes(s *Snapshot, view *agent.View) {
 	byMember := map[string]*protocol.Node{}
 	s.Stores, s.Dispatchers, s.InZone = nil, nil, 0
 	for i := range view.Nodes {
@@ -200,20 +200,20 @@
 	slices.SortFunc(s.Stores, func(a, b Store) int { return cmp.Compare(a.Key, b.Key) })
 	slices.Sort(s.Dispatchers)
 	s.Number, _ = slices.BinarySearch(s.Dispatchers, d.self.Key)
-	d.takeTable(s, view, byMember)
+	d.applyTable(s, view, byMember)
 }
 
-func (d *Directory) takeTable(s *Snapshot, view *agent.View, byMember map[string]*protocol.Node) {
+func (d *Directory) applyTable(s *Snapshot, view *agent.View, byMember map[string]*protocol.Node) {
 	s.TableVersion = view.PartitionsVersion
 	s.Partitions = make([]Partition, len(view.Partitions.Partitions))
-	s.Near = [3][]uint32{}
+	s.ByDistance = [3][]uint32{}
 	for i := range view.Partitions.Partitions {
 		entry := &view.Partitions.Partitions[i]
 		p := Partition{Epoch: entry.Epoch, Primary: entry.Primary}
 		if node := byMember[entry.Primary]; node != nil {
 			p.Address = node.Address
-			at := d.distance(node)
-			s.Near[at] = append(s.Near[at], uint32(i))
+			distance := d.distance(node)
+			s.ByDistance[distance] = append(s.ByDistance[distance], uint32(i))
 		}
 		s.Partitions[i] = p
 	}
--- a/internal/roles/dispatcher/directory/directory_test.go
+++ b/internal/roles/dispatcher/directory/directory_test.go
@@ -37,10 +37,10 @@
 	is.True(!d.Current().Ready())
 	v := view()
 	changed := d.Changed()
-	d.Follow(&v)
+	d.Update(&v)
 	<-changed
 	s := d.Current()
-	is.Equal(s.Near, [3][]uint32{{2, 4}, {1}, {0}})
+	is.Equal(s.ByDistance, [3][]uint32{{2, 4}, {1}, {0}})
 	p, ok := s.Partition(3)
 	is.True(ok)
 	is.Equal(p, Partition{Epoch: 6, Primary: "gone/disk"}) // no live primary
@@ -57,10 +57,10 @@
 	d := New(Self{Key: "me", Zone: "a", Region: "r"}, zap.NewNop())
 	v := view()
 	v.PartitionsVersion = version(2)
-	d.Follow(&v)
+	d.Update(&v)
 	old := view()
 	old.Partitions = protocol.PartitionTable{}
-	d.Follow(&old)
+	d.Update(&old)
 	is.Equal(d.Current().TableVersion, version(2))
 	is.Equal(len(d.Current().Partitions), 5)
 }
@@ -70,12 +70,12 @@
 	d := New(Self{Key: "me", Zone: "a", Region: "r"}, zap.NewNop())
 	v := view()
 	v.Configuration, v.ConfigurationVersion = []byte(`{"Revision":1,"Routes":[],"Services":[],"Limits":{}}`), version(1)
-	d.Follow(&v)
+	d.Update(&v)
 	is.Equal(d.Current().Configuration.Revision, uint64(1))
 	is.True(d.Current().Ready())
 	broken := v
 	broken.Configuration, broken.ConfigurationVersion = []byte(`{`), version(2)
-	d.Follow(&broken)
+	d.Update(&broken)
 	is.Equal(d.Current().Configuration.Revision, uint64(1))
 	is.Equal(d.Current().ConfigurationVersion, version(1))
 }
@@ -85,22 +85,22 @@
 	d := New(Self{Key: "me"}, zap.NewNop())
 	v := view()
 	v.WorkersVersion, v.WorkersReadAt, v.Workers.Workers = version(1), time.Second, []protocol.Worker{{ID: "w1"}}
-	d.Follow(&v)
+	d.Update(&v)
 	is.Equal(d.Current().Workers[0].ID, "w1")
-	d.ReadWorkers([]protocol.Worker{{ID: "late"}}, version(9), time.Second)
+	d.SetWorkers([]protocol.Worker{{ID: "late"}}, version(9), time.Second)
 	is.Equal(d.Current().Workers[0].ID, "w1") // no later than what is known
-	d.ReadWorkers([]protocol.Worker{{ID: "own"}}, version(9), 3*time.Second)
+	d.SetWorkers([]protocol.Worker{{ID: "own"}}, version(9), 3*time.Second)
 	is.Equal(d.Current().Workers[0].ID, "own")
 	v2 := v
 	v2.WorkersVersion, v2.WorkersReadAt, v2.Workers.Workers = version(2), 2*time.Second, []protocol.Worker{{ID: "w2"}}
-	d.Follow(&v2)
+	d.Update(&v2)
 	is.Equal(d.Current().Workers[0].ID, "own")
 	v3 := v2
 	v3.WorkersReadAt = 4 * time.Second // read again, unchanged
-	d.Follow(&v3)
+	d.Update(&v3)
 	is.Equal(d.Current().Workers[0].ID, "w2")
 	v4 := v3 // clocks are corrected: a newer list counts, whatever its time
 	v4.WorkersVersion, v4.WorkersReadAt, v4.Workers.Workers = version(3), 3*time.Second, []protocol.Worker{{ID: "w3"}}
-	d.Follow(&v4)
+	d.Update(&v4)
 	is.Equal(d.Current().Workers[0].ID, "w3")
 }
--- a/internal/roles/dispatcher/dispatcher.go
+++ b/internal/roles/dispatcher/dispatcher.go
@@ -31,9 +31,9 @@
 const (
 	// paceWithin is the age of the session up to which this process may send to rate-limited services: past it control may give them
 	// to another dispatcher.
-	paceWithin = 1200 * time.Millisecond
+	maxRateLimitedSessionAge = 1200 * time.Millisecond
 	// configurationWithin is how long a delivery waits for a configuration that its store has already.
-	configurationWithin = 300 * time.Millisecond
+	configurationTimeout = 300 * time.Millisecond
 )
 
 // Agent is what a dispatcher needs of its agent.Agent.
@@ -54,25 +54,25 @@
 
 // dispatcher is one process of the role.
 type dispatcher struct {
-	network   network.Network // nil for the system's
-	settings  *nodeconfig.Settings
-	logger    *zap.Logger
-	agent     Agent
-	directory *directory.Directory
-	engine    *delivery.Engine
-	links     *stores.Links
-	ingress   *ingress.Ingress
-	frontend  *ingress.Server
-	readiness *http.Server
-	readyAt   net.Addr
-	leaving   atomic.Bool
-	tasks     sync.WaitGroup
-	stop      context.CancelFunc
+	network          network.Network // nil for the system's
+	settings         *nodeconfig.Settings
+	logger           *zap.Logger
+	agent            Agent
+	directory        *directory.Directory
+	engine           *delivery.Engine
+	links            *stores.Links
+	ingress          *ingress.Ingress
+	frontend         *ingress.Server
+	readiness        *http.Server
+	readinessAddress net.Addr
+	shuttingDown     atomic.Bool
+	tasks            sync.WaitGroup
+	stop             context.CancelFunc
 
 	// Owned by follow, which is called by one goroutine at a time.
-	followed  bool
-	ownership placement.Ownership // of rate-limited and static services
-	windows   []protocol.ServiceWindow
+	snapshotApplied bool
+	ownership       placement.Ownership // of rate-limited and static services
+	windows         []protocol.ServiceWindow
 }
 
 // Run serves until the context ends, and then ends as planned, within the grace that the settings give.
@@ -94,7 +94,7 @@
 		return err
 	}
 	<-ctx.Done()
-	d.leave()
+	d.shutDown()
 	return nil
 }
 
@@ -117,18 +117,18 @@
 	d := &dispatcher{network: e.Network, settings: settings, logger: logger, agent: a}
 	d.directory = directory.New(directory.Self{Key: node.Key, Zone: node.Zone, Region: node.Region}, logger)
 	d.engine = delivery.New(delivery.Options{
-		Zone: node.Zone, Zones: zonesOf(settings), Seed: xxhash.Sum64String(node.Key) ^ node.Incarnation, Logger: logger, MayPace: d.mayPace,
+		Zone: node.Zone, Zones: zonesOf(settings), Seed: xxhash.Sum64String(node.Key) ^ node.Incarnation, Logger: logger, AllowRateLimited: d.rateLimitedAllowed,
 		Dial: d.dial(),
 	})
 	d.links = stores.New(stores.Options{Node: node, Directory: d.directory, Connections: a.Pool(), Logger: logger, Run: d.deliver})
 	d.ingress = ingress.New(ingress.Options{Directory: d.directory, Connections: a.Pool(), RequestUpdates: a.RequestUpdates, Logger: logger})
 	links.Store(d.links)
-	d.directory.Subscribe(d.follow)
+	d.directory.Subscribe(d.applySnapshot)
 	if err := d.listen(); err != nil {
 		d.close()
 		return nil, err
 	}
-	a.Subscribe(func(v *agent.View, _ []protocol.ItemKind) { d.directory.Follow(v) })
+	a.Subscribe(func(v *agent.View, _ []protocol.ItemKind) { d.directory.Update(v) })
 	ctx, stop := context.WithCancel(context.Background())
 	d.stop = stop
 	d.tasks.Go(func() { d.watchSettings(ctx) })
@@ -160,8 +160,8 @@
 	if err != nil {
 		return errors.Wrapf(err, "dispatcher: cannot listen on Readiness %s: free the port or change BindAddresses.Readiness", addresses.Readiness)
 	}
-	d.readyAt = listener.Addr()
-	d.readiness = &http.Server{Handler: http.HandlerFunc(d.serveReadiness), ReadHeaderTimeout: time.Second, IdleTimeout: readinessIdle}
+	d.readinessAddress = listener.Addr()
+	d.readiness = &http.Server{Handler: http.HandlerFunc(d.serveReadiness), ReadHeaderTimeout: time.Second, IdleTimeout: readinessIdleTimeout}
 	d.tasks.Go(func() { _ = d.readiness.Serve(listener) }) // ends with ErrServerClosed
 	return nil
 }
@@ -174,48 +174,50 @@
 	return zones
 }
 
-func (d *dispatcher) mayPace() bool { return d.agent.SessionAge() <= paceWithin }
+func (d *dispatcher) rateLimitedAllowed() bool {
+	return d.agent.SessionAge() <= maxRateLimitedSessionAge
+}
 
 // follow gives a new state to the parts.
-func (d *dispatcher) follow(before, after *directory.Snapshot) {
-	if !d.followed || before.Configuration != after.Configuration || before.WorkersVersion != after.WorkersVersion ||
+func (d *dispatcher) applySnapshot(before, after *directory.Snapshot) {
+	if !d.snapshotApplied || before.Configuration != after.Configuration || before.WorkersVersion != after.WorkersVersion ||
 		!slices.Equal(before.Dispatchers, after.Dispatchers) {
-		d.followed = true
-		state := stateOf(after, d.agent.Node().Key, &d.ownership)
+		d.snapshotApplied = true
+		state := engineState(after, d.agent.Node().Key, &d.ownership)
 		d.engine.Update(state)
 		d.windows = delivery.Windows(&state)
 	}
-	d.links.Follow(before, after, d.windows)
+	d.links.Update(before, after, d.windows)
 }
 
 // deliver begins a delivery. It does not wait.
 func (d *dispatcher) deliver(m *protocol.Deliver, done func(delivery.Result)) {
-	if s := d.directory.Current(); !d.behind(s, m) {
+	if s := d.directory.Current(); !d.lacksConfiguration(s, m) {
 		d.submit(s, m, done)
 		return
 	}
 	go func() {
 		d.awaitConfiguration(m)
-		if s := d.directory.Current(); !d.behind(s, m) {
+		if s := d.directory.Current(); !d.lacksConfiguration(s, m) {
 			d.submit(s, m, done)
 			return
 		}
-		done(delivery.Result{Outcome: protocol.OutcomeNotRun, Pause: configurationWithin})
+		done(delivery.Result{Outcome: protocol.OutcomeNotRun, Pause: configurationTimeout})
 	}()
 }
 
 // behind tells whether the store that handed out m knows a newer configuration.
-func (d *dispatcher) behind(s *directory.Snapshot, m *protocol.Deliver) bool {
+func (d *dispatcher) lacksConfiguration(s *directory.Snapshot, m *protocol.Deliver) bool {
 	return s.Configuration == nil || s.ConfigurationVersion.Less(m.Configuration)
 }
 
 // awaitConfiguration waits a little for the configuration that m needs.
 func (d *dispatcher) awaitConfiguration(m *protocol.Deliver) {
-	limit := time.NewTimer(configurationWithin)
+	limit := time.NewTimer(configurationTimeout)
 	defer limit.Stop()
 	for {
 		changed := d.directory.Changed()
-		if !d.behind(d.directory.Current(), m) {
+		if !d.lacksConfiguration(d.directory.Current(), m) {
 			return
 		}
 		select {
--- a/internal/roles/dispatcher/dispatcher_test.go
+++ b/internal/roles/dispatcher/dispatcher_test.go
@@ -125,7 +125,7 @@
 	is.True(!send().Close)
 
 	ended := make(chan struct{})
-	go func() { r.leave(); close(ended) }()
+	go func() { r.shutDown(); close(ended) }()
 	is.Equal(next(t, r.agent.leaves), false) // announced
 	next(t, r.store.pauses)
 	is.Equal(r.readyStatus(), 503)
--- a/internal/roles/dispatcher/fake_test.go
+++ b/internal/roles/dispatcher/fake_test.go
@@ -223,7 +223,7 @@
 }
 
 func (r *rig) readyStatus() int {
-	response, err := http.Get("http://" + r.readyAt.String() + "/readiness")
+	response, err := http.Get("http://" + r.readinessAddress.String() + "/readiness")
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/roles/dispatcher/ingress/caller.go
+++ b/internal/roles/dispatcher/ingress/caller.go
@@ -12,7 +12,7 @@
 )
 
 // connectWithin bounds the wait for a connection to a store: nothing was sent when it is over.
-const connectWithin = 150 * time.Millisecond
+const connectTimeout = 150 * time.Millisecond
 
 // caller calls the primaries of partitions. A call ends early when its partition gets another primary.
 type caller struct {
@@ -28,7 +28,7 @@
 }
 
 // follow ends the calls to stores that are no longer the primary.
-func (c *caller) follow(before, after *directory.Snapshot) {
+func (c *caller) cancelOutdated(before, after *directory.Snapshot) {
 	if before.TableVersion == after.TableVersion && len(before.Stores) == len(after.Stores) {
 		return
 	}
@@ -49,25 +49,25 @@
 	if p.Address == "" {
 		return nil, errors.Mark(errNoPrimary, rpc.ErrNotSent)
 	}
-	connecting, stop := context.WithTimeout(ctx, connectWithin)
+	connecting, stop := context.WithTimeout(ctx, connectTimeout)
 	defer stop()
 	conn, err := c.connections.Get(connecting, p.Address)
 	if err != nil {
-		c.health.failed(p.Address, time.Now())
+		c.health.connectFailed(p.Address, time.Now())
 		return nil, errors.Mark(err, rpc.ErrNotSent)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer c.note(number, p.Address, &cancel)()
-	c.health.ask(p.Address, time.Now())
+	defer c.register(number, p.Address, &cancel)()
+	c.health.callBegan(p.Address, time.Now())
 	reply, err := conn.Call(ctx, kind, body)
 	var refused *rpc.RemoteError
-	c.health.end(p.Address, err == nil || errors.As(err, &refused), time.Now())
+	c.health.callEnded(p.Address, err == nil || errors.As(err, &refused), time.Now())
 	return reply, err
 }
 
 // note registers a call that is under way, and returns what ends that.
-func (c *caller) note(number uint32, address string, cancel *context.CancelFunc) func() {
+func (c *caller) register(number uint32, address string, cancel *context.CancelFunc) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls[number] == nil {
--- a/internal/roles/dispatcher/ingress/choice.go
+++ b/internal/roles/dispatcher/ingress/choice.go
@@ -10,28 +10,28 @@
 )
 
 // choice picks partitions for messages.
-type choice struct {
+type partitionPicker struct {
 	health *health
 
-	mu      sync.Mutex
-	turn    uint64
-	avoided map[uint32]time.Time // partitions that just failed, until when
-	spared  map[string]time.Time // stores, by address, that have more than they can hand out, until when
+	mu         sync.Mutex
+	turn       uint64
+	avoided    map[uint32]time.Time // partitions that just failed, until when
+	backlogged map[string]time.Time // stores, by address, that have more than they can hand out, until when
 }
 
-func newChoice(h *health) *choice {
-	return &choice{health: h, avoided: map[uint32]time.Time{}, spared: map[string]time.Time{}}
+func newPartitionPicker(h *health) *partitionPicker {
+	return &partitionPicker{health: h, avoided: map[uint32]time.Time{}, backlogged: map[string]time.Time{}}
 }
 
 // spare has other stores preferred to one for a time.
-func (c *choice) spare(address string, until time.Time) {
+func (c *partitionPicker) markBacklogged(address string, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.spared[address] = until
+	c.backlogged[address] = until
 }
 
 // avoid leaves a partition out for a time.
-func (c *choice) avoid(partition uint32, until time.Time) {
+func (c *partitionPicker) avoid(partition uint32, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoided[partition] = until
@@ -39,16 +39,16 @@
 
 // next picks a partition whose primary is near, in turn, without those that just failed. Stores that are to be spared come after others
 // that are farther away, and stores that are silent last. ok is false if there is none.
-func (c *choice) next(s *directory.Snapshot, now time.Time) (partition uint32, ok bool) {
+func (c *partitionPicker) next(s *directory.Snapshot, now time.Time) (partition uint32, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.turn++
-	for _, pass := range []struct{ sparedToo, silentToo bool }{{false, false}, {true, false}, {true, true}} {
-		for _, near := range s.Near {
+	for _, pass := range []struct{ includeBacklogged, includeUnresponsive bool }{{false, false}, {true, false}, {true, true}} {
+		for _, near := range s.ByDistance {
 			for i := range near {
 				p := near[(c.turn+uint64(i))%uint64(len(near))]
 				address := s.Partitions[p].Address
-				if (pass.sparedToo || !now.Before(c.spared[address])) && c.usable(p, address, pass.silentToo, now) {
+				if (pass.includeBacklogged || !now.Before(c.backlogged[address])) && c.usable(p, address, pass.includeUnresponsive, now) {
 					return p, true
 				}
 			}
@@ -57,18 +57,18 @@
 	return 0, false
 }
 
-func (c *choice) usable(partition uint32, address string, silentToo bool, now time.Time) bool {
+func (c *partitionPicker) usable(partition uint32, address string, includeUnresponsive bool, now time.Time) bool {
 	if until, avoided := c.avoided[partition]; avoided {
 		if now.Before(until) {
 			return false
 		}
 		delete(c.avoided, partition)
 	}
-	return c.health.reachable(address, now) && (silentToo || !c.health.silent(address, now))
+	return c.health.reachable(address, now) && (includeUnresponsive || !c.health.unresponsive(address, now))
 }
 
 // ofKey is the partition of all messages of a route with an ordering key.
-func ofKey(route, key string, partitions int) uint32 {
+func partitionOfKey(route, key string, partitions int) uint32 {
 	d := xxhash.New()
 	d.WriteString(route)
 	d.Write([]byte{0})
--- a/internal/roles/dispatcher/ingress/choice_test.go
+++ b/internal/roles/dispatcher/ingress/choice_test.go
@@ -29,19 +29,19 @@
 
 func TestSparedStoresAreUsedWhereAllAre(t *testing.T) {
 	is := is.New(t)
-	c, now := newChoice(newHealth()), time.Now()
-	s := &directory.Snapshot{Partitions: []directory.Partition{{Address: "near"}, {Address: "far"}}, Near: [3][]uint32{{0}, {1}}}
+	c, now := newPartitionPicker(newHealth()), time.Now()
+	s := &directory.Snapshot{Partitions: []directory.Partition{{Address: "near"}, {Address: "far"}}, ByDistance: [3][]uint32{{0}, {1}}}
 	pick := func() uint32 {
 		p, ok := c.next(s, now)
 		is.True(ok)
 		return p
 	}
 	is.Equal(pick(), uint32(0))
-	c.spare("near", now.Add(time.Second))
+	c.markBacklogged("near", now.Add(time.Second))
 	is.Equal(pick(), uint32(1))
-	c.spare("far", now.Add(time.Second))
+	c.markBacklogged("far", now.Add(time.Second))
 	is.Equal(pick(), uint32(0)) // nobody is refused for it
-	c.health.failed("near", now)
+	c.health.connectFailed("near", now)
 	is.Equal(pick(), uint32(1)) // one that cannot be reached is no help
 	now = now.Add(time.Second)
 	is.Equal(pick(), uint32(0))
--- a/internal/roles/dispatcher/ingress/fake_test.go
+++ b/internal/roles/dispatcher/ingress/fake_test.go
@@ -131,7 +131,7 @@
 func (r *rig) follow(revision int, body string) {
 	r.view.Configuration, r.view.ConfigurationVersion = []byte(body), protocol.ItemVersion{Number: uint64(revision)}
 	view := r.view
-	r.directory.Follow(&view)
+	r.directory.Update(&view)
 }
 
 // configurePatient is configure with an objective of 40 s, so that a message waits for a newer table however slow the machine is.
@@ -167,7 +167,7 @@
 	view.PartitionsVersion.Number++
 	view.NodesVersion.Number++
 	r.view = view
-	r.directory.Follow(&view)
+	r.directory.Update(&view)
 }
 
 // connect opens the connection to a store, as the links to stores do; it may be one that does not listen.
--- a/internal/roles/dispatcher/ingress/health.go
+++ b/internal/roles/dispatcher/ingress/health.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	silentAfter      = 150 * time.Millisecond // a store that answers nothing for so long, though it was asked, is passed by
-	unreachableAfter = 300 * time.Millisecond // a store that could not be connected to is passed by for so long
+	unresponsiveAfter = 150 * time.Millisecond // a store that answers nothing for so long, though it was asked, is passed by
+	unreachableFor    = 300 * time.Millisecond // a store that could not be connected to is passed by for so long
 )
 
 // storeHealth is what the calls to one store have shown.
 type storeHealth struct {
-	asked       int       // calls that wait for an answer
-	since       time.Time // of the last answer, or of the first of those calls if that is later
-	unreachable time.Time // until when it is taken to be
+	pending          int       // calls that wait for an answer
+	waitingSince     time.Time // of the last answer, or of the first of those calls if that is later
+	unreachableUntil time.Time // until when it is taken to be
 }
 
 // health tells which stores messages without a key should rather not go to.
@@ -25,46 +25,46 @@
 
 func newHealth() *health { return &health{stores: map[string]*storeHealth{}} }
 
-func (h *health) of(address string) *storeHealth {
-	one := h.stores[address]
-	if one == nil {
-		one = &storeHealth{}
-		h.stores[address] = one
+func (h *health) entry(address string) *storeHealth {
+	store := h.stores[address]
+	if store == nil {
+		store = &storeHealth{}
+		h.stores[address] = store
 	}
-	return one
+	return store
 }
 
 // failed notes that no connection could be had.
-func (h *health) failed(address string, now time.Time) {
+func (h *health) connectFailed(address string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.of(address).unreachable = now.Add(unreachableAfter)
+	h.entry(address).unreachableUntil = now.Add(unreachableFor)
 }
 
 // ask notes that a call begins.
-func (h *health) ask(address string, now time.Time) {
+func (h *health) callBegan(address string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	one := h.of(address)
-	if one.unreachable = (time.Time{}); one.asked == 0 {
-		one.since = now
+	store := h.entry(address)
+	if store.unreachableUntil = (time.Time{}); store.pending == 0 {
+		store.waitingSince = now
 	}
-	one.asked++
+	store.pending++
 }
 
 // end notes that a call is over.
-func (h *health) end(address string, answered bool, now time.Time) {
+func (h *health) callEnded(address string, answered bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	one := h.of(address)
-	if one.asked--; answered {
-		one.since = now
+	store := h.entry(address)
+	if store.pending--; answered {
+		store.waitingSince = now
 	}
-	if one.asked > 0 || !one.unreachable.IsZero() {
+	if store.pending > 0 || !store.unreachableUntil.IsZero() {
 		return
 	}
-	if !answered && now.Sub(one.since) > silentAfter {
-		one.unreachable = now.Add(unreachableAfter)
+	if !answered && now.Sub(store.waitingSince) > unresponsiveAfter {
+		store.unreachableUntil = now.Add(unreachableFor)
 		return
 	}
 	delete(h.stores, address)
@@ -74,14 +74,14 @@
 func (h *health) reachable(address string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	one := h.stores[address]
-	return one == nil || !now.Before(one.unreachable)
+	store := h.stores[address]
+	return store == nil || !now.Before(store.unreachableUntil)
 }
 
 // silent tells whether the store has been asked and does not answer.
-func (h *health) silent(address string, now time.Time) bool {
+func (h *health) unresponsive(address string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	one := h.stores[address]
-	return one != nil && one.asked > 0 && now.Sub(one.since) > silentAfter
+	store := h.stores[address]
+	return store != nil && store.pending > 0 && now.Sub(store.waitingSince) > unresponsiveAfter
 }
--- a/internal/roles/dispatcher/ingress/ingress.go
+++ b/internal/roles/dispatcher/ingress/ingress.go
@@ -36,7 +36,7 @@
 type Ingress struct {
 	options Options
 	stores  *caller
-	choice  *choice
+	picker  *partitionPicker
 	closing atomic.Bool
 }
 
@@ -49,8 +49,8 @@
 		o.RequestUpdates = func(string) {}
 	}
 	in := &Ingress{options: o, stores: newCaller(o.Connections)}
-	in.choice = newChoice(in.stores.health)
-	o.Directory.Subscribe(in.stores.follow)
+	in.picker = newPartitionPicker(in.stores.health)
+	o.Directory.Subscribe(in.stores.cancelOutdated)
 	return in
 }
 
@@ -80,11 +80,11 @@
 )
 
 // refuse answers without a body.
-func refuse(w http.ResponseWriter, status int) { w.WriteHeader(status) }
+func respondStatus(w http.ResponseWriter, status int) { w.WriteHeader(status) }
 
 // comeBack promises that nothing was taken, and says when to come back.
-func comeBack(w http.ResponseWriter, wait time.Duration) {
-	w.Header().Set("Retry-After", retryAfter(wait))
+func respondUnavailable(w http.ResponseWriter, wait time.Duration) {
+	w.Header().Set("Retry-After", formatRetryAfter(wait))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
--- a/internal/roles/dispatcher/ingress/message_test.go
+++ b/internal/roles/dispatcher/ingress/message_test.go
@@ -306,7 +306,7 @@
 func keyOf(t *testing.T, partition uint32, partitions int) string {
 	t.Helper()
 	for i := range 1000 {
-		if key := fmt.Sprint("k", i); ofKey("keyed", key, partitions) == partition {
+		if key := fmt.Sprint("k", i); partitionOfKey("keyed", key, partitions) == partition {
 			return key
 		}
 	}
@@ -355,22 +355,22 @@
 	is.Equal(response.StatusCode, 202)
 	is.Equal(response.Header.Get("X-Message-Id"), "0000-q")
 	is.Equal(fresh.first().ID, "0000-q")
-	is.True(time.Since(began) < askWithin) // not by the time-out of a call
+	is.True(time.Since(began) < storeCallTimeout) // not by the time-out of a call
 }
 
 func TestSilentStoreIsPassedByWhileItIsAsked(t *testing.T) {
 	is := is.New(t)
 	h := newHealth()
 	now := time.Now()
-	h.ask("s", now)
-	is.True(!h.silent("s", now.Add(silentAfter)))
-	is.True(h.silent("s", now.Add(silentAfter+1)))
-	h.ask("s", now.Add(silentAfter))
-	h.end("s", true, now.Add(silentAfter)) // it answers one
-	is.True(!h.silent("s", now.Add(silentAfter+1)))
-	h.end("s", false, now.Add(3*silentAfter))
-	is.True(!h.reachable("s", now.Add(3*silentAfter)))
-	is.True(h.reachable("s", now.Add(3*silentAfter+unreachableAfter)))
+	h.callBegan("s", now)
+	is.True(!h.unresponsive("s", now.Add(unresponsiveAfter)))
+	is.True(h.unresponsive("s", now.Add(unresponsiveAfter+1)))
+	h.callBegan("s", now.Add(unresponsiveAfter))
+	h.callEnded("s", true, now.Add(unresponsiveAfter)) // it answers one
+	is.True(!h.unresponsive("s", now.Add(unresponsiveAfter+1)))
+	h.callEnded("s", false, now.Add(3*unresponsiveAfter))
+	is.True(!h.reachable("s", now.Add(3*unresponsiveAfter)))
+	is.True(h.reachable("s", now.Add(3*unresponsiveAfter+unreachableFor)))
 }
 
 func TestClientThatLeavesIsTakenAllTheSame(t *testing.T) {
@@ -396,11 +396,11 @@
 	for _, bad := range []string{"", "a b", "ü", strings.Repeat("x", 60), "a/b"} {
 		id := messageID(1, bad)
 		is.Equal(len(id), 5+16)
-		p, ok := partitionOf(id)
+		p, ok := partitionOfID(id)
 		is.True(ok && p == 1)
 	}
 	for _, bad := range []string{"", "0001", "0001-", "001-x", "00001-x", "zzzz-x", "00A1-x", "0001-a/b", "+001-x"} {
-		_, ok := partitionOf(bad)
+		_, ok := partitionOfID(bad)
 		is.True(!ok)
 	}
 }
--- a/internal/roles/dispatcher/ingress/request.go
+++ b/internal/roles/dispatcher/ingress/request.go
@@ -14,21 +14,21 @@
 
 const (
 	defaultDeadline = 500 * time.Millisecond // of a client that names none
-	longestDeadline = 3 * time.Second
-	longestDelay    = 365 * 24 * time.Hour
-	bodyWithin      = 10 * time.Second // for a body to arrive
-	hostTooLong     = 255
+	maxDeadline     = 3 * time.Second
+	maxDelay        = 365 * 24 * time.Hour
+	bodyTimeout     = 10 * time.Second // for a body to arrive
+	maxHostLength   = 255
 )
 
 // notKept are fields that are of the connection, or are said otherwise in a protocol.Accept.
-var notKept = map[string]bool{
+var droppedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Host": true,
 	headerRequestID: true, headerOrderingKey: true, headerDelay: true, headerDeadline: true, headerInstance: true,
 }
 
 // keptHeaders returns the fields that a worker is to get.
-func keptHeaders(header http.Header) []protocol.Header {
+func forwardedHeaders(header http.Header) []protocol.Header {
 	named := map[string]bool{}
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -37,7 +37,7 @@
 	}
 	var kept []protocol.Header
 	for name, values := range header {
-		if notKept[name] || named[name] {
+		if droppedHeaders[name] || named[name] {
 			continue
 		}
 		for _, value := range values {
@@ -59,7 +59,7 @@
 }
 
 // readMilliseconds reads a field; ok is false if it holds no number of milliseconds.
-func readMilliseconds(header http.Header, name string, most time.Duration) (d time.Duration, present, ok bool) {
+func readMilliseconds(header http.Header, name string, limit time.Duration) (d time.Duration, present, ok bool) {
 	values, present := header[name]
 	if !present {
 		return 0, false, true
@@ -68,15 +68,15 @@
 	if len(values) > 1 || err != nil || math.IsNaN(ms) || ms < 0 {
 		return 0, true, false
 	}
-	if ms >= float64(most.Milliseconds()) {
-		return most, true, true
+	if ms >= float64(limit.Milliseconds()) {
+		return limit, true, true
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true, true
 }
 
 // deadlineOf is how long the client waits.
 func deadlineOf(header http.Header) time.Duration {
-	d, present, ok := readMilliseconds(header, headerDeadline, longestDeadline)
+	d, present, ok := readMilliseconds(header, headerDeadline, maxDeadline)
 	if !present || !ok || d == 0 {
 		return defaultDeadline
 	}
@@ -85,15 +85,15 @@
 
 // readBody reads a body whole. status is the answer if that is not possible, else 0.
 func readBody(w http.ResponseWriter, r *http.Request, limits *configuration.Limits) (body []byte, status int) {
-	most := int64(limits.MaxBodyBytes)
-	if r.ContentLength > most {
+	limit := int64(limits.MaxBodyBytes)
+	if r.ContentLength > limit {
 		return nil, http.StatusRequestEntityTooLarge
 	}
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, 0
 	}
 	// The server sets a deadline of its own for the next request.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyWithin))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	if r.ContentLength > 0 {
 		body = make([]byte, r.ContentLength)
 		if _, err := io.ReadFull(r.Body, body); err != nil {
@@ -101,9 +101,9 @@
 		}
 		return body, 0
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	switch {
-	case int64(len(body)) > most:
+	case int64(len(body)) > limit:
 		return nil, http.StatusRequestEntityTooLarge
 	case err != nil:
 		return nil, http.StatusBadRequest
@@ -113,7 +113,7 @@
 
 // retryAfter is a value for Retry-After in seconds, rounded up to tenths: the clients' protocol takes whole and decimal ones, and most
 // waits here are shorter than a second, as are the clients' deadlines.
-func retryAfter(wait time.Duration) string {
+func formatRetryAfter(wait time.Duration) string {
 	const tenth = time.Second / 10
 	tenths := max(1, (wait+tenth-1)/tenth)
 	return strconv.FormatFloat((tenths * tenth).Seconds(), 'f', -1, 64)
--- a/internal/roles/dispatcher/ingress/server.go
+++ b/internal/roles/dispatcher/ingress/server.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	mostHeaderBytes  = 256 << 10 // read of a head before the configuration's own limit is applied
-	firstHeaderLimit = 3 * time.Second
-	firstIdleLimit   = 15 * time.Second
+	maxHeaderBytes       = 256 << 10 // read of a head before the configuration's own limit is applied
+	initialHeaderTimeout = 3 * time.Second
+	initialIdleTimeout   = 15 * time.Second
 )
 
 func appendJSONString(b []byte, s string) []byte {
@@ -35,12 +35,12 @@
 	logger   *zap.Logger
 	listener net.Listener
 
-	mu      sync.Mutex
-	limits  configuration.Limits
-	current *http.Server
-	feed    *feed
-	all     []*http.Server
-	closed  bool
+	mu          sync.Mutex
+	limits      configuration.Limits
+	current     *http.Server
+	connections *connListener
+	servers     []*http.Server
+	closed      bool
 }
 
 // Listen begins to serve clients on a network, nil for the system's sockets.
@@ -50,9 +50,9 @@
 		return nil, errors.Wrapf(err, "ingress: cannot listen on Frontend %s: free the port or change BindAddresses.Frontend", address)
 	}
 	s := &Server{handler: handler, logger: logger, listener: listener,
-		limits: configuration.Limits{HeaderTimeout: firstHeaderLimit, IdleTimeout: firstIdleLimit}}
-	s.begin()
-	d.Subscribe(func(_, after *directory.Snapshot) { s.follow(after) })
+		limits: configuration.Limits{HeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout}}
+	s.startServer()
+	d.Subscribe(func(_, after *directory.Snapshot) { s.updateLimits(after) })
 	go s.accept()
 	return s, nil
 }
@@ -61,7 +61,7 @@
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // follow applies the time limits of a configuration to new connections.
-func (s *Server) follow(after *directory.Snapshot) {
+func (s *Server) updateLimits(after *directory.Snapshot) {
 	if after.Configuration == nil {
 		return
 	}
@@ -72,18 +72,18 @@
 		return
 	}
 	s.limits = limits
-	s.begin()
+	s.startServer()
 }
 
 // begin serves new connections with the present limits; net/http reads them without a lock. The caller holds the lock.
-func (s *Server) begin() {
-	s.feed = &feed{conns: make(chan net.Conn), done: make(chan struct{}), address: s.listener.Addr()}
+func (s *Server) startServer() {
+	s.connections = &connListener{conns: make(chan net.Conn), done: make(chan struct{}), address: s.listener.Addr()}
 	s.current = &http.Server{
-		Handler: s.handler, ReadHeaderTimeout: s.limits.HeaderTimeout, IdleTimeout: s.limits.IdleTimeout, MaxHeaderBytes: mostHeaderBytes,
+		Handler: s.handler, ReadHeaderTimeout: s.limits.HeaderTimeout, IdleTimeout: s.limits.IdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: log.New(debugWriter{s.logger}, "", 0), DisableGeneralOptionsHandler: true,
 	}
-	s.all = append(s.all, s.current)
-	go s.current.Serve(s.feed)
+	s.servers = append(s.servers, s.current)
+	go s.current.Serve(s.connections)
 }
 
 // accept gives each connection to the server of the present limits.
@@ -99,9 +99,9 @@
 			continue
 		}
 		s.mu.Lock()
-		to := s.feed
+		connections := s.connections
 		s.mu.Unlock()
-		to.give(conn)
+		connections.push(conn)
 	}
 }
 
@@ -109,7 +109,7 @@
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closed = true
-	servers := s.all
+	servers := s.servers
 	s.mu.Unlock()
 	err := s.listener.Close()
 	for _, server := range servers {
@@ -124,20 +124,20 @@
 	defer s.mu.Unlock()
 	s.closed = true
 	s.listener.Close()
-	for _, server := range s.all {
+	for _, server := range s.servers {
 		server.Close()
 	}
 }
 
 // feed is the listener of one http.Server.
-type feed struct {
+type connListener struct {
 	conns   chan net.Conn
 	done    chan struct{}
 	once    sync.Once
 	address net.Addr
 }
 
-func (f *feed) give(conn net.Conn) {
+func (f *connListener) push(conn net.Conn) {
 	select {
 	case f.conns <- conn:
 	case <-f.done:
@@ -146,7 +146,7 @@
 }
 
 // Accept implements net.Listener.
-func (f *feed) Accept() (net.Conn, error) {
+func (f *connListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-f.conns:
 		return conn, nil
@@ -156,13 +156,13 @@
 }
 
 // Close implements net.Listener.
-func (f *feed) Close() error {
+func (f *connListener) Close() error {
 	f.once.Do(func() { close(f.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *feed) Addr() net.Addr { return f.address }
+func (f *connListener) Addr() net.Addr { return f.address }
 
 // debugWriter takes net/http's lines about single connections, which are of clients' making.
 type debugWriter struct{ logger *zap.Logger }
--- a/internal/roles/dispatcher/ingress/status.go
+++ b/internal/roles/dispatcher/ingress/status.go
@@ -10,14 +10,14 @@
 )
 
 // lookupWithin bounds an answer about a message: those who ask wait two seconds.
-const lookupWithin = 1800 * time.Millisecond
+const lookupTimeout = 1800 * time.Millisecond
 
 // What is asked about a message.
 type statusKind uint8
 
 const (
-	askState statusKind = iota + 1
-	askBody
+	queryState statusKind = iota + 1
+	queryBody
 )
 
 // statusPath tells whether a request asks about a message.
@@ -26,10 +26,10 @@
 		return 0, "", false
 	}
 	if id, ok = strings.CutPrefix(r.URL.Path, "/message/"); ok {
-		return askState, id, true
+		return queryState, id, true
 	}
 	id, ok = strings.CutPrefix(r.URL.Path, "/message-body/")
-	return askBody, id, ok
+	return queryBody, id, ok
 }
 
 var stateNames = map[protocol.MessageState]string{
@@ -39,23 +39,23 @@
 // serveStatus answers for the state or the body of a message.
 func (in *Ingress) serveStatus(w http.ResponseWriter, r *http.Request, kind statusKind, id string) {
 	if !in.options.Directory.Current().Ready() {
-		comeBack(w, comeBackAfter)
+		respondUnavailable(w, defaultRetryAfter)
 		return
 	}
-	partition, ok := partitionOf(id)
+	partition, ok := partitionOfID(id)
 	if !ok {
-		refuse(w, http.StatusNotFound)
+		respondStatus(w, http.StatusNotFound)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), lookupWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), lookupTimeout)
 	defer cancel()
-	reply, ok := in.lookup(ctx, &protocol.Lookup{Partition: partition, ID: id, WantBody: kind == askBody})
+	reply, ok := in.lookup(ctx, &protocol.Lookup{Partition: partition, ID: id, WantBody: kind == queryBody})
 	switch {
 	case !ok: // not sure: 404 would say that there is no such message
-		comeBack(w, comeBackAfter)
-	case !reply.Found, kind == askBody && !reply.HasBody:
-		refuse(w, http.StatusNotFound)
-	case kind == askBody:
+		respondUnavailable(w, defaultRetryAfter)
+	case !reply.Found, kind == queryBody && !reply.HasBody:
+		respondStatus(w, http.StatusNotFound)
+	case kind == queryBody:
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Write(reply.Body)
 	default:
@@ -66,16 +66,16 @@
 
 // lookup asks the partition's primary until it answers. ok is false if none did in time.
 func (in *Ingress) lookup(ctx context.Context, l *protocol.Lookup) (reply *protocol.LookupReply, ok bool) {
-	question := l.Append(nil)
-	for pause := firstAskPause; ctx.Err() == nil; pause = min(2*pause, longestAskPause) {
+	request := l.Append(nil)
+	for pause := firstRetryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
 		changed := in.options.Directory.Changed()
 		s := in.options.Directory.Current()
 		p, exists := s.Partition(l.Partition)
 		if !exists {
 			return &protocol.LookupReply{}, true
 		}
-		once, cancel := context.WithTimeout(ctx, lookupWithin/3)
-		body, err := in.stores.call(once, l.Partition, p, protocol.KindLookup, question)
+		callContext, cancel := context.WithTimeout(ctx, lookupTimeout/3)
+		body, err := in.stores.call(callContext, l.Partition, p, protocol.KindLookup, request)
 		cancel()
 		reply = &protocol.LookupReply{}
 		if decode(body, err, reply) == nil {
--- a/internal/roles/dispatcher/ingress/status_test.go
+++ b/internal/roles/dispatcher/ingress/status_test.go
@@ -153,7 +153,7 @@
 	limits := r.server.limits
 	limits.IdleTimeout++
 	r.server.limits = limits
-	r.server.begin()
+	r.server.startServer()
 	r.server.mu.Unlock()
 	_, err := io.WriteString(c, "GET /message/zzz HTTP/1.1\r\nHost: shop.example\r\n\r\n")
 	is.NoErr(err)
--- a/internal/roles/dispatcher/leave.go
+++ b/internal/roles/dispatcher/leave.go
@@ -10,43 +10,43 @@
 const (
 	// noticeLimit is how long clients are still served after the planned end began: the platform asks for readiness each second, and
 	// sends no more after two misses.
-	noticeLimit = 2500 * time.Millisecond
-	noticeShare = 0.4 // of the grace, at most
+	maxNoticePeriod = 2500 * time.Millisecond
+	maxNoticeShare  = 0.4 // of the grace, at most
 	// lingerLimit is how long connections are still taken, and end with their next answer, after that.
-	lingerLimit = 500 * time.Millisecond
+	lingerTimeout = 500 * time.Millisecond
 	// reserve is kept of the grace for the end of the process itself.
-	reserve   = 500 * time.Millisecond
-	overLimit = 200 * time.Millisecond // for the word that the session is over
-	pollEvery = 20 * time.Millisecond
+	shutdownReserve   = 500 * time.Millisecond
+	finalLeaveTimeout = 200 * time.Millisecond // for the word that the session is over
+	pollInterval      = 20 * time.Millisecond
 	// announceAgain is the pause before control is told again of the planned end.
-	announceAgain = 100 * time.Millisecond
+	announceRetryInterval = 100 * time.Millisecond
 )
 
 // leave is the planned end. Clients are served until they have been led elsewhere; what runs at workers ends, and is reported.
-func (d *dispatcher) leave() {
+func (d *dispatcher) shutDown() {
 	grace := d.settings.Bounds.Grace()
-	ctx, cancel := context.WithTimeout(context.Background(), max(grace-reserve, reserve))
+	ctx, cancel := context.WithTimeout(context.Background(), max(grace-shutdownReserve, shutdownReserve))
 	defer cancel()
 	d.logger.Info("planned end begins", zap.Duration("grace", grace))
-	d.leaving.Store(true)
+	d.shuttingDown.Store(true)
 	d.links.Pause()
 	d.engine.Drain()
 	d.tasks.Go(func() { d.announce(ctx) })
 
-	notice := min(noticeLimit, time.Duration(noticeShare*float64(grace)))
-	pause(ctx, notice)
+	notice := min(maxNoticePeriod, time.Duration(maxNoticeShare*float64(grace)))
+	sleep(ctx, notice)
 	d.ingress.CloseConnections()
-	pause(ctx, min(lingerLimit, notice))
+	sleep(ctx, min(lingerTimeout, notice))
 	if err := d.frontend.Shutdown(ctx); err != nil {
 		d.logger.Warn("clients were still being answered at the end of the grace", zap.Error(err))
 	}
 	for d.links.Held() > 0 && ctx.Err() == nil {
-		pause(ctx, pollEvery)
+		sleep(ctx, pollInterval)
 	}
 	if held := d.links.Held(); held > 0 {
 		d.logger.Warn("results could not be reported within the grace", zap.Int("held", held))
 	}
-	over, cancel := context.WithTimeout(context.Background(), overLimit)
+	over, cancel := context.WithTimeout(context.Background(), finalLeaveTimeout)
 	defer cancel()
 	if err := d.agent.Leave(over, true); err != nil {
 		d.logger.Info("control was not told of the end", zap.Error(err))
@@ -60,7 +60,7 @@
 		if err := d.agent.Leave(ctx, false); err == nil {
 			return
 		}
-		pause(ctx, announceAgain)
+		sleep(ctx, announceRetryInterval)
 	}
 }
 
@@ -81,7 +81,7 @@
 	d.tasks.Wait()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/roles/dispatcher/list.go
+++ b/internal/roles/dispatcher/list.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	listCheck = 500 * time.Millisecond // between looks at the age of the list
-	listStale = 2                      // the list is read here once it is older than this part of DrainMs
+	listCheckInterval = 500 * time.Millisecond // between looks at the age of the list
+	staleListDivisor  = 2                      // the list is read here once it is older than this part of DrainMs
 )
 
 // ownReader reads the platform's list while nobody else's reading arrives.
-type ownReader struct {
-	dispatcher *dispatcher
-	client     *http.Client
-	reader     *workerlist.Reader
-	readings   uint64
+type localListReader struct {
+	dispatcher     *dispatcher
+	client         *http.Client
+	reader         *workerlist.Reader
+	completedReads uint64
 }
 
 // watchList reads the list itself while the one that is known is too old.
@@ -31,19 +31,19 @@
 	if d.settings.CloudApi.Address == "" {
 		return
 	}
-	o := &ownReader{dispatcher: d, client: network.Client(d.network, instances.CallTimeout)}
+	local := &localListReader{dispatcher: d, client: network.Client(d.network, instances.CallTimeout)}
 	for {
-		pause(ctx, listCheck)
+		sleep(ctx, listCheckInterval)
 		if ctx.Err() != nil {
 			return
 		}
 		if view := d.agent.View(); view.WorkersReadAt > d.directory.Current().WorkersReadAt && view.WorkersVersion != d.directory.Current().WorkersVersion {
-			d.directory.Follow(view) // an own reading was taken meanwhile, and everybody's list was read again since
+			d.directory.Update(view) // an own reading was taken meanwhile, and everybody's list was read again since
 		}
-		if d.listAge() > d.settings.Bounds.Drain()/listStale {
-			o.read(ctx)
+		if d.listAge() > d.settings.Bounds.Drain()/staleListDivisor {
+			local.read(ctx)
 		} else {
-			o.reader = nil
+			local.reader = nil
 		}
 	}
 }
@@ -55,31 +55,31 @@
 }
 
 // read reads on while the list is old. All dispatchers may be doing so: each takes its part of the platform's budget.
-func (o *ownReader) read(ctx context.Context) {
+func (o *localListReader) read(ctx context.Context) {
 	d := o.dispatcher
 	if o.reader == nil {
 		share := 1 / float64(1+len(d.directory.Current().Dispatchers))
 		o.reader = workerlist.NewReader(workerlist.Options{RatePerS: d.settings.CloudApi.RatePerS, Share: share,
-			Interval: d.settings.Bounds.Drain() / (2 * listStale)})
+			Interval: d.settings.Bounds.Drain() / (2 * staleListDivisor)})
 		d.logger.Warn("the list of workers is old: reading it here", zap.Duration("age", d.listAge()))
 	}
 	for ctx.Err() == nil {
 		request, wait, ok := o.reader.Next(d.agent.Steady())
 		if !ok {
-			if wait > listCheck {
+			if wait > listCheckInterval {
 				return // others may have read it by then
 			}
-			pause(ctx, max(wait, pollEvery))
+			sleep(ctx, max(wait, pollInterval))
 			continue
 		}
-		if o.page(ctx, request) {
+		if o.fetchPage(ctx, request) {
 			return
 		}
 	}
 }
 
 // page asks for one page. It is true once the list is whole, or the platform does not answer.
-func (o *ownReader) page(ctx context.Context, request workerlist.Request) bool {
+func (o *localListReader) fetchPage(ctx context.Context, request workerlist.Request) bool {
 	d := o.dispatcher
 	status, body, err := instances.Fetch(ctx, o.client, d.settings.CloudApi.Address, request.PageToken)
 	now := d.agent.Steady()
@@ -93,9 +93,9 @@
 		return true
 	}
 	if complete {
-		o.readings++
+		o.completedReads++
 		list := o.reader.List()
-		d.directory.ReadWorkers(instances.Entries(&list), protocol.ItemVersion{Number: o.readings}, list.ReadAt)
+		d.directory.SetWorkers(instances.Entries(&list), protocol.ItemVersion{Number: o.completedReads}, list.ReadAt)
 	}
 	return complete
 }
--- a/internal/roles/dispatcher/readiness.go
+++ b/internal/roles/dispatcher/readiness.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-const readinessIdle = 30 * time.Second // of a connection of the platform's
+const readinessIdleTimeout = 30 * time.Second // of a connection of the platform's
 
 // serveReadiness tells the platform whether clients should come here.
 func (d *dispatcher) serveReadiness(w http.ResponseWriter, _ *http.Request) {
@@ -19,7 +19,7 @@
 // ready tells whether messages can be taken: all that is needed is known, and a store is connected. Control may be away.
 func (d *dispatcher) ready() bool {
 	s := d.directory.Current()
-	if d.leaving.Load() || !s.Ready() {
+	if d.shuttingDown.Load() || !s.Ready() {
 		return false
 	}
 	for _, store := range s.Stores {
--- a/internal/roles/dispatcher/state.go
+++ b/internal/roles/dispatcher/state.go
@@ -10,17 +10,17 @@
 )
 
 // stateOf is what the engine of the dispatcher goes by: the services that it sends to, and the workers.
-func stateOf(s *directory.Snapshot, self string, ownership *placement.Ownership) delivery.State {
+func engineState(s *directory.Snapshot, self string, ownership *placement.Ownership) delivery.State {
 	state := delivery.State{Workers: s.Workers, ListVersion: s.WorkersVersion, Number: s.Number, Dispatchers: len(s.Dispatchers), InZone: s.InZone}
 	if s.Configuration == nil {
 		return state
 	}
 	ownership.SetDispatchers(s.Dispatchers)
-	aims := map[string]time.Duration{}
+	targetStarts := map[string]time.Duration{}
 	for i := range s.Configuration.Routes {
 		r := &s.Configuration.Routes[i]
-		if aim, known := aims[r.Service]; !known || r.TargetStart < aim {
-			aims[r.Service] = r.TargetStart
+		if targetStart, known := targetStarts[r.Service]; !known || r.TargetStart < targetStart {
+			targetStarts[r.Service] = r.TargetStart
 		}
 	}
 	for i := range s.Configuration.Services {
@@ -31,7 +31,7 @@
 		}
 		state.Services = append(state.Services, delivery.Service{
 			Name: service.Name, HealthCheckPath: service.HealthCheckPath, MaxConnections: service.MaxConnections,
-			RatePerS: service.RatePerS, Static: service.Static, Aim: aims[service.Name], Owners: owners,
+			RatePerS: service.RatePerS, Static: service.Static, TargetStart: targetStarts[service.Name], Owners: owners,
 		})
 	}
 	return state
--- a/internal/roles/dispatcher/stores/confirm_test.go
+++ b/internal/roles/dispatcher/stores/confirm_test.go
@@ -19,10 +19,10 @@
 	g.deliver(t, message("m", 1))
 	next(t, r.runs).done(succeeded)
 	got := next(t, s.results) // which is not answered: the result is not on disk
-	is.Equal(r.links.confirm(r.now().Add(confirmEvery-1)), 0)
+	is.Equal(r.links.confirmHeld(r.now().Add(confirmInterval-1)), 0)
 
-	late := r.now().Add(confirmEvery) // the clock itself stands: the watch of Links finds nothing to do
-	is.Equal(r.links.confirm(late), 1)
+	late := r.now().Add(confirmInterval) // the clock itself stands: the watch of Links finds nothing to do
+	is.Equal(r.links.confirmHeld(late), 1)
 	again := next(t, s.hellos)
 	is.True(again.conn == g.conn)
 	is.Equal(again.hello.Held, []protocol.HeldDelivery{{ID: "m", Attempt: 1}})
@@ -30,5 +30,5 @@
 
 	got.reply(nil, nil)
 	g.untilHeld(t, r, 0)
-	is.Equal(r.links.confirm(late), 0)
+	is.Equal(r.links.confirmHeld(late), 0)
 }
--- a/internal/roles/dispatcher/stores/fake_test.go
+++ b/internal/roles/dispatcher/stores/fake_test.go
@@ -118,7 +118,7 @@
 	r.directory.Subscribe(func(before, after *directory.Snapshot) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		links.Follow(before, after, r.windows)
+		links.Update(before, after, r.windows)
 	})
 	t.Cleanup(func() { links.Close(); pool.Close() })
 	return r
@@ -131,7 +131,7 @@
 
 func (r *rig) publish(view agent.View) {
 	r.view = view
-	r.directory.Follow(&view)
+	r.directory.Update(&view)
 }
 
 // tables makes the tables that table publishes.
--- a/internal/roles/dispatcher/stores/links.go
+++ b/internal/roles/dispatcher/stores/links.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	redialPause  = 100 * time.Millisecond
-	resultWithin = 1500 * time.Millisecond // for one call
-	firstPause   = 20 * time.Millisecond   // before a result is reported again; twice as long each time
-	longestPause = 500 * time.Millisecond
+	reconnectInterval = 100 * time.Millisecond
+	resultTimeout     = 1500 * time.Millisecond // for one call
+	firstReportPause  = 20 * time.Millisecond   // before a result is reported again; twice as long each time
+	maxReportPause    = 500 * time.Millisecond
 )
 
 // Connections are the connections to other processes.
@@ -44,23 +44,23 @@
 type Links struct {
 	options Options
 	held    *heldSet
-	pause   pauseWatch
+	stalls  stallDetector
 	ctx     context.Context
 	stop    context.CancelFunc
 	tasks   sync.WaitGroup
 
 	mu      sync.Mutex
-	links   map[string]*link // by address
+	links   map[string]*storeLink // by address
 	windows []protocol.ServiceWindow
 	paused  bool
 }
 
 // link is the connection to one store.
-type link struct {
-	address string
-	store   directory.Store // under the lock of Links
-	stop    context.CancelFunc
-	refresh chan struct{}
+type storeLink struct {
+	address        string
+	store          directory.Store // under the lock of Links
+	stop           context.CancelFunc
+	helloRequested chan struct{}
 }
 
 // New returns Links without a connection; Follow opens them.
@@ -71,40 +71,40 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	l := &Links{options: o, held: newHeldSet(), links: map[string]*link{}}
+	l := &Links{options: o, held: newHeldSet(), links: map[string]*storeLink{}}
 	l.ctx, l.stop = context.WithCancel(context.Background())
-	l.tasks.Go(l.watch)
+	l.tasks.Go(l.watchStalls)
 	return l
 }
 
 // Follow connects to the stores of a state, and tells them what changed.
-func (l *Links) Follow(before, after *directory.Snapshot, windows []protocol.ServiceWindow) {
+func (l *Links) Update(before, after *directory.Snapshot, windows []protocol.ServiceWindow) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	again := before.TableVersion != after.TableVersion || before.ConfigurationVersion != after.ConfigurationVersion ||
+	refreshAll := before.TableVersion != after.TableVersion || before.ConfigurationVersion != after.ConfigurationVersion ||
 		!slices.Equal(l.windows, windows)
 	l.windows = windows
 	live := make(map[string]bool, len(after.Stores))
 	for _, store := range after.Stores {
 		live[store.Address] = true
-		one := l.links[store.Address]
-		if one != nil && one.store.Key != store.Key {
-			one.stop()
-			one = nil
+		link := l.links[store.Address]
+		if link != nil && link.store.Key != store.Key {
+			link.stop()
+			link = nil
 		}
-		if one == nil {
+		if link == nil {
 			l.open(store)
 			continue
 		}
-		changed := one.store != store // such as its member, after a start with another disk
-		one.store = store
-		if again || changed {
-			one.wake()
+		changed := link.store != store // such as its member, after a start with another disk
+		link.store = store
+		if refreshAll || changed {
+			link.requestHello()
 		}
 	}
-	for address, one := range l.links {
+	for address, link := range l.links {
 		if !live[address] {
-			one.stop()
+			link.stop()
 			delete(l.links, address)
 		}
 	}
@@ -115,8 +115,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused = true
-	for _, one := range l.links {
-		one.wake()
+	for _, link := range l.links {
+		link.requestHello()
 	}
 }
 
@@ -132,36 +132,36 @@
 // open begins a link; the caller holds the lock.
 func (l *Links) open(store directory.Store) {
 	ctx, stop := context.WithCancel(l.ctx)
-	one := &link{address: store.Address, store: store, stop: stop, refresh: make(chan struct{}, 1)}
-	l.links[store.Address] = one
-	l.tasks.Go(func() { l.keep(ctx, one) })
+	link := &storeLink{address: store.Address, store: store, stop: stop, helloRequested: make(chan struct{}, 1)}
+	l.links[store.Address] = link
+	l.tasks.Go(func() { l.maintainLink(ctx, link) })
 }
 
-func (one *link) wake() {
+func (link *storeLink) requestHello() {
 	select {
-	case one.refresh <- struct{}{}:
+	case link.helloRequested <- struct{}{}:
 	default:
 	}
 }
 
 // keep holds the link open until its context ends.
-func (l *Links) keep(ctx context.Context, one *link) {
+func (l *Links) maintainLink(ctx context.Context, link *storeLink) {
 	for ctx.Err() == nil {
-		conn, err := l.options.Connections.Get(ctx, one.address)
+		conn, err := l.options.Connections.Get(ctx, link.address)
 		if err != nil {
-			sleep(ctx, redialPause)
+			sleep(ctx, reconnectInterval)
 			continue
 		}
-		l.serve(ctx, one, conn)
-		l.held.part(conn)
+		l.serveConnection(ctx, link, conn)
+		l.held.deactivate(conn)
 	}
 }
 
 // serve greets a store, and again whenever that is asked for.
-func (l *Links) serve(ctx context.Context, one *link, conn *rpc.Conn) {
+func (l *Links) serveConnection(ctx context.Context, link *storeLink, conn *rpc.Conn) {
 	for {
-		if !l.greet(one, conn) {
-			sleep(ctx, redialPause)
+		if !l.sendHello(link, conn) {
+			sleep(ctx, reconnectInterval)
 			return
 		}
 		select {
@@ -169,22 +169,22 @@
 			return
 		case <-conn.Done():
 			return
-		case <-one.refresh:
+		case <-link.helloRequested:
 		}
 	}
 }
 
 // greet sends a Hello, and a Pause where no deliveries are wanted.
-func (l *Links) greet(one *link, conn *rpc.Conn) bool {
+func (l *Links) sendHello(link *storeLink, conn *rpc.Conn) bool {
 	l.mu.Lock()
-	windows, paused, store := l.windows, l.paused, one.store
+	windows, paused, store := l.windows, l.paused, link.store
 	l.mu.Unlock()
-	now := l.options.Directory.Current()
+	snapshot := l.options.Directory.Current()
 	node := &l.options.Node
 	hello := protocol.Hello{Dispatcher: node.Key, Incarnation: node.Incarnation, Zone: node.Zone, Region: node.Region,
-		Table: now.TableVersion, Configuration: now.ConfigurationVersion, Windows: windows}
-	hello.Held = l.held.greet(conn, store.Key, l.options.Now(), func(partition uint32) bool {
-		p, ok := now.Partition(partition)
+		Table: snapshot.TableVersion, Configuration: snapshot.ConfigurationVersion, Windows: windows}
+	hello.Held = l.held.activate(conn, store.Key, l.options.Now(), func(partition uint32) bool {
+		p, ok := snapshot.Partition(partition)
 		return ok && (p.Primary == store.Member || p.Address == "") // a primary that the node table does not show yet may be this one
 	})
 	if err := conn.Notify(protocol.KindHello, hello.Append(nil)); err != nil {
@@ -201,15 +201,15 @@
 		conn.Close()
 		return
 	}
-	if l.checkPause() {
+	if l.checkStall() {
 		return
 	}
 	h, taken := l.held.take(conn, m, l.options.Now(), func() bool { return l.outdated(m) })
 	switch {
 	case h != nil:
 		l.run(h, m)
-	case taken == outdated:
-		l.giveBack(m)
+	case taken == takeOutdated:
+		l.reportOutdated(m)
 	}
 }
 
@@ -221,33 +221,33 @@
 
 // giveBack reports a delivery of an earlier view as not run. A store that is primary in the later view too has kept its queue and waits for
 // the outcome; any other primary ignores it.
-func (l *Links) giveBack(m *protocol.Deliver) {
+func (l *Links) reportOutdated(m *protocol.Deliver) {
 	result := &protocol.Result{Partition: m.Partition, ID: m.ID, Attempt: m.Attempt, Dispatcher: l.options.Node.Key,
 		Outcome: protocol.OutcomeNotRun}
 	l.tasks.Go(func() { l.report(result) })
 }
 
-func (l *Links) run(h *held, m *protocol.Deliver) {
+func (l *Links) run(h *heldDelivery, m *protocol.Deliver) {
 	l.options.Run(m, func(r delivery.Result) {
 		attempt := l.held.finish(h)
-		l.tasks.Go(func() { l.settle(h, attempt, r) })
+		l.tasks.Go(func() { l.completeDelivery(h, attempt, r) })
 	})
 }
 
 // settle reports an outcome until it is on disk, and begins what was handed out meanwhile.
-func (l *Links) settle(h *held, attempt uint32, r delivery.Result) {
+func (l *Links) completeDelivery(h *heldDelivery, attempt uint32, r delivery.Result) {
 	for {
 		result := protocol.Result{Partition: h.key.partition, ID: h.key.id, Attempt: attempt, Dispatcher: l.options.Node.Key,
 			Outcome: r.Outcome, Status: r.Status, Signature: r.Signature, RetryAfter: r.Pause, Elapsed: l.options.Now().Sub(h.arrived)}
 		if !l.report(&result) {
 			return
 		}
-		next := l.held.reported(h, l.options.Now())
+		redelivery := l.held.reported(h, l.options.Now())
 		switch {
-		case next == nil:
+		case redelivery == nil:
 			return
-		case !ends(r.Outcome):
-			l.run(h, next)
+		case !isFinal(r.Outcome):
+			l.run(h, redelivery)
 			return
 		}
 		attempt = l.held.finish(h) // the message has ended: no further run, whoever does not know that yet
@@ -255,14 +255,14 @@
 }
 
 // ends tells whether no attempt may follow.
-func ends(o protocol.Outcome) bool {
+func isFinal(o protocol.Outcome) bool {
 	return o == protocol.OutcomeSucceeded || o == protocol.OutcomeRefused || o == protocol.OutcomeNoRoute
 }
 
 // report calls the present primary of the partition until it answers that the result is on disk. It is false only at the very end.
 func (l *Links) report(result *protocol.Result) bool {
 	body := result.Append(nil)
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
+	for pause := firstReportPause; ; pause = min(2*pause, maxReportPause) {
 		changed := l.options.Directory.Changed()
 		if l.reportOnce(result, body) {
 			return true
@@ -282,7 +282,7 @@
 	if !ok || p.Address == "" {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(l.ctx, resultWithin)
+	ctx, cancel := context.WithTimeout(l.ctx, resultTimeout)
 	defer cancel()
 	conn, err := l.options.Connections.Get(ctx, p.Address)
 	if err != nil {
--- a/internal/roles/dispatcher/stores/links_test.go
+++ b/internal/roles/dispatcher/stores/links_test.go
@@ -173,14 +173,14 @@
 	m := message("m", 1)
 	later := false
 	r.links.held.mu.Lock()
-	done := make(chan taking)
+	done := make(chan takeResult)
 	go func() {
 		_, taken := r.links.held.take(conn, &m, time.Now(), func() bool { return later })
 		done <- taken
 	}()
 	later = true // the Hello that holds the lock goes by the later view
 	r.links.held.mu.Unlock()
-	equal(t, <-done, outdated)
+	equal(t, <-done, takeOutdated)
 	g.flush(t)
 	equal(t, r.links.Held(), 0)
 }
@@ -274,7 +274,7 @@
 	r.windows = []protocol.ServiceWindow{{Service: "orders", Slots: 9}}
 	r.mu.Unlock()
 	view := r.view
-	r.directory.Follow(&view)
+	r.directory.Update(&view)
 	is.Equal(next(t, s.hellos).hello.Windows[0].Slots, uint32(9))
 }
 
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -62,13 +62,13 @@
 	},
 	{
 		Promise: "a message of unknown fate is not refused", File: "internal/roles/dispatcher/ingress/message.go",
-		Old: "refuse(w, http.StatusGatewayTimeout)", New: "comeBack(w, comeBackAfter)",
+		Old: "respondStatus(w, http.StatusGatewayTimeout)", New: "respondUnavailable(w, defaultRetryAfter)",
 		Package: "./internal/roles/dispatcher/ingress",
 	},
 	{
 		Promise: "a message of unknown fate goes to no other partition", File: "internal/roles/dispatcher/ingress/message.go",
-		Old:     "if f == stored || f == unclear || in.dropped(m) {\n\t\t\treturn in.final(m, f)\n\t\t}\n\t\tin.choice.avoid",
-		New:     "if f == stored || in.dropped(m) {\n\t\t\treturn in.final(m, f)\n\t\t}\n\t\tin.choice.avoid",
+		Old:     "if outcome == stored || outcome == outcomeUnknown || in.routeRemoved(m) {\n\t\t\treturn in.finalOutcome(m, outcome)\n\t\t}\n\t\tin.picker.avoid",
+		New:     "if outcome == stored || in.routeRemoved(m) {\n\t\t\treturn in.finalOutcome(m, outcome)\n\t\t}\n\t\tin.picker.avoid",
 		Package: "./internal/roles/dispatcher/ingress",
 	},
 	{
@@ -267,7 +267,7 @@
 	},
 	{
 		Promise: "a store with another disk is told what runs", File: "internal/roles/dispatcher/stores/links.go",
-		Old:     "\t\tone.store = store\n",
+		Old:     "\t\tlink.store = store\n",
 		New:     "",
 		Package: "./internal/roles/dispatcher/stores",
 	},
