--- a/internal/roles/dispatcher/delivery/actions.go
+++ b/internal/roles/dispatcher/delivery/actions.go
@@ -16,7 +16,7 @@
 	number := j.attempts
 	j.attempts++
 	j.inFlight = true
-	if w == nil { // balance has it from an older list
+	if w == nil { // balance chose it from an older list
 		s.engine.loop.post(func() { s.attemptEnded(j, number, to, notRun(balance.NotSent)) })
 		return
 	}
@@ -29,7 +29,7 @@
 	}()
 }
 
-// permit returns the check that is made right before the first byte for a worker.
+// permit returns the check that is made right before the first byte is sent to a worker.
 func (s *service) permit(j *job, w *worker) func() error {
 	rateLimited, began, received := s.pacer != nil, time.Now(), j.received
 	return func() error {
@@ -43,7 +43,7 @@
 	}
 }
 
-// attempted takes the end of an attempt.
+// attemptEnded handles the end of an attempt.
 func (s *service) attemptEnded(j *job, number int, to balance.WorkerID, end attemptResult) {
 	now := s.engine.loop.now()
 	j.inFlight = false
@@ -54,7 +54,7 @@
 		}
 	}
 	if s.Static != "" && unreachable(end.status) {
-		// There is no other to send to, and the stores' gates pace further tries: leaving it out here would only hold up its return.
+		// There is no other worker, and the stores limit further attempts: excluding it here would only delay its use once it has recovered.
 		end.status = balance.NotSent
 	}
 	if end.Outcome != protocol.OutcomeNotRun || !end.retryElsewhere || s.pacer != nil || j.expired {
@@ -69,7 +69,7 @@
 	}
 }
 
-// unreachable tells whether an attempt met no worker that answers.
+// unreachable reports whether an attempt got no usable response from its worker.
 func unreachable(status balance.Status) bool {
 	return status == balance.ConnectFailed || status == balance.Reset || status == balance.TimedOut || status == balance.Errored
 }
@@ -77,7 +77,7 @@
 // Refuse implements balance.Actions.
 func (s *service) Refuse(id balance.JobID, _ time.Duration) { s.Fail(id) }
 
-// Fail implements balance.Actions: the job finds no worker. One that is out goes on to its end.
+// Fail implements balance.Actions: no worker was found for the job. An attempt that is in flight continues to its end.
 func (s *service) Fail(id balance.JobID) {
 	j := s.jobs[id]
 	if j == nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Cancel implements balance.Actions; nothing that is out is ever withdrawn.
+// Cancel implements balance.Actions; an attempt in flight is never cancelled.
 func (s *service) Cancel(balance.JobID, int) {}
 
 // Probe implements balance.Actions.
@@ -113,7 +113,7 @@
 	s.engine.loop.after(after, func() { s.balance.Timer(s.engine.loop.now(), token) }, needed)
 }
 
-// Watch implements balance.Actions; the list comes unasked.
+// Watch implements balance.Actions; it does nothing, because each new list is pushed to balance.
 func (s *service) Watch() {}
 
 // Log implements balance.Actions.
--- a/internal/roles/dispatcher/delivery/client.go
+++ b/internal/roles/dispatcher/delivery/client.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	defaultKeepAlive       = 4 * time.Second // of a worker's idle connections, until it tells
-	maxResponseBytes       = 16 << 20        // bytes of an answer that are read; a longer one is taken as broken off
+	defaultKeepAlive       = 4 * time.Second // of a worker's idle connections, until a Keep-Alive header is received
+	maxResponseBytes       = 16 << 20        // a longer response body is treated as truncated
 	maxResponseHeaderBytes = 64 << 10
 	writeBuffer            = 8 << 10
 	readBuffer             = 2 << 10
-	maxUnsentExchanges     = 3 // connections tried for one attempt while nothing of it was sent
+	maxUnsentExchanges     = 3 // connections used for one attempt while nothing of it was sent
 )
 
-var errResponseTooLong = errors.New("delivery: the answer is too long: let the service answer with less")
+var errResponseTooLong = errors.New("delivery: the worker's response is too long: have the service send a shorter one")
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -38,8 +38,8 @@
 
 	mu        sync.Mutex
 	transport *http.Transport
-	limit     int           // connections to each worker; 0 for any number
-	keepAlive time.Duration // how long workers keep idle connections
+	limit     int           // connections to each worker; 0 for no limit
+	keepAlive time.Duration // how long workers keep idle connections open
 }
 
 func newClient(dial dialFunc) *client {
@@ -50,10 +50,10 @@
 	return &client{dial: dial, keepAlive: defaultKeepAlive}
 }
 
-// idleLimit is how long a connection may be idle and still be used.
+// idleLimit is how long a connection may be idle and still be reused.
 func (c *client) idleLimit() time.Duration { return c.keepAlive - min(c.keepAlive/4, time.Second) }
 
-// setLimit bounds the connections to each worker. Those that are open in excess end with their present request.
+// setLimit limits the connections to each worker. Excess connections are closed after their current request.
 func (c *client) setLimit(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,14 +63,14 @@
 	}
 }
 
-// present is the limit in force.
+// currentLimit returns the limit in force.
 func (c *client) currentLimit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.limit
 }
 
-// learnKeepAlive takes a worker's word for how long it keeps idle connections.
+// learnKeepAlive adopts the keep-alive timeout that a worker reports in its response.
 func (c *client) learnKeepAlive(header http.Header) {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -81,16 +81,16 @@
 		c.mu.Lock()
 		if timeout := time.Duration(seconds) * time.Second; timeout < c.keepAlive || timeout >= 2*c.keepAlive {
 			c.keepAlive = timeout
-			c.retireTransport() // else the connections that are open are worth more
+			c.retireTransport() // for a small increase, keeping the open connections is better
 		}
 		c.mu.Unlock()
 	}
 }
 
-// retire has later requests use a new transport; the caller holds the lock.
+// retireTransport makes later requests use a new transport; the caller holds the lock.
 func (c *client) retireTransport() {
 	if c.transport != nil {
-		c.transport.CloseIdleConnections() // also keeps connections that are busy from going back to the pool
+		c.transport.CloseIdleConnections() // also keeps busy connections from returning to the pool
 		c.transport = nil
 	}
 }
@@ -101,7 +101,7 @@
 	c.retireTransport()
 }
 
-// current returns the transport in use and how long its connections may be idle.
+// currentTransport returns the transport in use and how long its connections may be idle.
 func (c *client) currentTransport() (*http.Transport, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,12 +132,12 @@
 type attempt struct {
 	message  *protocol.Deliver
 	address  string
-	instance string // empty for a worker that is on no list
+	instance string // empty for a worker that is not in the list
 	timeout  time.Duration
-	permit   func() error // asked right before the first byte; an error forbids it
+	permit   func() error // called right before the first byte; an error prevents the sending
 }
 
-// send makes an attempt. It uses another connection only while nothing of the request was given to a socket.
+// send makes an attempt. It uses another connection only while nothing of the request was written to a socket.
 func (c *client) send(ctx context.Context, a *attempt) attemptResult {
 	request, err := a.request()
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// request builds the worker's request: the client's as it arrived, and the fields for this attempt.
+// request builds the request to the worker: the client's request as it arrived, plus the header fields of this attempt.
 func (a *attempt) request() (*http.Request, error) {
 	target, err := targetOf(a.address, a.message.URI)
 	if err != nil {
@@ -179,7 +179,7 @@
 // targetOf returns a URL whose request line is uri, byte for byte.
 func targetOf(address, uri string) (*url.URL, error) {
 	target := &url.URL{Scheme: "http", Host: address, Opaque: uri}
-	if strings.HasPrefix(uri, "//") { // as an opaque part it would be taken for a host
+	if strings.HasPrefix(uri, "//") { // as an opaque part it would be parsed as a host
 		parsed, err := url.ParseRequestURI(uri)
 		if err != nil {
 			return nil, err
@@ -193,8 +193,8 @@
 	return target, nil
 }
 
-// exchange sends the request on one connection and reads the answer. again says that nothing was sent, and that another
-// connection may do better.
+// exchange sends the request on one connection and reads the response. retry says that nothing was sent, and that another
+// connection may succeed.
 func (c *client) exchange(ctx context.Context, a *attempt, request *http.Request) (end attemptResult, retry bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -220,7 +220,7 @@
 	return c.readResponse(ctx, g, a, response), false
 }
 
-// failure judges an exchange without an answer.
+// classifyFailure derives the result of an exchange without a response.
 func classifyFailure(g *sendGuard, ctx context.Context, reused bool) (end attemptResult, retry bool) {
 	sent, denied := g.sent()
 	switch {
@@ -238,7 +238,7 @@
 	return notRun(balance.NotSent), true
 }
 
-// read takes the whole answer. One that is not of this request leaves nothing known, and its connection is closed.
+// readResponse reads the whole response. If it belongs to another request, the outcome is unknown and the connection is closed.
 func (c *client) readResponse(ctx context.Context, g *sendGuard, a *attempt, response *http.Response) attemptResult {
 	if response.Header.Get(headerRequestID) != a.message.RequestID {
 		g.connection().Close()
@@ -264,7 +264,7 @@
 	return err
 }
 
-// probe asks a worker for its health.
+// probe checks the health of a worker.
 func (c *client) probe(ctx context.Context, address, path, instance string) balance.Status {
 	ctx, cancel := context.WithTimeout(ctx, ConnectTimeout)
 	defer cancel()
--- a/internal/roles/dispatcher/delivery/conn.go
+++ b/internal/roles/dispatcher/delivery/conn.go
@@ -10,12 +10,12 @@
 
 // Reasons for which a connection does not take a request; nothing of it was sent then.
 var (
-	errAlreadySent = errors.New("delivery: a byte of this attempt went out on another connection: report it as unknown")
+	errAlreadySent = errors.New("delivery: a byte of this attempt was sent on another connection: report it as unknown")
 	errIdleTooLong = errors.New("delivery: the connection was idle for about as long as the worker keeps it: use another")
 	errSameMessage = errors.New("delivery: the connection has carried this message before: use another")
 )
 
-// workerConn is a connection to a worker that asks before the first byte of each request whether it may go out.
+// workerConn is a connection to a worker that checks before the first byte of each request whether it may be sent.
 type workerConn struct {
 	net.Conn
 
@@ -25,21 +25,21 @@
 	idleSince time.Time // zero while it has carried nothing
 }
 
-// expect binds the connection's next write to a gate.
+// setGuard binds the connection's next write to a guard.
 func (c *workerConn) setGuard(g *sendGuard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.guard = g
 }
 
-// idle notes that a whole answer was read.
+// markIdle records that a whole response was read.
 func (c *workerConn) markIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idleSince = now
 }
 
-// Write asks the gate first if there is one.
+// Write acquires the guard first if there is one.
 func (c *workerConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	g := c.guard
@@ -61,12 +61,12 @@
 	return n, err
 }
 
-// gate lets at most one connection carry an attempt, and only if that is allowed at the moment of the first byte.
+// sendGuard lets at most one connection carry an attempt, and only if that is permitted when the first byte is sent.
 type sendGuard struct {
 	id        string
 	idleLimit time.Duration
 	permit    func() error // nil for always
-	onSend    func()       // called when the first byte is about to go out
+	onSend    func()       // called when the first byte is about to be sent
 
 	mu       sync.Mutex
 	conn     *workerConn
@@ -74,7 +74,7 @@
 	denied   error
 }
 
-// enter decides about the first byte. lastID and idleSince tell what the connection did before.
+// acquire decides whether the first byte may be sent. lastID and idleSince describe the connection's earlier use.
 func (g *sendGuard) acquire(lastID string, idleSince time.Time) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,21 +97,21 @@
 	return nil
 }
 
-// leaveUnsent notes that the socket took nothing.
+// release records that nothing was written to the socket.
 func (g *sendGuard) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.acquired = false
 }
 
-// sent tells whether a byte may have left, and the reason if the attempt was refused at its first byte.
+// sent reports whether a byte may have been sent, and the reason if the attempt was denied at its first byte.
 func (g *sendGuard) sent() (sent bool, denied error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.acquired, g.denied
 }
 
-// use binds the gate to the connection that was chosen.
+// bind binds the guard to the connection that was chosen.
 func (g *sendGuard) bind(c *workerConn) {
 	g.mu.Lock()
 	g.conn = c
@@ -119,7 +119,7 @@
 	c.setGuard(g)
 }
 
-// connection is the one that was chosen last; nil if none was.
+// connection returns the connection that was chosen last; nil if none was.
 func (g *sendGuard) connection() *workerConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/roles/dispatcher/delivery/delivery.go
+++ b/internal/roles/dispatcher/delivery/delivery.go
@@ -1,9 +1,9 @@
-// Package delivery sends messages to workers over HTTP/1.1 and tells what became of each attempt.
+// Package delivery sends messages to workers over HTTP/1.1 and reports the outcome of each attempt.
 //
-// An Engine has one balance.Dispatcher for each service; that one alone decides which worker gets a message. All state machines are
-// owned by one goroutine, the loop. Each attempt runs on a goroutine of its own, and ends by posting its outcome to the loop.
+// An Engine has one balance.Dispatcher for each service, which alone decides which worker gets a message. All state machines are
+// owned by one goroutine, the loop. Each attempt runs on its own goroutine, and posts its outcome to the loop when it ends.
 //
-// The outcome "not run" is reported only where that is proven: nothing was given to the socket, or the worker says so.
+// The outcome "not run" is reported only where that is proven: nothing was written to the socket, or the worker says so.
 package delivery
 
 import (
@@ -17,47 +17,47 @@
 )
 
 const (
-	// ConnectTimeout bounds the opening of a connection to a worker.
+	// ConnectTimeout limits the time to open a connection to a worker.
 	ConnectTimeout = time.Second
-	// placeWithin is how long a message waits for a worker that has room before it is given back to its store.
+	// placementTimeout is how long a message waits for a worker with free capacity before it is returned to its store.
 	placementTimeout = 2 * time.Second
-	// tokenWithin is how long a message of a rate-limited service waits for its turn before it is given back.
+	// tokenTimeout is how long a message of a rate-limited service waits for a token before it is returned to its store.
 	tokenTimeout = time.Second
-	// lateAnswer is how much longer than the time-out of an attempt its answer is awaited: the worker tells that it gave up.
+	// responseGrace is how much longer than the time-out of an attempt its response is awaited: the worker reports that it gave up.
 	responseGrace = 150 * time.Millisecond
-	// readBefore is left, once an answer is overdue, to read what has arrived by then: a process that had no processor for a while finds its
-	// timers and its sockets due at the same moment, and an answer that was read counts.
+	// readGrace is left, once a response is overdue, to read what has arrived by then: after a process got no CPU time for a while, its timers
+	// and its sockets are due at the same moment, and a response that was read counts.
 	readGrace = 30 * time.Millisecond
-	// jobStale is the age of a job from which on it is not sent any more: its store may have given it out again. Only a process that stood
-	// still has such jobs, as a rule.
+	// maxJobAge is the age beyond which a job is no longer sent, because its store may have delivered the message again. Normally only a
+	// process that was stalled has such jobs.
 	maxJobAge = placementTimeout + tokenTimeout
-	// tokenStale is how long after its turn a message of a rate-limited service may still be sent: turns must not gather.
+	// maxTokenAge is how long after it got its token a message of a rate-limited service may still be sent: unused tokens must not accumulate.
 	maxTokenAge = 250 * time.Millisecond
 )
 
-// Pauses that are asked of the store before a message is handed out again.
+// Pauses that the store is asked to keep before it delivers a message again.
 const (
-	pauseFull        = 100 * time.Millisecond // no worker had room
+	pauseFull        = 100 * time.Millisecond // no worker had free capacity
 	pauseUnreachable = 250 * time.Millisecond // no worker could be reached, or none is listed
-	pauseRunning     = 50 * time.Millisecond  // a worker says that an earlier attempt is still running
-	pauseNotOwner    = 100 * time.Millisecond // this dispatcher is not one that sends to the service
+	pauseRunning     = 50 * time.Millisecond  // a worker reports that an earlier attempt is still running
+	pauseNotOwner    = 100 * time.Millisecond // this dispatcher does not send to the service
 )
 
-// Service is a service as the operator's configuration has it.
+// Service holds a service's settings from the operator's configuration.
 type Service struct {
 	Name            string
 	HealthCheckPath string // empty where workers have none
-	MaxConnections  int    // of one worker, from all callers together; 0 where that is not known
+	MaxConnections  int    // of one worker, from all callers together; 0 if not known
 	RatePerS        float64
 	Static          string        // address of its single endpoint; empty where workers are listed
-	TargetStart     time.Duration // within which a message should begin to run
-	// Owners is how many dispatchers send to it; 0 means all of them.
+	TargetStart     time.Duration // within which a message should start to run
+	// Owners is the number of dispatchers that send to it; 0 means all of them.
 	Owners int
 }
 
 func (s *Service) rateLimited() bool { return s.RatePerS > 0 }
 
-// State is what an Engine goes by: configuration, workers and the other dispatchers.
+// State is the input of an Engine: the configuration, the workers and the other dispatchers.
 type State struct {
 	// Services that this dispatcher sends to.
 	Services []Service
@@ -65,8 +65,8 @@
 	// ListVersion changes with each new state of the list.
 	ListVersion protocol.ItemVersion
 	Number      int // of this dispatcher among all, from 0
-	Dispatchers int // that are alive
-	InZone      int // of these, in the own zone
+	Dispatchers int // that are live
+	InZone      int // of these, in the local zone
 }
 
 // Job is one attempt to deliver a message.
@@ -81,18 +81,18 @@
 // Result is the end of a Job.
 type Result struct {
 	Outcome   protocol.Outcome
-	Status    uint16 // of the worker's answer; 0 without one
+	Status    uint16 // of the worker's response; 0 without one
 	Signature string
-	Pause     time.Duration // wanted before the next attempt
+	Pause     time.Duration // requested before the next attempt
 }
 
-// Options describe an Engine.
+// Options configure an Engine.
 type Options struct {
 	Zone   string
 	Zones  []string // of the whole system
 	Seed   uint64   // of random choices
 	Logger *zap.Logger
-	// MayPace tells whether messages may go to rate-limited services now; nil for always.
+	// AllowRateLimited reports whether messages may be sent to rate-limited services now; nil for always.
 	AllowRateLimited func() bool
 	// Dial opens connections to workers; nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/roles/dispatcher/delivery/engine.go
+++ b/internal/roles/dispatcher/delivery/engine.go
@@ -13,15 +13,15 @@
 	"liftgauge/internal/protocol"
 )
 
-var errJobTooOld = errors.New("delivery: the message came long ago, and may have been given out again: give it back")
+var errJobTooOld = errors.New("delivery: the message is too old and may have been delivered again: return it to its store")
 
-var errTokenExpired = errors.New("delivery: the turn of a rate-limited message is over: wait for another")
+var errTokenExpired = errors.New("delivery: the rate-limit token of the message has expired: wait for another")
 
 // Engine delivers messages. Its methods may be called from any goroutine.
 type Engine struct {
 	options  Options
 	loop     *loop
-	attempts sync.WaitGroup // that are out
+	attempts sync.WaitGroup // in flight
 
 	// Owned by the loop.
 	state    State
@@ -32,7 +32,7 @@
 	draining bool
 }
 
-// New starts an Engine that knows of no service yet.
+// New starts an Engine without services; Update adds them.
 func New(o Options) *Engine {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -51,12 +51,12 @@
 	return e.options.AllowRateLimited == nil || e.options.AllowRateLimited()
 }
 
-// same compares all but the slices.
+// sameExceptSlices reports whether all fields but the slices are equal.
 func (s *State) sameExceptSlices(other *State) bool {
 	return s.ListVersion == other.ListVersion && s.Number == other.Number && s.Dispatchers == other.Dispatchers && s.InZone == other.InZone
 }
 
-// Update follows a new state of configuration, workers and dispatchers.
+// Update applies a new state of configuration, workers and dispatchers.
 func (e *Engine) Update(state State) { e.loop.post(func() { e.update(state) }) }
 
 func (e *Engine) update(state State) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// remove gives back what a dropped service has; attempts that are out go on to their end.
+// remove returns the waiting messages of a removed service to their stores; attempts in flight continue to their end.
 func (e *Engine) remove(name string, s *service) {
 	delete(e.services, name)
 	s.removed = true
@@ -91,7 +91,7 @@
 	s.client.close()
 }
 
-// Submit begins a job.
+// Submit starts a job.
 func (e *Engine) Submit(j Job) {
 	received := time.Now()
 	e.loop.post(func() {
@@ -106,7 +106,7 @@
 	})
 }
 
-// Drain gives back all that is not out, and from then on each new job at once. Attempts that are out go on to their end.
+// Drain returns all messages that are not in flight, and from then on each new job at once. Attempts in flight continue to their end.
 func (e *Engine) Drain() {
 	e.loop.post(func() {
 		e.draining = true
@@ -116,7 +116,7 @@
 	})
 }
 
-// Close ends the loop; the outcomes of attempts that are out then are not told.
+// Close stops the loop; the outcomes of attempts that are still in flight are not reported.
 func (e *Engine) Close() {
 	e.loop.close()
 	for _, s := range e.services {
--- a/internal/roles/dispatcher/delivery/loop.go
+++ b/internal/roles/dispatcher/delivery/loop.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// timer is a call that falls due; one whose alive says no is dropped without a wake-up.
+// timer is a call at a given time; it is dropped without a wake-up if needed returns false.
 type timer struct {
 	at     time.Duration
 	call   func()
@@ -26,7 +26,7 @@
 	return last
 }
 
-// loop runs calls one after the other on one goroutine, and timers when they fall due.
+// loop runs posted calls one after the other on one goroutine, and timers when they are due.
 type loop struct {
 	started time.Time
 	timers  timers // owned by the goroutine
@@ -40,13 +40,13 @@
 }
 
 func newLoop() *loop {
-	// The clock starts at a second: zero means never to those who read it.
+	// The clock starts at one second, because its readers take zero for never.
 	return &loop{started: time.Now().Add(-time.Second), wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{})}
 }
 
 func (l *loop) now() time.Duration { return time.Since(l.started) }
 
-// post has f called on the loop. It may be called from anywhere, and never waits.
+// post queues f to be called on the loop. It may be called from any goroutine, and never blocks.
 func (l *loop) post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -57,7 +57,7 @@
 	}
 }
 
-// after has f called after a time; only from the loop itself.
+// after schedules f to be called after a delay. It may be called only on the loop itself.
 func (l *loop) after(wait time.Duration, f func(), needed func() bool) {
 	heap.Push(&l.timers, timer{at: l.now() + wait, call: f, needed: needed})
 }
@@ -109,7 +109,7 @@
 	return true
 }
 
-// next is the time until the first timer that is still wanted.
+// next returns the time until the first timer that is still needed.
 func (l *loop) next() (time.Duration, bool) {
 	for len(l.timers) > 0 && l.timers[0].needed != nil && !l.timers[0].needed() {
 		heap.Pop(&l.timers)
--- a/internal/roles/dispatcher/delivery/pacer.go
+++ b/internal/roles/dispatcher/delivery/pacer.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// burstShare is the part of a second's messages that may go out together after a lull.
+// burstShare is the part of a second's messages that may be sent together after an idle time.
 const burstShare = 0.05
 
-// leastWait makes up for rounding: a wait for a token is never too short.
+// minWait compensates for rounding, so that a wait for a token is never too short.
 const minWait = time.Microsecond
 
 // pacer is a token bucket that starts empty.
 type pacer struct {
-	rate     float64 // tokens a second
-	burst    float64 // the most that it holds
+	rate     float64 // tokens per second
+	burst    float64 // the maximum number of tokens
 	tokens   float64
-	filledAt time.Duration // when tokens was true
+	filledAt time.Duration // when tokens was last updated
 }
 
 func newPacer(now time.Duration, rate float64) *pacer {
@@ -22,7 +22,7 @@
 	return p
 }
 
-// setRate changes the rate from now on.
+// setRate changes the rate as of now.
 func (p *pacer) setRate(now time.Duration, rate float64) {
 	if p.rate > 0 {
 		p.fill(now)
@@ -36,7 +36,7 @@
 	p.filledAt = now
 }
 
-// take takes a token, or tells how long to wait for one.
+// take takes a token, or returns how long to wait for one.
 func (p *pacer) take(now time.Duration) (wait time.Duration, ok bool) {
 	p.fill(now)
 	if p.tokens >= 1 {
@@ -46,5 +46,5 @@
 	return time.Duration((1-p.tokens)/p.rate*float64(time.Second)) + minWait, false
 }
 
-// giveBack returns a token that was not used.
+// refund returns a token that was not used.
 func (p *pacer) refund() { p.tokens = min(p.burst, p.tokens+1) }
--- a/internal/roles/dispatcher/delivery/pacing.go
+++ b/internal/roles/dispatcher/delivery/pacing.go
@@ -6,10 +6,10 @@
 	"liftgauge/internal/protocol"
 )
 
-// share is this dispatcher's part of the service's rate.
+// rateShare returns this dispatcher's part of the service's rate.
 func (s *service) rateShare() float64 { return s.RatePerS / float64(max(1, s.Owners)) }
 
-// serveQueue sends what has a token, and gives back what has waited too long.
+// serveQueue sends queued messages as far as there are tokens, and returns those that have waited too long.
 func (s *service) serveQueue() {
 	now := s.engine.loop.now()
 	for len(s.queue) > 0 {
@@ -26,7 +26,7 @@
 		}
 		s.queue = s.queue[1:]
 		s.offer(j)
-		if !j.ended && !j.inFlight { // it must not wait with its token: they would gather
+		if !j.ended && !j.inFlight { // it must not wait with its token: tokens would accumulate
 			s.balance.Release(now, j.id)
 			s.pacer.refund()
 			s.finish(j, Result{Outcome: protocol.OutcomeNotRun, Pause: pauseUnreachable})
--- a/internal/roles/dispatcher/delivery/response.go
+++ b/internal/roles/dispatcher/delivery/response.go
@@ -17,13 +17,13 @@
 	headerNotExecuted = "X-Not-Executed"
 )
 
-// ending is how one attempt ended.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	Result
 	status balance.Status
-	// elsewhere says that another worker may be tried at once: this one surely did not run it.
+	// retryElsewhere says that another worker may be used at once, because this one certainly did not run the message.
 	retryElsewhere bool
-	// stranger says that another worker has the address now.
+	// wrongInstance says that another worker now has the address.
 	wrongInstance bool
 }
 
@@ -35,7 +35,7 @@
 	return attemptResult{Result: Result{Outcome: protocol.OutcomeUnknown}, status: status}
 }
 
-// classify judges a whole answer that belongs to the request.
+// classify derives the result from a complete response that belongs to the request.
 func classify(code int, header http.Header) attemptResult {
 	e := attemptResult{Result: Result{Status: uint16(code)}}
 	signature := header.Get(headerSignature)
@@ -53,7 +53,7 @@
 		e.Outcome, e.status, e.retryElsewhere, e.Pause = protocol.OutcomeNotRun, balance.Full, true, pauseFull
 	case notExecuted:
 		e.Outcome, e.status, e.Pause = protocol.OutcomeNotRun, balance.Rejected, pauseFull
-	case code == http.StatusInternalServerError: // of the message rather than of the worker: some fail everywhere
+	case code == http.StatusInternalServerError: // attributed to the message rather than the worker: some messages fail everywhere
 		e.Outcome, e.status = protocol.OutcomeFailed, balance.Rejected
 	case code == http.StatusUnprocessableEntity:
 		e.Outcome, e.status = protocol.OutcomeRefused, balance.Rejected
--- a/internal/roles/dispatcher/delivery/service.go
+++ b/internal/roles/dispatcher/delivery/service.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	maxWorkersPerJob   = 4   // workers that a message is offered to before it is given back
-	crossZoneFee       = 0.1 // for balance: any fee makes it prefer the own zone
+	maxWorkersPerJob   = 4   // workers that a message is offered to before it is returned to its store
+	crossZoneFee       = 0.1 // for balance: any fee makes it prefer the local zone
 	defaultTargetStart = time.Second
-	// longestOut bounds the pause between two probes of a worker that cannot be reached: a service comes back as one.
+	// maxProbeInterval limits the pause between two probes of an unreachable worker: the workers of a service tend to recover together.
 	maxProbeInterval = time.Second
 )
 
-// job is a Job under way. It is owned by the loop.
+// job is a Job in progress. It is owned by the loop.
 type job struct {
 	Job
 	id            balance.JobID
@@ -23,7 +23,7 @@
 	inFlight      bool
 	expired       bool // not to be sent again
 	ended         bool
-	lastResult    Result // why it was not run
+	lastResult    Result // of the last attempt that did not run it
 	received      time.Time
 	tokenDeadline time.Duration
 }
@@ -38,11 +38,11 @@
 	workers        map[balance.WorkerID]*worker
 	workerIDs      *workerIDs
 	listed         []protocol.Worker
-	applied        State // without its slices: what update went by
+	applied        State // the state of the last update, without its slices
 	wrongInstances map[string]bool
 	jobs           map[balance.JobID]*job
 	pacer          *pacer // nil without a rate
-	queue          []*job // in wait for a token
+	queue          []*job // waiting for a token
 	queueTimer     bool
 	updated        bool
 	removed        bool
@@ -56,7 +56,7 @@
 		targetStart = defaultTargetStart
 	}
 	s.balance = balance.New(balance.Settings{
-		// The aim is for the start of a run; what the run itself takes is added.
+		// The target is for the start of a run; the duration of the run itself is added.
 		Classes: []balance.Class{{TargetLatency: targetStart, RuntimeFactor: 1, Value: 1, LateValue: 1, Limit: placementTimeout, Effect: balance.Unsafe, Kind: -1}},
 		Number:  e.state.Number, Dispatchers: e.state.Dispatchers, Zone: e.zone, Zones: len(e.options.Zones),
 		MaxAttempts: maxWorkersPerJob, ConnectTimeout: ConnectTimeout, CanProbe: settings.HealthCheckPath != "",
@@ -66,7 +66,7 @@
 	return s
 }
 
-// update follows a new state of the system.
+// update applies a new state of the system.
 func (s *service) update(settings Service, listed []protocol.Worker, state *State) {
 	now := s.engine.loop.now()
 	next := State{ListVersion: state.ListVersion, Number: state.Number, Dispatchers: state.Dispatchers, InZone: state.InZone}
@@ -93,7 +93,7 @@
 	s.serveQueue()
 }
 
-// among tells balance of the dispatchers that send to the service.
+// setDispatchers passes the dispatchers that send to the service to balance.
 func (s *service) setDispatchers(now time.Duration, state *State, owners int) {
 	number, all, inZone := state.Number, max(1, state.Dispatchers), max(1, state.InZone)
 	if owners > 0 {
@@ -103,7 +103,7 @@
 	s.balance.SetDispatchers(now, number, all, inZone)
 }
 
-// refresh gives the workers as they are now to balance and to the attempts under way.
+// refreshWorkers passes the current workers to balance and to the attempts in progress.
 func (s *service) refreshWorkers() {
 	now := s.engine.loop.now()
 	b := workerBuilder{service: &s.Service, listed: s.listed, dispatchers: s.engine.state.Dispatchers, localZone: s.engine.zone,
@@ -112,11 +112,11 @@
 		b.listed, b.service = nil, &Service{}
 	}
 	s.workers = b.build()
-	s.allowed.set(s.workers) // before anything is sent by the new list
+	s.allowed.set(s.workers) // before anything is sent according to the new list
 	s.balance.List(now, balance.ListFull, entriesOf(s.workers))
 }
 
-// take begins a job.
+// start starts a job.
 func (s *service) start(j *job) {
 	if s.pacer == nil {
 		s.offer(j)
@@ -127,7 +127,7 @@
 	s.serveQueue()
 }
 
-// offer has balance find a worker.
+// offer passes the job to balance, which finds a worker.
 func (s *service) offer(j *job) {
 	s.engine.lastJob++
 	j.id = s.engine.lastJob
@@ -136,7 +136,7 @@
 	s.balance.Job(s.engine.loop.now(), balance.Job{ID: j.id, Left: placementTimeout, Slots: 1})
 }
 
-// release gives back all that waits.
+// returnWaiting returns all waiting messages to their stores.
 func (s *service) returnWaiting(pause time.Duration) {
 	result := Result{Outcome: protocol.OutcomeNotRun, Pause: pause}
 	queue := s.queue
@@ -153,7 +153,7 @@
 	}
 }
 
-// finish tells the end of a job.
+// finish reports the end of a job.
 func (s *service) finish(j *job, r Result) {
 	if j.ended {
 		return
--- a/internal/roles/dispatcher/delivery/windows.go
+++ b/internal/roles/dispatcher/delivery/windows.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	minWindow            = 4    // deliveries of a service at a time from each store
-	windowFactor         = 2.0  // times this dispatcher's part of the slots of all workers
-	rateLimitedWindowS   = 0.2  // seconds of a rate that each store hands out ahead
-	minRateLimitedWindow = 2    // deliveries of a rate-limited service at a time from each store
-	maxWindow            = 4096 // so that a mistaken list is no invitation to send everything here
+	minWindow            = 4    // concurrent deliveries of a service from each store
+	windowFactor         = 2.0  // multiple of this dispatcher's part of the slots of all workers
+	rateLimitedWindowS   = 0.2  // seconds of the rate that each store may send ahead
+	minRateLimitedWindow = 2    // concurrent deliveries of a rate-limited service from each store
+	maxWindow            = 4096 // so that a wrong list does not make stores send everything here
 )
 
-// Windows tells stores how many deliveries of each service this dispatcher takes at a time. Services that are not in the state are
-// not sent to.
+// Windows returns how many concurrent deliveries of each service this dispatcher accepts from each store. It accepts none for services that are
+// not in the state.
 func Windows(state *State) []protocol.ServiceWindow {
 	capacity := map[string]float64{}
 	for i := range state.Workers {
--- a/internal/roles/dispatcher/delivery/workers.go
+++ b/internal/roles/dispatcher/delivery/workers.go
@@ -14,12 +14,12 @@
 
 const (
 	connectionShare    = 0.9  // of a worker's connections, for all dispatchers together
-	maxConnectionShare = 0.97 // of them, where a change of the number of dispatchers would cost connections
-	staticSlotShare    = 0.6  // of a single endpoint's connections, for jobs at the same time
-	maxStaticSlots     = 16   // jobs at the same time at a single endpoint, which tells no capacity
+	maxConnectionShare = 0.97 // of them, where a lower limit would close connections after the number of dispatchers changed
+	staticSlotShare    = 0.6  // of a single endpoint's connections, for concurrent jobs
+	maxStaticSlots     = 16   // concurrent jobs at a single endpoint, which reports no capacity
 )
 
-var errNotListed = errors.New("delivery: the worker is draining or gone: send the message to another")
+var errNotListed = errors.New("delivery: the worker is draining or no longer listed: send the message to another")
 
 // worker is one worker of a service.
 type worker struct {
@@ -29,7 +29,7 @@
 	listed   balance.Worker
 }
 
-// roster is who may be sent to, for the goroutines of attempts: by instance, or by address for a single endpoint.
+// allowlist holds the workers that may be sent to, for the goroutines of attempts: by instance, or by address for a single endpoint.
 type allowlist struct {
 	allowed atomic.Pointer[map[string]bool]
 }
@@ -44,7 +44,7 @@
 	r.allowed.Store(&allowed)
 }
 
-// check is nil if the worker may be sent to by the newest list.
+// check returns nil if the worker may be sent to according to the newest list.
 func (r *allowlist) check(w *worker) error {
 	if allowed := r.allowed.Load(); allowed != nil && (*allowed)[cmp.Or(w.instance, w.address)] {
 		return nil
@@ -52,7 +52,7 @@
 	return errNotListed
 }
 
-// numbering gives each instance a number. It is drawn from the name, so that all dispatchers have the workers in the same order.
+// workerIDs assigns a number to each instance. It is a hash of the name, so that all dispatchers have the workers in the same order.
 type workerIDs struct {
 	ids  map[string]balance.WorkerID
 	used map[balance.WorkerID]bool
@@ -74,7 +74,7 @@
 	return id
 }
 
-// keep forgets all instances but those given. A number is free again only then.
+// keep removes all instances but those given, which frees their numbers.
 func (n *workerIDs) keep(instances map[string]bool) {
 	for instance, id := range n.ids {
 		if !instances[instance] {
@@ -84,7 +84,7 @@
 	}
 }
 
-// connectionLimit is how many connections to each worker this dispatcher may have, of all that use the service; 0 for any number.
+// connectionLimit returns how many connections to each worker this dispatcher may have, given all that use the service; 0 for no limit.
 func connectionLimit(s *Service, dispatchers int) int {
 	if s.MaxConnections <= 0 {
 		return 0
@@ -96,8 +96,8 @@
 	return max(1, int(connectionShare*float64(s.MaxConnections)/float64(max(1, users))))
 }
 
-// keepLimit is the limit in force as long as it does, else the one that is right: a change closes connections, and dispatchers come
-// and go.
+// adjustLimit returns the current limit while it is still acceptable, else the target: a change closes connections, and the number of
+// dispatchers changes often.
 func adjustLimit(s *Service, current int, listed []protocol.Worker, dispatchers int) int {
 	target := connectionLimit(s, dispatchers)
 	if current == 0 || target == 0 || s.Owners > 0 {
@@ -114,7 +114,7 @@
 	return target
 }
 
-// slotsOf is how many jobs a listed worker gets at the same time.
+// slotsOf returns how many concurrent jobs a listed worker gets.
 func slotsOf(capacity uint32, limit int) float64 {
 	slots := float64(max(1, capacity))
 	if limit > 0 {
@@ -123,7 +123,7 @@
 	return slots
 }
 
-// staticSlots is how many jobs a single endpoint gets at the same time.
+// staticSlots returns how many concurrent jobs a single endpoint gets.
 func staticSlots(s *Service, limit int) float64 {
 	slots := maxStaticSlots
 	if s.MaxConnections > 0 {
@@ -135,7 +135,7 @@
 	return float64(slots)
 }
 
-// fleet is what the workers of a service are made from.
+// workerBuilder holds the input from which the workers of a service are built.
 type workerBuilder struct {
 	service        *Service
 	listed         []protocol.Worker // of the service
@@ -143,10 +143,10 @@
 	localZone      int
 	zones          map[string]int
 	ids            *workerIDs
-	wrongInstances map[string]bool // instances whose address answered as another
+	wrongInstances map[string]bool // instances whose address answered as another instance
 }
 
-// workers makes the workers of a service.
+// build builds the workers of a service.
 func (b *workerBuilder) build() map[balance.WorkerID]*worker {
 	limit := connectionLimit(b.service, b.dispatchers)
 	workers := map[balance.WorkerID]*worker{}
@@ -174,7 +174,7 @@
 	return workers
 }
 
-// entriesOf lists the workers in the order of their numbers.
+// entriesOf returns the balance entries of the workers, ordered by number.
 func entriesOf(workers map[balance.WorkerID]*worker) []balance.Worker {
 	entries := make([]balance.Worker, 0, len(workers))
 	for _, w := range workers {
--- a/internal/roles/dispatcher/directory/directory.go
+++ b/internal/roles/dispatcher/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory holds what a dispatcher knows of the system, in the form in which its parts ask for it.
+// Package directory holds a dispatcher's current view of the system: its configuration, stores, partitions, dispatchers and workers.
 package directory
 
 import (
@@ -15,14 +15,14 @@
 	"liftgauge/internal/protocol"
 )
 
-// Self is the dispatcher that asks.
+// Self identifies the local dispatcher.
 type Self struct {
 	Key    string
 	Zone   string
 	Region string
 }
 
-// Partition is where the messages of a partition are kept.
+// Partition is the location of a partition's messages.
 type Partition struct {
 	Epoch   uint64
 	Primary string // member
@@ -37,30 +37,30 @@
 	Incarnation uint64
 }
 
-// Snapshot is one state of the system. It is never changed after it was handed out.
+// Snapshot is one state of the system. It is immutable once published.
 type Snapshot struct {
 	Configuration        *configuration.Configuration // nil before the first
 	ConfigurationVersion protocol.ItemVersion
 	TableVersion         protocol.ItemVersion
 	Partitions           []Partition
-	// Near holds the partitions that have a live primary: those in the own zone, then in the own region, then all others.
+	// ByDistance holds the partitions that have a live primary: those in the local zone, then in the local region, then all others.
 	ByDistance [3][]uint32
 	// Stores are ordered by key.
 	Stores []Store
-	// Dispatchers are the keys of those that are live and not about to end, in order; InZone counts those of the own zone.
+	// Dispatchers are the sorted keys of the dispatchers that are live and not shutting down; InZone counts those of the local zone.
 	Dispatchers []string
 	InZone      int
-	Number      int // of this dispatcher among Dispatchers; where it would stand if it is not among them
+	Number      int // index of this dispatcher in Dispatchers, or where it would be inserted
 
 	Workers        []protocol.Worker
 	WorkersVersion protocol.ItemVersion
-	WorkersReadAt  time.Duration // on the agent's steady clock
+	WorkersReadAt  time.Duration // on the agent's monotonic clock
 
 	view         *agent.View
-	localWorkers bool // Workers were read by this process itself
+	localWorkers bool // Workers were read by this process, not by control
 }
 
-// Ready tells whether messages can be taken by this state: there are a configuration, partitions, and primaries of them.
+// Ready reports whether messages can be accepted: there is a configuration and at least one partition with a live primary.
 func (s *Snapshot) Ready() bool {
 	if s.Configuration == nil {
 		return false
@@ -73,7 +73,7 @@
 	return false
 }
 
-// Partition returns a partition; ok is false if there is none of that number.
+// Partition returns a partition; ok is false if there is none with that number.
 func (s *Snapshot) Partition(number uint32) (p Partition, ok bool) {
 	if int64(number) >= int64(len(s.Partitions)) {
 		return Partition{}, false
@@ -88,12 +88,12 @@
 
 	current atomic.Pointer[Snapshot]
 
-	mu          sync.Mutex // serialises changes
+	mu          sync.Mutex // serializes changes
 	subscribers []func(before, after *Snapshot)
 	changed     atomic.Pointer[chan struct{}]
 }
 
-// New returns a Directory that knows nothing.
+// New returns a Directory with an empty Snapshot.
 func New(self Self, logger *zap.Logger) *Directory {
 	d := &Directory{self: self, logger: logger}
 	d.current.Store(&Snapshot{})
@@ -102,20 +102,20 @@
 	return d
 }
 
-// Changed is closed at the next change; ask for it before Current.
+// Changed returns a channel that is closed at the next change. To miss none, call it before Current.
 func (d *Directory) Changed() <-chan struct{} { return *d.changed.Load() }
 
-// Current is the newest state; it is never nil.
+// Current returns the newest state; it is never nil.
 func (d *Directory) Current() *Snapshot { return d.current.Load() }
 
-// Subscribe has f called after each change, one after the other; f must not block.
+// Subscribe registers f to be called after each change, one call at a time; f must not block.
 func (d *Directory) Subscribe(f func(before, after *Snapshot)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.subscribers = append(d.subscribers, f)
 }
 
-// Follow takes a newer view of the items that everybody knows; one that is older than the last is ignored.
+// Update applies a newer view of the items that are distributed to all processes; a view that is older than the last one is ignored.
 func (d *Directory) Update(view *agent.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,13 +136,13 @@
 	d.publish(before, &after)
 }
 
-// older tells whether a view was made before another.
+// isOlder reports whether a view is older than another in any item.
 func isOlder(view, than *agent.View) bool {
 	return view.ConfigurationVersion.Less(than.ConfigurationVersion) || view.PartitionsVersion.Less(than.PartitionsVersion) ||
 		view.NodesVersion.Less(than.NodesVersion) || view.WorkersVersion.Less(than.WorkersVersion)
 }
 
-// ReadWorkers takes the list of workers as this process has read it itself. It holds until a later reading is known.
+// SetWorkers sets the list of workers as read by this process itself. It stays in use until a list that was read later arrives.
 func (d *Directory) SetWorkers(workers []protocol.Worker, version protocol.ItemVersion, readAt time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,20 +165,20 @@
 	}
 }
 
-// takeConfiguration keeps the configuration before if the new one cannot be read.
+// applyConfiguration keeps the previous configuration if the new one cannot be parsed.
 func (d *Directory) applyConfiguration(s *Snapshot, view *agent.View) {
 	if !s.ConfigurationVersion.Less(view.ConfigurationVersion) {
 		return
 	}
 	parsed, err := configuration.ParseAfter(s.Configuration, view.Configuration)
 	if err != nil {
-		d.logger.Error("configuration cannot be read; the one before stays in force", zap.Error(err))
+		d.logger.Error("configuration cannot be parsed; the previous one stays in force", zap.Error(err))
 		return
 	}
 	s.Configuration, s.ConfigurationVersion = parsed, view.ConfigurationVersion
 }
 
-// takeNodes finds the processes and where partitions are.
+// applyNodes sets the stores, the dispatchers and the locations of the partitions.
 func (d *Directory) applyNodes(s *Snapshot, view *agent.View) {
 	byMember := map[string]*protocol.Node{}
 	s.Stores, s.Dispatchers, s.InZone = nil, nil, 0
@@ -219,7 +219,7 @@
 	}
 }
 
-// distance is the place of a node's partitions in Near.
+// distance returns the index in ByDistance for a node's partitions.
 func (d *Directory) distance(node *protocol.Node) int {
 	switch {
 	case node.Zone == d.self.Zone:
--- a/internal/roles/dispatcher/dispatcher.go
+++ b/internal/roles/dispatcher/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatcher is the role that clients talk to: it takes their messages to stores, and delivers what stores hand out to workers.
-// It keeps nothing that must last.
+// Package dispatcher implements the dispatcher role: it accepts clients' messages and passes them to stores, and delivers the messages
+// that stores send it to workers. It keeps no durable state.
 package dispatcher
 
 import (
@@ -29,14 +29,14 @@
 )
 
 const (
-	// paceWithin is the age of the session up to which this process may send to rate-limited services: past it control may give them
-	// to another dispatcher.
+	// maxRateLimitedSessionAge is the age of the session up to which this process may send to rate-limited services: beyond it, control
+	// may assign them to another dispatcher.
 	maxRateLimitedSessionAge = 1200 * time.Millisecond
-	// configurationWithin is how long a delivery waits for a configuration that its store has already.
+	// configurationTimeout is how long a delivery waits for a configuration that its store already has.
 	configurationTimeout = 300 * time.Millisecond
 )
 
-// Agent is what a dispatcher needs of its agent.Agent.
+// Agent is the part of agent.Agent that a dispatcher uses.
 type Agent interface {
 	Node() protocol.Node
 	View() *agent.View
@@ -54,7 +54,7 @@
 
 // dispatcher is one process of the role.
 type dispatcher struct {
-	network          network.Network // nil for the system's
+	network          network.Network // nil for the operating system's
 	settings         *nodeconfig.Settings
 	logger           *zap.Logger
 	agent            Agent
@@ -69,18 +69,18 @@
 	tasks            sync.WaitGroup
 	stop             context.CancelFunc
 
-	// Owned by follow, which is called by one goroutine at a time.
+	// Owned by applySnapshot, which is called by one goroutine at a time.
 	snapshotApplied bool
 	ownership       placement.Ownership // of rate-limited and static services
 	windows         []protocol.ServiceWindow
 }
 
-// Run serves until the context ends, and then ends as planned, within the grace that the settings give.
+// Run serves until the context ends, and then shuts down as planned, within the grace period of the settings.
 func Run(ctx context.Context, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	return RunIn(ctx, roles.Environment{}, settings, logger)
 }
 
-// RunIn is Run in an environment.
+// RunIn is like Run, in the given environment.
 func RunIn(ctx context.Context, e roles.Environment, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	var links atomic.Pointer[stores.Links]
 	a, err := agent.Start(agent.Options{
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// handler gives frames of stores to the links once there are any.
+// handler passes frames from stores to the links once these exist.
 func handler(links *atomic.Pointer[stores.Links]) rpc.HandlerFunc {
 	return func(c *rpc.Conn, kind rpc.Kind, body []byte, reply func([]byte, error)) {
 		l := links.Load()
@@ -111,7 +111,7 @@
 	}
 }
 
-// start builds the parts and begins to serve. It closes the agent if it fails.
+// start builds the dispatcher and begins to serve. It closes the agent if it fails.
 func start(e roles.Environment, settings *nodeconfig.Settings, logger *zap.Logger, a Agent, links *atomic.Pointer[stores.Links]) (*dispatcher, error) {
 	node := a.Node()
 	d := &dispatcher{network: e.Network, settings: settings, logger: logger, agent: a}
@@ -136,7 +136,7 @@
 	return d, nil
 }
 
-// dial opens connections to workers; nil is the engine's own way.
+// dial returns the function that opens connections to workers; nil selects the engine's default.
 func (d *dispatcher) dial() func(ctx context.Context, network, address string) (net.Conn, error) {
 	if d.network == nil {
 		return nil
@@ -148,7 +148,7 @@
 	}
 }
 
-// listen opens the addresses for clients and for the platform's readiness checks.
+// listen opens the listeners for clients and for the platform's readiness checks.
 func (d *dispatcher) listen() error {
 	addresses := d.settings.BindAddresses
 	frontend, err := ingress.Listen(d.network, addresses.Frontend, d.ingress, d.directory, d.logger)
@@ -178,7 +178,7 @@
 	return d.agent.SessionAge() <= maxRateLimitedSessionAge
 }
 
-// follow gives a new state to the parts.
+// applySnapshot passes a new snapshot to the engine and the links.
 func (d *dispatcher) applySnapshot(before, after *directory.Snapshot) {
 	if !d.snapshotApplied || before.Configuration != after.Configuration || before.WorkersVersion != after.WorkersVersion ||
 		!slices.Equal(before.Dispatchers, after.Dispatchers) {
@@ -190,7 +190,7 @@
 	d.links.Update(before, after, d.windows)
 }
 
-// deliver begins a delivery. It does not wait.
+// deliver starts a delivery. It does not block.
 func (d *dispatcher) deliver(m *protocol.Deliver, done func(delivery.Result)) {
 	if s := d.directory.Current(); !d.lacksConfiguration(s, m) {
 		d.submit(s, m, done)
@@ -206,12 +206,12 @@
 	}()
 }
 
-// behind tells whether the store that handed out m knows a newer configuration.
+// lacksConfiguration reports whether the store that sent m has a newer configuration than this process.
 func (d *dispatcher) lacksConfiguration(s *directory.Snapshot, m *protocol.Deliver) bool {
 	return s.Configuration == nil || s.ConfigurationVersion.Less(m.Configuration)
 }
 
-// awaitConfiguration waits a little for the configuration that m needs.
+// awaitConfiguration waits up to configurationTimeout for the configuration that m needs.
 func (d *dispatcher) awaitConfiguration(m *protocol.Deliver) {
 	limit := time.NewTimer(configurationTimeout)
 	defer limit.Stop()
@@ -228,7 +228,7 @@
 	}
 }
 
-// submit matches the route again: time-outs and services may have changed, and the route may be gone.
+// submit matches the route again: time-outs and services may have changed, and the route may have been removed.
 func (d *dispatcher) submit(s *directory.Snapshot, m *protocol.Deliver, done func(delivery.Result)) {
 	route, ok := s.Configuration.Match(m.Host, m.URI)
 	if !ok {
--- a/internal/roles/dispatcher/ingress/caller.go
+++ b/internal/roles/dispatcher/ingress/caller.go
@@ -11,23 +11,23 @@
 	"liftgauge/internal/rpc"
 )
 
-// connectWithin bounds the wait for a connection to a store: nothing was sent when it is over.
+// connectTimeout limits the wait for a connection to a store; nothing was sent when it expires.
 const connectTimeout = 150 * time.Millisecond
 
-// caller calls the primaries of partitions. A call ends early when its partition gets another primary.
+// caller calls the primaries of partitions. A call is cancelled when its partition gets another primary.
 type caller struct {
 	connections Connections
 	health      *health
 
 	mu    sync.Mutex
-	calls map[uint32]map[*context.CancelFunc]string // under way: address called, by partition
+	calls map[uint32]map[*context.CancelFunc]string // in progress: address called, by partition
 }
 
 func newCaller(c Connections) *caller {
 	return &caller{connections: c, health: newHealth(), calls: map[uint32]map[*context.CancelFunc]string{}}
 }
 
-// follow ends the calls to stores that are no longer the primary.
+// cancelOutdated cancels the calls to stores that are no longer the primary.
 func (c *caller) cancelOutdated(before, after *directory.Snapshot) {
 	if before.TableVersion == after.TableVersion && len(before.Stores) == len(after.Stores) {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// call asks the primary of a partition. The error wraps rpc.ErrNotSent where nothing was sent.
+// call sends a request to the primary of a partition. The error wraps rpc.ErrNotSent if nothing was sent.
 func (c *caller) call(ctx context.Context, number uint32, p directory.Partition, kind rpc.Kind, body []byte) ([]byte, error) {
 	if p.Address == "" {
 		return nil, errors.Mark(errNoPrimary, rpc.ErrNotSent)
@@ -66,7 +66,7 @@
 	return reply, err
 }
 
-// note registers a call that is under way, and returns what ends that.
+// register records a call in progress, and returns the function that removes it.
 func (c *caller) register(number uint32, address string, cancel *context.CancelFunc) func() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/roles/dispatcher/ingress/health.go
+++ b/internal/roles/dispatcher/ingress/health.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	unresponsiveAfter = 150 * time.Millisecond // a store that answers nothing for so long, though it was asked, is passed by
-	unreachableFor    = 300 * time.Millisecond // a store that could not be connected to is passed by for so long
+	unresponsiveAfter = 150 * time.Millisecond // a store that answers no pending call for this long is avoided
+	unreachableFor    = 300 * time.Millisecond // a store that could not be connected to is avoided for this long
 )
 
-// storeHealth is what the calls to one store have shown.
+// storeHealth is the state of one store as seen by the calls to it.
 type storeHealth struct {
-	pending          int       // calls that wait for an answer
-	waitingSince     time.Time // of the last answer, or of the first of those calls if that is later
-	unreachableUntil time.Time // until when it is taken to be
+	pending          int       // calls that wait for a reply
+	waitingSince     time.Time // time of the last reply, or of the first pending call if that is later
+	unreachableUntil time.Time // until when the store is considered unreachable
 }
 
-// health tells which stores messages without a key should rather not go to.
+// health tracks which stores should be avoided for messages without a key.
 type health struct {
 	mu     sync.Mutex
 	stores map[string]*storeHealth // by address
@@ -34,14 +34,14 @@
 	return store
 }
 
-// failed notes that no connection could be had.
+// connectFailed records that no connection could be opened.
 func (h *health) connectFailed(address string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.entry(address).unreachableUntil = now.Add(unreachableFor)
 }
 
-// ask notes that a call begins.
+// callBegan records that a call begins.
 func (h *health) callBegan(address string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +52,7 @@
 	store.pending++
 }
 
-// end notes that a call is over.
+// callEnded records that a call has ended.
 func (h *health) callEnded(address string, answered bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +70,7 @@
 	delete(h.stores, address)
 }
 
-// reachable is false for a short time after the store could not be connected to.
+// reachable returns false for a short time after the store could not be connected to.
 func (h *health) reachable(address string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +78,7 @@
 	return store == nil || !now.Before(store.unreachableUntil)
 }
 
-// silent tells whether the store has been asked and does not answer.
+// unresponsive reports whether the store has pending calls and does not answer.
 func (h *health) unresponsive(address string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/roles/dispatcher/ingress/id.go
+++ b/internal/roles/dispatcher/ingress/id.go
@@ -14,14 +14,14 @@
 	randomIDBytes   = 8
 )
 
-// drawID returns a new random name.
+// randomID returns a new random id.
 func randomID() string {
 	var b [randomIDBytes]byte
 	rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
 }
 
-// messageID names a message: its partition, and the id of its request if that may stand there.
+// messageID returns the id of a message: its partition, and the id of its request if that is valid there, else a random one.
 func messageID(partition uint32, requestID string) string {
 	if !isPlainName(requestID) || len(requestID) > maxIDLength-partitionDigits-1 {
 		requestID = randomID()
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%0*x-%s", partitionDigits, partition, requestID)
 }
 
-// partitionOf reads the partition out of a message's name.
+// partitionOfID extracts the partition from a message's id.
 func partitionOfID(id string) (partition uint32, ok bool) {
 	digits, rest, found := strings.Cut(id, "-")
 	if !found || len(id) > maxIDLength || len(digits) != partitionDigits || !isPlainName(rest) || strings.ToLower(digits) != digits {
@@ -39,7 +39,7 @@
 	return uint32(n), err == nil
 }
 
-// plain tells whether a name is made of letters, digits and '-_.' only, and is not empty.
+// isPlainName reports whether a name is not empty and consists only of letters, digits and '-_.'.
 func isPlainName(name string) bool {
 	for i := range len(name) {
 		switch c := name[i]; {
--- a/internal/roles/dispatcher/ingress/ingress.go
+++ b/internal/roles/dispatcher/ingress/ingress.go
@@ -1,8 +1,8 @@
-// Package ingress serves clients: it takes their messages to a store, and tells the states of messages.
+// Package ingress serves clients: it passes their messages to a store, and answers queries about the state of messages.
 //
-// A message gets its 202 once a store has it on disk. An answer that promises that a message was not taken (503 and its like) is given
-// only where no byte of it went to a store, or the store has said that it wrote nothing; where the fate is unknown the same partition is
-// asked again, by the same id, and at last the answer is 504, which promises nothing.
+// A message is answered with 202 once a store has it on disk. A response that guarantees that a message was not stored (503 and the like) is
+// given only if no byte of it was sent to a store, or the store has reported that it wrote nothing. If the outcome is unknown, the message is
+// sent to the same partition again under the same id, and finally answered with 504, which guarantees nothing.
 package ingress
 
 import (
@@ -19,16 +19,16 @@
 	"liftgauge/internal/rpc"
 )
 
-// Connections are the connections to stores.
+// Connections provides connections to stores.
 type Connections interface {
 	Get(ctx context.Context, address string) (*rpc.Conn, error)
 }
 
-// Options describe an Ingress.
+// Options configure an Ingress.
 type Options struct {
 	Directory      *directory.Directory
 	Connections    Connections
-	RequestUpdates func(address string) // asks a store for what it knows that is newer than the directory; may be nil
+	RequestUpdates func(address string) // requests items from a store that are newer than the directory's; may be nil
 	Logger         *zap.Logger
 }
 
@@ -54,7 +54,7 @@
 	return in
 }
 
-// CloseConnections has each connection end with its next answer.
+// CloseConnections makes each connection close with its next response.
 func (in *Ingress) CloseConnections() { in.closing.Store(true) }
 
 // ServeHTTP implements http.Handler.
@@ -69,7 +69,7 @@
 	in.serveMessage(w, r)
 }
 
-// Header fields of clients' requests and answers.
+// Header fields of clients' requests and responses.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerMessageID   = "X-Message-Id"
@@ -79,18 +79,18 @@
 	headerInstance    = "X-Expect-Instance"
 )
 
-// refuse answers without a body.
+// respondStatus responds with a status and no body.
 func respondStatus(w http.ResponseWriter, status int) { w.WriteHeader(status) }
 
-// comeBack promises that nothing was taken, and says when to come back.
+// respondUnavailable responds that the message was not stored, and when to retry.
 func respondUnavailable(w http.ResponseWriter, wait time.Duration) {
 	w.Header().Set("Retry-After", formatRetryAfter(wait))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-var errNoPrimary = errors.New("ingress: the partition has no live primary: wait for the next table")
+var errNoPrimary = errors.New("ingress: the partition has no live primary: retry with the next partition table")
 
-// decode reads the answer of a store.
+// decode decodes the reply of a store.
 func decode(body []byte, err error, reply interface{ Decode([]byte) error }) error {
 	if err != nil {
 		return err
--- a/internal/roles/dispatcher/ingress/message.go
+++ b/internal/roles/dispatcher/ingress/message.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	storeCallTimeout     = time.Second           // for one call to a store
-	firstRetryPause      = 10 * time.Millisecond // before a store is asked again; twice as long each time
+	storeCallTimeout     = time.Second           // of one call to a store
+	firstRetryPause      = 10 * time.Millisecond // before a store is called again; doubles with each retry
 	maxRetryPause        = 100 * time.Millisecond
 	maxPartitionAttempts = 4 // for a message without a key
 	avoidFor             = 200 * time.Millisecond
-	tableWaitDivisor     = 4                      // a message waits for a newer table for one part in so many of its objective
-	defaultRetryAfter    = 200 * time.Millisecond // where a store names no time: a primary or a session comes within a few such
+	tableWaitDivisor     = 4                      // a message waits for a newer table for its target latency divided by this
+	defaultRetryAfter    = 200 * time.Millisecond // if the store gave none: a new primary or a session is expected within a few of these
 )
 
 // message is a client's message on its way to a store.
@@ -33,16 +33,16 @@
 	arrived    time.Time
 	deadline   time.Time
 	delay      time.Duration
-	retryAfter time.Duration // that the store named which was asked last; zero: none
-	notPrimary bool          // a store said that it is not the primary: the table may be old
+	retryAfter time.Duration // from the last store that was called; 0 if it gave none
+	notPrimary bool          // a store replied that it is not the primary: the table may be old
 }
 
-// patience is until when a message waits for a newer table.
+// tableDeadline is the time until which a message waits for a newer table.
 func (m *message) tableDeadline() time.Time {
 	return m.arrived.Add(m.route.TargetLatency / tableWaitDivisor)
 }
 
-// serveMessage takes a message.
+// serveMessage accepts a client's message.
 func (in *Ingress) serveMessage(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	s := in.options.Directory.Current()
@@ -72,7 +72,7 @@
 		return
 	}
 	m.Body = body
-	// The client may be gone: its message is taken all the same.
+	// The message is stored even if the client disconnects.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), m.deadline)
 	defer cancel()
 	in.respond(w, m, in.store(ctx, m))
@@ -84,7 +84,7 @@
 	return route, ok && strings.EqualFold(route.Type, "async")
 }
 
-// newMessage reads the head of a request; ok is false if it is no message.
+// newMessage builds a message from the head of a request; ok is false if the request is not a valid message.
 func newMessage(r *http.Request, route *configuration.Route, arrived time.Time) (m *message, ok bool) {
 	delay, _, ok := readMilliseconds(r.Header, headerDelay, maxDelay)
 	if !ok || !strings.HasPrefix(r.RequestURI, "/") || len(r.Host) > maxHostLength || !isSendable(r.RequestURI) {
@@ -100,22 +100,22 @@
 	return m, true
 }
 
-// sendable tells whether the target of a request can be sent on byte for byte.
+// isSendable reports whether the target of a request can be forwarded byte for byte.
 func isSendable(uri string) bool {
 	return !strings.ContainsFunc(uri, func(r rune) bool { return r <= ' ' || r == 0x7f })
 }
 
-// fate is what is known of a message that was handed to a store.
+// storeOutcome is what is known about a message that was sent to a store.
 type storeOutcome uint8
 
 const (
 	stored         storeOutcome = iota + 1
-	notStored                   // nothing was written, anywhere
+	notStored                   // nothing was written by any store
 	outcomeUnknown              // it may have been written
-	noRoute                     // nothing was written: the route is gone
+	noRoute                     // nothing was written: the route was removed
 )
 
-// answer tells the client.
+// respond sends the outcome to the client.
 func (in *Ingress) respond(w http.ResponseWriter, m *message, outcome storeOutcome) {
 	switch outcome {
 	case stored:
@@ -130,7 +130,7 @@
 	}
 }
 
-// store hands a message to a store. The result notTaken or noRoute is a promise.
+// store sends a message to a store. The results notStored and noRoute guarantee that it was not stored.
 func (in *Ingress) store(ctx context.Context, m *message) storeOutcome {
 	if m.fifo {
 		return in.storeKeyed(ctx, m)
@@ -146,7 +146,7 @@
 	}
 }
 
-// storeUnkeyed tries a few partitions.
+// storeUnkeyed tries up to maxPartitionAttempts partitions.
 func (in *Ingress) storeUnkeyed(ctx context.Context, m *message) storeOutcome {
 	for range maxPartitionAttempts {
 		s := in.options.Directory.Current()
@@ -167,7 +167,7 @@
 	return notStored
 }
 
-// storeKeyed hands a message to the partition of its key, and to no other. While the partition has no primary it waits a little.
+// storeKeyed sends a message to the partition of its key, and to no other. While the partition has no primary, it waits until tableDeadline.
 func (in *Ingress) storeKeyed(ctx context.Context, m *message) storeOutcome {
 	for pause := firstRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		changed := in.options.Directory.Changed()
@@ -183,13 +183,13 @@
 	}
 }
 
-// dropped tells whether the own configuration has no route for the message any more.
+// routeRemoved reports whether the local configuration no longer has a route for the message.
 func (in *Ingress) routeRemoved(m *message) bool {
 	route, ok := in.options.Directory.Current().Configuration.Match(m.Host, m.URI)
 	return !ok || !strings.EqualFold(route.Type, "async")
 }
 
-// final makes an answer of a fate: a store that knows no route may lag behind.
+// finalOutcome corrects an outcome by the local configuration: a store that has no route for the message may have an older configuration.
 func (in *Ingress) finalOutcome(m *message, outcome storeOutcome) storeOutcome {
 	switch {
 	case outcome == stored || outcome == outcomeUnknown:
@@ -200,12 +200,12 @@
 	return notStored
 }
 
-// place names the message's partition.
+// assignPartition sets the message's partition and id.
 func (in *Ingress) assignPartition(m *message, partition uint32) {
 	m.Partition, m.ID = partition, messageID(partition, m.RequestID)
 }
 
-// ask hands the message to the present primary of its partition, once.
+// sendOnce sends the message to the current primary of its partition, once.
 func (in *Ingress) sendOnce(ctx context.Context, m *message) storeOutcome {
 	s := in.options.Directory.Current()
 	p, _ := s.Partition(m.Partition)
@@ -237,7 +237,7 @@
 	return outcomeUnknown
 }
 
-// fateOf tells what an error leaves known of a message.
+// outcomeOf returns what is known about a message after an error.
 func outcomeOf(err error) storeOutcome {
 	var refused *rpc.RemoteError
 	if errors.As(err, &refused) {
@@ -253,14 +253,14 @@
 	return outcomeUnknown
 }
 
-// isNotPrimary tells whether a store has answered that it does not act as the primary of a partition.
+// isNotPrimary reports whether a store has replied that it is not acting as the primary of a partition.
 func isNotPrimary(err error) bool {
 	var refused *rpc.RemoteError
 	return errors.As(err, &refused) && refused.Code == protocol.CodeNotPrimary
 }
 
-// askAgain asks the present primary of the same partition until it says that it has the message. Nothing else counts: what was sent
-// before may still arrive there, or be on the disk of a store that comes back.
+// resend sends the message to the current primary of the same partition until it replies that it has stored it. No other reply is conclusive:
+// an earlier request may still arrive there, or be on the disk of a store that recovers.
 func (in *Ingress) resend(ctx context.Context, m *message) storeOutcome {
 	for pause := firstRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		changed := in.options.Directory.Changed()
@@ -274,7 +274,7 @@
 	}
 }
 
-// wait waits for a time, a change of the directory, or the end of the context.
+// wait waits for a duration, a change of the directory, or the end of the context.
 func wait(ctx context.Context, d time.Duration, changed <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/roles/dispatcher/ingress/picker.go
+++ b/internal/roles/dispatcher/ingress/picker.go
@@ -9,36 +9,36 @@
 	"liftgauge/internal/roles/dispatcher/directory"
 )
 
-// choice picks partitions for messages.
+// partitionPicker picks partitions for messages without an ordering key.
 type partitionPicker struct {
 	health *health
 
 	mu         sync.Mutex
 	turn       uint64
-	avoided    map[uint32]time.Time // partitions that just failed, until when
-	backlogged map[string]time.Time // stores, by address, that have more than they can hand out, until when
+	avoided    map[uint32]time.Time // partitions that failed recently, until when
+	backlogged map[string]time.Time // stores, by address, that have more messages than they can deliver, until when
 }
 
 func newPartitionPicker(h *health) *partitionPicker {
 	return &partitionPicker{health: h, avoided: map[uint32]time.Time{}, backlogged: map[string]time.Time{}}
 }
 
-// spare has other stores preferred to one for a time.
+// markBacklogged makes other stores preferred to one for a time.
 func (c *partitionPicker) markBacklogged(address string, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.backlogged[address] = until
 }
 
-// avoid leaves a partition out for a time.
+// avoid excludes a partition for a time.
 func (c *partitionPicker) avoid(partition uint32, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoided[partition] = until
 }
 
-// next picks a partition whose primary is near, in turn, without those that just failed. Stores that are to be spared come after others
-// that are farther away, and stores that are silent last. ok is false if there is none.
+// next picks a partition whose primary is near, in turn, without those that failed recently. Backlogged stores come after other stores
+// that are farther away, and unresponsive stores come last. ok is false if there is none.
 func (c *partitionPicker) next(s *directory.Snapshot, now time.Time) (partition uint32, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	return c.health.reachable(address, now) && (includeUnresponsive || !c.health.unresponsive(address, now))
 }
 
-// ofKey is the partition of all messages of a route with an ordering key.
+// partitionOfKey returns the partition of all messages of a route with an ordering key.
 func partitionOfKey(route, key string, partitions int) uint32 {
 	d := xxhash.New()
 	d.WriteString(route)
--- a/internal/roles/dispatcher/ingress/request.go
+++ b/internal/roles/dispatcher/ingress/request.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	defaultDeadline = 500 * time.Millisecond // of a client that names none
+	defaultDeadline = 500 * time.Millisecond // of a client that sets none
 	maxDeadline     = 3 * time.Second
 	maxDelay        = 365 * 24 * time.Hour
-	bodyTimeout     = 10 * time.Second // for a body to arrive
+	bodyTimeout     = 10 * time.Second // to receive a body
 	maxHostLength   = 255
 )
 
-// notKept are fields that are of the connection, or are said otherwise in a protocol.Accept.
+// droppedHeaders are header fields that belong to the connection, or are carried by other fields of protocol.Accept.
 var droppedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true, "Host": true,
 	headerRequestID: true, headerOrderingKey: true, headerDelay: true, headerDeadline: true, headerInstance: true,
 }
 
-// keptHeaders returns the fields that a worker is to get.
+// forwardedHeaders returns the header fields that are forwarded to the worker.
 func forwardedHeaders(header http.Header) []protocol.Header {
 	named := map[string]bool{}
 	for _, value := range header["Connection"] {
@@ -47,7 +47,7 @@
 	return kept
 }
 
-// headerBytes is about the size of a request's head as it arrived.
+// headerBytes returns the approximate size of a request's head as it arrived.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(" HTTP/1.1\r\n ") + len("Host: \r\n") + len(r.Host)
 	for name, values := range r.Header {
@@ -58,7 +58,7 @@
 	return n
 }
 
-// readMilliseconds reads a field; ok is false if it holds no number of milliseconds.
+// readMilliseconds parses a header field; ok is false if it is not a number of milliseconds.
 func readMilliseconds(header http.Header, name string, limit time.Duration) (d time.Duration, present, ok bool) {
 	values, present := header[name]
 	if !present {
@@ -74,7 +74,7 @@
 	return time.Duration(ms * float64(time.Millisecond)), true, true
 }
 
-// deadlineOf is how long the client waits.
+// deadlineOf returns how long the client waits.
 func deadlineOf(header http.Header) time.Duration {
 	d, present, ok := readMilliseconds(header, headerDeadline, maxDeadline)
 	if !present || !ok || d == 0 {
@@ -83,7 +83,7 @@
 	return d
 }
 
-// readBody reads a body whole. status is the answer if that is not possible, else 0.
+// readBody reads the whole body. status is the response status if that is not possible, else 0.
 func readBody(w http.ResponseWriter, r *http.Request, limits *configuration.Limits) (body []byte, status int) {
 	limit := int64(limits.MaxBodyBytes)
 	if r.ContentLength > limit {
@@ -92,7 +92,7 @@
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, 0
 	}
-	// The server sets a deadline of its own for the next request.
+	// The server sets another deadline for the next request.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	if r.ContentLength > 0 {
 		body = make([]byte, r.ContentLength)
@@ -111,8 +111,8 @@
 	return body, 0
 }
 
-// retryAfter is a value for Retry-After in seconds, rounded up to tenths: the clients' protocol takes whole and decimal ones, and most
-// waits here are shorter than a second, as are the clients' deadlines.
+// formatRetryAfter returns a value for Retry-After in seconds, rounded up to tenths: the clients' protocol allows whole and decimal values,
+// and most waits here are shorter than a second, as are the clients' deadlines.
 func formatRetryAfter(wait time.Duration) string {
 	const tenth = time.Second / 10
 	tenths := max(1, (wait+tenth-1)/tenth)
--- a/internal/roles/dispatcher/ingress/server.go
+++ b/internal/roles/dispatcher/ingress/server.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	maxHeaderBytes       = 256 << 10 // read of a head before the configuration's own limit is applied
+	maxHeaderBytes       = 256 << 10 // read of a head before the configured limit is applied
 	initialHeaderTimeout = 3 * time.Second
 	initialIdleTimeout   = 15 * time.Second
 )
@@ -29,7 +29,7 @@
 	return append(b, quoted...)
 }
 
-// Server listens for clients. The time limits of a connection are those that were configured when it was opened.
+// Server listens for clients. A connection keeps the time limits that were configured when it was opened.
 type Server struct {
 	handler  http.Handler
 	logger   *zap.Logger
@@ -43,7 +43,7 @@
 	closed      bool
 }
 
-// Listen begins to serve clients on a network, nil for the system's sockets.
+// Listen starts to serve clients on a network, nil for the operating system's.
 func Listen(n network.Network, address string, handler http.Handler, d *directory.Directory, logger *zap.Logger) (*Server, error) {
 	listener, err := network.Listen(n, address)
 	if err != nil {
@@ -57,10 +57,10 @@
 	return s, nil
 }
 
-// Address is the address that is listened on.
+// Address returns the address of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// follow applies the time limits of a configuration to new connections.
+// updateLimits applies the time limits of a configuration to new connections.
 func (s *Server) updateLimits(after *directory.Snapshot) {
 	if after.Configuration == nil {
 		return
@@ -75,7 +75,8 @@
 	s.startServer()
 }
 
-// begin serves new connections with the present limits; net/http reads them without a lock. The caller holds the lock.
+// startServer starts a new http.Server for new connections with the current limits, because net/http reads its limits without a lock. The
+// caller holds the lock.
 func (s *Server) startServer() {
 	s.connections = &connListener{conns: make(chan net.Conn), done: make(chan struct{}), address: s.listener.Addr()}
 	s.current = &http.Server{
@@ -86,15 +87,15 @@
 	go s.current.Serve(s.connections)
 }
 
-// accept gives each connection to the server of the present limits.
+// accept passes each connection to the server with the current limits.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // too many descriptors, as a rule
-			s.logger.Warn("a connection cannot be accepted", zap.Error(err))
+		if err != nil { // usually too many open files
+			s.logger.Warn("cannot accept a client connection", zap.Error(err))
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -105,7 +106,7 @@
 	}
 }
 
-// Shutdown accepts no more, closes connections that are idle, and waits for the answers to requests that were read.
+// Shutdown stops accepting, closes idle connections, and waits until all requests that were read are answered.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closed = true
@@ -129,7 +130,7 @@
 	}
 }
 
-// feed is the listener of one http.Server.
+// connListener is the listener of one http.Server; the Server passes connections to it.
 type connListener struct {
 	conns   chan net.Conn
 	done    chan struct{}
@@ -164,7 +165,7 @@
 // Addr implements net.Listener.
 func (f *connListener) Addr() net.Addr { return f.address }
 
-// debugWriter takes net/http's lines about single connections, which are of clients' making.
+// debugWriter logs net/http's messages about single connections at debug level, because clients cause them.
 type debugWriter struct{ logger *zap.Logger }
 
 func (d debugWriter) Write(p []byte) (int, error) {
--- a/internal/roles/dispatcher/ingress/status.go
+++ b/internal/roles/dispatcher/ingress/status.go
@@ -9,10 +9,10 @@
 	"liftgauge/internal/protocol"
 )
 
-// lookupWithin bounds an answer about a message: those who ask wait two seconds.
+// lookupTimeout limits the time to answer a query about a message: clients wait two seconds.
 const lookupTimeout = 1800 * time.Millisecond
 
-// What is asked about a message.
+// statusKind is what a client queries about a message.
 type statusKind uint8
 
 const (
@@ -20,7 +20,7 @@
 	queryBody
 )
 
-// statusPath tells whether a request asks about a message.
+// statusPath reports whether a request queries a message, and which.
 func statusPath(r *http.Request) (kind statusKind, id string, ok bool) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		return 0, "", false
@@ -36,7 +36,7 @@
 	protocol.StateQueued: "queued", protocol.StateSucceeded: "succeeded", protocol.StateDeadLetter: "dead_letter",
 }
 
-// serveStatus answers for the state or the body of a message.
+// serveStatus answers a query for the state or the body of a message.
 func (in *Ingress) serveStatus(w http.ResponseWriter, r *http.Request, kind statusKind, id string) {
 	if !in.options.Directory.Current().Ready() {
 		respondUnavailable(w, defaultRetryAfter)
@@ -51,7 +51,7 @@
 	defer cancel()
 	reply, ok := in.lookup(ctx, &protocol.Lookup{Partition: partition, ID: id, WantBody: kind == queryBody})
 	switch {
-	case !ok: // not sure: 404 would say that there is no such message
+	case !ok: // unknown: 404 would say that there is no such message
 		respondUnavailable(w, defaultRetryAfter)
 	case !reply.Found, kind == queryBody && !reply.HasBody:
 		respondStatus(w, http.StatusNotFound)
@@ -64,7 +64,7 @@
 	}
 }
 
-// lookup asks the partition's primary until it answers. ok is false if none did in time.
+// lookup queries the partition's primary until it answers. ok is false if no primary answered in time.
 func (in *Ingress) lookup(ctx context.Context, l *protocol.Lookup) (reply *protocol.LookupReply, ok bool) {
 	request := l.Append(nil)
 	for pause := firstRetryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
@@ -89,7 +89,7 @@
 	return nil, false
 }
 
-// stateJSON is the answer about a state. A signature is made of what a header field may hold, so it needs no more than quotes escaped.
+// stateJSON returns the response for a state. A signature holds only what a header field may hold, so only quotes need escaping.
 func stateJSON(reply *protocol.LookupReply) []byte {
 	b := []byte(`{"State":"` + stateNames[reply.State] + `"`)
 	if reply.State == protocol.StateSucceeded {
--- a/internal/roles/dispatcher/list.go
+++ b/internal/roles/dispatcher/list.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	listCheckInterval = 500 * time.Millisecond // between looks at the age of the list
-	staleListDivisor  = 2                      // the list is read here once it is older than this part of DrainMs
+	listCheckInterval = 500 * time.Millisecond // between checks of the list's age
+	staleListDivisor  = 2                      // the list is read locally once it is older than DrainMs divided by this
 )
 
-// ownReader reads the platform's list while nobody else's reading arrives.
+// localListReader reads the platform's list of workers while no newer list arrives from control.
 type localListReader struct {
 	dispatcher     *dispatcher
 	client         *http.Client
@@ -26,7 +26,7 @@
 	completedReads uint64
 }
 
-// watchList reads the list itself while the one that is known is too old.
+// watchList has this process read the list of workers itself while the newest one it has is too old.
 func (d *dispatcher) watchList(ctx context.Context) {
 	if d.settings.CloudApi.Address == "" {
 		return
@@ -38,7 +38,7 @@
 			return
 		}
 		if view := d.agent.View(); view.WorkersReadAt > d.directory.Current().WorkersReadAt && view.WorkersVersion != d.directory.Current().WorkersVersion {
-			d.directory.Update(view) // an own reading was taken meanwhile, and everybody's list was read again since
+			d.directory.Update(view) // a local list was applied meanwhile, and the distributed list has been read again since
 		}
 		if d.listAge() > d.settings.Bounds.Drain()/staleListDivisor {
 			local.read(ctx)
@@ -48,20 +48,20 @@
 	}
 }
 
-// listAge is the time since the known list was read.
+// listAge is the time since the newest list was read.
 func (d *dispatcher) listAge() time.Duration {
 	readAt := max(d.agent.View().WorkersReadAt, d.directory.Current().WorkersReadAt)
 	return d.agent.Steady() - readAt
 }
 
-// read reads on while the list is old. All dispatchers may be doing so: each takes its part of the platform's budget.
+// read continues reading the list while it is old. All dispatchers may be doing so, so each uses its share of the platform's rate limit.
 func (o *localListReader) read(ctx context.Context) {
 	d := o.dispatcher
 	if o.reader == nil {
 		share := 1 / float64(1+len(d.directory.Current().Dispatchers))
 		o.reader = workerlist.NewReader(workerlist.Options{RatePerS: d.settings.CloudApi.RatePerS, Share: share,
 			Interval: d.settings.Bounds.Drain() / (2 * staleListDivisor)})
-		d.logger.Warn("the list of workers is old: reading it here", zap.Duration("age", d.listAge()))
+		d.logger.Warn("the list of workers is old; reading it locally", zap.Duration("age", d.listAge()))
 	}
 	for ctx.Err() == nil {
 		request, wait, ok := o.reader.Next(d.agent.Steady())
@@ -78,7 +78,7 @@
 	}
 }
 
-// page asks for one page. It is true once the list is whole, or the platform does not answer.
+// fetchPage requests one page. It returns true once the list is complete or the request has failed.
 func (o *localListReader) fetchPage(ctx context.Context, request workerlist.Request) bool {
 	d := o.dispatcher
 	status, body, err := instances.Fetch(ctx, o.client, d.settings.CloudApi.Address, request.PageToken)
--- a/internal/roles/dispatcher/readiness.go
+++ b/internal/roles/dispatcher/readiness.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-const readinessIdleTimeout = 30 * time.Second // of a connection of the platform's
+const readinessIdleTimeout = 30 * time.Second // of a connection from the platform
 
-// serveReadiness tells the platform whether clients should come here.
+// serveReadiness answers the platform's check whether clients should be routed here.
 func (d *dispatcher) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !d.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -16,7 +16,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// ready tells whether messages can be taken: all that is needed is known, and a store is connected. Control may be away.
+// ready reports whether messages can be accepted: the directory is complete and a store is connected. Control need not be reachable.
 func (d *dispatcher) ready() bool {
 	s := d.directory.Current()
 	if d.shuttingDown.Load() || !s.Ready() {
--- a/internal/roles/dispatcher/settings.go
+++ b/internal/roles/dispatcher/settings.go
@@ -11,7 +11,7 @@
 	"liftgauge/internal/nodeconfig"
 )
 
-// watchSettings follows the settings file: other seeds are taken over; nothing that runs is interrupted.
+// watchSettings reloads the settings file when it changes: new seeds are adopted without interrupting running work.
 func (d *dispatcher) watchSettings(ctx context.Context) {
 	if d.settings.File == "" {
 		return
@@ -21,7 +21,7 @@
 	defer signal.Stop(hangup)
 	nodeconfig.Watch(ctx, d.settings.File, d.settings, hangup, func(s *nodeconfig.Settings, err error) {
 		if err != nil {
-			d.logger.Error("settings file is not valid; the settings before stay in force", zap.Error(err))
+			d.logger.Error("settings file is not valid; the previous settings stay in force", zap.Error(err))
 			return
 		}
 		d.logger.Info("settings file was read again")
--- a/internal/roles/dispatcher/shutdown.go
+++ b/internal/roles/dispatcher/shutdown.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// noticeLimit is how long clients are still served after the planned end began: the platform asks for readiness each second, and
-	// sends no more after two misses.
+	// maxNoticePeriod is how long clients are still served after the planned shutdown began: the platform checks readiness every second
+	// and sends no more clients after two failed checks.
 	maxNoticePeriod = 2500 * time.Millisecond
-	maxNoticeShare  = 0.4 // of the grace, at most
-	// lingerLimit is how long connections are still taken, and end with their next answer, after that.
+	maxNoticeShare  = 0.4 // of the grace period, at most
+	// lingerTimeout is how long connections are still accepted after that; each is closed with its next response.
 	lingerTimeout = 500 * time.Millisecond
-	// reserve is kept of the grace for the end of the process itself.
+	// shutdownReserve is the part of the grace period that is kept for the exit of the process itself.
 	shutdownReserve   = 500 * time.Millisecond
-	finalLeaveTimeout = 200 * time.Millisecond // for the word that the session is over
+	finalLeaveTimeout = 200 * time.Millisecond // for the notification that the session has ended
 	pollInterval      = 20 * time.Millisecond
-	// announceAgain is the pause before control is told again of the planned end.
+	// announceRetryInterval is the pause before control is notified again of the planned shutdown.
 	announceRetryInterval = 100 * time.Millisecond
 )
 
-// leave is the planned end. Clients are served until they have been led elsewhere; what runs at workers ends, and is reported.
+// shutDown performs the planned shutdown. Clients are served until the platform routes them elsewhere; attempts that are running at workers
+// finish and are reported.
 func (d *dispatcher) shutDown() {
 	grace := d.settings.Bounds.Grace()
 	ctx, cancel := context.WithTimeout(context.Background(), max(grace-shutdownReserve, shutdownReserve))
 	defer cancel()
-	d.logger.Info("planned end begins", zap.Duration("grace", grace))
+	d.logger.Info("planned shutdown begins", zap.Duration("grace", grace))
 	d.shuttingDown.Store(true)
 	d.links.Pause()
 	d.engine.Drain()
@@ -38,23 +39,23 @@
 	d.ingress.CloseConnections()
 	sleep(ctx, min(lingerTimeout, notice))
 	if err := d.frontend.Shutdown(ctx); err != nil {
-		d.logger.Warn("clients were still being answered at the end of the grace", zap.Error(err))
+		d.logger.Warn("client requests were still in progress at the end of the grace period", zap.Error(err))
 	}
 	for d.links.Held() > 0 && ctx.Err() == nil {
 		sleep(ctx, pollInterval)
 	}
 	if held := d.links.Held(); held > 0 {
-		d.logger.Warn("results could not be reported within the grace", zap.Int("held", held))
+		d.logger.Warn("results could not be reported within the grace period", zap.Int("held", held))
 	}
 	over, cancel := context.WithTimeout(context.Background(), finalLeaveTimeout)
 	defer cancel()
 	if err := d.agent.Leave(over, true); err != nil {
-		d.logger.Info("control was not told of the end", zap.Error(err))
+		d.logger.Info("control could not be notified of the end of the session", zap.Error(err))
 	}
 	d.close()
 }
 
-// announce tells control, which tells stores and dispatchers.
+// announce notifies control of the planned shutdown; control notifies stores and dispatchers.
 func (d *dispatcher) announce(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := d.agent.Leave(ctx, false); err == nil {
@@ -64,7 +65,7 @@
 	}
 }
 
-// close ends everything.
+// close stops everything at once.
 func (d *dispatcher) close() {
 	if d.stop != nil {
 		d.stop()
--- a/internal/roles/dispatcher/state.go
+++ b/internal/roles/dispatcher/state.go
@@ -9,7 +9,7 @@
 	"liftgauge/placement"
 )
 
-// stateOf is what the engine of the dispatcher goes by: the services that it sends to, and the workers.
+// engineState returns the delivery engine's view of a snapshot: the services that this dispatcher sends to, and the workers.
 func engineState(s *directory.Snapshot, self string, ownership *placement.Ownership) delivery.State {
 	state := delivery.State{Workers: s.Workers, ListVersion: s.WorkersVersion, Number: s.Number, Dispatchers: len(s.Dispatchers), InZone: s.InZone}
 	if s.Configuration == nil {
--- a/internal/roles/dispatcher/stores/confirm.go
+++ b/internal/roles/dispatcher/stores/confirm.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// confirmEvery is how long a delivery is here before its store hears so again, and between two such words. A store gives out again what
-// it has heard nothing of for a route's time-out and five seconds: a run whose outcome is late to be recorded must not be taken for lost.
+// confirmInterval is how long a delivery is held before it is confirmed to its store, and the time between two confirmations. A store delivers
+// a message again if it has received no confirmation for the route's time-out plus five seconds: an attempt whose outcome is recorded late
+// must not be taken for lost.
 const confirmInterval = 2 * time.Second
 
-// confirm has stores told again of the deliveries that are here for long. It returns the number of links that are to greet.
+// confirmHeld requests a new Hello on the links to stores with deliveries that are due for confirmation. It returns the number of those links.
 func (l *Links) confirmHeld(now time.Time) int {
 	wanted := map[string]bool{} // addresses, and keys of stores
 	known := l.options.Directory.Current()
--- a/internal/roles/dispatcher/stores/errors.go
+++ b/internal/roles/dispatcher/stores/errors.go
@@ -7,7 +7,7 @@
 	"liftgauge/internal/rpc"
 )
 
-// isInvalid tells whether the other side cannot understand the frame, now or later.
+// isInvalid reports whether the peer rejected the frame as malformed, so that a retry is useless.
 func isInvalid(err error) bool {
 	var refused *rpc.RemoteError
 	return errors.As(err, &refused) && refused.Code == protocol.CodeInvalid
--- a/internal/roles/dispatcher/stores/held.go
+++ b/internal/roles/dispatcher/stores/held.go
@@ -1,5 +1,5 @@
-// Package stores connects a dispatcher to all stores: it takes their deliveries, and reports what became of each to the present primary
-// of its partition until that has it on disk.
+// Package stores connects a dispatcher to all stores: it receives their deliveries, and reports the outcome of each to the current primary
+// of its partition until that primary has written it to disk.
 package stores
 
 import (
@@ -11,37 +11,37 @@
 	"liftgauge/internal/rpc"
 )
 
-// messageKey names a message.
+// messageKey identifies a message.
 type messageKey struct {
 	partition uint32
 	id        string
 }
 
-// held is a delivery that this dispatcher has: from its arrival until its outcome is on disk.
+// heldDelivery is a delivery that this dispatcher holds, from its arrival until its outcome is on disk.
 type heldDelivery struct {
 	key        messageKey
-	store      string // key of the store that handed it out last
+	store      string // key of the store that sent it last
 	arrived    time.Time
-	confirmed  time.Time         // when a store last heard that it is here
-	attempt    uint32            // the newest that was handed out before the run ended
-	finished   bool              // the run is over; the outcome is being reported
-	redelivery *protocol.Deliver // handed out again after that
+	confirmed  time.Time         // when it was last listed in a Hello
+	attempt    uint32            // the newest that arrived before the run ended
+	finished   bool              // the run has ended; the outcome is being reported
+	redelivery *protocol.Deliver // a later attempt that arrived after that
 }
 
-// heldSet is all that this dispatcher has, and the connections on which it takes more. A delivery is either in a Hello or refused: both
-// happen under one lock.
+// heldSet holds all deliveries of this dispatcher and the active connections, on which it accepts more. One lock covers the writing of a Hello
+// and the acceptance of a delivery, so that a delivery is either listed in the Hello or refused.
 type heldSet struct {
 	mu         sync.Mutex
 	deliveries map[messageKey]*heldDelivery
-	conns      map[*rpc.Conn]string // keys of stores, by the connection that was greeted last
+	conns      map[*rpc.Conn]string // active connections, with the key of the store of each
 }
 
 func newHeldSet() *heldSet {
 	return &heldSet{deliveries: map[messageKey]*heldDelivery{}, conns: map[*rpc.Conn]string{}}
 }
 
-// greet makes conn the only connection on which deliveries of the store are taken, and returns what is held of the partitions that it
-// leads, or has come from it.
+// activate makes conn the only connection on which deliveries of the store are accepted. It returns the held deliveries that came from the
+// store or belong to partitions of which it is the primary.
 func (s *heldSet) activate(conn *rpc.Conn, store string, now time.Time, leads func(partition uint32) bool) []protocol.HeldDelivery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,14 +62,14 @@
 	return list
 }
 
-// part ends the taking of deliveries on a connection.
+// deactivate stops accepting deliveries on a connection.
 func (s *heldSet) deactivate(conn *rpc.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// partAll ends the taking of deliveries on all connections, and returns them.
+// deactivateAll stops accepting deliveries on all connections, and returns them.
 func (s *heldSet) deactivateAll() []*rpc.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,18 +81,18 @@
 	return conns
 }
 
-// taking is what became of a delivery that came.
+// takeResult is the decision on a delivery that arrived.
 type takeResult uint8
 
 const (
 	takeRun       takeResult = iota + 1
-	takeDuplicate            // the message is here already; the newest attempt is remembered
-	takeInactive             // it came on a connection that was not greeted
+	takeDuplicate            // the message is already held; its newest attempt is recorded
+	takeInactive             // it arrived on a connection that is not active
 	takeOutdated             // its partition has a later view
 )
 
-// take notes a delivery. It returns what is held if there is something to run. late says that the delivery is of an earlier view; it is asked
-// under the lock, because a Hello by the later view may have been written meanwhile.
+// take records a delivery. It returns the held delivery if it is to be run. isOutdated reports whether the delivery is of an earlier view; it is
+// called under the lock, because a Hello for the later view may have been written meanwhile.
 func (s *heldSet) take(conn *rpc.Conn, m *protocol.Deliver, now time.Time, isOutdated func() bool) (*heldDelivery, takeResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +118,7 @@
 	return nil, takeDuplicate
 }
 
-// finish notes the end of the run and returns the attempt to report it for: later ones were handed out for another run.
+// finish records the end of the run and returns the attempt number to report: later attempts are for another run.
 func (s *heldSet) finish(h *heldDelivery) uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,8 @@
 	return h.attempt
 }
 
-// reported notes that the outcome is on disk. It returns a delivery that was handed out meanwhile; without one nothing is held any more.
+// reported records that the outcome is on disk. It returns the delivery of the message that arrived meanwhile, if any; otherwise the message
+// is no longer held.
 func (s *heldSet) reported(h *heldDelivery, now time.Time) *protocol.Deliver {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,14 +140,14 @@
 	return redelivery
 }
 
-// count is how many deliveries are held.
+// count returns the number of held deliveries.
 func (s *heldSet) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.deliveries)
 }
 
-// untold calls f for each delivery that no store has heard of since a moment.
+// eachUnconfirmed calls f for each delivery that has not been confirmed since the given time.
 func (s *heldSet) eachUnconfirmed(since time.Time, f func(store string, partition uint32)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/roles/dispatcher/stores/links.go
+++ b/internal/roles/dispatcher/stores/links.go
@@ -18,29 +18,29 @@
 
 const (
 	reconnectInterval = 100 * time.Millisecond
-	resultTimeout     = 1500 * time.Millisecond // for one call
-	firstReportPause  = 20 * time.Millisecond   // before a result is reported again; twice as long each time
+	resultTimeout     = 1500 * time.Millisecond // of one call
+	firstReportPause  = 20 * time.Millisecond   // before a result is reported again; doubles with each retry
 	maxReportPause    = 500 * time.Millisecond
 )
 
-// Connections are the connections to other processes.
+// Connections provides connections to other processes.
 type Connections interface {
 	Get(ctx context.Context, address string) (*rpc.Conn, error)
 }
 
-// Options describe Links.
+// Options configure Links.
 type Options struct {
 	Node        protocol.Node // of this dispatcher
 	Directory   *directory.Directory
 	Connections Connections
 	Logger      *zap.Logger
-	// Run begins a delivery; done is called once, and must be called without a lock held.
+	// Run starts a delivery; done is called exactly once, without any lock held.
 	Run func(m *protocol.Deliver, done func(delivery.Result))
-	// Now is the steady clock; nil for time.Now.
+	// Now is the monotonic clock; nil for time.Now.
 	Now func() time.Time
 }
 
-// Links are the connections to all stores.
+// Links maintains the connections to all stores.
 type Links struct {
 	options Options
 	held    *heldSet
@@ -55,15 +55,15 @@
 	paused  bool
 }
 
-// link is the connection to one store.
+// storeLink is the connection to one store.
 type storeLink struct {
 	address        string
-	store          directory.Store // under the lock of Links
+	store          directory.Store // guarded by Links.mu
 	stop           context.CancelFunc
 	helloRequested chan struct{}
 }
 
-// New returns Links without a connection; Follow opens them.
+// New returns Links without connections; Update opens them.
 func New(o Options) *Links {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -77,7 +77,7 @@
 	return l
 }
 
-// Follow connects to the stores of a state, and tells them what changed.
+// Update connects to the stores of a snapshot and sends them a new Hello where something changed.
 func (l *Links) Update(before, after *directory.Snapshot, windows []protocol.ServiceWindow) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +96,7 @@
 			l.open(store)
 			continue
 		}
-		changed := link.store != store // such as its member, after a start with another disk
+		changed := link.store != store // for example its member, after a start with another disk
 		link.store = store
 		if refreshAll || changed {
 			link.requestHello()
@@ -110,7 +110,7 @@
 	}
 }
 
-// Pause has stores hand out nothing more to this dispatcher.
+// Pause asks the stores to send no more deliveries to this dispatcher.
 func (l *Links) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,16 +120,16 @@
 	}
 }
 
-// Held is how many deliveries are here, or are not yet known to be on disk.
+// Held returns the number of deliveries that are running or whose outcome is not yet known to be on disk.
 func (l *Links) Held() int { return l.held.count() }
 
-// Close ends all.
+// Close closes all links and waits for their goroutines.
 func (l *Links) Close() {
 	l.stop()
 	l.tasks.Wait()
 }
 
-// open begins a link; the caller holds the lock.
+// open starts a link; the caller holds the lock.
 func (l *Links) open(store directory.Store) {
 	ctx, stop := context.WithCancel(l.ctx)
 	link := &storeLink{address: store.Address, store: store, stop: stop, helloRequested: make(chan struct{}, 1)}
@@ -144,7 +144,7 @@
 	}
 }
 
-// keep holds the link open until its context ends.
+// maintainLink keeps the link connected until its context ends.
 func (l *Links) maintainLink(ctx context.Context, link *storeLink) {
 	for ctx.Err() == nil {
 		conn, err := l.options.Connections.Get(ctx, link.address)
@@ -157,7 +157,7 @@
 	}
 }
 
-// serve greets a store, and again whenever that is asked for.
+// serveConnection sends a Hello to the store, and again whenever one is requested.
 func (l *Links) serveConnection(ctx context.Context, link *storeLink, conn *rpc.Conn) {
 	for {
 		if !l.sendHello(link, conn) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// greet sends a Hello, and a Pause where no deliveries are wanted.
+// sendHello sends a Hello, and a Pause after it if no deliveries are wanted.
 func (l *Links) sendHello(link *storeLink, conn *rpc.Conn) bool {
 	l.mu.Lock()
 	windows, paused, store := l.windows, l.paused, link.store
@@ -185,7 +185,7 @@
 		Table: snapshot.TableVersion, Configuration: snapshot.ConfigurationVersion, Windows: windows}
 	hello.Held = l.held.activate(conn, store.Key, l.options.Now(), func(partition uint32) bool {
 		p, ok := snapshot.Partition(partition)
-		return ok && (p.Primary == store.Member || p.Address == "") // a primary that the node table does not show yet may be this one
+		return ok && (p.Primary == store.Member || p.Address == "") // a primary that is not yet in the node table may be this store
 	})
 	if err := conn.Notify(protocol.KindHello, hello.Append(nil)); err != nil {
 		return false
@@ -193,11 +193,11 @@
 	return !paused || conn.Notify(protocol.KindPause, nil) == nil
 }
 
-// Deliver takes a frame of kind KindDeliver. It does not wait.
+// Deliver handles a frame of kind KindDeliver. It does not block.
 func (l *Links) Deliver(conn *rpc.Conn, body []byte) {
 	m := &protocol.Deliver{}
 	if err := m.Decode(body); err != nil {
-		l.options.Logger.Error("a delivery cannot be read: is the store of another version?", zap.String("store", conn.RemoteAddress()), zap.Error(err))
+		l.options.Logger.Error("delivery cannot be decoded; the store may run another version", zap.String("store", conn.RemoteAddress()), zap.Error(err))
 		conn.Close()
 		return
 	}
@@ -213,14 +213,14 @@
 	}
 }
 
-// outdated tells whether the partition of a delivery has a later view.
+// outdated reports whether the partition of a delivery has a later view.
 func (l *Links) outdated(m *protocol.Deliver) bool {
 	p, ok := l.options.Directory.Current().Partition(m.Partition)
 	return ok && m.Epoch < p.Epoch
 }
 
-// giveBack reports a delivery of an earlier view as not run. A store that is primary in the later view too has kept its queue and waits for
-// the outcome; any other primary ignores it.
+// reportOutdated reports a delivery of an earlier view as not run. A store that is still primary in the later view has kept its queue and waits
+// for the outcome; any other primary ignores it.
 func (l *Links) reportOutdated(m *protocol.Deliver) {
 	result := &protocol.Result{Partition: m.Partition, ID: m.ID, Attempt: m.Attempt, Dispatcher: l.options.Node.Key,
 		Outcome: protocol.OutcomeNotRun}
@@ -234,7 +234,7 @@
 	})
 }
 
-// settle reports an outcome until it is on disk, and begins what was handed out meanwhile.
+// completeDelivery reports an outcome until it is on disk, and then runs the message's next delivery if one arrived meanwhile.
 func (l *Links) completeDelivery(h *heldDelivery, attempt uint32, r delivery.Result) {
 	for {
 		result := protocol.Result{Partition: h.key.partition, ID: h.key.id, Attempt: attempt, Dispatcher: l.options.Node.Key,
@@ -250,16 +250,16 @@
 			l.run(h, redelivery)
 			return
 		}
-		attempt = l.held.finish(h) // the message has ended: no further run, whoever does not know that yet
+		attempt = l.held.finish(h) // the outcome is final: a later delivery gets the same result without another run
 	}
 }
 
-// ends tells whether no attempt may follow.
+// isFinal reports whether no further attempt may follow.
 func isFinal(o protocol.Outcome) bool {
 	return o == protocol.OutcomeSucceeded || o == protocol.OutcomeRefused || o == protocol.OutcomeNoRoute
 }
 
-// report calls the present primary of the partition until it answers that the result is on disk. It is false only at the very end.
+// report calls the current primary of the partition until it acknowledges that the result is on disk. It returns false only if Links is closed.
 func (l *Links) report(result *protocol.Result) bool {
 	body := result.Append(nil)
 	for pause := firstReportPause; ; pause = min(2*pause, maxReportPause) {
@@ -276,7 +276,7 @@
 	}
 }
 
-// reportOnce is true if nothing is left to report.
+// reportOnce reports the result once; it returns true if no retry is needed.
 func (l *Links) reportOnce(result *protocol.Result, body []byte) bool {
 	p, ok := l.options.Directory.Current().Partition(result.Partition)
 	if !ok || p.Address == "" {
@@ -289,7 +289,7 @@
 		return false
 	}
 	if _, err = conn.Call(ctx, protocol.KindResult, body); isInvalid(err) {
-		l.options.Logger.Error("a store does not understand a result: is it of another version?", zap.String("id", result.ID), zap.Error(err))
+		l.options.Logger.Error("store cannot decode a result; it may run another version", zap.String("id", result.ID), zap.Error(err))
 		return true
 	}
 	return err == nil
--- a/internal/roles/dispatcher/stores/stall.go
+++ b/internal/roles/dispatcher/stores/stall.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// watchEvery is the pace at which this process looks whether it stood still.
+	// stallCheckInterval is the interval at which this process checks whether it was stalled.
 	stallCheckInterval = 500 * time.Millisecond
-	// pauseLimit is how long it may have stood still before what has come meanwhile is no longer run: stores give out again what a silent
-	// dispatcher had, but take it for silent only after two seconds.
+	// stallLimit is how long the process may have been stalled before the deliveries that arrived meanwhile are no longer run: stores deliver
+	// again what an unresponsive dispatcher held, but consider it unresponsive only after two seconds.
 	stallLimit = 1500 * time.Millisecond
 )
 
-// pauseWatch notices that the process stood still: that it was frozen, or got no processor.
+// stallDetector detects that the process was stalled: frozen, or without CPU time.
 type stallDetector struct {
 	mu        sync.Mutex
 	lastCheck time.Time
 }
 
-// look tells whether the process stood still since the last look.
+// stalled reports whether the process was stalled since the previous call.
 func (w *stallDetector) stalled(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -28,7 +28,7 @@
 	return stalled
 }
 
-// watch looks for pauses until the end.
+// watchStalls checks for stalls, and confirms held deliveries, until Links is closed.
 func (l *Links) watchStalls() {
 	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
@@ -44,14 +44,14 @@
 	}
 }
 
-// checkPause tells whether the process has stood still. Then it leaves all connections: deliveries that waited in them are old, and the
+// checkStall reports whether the process was stalled. If so, it closes all connections: deliveries that are buffered in them are old, and the
 // Hello on a new connection tells stores that they never arrived.
 func (l *Links) checkStall() bool {
 	now := l.options.Now()
 	if !l.stalls.stalled(now) {
 		return false
 	}
-	l.options.Logger.Warn("this process stood still; deliveries that waited meanwhile are given out anew")
+	l.options.Logger.Warn("process was stalled; closing store connections so that buffered deliveries are sent again")
 	for _, conn := range l.held.deactivateAll() {
 		conn.Close()
 	}
