--- a/internal/roles/dispatcher/delivery/engine_test.go
+++ b/internal/roles/dispatcher/delivery/engine_test.go
@@ -60,30 +60,30 @@
 		handler http.HandlerFunc
 		want    protocol.Outcome
 	}{
-		"signed":          {succeed, protocol.OutcomeSucceeded},
-		"signed 201":      {echo(201, "X-Response-Signature"), protocol.OutcomeSucceeded},
-		"unsigned":        {echo(200), protocol.OutcomeUnknown},
-		"failed":          {echo(500), protocol.OutcomeFailed},
-		"refused":         {echo(422), protocol.OutcomeRefused},
-		"timed out there": {echo(504), protocol.OutcomeUnknown},
-		"other":           {echo(404), protocol.OutcomeUnknown},
-		"unsaid 503":      {echo(503), protocol.OutcomeUnknown},
-		"signed 500":      {echo(500, "X-Response-Signature"), protocol.OutcomeFailed},
-		"redirected":      {echo(307, "Location"), protocol.OutcomeUnknown},
-		"running":         {echo(409, "X-Not-Executed"), protocol.OutcomeNotRun},
-		"without an id":   {echo(400, "X-Not-Executed"), protocol.OutcomeNotRun},
-		"full":            {echo(503, "X-Not-Executed"), protocol.OutcomeNotRun},
-		"too many":        {echo(429, "X-Not-Executed"), protocol.OutcomeNotRun},
-		"misdirected":     {echo(421), protocol.OutcomeNotRun},
-		"of another": {func(w http.ResponseWriter, r *http.Request) {
+		"signed":                     {succeed, protocol.OutcomeSucceeded},
+		"signed 201":                 {echo(201, "X-Response-Signature"), protocol.OutcomeSucceeded},
+		"unsigned":                   {echo(200), protocol.OutcomeUnknown},
+		"failed":                     {echo(500), protocol.OutcomeFailed},
+		"refused":                    {echo(422), protocol.OutcomeRefused},
+		"timed out at the worker":    {echo(504), protocol.OutcomeUnknown},
+		"other":                      {echo(404), protocol.OutcomeUnknown},
+		"503 without X-Not-Executed": {echo(503), protocol.OutcomeUnknown},
+		"signed 500":                 {echo(500, "X-Response-Signature"), protocol.OutcomeFailed},
+		"redirected":                 {echo(307, "Location"), protocol.OutcomeUnknown},
+		"running":                    {echo(409, "X-Not-Executed"), protocol.OutcomeNotRun},
+		"bad request":                {echo(400, "X-Not-Executed"), protocol.OutcomeNotRun},
+		"full":                       {echo(503, "X-Not-Executed"), protocol.OutcomeNotRun},
+		"too many":                   {echo(429, "X-Not-Executed"), protocol.OutcomeNotRun},
+		"misdirected":                {echo(421), protocol.OutcomeNotRun},
+		"response of another request": {func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request-Id", "other")
 			succeedAs(w, "other")
 		}, protocol.OutcomeUnknown},
-		"of nobody":        {func(w http.ResponseWriter, r *http.Request) { w.Header().Set("X-Response-Signature", "s") }, protocol.OutcomeUnknown},
-		"broken off":       {truncate, protocol.OutcomeUnknown},
-		"silent":           {neverRespond, protocol.OutcomeUnknown},
-		"closed unheard":   {func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }, protocol.OutcomeUnknown},
-		"late but in time": {func(w http.ResponseWriter, r *http.Request) { time.Sleep(600 * time.Millisecond); echo(504)(w, r) }, protocol.OutcomeUnknown},
+		"without a request id":      {func(w http.ResponseWriter, r *http.Request) { w.Header().Set("X-Response-Signature", "s") }, protocol.OutcomeUnknown},
+		"truncated":                 {truncate, protocol.OutcomeUnknown},
+		"no response":               {neverRespond, protocol.OutcomeUnknown},
+		"closed without a response": {func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) }, protocol.OutcomeUnknown},
+		"within the response grace": {func(w http.ResponseWriter, r *http.Request) { time.Sleep(600 * time.Millisecond); echo(504)(w, r) }, protocol.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, b *harness) {
@@ -93,7 +93,7 @@
 				r := b.deliver(message("m"))
 				is := is.New(t)
 				is.Equal(r.Outcome, c.want)
-				if name == "full" || name == "too many" { // proven not to have run: it may be offered again, here after a while
+				if name == "full" || name == "too many" { // proven not to have run: it may be offered to the same worker again after a while
 					is.True(calls >= 1 && calls <= maxWorkersPerJob)
 				} else {
 					is.Equal(calls, 1)
@@ -133,7 +133,7 @@
 				is.Equal(served, 8)
 				is.True(refused > 0)
 				if code == 421 {
-					is.Equal(refused, 1) // another has that address
+					is.Equal(refused, 1) // another instance has that address
 				}
 			})
 		})
@@ -171,7 +171,7 @@
 		is := is.New(t)
 		b.state.Services = []Service{{Name: "orders", HealthCheckPath: "/health", Static: "gw", MaxConnections: 100}}
 		b.publishWorkers()
-		for i := range 50 { // many at once that meet nobody tell no more than one
+		for i := range 50 { // many simultaneous failures count no more than one
 			b.submit(message(fmt.Sprint("m", i)))
 		}
 		time.Sleep(3 * time.Second)
@@ -205,11 +205,12 @@
 		for i := 0; b.deliver(message(fmt.Sprint("again", i))).Outcome != protocol.OutcomeSucceeded; i++ {
 			is.True(i < 10)
 		}
-		is.True(time.Since(began) < 3*time.Second) // counted for each of the 20, it would be sixteen seconds and more
+		is.True(time.Since(began) < 3*time.Second) // if each of the 20 failures counted, it would take sixteen seconds or more
 	})
 }
 
-// While the own zone has room nothing is sent to another, whichever worker's turn it would be; without a worker of the own zone all is.
+// While the local zone has free capacity, nothing is sent to another zone, whichever worker is next in turn; without a worker in the local zone,
+// everything is.
 func TestWorkersOfTheLocalZoneArePreferred(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -231,10 +232,10 @@
 	})
 }
 
-// A store hands a message that nobody took out again after the pause that it is told. Without one it would do so in a loop.
+// A store delivers a returned message again after the requested pause. Without a pause it would do so in a busy loop.
 func TestUndeliverableMessageIsReturnedWithAPause(t *testing.T) {
 	const leastPause = 50 * time.Millisecond
-	for name, handler := range map[string]http.HandlerFunc{"no room": refuse(503), "not reached": nil} {
+	for name, handler := range map[string]http.HandlerFunc{"full": refuse(503), "unreachable": nil} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, b *harness) {
 				is := is.New(t)
@@ -272,11 +273,11 @@
 
 // The list changes between the choice of the worker and the first byte: while the connection is being opened.
 func TestWorkerStateIsCheckedBeforeTheFirstByte(t *testing.T) {
-	for name, after := range map[string][]protocol.Worker{"draining": {{ID: "w1", Draining: true}, {ID: "w2"}}, "gone": {{ID: "w2"}}} {
+	for name, after := range map[string][]protocol.Worker{"draining": {{ID: "w1", Draining: true}, {ID: "w2"}}, "removed": {{ID: "w2"}}} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, b *harness) {
 				is := is.New(t)
-				b.serve(t, "w1", func(w http.ResponseWriter, r *http.Request) { t.Error("sent to a worker that may not be sent to") })
+				b.serve(t, "w1", func(w http.ResponseWriter, r *http.Request) { t.Error("sent to a worker that is draining or removed") })
 				b.serve(t, "w2", succeed)
 				opening, open := make(chan struct{}, 1), make(chan struct{})
 				dial := b.dial
@@ -298,13 +299,13 @@
 				is.Equal(b.deliver(message("n")).Outcome, protocol.OutcomeSucceeded)
 				time.Sleep(time.Second)
 				synctest.Wait()
-				is.Equal(b.outcome("m"), protocol.OutcomeSucceeded) // at the other
+				is.Equal(b.outcome("m"), protocol.OutcomeSucceeded) // at the other worker
 			})
 		})
 	}
 }
 
-// A second answer that comes on a kept connection is nobody's.
+// A duplicate response arrives on an idle connection; it must not be taken for the response to the next request.
 func TestDuplicateResponseIsNotTakenForTheNext(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -320,7 +321,7 @@
 				io.WriteString(c, answer)
 				if i == 0 {
 					time.Sleep(10 * time.Millisecond)
-					io.WriteString(c, answer) // once more
+					io.WriteString(c, answer) // duplicate
 				}
 			}
 		})
@@ -332,7 +333,7 @@
 	})
 }
 
-// The answer of an earlier message comes when the next one is already out on the connection.
+// The response to an earlier message arrives after the next request was sent on the connection.
 func TestResponseOfAnotherRequestGivesUnknownAndClosesTheConnection(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -353,7 +354,7 @@
 		b.publishWorkers(protocol.Worker{ID: "w1"})
 		is.Equal(b.deliver(message("m1")).Signature, "of-m1")
 		is.Equal(b.deliver(message("m2")).Outcome, protocol.OutcomeUnknown)
-		time.Sleep(5 * time.Second) // past its time of rest
+		time.Sleep(5 * time.Second) // until the worker is no longer excluded
 		is.Equal(b.deliver(message("m3")).Signature, "of-m3")
 		is.Equal(b.dialed("w1"), 2)
 	})
@@ -378,7 +379,7 @@
 	}
 }
 
-// The worker closes a connection after the request was read: nothing may be sent again, whatever the method and the fields.
+// The worker closes a connection after reading the request: it must not be sent again, whatever its method and header fields.
 func TestRequestIsNeverReplayed(t *testing.T) {
 	for _, method := range []string{"GET", "POST", "PUT"} {
 		inBubble(t, func(t *testing.T, b *harness) {
@@ -415,7 +416,7 @@
 	}
 }
 
-// A connection that the worker closed while it was idle is proof that nothing was sent.
+// If the worker closed the connection while it was idle, nothing of the request was sent.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -445,7 +446,7 @@
 		})
 		b.publishWorkers(protocol.Worker{ID: "w1"})
 		b.deliver(message("m1"))
-		b.deliver(message("m2")) // by a transport that knows the time
+		b.deliver(message("m2")) // with a transport that uses the learned timeout
 		dials := b.dialed("w1")
 		time.Sleep(1300 * time.Millisecond)
 		b.deliver(message("m3"))
@@ -456,7 +457,8 @@
 	})
 }
 
-// The same message does not go over a connection that has carried it: a second answer to it would be taken for the next one's.
+// The same message is not sent again on a connection that has carried it: a duplicate response to the first attempt would be taken for the
+// response to the second.
 func TestSameMessageUsesAnotherConnection(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -484,7 +486,7 @@
 			<-release
 			succeed(w, r)
 		})
-		b.state.Services[0].MaxConnections, b.state.Dispatchers = 10, 3 // 0.9*10/3: three each
+		b.state.Services[0].MaxConnections, b.state.Dispatchers = 10, 3 // 0.9*10/3: three connections each
 		b.publishWorkers(protocol.Worker{ID: "w1", Capacity: 50})
 		for i := range 20 {
 			b.submit(message(fmt.Sprint("m", i)))
@@ -540,21 +542,21 @@
 	})
 }
 
-// A process that stood still has jobs that its stores have given out again meanwhile.
+// After a stall, a process has jobs whose messages the stores have delivered again meanwhile.
 func TestOldJobIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, w := &service{}, &worker{id: 1, instance: "i-1"}
 		s.allowed.set(map[balance.WorkerID]*worker{1: w})
 		permit := s.permit(&job{received: time.Now()}, w)
-		time.Sleep(maxJobAge) // in the bubble: nobody waits
+		time.Sleep(maxJobAge) // on the bubble's clock
 		is.NoErr(permit())
 		time.Sleep(time.Nanosecond)
 		is.Equal(permit(), errJobTooOld)
 	})
 }
 
-// A process that had no processor wakes with an answer in its socket and with the timer of the same attempt due.
+// A process that got no CPU time resumes with a response in its socket and the timer of the same attempt due.
 func TestResponseReceivedWhenItsTimerIsDueCounts(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -572,7 +574,7 @@
 	})
 }
 
-// Many messages at once find the only worker dark. Once it is back it is probed, and used, soon.
+// Many simultaneous messages find the only worker unreachable. Once it has recovered, it is probed and used soon.
 func TestRecoveredWorkerIsUsedSoon(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -581,7 +583,7 @@
 		for i := range 12 {
 			b.engine.Submit(Job{Message: message(fmt.Sprint("dark", i)), Service: "orders", Timeout: time.Second, Done: func(Result) {}})
 		}
-		time.Sleep(3 * time.Second) // of the bubble's clock: each is tried, and fails
+		time.Sleep(3 * time.Second) // on the bubble's clock: each is attempted, and fails
 		b.serve(t, "w1", succeed)
 		time.Sleep(2 * maxProbeInterval)
 		is.Equal(b.deliver(message("again")).Outcome, protocol.OutcomeSucceeded)
--- a/internal/roles/dispatcher/delivery/fake_test.go
+++ b/internal/roles/dispatcher/delivery/fake_test.go
@@ -17,7 +17,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// network connects an engine to fake workers by pipes, inside a synctest bubble.
+// network connects an engine to fake workers through pipes, inside a synctest bubble.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
@@ -29,7 +29,7 @@
 }
 
 func (n *network) dial(_ context.Context, _, address string) (net.Conn, error) {
-	address = strings.TrimSuffix(address, ":80") // net/http adds it to a name alone
+	address = strings.TrimSuffix(address, ":80") // net/http adds it to an address without a port
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dials[address]++
@@ -73,7 +73,7 @@
 func (l *pipeListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serve starts a worker that answers by handler.
+// serve starts a worker that answers with the handler.
 func (n *network) serve(t *testing.T, address string, handler http.HandlerFunc) {
 	server := &http.Server{Handler: handler}
 	l := n.listen(address)
@@ -81,7 +81,7 @@
 	t.Cleanup(func() { server.Close() })
 }
 
-// raw starts a worker that handles each connection by hand.
+// serveRaw starts a worker that handles each connection with the given function.
 func (n *network) serveRaw(t *testing.T, address string, handle func(c net.Conn, r *bufio.Reader)) {
 	l := n.listen(address)
 	go func() {
@@ -97,13 +97,13 @@
 	t.Cleanup(func() { l.Close() })
 }
 
-// succeed answers as a worker that has run the message.
+// succeed responds as a worker that has run the message.
 func succeed(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	w.Header().Set("X-Response-Signature", "sig-"+r.Header.Get("X-Request-Id"))
 }
 
-// refuse answers as a worker that has not run the message.
+// refuse responds as a worker that has not run the message.
 func refuse(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
@@ -112,7 +112,7 @@
 	}
 }
 
-// bench is an engine with its network, inside a synctest bubble.
+// harness is an engine with its network, inside a synctest bubble.
 type harness struct {
 	*network
 	t                *testing.T
@@ -124,7 +124,7 @@
 	results     map[string]Result
 }
 
-// result is the end of a job, if it has come.
+// result returns the result of a job, if it has ended.
 func (b *harness) result(id string) (r Result, ok bool) {
 	b.resultsLock.Lock()
 	defer b.resultsLock.Unlock()
@@ -132,7 +132,7 @@
 	return r, ok
 }
 
-// outcome is that of a job which has ended; 0 if it has not.
+// outcome returns the outcome of a job; 0 if it has not ended.
 func (b *harness) outcome(id string) protocol.Outcome {
 	r, _ := b.result(id)
 	return r.Outcome
@@ -146,11 +146,11 @@
 		b.state = State{Number: 0, Dispatchers: 1, InZone: 1, Services: []Service{{Name: "orders"}}, ListVersion: protocol.ItemVersion{Term: 1}}
 		defer b.engine.Close()
 		test(t, b)
-		time.Sleep(time.Second) // the bubble's clock: what the fakes still do ends
+		time.Sleep(time.Second) // on the bubble's clock, so that the fakes finish
 	})
 }
 
-// list tells the engine of workers named after their addresses.
+// publishWorkers updates the engine with workers whose address is their id, unless given.
 func (b *harness) publishWorkers(workers ...protocol.Worker) {
 	for i := range workers {
 		w := &workers[i]
@@ -177,7 +177,7 @@
 	return &protocol.Deliver{ID: "0001-" + id, RequestID: id, Method: "POST", Host: "shop.example", URI: "/a/b?c=%20d", Body: []byte("body of " + id)}
 }
 
-// submit begins a job; its result is found in results.
+// submit starts a job; its result is stored in results.
 func (b *harness) submit(m *protocol.Deliver) {
 	b.engine.Submit(Job{Message: m, Service: "orders", Timeout: 500 * time.Millisecond, Done: func(r Result) {
 		b.resultsLock.Lock()
@@ -201,6 +201,6 @@
 		time.Sleep(50 * time.Millisecond) // the bubble's clock
 		synctest.Wait()
 	}
-	b.t.Fatalf("%s has no end", m.RequestID)
+	b.t.Fatalf("%s has not ended", m.RequestID)
 	return Result{}
 }
--- a/internal/roles/dispatcher/delivery/pacer_test.go
+++ b/internal/roles/dispatcher/delivery/pacer_test.go
@@ -24,7 +24,7 @@
 	is.True(ok)
 }
 
-// In no window are there more tokens than the rate gives, and a burst.
+// No time window has more tokens than the rate allows plus one burst.
 func TestPacerKeepsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.5, 200).Draw(t, "rate")
@@ -48,7 +48,7 @@
 	})
 }
 
-// arrivals counts what a worker gets, by time.
+// arrivals records when a worker receives requests.
 type arrivals struct {
 	mu sync.Mutex
 	at []time.Time
@@ -111,7 +111,7 @@
 	})
 }
 
-// While the endpoint is stuck nothing gathers that would go out at once afterwards.
+// While the endpoint is stuck, no messages accumulate that would be sent at once afterwards.
 func TestStuckEndpointGetsNoBurst(t *testing.T) {
 	inBubble(t, func(t *testing.T, b *harness) {
 		is := is.New(t)
@@ -133,7 +133,7 @@
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		is.Equal(len(b.results), 400)
-		is.True(got.maxWithin(time.Second) <= 40+2+12) // 12: the slots, free at once
+		is.True(got.maxWithin(time.Second) <= 40+2+12) // 12: the slots, which become free at once
 		is.True(got.maxWithin(5*time.Second) <= 40*5+2+1)
 	})
 }
@@ -160,7 +160,7 @@
 		b.state.Services = []Service{rateLimitedService(40)}
 		b.publishWorkers()
 		is.Equal(b.deliver(message("m1")).Outcome, protocol.OutcomeNotRun)
-		is.Equal(calls, 1) // another try needs another token
+		is.Equal(calls, 1) // another attempt needs another token
 	})
 }
 
@@ -176,7 +176,7 @@
 	s := &Service{MaxConnections: 130}
 	listed := []protocol.Worker{{Capacity: 9}}
 	is.Equal(adjustLimit(s, 0, listed, 12), 9)
-	is.Equal(adjustLimit(s, 9, listed, 11), 9)  // 10 would be right, 9 are enough
+	is.Equal(adjustLimit(s, 9, listed, 11), 9)  // the target is 10, but 9 are enough
 	is.Equal(adjustLimit(s, 9, listed, 13), 9)  // 117 of 130
 	is.Equal(adjustLimit(s, 9, listed, 15), 7)  // 135 would be too many
 	is.Equal(adjustLimit(s, 5, listed, 11), 10) // too few for the slots
--- a/internal/roles/dispatcher/directory/directory_test.go
+++ b/internal/roles/dispatcher/directory/directory_test.go
@@ -88,7 +88,7 @@
 	d.Update(&v)
 	is.Equal(d.Current().Workers[0].ID, "w1")
 	d.SetWorkers([]protocol.Worker{{ID: "late"}}, version(9), time.Second)
-	is.Equal(d.Current().Workers[0].ID, "w1") // no later than what is known
+	is.Equal(d.Current().Workers[0].ID, "w1") // not newer than the current list
 	d.SetWorkers([]protocol.Worker{{ID: "own"}}, version(9), 3*time.Second)
 	is.Equal(d.Current().Workers[0].ID, "own")
 	v2 := v
@@ -99,7 +99,7 @@
 	v3.WorkersReadAt = 4 * time.Second // read again, unchanged
 	d.Update(&v3)
 	is.Equal(d.Current().Workers[0].ID, "w2")
-	v4 := v3 // clocks are corrected: a newer list counts, whatever its time
+	v4 := v3 // a newer version counts even if its time is earlier, because clocks are corrected
 	v4.WorkersVersion, v4.WorkersReadAt, v4.Workers.Workers = version(3), 3*time.Second, []protocol.Worker{{ID: "w3"}}
 	d.Update(&v4)
 	is.Equal(d.Current().Workers[0].ID, "w3")
--- a/internal/roles/dispatcher/dispatcher_test.go
+++ b/internal/roles/dispatcher/dispatcher_test.go
@@ -43,7 +43,7 @@
 
 func TestRemovedRouteIsReportedAsNoRoute(t *testing.T) {
 	is := is.New(t)
-	r := newHarness(t, func(http.ResponseWriter, *http.Request) { t.Error("sent though the route is gone") }, nil)
+	r := newHarness(t, func(http.ResponseWriter, *http.Request) { t.Error("sent although the route was removed") }, nil)
 	r.configure(1)
 	r.publishNodes()
 	g := receive(t, r.store.hellos)
@@ -53,7 +53,7 @@
 	is.Equal(receive(t, r.store.results).result.Outcome, protocol.OutcomeNoRoute)
 }
 
-// The store has a configuration that has not arrived here: by the own one the message would end.
+// The store has a newer configuration than the dispatcher: by the dispatcher's own configuration, the message would end without a route.
 func TestDeliveryWaitsForItsConfiguration(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, succeed, nil)
@@ -66,7 +66,7 @@
 	is.Equal(receive(t, r.store.results).result.Outcome, protocol.OutcomeSucceeded)
 
 	m.ID = "0000-r"
-	r.sendDelivery(g, deliveryOf(m, 3)) // which does not come
+	r.sendDelivery(g, deliveryOf(m, 3)) // which is never published
 	is.Equal(receive(t, r.store.results).result.Outcome, protocol.OutcomeNotRun)
 }
 
@@ -82,7 +82,7 @@
 	is.Equal(result.result.Outcome, protocol.OutcomeSucceeded) // the only dispatcher is an owner
 	result.reply(nil, nil)
 
-	r.agent.sessionAge.Store(int64(2 * time.Second)) // control may have given it to another
+	r.agent.sessionAge.Store(int64(2 * time.Second)) // control may have assigned the service to another
 	m.ID = "0000-old"
 	r.sendDelivery(g, deliveryOf(m, 1))
 	is.Equal(receive(t, r.store.results).result.Outcome, protocol.OutcomeNotRun)
@@ -129,22 +129,22 @@
 	is.Equal(receive(t, r.agent.leaves), false) // announced
 	receive(t, r.store.pauses)
 	is.Equal(r.readyStatus(), 503)
-	is.True(!send().Close) // clients are served on, on the connections that they have
+	is.True(!send().Close) // clients are still served on their connections
 	late := &protocol.Accept{ID: "0000-late", RequestID: "late", Method: "POST", Host: "shop.example", URI: "/plain/"}
-	r.sendDelivery(g, deliveryOf(late, 1)) // on its way when the pause was sent
+	r.sendDelivery(g, deliveryOf(late, 1)) // sent before the pause arrived
 	back := receive(t, r.store.results)
 	is.Equal(back.result.ID, "0000-late")
 	is.Equal(back.result.Outcome, protocol.OutcomeNotRun)
 	is.Equal(back.result.RetryAfter, time.Duration(0))
 	back.reply(nil, nil)
 
-	for refused := false; !refused; { // it no longer listens
+	for refused := false; !refused; { // until it no longer listens
 		c, err := net.Dial("tcp", r.frontend.Address())
 		if refused = err != nil; !refused {
 			c.Close()
 		}
 	}
-	close(release) // what runs ends, and is reported
+	close(release) // the running attempt ends and is reported
 	result := receive(t, r.store.results)
 	is.Equal(result.result.Outcome, protocol.OutcomeSucceeded)
 	result.reply(nil, nil)
@@ -172,6 +172,6 @@
 	s := r.directory.Current()
 	is.Equal(len(s.Workers), 1)
 	is.Equal(s.Workers[0], protocol.Worker{ID: "w2", Service: "b", Address: "10.0.0.1:80", Zone: "a", Revision: "v", Capacity: 3})
-	r.agent.publish(func(v *agent.View) { v.WorkersReadAt = 2 * time.Minute }) // everybody's list is read again
+	r.agent.publish(func(v *agent.View) { v.WorkersReadAt = 2 * time.Minute }) // control reads the list again
 	is.Equal(r.directory.Current().Workers[0].ID, "w1")
 }
--- a/internal/roles/dispatcher/fake_test.go
+++ b/internal/roles/dispatcher/fake_test.go
@@ -21,9 +21,9 @@
 	"liftgauge/internal/rpc"
 )
 
-const testTimeout = 10 * time.Second // never spent by a test that passes
+const testTimeout = 10 * time.Second // not reached by a test that passes
 
-// fakeAgent is an agent whose view a test sets.
+// fakeAgent is an agent whose view is set by the test.
 type fakeAgent struct {
 	pool       *rpc.Pool
 	sessionAge atomic.Int64
@@ -69,7 +69,7 @@
 	}
 }
 
-// fakeStore keeps messages in memory and hands them out by hand.
+// fakeStore passes the frames that it receives to the test, which answers them.
 type fakeStore struct {
 	server  *rpc.Server
 	accepts chan acceptCall
@@ -129,7 +129,7 @@
 	a.reply((&protocol.AcceptReply{Status: protocol.AcceptStored}).Append(nil), nil)
 }
 
-// delivery is what the store hands out for an accepted message.
+// deliveryOf returns the delivery that the store sends for an accepted message.
 func deliveryOf(m *protocol.Accept, configuration uint64) *protocol.Deliver {
 	return &protocol.Deliver{Partition: m.Partition, Epoch: 1, ID: m.ID, Attempt: 1, RequestID: m.RequestID, Method: m.Method, Host: m.Host,
 		URI: m.URI, Key: m.Key, Headers: m.Headers, Body: m.Body, Configuration: protocol.ItemVersion{Number: configuration}}
@@ -142,7 +142,7 @@
  {"Name":"g","HealthCheckPath":"/health","MaxConnections":10,"RatePerS":50,"Static":"%s"}],
  "Limits":{"MaxHeaderBytes":2000,"MaxBodyBytes":1000,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`
 
-// rig is a dispatcher with one store and one worker.
+// harness is a dispatcher with one store and one worker.
 type harness struct {
 	*dispatcher
 	t      *testing.T
@@ -151,7 +151,7 @@
 	worker *httptest.Server
 }
 
-// newRig starts a dispatcher that knows nothing yet.
+// newHarness starts a dispatcher with an empty view.
 func newHarness(t *testing.T, worker http.HandlerFunc, change func(s *nodeconfig.Settings)) *harness {
 	settings := &nodeconfig.Settings{NodeName: "edge", Zone: "a", Region: "r", Zones: map[string]string{"a": "r", "b": "r"},
 		BindAddresses: nodeconfig.BindAddresses{Frontend: "127.0.0.1:0", Readiness: "127.0.0.1:0"}}
@@ -175,7 +175,7 @@
 
 func (r *harness) workerAddress() string { return strings.TrimPrefix(r.worker.URL, "http://") }
 
-// configure publishes a configuration; routes whose prefix is given lead elsewhere.
+// configure publishes a configuration; routes with the given prefixes are moved to another prefix.
 func (r *harness) configure(revision int, without ...string) {
 	body := fmt.Sprintf(testConfiguration, revision, r.workerAddress())
 	for _, prefix := range without {
@@ -186,7 +186,7 @@
 	})
 }
 
-// build publishes nodes, a table of one partition, and a list of one worker.
+// publishNodes publishes nodes, a table of one partition, and a list of one worker.
 func (r *harness) publishNodes(others ...protocol.Node) {
 	address := r.store.server.Addr()
 	r.agent.publish(func(v *agent.View) {
@@ -199,18 +199,18 @@
 	})
 }
 
-// next receives from a channel, or fails the test.
+// receive receives from a channel, or fails the test after testTimeout.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within the test timeout")
 	}
 	return v
 }
 
-// post sends a message on a connection of the client's.
+// post sends a message with the given client.
 func (r *harness) post(client *http.Client, path string) (*http.Response, error) {
 	request, err := http.NewRequest("POST", "http://"+r.frontend.Address()+path, strings.NewReader("body"))
 	if err != nil {
@@ -231,7 +231,7 @@
 	return response.StatusCode
 }
 
-// accept has a client send a message, and the store keep it.
+// accept has a client send a message and the store accept it.
 func (r *harness) accept(path string) *protocol.Accept {
 	r.t.Helper()
 	status := make(chan int, 1)
--- a/internal/roles/dispatcher/ingress/fake_test.go
+++ b/internal/roles/dispatcher/ingress/fake_test.go
@@ -22,7 +22,7 @@
 	"liftgauge/internal/rpc"
 )
 
-const testTimeout = 10 * time.Second // never spent by a test that passes
+const testTimeout = 10 * time.Second // not reached by a test that passes
 
 // call is one call that reached a fake store.
 type call struct {
@@ -36,7 +36,7 @@
 	c.reply((&protocol.AcceptReply{Status: status}).Append(nil), nil)
 }
 
-// fakeStore answers calls as its function says.
+// fakeStore answers calls with its answer function.
 type fakeStore struct {
 	server *rpc.Server
 	member string
@@ -96,7 +96,7 @@
  "Services":[{"Name":"b","HealthCheckPath":"/health","MaxConnections":10,"RatePerS":0,"Static":null}],
  "Limits":{"MaxHeaderBytes":2000,"MaxBodyBytes":1000,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`
 
-// rig is an ingress that listens on loopback, with stores whose table a test changes.
+// harness is an ingress that listens on the loopback interface, with stores whose partition table is set by the test.
 type harness struct {
 	t         *testing.T
 	directory *directory.Directory
@@ -119,7 +119,7 @@
 	return r
 }
 
-// configure publishes the configuration of a revision, without the routes that are named.
+// configure publishes the configuration of a revision, with the routes of the given prefixes moved to another prefix.
 func (r *harness) configure(revision int, without ...string) {
 	body := fmt.Sprintf(testConfiguration, revision)
 	for _, prefix := range without {
@@ -134,18 +134,18 @@
 	r.directory.Update(&view)
 }
 
-// configurePatient is configure with an objective of 40 s, so that a message waits for a newer table however slow the machine is.
+// configureLongTarget is configure with a target latency of 40 s, so that a message waits for a newer table however slow the machine is.
 func (r *harness) configureLongTarget(revision int) {
 	r.follow(revision, strings.ReplaceAll(fmt.Sprintf(testConfiguration, revision), `"TargetLatencyMs":80`, `"TargetLatencyMs":40000`))
 }
 
-// at is a store in a zone.
+// storeAt is a store in a zone.
 type storeAt struct {
 	store *fakeStore
 	zone  string
 }
 
-// table publishes a table in which the partitions are led by the given stores; without a store there is no live primary.
+// publishTable publishes a table in which the given stores are the primaries of the partitions; a nil store means no live primary.
 func (r *harness) publishTable(primaries ...storeAt) {
 	view := r.view
 	view.Nodes, view.Partitions = nil, protocol.PartitionTable{}
@@ -177,7 +177,7 @@
 	_, _ = r.pool.Get(ctx, s.server.Addr())
 }
 
-// post sends a message and returns the answer with its body read.
+// post sends a message and returns the response with its body read.
 func (r *harness) post(path, body string, fields ...string) *http.Response {
 	r.t.Helper()
 	return r.do("POST", path, strings.NewReader(body), fields...)
@@ -213,7 +213,7 @@
 	return string(b)
 }
 
-// raw opens a connection for bytes of the test's own.
+// sendRaw opens a connection and writes the given bytes to it.
 func (r *harness) sendRaw(bytes string) (net.Conn, *bufio.Reader) {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.server.Address())
--- a/internal/roles/dispatcher/ingress/message_test.go
+++ b/internal/roles/dispatcher/ingress/message_test.go
@@ -55,7 +55,7 @@
 	is.NoErr(err)
 	is.Equal(response.StatusCode, 202)
 	is.Equal(string(s.firstAccept().Body), "body of")
-	is.Equal(len(s.firstAccept().RequestID), 16) // drawn
+	is.Equal(len(s.firstAccept().RequestID), 16) // random
 }
 
 func TestInvalidRequestsAreRefused(t *testing.T) {
@@ -67,17 +67,17 @@
 		request string
 		status  int
 	}{
-		"no route":         {"POST /other/ HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1\r\n\r\nx", 404},
-		"no such host":     {"POST /plain/ HTTP/1.1\r\nHost: other.example\r\nContent-Length: 1\r\n\r\nx", 404},
-		"delay":            {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Delay-Ms: soon\r\nContent-Length: 1\r\n\r\nx", 400},
-		"negative delay":   {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Delay-Ms: -5\r\nContent-Length: 1\r\n\r\nx", 400},
-		"two delays":       {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Delay-Ms: 5\r\nX-Delay-Ms: 6\r\nContent-Length: 1\r\n\r\nx", 400},
-		"long by length":   {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1001\r\n\r\n" + long, 413},
-		"long in chunks":   {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" + long + "\r\n0\r\n\r\n", 413},
-		"long head":        {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Long: " + strings.Repeat("x", 2000) + "\r\nContent-Length: 1\r\n\r\nx", 431},
-		"very long head":   {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Long: " + strings.Repeat("x", 300<<10) + "\r\n", 431},
-		"broken off chunk": {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
-		"no HTTP":          {"nonsense\r\n\r\n", 400},
+		"no route":       {"POST /other/ HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1\r\n\r\nx", 404},
+		"unknown host":   {"POST /plain/ HTTP/1.1\r\nHost: other.example\r\nContent-Length: 1\r\n\r\nx", 404},
+		"delay":          {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Delay-Ms: soon\r\nContent-Length: 1\r\n\r\nx", 400},
+		"negative delay": {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Delay-Ms: -5\r\nContent-Length: 1\r\n\r\nx", 400},
+		"two delays":     {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Delay-Ms: 5\r\nX-Delay-Ms: 6\r\nContent-Length: 1\r\n\r\nx", 400},
+		"long by length": {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 1001\r\n\r\n" + long, 413},
+		"long in chunks": {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" + long + "\r\n0\r\n\r\n", 413},
+		"long head":      {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Long: " + strings.Repeat("x", 2000) + "\r\nContent-Length: 1\r\n\r\nx", 431},
+		"very long head": {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nX-Long: " + strings.Repeat("x", 300<<10) + "\r\n", 431},
+		"invalid chunk":  {"POST /plain/ HTTP/1.1\r\nHost: shop.example\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+		"not HTTP":       {"nonsense\r\n\r\n", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -150,7 +150,7 @@
 	is.True(len(partitions) > 3)
 }
 
-// Nothing was written: another partition is asked, under another id.
+// Nothing was written, so the message is sent to another partition under another id.
 func TestUnkeyedMessageGoesToAnotherPartitionIfNothingWasWritten(t *testing.T) {
 	for name, answer := range map[string]func(call){
 		"not primary": always(protocol.AcceptNotPrimary),
@@ -206,7 +206,7 @@
 	}
 }
 
-// The directory lags behind a move: the store that was the primary is asked for news, and the message waits for them.
+// The directory is older than a change of primary: updates are requested from the former primary, and the message waits for them.
 func TestMessageWaitsForANewerTable(t *testing.T) {
 	for _, path := range []string{"/plain/", "/keyed/"} {
 		t.Run(path, func(t *testing.T) {
@@ -255,13 +255,13 @@
 	is.Equal(r.post("/plain/", "x").StatusCode, 404)
 }
 
-// The fate is unknown: the same partition is asked again by the same id, and nobody else.
+// The outcome is unknown: the message is sent again to the same partition under the same id, and to no other.
 func TestUnknownOutcomeIsRetriedAtTheSamePartition(t *testing.T) {
 	for name, first := range map[string]func(call){
 		"connection lost":  func(c call) { c.conn.Close() },
-		"said to be":       always(protocol.AcceptUnknown),
-		"refused so":       func(c call) { c.reply(nil, rpc.Errorf(protocol.CodeOutcomeUnknown, "no")) },
-		"answer garbled":   func(c call) { c.reply([]byte{0xff, 0xff, 0xff}, nil) },
+		"unknown status":   always(protocol.AcceptUnknown),
+		"unknown by code":  func(c call) { c.reply(nil, rpc.Errorf(protocol.CodeOutcomeUnknown, "no")) },
+		"garbled reply":    func(c call) { c.reply([]byte{0xff, 0xff, 0xff}, nil) },
 		"then not primary": always(protocol.AcceptUnknown),
 	} {
 		for _, path := range []string{"/plain/", "/keyed/"} {
@@ -276,7 +276,7 @@
 					case asked == 1:
 						first(c)
 					case asked == 2 && name == "then not primary":
-						c.answer(protocol.AcceptNotPrimary) // no promise any more
+						c.answer(protocol.AcceptNotPrimary) // guarantees nothing after an unknown outcome
 					default:
 						c.answer(protocol.AcceptStored)
 					}
@@ -314,7 +314,7 @@
 	return ""
 }
 
-// After an unknown fate no answer may promise anything, whatever stores say later.
+// After an unknown outcome the response must not guarantee anything, whatever stores reply later.
 func TestUnknownOutcomeEndsWith504(t *testing.T) {
 	for name, later := range map[string]protocol.AcceptStatus{"not primary": protocol.AcceptNotPrimary, "full": protocol.AcceptFull,
 		"no route": protocol.AcceptNoRoute, "unknown": protocol.AcceptUnknown} {
@@ -341,7 +341,7 @@
 	}
 }
 
-// The store that was asked is silent; its partition gets another primary, who is asked at once.
+// The store that was called does not respond; its partition gets another primary, which is called at once.
 func TestNewPrimaryIsCalledWhenTheTableChanges(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t)
@@ -355,7 +355,7 @@
 	is.Equal(response.StatusCode, 202)
 	is.Equal(response.Header.Get("X-Message-Id"), "0000-q")
 	is.Equal(fresh.firstAccept().ID, "0000-q")
-	is.True(time.Since(began) < storeCallTimeout) // not by the time-out of a call
+	is.True(time.Since(began) < storeCallTimeout) // without waiting for the time-out of the call
 }
 
 func TestUnresponsiveStoreIsDetected(t *testing.T) {
@@ -366,7 +366,7 @@
 	is.True(!h.unresponsive("s", now.Add(unresponsiveAfter)))
 	is.True(h.unresponsive("s", now.Add(unresponsiveAfter+1)))
 	h.callBegan("s", now.Add(unresponsiveAfter))
-	h.callEnded("s", true, now.Add(unresponsiveAfter)) // it answers one
+	h.callEnded("s", true, now.Add(unresponsiveAfter)) // it answers one call
 	is.True(!h.unresponsive("s", now.Add(unresponsiveAfter+1)))
 	h.callEnded("s", false, now.Add(3*unresponsiveAfter))
 	is.True(!h.reachable("s", now.Add(3*unresponsiveAfter)))
--- a/internal/roles/dispatcher/ingress/picker_test.go
+++ b/internal/roles/dispatcher/ingress/picker_test.go
@@ -14,7 +14,7 @@
 	c.reply((&protocol.AcceptReply{Status: protocol.AcceptStored, RetryAfter: time.Hour}).Append(nil), nil)
 }
 
-// A store of the own zone has taken more than it can hand out: the next messages go to another zone, as long as there is one that can.
+// A store of the local zone has accepted more messages than it can deliver: the next ones go to another zone as long as a store there can.
 func TestBackloggedStoreIsAvoided(t *testing.T) {
 	is := is.New(t)
 	near, far := newFakeStore(t, storedBacklogged), newFakeStore(t, always(protocol.AcceptStored))
@@ -40,9 +40,9 @@
 	c.markBacklogged("near", now.Add(time.Second))
 	is.Equal(pick(), uint32(1))
 	c.markBacklogged("far", now.Add(time.Second))
-	is.Equal(pick(), uint32(0)) // nobody is refused for it
+	is.Equal(pick(), uint32(0)) // no message is refused because of a backlog
 	c.health.connectFailed("near", now)
-	is.Equal(pick(), uint32(1)) // one that cannot be reached is no help
+	is.Equal(pick(), uint32(1)) // an unreachable store is not used
 	now = now.Add(time.Second)
 	is.Equal(pick(), uint32(0))
 }
--- a/internal/roles/dispatcher/ingress/status_test.go
+++ b/internal/roles/dispatcher/ingress/status_test.go
@@ -29,16 +29,16 @@
 		body   string
 		kind   string
 	}{
-		"queued":        {protocol.LookupReply{Found: true, State: protocol.StateQueued}, "/message/0000-x", 200, `{"State":"queued"}`, "application/json"},
-		"succeeded":     {protocol.LookupReply{Found: true, State: protocol.StateSucceeded, Signature: `a"b`}, "/message/0000-x", 200, `{"State":"succeeded","Signature":"a\"b"}`, "application/json"},
-		"dead letter":   {protocol.LookupReply{Found: true, State: protocol.StateDeadLetter}, "/message/0000-x", 200, `{"State":"dead_letter"}`, "application/json"},
-		"unknown":       {protocol.LookupReply{}, "/message/0000-x", 404, "", ""},
-		"body":          {protocol.LookupReply{Found: true, HasBody: true, Body: []byte{0, 1, 2}}, "/message-body/0000-x", 200, "\x00\x01\x02", "application/octet-stream"},
-		"empty body":    {protocol.LookupReply{Found: true, HasBody: true}, "/message-body/0000-x", 200, "", "application/octet-stream"},
-		"no body":       {protocol.LookupReply{Found: true}, "/message-body/0000-x", 404, "", ""},
-		"no partition":  {protocol.LookupReply{Found: true}, "/message/0fff-x", 404, "", ""},
-		"not of ours":   {protocol.LookupReply{Found: true}, "/message/abc", 404, "", ""},
-		"body of those": {protocol.LookupReply{}, "/message-body/abc", 404, "", ""},
+		"queued":             {protocol.LookupReply{Found: true, State: protocol.StateQueued}, "/message/0000-x", 200, `{"State":"queued"}`, "application/json"},
+		"succeeded":          {protocol.LookupReply{Found: true, State: protocol.StateSucceeded, Signature: `a"b`}, "/message/0000-x", 200, `{"State":"succeeded","Signature":"a\"b"}`, "application/json"},
+		"dead letter":        {protocol.LookupReply{Found: true, State: protocol.StateDeadLetter}, "/message/0000-x", 200, `{"State":"dead_letter"}`, "application/json"},
+		"unknown":            {protocol.LookupReply{}, "/message/0000-x", 404, "", ""},
+		"body":               {protocol.LookupReply{Found: true, HasBody: true, Body: []byte{0, 1, 2}}, "/message-body/0000-x", 200, "\x00\x01\x02", "application/octet-stream"},
+		"empty body":         {protocol.LookupReply{Found: true, HasBody: true}, "/message-body/0000-x", 200, "", "application/octet-stream"},
+		"no body":            {protocol.LookupReply{Found: true}, "/message-body/0000-x", 404, "", ""},
+		"no partition":       {protocol.LookupReply{Found: true}, "/message/0fff-x", 404, "", ""},
+		"malformed id":       {protocol.LookupReply{Found: true}, "/message/abc", 404, "", ""},
+		"body, malformed id": {protocol.LookupReply{}, "/message-body/abc", 404, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -75,7 +75,7 @@
 	is.Equal(asked, 4)
 }
 
-// TestUnsureAnswerIsNoDenial ends the time for an answer before any primary has given one: there may well be such a message.
+// The time to answer ends before any primary has replied: the message may exist, so the response is 503 rather than 404.
 func TestUnansweredLookupIsNotReportedAsNotFound(t *testing.T) {
 	is := is.New(t)
 	r, s := newHarness(t), newFakeStore(t, found(protocol.LookupReply{}))
@@ -107,7 +107,7 @@
 	is.Equal(other.count(), 0)
 }
 
-// Connections end with their next answer, and requests that were read are answered.
+// Connections are closed with their next response, and requests that were read are answered.
 func TestShutdownAnswersRequestsThatWereRead(t *testing.T) {
 	is := is.New(t)
 	taken := make(chan call, 1)
@@ -141,7 +141,7 @@
 	return response
 }
 
-// A change of the time limits holds for new connections, and cuts none that is open.
+// A change of the time limits applies to new connections and closes none that is open.
 func TestChangedLimitsApplyToNewConnections(t *testing.T) {
 	is := is.New(t)
 	r, s := newHarness(t), newFakeStore(t, always(protocol.AcceptStored))
--- a/internal/roles/dispatcher/stores/fake_test.go
+++ b/internal/roles/dispatcher/stores/fake_test.go
@@ -16,7 +16,7 @@
 	"liftgauge/internal/rpc"
 )
 
-// fakeStore is a store that hands out what a test says, and shows what it gets.
+// fakeStore is a store that sends the deliveries of a test and passes the frames that it receives to it.
 type fakeStore struct {
 	disk    string // part of its member
 	server  *rpc.Server
@@ -65,7 +65,7 @@
 	}
 }
 
-// fakeRuns are the deliveries that Links began.
+// fakeRuns receives the deliveries that Links started.
 type fakeRuns chan run
 
 type run struct {
@@ -73,7 +73,7 @@
 	done    func(delivery.Result)
 }
 
-// rig is Links with stores, whose table a test changes.
+// harness is Links with stores whose partition table is set by the test.
 type harness struct {
 	t         *testing.T
 	directory *directory.Directory
@@ -83,7 +83,7 @@
 
 	mu      sync.Mutex
 	windows []protocol.ServiceWindow
-	clock   time.Duration // that the process goes by
+	clock   time.Duration // of the process
 }
 
 func (r *harness) now() time.Time {
@@ -92,7 +92,7 @@
 	return time.Unix(0, 0).Add(r.clock)
 }
 
-// standStill lets time pass for the process at once.
+// advanceClock advances the clock of the process at once, as a stall does.
 func (r *harness) advanceClock(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +126,7 @@
 
 func (s *fakeStore) member() string { return "m" + s.server.Addr() + s.disk }
 
-// table publishes a table in which the partitions are led by the given stores, with the epochs.
+// publishTable publishes a table in which the given stores are the primaries of the partitions, all with the same epoch.
 func (r *harness) publishTable(epoch uint64, primaries ...*fakeStore) {
 	r.publish(r.tableView(epoch, primaries...))
 }
@@ -136,7 +136,7 @@
 	r.directory.Update(&view)
 }
 
-// tables makes the tables that table publishes.
+// tableView returns the view that publishTable publishes.
 func (r *harness) tableView(epoch uint64, primaries ...*fakeStore) agent.View {
 	view := r.view
 	view.Nodes, view.Partitions = nil, protocol.PartitionTable{}
@@ -154,20 +154,20 @@
 	return view
 }
 
-const testTimeout = 10 * time.Second // never spent by a test that passes
+const testTimeout = 10 * time.Second // not reached by a test that passes
 
-// next receives from a channel, or fails the test.
+// receive receives from a channel, or fails the test after testTimeout.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within the test timeout")
 	}
 	return v
 }
 
-// helloAt receives greetings until one is by the table of that number.
+// helloForTable receives Hellos until one carries the given table version.
 func (s *fakeStore) helloForTable(t *testing.T, table uint64) receivedHello {
 	t.Helper()
 	for {
@@ -184,7 +184,7 @@
 	}
 }
 
-// flush returns once all frames before it have been handled: a call that is refused comes after them.
+// flush returns once all earlier frames have been handled, by making a call that comes after them.
 func (g receivedHello) flush(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/roles/dispatcher/stores/links_test.go
+++ b/internal/roles/dispatcher/stores/links_test.go
@@ -42,12 +42,12 @@
 	is.Equal(got.result.Attempt, uint32(1))
 	is.Equal(got.result.Outcome, protocol.OutcomeSucceeded)
 	is.Equal(got.result.Signature, "sig")
-	is.Equal(r.links.Held(), 1) // until it is on disk
+	is.Equal(r.links.Held(), 1) // held until the result is on disk
 	got.reply(nil, nil)
 	g.awaitHeld(t, r, 0)
 }
 
-// untilHeld waits until so many deliveries are held.
+// awaitHeld waits until n deliveries are held.
 func (g receivedHello) awaitHeld(t *testing.T, r *harness, n int) {
 	t.Helper()
 	for r.links.Held() != n {
@@ -63,7 +63,7 @@
 	one := receive(t, r.runs)
 	r.publishTable(2, fresh)
 	g := fresh.helloForTable(t, 2)
-	is.Equal(g.hello.Held, []protocol.HeldDelivery{{ID: "m", Attempt: 1}}) // it is running here
+	is.Equal(g.hello.Held, []protocol.HeldDelivery{{ID: "m", Attempt: 1}}) // the message is running
 	one.done(succeeded)
 	got := receive(t, fresh.results)
 	is.Equal(got.result.ID, "m")
@@ -71,8 +71,8 @@
 	g.awaitHeld(t, r, 0)
 }
 
-// A store with another disk is another member at the same address: it hears of what is running here when it becomes primary, whichever of the two
-// tables comes first.
+// A store with another disk is another member at the same address. When it becomes primary, it receives the held deliveries in a Hello,
+// whichever of the node table and the partition table arrives first.
 func TestStoreWithAnotherDiskReceivesHeldDeliveries(t *testing.T) {
 	for _, nodesFirst := range []bool{true, false} {
 		is := is.New(t)
@@ -97,7 +97,7 @@
 				is.Equal(g.hello.Held, []protocol.HeldDelivery{{ID: "m", Attempt: 1}})
 				break
 			}
-			is.True(g.hello.Table.Number < r.view.PartitionsVersion.Number) // by this table it has to be told
+			is.True(g.hello.Table.Number < r.view.PartitionsVersion.Number) // with this table the Hello must list it
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	equal(t, r.links.Held(), 1)
 }
 
-// A store that stays primary in a later view keeps its queue, and may hand out before it has learnt of that view.
+// A store that stays primary in a later view keeps its queue, and may send a delivery before it has received that view.
 func TestDeliveryOfAnEarlierViewIsReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	r, s := newHarness(t), newFakeStore(t)
@@ -164,7 +164,7 @@
 	is.Equal(r.links.Held(), 0)
 }
 
-// A Hello by a later view is written between the arrival of a delivery of the view before and its being noted.
+// A Hello for a later view is written after a delivery of the previous view has arrived and before it is recorded.
 func TestDeliveryThatCrossesTheHelloOfALaterViewDoesNotRun(t *testing.T) {
 	r, s := newHarness(t), newFakeStore(t)
 	r.publishTable(1, s)
@@ -178,24 +178,24 @@
 		_, taken := r.links.held.take(conn, &m, time.Now(), func() bool { return later })
 		done <- taken
 	}()
-	later = true // the Hello that holds the lock goes by the later view
+	later = true // the Hello that holds the lock is for the later view
 	r.links.held.mu.Unlock()
 	equal(t, <-done, takeOutdated)
 	g.flush(t)
 	equal(t, r.links.Held(), 0)
 }
 
-// What was handed out on a connection that has been replaced is not in the Hello of the new one: it must not run.
+// A delivery on a connection that has been replaced is not listed in the Hello on the new one, so it must not run.
 func TestDeliveryOnAnInactiveConnectionIsDropped(t *testing.T) {
 	r, s := newHarness(t), newFakeStore(t)
 	r.publishTable(1, s)
 	g := s.helloForTable(t, 1)
 	r.links.held.mu.Lock()
-	clear(r.links.held.conns) // as while a new connection is greeted
+	clear(r.links.held.conns) // as while a new connection is being activated
 	r.links.held.mu.Unlock()
 	g.deliver(t, message("m", 1))
 	g.flush(t)
-	r.publishTable(1, s) // greets again
+	r.publishTable(1, s) // causes a new Hello
 	again := s.helloForTable(t, 2)
 	equal(t, len(again.hello.Held), 0)
 	again.deliver(t, message("n", 1))
@@ -210,18 +210,18 @@
 	g := s.helloForTable(t, 1)
 	g.deliver(t, message("m", 1))
 	one := receive(t, r.runs)
-	g.deliver(t, message("m", 2)) // the store gave the first up
+	g.deliver(t, message("m", 2)) // the store has given up the first attempt
 	g.deliver(t, message("n", 1))
 	is.Equal(receive(t, r.runs).message.ID, "n")
 	is.Equal(len(r.runs), 0)
 	one.done(failed)
 	got := receive(t, s.results)
-	is.Equal(got.result.Attempt, uint32(2)) // it counts for the newest, once
+	is.Equal(got.result.Attempt, uint32(2)) // one result, for the newest attempt
 	got.reply(nil, nil)
 	g.awaitHeld(t, r, 1) // n
 }
 
-// A message is handed out again after its run has ended and before that is known to be on disk.
+// A message is delivered again after its run has ended and before its result is known to be on disk.
 func TestRedeliveryWhileTheResultIsBeingReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  delivery.Result
@@ -285,7 +285,7 @@
 	other.helloForTable(t, 1)
 	r.publishTable(2, other, other)
 	o := other.helloForTable(t, 2)
-	for linked := true; linked; { // its link ends
+	for linked := true; linked; { // until its link is closed
 		r.links.held.mu.Lock()
 		linked = len(r.links.held.conns) > 1
 		r.links.held.mu.Unlock()
@@ -309,10 +309,10 @@
 	if err := g.conn.Notify(protocol.KindDeliver, []byte{0xff}); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, s.hellos) // on another
+	receive(t, s.hellos) // on another connection
 }
 
-// What came while the process was frozen has been given out again elsewhere.
+// Deliveries that arrive while the process is stalled may have been delivered again elsewhere.
 func TestDeliveriesBufferedDuringAStallDoNotRun(t *testing.T) {
 	is := is.New(t)
 	r, s := newHarness(t), newFakeStore(t)
@@ -321,8 +321,8 @@
 	g.deliver(t, message("m", 1))
 	is.Equal(receive(t, r.runs).message.ID, "m")
 	r.advanceClock(10 * time.Second)
-	_ = g.conn.Notify(protocol.KindDeliver, deliverFrame("n")) // the connection may have been left by now
-	<-g.conn.Done()                                            // it is left
+	_ = g.conn.Notify(protocol.KindDeliver, deliverFrame("n")) // may fail: the connection may be closed by now
+	<-g.conn.Done()                                            // the dispatcher closes it
 	again := receive(t, s.hellos)
 	is.Equal(again.hello.Held, []protocol.HeldDelivery{{ID: "m", Attempt: 1}})
 	again.deliver(t, message("n", 2))
