--- a/internal/roles/dispatcher/delivery/service.go
+++ b/internal/roles/dispatcher/delivery/service.go
@@ -23,7 +23,7 @@
 	inFlight      bool
 	expired       bool // not to be sent again
 	ended         bool
-	lastResult    Result // of the last attempt that did not run it
+	lastResult    Result // to report if no worker runs it
 	received      time.Time
 	tokenDeadline time.Duration
 }
--- a/internal/roles/dispatcher/ingress/message_test.go
+++ b/internal/roles/dispatcher/ingress/message_test.go
@@ -174,11 +174,11 @@
 
 func TestUnreachableStoreIsAvoided(t *testing.T) {
 	is := is.New(t)
-	dead, good := newFakeStore(t, always(protocol.AcceptStored)), newFakeStore(t, always(protocol.AcceptStored))
-	dead.server.Close()
+	unreachable, good := newFakeStore(t, always(protocol.AcceptStored)), newFakeStore(t, always(protocol.AcceptStored))
+	unreachable.server.Close()
 	r := newHarness(t)
 	r.configure(1)
-	r.publishTable(storeAt{dead, "a"}, storeAt{dead, "a"}, storeAt{dead, "a"}, storeAt{dead, "a"}, storeAt{dead, "a"}, storeAt{good, "b"})
+	r.publishTable(storeAt{unreachable, "a"}, storeAt{unreachable, "a"}, storeAt{unreachable, "a"}, storeAt{unreachable, "a"}, storeAt{unreachable, "a"}, storeAt{good, "b"})
 	is.Equal(r.post("/plain/", "x").StatusCode, 202)
 }
 
@@ -215,15 +215,15 @@
 			r := newHarness(t)
 			r.configureLongTarget(1)
 			r.publishTable(storeAt{before, "a"}, storeAt{before, "a"})
-			asked := make(chan string, 100)
+			requested := make(chan string, 100)
 			r.ingress.options.RequestUpdates = func(address string) {
-				asked <- address
-				if len(asked) == 1 {
+				requested <- address
+				if len(requested) == 1 {
 					r.publishTable(storeAt{after, "a"}, storeAt{after, "a"})
 				}
 			}
 			is.Equal(r.post(path, "x", "X-Ordering-Key", "k").StatusCode, 202)
-			is.Equal(<-asked, before.server.Addr())
+			is.Equal(<-requested, before.server.Addr())
 			is.Equal(after.count(), 1)
 		})
 	}
@@ -268,14 +268,14 @@
 			t.Run(name+path, func(t *testing.T) {
 				is := is.New(t)
 				other := newFakeStore(t, always(protocol.AcceptStored))
-				asked := 0
+				calls := 0
 				s := newFakeStore(t, nil)
 				s.answer = func(c call) {
-					asked++
+					calls++
 					switch {
-					case asked == 1:
+					case calls == 1:
 						first(c)
-					case asked == 2 && name == "then not primary":
+					case calls == 2 && name == "then not primary":
 						c.answer(protocol.AcceptNotPrimary) // guarantees nothing after an unknown outcome
 					default:
 						c.answer(protocol.AcceptStored)
@@ -290,7 +290,7 @@
 				}
 				response := r.post(path, "x", fields...)
 				is.Equal(response.StatusCode, 202)
-				is.True(asked >= 2)
+				is.True(calls >= 2)
 				is.Equal(other.count(), 0)
 				ids := map[string]bool{}
 				for _, c := range s.calls {
@@ -321,10 +321,10 @@
 		for _, path := range []string{"/plain/", "/keyed/"} {
 			t.Run(name+path, func(t *testing.T) {
 				is := is.New(t)
-				asked := 0
+				calls := 0
 				s := newFakeStore(t, nil)
 				s.answer = func(c call) {
-					if asked++; asked == 1 {
+					if calls++; calls == 1 {
 						c.conn.Close()
 						return
 					}
@@ -335,7 +335,7 @@
 				r.publishTable(storeAt{s, "a"})
 				response := r.post(path, "x", "X-Ordering-Key", "k", "X-Deadline-Ms", "200")
 				is.Equal(response.StatusCode, 504)
-				is.True(asked >= 2)
+				is.True(calls >= 2)
 			})
 		}
 	}
@@ -345,16 +345,16 @@
 func TestNewPrimaryIsCalledWhenTheTableChanges(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t)
-	fresh := newFakeStore(t, always(protocol.AcceptStored))
-	silent := newFakeStore(t, nil)
-	silent.answer = func(call) { go r.publishTable(storeAt{fresh, "b"}) } // never answers
+	newPrimary := newFakeStore(t, always(protocol.AcceptStored))
+	unresponsive := newFakeStore(t, nil)
+	unresponsive.answer = func(call) { go r.publishTable(storeAt{newPrimary, "b"}) } // never answers
 	r.configure(1)
-	r.publishTable(storeAt{silent, "a"})
+	r.publishTable(storeAt{unresponsive, "a"})
 	began := time.Now()
 	response := r.post("/plain/", "x", "X-Request-Id", "q", "X-Deadline-Ms", "3000")
 	is.Equal(response.StatusCode, 202)
 	is.Equal(response.Header.Get("X-Message-Id"), "0000-q")
-	is.Equal(fresh.firstAccept().ID, "0000-q")
+	is.Equal(newPrimary.firstAccept().ID, "0000-q")
 	is.True(time.Since(began) < storeCallTimeout) // without waiting for the time-out of the call
 }
 
@@ -379,8 +379,8 @@
 	r := newHarness(t)
 	r.configure(1)
 	r.publishTable(storeAt{s, "a"})
-	ctx, gone := context.WithCancel(context.Background())
-	gone()
+	ctx, disconnect := context.WithCancel(context.Background())
+	disconnect()
 	request := httptest.NewRequestWithContext(ctx, "POST", "/plain/", strings.NewReader("x"))
 	request.Host = "shop.example"
 	recorder := httptest.NewRecorder()
--- a/internal/roles/dispatcher/ingress/status_test.go
+++ b/internal/roles/dispatcher/ingress/status_test.go
@@ -56,9 +56,9 @@
 func TestLookupIsRepeated(t *testing.T) {
 	is := is.New(t)
 	r, s := newHarness(t), newFakeStore(t, nil)
-	asked := 0
+	calls := 0
 	s.answer = func(c call) {
-		switch asked++; asked {
+		switch calls++; calls {
 		case 1:
 			c.reply(nil, rpc.Errorf(protocol.CodeNotPrimary, "no"))
 		case 2:
@@ -72,7 +72,7 @@
 	r.configure(1)
 	r.publishTable(storeAt{s, "a"})
 	is.Equal(r.do("GET", "/message/0000-x", nil).StatusCode, 200)
-	is.Equal(asked, 4)
+	is.Equal(calls, 4)
 }
 
 // The time to answer ends before any primary has replied: the message may exist, so the response is 503 rather than 404.
--- a/internal/roles/dispatcher/stores/links_test.go
+++ b/internal/roles/dispatcher/stores/links_test.go
@@ -57,15 +57,15 @@
 
 func TestResultGoesToTheNewPrimary(t *testing.T) {
 	is := is.New(t)
-	r, old, fresh := newHarness(t), newFakeStore(t), newFakeStore(t)
-	r.publishTable(1, old)
-	old.helloForTable(t, 1).deliver(t, message("m", 1))
+	r, oldPrimary, newPrimary := newHarness(t), newFakeStore(t), newFakeStore(t)
+	r.publishTable(1, oldPrimary)
+	oldPrimary.helloForTable(t, 1).deliver(t, message("m", 1))
 	one := receive(t, r.runs)
-	r.publishTable(2, fresh)
-	g := fresh.helloForTable(t, 2)
+	r.publishTable(2, newPrimary)
+	g := newPrimary.helloForTable(t, 2)
 	is.Equal(g.hello.Held, []protocol.HeldDelivery{{ID: "m", Attempt: 1}}) // the message is running
 	one.done(succeeded)
-	got := receive(t, fresh.results)
+	got := receive(t, newPrimary.results)
 	is.Equal(got.result.ID, "m")
 	got.reply(nil, nil)
 	g.awaitHeld(t, r, 0)
@@ -76,22 +76,22 @@
 func TestStoreWithAnotherDiskReceivesHeldDeliveries(t *testing.T) {
 	for _, nodesFirst := range []bool{true, false} {
 		is := is.New(t)
-		r, old, fresh := newHarness(t), newFakeStore(t), newFakeStore(t)
-		r.publishTable(1, old, fresh)
-		old.helloForTable(t, 1).deliver(t, message("m", 1))
+		r, oldPrimary, newPrimary := newHarness(t), newFakeStore(t), newFakeStore(t)
+		r.publishTable(1, oldPrimary, newPrimary)
+		oldPrimary.helloForTable(t, 1).deliver(t, message("m", 1))
 		receive(t, r.runs)
-		fresh.disk = "/another"
+		newPrimary.disk = "/another"
 		if nodesFirst {
-			r.publishTable(2, old, fresh)
-			fresh.helloForTable(t, 2)
-			r.publishTable(3, fresh, old)
+			r.publishTable(2, oldPrimary, newPrimary)
+			newPrimary.helloForTable(t, 2)
+			r.publishTable(3, newPrimary, oldPrimary)
 		} else {
-			view := r.tableView(2, fresh, old)
+			view := r.tableView(2, newPrimary, oldPrimary)
 			view.Nodes = r.view.Nodes
 			r.publish(view)
 		}
 		for {
-			g := receive(t, fresh.hellos)
+			g := receive(t, newPrimary.hellos)
 			is.True(g.hello.Table.Number <= r.view.PartitionsVersion.Number)
 			if len(g.hello.Held) > 0 {
 				is.Equal(g.hello.Held, []protocol.HeldDelivery{{ID: "m", Attempt: 1}})
