--- a/internal/roles/dispatcher/dispatcher.go
+++ b/internal/roles/dispatcher/dispatcher.go
@@ -45,7 +45,7 @@
 	Pool() *rpc.Pool
 	Steady() time.Duration
 	SessionAge() time.Duration
-	Leave(ctx context.Context, over bool) error
+	Leave(ctx context.Context, endSession bool) error
 	Reload(s *nodeconfig.Settings)
 	Close()
 }
--- a/internal/roles/dispatcher/fake_test.go
+++ b/internal/roles/dispatcher/fake_test.go
@@ -50,13 +50,16 @@
 	a.mu.Unlock()
 	f(v, nil)
 }
-func (a *fakeAgent) Pool() *rpc.Pool                          { return a.pool }
-func (a *fakeAgent) Steady() time.Duration                    { return time.Duration(a.steady.Load()) }
-func (a *fakeAgent) SessionAge() time.Duration                { return time.Duration(a.sessionAge.Load()) }
-func (a *fakeAgent) Leave(_ context.Context, over bool) error { a.leaves <- over; return nil }
-func (a *fakeAgent) RequestUpdates(string)                    {}
-func (a *fakeAgent) Reload(*nodeconfig.Settings)              {}
-func (a *fakeAgent) Close()                                   { a.pool.Close() }
+func (a *fakeAgent) Pool() *rpc.Pool           { return a.pool }
+func (a *fakeAgent) Steady() time.Duration     { return time.Duration(a.steady.Load()) }
+func (a *fakeAgent) SessionAge() time.Duration { return time.Duration(a.sessionAge.Load()) }
+func (a *fakeAgent) Leave(_ context.Context, endSession bool) error {
+	a.leaves <- endSession
+	return nil
+}
+func (a *fakeAgent) RequestUpdates(string)       {}
+func (a *fakeAgent) Reload(*nodeconfig.Settings) {}
+func (a *fakeAgent) Close()                      { a.pool.Close() }
 func (a *fakeAgent) publish(change func(v *agent.View)) {
 	a.mu.Lock()
 	v := *a.view
--- a/internal/roles/dispatcher/shutdown.go
+++ b/internal/roles/dispatcher/shutdown.go
@@ -47,9 +47,9 @@
 	if held := d.links.Held(); held > 0 {
 		d.logger.Warn("results could not be reported within the grace period", zap.Int("held", held))
 	}
-	over, cancel := context.WithTimeout(context.Background(), finalLeaveTimeout)
+	leaveContext, cancel := context.WithTimeout(context.Background(), finalLeaveTimeout)
 	defer cancel()
-	if err := d.agent.Leave(over, true); err != nil {
+	if err := d.agent.Leave(leaveContext, true); err != nil {
 		d.logger.Info("control could not be notified of the end of the session", zap.Error(err))
 	}
 	d.close()
--- a/internal/roles/dispatcher/stores/held.go
+++ b/internal/roles/dispatcher/stores/held.go
@@ -28,8 +28,8 @@
 	redelivery *protocol.Deliver // a later attempt that arrived after that
 }
 
-// heldSet holds all deliveries of this dispatcher and the active connections, on which it accepts more. One lock covers the writing of a Hello
-// and the acceptance of a delivery, so that a delivery is either listed in the Hello or refused.
+// heldSet holds all deliveries of this dispatcher and the active connections, on which it accepts more. A connection is activated, and the
+// deliveries for its Hello are listed, under the same lock as a delivery is accepted: each delivery is either in the Hello or refused.
 type heldSet struct {
 	mu         sync.Mutex
 	deliveries map[messageKey]*heldDelivery
@@ -42,7 +42,7 @@
 
 // activate makes conn the only connection on which deliveries of the store are accepted. It returns the held deliveries that came from the
 // store or belong to partitions of which it is the primary.
-func (s *heldSet) activate(conn *rpc.Conn, store string, now time.Time, leads func(partition uint32) bool) []protocol.HeldDelivery {
+func (s *heldSet) activate(conn *rpc.Conn, store string, now time.Time, isPrimary func(partition uint32) bool) []protocol.HeldDelivery {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for other, key := range s.conns {
@@ -53,7 +53,7 @@
 	s.conns[conn] = store
 	var list []protocol.HeldDelivery
 	for key, h := range s.deliveries {
-		if h.store == store || leads(key.partition) {
+		if h.store == store || isPrimary(key.partition) {
 			h.confirmed = now
 			list = append(list, protocol.HeldDelivery{Partition: key.partition, ID: key.id, Attempt: h.attempt})
 		}
