--- a/configuration/document.go
+++ b/configuration/document.go
@@ -28,17 +28,17 @@
 func readDocument(what string, body []byte) (*document, error) {
 	const remedy = "send one whole JSON object"
 	if !utf8.Valid(body) {
-		return nil, refuse(KindUnreadable, "the body is not UTF-8: %s", remedy)
+		return nil, refuse(KindMalformed, "the body is not UTF-8: %s", remedy)
 	}
 	if depth(body) > deepest {
-		return nil, refuse(KindUnreadable, "the body is nested more than %d deep: %s", deepest, remedy)
+		return nil, refuse(KindMalformed, "the body is nested more than %d deep: %s", deepest, remedy)
 	}
 	if fastjson.ValidateBytes(body) != nil {
-		return nil, refuse(KindUnreadable, "the body cannot be read in full: %s", remedy)
+		return nil, refuse(KindMalformed, "the body cannot be read in full: %s", remedy)
 	}
 	body = bytes.TrimSpace(body)
 	if body[0] != '{' {
-		return nil, refuse(KindUnreadable, "the body is not an object: %s", remedy)
+		return nil, refuse(KindMalformed, "the body is not an object: %s", remedy)
 	}
 	return &document{what: what, members: splitObject(body)}, nil
 }
@@ -74,7 +74,7 @@
 			}
 		}
 		if count > 1 {
-			return refuse(KindField, "%s has the field %s twice: send it once", d.what, name)
+			return refuse(KindInvalidField, "%s has the field %s twice: send it once", d.what, name)
 		}
 	}
 	return nil
@@ -82,9 +82,9 @@
 
 func (d *document) wrong(name, wanted string) error {
 	if d.find(name) == nil {
-		return refuse(KindField, "%s has no field %s: send %s", d.what, name, wanted)
+		return refuse(KindInvalidField, "%s has no field %s: send %s", d.what, name, wanted)
 	}
-	return refuse(KindField, "%s has a wrong field %s: send %s", d.what, name, wanted)
+	return refuse(KindInvalidField, "%s has a wrong field %s: send %s", d.what, name, wanted)
 }
 
 // revision reads the version of a configuration.
--- a/configuration/errors.go
+++ b/configuration/errors.go
@@ -11,15 +11,15 @@
 
 // The kinds of an Error.
 const (
-	KindUnreadable     Kind = iota + 1 // not one whole JSON object
-	KindField                          // a field lacks, or holds a value of another type
-	KindDuplicateName                  // two items of a list have the same name
-	KindUnknownService                 // a route names a service that is not there
-	KindSamePlace                      // two routes have the same host and prefix
-	KindNoTimeout                      // a TimeoutMs that is not above 0
-	KindRevision                       // a Revision that is not higher than the current one
-	KindBaseVersion                    // an order without a readable X-Base-Version
-	KindOtherVersion                   // another version than the order builds on is current
+	KindMalformed       Kind = iota + 1 // not one whole JSON object
+	KindInvalidField                    // a field lacks, or holds a value of another type
+	KindDuplicateName                   // two items of a list have the same name
+	KindUnknownService                  // a route names a service that is not there
+	KindDuplicatePrefix                 // two routes have the same host and prefix
+	KindInvalidTimeout                  // a TimeoutMs that is not above 0
+	KindRevision                        // a Revision that is not higher than the current one
+	KindBaseVersion                     // an order without a readable X-Base-Version
+	KindVersionConflict                 // another version than the order builds on is current
 )
 
 // Error tells why a configuration or an order is refused; its text names the remedy.
--- a/configuration/fields.go
+++ b/configuration/fields.go
@@ -37,7 +37,7 @@
 			return
 		}
 	}
-	f.fail(KindField, "%s is not an object: send one with the field %s", f.what(), f.names[0])
+	f.fail(KindInvalidField, "%s is not an object: send one with the field %s", f.what(), f.names[0])
 }
 
 // skip passes over an object that need not be read.
@@ -49,7 +49,7 @@
 			continue
 		}
 		if f.values[i] != nil {
-			f.fail(KindField, "%s has the field %s twice: send it once", f.what(), name)
+			f.fail(KindInvalidField, "%s has the field %s twice: send it once", f.what(), name)
 		}
 		f.values[i] = value
 	}
@@ -71,10 +71,10 @@
 
 func (f *fields) wrong(name, wanted string) {
 	if f.value(name) == nil {
-		f.fail(KindField, "%s has no field %s: send %s", f.what(), name, wanted)
+		f.fail(KindInvalidField, "%s has no field %s: send %s", f.what(), name, wanted)
 		return
 	}
-	f.fail(KindField, "%s has a wrong field %s: send %s", f.what(), name, wanted)
+	f.fail(KindInvalidField, "%s has a wrong field %s: send %s", f.what(), name, wanted)
 }
 
 func (f *fields) value(name string) *fastjson.Value {
@@ -162,7 +162,7 @@
 		number, _ = v.Float64()
 	}
 	if !(number > 0) {
-		f.fail(KindNoTimeout, "route %q has no %s above 0: send how many milliseconds a delivery may take", route, name)
+		f.fail(KindInvalidTimeout, "route %q has no %s above 0: send how many milliseconds a delivery may take", route, name)
 		return 0
 	}
 	return toDuration(number, time.Millisecond)
--- a/configuration/match.go
+++ b/configuration/match.go
@@ -19,7 +19,7 @@
 		c.hosts[r.Hostname] = h
 	}
 	if other, ok := h.prefixes[r.PathPrefix]; ok {
-		return refuse(KindSamePlace, "routes %q and %q have the same host %q and prefix %q: change or remove one",
+		return refuse(KindDuplicatePrefix, "routes %q and %q have the same host %q and prefix %q: change or remove one",
 			other.Name, r.Name, r.Hostname, r.PathPrefix)
 	}
 	h.prefixes[r.PathPrefix] = r
--- a/configuration/orders.go
+++ b/configuration/orders.go
@@ -18,15 +18,15 @@
 
 // Keys of the replicated records that hold the state of Orders.
 const (
-	RecordCurrent     = "config/current" // the JSON of the current configuration
-	RecordTakenPrefix = "config/taken/"  // with an order's hash behind it: the revision that the order made, in decimal digits
+	RecordCurrent       = "config/current" // the JSON of the current configuration
+	RecordAppliedPrefix = "config/taken/"  // with an order's hash behind it: the revision that the order made, in decimal digits
 )
 
 // The HTTP statuses that answer an order.
 const (
-	StatusTaken        = 200 // the order was taken, now or before
-	StatusInvalid      = 400
-	StatusOtherVersion = 412 // another version than the order builds on is current
+	StatusApplied         = 200 // the order was taken, now or before
+	StatusInvalid         = 400
+	StatusVersionConflict = 412 // another version than the order builds on is current
 )
 
 // hashBytes is how much of an order's SHA-256 is kept.
@@ -63,9 +63,9 @@
 
 // The actions.
 const (
-	ActionAnswer Action = iota + 1 // answer with the Status
-	ActionWrite                    // write the records, then Commit, then answer 200
-	ActionWait                     // another order, or the same one, is under way: decide again once it was committed or aborted
+	ActionRespond Action = iota + 1 // answer with the Status
+	ActionWrite                     // write the records, then Commit, then answer 200
+	ActionWait                      // another order, or the same one, is under way: decide again once it was committed or aborted
 )
 
 // Decision is what Orders decided about an order.
@@ -101,14 +101,14 @@
 // Current returns the current configuration, nil if there is none yet.
 func (o *Orders) Current() *Configuration { return o.current }
 
-// Taken returns how many orders were taken.
-func (o *Orders) Taken() int { return len(o.taken) }
+// Applied returns how many orders were taken.
+func (o *Orders) Applied() int { return len(o.taken) }
 
 // Decide decides about an order. With ActionWrite the order is under way until Commit or Abort is called.
 func (o *Orders) Decide(order Order) Decision {
 	d := Decision{Hash: order.Hash()}
 	if _, ok := o.taken[d.Hash]; ok {
-		d.Action, d.Status = ActionAnswer, StatusTaken
+		d.Action, d.Status = ActionRespond, StatusApplied
 		return d
 	}
 	if o.pending != nil {
@@ -116,7 +116,7 @@
 		return d
 	}
 	if current := o.revision(); order.Base != current {
-		return d.refused(StatusOtherVersion, refuse(KindOtherVersion,
+		return d.refused(StatusVersionConflict, refuse(KindVersionConflict,
 			"version %d is current, not %d: read it with /config/describe and build on it", current, order.Base))
 	}
 	next, err := o.apply(order)
@@ -129,7 +129,7 @@
 }
 
 func (d Decision) refused(status int, err error) Decision {
-	d.Action, d.Status, d.Err = ActionAnswer, status, err
+	d.Action, d.Status, d.Err = ActionRespond, status, err
 	return d
 }
 
--- a/configuration/orders_test.go
+++ b/configuration/orders_test.go
@@ -23,7 +23,7 @@
 	d := o.Decide(order)
 	if d.Action == ActionWrite {
 		o.Commit(d.Hash)
-		return Decision{Action: ActionAnswer, Status: StatusTaken, Hash: d.Hash}
+		return Decision{Action: ActionRespond, Status: StatusApplied, Hash: d.Hash}
 	}
 	return d
 }
@@ -31,33 +31,33 @@
 func TestFirstConfiguration(t *testing.T) {
 	is := is.New(t)
 	o := NewOrders(nil, nil)
-	is.Equal(take(o, replace(3, 5, "a")).Status, StatusOtherVersion)
+	is.Equal(take(o, replace(3, 5, "a")).Status, StatusVersionConflict)
 	is.Equal(take(o, replace(0, 0, "a")).Status, StatusInvalid)
-	is.Equal(take(o, replace(0, 5, "a")).Status, StatusTaken)
+	is.Equal(take(o, replace(0, 5, "a")).Status, StatusApplied)
 	is.Equal(o.Current().Revision, uint64(5))
-	is.Equal(take(o, replace(0, 5, "a")).Status, StatusTaken)
-	is.Equal(take(o, replace(0, 5, "b")).Status, StatusOtherVersion) // the same number, another content
+	is.Equal(take(o, replace(0, 5, "a")).Status, StatusApplied)
+	is.Equal(take(o, replace(0, 5, "b")).Status, StatusVersionConflict) // the same number, another content
 }
 
 func TestTakenForGood(t *testing.T) {
 	is := is.New(t)
 	o := NewOrders(nil, nil)
 	first := replace(0, 1, "a")
-	is.Equal(take(o, first).Status, StatusTaken)
+	is.Equal(take(o, first).Status, StatusApplied)
 	taken := map[string]uint64{first.Hash(): 1}
 	for i := range 10 {
 		order := Order{VerbUpdate, uint64(i + 1), fmt.Appendf(nil, `{"Revision":%d,"Upsert":{"Services":[{"Name":"s%d"}]}}`, i+2, i)}
-		is.Equal(take(o, order).Status, StatusTaken)
+		is.Equal(take(o, order).Status, StatusApplied)
 		taken[order.Hash()] = uint64(i + 2)
 	}
-	is.Equal(take(o, first).Status, StatusTaken)
+	is.Equal(take(o, first).Status, StatusApplied)
 	is.Equal(o.Current().Revision, uint64(11)) // and it is not in force again
-	is.Equal(o.Taken(), 11)
+	is.Equal(o.Applied(), 11)
 	// Another process goes on from the records.
 	after := NewOrders(o.Current(), taken)
-	is.Equal(take(after, first).Status, StatusTaken)
-	is.Equal(take(after, replace(10, 20, "x")).Status, StatusOtherVersion)
-	is.Equal(take(after, replace(11, 20, "x")).Status, StatusTaken)
+	is.Equal(take(after, first).Status, StatusApplied)
+	is.Equal(take(after, replace(10, 20, "x")).Status, StatusVersionConflict)
+	is.Equal(take(after, replace(11, 20, "x")).Status, StatusApplied)
 }
 
 func TestOneUnderWay(t *testing.T) {
@@ -75,7 +75,7 @@
 	o.Commit(da.Hash) // not the one under way
 	is.Equal(o.Decide(a).Action, ActionWait)
 	o.Commit(db.Hash)
-	is.Equal(o.Decide(a).Status, StatusOtherVersion)
+	is.Equal(o.Decide(a).Status, StatusVersionConflict)
 	is.Equal(string(o.Current().Raw), string(b.Body))
 }
 
@@ -175,8 +175,8 @@
 				o = NewOrders(current, m.known)
 			},
 			"": func(t *rapid.T) {
-				if o.revision() != m.current || o.Taken() != len(m.taken) {
-					t.Fatalf("revision %d of %d, taken %d of %d", o.revision(), m.current, o.Taken(), len(m.taken))
+				if o.revision() != m.current || o.Applied() != len(m.taken) {
+					t.Fatalf("revision %d of %d, taken %d of %d", o.revision(), m.current, o.Applied(), len(m.taken))
 				}
 				if m.raw != nil && string(o.Current().Raw) != string(m.raw) {
 					t.Fatalf("in force: %s", o.Current().Raw)
@@ -218,13 +218,13 @@
 	var want Decision
 	switch {
 	case m.taken[order.Hash()]:
-		want.Action, want.Status = ActionAnswer, StatusTaken
+		want.Action, want.Status = ActionRespond, StatusApplied
 	case pending != nil:
 		want.Action = ActionWait
 	case order.Base != m.current:
-		want.Action, want.Status = ActionAnswer, StatusOtherVersion
+		want.Action, want.Status = ActionRespond, StatusVersionConflict
 	case !valid:
-		want.Action, want.Status = ActionAnswer, StatusInvalid
+		want.Action, want.Status = ActionRespond, StatusInvalid
 	default:
 		want.Action = ActionWrite
 	}
--- a/configuration/update.go
+++ b/configuration/update.go
@@ -84,7 +84,7 @@
 		switch m.name {
 		case fieldUpsert, fieldRemove:
 		case fieldRoutes, fieldServices:
-			return refuse(KindField, "the update has a field %s: send items under %s, or the whole to /config/replace", m.name, fieldUpsert)
+			return refuse(KindInvalidField, "the update has a field %s: send items under %s, or the whole to /config/replace", m.name, fieldUpsert)
 		default:
 			d.set(m)
 		}
@@ -99,12 +99,12 @@
 		return nil
 	}
 	if !isObject(value) {
-		return refuse(KindField, "%s is not an object: send lists by their names, as in {%q: []}", field, fieldRoutes)
+		return refuse(KindInvalidField, "%s is not an object: send lists by their names, as in {%q: []}", field, fieldRoutes)
 	}
 	seen := make(map[string]struct{})
 	for _, list := range splitObject(value) {
 		if _, twice := seen[list.name]; twice || !isList(list.value) {
-			return refuse(KindField, "%s.%s is not one list: send one list of items or names", field, list.name)
+			return refuse(KindInvalidField, "%s.%s is not one list: send one list of items or names", field, list.name)
 		}
 		seen[list.name] = struct{}{}
 		if err := f(list, splitList(list.value)); err != nil {
@@ -119,7 +119,7 @@
 	gone := make(map[string]struct{}, len(names))
 	for _, quoted := range names {
 		if quoted[0] != '"' {
-			return refuse(KindField, "%s.%s holds %.20s: send names", fieldRemove, list.name, quoted)
+			return refuse(KindInvalidField, "%s.%s holds %.20s: send names", fieldRemove, list.name, quoted)
 		}
 		gone[unquote(quoted)] = struct{}{}
 	}
@@ -156,7 +156,7 @@
 	for _, item := range items {
 		name := namer.name(item)
 		if name == "" {
-			return refuse(KindField, "%s.%s holds an item without a name: send its %s", fieldUpsert, list.name, fieldName)
+			return refuse(KindInvalidField, "%s.%s holds an item without a name: send its %s", fieldUpsert, list.name, fieldName)
 		}
 		if _, ok := sent[name]; ok {
 			return refuse(KindDuplicateName, "%s.%s holds %q twice: send it once", fieldUpsert, list.name, name)
--- a/internal/roles/control/records.go
+++ b/internal/roles/control/records.go
@@ -18,14 +18,14 @@
 
 // The keys of the records of controlGroup.
 const (
-	keyConfiguration        = configuration.RecordCurrent     // the operator's JSON, whole
-	keyConfigurationVersion = "config/version"                // ItemVersion of it
-	prefixTaken             = configuration.RecordTakenPrefix // + hash of an order: its revision
-	prefixNode              = "node/"                         // + key of a node: protocol.Node
-	prefixPartition         = "partition/"                    // + number: protocol.PartitionView
-	prefixStore             = "store/"                        // + member: storeRecord
-	prefixDuty              = "duty/"                         // + name: election.Award
-	keyFounded              = "founded"                       // number of partitions
+	keyConfiguration        = configuration.RecordCurrent       // the operator's JSON, whole
+	keyConfigurationVersion = "config/version"                  // ItemVersion of it
+	prefixTaken             = configuration.RecordAppliedPrefix // + hash of an order: its revision
+	prefixNode              = "node/"                           // + key of a node: protocol.Node
+	prefixPartition         = "partition/"                      // + number: protocol.PartitionView
+	prefixStore             = "store/"                          // + member: storeRecord
+	prefixDuty              = "duty/"                           // + name: election.Award
+	keyFounded              = "founded"                         // number of partitions
 )
 
 // errRecord marks a record that cannot be decoded.
--- a/internal/roles/control/status.go
+++ b/internal/roles/control/status.go
@@ -98,7 +98,7 @@
 	if p := d.primary; p != nil {
 		figures["control_active"] = 1
 		figures["control_configuration_revision"] = float64(p.revision())
-		figures["control_orders_taken"] = float64(p.operator.Taken())
+		figures["control_orders_taken"] = float64(p.operator.Applied())
 		figures["control_partitions"] = float64(len(p.model.partitions))
 		for _, role := range []protocol.Role{protocol.RoleControl, protocol.RoleDispatcher, protocol.RoleStore} {
 			figures[fmt.Sprintf("control_sessions{role=%q}", role)] = float64(p.nodes(role))
