--- a/internal/nodeconfig/parse.go
+++ b/internal/nodeconfig/parse.go
@@ -56,7 +56,7 @@
 	s.SeedNodes = t.neededTexts("SeedNodes", "a list of one address or more, each as IP:PORT", isAddress)
 	s.Bootstrap = t.flag("Bootstrap")
 	s.CountsForQuorum = t.flag("CountsForQuorum")
-	if s.ServesWord(ServesStorage) {
+	if s.HasCapability(ServesStorage) {
 		s.DataDir = t.neededText("DataDir", "a folder on the machine's disk", notEmpty)
 	} else {
 		s.DataDir = t.text("DataDir", "")
@@ -78,7 +78,7 @@
 func readBindAddresses(t table, s *Settings) BindAddresses {
 	address := func(key, word string) string {
 		const wanted = "an address as IP:PORT"
-		if s.ServesWord(word) {
+		if s.HasCapability(word) {
 			return t.neededText(key, wanted+", since Serves holds "+word, isAddress)
 		}
 		return t.checkedText(key, wanted, isAddress)
@@ -127,7 +127,7 @@
 func readCloudApi(t table, s *Settings) CloudApi {
 	const wanted = "the address of the platform's list as IP:PORT"
 	c := CloudApi{RatePerS: t.number("RatePerS", defaultListRate), MaxLagMs: t.number("MaxLagMs", defaultListLagMs)}
-	if s.ServesWord(ServesEdge) || s.ServesWord(ServesControl) {
+	if s.HasCapability(ServesEdge) || s.HasCapability(ServesControl) {
 		c.Address = t.neededText("Address", wanted, isAddress)
 	} else {
 		c.Address = t.checkedText("Address", wanted, isAddress)
--- a/internal/nodeconfig/role.go
+++ b/internal/nodeconfig/role.go
@@ -29,7 +29,7 @@
 // CheckRole tells whether the file is for a process of the role: it is not when Serves lacks what the role serves.
 func (s *Settings) CheckRole(role protocol.Role) error {
 	word := servesWords[role]
-	if s.ServesWord(word) {
+	if s.HasCapability(word) {
 		return nil
 	}
 	return &FieldError{Kind: FieldValue, File: s.File, Field: "Serves", Found: describeTexts(s.Serves),
--- a/internal/nodeconfig/settings.go
+++ b/internal/nodeconfig/settings.go
@@ -86,8 +86,8 @@
 	return 1 + max(s.FaultTolerance.Machines, s.FaultTolerance.Zones, s.FaultTolerance.Regions)
 }
 
-// ServesWord tells whether Serves holds the word.
-func (s *Settings) ServesWord(word string) bool { return slices.Contains(s.Serves, word) }
+// HasCapability tells whether Serves holds the word.
+func (s *Settings) HasCapability(word string) bool { return slices.Contains(s.Serves, word) }
 
 // SeedAddresses returns the internal control addresses of the seeds: the host of each seed with the first port of the range.
 func (s *Settings) SeedAddresses() []string {
