--- a/cmd/liftgauge/recover.go
+++ b/cmd/liftgauge/recover.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	plan, err := recovery.Make(accounts, choice)
+	plan, err := recovery.NewPlan(accounts, choice)
 	if err != nil {
 		return err
 	}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -60,16 +60,16 @@
 // Error returns the status and what the process said.
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused with %d: %s", e.Status, e.Text) }
 
-// NoAnswerError tells that no control process gave a clear answer in time.
-type NoAnswerError struct{ Last error }
+// NoResponseError tells that no control process gave a clear answer in time.
+type NoResponseError struct{ Last error }
 
 // Error names the last failure and the remedy.
-func (e *NoAnswerError) Error() string {
+func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("no control process gave a clear answer (the last: %v); check the addresses, and that most control processes run", e.Last)
 }
 
 // Unwrap returns the last failure.
-func (e *NoAnswerError) Unwrap() error { return e.Last }
+func (e *NoResponseError) Unwrap() error { return e.Last }
 
 // unclear tells whether an answer says neither yes nor no.
 func unclear(status int) bool {
@@ -87,7 +87,7 @@
 	for pause := firstPause; ; pause = min(2*pause, lastPause) {
 		for _, address := range c.addresses {
 			if ctx.Err() != nil {
-				return nil, repeated, &NoAnswerError{Last: last}
+				return nil, repeated, &NoResponseError{Last: last}
 			}
 			answer, err := c.callOne(ctx, method, address, path, body)
 			var refused *RefusedError
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -92,7 +92,7 @@
 	play(t, func(int, asked) (int, string, string, error) { return 503, "", "no primary", nil },
 		func(ctx context.Context, c *Client, is *is.I, _ *[]asked) {
 			_, err := c.Describe(ctx)
-			var none *NoAnswerError
+			var none *NoResponseError
 			is.True(errors.As(err, &none))
 			is.Equal(err.Error(), "no control process gave a clear answer (the last: b:1 answered 503: no primary); "+
 				"check the addresses, and that most control processes run")
--- a/internal/operator/recovery.go
+++ b/internal/operator/recovery.go
@@ -50,7 +50,7 @@
 		next = append(next[:len(next):len(next)], account.Others...)
 	}
 	if len(accounts) == 0 {
-		return nil, &NoAnswerError{Last: last}
+		return nil, &NoResponseError{Last: last}
 	}
 	return accounts, nil
 }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -15,12 +15,12 @@
 
 // The reasons for which nothing is founded. Each message names the remedy.
 var (
-	ErrNobody      = errors.New("no control process with a disk answers: start one, with Bootstrap = false, and give its address with --control")
-	ErrControlLive = errors.New("control has a majority of its witnesses and a member: it needs no recovery; see liftgauge status")
-	ErrMayLive     = errors.New("control may still have a majority among processes that do not answer: start them, or name the machines whose disks are gone for good with --lost")
-	ErrStale       = errors.New("the process that would found control has not heard of the newest state yet: ask again in a second")
-	ErrNoSuchNode  = errors.New("the machine named by --at does not answer, or has no disk: name one that the list shows")
-	ErrNothing     = errors.New("nobody knows a configuration or has records of control: give a snapshot with --from FILE")
+	ErrNoCandidate           = errors.New("no control process with a disk answers: start one, with Bootstrap = false, and give its address with --control")
+	ErrControlAvailable      = errors.New("control has a majority of its witnesses and a member: it needs no recovery; see liftgauge status")
+	ErrControlMayBeAvailable = errors.New("control may still have a majority among processes that do not answer: start them, or name the machines whose disks are gone for good with --lost")
+	ErrStaleFounder          = errors.New("the process that would found control has not heard of the newest state yet: ask again in a second")
+	ErrNoSuchNode            = errors.New("the machine named by --at does not answer, or has no disk: name one that the list shows")
+	ErrNoState               = errors.New("nobody knows a configuration or has records of control: give a snapshot with --from FILE")
 )
 
 // Options are what the operator says.
@@ -65,8 +65,8 @@
 	answers  map[string]bool
 }
 
-// Make plans a recovery.
-func Make(accounts []Account, o Options) (*Plan, error) {
+// NewPlan plans a recovery.
+func NewPlan(accounts []Account, o Options) (*Plan, error) {
 	s := newSurvey(accounts, o)
 	if err := s.mayFound(); err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	if source == nil && o.From == nil && founder.Configuration.Count == 0 && founder.Partitions.Count == 0 {
-		return nil, ErrNothing
+		return nil, ErrNoState
 	}
 	self := replication.Peer{Member: founder.Member, Address: founder.Address}
 	p := &Plan{
@@ -149,17 +149,17 @@
 // mayFound refuses where the group of before works, or could.
 func (s *survey) mayFound() error {
 	if !slices.ContainsFunc(s.accounts, func(a Account) bool { return a.Member != "" }) {
-		return ErrNobody
+		return ErrNoCandidate
 	}
 	majority := len(s.voters)/2 + 1
 	if s.answering(s.voters) >= majority && s.answering(s.members) > 0 {
-		return ErrControlLive
+		return ErrControlAvailable
 	}
 	if silent := s.silent(s.voters); len(s.voters) > 0 && len(silent) >= majority {
-		return errors.Wrap(ErrMayLive, strings.Join(silent, ", "))
+		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(silent, ", "))
 	}
 	if silent := s.silent(s.members); len(s.voters) > 0 && s.answering(s.voters)+len(s.silent(s.voters)) >= majority && len(silent) > 0 {
-		return errors.Wrap(ErrMayLive, strings.Join(silent, ", ")) // with one of these members there are a majority and a member again
+		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(silent, ", ")) // with one of these members there are a majority and a member again
 	}
 	return nil
 }
@@ -182,7 +182,7 @@
 	}
 	for _, a := range s.accounts {
 		if founder.Configuration.Version.Less(a.Configuration.Version) || founder.Partitions.Version.Less(a.Partitions.Version) {
-			return nil, nil, errors.Wrap(ErrStale, founder.Node)
+			return nil, nil, errors.Wrap(ErrStaleFounder, founder.Node)
 		}
 	}
 	return founder, source, nil
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -49,7 +49,7 @@
 func TestMajorityOfDisksLost(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(7, 3, "a", "b", "c", "d", "e")
-	p, err := Make([]Account{empty("a", v), account("b", "1", v), empty("d", v), empty("e", v)}, Options{})
+	p, err := NewPlan([]Account{empty("a", v), account("b", "1", v), empty("d", v), empty("e", v)}, Options{})
 	is.NoErr(err)
 	is.Equal(p.Founder.Name, "b")
 	is.Equal(p.Source.Name, "b")
@@ -65,7 +65,7 @@
 func TestRecordsOfAnEarlierView(t *testing.T) {
 	is := is.New(t)
 	before, v := viewOf(7, 3, "a", "b", "c"), viewOf(9, 2, "a", "b", "c")
-	p, err := Make([]Account{empty("a", v), empty("b", v), account("c", "1", before)}, Options{})
+	p, err := NewPlan([]Account{empty("a", v), empty("b", v), account("c", "1", before)}, Options{})
 	is.NoErr(err)
 	is.Equal(p.Source.Name, "c")
 	is.True(strings.Contains(strings.Join(p.Findings, "\n"), "up to epoch 7 of 9"))
@@ -76,12 +76,12 @@
 	is := is.New(t)
 	v := viewOf(7, 2, "a", "b", "c", "d", "e")
 	left := []Account{account("c", "1", v), account("d", "1", v), account("e", "1", v)}
-	_, err := Make(append(left, empty("a", v)), Options{})
-	is.True(errors.Is(err, ErrMayLive)) // b may come back with everything
-	p, err := Make(append(left, empty("a", v), empty("b", v)), Options{})
+	_, err := NewPlan(append(left, empty("a", v)), Options{})
+	is.True(errors.Is(err, ErrControlMayBeAvailable)) // b may come back with everything
+	p, err := NewPlan(append(left, empty("a", v), empty("b", v)), Options{})
 	is.NoErr(err)
 	is.True(p.Source == nil)
-	_, err = Make(append(left, empty("a", v)), Options{Lost: []string{"b"}})
+	_, err = NewPlan(append(left, empty("a", v)), Options{Lost: []string{"b"}})
 	is.NoErr(err)
 }
 
@@ -90,33 +90,33 @@
 	v := viewOf(7, 2, "a", "b", "c")
 	a, b, c := account("a", "1", v), account("b", "1", v), account("c", "1", v)
 	for _, accounts := range [][]Account{{a, b, c}, {a, c}, {a, b}} {
-		_, err := Make(accounts, Options{Lost: []string{"b"}})
-		is.True(errors.Is(err, ErrControlLive))
+		_, err := NewPlan(accounts, Options{Lost: []string{"b"}})
+		is.True(errors.Is(err, ErrControlAvailable))
 	}
-	_, err := Make([]Account{a}, Options{Lost: []string{"b"}})
+	_, err := NewPlan([]Account{a}, Options{Lost: []string{"b"}})
 	is.NoErr(err) // c alone is no majority
-	_, err = Make([]Account{a}, Options{})
-	is.True(errors.Is(err, ErrMayLive))
+	_, err = NewPlan([]Account{a}, Options{})
+	is.True(errors.Is(err, ErrControlMayBeAvailable))
 	is.True(strings.Contains(err.Error(), "b/1, c/1"))
 
 	diskless := Account{Node: "x/control", Name: "x"}
-	_, err = Make([]Account{diskless}, Options{})
-	is.True(errors.Is(err, ErrNobody))
-	_, err = Make(nil, Options{})
-	is.True(errors.Is(err, ErrNobody))
+	_, err = NewPlan([]Account{diskless}, Options{})
+	is.True(errors.Is(err, ErrNoCandidate))
+	_, err = NewPlan(nil, Options{})
+	is.True(errors.Is(err, ErrNoCandidate))
 
-	_, err = Make([]Account{a, empty("b", v), empty("c", v)}, Options{At: "nowhere"})
+	_, err = NewPlan([]Account{a, empty("b", v), empty("c", v)}, Options{At: "nowhere"})
 	is.True(errors.Is(err, ErrNoSuchNode))
 	newer := empty("b", v)
 	newer.Configuration.Version.Term++
-	_, err = Make([]Account{a, newer, empty("c", v)}, Options{})
-	is.True(errors.Is(err, ErrStale))
+	_, err = NewPlan([]Account{a, newer, empty("c", v)}, Options{})
+	is.True(errors.Is(err, ErrStaleFounder))
 
 	unknowing := Account{Node: "a/control", Name: "a", Member: "a/2", Address: "a"}
-	_, err = Make([]Account{unknowing}, Options{})
-	is.True(errors.Is(err, ErrNothing))
+	_, err = NewPlan([]Account{unknowing}, Options{})
+	is.True(errors.Is(err, ErrNoState))
 	from := &snapshot.Snapshot{Node: "old/control", TakenAt: time.Unix(0, 0), Epoch: 50, Generation: 4}
-	p, err := Make([]Account{unknowing}, Options{From: from})
+	p, err := NewPlan([]Account{unknowing}, Options{From: from})
 	is.NoErr(err)
 	is.Equal(p.View.Generation, uint64(5))
 	is.Equal(p.View.Epoch, uint64(50+replication.RecoveryEpochGap))
@@ -128,10 +128,10 @@
 	is := is.New(t)
 	old, v := viewOf(3000, 3, "a", "b", "c"), viewOf(1031, 3, "a", "b", "c")
 	v.Generation = 1
-	p, err := Make([]Account{account("a", "1", old), account("b", "1", v)}, Options{Lost: []string{"c", "a"}})
-	is.True(errors.Is(err, ErrControlLive)) // a answers: with b it is a majority of the newest view
+	p, err := NewPlan([]Account{account("a", "1", old), account("b", "1", v)}, Options{Lost: []string{"c", "a"}})
+	is.True(errors.Is(err, ErrControlAvailable)) // a answers: with b it is a majority of the newest view
 	is.True(p == nil)
-	p, err = Make([]Account{account("b", "1", v)}, Options{Lost: []string{"c", "a"}})
+	p, err = NewPlan([]Account{account("b", "1", v)}, Options{Lost: []string{"c", "a"}})
 	is.NoErr(err)
 	is.Equal(p.View.Generation, uint64(2))
 }
@@ -142,7 +142,7 @@
 	v := viewOf(7, 3, "a", "b", "c")
 	a := account("a", "1", v)
 	a.Stores, a.Silent = []string{"s1/1", "s2/1"}, []string{"s2/1"}
-	p, err := Make([]Account{a, empty("b", v), empty("c", v)}, Options{})
+	p, err := NewPlan([]Account{a, empty("b", v), empty("c", v)}, Options{})
 	is.NoErr(err)
 	is.True(strings.Contains(strings.Join(p.Findings, "\n"), "store s2/1 does not answer"))
 }
--- a/internal/roles/control/recovery_test.go
+++ b/internal/roles/control/recovery_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	plan, err := recovery.Make(accounts, o)
+	plan, err := recovery.NewPlan(accounts, o)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -197,14 +197,14 @@
 	make := func(o recovery.Options) error {
 		accounts, err := c.client().Accounts(c.ctx)
 		is.NoErr(err)
-		_, err = recovery.Make(accounts, o)
+		_, err = recovery.NewPlan(accounts, o)
 		return err
 	}
-	is.True(errors.Is(make(recovery.Options{}), recovery.ErrControlLive))
+	is.True(errors.Is(make(recovery.Options{}), recovery.ErrControlAvailable))
 	c.kill(c.machine(1))
 	c.kill(c.machine(2))
-	is.True(errors.Is(make(recovery.Options{}), recovery.ErrMayLive))
-	is.True(errors.Is(make(recovery.Options{Lost: []string{"control-3"}}), recovery.ErrMayLive))
+	is.True(errors.Is(make(recovery.Options{}), recovery.ErrControlMayBeAvailable))
+	is.True(errors.Is(make(recovery.Options{Lost: []string{"control-3"}}), recovery.ErrControlMayBeAvailable))
 	is.NoErr(make(recovery.Options{Lost: []string{"control-1", "control-2"}}))
 }
 
@@ -233,7 +233,7 @@
 	c.awaitHeard(recoveredPartitions, 2)
 	accounts, err := c.client().Accounts(c.ctx)
 	is.NoErr(err)
-	plan, err := recovery.Make(accounts, recovery.Options{})
+	plan, err := recovery.NewPlan(accounts, recovery.Options{})
 	is.NoErr(err)
 	low := *plan
 	low.View = replication.FirstViewOfGeneration(replication.Peer{Member: plan.Founder.Member, Address: plan.Founder.Address}, 1, 1)
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -39,12 +39,12 @@
 	},
 	{
 		Promise: "nothing is founded beside a control that works", File: "internal/recovery/plan.go",
-		Old: "\t\treturn ErrControlLive\n", New: "\t\treturn nil\n",
+		Old: "\t\treturn ErrControlAvailable\n", New: "\t\treturn nil\n",
 		Package: "./internal/recovery",
 	},
 	{
 		Promise: "a founder knows the newest of what everybody heard", File: "internal/recovery/plan.go",
-		Old: "return nil, nil, errors.Wrap(ErrStale, founder.Node)", New: "continue",
+		Old: "return nil, nil, errors.Wrap(ErrStaleFounder, founder.Node)", New: "continue",
 		Package: "./internal/recovery",
 	},
 	{
--- a/sim/system/foundanew_test.go
+++ b/sim/system/foundanew_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	plan, err := recovery.Make(accounts, o)
+	plan, err := recovery.NewPlan(accounts, o)
 	if err != nil {
 		return nil, err
 	}
