--- a/cmd/liftlab/fleetlog.go
+++ b/cmd/liftlab/fleetlog.go
@@ -67,19 +67,19 @@
 
 func printCounts(out io.Writer, c *fleetlog.Counts) {
 	fmt.Fprintf(out, "%d attempts of %d dispatchers in %v, %d waited over %v; hosts used by zone %v\n", c.Attempts, c.Dispatchers,
-		c.Span.Round(time.Millisecond), c.Late, fleetlog.Waited, c.Sizes)
+		c.Span.Round(time.Millisecond), c.Late, fleetlog.LateStartThreshold, c.HostsByZone)
 	fmt.Fprintf(out, "attempts ended:")
 	for _, s := range slices.SortedFunc(maps.Keys(c.Statuses), func(a, b string) int { return c.Statuses[b] - c.Statuses[a] }) {
 		fmt.Fprintf(out, " %s %d", s, c.Statuses[s])
 	}
-	fmt.Fprintf(out, "\nmessages by attempts: %v, without an answer %d\n", c.Tries, c.Unanswered)
+	fmt.Fprintf(out, "\nmessages by attempts: %v, without an answer %d\n", c.MessagesByAttempts, c.Unanswered)
 	answers := []string{"failed", "served", "back-off answer"}
 	for _, o := range c.Outcomes {
 		if o.Kind >= 0 && o.Kind < len(answers) {
 			fmt.Fprintf(out, "class %d %s: %d\n", o.Class, answers[o.Kind], o.Messages)
 		}
 	}
-	fmt.Fprintf(out, "to cold hosts: %d attempts, %d at one within 2 s at most\n", c.Cold, c.ColdMost)
+	fmt.Fprintf(out, "to cold hosts: %d attempts, %d at one within 2 s at most\n", c.Cold, c.MaxColdPerHost)
 	fmt.Fprintf(out, "by time and zone %v: sent, waited, running a host\n", c.Zones)
 	for i, row := range c.Times {
 		fmt.Fprintf(out, "%6v", time.Duration(i)*c.Step)
@@ -91,13 +91,13 @@
 	for _, s := range c.Spreads {
 		fmt.Fprintf(out, "zone %d kind %d: %d hosts, attempts a host %d / %d / %d (least, median, most)\n", s.Zone, s.Kind, s.Hosts, s.Least, s.Median, s.Most)
 	}
-	fmt.Fprintf(out, "dispatchers by most used zone %v, sent outside it %.3f\n", c.Homes, c.Outside)
-	if c.Strange+c.Orphans+len(c.Cut)+len(c.Foreign) > 0 {
-		fmt.Fprintf(out, "passed over: %d lines of other kinds, %d starts and ends without a send", c.Strange, c.Orphans)
+	fmt.Fprintf(out, "dispatchers by most used zone %v, sent outside it %.3f\n", c.HomeZones, c.OutsideHomeZone)
+	if c.Unrecognized+c.Orphans+len(c.Truncated)+len(c.Foreign) > 0 {
+		fmt.Fprintf(out, "passed over: %d lines of other kinds, %d starts and ends without a send", c.Unrecognized, c.Orphans)
 		for _, x := range []struct {
 			what  string
 			files []string
-		}{{"cut off", c.Cut}, {"of other programs", c.Foreign}} {
+		}{{"cut off", c.Truncated}, {"of other programs", c.Foreign}} {
 			if len(x.files) > 0 {
 				fmt.Fprintf(out, ", %d files %s (%s)", len(x.files), x.what, strings.Join(x.files[:min(3, len(x.files))], " "))
 			}
--- a/internal/fleetlog/count.go
+++ b/internal/fleetlog/count.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Waited is the wait that is counted: an attempt that did not start within it.
-const Waited = 200 * time.Millisecond
+// LateStartThreshold is the wait that is counted: an attempt that did not start within it.
+const LateStartThreshold = 200 * time.Millisecond
 
 // ZoneTime is what the hosts of a zone did in a stretch of time.
 type ZoneTime struct {
@@ -37,29 +37,29 @@
 
 // Counts are what the logs of a fleet show.
 type Counts struct {
-	Lines       int            `json:"lines"`
-	Dispatchers int            `json:"dispatchers"` // with attempts
-	Attempts    int            `json:"attempts"`
-	Late        int            `json:"waited"`        // attempts that did not start within 0.2 s
-	Statuses    map[string]int `json:"ended"`         // attempts by how they ended
-	Sizes       map[int]int    `json:"hosts_by_zone"` // that were used
-	Tries       map[int]int    `json:"tries"`         // messages by their attempts
-	Outcomes    []Outcome      `json:"outcomes"`      // messages by class and answer
-	Unanswered  int            `json:"unanswered"`    // messages with an attempt and no answer
-	Cold        int            `json:"to_cold"`       // attempts at hosts that had started within the time given
-	ColdMost    int            `json:"to_cold_most"`  // the most of them at one host within 2 s
-	Homes       map[int]int    `json:"homes"`         // dispatchers by the zone that they used most
-	Outside     float64        `json:"outside"`       // share of the attempts that went to another zone than that
-	Step        time.Duration  `json:"step_ns"`       // of Times
-	Times       [][]ZoneTime   `json:"times"`         // by stretch and place in Zones
-	Zones       []int          `json:"zones"`         // in order
-	Spreads     []Spread       `json:"spreads"`       // by zone and kind
-	Strange     int            `json:"strange_lines"` // passed over
-	Cut         []string       `json:"cut_files"`     // whose last line has no end
-	Foreign     []string       `json:"foreign_files"` // without one line of a dispatcher's log
-	Orphans     int            `json:"without_send"`  // starts and ends of attempts whose sending is in none of the logs
-	First       time.Time      `json:"first"`         // of all lines
-	Span        time.Duration  `json:"span_ns"`       // to the last
+	Lines              int            `json:"lines"`
+	Dispatchers        int            `json:"dispatchers"` // with attempts
+	Attempts           int            `json:"attempts"`
+	Late               int            `json:"waited"`        // attempts that did not start within 0.2 s
+	Statuses           map[string]int `json:"ended"`         // attempts by how they ended
+	HostsByZone        map[int]int    `json:"hosts_by_zone"` // that were used
+	MessagesByAttempts map[int]int    `json:"tries"`         // messages by their attempts
+	Outcomes           []Outcome      `json:"outcomes"`      // messages by class and answer
+	Unanswered         int            `json:"unanswered"`    // messages with an attempt and no answer
+	Cold               int            `json:"to_cold"`       // attempts at hosts that had started within the time given
+	MaxColdPerHost     int            `json:"to_cold_most"`  // the most of them at one host within 2 s
+	HomeZones          map[int]int    `json:"homes"`         // dispatchers by the zone that they used most
+	OutsideHomeZone    float64        `json:"outside"`       // share of the attempts that went to another zone than that
+	Step               time.Duration  `json:"step_ns"`       // of Times
+	Times              [][]ZoneTime   `json:"times"`         // by stretch and place in Zones
+	Zones              []int          `json:"zones"`         // in order
+	Spreads            []Spread       `json:"spreads"`       // by zone and kind
+	Unrecognized       int            `json:"strange_lines"` // passed over
+	Truncated          []string       `json:"cut_files"`     // whose last line has no end
+	Foreign            []string       `json:"foreign_files"` // without one line of a dispatcher's log
+	Orphans            int            `json:"without_send"`  // starts and ends of attempts whose sending is in none of the logs
+	First              time.Time      `json:"first"`         // of all lines
+	Span               time.Duration  `json:"span_ns"`       // to the last
 }
 
 // mostRows is how many stretches of time are told apart: a day of seconds. Logs of other days among them would want
@@ -80,7 +80,7 @@
 
 // Count counts the logs in a folder. A host is cold while it has been up for less than warm, where the logs tell since when.
 func Count(dir fs.FS, warm, step time.Duration) (*Counts, error) {
-	c := &Counts{Statuses: map[string]int{}, Sizes: map[int]int{}, Tries: map[int]int{}, Homes: map[int]int{}, Step: step}
+	c := &Counts{Statuses: map[string]int{}, HostsByZone: map[int]int{}, MessagesByAttempts: map[int]int{}, HomeZones: map[int]int{}, Step: step}
 	var all []*attempt
 	var last time.Time
 	live := map[key]*attempt{}
@@ -127,7 +127,7 @@
 			outcomes[Outcome{Class: l.number("class"), Kind: l.number("kind")}]++
 		}
 	})
-	c.Strange, c.Cut, c.Foreign = noise.Strange, noise.Cut, noise.Foreign
+	c.Unrecognized, c.Truncated, c.Foreign = noise.Unrecognized, noise.Truncated, noise.Foreign
 	if err != nil {
 		return c, err
 	}
@@ -139,11 +139,11 @@
 		return c, fmt.Errorf("they span %v, %d rows of %v: logs of several runs, or a longer --step is wanted", c.Span, c.Span/step, step)
 	}
 	for _, p := range hosts {
-		c.Sizes[p.zone]++
+		c.HostsByZone[p.zone]++
 	}
-	c.Zones = slices.Sorted(maps.Keys(c.Sizes))
+	c.Zones = slices.Sorted(maps.Keys(c.HostsByZone))
 	for message, n := range tries {
-		c.Tries[n]++
+		c.MessagesByAttempts[n]++
 		if !answered[message] {
 			c.Unanswered++
 		}
@@ -160,7 +160,7 @@
 			for at[to].Sub(at[from]) > 2*time.Second {
 				from++
 			}
-			c.ColdMost = max(c.ColdMost, to-from+1)
+			c.MaxColdPerHost = max(c.MaxColdPerHost, to-from+1)
 		}
 	}
 	outside := 0
@@ -171,10 +171,10 @@
 				home, most = z, zones[z]
 			}
 		}
-		c.Homes[home]++
+		c.HomeZones[home]++
 		outside += sum - most
 	}
-	c.Outside = float64(outside) / float64(len(all))
+	c.OutsideHomeZone = float64(outside) / float64(len(all))
 	perHost := map[string]int{}
 	for _, a := range all {
 		perHost[a.host]++
@@ -215,7 +215,7 @@
 	}
 	sent := at(a.sent.Sub(c.First))
 	sent.Sent++
-	if began.Sub(a.sent) > Waited {
+	if began.Sub(a.sent) > LateStartThreshold {
 		sent.Waited++
 		c.Late++
 	}
@@ -224,6 +224,6 @@
 	}
 	for t := a.start.Sub(c.First); t < end.Sub(c.First); t = (t/c.Step + 1) * c.Step { // the part of each stretch
 		until := min((t/c.Step+1)*c.Step, end.Sub(c.First))
-		at(t).Running += (until - t).Seconds() / c.Step.Seconds() / float64(c.Sizes[zone])
+		at(t).Running += (until - t).Seconds() / c.Step.Seconds() / float64(c.HostsByZone[zone])
 	}
 }
--- a/internal/fleetlog/fleetlog_test.go
+++ b/internal/fleetlog/fleetlog_test.go
@@ -69,21 +69,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprint(c.Attempts, c.Dispatchers, c.Late, c.Statuses, c.Sizes, c.Tries, c.Outcomes, c.Unanswered, c.Cold, c.ColdMost, c.Homes)
+	got := fmt.Sprint(c.Attempts, c.Dispatchers, c.Late, c.Statuses, c.HostsByZone, c.MessagesByAttempts, c.Outcomes, c.Unanswered, c.Cold, c.MaxColdPerHost, c.HomeZones)
 	// Attempts a, b, b again, c, d. Late: b (never started), b again and c; d goes to the end of the logs, which is at once.
 	want := "5 3 3 map[none:2 ok:2 withdrawn:1] map[0:1 3:2] map[1:3 2:1] [{0 1 1} {1 1 1}] 2 2 2 map[0:2 3:1]"
 	if got != want {
 		t.Errorf("%s\nwant %s", got, want)
 	}
-	if c.Strange != 4 || fmt.Sprint(c.Cut, c.Foreign) != "[n3.log] [n2.log n4.log n5.log]" || c.Orphans != 1 {
-		t.Errorf("%d lines, cut %v, foreign %v, %d orphans", c.Strange, c.Cut, c.Foreign, c.Orphans)
+	if c.Unrecognized != 4 || fmt.Sprint(c.Truncated, c.Foreign) != "[n3.log] [n2.log n4.log n5.log]" || c.Orphans != 1 {
+		t.Errorf("%d lines, cut %v, foreign %v, %d orphans", c.Unrecognized, c.Truncated, c.Foreign, c.Orphans)
 	}
 	// s-1, the only host of zone 0, runs a from 10 to 1010 ms and c from 1500 to 2500 ms.
 	if r := c.Times; len(r) != 4 || fmt.Sprintf("%.2f %.2f %.2f", r[0][0].Running, r[1][0].Running, r[2][0].Running) != "0.99 0.51 0.50" || r[0][0].Sent != 2 || r[0][0].Waited != 1 {
 		t.Errorf("%+v", r)
 	}
-	if c.Outside != 0.2 || c.Span != 3*time.Second || fmt.Sprint(c.Spreads) != "[{0 1 1 3 3 3} {3 1 2 1 1 1}]" {
-		t.Error(c.Outside, c.Span, c.Spreads)
+	if c.OutsideHomeZone != 0.2 || c.Span != 3*time.Second || fmt.Sprint(c.Spreads) != "[{0 1 1 3 3 3} {3 1 2 1 1 1}]" {
+		t.Error(c.OutsideHomeZone, c.Span, c.Spreads)
 	}
 	lines, _, err := Follow(dir, "b")
 	if err != nil || len(lines) != 3 || lines[0].Dispatcher != "n0" || lines[2].At.Before(lines[0].At) {
@@ -116,8 +116,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if lines := bytes.Count(data, []byte("\n")); n+noise.Strange > lines+1 {
-			t.Errorf("%d lines and %d strange ones of %d", n, noise.Strange, lines)
+		if lines := bytes.Count(data, []byte("\n")); n+noise.Unrecognized > lines+1 {
+			t.Errorf("%d lines and %d strange ones of %d", n, noise.Unrecognized, lines)
 		}
 		_, _ = Count(fstest.MapFS{"n.log": {Data: data}}, time.Second, time.Second)
 	})
--- a/internal/fleetlog/read.go
+++ b/internal/fleetlog/read.go
@@ -27,9 +27,9 @@
 
 // Noise counts what could not be used.
 type Noise struct {
-	Strange int      // lines that are no line of a dispatcher's log
-	Cut     []string // files whose last line has no end
-	Foreign []string // files without one line of a dispatcher's log
+	Unrecognized int      // lines that are no line of a dispatcher's log
+	Truncated    []string // files whose last line has no end
+	Foreign      []string // files without one line of a dispatcher's log
 }
 
 // maxLine is the longest line taken; the dispatcher's are a few hundred bytes.
@@ -67,7 +67,7 @@
 		text, err := r.ReadSlice('\n')
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull): // no line of ours: pass over the rest of it
-			n.Strange++
+			n.Unrecognized++
 			for errors.Is(err, bufio.ErrBufferFull) {
 				_, err = r.ReadSlice('\n')
 			}
@@ -77,10 +77,10 @@
 				good++
 				each(line)
 			} else if len(text) > 1 {
-				n.Strange++
+				n.Unrecognized++
 			}
 		case errors.Is(err, io.EOF) && len(text) > 0:
-			n.Cut = append(n.Cut, name)
+			n.Truncated = append(n.Truncated, name)
 		}
 		if errors.Is(err, io.EOF) {
 			if good == 0 {
