--- a/cmd/liftgauge/pulls.go
+++ b/cmd/liftgauge/pulls.go
@@ -112,7 +112,7 @@
 	if p == nil { // the platform's figures stay what they are
 		return nil
 	}
-	all := []control.Figure{{Name: "held_bytes", N: bytes.Held()}, {Name: "held_bytes_peak", N: bytes.Peak()}, {Name: "held_turned_total", N: bytes.Turned()}}
+	all := []control.Figure{{Name: "held_bytes", N: bytes.Held()}, {Name: "held_bytes_peak", N: bytes.Peak()}, {Name: "held_turned_total", N: bytes.Rejected()}}
 	c := p.Counts()
 	for _, f := range []control.Figure{
 		{Name: "submitted_total", N: c.Submitted}, {Name: "attached_total", N: c.Attached}, {Name: "served_total", N: c.Served},
@@ -143,7 +143,7 @@
 	all := sockets - ownRoom(n.c)
 	pullConns = min(want, max(all-8, 2))
 	southConns = max(min(southConns, (all-pullConns)/2), 1)
-	northConns = min(all-pullConns-southConns, max(budget.Share(memory).Connections-pullConns/2, 16))
+	northConns = min(all-pullConns-southConns, max(budget.SplitMemory(memory).Connections-pullConns/2, 16))
 	return max(northConns, 1), southConns, pullConns
 }
 
--- a/cmd/liftgauge/serve.go
+++ b/cmd/liftgauge/serve.go
@@ -74,7 +74,7 @@
 func room(c *config.Config, sockets int, memory int64) (northConns, southConns int) {
 	own := ownRoom(c)
 	southConns = max((sockets-own)/4, 1)
-	return min(max(sockets-own-southConns, 1), budget.Share(memory).Connections), southConns
+	return min(max(sockets-own-southConns, 1), budget.SplitMemory(memory).Connections), southConns
 }
 
 // clock returns a monotonic clock that counts from the Unix epoch, so that times on the list compare with it. A step of
@@ -128,7 +128,7 @@
 		return err
 	}
 	n, known := meet(ctx, c, known, log)
-	shares := budget.Share(c.Memory)
+	shares := budget.SplitMemory(c.Memory)
 	debug.SetMemoryLimit(shares.Runtime)
 	bytes := budget.New(shares.Messages, shares.Calls)
 	state := n.store.State()
--- a/cmd/liftgauge/upgrade.go
+++ b/cmd/liftgauge/upgrade.go
@@ -150,7 +150,7 @@
 	if on {
 		memory, sockets = memory/2, sockets/2
 	}
-	shares := budget.Share(memory)
+	shares := budget.SplitMemory(memory)
 	debug.SetMemoryLimit(shares.Runtime)
 	n.bytes.SetLimit(shares.Messages)
 	northConns, southConns, _ := n.room(sockets, memory)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -20,10 +20,10 @@
 
 // What things cost beside the bytes that they carry: stacks, tables, buffers, timers.
 const (
-	Connection = 14 << 10 // a client's connection with its buffers and goroutines
-	Message    = 12 << 10 // a message with its head and an attempt under way, each with a goroutine
-	Job        = 3 << 8   // a job that needs none
-	Call       = 2 << 10  // a call-back
+	ConnectionCost = 14 << 10 // a client's connection with its buffers and goroutines
+	MessageCost    = 12 << 10 // a message with its head and an attempt under way, each with a goroutine
+	JobCost        = 3 << 8   // a job that needs none
+	CallbackCost   = 2 << 10  // a call-back
 )
 
 // Shares are how a limit of memory is shared out.
@@ -34,12 +34,12 @@
 	Calls       int64 // what call-backs under way may hold
 }
 
-// Share shares out a limit of memory. Three quarters are the runtime's. Of these some are in use at rest, and a fifth is
+// SplitMemory shares out a limit of memory. Three quarters are the runtime's. Of these some are in use at rest, and a fifth is
 // left to garbage: without that the collector would run without end.
-func Share(memory int64) Shares {
+func SplitMemory(memory int64) Shares {
 	s := Shares{Runtime: memory * 3 / 4}
 	free := max(s.Runtime-atRest, s.Runtime/8)
-	s.Connections = int(max(free/5/Connection, 16))
+	s.Connections = int(max(free/5/ConnectionCost, 16))
 	s.Messages = max(free/2, 2*largest)
 	s.Calls = max(free/10, 8*largest)
 	return s
@@ -71,9 +71,9 @@
 func (b *Budget) SetLimit(messages int64) { b.limit.Store(messages) }
 
 // Held is what messages hold, Peak the most that they ever held, and Turned how many found no room.
-func (b *Budget) Held() int64   { return b.held.Load() }
-func (b *Budget) Peak() int64   { return b.peak.Load() }
-func (b *Budget) Turned() int64 { return b.turned.Load() }
+func (b *Budget) Held() int64     { return b.held.Load() }
+func (b *Budget) Peak() int64     { return b.peak.Load() }
+func (b *Budget) Rejected() int64 { return b.turned.Load() }
 
 // take adds to what is held if there is room.
 func (b *Budget) take(n int64) bool {
@@ -99,19 +99,19 @@
 	}
 }
 
-// Call returns a Hold of a call-back with a body of so many bytes, which becomes a text of the parser's and a result, and
+// ReserveCallback returns a Hold of a call-back with a body of so many bytes, which becomes a text of the parser's and a result, and
 // one share in it. It waits for room in the order of calls, until the context ends.
-func (b *Budget) Call(ctx context.Context, body int) (*Hold, error) {
-	n := min(Call+int64(Size(body)+2*body), b.mostCall)
+func (b *Budget) ReserveCallback(ctx context.Context, body int) (*Reservation, error) {
+	n := min(CallbackCost+int64(BufferSize(body)+2*body), b.mostCall)
 	if err := b.calls.Acquire(ctx, n); err != nil {
 		return nil, err
 	}
 	return newHold(b, n, body, true), nil
 }
 
-// Hold is what one message or call-back holds. Everybody who uses it or its buffer has a share in it; when the last lets go the bytes
+// Reservation is what one message or call-back holds. Everybody who uses it or its buffer has a share in it; when the last lets go the bytes
 // are given back and the buffer may be another message's.
-type Hold struct {
+type Reservation struct {
 	b      *Budget
 	n      atomic.Int64
 	shares atomic.Int32
@@ -119,16 +119,16 @@
 	buf    []byte
 }
 
-func newHold(b *Budget, n int64, body int, call bool) *Hold {
-	h := &Hold{b: b, call: call, buf: Get(body)}
+func newHold(b *Budget, n int64, body int, call bool) *Reservation {
+	h := &Reservation{b: b, call: call, buf: GetBuffer(body)}
 	h.n.Store(n)
 	h.shares.Store(1)
 	return h
 }
 
-// Take returns a Hold of a message that costs so much beside its body of so many bytes, and one share in it. Nil: no room.
-func (b *Budget) Take(body int, cost int64) *Hold {
-	n := cost + int64(Size(body))
+// TryReserve returns a Hold of a message that costs so much beside its body of so many bytes, and one share in it. Nil: no room.
+func (b *Budget) TryReserve(body int, cost int64) *Reservation {
+	n := cost + int64(BufferSize(body))
 	if !b.take(n) {
 		return nil
 	}
@@ -136,10 +136,10 @@
 }
 
 // Buffer is room for the body.
-func (h *Hold) Buffer() []byte { return h.buf }
+func (h *Reservation) Buffer() []byte { return h.buf }
 
-// Share adds a share. The caller must have one, or know of one that cannot end meanwhile. A nil Hold has no shares.
-func (h *Hold) Share() {
+// Retain adds a share. The caller must have one, or know of one that cannot end meanwhile. A nil Hold has no shares.
+func (h *Reservation) Retain() {
 	if h != nil {
 		h.shares.Add(1)
 	}
@@ -147,15 +147,15 @@
 
 // Grow makes a message's Hold hold more, whether there is room or not: what it is for is here already. Less than 0 gives
 // some of it back.
-func (h *Hold) Grow(n int64) {
+func (h *Reservation) Grow(n int64) {
 	if h != nil && n != 0 {
 		h.n.Add(n)
 		h.b.top(h.b.held.Add(n))
 	}
 }
 
-// Drop ends a share.
-func (h *Hold) Drop() {
+// Release ends a share.
+func (h *Reservation) Release() {
 	if h == nil {
 		return
 	}
@@ -169,7 +169,7 @@
 		} else {
 			h.b.held.Add(-h.n.Load())
 		}
-		Put(h.buf)
+		PutBuffer(h.buf)
 		h.buf = nil
 	}
 }
@@ -191,16 +191,16 @@
 	return max(bits.Len(uint(n-1)), leastBits) - leastBits
 }
 
-// Size is what a buffer of a length takes up.
-func Size(n int) int {
+// BufferSize is what a buffer of a length takes up.
+func BufferSize(n int) int {
 	if c := class(n); c >= 0 {
 		return 1 << (c + leastBits)
 	}
 	return n
 }
 
-// Get returns a buffer of a length. Its bytes are whatever was there before.
-func Get(n int) []byte {
+// GetBuffer returns a buffer of a length. Its bytes are whatever was there before.
+func GetBuffer(n int) []byte {
 	c := class(n)
 	if c < 0 {
 		return make([]byte, n)
@@ -211,13 +211,13 @@
 	return make([]byte, n, 1<<(c+leastBits))
 }
 
-// Put takes back a buffer that nobody uses any more. Those that are not of Get are dropped.
-func Put(b []byte) {
+// PutBuffer takes back a buffer that nobody uses any more. Those that are not of Get are dropped.
+func PutBuffer(b []byte) {
 	if c := class(cap(b)); c >= 0 && cap(b) == 1<<(c+leastBits) {
 		b = b[:0]
 		pools[c].Put(&b)
 	}
 }
 
-// Take0 returns a Hold of nothing yet, which Grow is to be used on.
-func (b *Budget) Take0() *Hold { return newHold(b, 0, 0, false) }
+// ReserveEmpty returns a Hold of nothing yet, which Grow is to be used on.
+func (b *Budget) ReserveEmpty() *Reservation { return newHold(b, 0, 0, false) }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -14,7 +14,7 @@
 	const limit = 1 << 20
 	b := New(limit, 1<<20)
 	type item struct {
-		h      *Hold
+		h      *Reservation
 		n      int64
 		shares int
 	}
@@ -24,8 +24,8 @@
 		switch k := rng.IntN(6); {
 		case k < 2:
 			body, more := rng.IntN(64<<10+1), int64(rng.IntN(20000))
-			n := more + int64(Size(body))
-			h := b.Take(body, more)
+			n := more + int64(BufferSize(body))
+			h := b.TryReserve(body, more)
 			if (h != nil) != (held+n <= limit) {
 				t.Fatalf("step %d: taken %v with %d of %d held and %d wanted", step, h != nil, held, limit, n)
 			}
@@ -42,12 +42,12 @@
 			it.n, held = it.n+n, held+n
 		case k == 3:
 			it := all[rng.IntN(len(all))]
-			it.h.Share()
+			it.h.Retain()
 			it.shares++
 		default:
 			i := rng.IntN(len(all))
 			it := all[i]
-			it.h.Drop()
+			it.h.Release()
 			if it.shares--; it.shares == 0 {
 				held -= it.n
 				all[i] = all[len(all)-1]
@@ -67,19 +67,19 @@
 	for g := range 8 {
 		all.Go(func() {
 			for i := range 500 {
-				h := b.Take(3000+i*100, 0)
+				h := b.TryReserve(3000+i*100, 0)
 				for j := range h.Buffer() {
 					h.Buffer()[j] = byte(g)
 				}
-				h.Share()
-				h.Drop()
+				h.Retain()
+				h.Release()
 				for _, x := range h.Buffer() {
 					if x != byte(g) {
 						t.Errorf("byte of %d in the buffer of %d", x, g)
 						return
 					}
 				}
-				h.Drop()
+				h.Release()
 			}
 		})
 	}
@@ -93,32 +93,32 @@
 func TestCallsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(0, 1000)
-		if b.Take(1, 0) != nil || b.Turned() != 1 {
+		if b.TryReserve(1, 0) != nil || b.Rejected() != 1 {
 			t.Error("a message found room in an empty budget")
 		}
-		first, err := b.Call(t.Context(), 60000) // more than there is: it gets all
+		first, err := b.ReserveCallback(t.Context(), 60000) // more than there is: it gets all
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := false
 		go func() {
-			next, err := b.Call(t.Context(), 10)
+			next, err := b.ReserveCallback(t.Context(), 10)
 			got = err == nil
-			next.Drop()
+			next.Release()
 		}()
 		synctest.Wait()
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
-		if _, err := b.Call(ctx, 10); err == nil || got {
+		if _, err := b.ReserveCallback(ctx, 10); err == nil || got {
 			t.Errorf("error %v, got %v while all is taken", err, got)
 		}
-		first.Share() // one is the event's in the owner's queue
-		first.Drop()
+		first.Retain() // one is the event's in the owner's queue
+		first.Release()
 		synctest.Wait()
 		if got {
 			t.Error("room while the event is still in the queue")
 		}
-		first.Drop()
+		first.Release()
 		synctest.Wait()
 		if !got {
 			t.Error("the next in turn got no room")
@@ -128,9 +128,9 @@
 
 func TestShare(t *testing.T) {
 	for _, mb := range []int64{16, 24, 64, 192} {
-		s := Share(mb << 20)
-		all := int64(s.Connections)*Connection + s.Messages + s.Calls
-		if s.Messages < Message+largest || s.Calls < 3*largest || all > s.Runtime*4/5 {
+		s := SplitMemory(mb << 20)
+		all := int64(s.Connections)*ConnectionCost + s.Messages + s.Calls
+		if s.Messages < MessageCost+largest || s.Calls < 3*largest || all > s.Runtime*4/5 {
 			t.Errorf("%d MB: %+v, in all %d", mb, s, all)
 		}
 	}
--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -52,7 +52,7 @@
 
 // submit takes a job, or attaches the client to the same one where that is open. It returns the hold if it is still the
 // caller's.
-func (c *conn) submit(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Hold) *budget.Hold {
+func (c *conn) submit(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Reservation) *budget.Reservation {
 	s := c.s
 	g, table := s.settings.Load(), s.table.Load()
 	name, unique := string(args[0]), string(args[1])
@@ -134,7 +134,7 @@
 		class = f.Background
 	}
 	w.Keyed = s.Classes[class].Effect == balance.Keyed
-	d.message = &owner.Message{Key: w.ID, Payload: w, Settled: hold.Drop, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
+	d.message = &owner.Message{Key: w.ID, Payload: w, Settled: hold.Release, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
 		Hint: w.Hint, Weight: p.Weight()}}
 	if s.Subject != nil {
 		d.message.Subject = s.Subject(unique)
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -48,7 +48,7 @@
 	marks     []mark
 	writing   bool
 	broken    bool
-	room      *budget.Hold // what the buffer holds
+	room      *budget.Reservation // what the buffer holds
 }
 
 // mark is an attempt whose JOB_ASSIGN ends at a place in the stream.
@@ -240,11 +240,11 @@
 		return err
 	}
 	var body []byte
-	var hold *budget.Hold // of data that go on; whoever takes them over sets it to nil
+	var hold *budget.Reservation // of data that go on; whoever takes them over sets it to nil
 	switch h.Type {
 	case packet.SubmitJob, packet.SubmitJobBg, packet.SubmitJobHigh, packet.SubmitJobHighBg, packet.SubmitJobLow, packet.SubmitJobLowBg,
 		packet.SubmitJobSched, packet.SubmitJobEpoch, packet.SubmitReduceJob, packet.SubmitReduceJobBg:
-		if hold = c.s.Budget.Take(size, budget.Job); hold == nil {
+		if hold = c.s.Budget.TryReserve(size, budget.JobCost); hold == nil {
 			done := c.limit(size)
 			_, err := c.r.Discard(size)
 			done()
@@ -261,12 +261,12 @@
 			break
 		}
 		// Not read on until there is room: what workers bring has an account that messages cannot fill.
-		if hold, err = c.s.Budget.Call(c.s.ctx, size); err != nil {
+		if hold, err = c.s.Budget.ReserveCallback(c.s.ctx, size); err != nil {
 			return err
 		}
 		body = hold.Buffer()
 	}
-	defer func() { hold.Drop() }()
+	defer func() { hold.Release() }()
 	done = c.limit(size)
 	_, err = io.ReadFull(c.r, body)
 	done()
@@ -507,7 +507,7 @@
 }
 
 // word is what a worker says of a job that it is at. It returns the hold if it is still the caller's.
-func (c *conn) word(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Hold) *budget.Hold {
+func (c *conn) word(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Reservation) *budget.Reservation {
 	s := c.s
 	handle := string(args[0])
 	s.mu.Lock()
@@ -544,8 +544,8 @@
 		if !w.Streams || hold == nil { // else it is copied again before the hold ends
 			result = append(parts, result...)
 		}
-		s.Desk.Served(a, result, hold.Drop)
-		w.Held().Drop()
+		s.Desk.Served(a, result, hold.Release)
+		w.Held().Release()
 		return nil
 	case w.Streams:
 		p := passed{t: t}
@@ -554,7 +554,7 @@
 				p.args[i] = append([]byte(nil), args[i]...)
 			}
 		}
-		s.Desk.Passed(a, p, hold.Drop)
+		s.Desk.Passed(a, p, hold.Release)
 		return nil
 	}
 	return hold
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -307,7 +307,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last++
-	c := &conn{Conn: raw, s: s, id: s.last, r: packet.NewReader(raw), room: s.Budget.Take0(), since: s.Now()}
+	c := &conn{Conn: raw, s: s, id: s.last, r: packet.NewReader(raw), room: s.Budget.ReserveEmpty(), since: s.Now()}
 	c.idle.L = &c.out
 	s.conns[c.id] = c
 	if s.ctx.Err() != nil {
@@ -368,7 +368,7 @@
 	for _, j := range abandoned {
 		s.leave(j)
 	}
-	c.room.Drop()
+	c.room.Release()
 }
 
 // leave tells the owner that nobody waits for a job any more.
@@ -380,14 +380,14 @@
 	if handed {
 		s.Desk.Gone(d.message)
 	} else { // it was to run later
-		d.work.Hold.Drop()
+		d.work.Hold.Release()
 	}
 }
 
 // ended reports an attempt's end. The hold on its data goes with it.
 func (s *Server) ended(a *owner.Attempt, status balance.Status) {
 	s.Desk.Ended(a, status)
-	work.Of(a.Message).Held().Drop()
+	work.Of(a.Message).Held().Release()
 }
 
 // touch has the lister look at a worker. The lock is held.
@@ -492,7 +492,7 @@
 		s.tasks.Go(func() error { s.Desk.Ended(a, balance.NotSent); return nil })
 		return
 	}
-	w.Held().Share() // until it is assigned or has ended
+	w.Held().Retain() // until it is assigned or has ended
 	s.mu.Lock()
 	c := s.workers[a.Host.Name]
 	if c == nil {
--- a/internal/serve/north/conn.go
+++ b/internal/serve/north/conn.go
@@ -264,7 +264,7 @@
 		}
 		return c.finish(e.Status, last || e.Status == 400, fields, []byte(e.Reason+"\n")), nil
 	}
-	hold := c.s.Budget.Take(size, budget.Message+c.s.result.Load())
+	hold := c.s.Budget.TryReserve(size, budget.MessageCost+c.s.result.Load())
 	if hold == nil {
 		if err := c.skip(head); err != nil {
 			return false, err
@@ -273,7 +273,7 @@
 		c.s.end(m.Job.Class, declined)
 		return c.finish(503, last, nil, nil), nil
 	}
-	defer hold.Drop()
+	defer hold.Release()
 	body, err := c.r.ReadBodyInto(&head.Head, hold.Buffer())
 	if err != nil {
 		return false, err
@@ -290,7 +290,7 @@
 // callback reads a host's call and deals with it.
 func (c *conn) callback(head *http1.Request, size int, last bool) (again bool, err error) {
 	within, stop := context.WithTimeout(c.s.run, readLimit)
-	hold, err := c.s.Budget.Call(within, size)
+	hold, err := c.s.Budget.ReserveCallback(within, size)
 	stop()
 	if err != nil { // the host says it again
 		if err := c.skip(head); err != nil {
@@ -298,7 +298,7 @@
 		}
 		return c.finish(503, last, nil, nil), nil
 	}
-	defer hold.Drop()
+	defer hold.Release()
 	c.SetReadDeadline(time.Now().Add(readLimit))
 	body, err := c.r.ReadBodyInto(&head.Head, hold.Buffer())
 	if err != nil {
@@ -310,14 +310,14 @@
 }
 
 // await hands in a message and answers it.
-func (c *conn) await(m *owner.Message, hold *budget.Hold, last, full bool) bool {
+func (c *conn) await(m *owner.Message, hold *budget.Reservation, last, full bool) bool {
 	c.s.open.Add(1)
 	defer c.s.open.Add(-1)
 	c.s.taken.Add(1)
 	reply := c.expect(m, hold)
 	// What is turned away here has reached no host: trying again is harmless.
 	if full || c.s.at() >= Ending || !c.s.Desk.Submit(m) {
-		hold.Drop()
+		hold.Release()
 		c.s.end(m.Job.Class, declined)
 		return c.finish(503, last || c.s.at() >= Closing, nil, nil)
 	}
@@ -325,14 +325,14 @@
 }
 
 // expect has the answer of a message come by a channel.
-func (c *conn) expect(m *owner.Message, hold *budget.Hold) <-chan owner.Answer {
+func (c *conn) expect(m *owner.Message, hold *budget.Reservation) <-chan owner.Answer {
 	reply := make(chan owner.Answer, 1)
 	m.Reply = func(a owner.Answer) {
 		hold.Grow(c.s.resulted(len(a.Result)))
 		reply <- a
 	}
-	hold.Share()
-	m.Settled = hold.Drop
+	hold.Retain()
+	m.Settled = hold.Release
 	return reply
 }
 
--- a/internal/serve/north/message.go
+++ b/internal/serve/north/message.go
@@ -144,7 +144,7 @@
 }
 
 // callback deals with a host's call. While another process serves at the same address the message may be that one's.
-func (s *Server) callback(body []byte, hold *budget.Hold) (status int, reason []byte) {
+func (s *Server) callback(body []byte, hold *budget.Reservation) (status int, reason []byte) {
 	other := s.Other != nil && s.Other.Live()
 	status, known, reason := s.report(body, other, hold)
 	if status != 204 || known || !other {
@@ -172,7 +172,7 @@
 
 // report hands a call-back to the owner, who has a share in what it holds until the word is dealt with. Where it waits, known
 // says whether the message is open here.
-func (s *Server) report(body []byte, wait bool, hold *budget.Hold) (status int, known bool, reason []byte) {
+func (s *Server) report(body []byte, wait bool, hold *budget.Reservation) (status int, known bool, reason []byte) {
 	parser, _ := s.parsers.Get().(*jsonval.Parser)
 	if parser == nil {
 		parser = &jsonval.Parser{}
@@ -190,9 +190,9 @@
 		told = make(chan owner.Standing, 1)
 		tell = func(standing owner.Standing) { told <- standing }
 	}
-	hold.Share()
-	if !s.Desk.Reported(report, tell, hold.Drop) {
-		hold.Drop()
+	hold.Retain()
+	if !s.Desk.Reported(report, tell, hold.Release) {
+		hold.Release()
 		return 503, false, nil // the host says it again
 	}
 	if !wait {
--- a/internal/serve/north/pass.go
+++ b/internal/serve/north/pass.go
@@ -139,11 +139,11 @@
 	if !validID(r.Key) || class < 0 || class >= len(s.Classes) || len(r.Body) > http1.MaxBody {
 		return errors.New("record: no message of these settings")
 	}
-	hold := s.Budget.Take(len(r.Body), budget.Message+s.result.Load())
+	hold := s.Budget.TryReserve(len(r.Body), budget.MessageCost+s.result.Load())
 	if hold == nil {
 		return errNoPlace
 	}
-	defer hold.Drop()
+	defer hold.Release()
 	call := &http1.Call{ID: r.Key, Method: r.Method, Target: r.Target, Fields: r.Fields, Body: hold.Buffer()[:copy(hold.Buffer(), r.Body)], Hold: hold}
 	m := &owner.Message{Key: r.Key, Payload: call, Subject: r.Subject, Job: r.Past.Job}
 	if s.Wrap != nil {
@@ -171,7 +171,7 @@
 			c.serve(false)
 		}
 	}, c); !joined {
-		hold.Drop()
+		hold.Release()
 		<-s.slots
 		return net.ErrClosed
 	}
@@ -179,7 +179,7 @@
 	s.taken.Add(1)
 	ok := s.Desk.Adopt(s.run, m, r.Past)
 	if !ok {
-		hold.Drop()
+		hold.Release()
 		s.open.Add(-1)
 		s.taken.Add(-1)
 		err = errNoPlace
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -28,8 +28,8 @@
 	Keyed    bool   // hosts want a key by which repeats are dropped
 	Hint     time.Duration
 	Data     []byte
-	Hold     *budget.Hold // what Data is in
-	Streams  bool         // its client takes data and warnings as they come
+	Hold     *budget.Reservation // what Data is in
+	Streams  bool                // its client takes data and warnings as they come
 
 	call *http1.Call // as it came over HTTP
 }
@@ -55,7 +55,7 @@
 }
 
 // Held is what the data are in.
-func (w *Work) Held() *budget.Hold {
+func (w *Work) Held() *budget.Reservation {
 	if w.call != nil {
 		return w.call.Hold
 	}
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -72,8 +72,8 @@
 		open := rate * (f.work()/max(speed, 1e-12) + 2*time.Duration(f.Network.Crossing).Seconds())
 		// A job is some five events, and a quarter of a second of them may wait behind one long stop.
 		add("a dispatcher's queue", s, rate*5/4/float64(f.Dispatcher.Queue), true)
-		memory := budget.Share(int64(f.Dispatcher.MemoryMB) << 20).Messages
-		add("a dispatcher's memory", s, open*float64(budget.Message+f.Dispatcher.Body)/float64(memory), true)
+		memory := budget.SplitMemory(int64(f.Dispatcher.MemoryMB) << 20).Messages
+		add("a dispatcher's memory", s, open*float64(budget.MessageCost+f.Dispatcher.Body)/float64(memory), true)
 		add("a dispatcher's descriptors", s, open/(float64(f.Dispatcher.Sockets-32)*3/4), true)
 	}
 	// Each dispatcher keeps a connection to a box for each of its own jobs there, and one at least.
