--- a/cmd/liftgauge/serve.go
+++ b/cmd/liftgauge/serve.go
@@ -235,7 +235,7 @@
 	f.More = append(pulls.figures(bytes), records.figures()...)
 	f.More = append(f.More, members.figures()...)
 	if loads != nil {
-		f.More = append(f.More, control.Figure{Name: "load_reports_bad_total", N: loads.Bad()})
+		f.More = append(f.More, control.Figure{Name: "load_reports_bad_total", N: loads.Unreadable()})
 	}
 	for i, name := range c.Classes {
 		r := clients.Results(i)
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -125,7 +125,7 @@
 		}
 		stop()
 		synctest.Wait()
-		if n := check.Breaches(); n > 0 {
+		if n := check.Violations(); n > 0 {
 			t.Errorf("%d invariants broken: %s", n, &w.log)
 		}
 	})
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -30,8 +30,8 @@
 	return false
 }
 
-// Breaches returns how many were counted.
-func (c *Checker) Breaches() int64 {
+// Violations returns how many were counted.
+func (c *Checker) Violations() int64 {
 	if c == nil {
 		return 0
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -4,7 +4,7 @@
 
 func TestCheck(t *testing.T) {
 	var c Checker
-	if !c.Check(true, "holds") || c.Breaches() != 0 {
+	if !c.Check(true, "holds") || c.Violations() != 0 {
 		t.Error("what holds was counted")
 	}
 	defer func() {
@@ -12,7 +12,7 @@
 			t.Errorf("panic %v, panics is %v", p, panics)
 		}
 	}()
-	if c.Check(false, "does not hold") || c.Breaches() != 1 {
+	if c.Check(false, "does not hold") || c.Violations() != 1 {
 		t.Error("a breach was not counted")
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -20,8 +20,8 @@
 // Header is the field of an answer that carries a report.
 const Header = "Srv-Load"
 
-// MostText bounds the text of a report: the settings name four values at most, each of some twenty bytes.
-const MostText = 1 << 10
+// MaxTextBytes bounds the text of a report: the settings name four values at most, each of some twenty bytes.
+const MaxTextBytes = 1 << 10
 
 // Reader reads reports. A nil Reader is of a deployment that has none, and reads nothing. It is safe for concurrent use.
 type Reader struct {
@@ -38,17 +38,17 @@
 	return &Reader{columns: columns, log: log}
 }
 
-// Bad is how many reports could not be read.
-func (r *Reader) Bad() int64 {
+// Unreadable is how many reports could not be read.
+func (r *Reader) Unreadable() int64 {
 	if r == nil {
 		return 0
 	}
 	return r.bad.Load()
 }
 
-// Text reads a report in the form of the header: name=value, separated by commas, in any order. Values that the settings do not
+// ParseText reads a report in the form of the header: name=value, separated by commas, in any order. Values that the settings do not
 // name are skipped. An empty text is no report.
-func (r *Reader) Text(host, text string) []float32 {
+func (r *Reader) ParseText(host, text string) []float32 {
 	if r == nil || text == "" {
 		return nil
 	}
@@ -57,8 +57,8 @@
 }
 
 func (r *Reader) text(text string) ([]float32, error) {
-	if len(text) > MostText {
-		return nil, fmt.Errorf("%d bytes, %d at most", len(text), MostText)
+	if len(text) > MaxTextBytes {
+		return nil, fmt.Errorf("%d bytes, %d at most", len(text), MaxTextBytes)
 	}
 	values, seen := make([]float32, len(r.columns)), 0
 	for part := range strings.SplitSeq(text, ",") {
@@ -86,11 +86,11 @@
 	return values, nil
 }
 
-// Body reads a report that is a whole body: an object, or the text of the header. The protocol names no form.
-func (r *Reader) Body(host string, body []byte) []float32 {
+// ParseBody reads a report that is a whole body: an object, or the text of the header. The protocol names no form.
+func (r *Reader) ParseBody(host string, body []byte) []float32 {
 	body = bytes.TrimSpace(body)
 	if r == nil || len(body) == 0 || body[0] != '{' {
-		return r.Text(host, string(body))
+		return r.ParseText(host, string(body))
 	}
 	var p jsonval.Parser
 	o, err := p.Parse(body)
@@ -100,8 +100,8 @@
 	return r.object(host, o)
 }
 
-// Member reads a report that is the member of that name, if there is one.
-func (r *Reader) Member(host string, of jsonval.Object, key string) []float32 {
+// ParseMember reads a report that is the member of that name, if there is one.
+func (r *Reader) ParseMember(host string, of jsonval.Object, key string) []float32 {
 	if r == nil || !of.Has(key) {
 		return nil
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -37,20 +37,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, member := r.Text("s-1", c.text), r.Member("s-1", o, "load")
+		text, member := r.ParseText("s-1", c.text), r.ParseMember("s-1", o, "load")
 		bad := int64(0)
 		if c.want == nil {
 			bad = 2
 		}
-		if !reflect.DeepEqual(text, c.want) || !reflect.DeepEqual(member, c.want) || r.Bad() != bad || o.Err() != nil {
-			t.Errorf("%.60s: %v, %v, %d bad, %v", c.text, text, member, r.Bad(), o.Err())
+		if !reflect.DeepEqual(text, c.want) || !reflect.DeepEqual(member, c.want) || r.Unreadable() != bad || o.Err() != nil {
+			t.Errorf("%.60s: %v, %v, %d bad, %v", c.text, text, member, r.Unreadable(), o.Err())
 		}
 		if n := strings.Count(log.String(), "load report"); n != min(int(bad), 1) {
 			t.Errorf("%.60s: %d lines", c.text, n)
 		}
 	}
 	var none *Reader
-	if New(nil, nil) != nil || none.Text("s-1", "x0=3") != nil || none.Bad() != 0 {
+	if New(nil, nil) != nil || none.ParseText("s-1", "x0=3") != nil || none.Unreadable() != 0 {
 		t.Error("a deployment without reports reads some")
 	}
 }
@@ -61,7 +61,7 @@
 	f.Add("x0==,=,x0=1e39")
 	f.Fuzz(func(t *testing.T, in string) {
 		r := New(columns, slog.New(slog.DiscardHandler))
-		if v := r.Text("h", in); v != nil && len(v) != len(columns) {
+		if v := r.ParseText("h", in); v != nil && len(v) != len(columns) {
 			t.Error(v)
 		} else {
 			for _, x := range v {
--- a/internal/serve/north/message.go
+++ b/internal/serve/north/message.go
@@ -237,6 +237,6 @@
 	default:
 		o.Fail("state", "a known state")
 	}
-	r.Load = s.Loads.Member(r.From, o, "load")
+	r.Load = s.Loads.ParseMember(r.From, o, "load")
 	return r, o.Err()
 }
--- a/internal/serve/north/north_test.go
+++ b/internal/serve/north/north_test.go
@@ -715,8 +715,8 @@
 			t.Errorf("%s: %+v, %v", text, r, err)
 		}
 	}
-	if s.Loads.Bad() != 3 {
-		t.Errorf("%d bad reports", s.Loads.Bad())
+	if s.Loads.Unreadable() != 3 {
+		t.Errorf("%d bad reports", s.Loads.Unreadable())
 	}
 }
 
--- a/internal/serve/owner/owner.go
+++ b/internal/serve/owner/owner.go
@@ -163,7 +163,7 @@
 	c := &o.counts
 	o.Log.Info("counts", "messages", c.Messages, "served", c.Served, "back_offs", c.BackOffs, "failures", c.Failures,
 		"attempts", c.Attempts, "late_reports", c.LateReports, "turned_away", o.turned.Load(), "open", len(o.jobs),
-		"breaches", o.Check.Breaches())
+		"breaches", o.Check.Violations())
 }
 
 // run carries out an event and what it brings about. A panic in the module would take all messages with it; counted, it
--- a/internal/serve/owner/owner_test.go
+++ b/internal/serve/owner/owner_test.go
@@ -311,8 +311,8 @@
 		m := b.submit(reading, 5*time.Second)
 		b.o.Written(b.sends[0].a, false)
 		b.wait(2 * time.Second)
-		if len(m.answers) != 1 || m.answers[0].Kind != BackOff || b.o.Check.Breaches() != 0 {
-			t.Errorf("answers %+v, %d breaches", m.answers, b.o.Check.Breaches())
+		if len(m.answers) != 1 || m.answers[0].Kind != BackOff || b.o.Check.Violations() != 0 {
+			t.Errorf("answers %+v, %d breaches", m.answers, b.o.Check.Violations())
 		}
 		if s := b.sends[0]; !errors.Is(context.Cause(s.ctx), ErrWithdrawn) {
 			t.Errorf("cause %v", context.Cause(s.ctx))
@@ -525,8 +525,8 @@
 	var got []Answer
 	p := &open{Message: &Message{Reply: func(a Answer) { got = append(got, a) }}, mayHave: true}
 	defer func() {
-		if recover() == nil && (len(got) != 1 || got[0].Kind != Failed || check.Breaches() != 1) {
-			t.Errorf("answers %+v, %d breaches", got, check.Breaches())
+		if recover() == nil && (len(got) != 1 || got[0].Kind != Failed || check.Violations() != 1) {
+			t.Errorf("answers %+v, %d breaches", got, check.Violations())
 		}
 	}()
 	o.answer(p, Answer{Kind: BackOff})
@@ -536,8 +536,8 @@
 func TestPanic(t *testing.T) {
 	o := New(Config{Check: &invariant.Checker{}, Queue: 1})
 	defer func() {
-		if recover() == nil && o.Check.Breaches() != 1 {
-			t.Errorf("%d breaches", o.Check.Breaches())
+		if recover() == nil && o.Check.Violations() != 1 {
+			t.Errorf("%d breaches", o.Check.Violations())
 		}
 	}()
 	o.run(func(time.Duration) { panic("as a test") })
@@ -629,7 +629,7 @@
 		}
 	}
 	for _, o := range b.both {
-		if n := o.Check.Breaches(); n > 0 || len(o.jobs)+len(o.keys)+len(o.moving) > 0 {
+		if n := o.Check.Violations(); n > 0 || len(o.jobs)+len(o.keys)+len(o.moving) > 0 {
 			t.Errorf("%d breaches; kept: %d jobs, %d keys, %d that move", n, len(o.jobs), len(o.keys), len(o.moving))
 		}
 	}
--- a/internal/serve/south/south.go
+++ b/internal/serve/south/south.go
@@ -254,7 +254,7 @@
 		return balance.Reset
 	}
 	text, _ := answer.Fields.Get(load.Header)
-	a.Load = c.Loads.Text(a.Host.Name, text)
+	a.Load = c.Loads.ParseText(a.Host.Name, text)
 	status, known := outcome(answer)
 	if status == 0 {
 		a.Taken()
@@ -391,9 +391,9 @@
 		return balance.Errored, nil
 	}
 	if text, _ := answer.Fields.Get(load.Header); text != "" {
-		return status, c.Loads.Text(h.Name, text)
+		return status, c.Loads.ParseText(h.Name, text)
 	}
-	return status, c.Loads.Body(h.Name, body)
+	return status, c.Loads.ParseBody(h.Name, body)
 }
 
 // ask makes one call that carries no job, within a time. OK says that an answer came, whose body is given if it is short.
@@ -414,7 +414,7 @@
 	request := http1.AppendRequest(nil, method, target, http1.Fields{{Name: "Host", Value: h.Address}}, nil)
 	if _, err := conn.Write(request); err != nil {
 		c.pool.drop(conn)
-	} else if answer, body, err := c.answer(conn, abort, load.MostText); err == nil {
+	} else if answer, body, err := c.answer(conn, abort, load.MaxTextBytes); err == nil {
 		return answer, body, balance.OK
 	}
 	if ctx.Err() != nil {
