--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -99,7 +99,7 @@
 		sum := sha256.Sum256(data)
 		unique = "-" + hex.EncodeToString(sum[:])
 	}
-	w := &work.Work{Class: f.Class, Function: name, Unique: unique, Reducer: reducer, Data: data, Hold: hold, Streams: true, Hint: f.Hint(data)}
+	w := &work.Work{Class: f.Class, Function: name, Unique: unique, Reducer: reducer, Data: data, Hold: hold, Streams: true, CostHint: f.Hint(data)}
 	d := &job{work: w, conn: c.id, since: now}
 	p := f.Priority(priority)
 	s.mu.Lock()
@@ -135,7 +135,7 @@
 	}
 	w.Keyed = s.Classes[class].Effect == balance.Keyed
 	d.message = &owner.Message{Key: w.ID, Payload: w, Settled: hold.Release, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
-		Hint: w.Hint, Weight: p.Weight()}}
+		Hint: w.CostHint, Weight: p.Weight()}}
 	if s.Subject != nil {
 		d.message.Subject = s.Subject(unique)
 	}
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -448,10 +448,10 @@
 		s.mu.Unlock()
 		c.send(packet.Append[string](nil, packet.NoJob), inline)
 	} else {
-		w := work.Of(a.Message)
+		w := work.FromMessage(a.Message)
 		c.worker.Assigned(now, a, w.Handle, w.Function)
 		s.counts.Assigned++
-		handle, function, unique, data := []byte(w.Handle), []byte(w.Function), []byte(w.Unique), w.Bytes()
+		handle, function, unique, data := []byte(w.Handle), []byte(w.Function), []byte(w.Unique), w.Body()
 		b := make([]byte, 0, packet.HeaderSize+len(handle)+len(function)+len(unique)+len(w.Reducer)+len(data)+4)
 		switch c.asks {
 		case packet.GrabJobUniq:
@@ -521,7 +521,7 @@
 		s.Log.Debug("gearman: late word", "packet", t, "handle", handle, "worker", c.name)
 		return hold
 	}
-	a, w := r.Attempt, work.Of(r.Attempt.Message)
+	a, w := r.Attempt, work.FromMessage(r.Attempt.Message)
 	parts := c.parts[handle]
 	switch t {
 	case packet.WorkComplete, packet.WorkFail:
@@ -545,7 +545,7 @@
 			result = append(parts, result...)
 		}
 		s.Desk.Served(a, result, hold.Release)
-		w.Held().Release()
+		w.BodyReservation().Release()
 		return nil
 	case w.Streams:
 		p := passed{t: t}
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -387,7 +387,7 @@
 // ended reports an attempt's end. The hold on its data goes with it.
 func (s *Server) ended(a *owner.Attempt, status balance.Status) {
 	s.Desk.Ended(a, status)
-	work.Of(a.Message).Held().Release()
+	work.FromMessage(a.Message).BodyReservation().Release()
 }
 
 // touch has the lister look at a worker. The lock is held.
@@ -487,12 +487,12 @@
 
 // Send keeps an attempt for the worker that the module picked, until it asks. It is called from the owner's goroutine.
 func (s *Server) Send(ctx context.Context, a *owner.Attempt) {
-	w := work.Of(a.Message)
+	w := work.FromMessage(a.Message)
 	if w == nil {
 		s.tasks.Go(func() error { s.Desk.Ended(a, balance.NotSent); return nil })
 		return
 	}
-	w.Held().Retain() // until it is assigned or has ended
+	w.BodyReservation().Retain() // until it is assigned or has ended
 	s.mu.Lock()
 	c := s.workers[a.Host.Name]
 	if c == nil {
@@ -528,7 +528,7 @@
 	dropped := c.worker.Drop(a)
 	if dropped {
 		s.active--
-	} else if r := c.worker.Run(work.Of(a.Message).Handle); r != nil && r.Attempt == a {
+	} else if r := c.worker.Run(work.FromMessage(a.Message).Handle); r != nil && r.Attempt == a {
 		r.Over = true
 		s.touch(c)
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -544,5 +544,5 @@
 	Method, Target string
 	Fields         Fields
 	Body           []byte
-	Hold           *budget.Reservation // what Body is in: who uses the call has a share in it; may be nil
+	Reservation    *budget.Reservation // what Body is in: who uses the call has a share in it; may be nil
 }
--- a/internal/serve/north/conn.go
+++ b/internal/serve/north/conn.go
@@ -279,7 +279,7 @@
 		return false, err
 	}
 	c.SetReadDeadline(time.Time{})
-	call.Body, call.Hold = body, hold
+	call.Body, call.Reservation = body, hold
 	if c.s.Wrap != nil {
 		m.Payload = c.s.Wrap(m.Job.Class, call)
 	}
--- a/internal/serve/north/pass.go
+++ b/internal/serve/north/pass.go
@@ -144,7 +144,7 @@
 		return errNoPlace
 	}
 	defer hold.Release()
-	call := &http1.Call{ID: r.Key, Method: r.Method, Target: r.Target, Fields: r.Fields, Body: hold.Buffer()[:copy(hold.Buffer(), r.Body)], Hold: hold}
+	call := &http1.Call{ID: r.Key, Method: r.Method, Target: r.Target, Fields: r.Fields, Body: hold.Buffer()[:copy(hold.Buffer(), r.Body)], Reservation: hold}
 	m := &owner.Message{Key: r.Key, Payload: call, Subject: r.Subject, Job: r.Past.Job}
 	if s.Wrap != nil {
 		m.Payload = s.Wrap(class, call)
--- a/internal/serve/south/south.go
+++ b/internal/serve/south/south.go
@@ -106,12 +106,12 @@
 func (c *Client) Send(ctx context.Context, a *owner.Attempt) {
 	call := callOf(a.Message)
 	if call != nil {
-		call.Hold.Retain() // the owner, which calls this, has one until the attempt is over; a write may end later
+		call.Reservation.Retain() // the owner, which calls this, has one until the attempt is over; a write may end later
 	}
 	c.spawn(func() {
 		defer func() {
 			if call != nil {
-				call.Hold.Release()
+				call.Reservation.Release()
 			}
 		}()
 		if status := c.send(ctx, a); status != 0 {
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -26,7 +26,7 @@
 	Unique   string // may be empty
 	Reducer  string // may be empty
 	Keyed    bool   // hosts want a key by which repeats are dropped
-	Hint     time.Duration
+	CostHint time.Duration
 	Data     []byte
 	Hold     *budget.Reservation // what Data is in
 	Streams  bool                // its client takes data and warnings as they come
@@ -40,24 +40,24 @@
 	return &Work{ID: call.ID, Handle: "H:" + call.ID, Class: class, Function: function, Unique: unique, call: call}
 }
 
-// Of is a message's Work, or nil.
-func Of(m *owner.Message) *Work {
+// FromMessage is a message's Work, or nil.
+func FromMessage(m *owner.Message) *Work {
 	w, _ := m.Payload.(*Work)
 	return w
 }
 
-// Bytes are the data, and Held what they are in: a call's body comes after its head.
-func (w *Work) Bytes() []byte {
+// Body are the data, and Held what they are in: a call's body comes after its head.
+func (w *Work) Body() []byte {
 	if w.call != nil {
 		return w.call.Body
 	}
 	return w.Data
 }
 
-// Held is what the data are in.
-func (w *Work) Held() *budget.Reservation {
+// BodyReservation is what the data are in.
+func (w *Work) BodyReservation() *budget.Reservation {
 	if w.call != nil {
-		return w.call.Hold
+		return w.call.Reservation
 	}
 	return w.Hold
 }
@@ -75,10 +75,10 @@
 	if w.Keyed {
 		fields = append(fields, http1.Field{Name: "Idempotency-Key", Value: w.Key()})
 	}
-	if w.Hint > 0 {
-		fields = append(fields, http1.Field{Name: "Req-Cost", Value: strconv.FormatInt(w.Hint.Microseconds(), 10)})
+	if w.CostHint > 0 {
+		fields = append(fields, http1.Field{Name: "Req-Cost", Value: strconv.FormatInt(w.CostHint.Microseconds(), 10)})
 	}
-	return &http1.Call{ID: w.ID, Method: "POST", Target: target, Fields: fields, Body: w.Data, Hold: w.Hold}
+	return &http1.Call{ID: w.ID, Method: "POST", Target: target, Fields: fields, Body: w.Data, Reservation: w.Hold}
 }
 
 // Key is by what hosts drop repeats: 32 hex digits of the function and the unique id, or of the id where there is none.
