--- a/internal/nodeconfig/errors.go
+++ b/internal/nodeconfig/errors.go
@@ -5,38 +5,38 @@
 	"strings"
 )
 
-// FieldKind says what is wrong with a field.
+// FieldKind is the kind of an error in a field.
 type FieldKind uint8
 
 // The kinds of a FieldError.
 const (
-	FieldMissing FieldKind = iota + 1 // needed, and not in the file
-	FieldType                         // a value of another type
-	FieldValue                        // a value of the right type that cannot be
-	FieldSyntax                       // the file is not TOML at this place
+	FieldMissing FieldKind = iota + 1 // required, but not in the file
+	FieldType                         // a value of the wrong type
+	FieldValue                        // a value of the right type that is invalid
+	FieldSyntax                       // the file is not valid TOML at this position
 )
 
-// FieldError is a mistake in a settings file. Its text is one line.
+// FieldError reports an invalid field of a settings file. Its text is one line.
 type FieldError struct {
 	Kind   FieldKind
 	File   string
 	Field  string // path of the field, as in Limits.MemoryMb
-	Found  string // what the file holds there
-	Wanted string // what it should hold
+	Found  string // the value in the file
+	Wanted string // a description of the valid values
 }
 
-// Error names the file, the field, what was found and what was wanted.
+// Error names the file, the field, the value found and the values wanted.
 func (e *FieldError) Error() string {
 	return oneLine(fmt.Sprintf("%s: field %s: found %s, wanted %s", e.File, e.Field, e.Found, e.Wanted))
 }
 
-// FileError tells that a settings file could not be read at all. Its text is one line.
+// FileError reports that a settings file could not be read. Its text is one line.
 type FileError struct {
-	File string // empty where no file was named
+	File string // empty if no file was named
 	Err  error
 }
 
-// Error names the file and the remedy.
+// Error names the file and tells the operator what to do.
 func (e *FileError) Error() string {
 	if e.File == "" {
 		return "no settings file named: set " + EnvironmentVariable + " or give --config FILE"
--- a/internal/nodeconfig/load.go
+++ b/internal/nodeconfig/load.go
@@ -17,7 +17,7 @@
 	return Parse(path, content)
 }
 
-// cause takes the path out of an error of the file system, since the text names it already.
+// cause strips the path from a file system error, since FileError names it already.
 func cause(err error) error {
 	var pathError *os.PathError
 	if errors.As(err, &pathError) {
--- a/internal/nodeconfig/parse.go
+++ b/internal/nodeconfig/parse.go
@@ -9,10 +9,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// leastPorts is how many ports the internal range must hold: one for each role.
-const leastPorts = 3
+// minPorts is the minimum size of the internal port range: one port for each role.
+const minPorts = 3
 
-// Parse reads and checks the content of a settings file; the name stands in errors.
+// Parse reads and validates the content of a settings file; the name is used in errors.
 func Parse(name string, content []byte) (*Settings, error) {
 	var values map[string]any
 	if err := toml.Unmarshal(content, &values); err != nil {
@@ -27,44 +27,44 @@
 	s.FaultTolerance = readFaultTolerance(top.table("FaultTolerance"))
 	s.Bounds = readBounds(top.table("Bounds"))
 	s.CloudApi = readCloudApi(top.table("CloudApi"), s)
-	if d.problem != nil {
-		return nil, d.problem
+	if d.fieldError != nil {
+		return nil, d.fieldError
 	}
 	return s, nil
 }
 
 func syntaxError(name string, err error) error {
-	problem := &FieldError{Kind: FieldSyntax, File: name, Field: "(file)", Found: err.Error(), Wanted: "TOML"}
+	fieldError := &FieldError{Kind: FieldSyntax, File: name, Field: "(file)", Found: err.Error(), Wanted: "TOML"}
 	if decodeError, ok := err.(*toml.DecodeError); ok {
 		line, column := decodeError.Position()
-		problem.Field = fmt.Sprintf("(line %d, column %d)", line, column)
+		fieldError.Field = fmt.Sprintf("(line %d, column %d)", line, column)
 	}
-	return problem
+	return fieldError
 }
 
 func readTop(t table) *Settings {
 	s := &Settings{
-		NodeName:     t.neededText("NodeName", "the machine's name", notEmpty),
+		NodeName:     t.requiredText("NodeName", "the machine's name", notEmpty),
 		Role:         t.text("Role", ""),
 		MachineClass: t.text("MachineClass", ""),
-		Serves:       t.neededTexts("Serves", "a list of edge, control, storage", isServesWord),
-		Ip:           t.neededText("Ip", "the machine's IP address", isIP),
-		Zone:         t.neededText("Zone", "the machine's zone", notEmpty),
+		Serves:       t.requiredTexts("Serves", "a list of edge, control, storage", isCapability),
+		Ip:           t.requiredText("Ip", "the machine's IP address", isIP),
+		Zone:         t.requiredText("Zone", "the machine's zone", notEmpty),
 		Region:       t.text("Region", ""),
 	}
 	s.InternalPortRange = t.ports("InternalPortRange")
-	s.SeedNodes = t.neededTexts("SeedNodes", "a list of one address or more, each as IP:PORT", isAddress)
+	s.SeedNodes = t.requiredTexts("SeedNodes", "a list of one address or more, each as IP:PORT", isAddress)
 	s.Bootstrap = t.flag("Bootstrap")
 	s.CountsForQuorum = t.flag("CountsForQuorum")
 	if s.HasCapability(ServesStorage) {
-		s.DataDir = t.neededText("DataDir", "a folder on the machine's disk", notEmpty)
+		s.DataDir = t.requiredText("DataDir", "a folder on the machine's disk", notEmpty)
 	} else {
 		s.DataDir = t.text("DataDir", "")
 	}
 	zones := t.table("Zones")
 	s.Zones = make(map[string]string, len(zones.values)+1)
 	for _, zone := range slices.Sorted(maps.Keys(zones.values)) {
-		s.Zones[zone] = zones.neededText(zone, "the zone's region", notEmpty)
+		s.Zones[zone] = zones.requiredText(zone, "the zone's region", notEmpty)
 	}
 	if s.Region == "" {
 		s.Region = s.Zones[s.Zone]
@@ -76,10 +76,10 @@
 }
 
 func readBindAddresses(t table, s *Settings) BindAddresses {
-	address := func(key, word string) string {
+	address := func(key, capability string) string {
 		const wanted = "an address as IP:PORT"
-		if s.HasCapability(word) {
-			return t.neededText(key, wanted+", since Serves holds "+word, isAddress)
+		if s.HasCapability(capability) {
+			return t.requiredText(key, wanted+", since Serves holds "+capability, isAddress)
 		}
 		return t.checkedText(key, wanted, isAddress)
 	}
@@ -103,9 +103,9 @@
 
 func readFaultTolerance(t table) FaultTolerance {
 	return FaultTolerance{
-		Machines: t.neededWhole("Machines", "how many machines may be lost at a time"),
-		Zones:    t.whole("Zones"),
-		Regions:  t.whole("Regions"),
+		Machines: t.requiredInteger("Machines", "how many machines may be lost at a time"),
+		Zones:    t.integer("Zones"),
+		Regions:  t.integer("Regions"),
 	}
 }
 
@@ -128,14 +128,14 @@
 	const wanted = "the address of the platform's list as IP:PORT"
 	c := CloudApi{RatePerS: t.number("RatePerS", defaultListRate), MaxLagMs: t.number("MaxLagMs", defaultListLagMs)}
 	if s.HasCapability(ServesEdge) || s.HasCapability(ServesControl) {
-		c.Address = t.neededText("Address", wanted, isAddress)
+		c.Address = t.requiredText("Address", wanted, isAddress)
 	} else {
 		c.Address = t.checkedText("Address", wanted, isAddress)
 	}
 	return c
 }
 
-// What is taken for the list's figures where the file does not give them.
+// Defaults for the platform's list of workers.
 const (
 	defaultListRate  = 1
 	defaultListLagMs = 1000
@@ -153,6 +153,6 @@
 	return err == nil
 }
 
-func isServesWord(text string) bool {
+func isCapability(text string) bool {
 	return text == ServesEdge || text == ServesControl || text == ServesStorage
 }
--- a/internal/nodeconfig/settings.go
+++ b/internal/nodeconfig/settings.go
@@ -1,7 +1,7 @@
 // Package nodeconfig reads the settings file of a process: the TOML file that the platform writes for each machine and role.
 //
-// Fields that are not known are ignored. A field that is needed and lacks, or that holds a value of another type than it should, is
-// reported as a [FieldError] of one line that names the file, the field, what was found and what was wanted.
+// Unknown fields are ignored. A required field that is missing, or a field with a value of the wrong type, is reported as a [FieldError] of
+// one line that names the file, the field, the value found and the values wanted.
 package nodeconfig
 
 import (
@@ -13,34 +13,34 @@
 // EnvironmentVariable names the environment variable that holds the path of the settings file.
 const EnvironmentVariable = "LIFTGAUGE_CONFIG"
 
-// The words of Serves: who from outside may call a process.
+// The capabilities that Serves may list: which outside callers a process serves.
 const (
 	ServesEdge    = "edge"    // clients
 	ServesControl = "control" // workers and the operator
-	ServesStorage = "storage" // nobody; the machine keeps data
+	ServesStorage = "storage" // none; the machine stores data
 )
 
-// Settings is what the settings file of one process says. A Settings is not changed after it was read.
+// Settings holds the content of the settings file of one process. A Settings is immutable after it was read.
 type Settings struct {
 	File string // path of the file, for errors
 
 	NodeName     string // name of the machine
 	Role         string // name of the role in the deploy file
 	MachineClass string
-	Serves       []string // words of the Serves constants
-	Ip           string   // the machine's own address
+	Serves       []string // capabilities, as listed by the Serves constants
+	Ip           string   // IP address of the machine
 	Zone         string
 	Region       string
 
-	// InternalPortRange holds the first and the last port that are free for what processes say to each other.
+	// InternalPortRange holds the first and the last port that are available for traffic between processes of the system.
 	InternalPortRange [2]int
-	// SeedNodes holds ControlPlane addresses of some control processes, as HOST:PORT.
+	// SeedNodes holds the ControlPlane addresses of some control processes, as HOST:PORT.
 	SeedNodes []string
-	// Bootstrap is true only when the whole system starts for the first time.
+	// Bootstrap is true only if the whole system starts for the first time.
 	Bootstrap bool
 	// CountsForQuorum is true for machines that FaultTolerance.Machines counts.
 	CountsForQuorum bool
-	// DataDir is the folder on disk, or empty where the machine has none.
+	// DataDir is the data directory on disk, or empty if the machine has no disk.
 	DataDir string
 	// Zones maps each zone to its region.
 	Zones map[string]string
@@ -54,40 +54,42 @@
 	content []byte // as read, for Watch
 }
 
-// BindAddresses are the addresses that a process listens on for callers from outside; empty where it does not serve them.
+// BindAddresses holds the addresses on which a process listens for outside callers; empty for callers that it does not serve.
 type BindAddresses struct {
 	Frontend     string // clients' requests
 	Readiness    string // the platform's readiness checks
 	ControlPlane string // the operator's API
 }
 
-// Limits are what the machine gives to the process.
+// Limits holds the resources that the machine gives to the process.
 type Limits struct {
-	CpuShare      float64 // of a core
-	CpuCores      float64 // how many times as fast that share runs
-	MemoryMb      int     // the process is killed above it
-	MaxOpenFiles  int     // descriptors
+	CpuShare      float64 // fraction of a core
+	CpuCores      float64 // factor by which that share runs faster
+	MemoryMb      int     // the process is killed if it uses more
+	MaxOpenFiles  int     // file descriptors
 	BandwidthMbps float64 // of the machine's link
-	DiskMb        int     // of the machine's disk; 0 where there is none
+	DiskMb        int     // of the machine's disk; 0 if it has none
 }
 
-// FaultTolerance is what may be lost at one time while every promise is still kept.
+// FaultTolerance holds how many machines, zones and regions may be lost at a time while every guarantee still holds.
 type FaultTolerance struct{ Machines, Zones, Regions int }
 
-// CloudApi is where the platform's list of workers is read.
+// CloudApi describes the platform's API for the list of workers.
 type CloudApi struct {
-	Address  string  // HOST:PORT; empty where none is given
-	RatePerS float64 // calls a second that the list accepts from all processes together
-	MaxLagMs float64 // how far the list runs behind
+	Address  string  // HOST:PORT; empty if none is given
+	RatePerS float64 // calls per second that the API accepts from all processes together
+	MaxLagMs float64 // maximum age of the list
 }
 
-// Copies returns how many disks must hold a record before it counts as kept: one more than may be lost at a time.
+// Copies returns how many disks must hold a record before it counts as durable: one more than may be lost at a time.
 func (s *Settings) Copies() int {
 	return 1 + max(s.FaultTolerance.Machines, s.FaultTolerance.Zones, s.FaultTolerance.Regions)
 }
 
 // HasCapability tells whether Serves holds the word.
-func (s *Settings) HasCapability(word string) bool { return slices.Contains(s.Serves, word) }
+func (s *Settings) HasCapability(capability string) bool {
+	return slices.Contains(s.Serves, capability)
+}
 
 // SeedAddresses returns the internal control addresses of the seeds: the host of each seed with the first port of the range.
 func (s *Settings) SeedAddresses() []string {
--- a/internal/nodeconfig/settings_test.go
+++ b/internal/nodeconfig/settings_test.go
@@ -13,7 +13,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// example is the file that DEPLOY.md shows.
+// example is the settings file shown in DEPLOY.md.
 const example = `NodeName = "edge-chaguanas-hall-1"
 Role = "my-edge"
 MachineClass = "edge"
@@ -187,8 +187,8 @@
 	is.True(!strings.Contains(err.Error(), "\n"))
 }
 
-// TestStoreNeedsDisk has a file of a storage machine: it needs a folder, but neither addresses for callers nor the platform's list.
-func TestStoreNeedsDisk(t *testing.T) {
+// TestStoreRequiresDataDir reads the file of a storage machine: it requires DataDir, but neither BindAddresses nor CloudApi.
+func TestStoreRequiresDataDir(t *testing.T) {
 	is := is.New(t)
 	const file = `NodeName = "s1"
 Serves = ["storage"]
@@ -204,10 +204,10 @@
 	is.Equal(err.Error(), "node.toml: field DataDir: found nothing, wanted a folder on the machine's disk")
 	s, err := Parse("node.toml", []byte("DataDir = \"/data\"\n"+file))
 	is.NoErr(err)
-	is.Equal(s.Zones, map[string]string{"a": "r"}) // its own zone, where the table lacks
+	is.Equal(s.Zones, map[string]string{"a": "r"}) // the machine's zone is added if the table is missing
 }
 
-func TestLoadNamesTheRemedy(t *testing.T) {
+func TestLoadErrorsTellWhatToDo(t *testing.T) {
 	is := is.New(t)
 	_, err := Load("")
 	is.Equal(err.Error(), "no settings file named: set LIFTGAUGE_CONFIG or give --config FILE")
@@ -228,12 +228,12 @@
 		s, err := Parse("node.toml", content)
 		if err != nil {
 			if strings.ContainsAny(err.Error(), "\n\r") {
-				t.Errorf("more than a line: %q", err.Error())
+				t.Errorf("more than one line: %q", err.Error())
 			}
 			return
 		}
 		if s.Copies() < 1 || len(s.SeedAddresses()) == 0 || s.Ip == "" {
-			t.Errorf("taken, but not whole: %+v", s)
+			t.Errorf("accepted, but incomplete: %+v", s)
 		}
 	})
 }
--- a/internal/nodeconfig/table.go
+++ b/internal/nodeconfig/table.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// longestFound is how many bytes of a wrong text an error shows.
-const longestFound = 60
+// maxFoundBytes is how many bytes of an invalid value an error shows.
+const maxFoundBytes = 60
 
-// document is one file while it is read; it keeps the first mistake found.
+// document is the state of parsing one file; it keeps the first error.
 type document struct {
-	file    string
-	problem *FieldError
+	file       string
+	fieldError *FieldError
 }
 
-// table is one table of a document. Its methods read a field each and note a mistake in the document.
+// table is one table of a document. Each of its reading methods reads one field and records an error in the document.
 type table struct {
 	document *document
-	path     string // with a dot at its end, or empty for the top
+	path     string // ends with a dot; empty for the top-level table
 	values   map[string]any
 }
 
 func (t table) fail(kind FieldKind, key, found, wanted string) {
-	if t.document.problem == nil {
-		t.document.problem = &FieldError{Kind: kind, File: t.document.file, Field: t.path + key, Found: found, Wanted: wanted}
+	if t.document.fieldError == nil {
+		t.document.fieldError = &FieldError{Kind: kind, File: t.document.file, Field: t.path + key, Found: found, Wanted: wanted}
 	}
 }
 
@@ -39,7 +39,7 @@
 	t.fail(FieldValue, key, describe(value), wanted)
 }
 
-// table returns the table of that name, an empty one where the file has none.
+// table returns the table with that name, or an empty one if the file has none.
 func (t table) table(key string) table {
 	sub := table{document: t.document, path: t.path + key + "."}
 	value, ok := t.values[key]
@@ -64,7 +64,7 @@
 	return text
 }
 
-// checkedText reads a text that may lack or be empty.
+// checkedText reads an optional string and validates it unless it is empty.
 func (t table) checkedText(key, wanted string, valid func(string) bool) string {
 	text := t.text(key, "")
 	if text != "" && !valid(text) {
@@ -73,7 +73,7 @@
 	return text
 }
 
-func (t table) neededText(key, wanted string, valid func(string) bool) string {
+func (t table) requiredText(key, wanted string, valid func(string) bool) string {
 	value, ok := t.values[key]
 	if !ok {
 		t.missing(key, wanted)
@@ -88,7 +88,7 @@
 	return text
 }
 
-func (t table) neededTexts(key, wanted string, valid func(string) bool) []string {
+func (t table) requiredTexts(key, wanted string, valid func(string) bool) []string {
 	value, ok := t.values[key]
 	if !ok {
 		t.missing(key, wanted)
@@ -127,7 +127,7 @@
 	return flag
 }
 
-// number reads a whole number or a fraction that is not below 0.
+// number reads an integer or a fraction that is not negative.
 func (t table) number(key string, fallback float64) float64 {
 	const wanted = "a number from 0 on"
 	value, ok := t.values[key]
@@ -151,14 +151,14 @@
 	return number
 }
 
-func (t table) whole(key string) int {
+func (t table) integer(key string) int {
 	if _, ok := t.values[key]; !ok {
 		return 0
 	}
-	return t.neededWhole(key, "how many may be lost at a time")
+	return t.requiredInteger(key, "how many may be lost at a time")
 }
 
-func (t table) neededWhole(key, wanted string) int {
+func (t table) requiredInteger(key, wanted string) int {
 	wanted += ", a whole number from 0 on"
 	value, ok := t.values[key]
 	if !ok {
@@ -175,7 +175,7 @@
 }
 
 func (t table) ports(key string) (ports [2]int) {
-	wanted := fmt.Sprintf("the first and the last of at least %d ports, as in [7240, 7255]", leastPorts)
+	wanted := fmt.Sprintf("the first and the last of at least %d ports, as in [7240, 7255]", minPorts)
 	value, ok := t.values[key]
 	if !ok {
 		t.missing(key, wanted)
@@ -198,18 +198,18 @@
 		}
 		ports[i] = int(port)
 	}
-	if ports[1]-ports[0]+1 < leastPorts {
+	if ports[1]-ports[0]+1 < minPorts {
 		t.wrongValue(key, value, wanted)
 	}
 	return ports
 }
 
-// describe returns what was found, for an error.
+// describe formats a value of the file for an error.
 func describe(value any) string {
 	switch v := value.(type) {
 	case string:
-		if len(v) > longestFound {
-			v = v[:longestFound]
+		if len(v) > maxFoundBytes {
+			v = v[:maxFoundBytes]
 		}
 		return strconv.Quote(v)
 	case map[string]any:
@@ -220,7 +220,7 @@
 			parts[i] = describe(element)
 		}
 		text := strings.Join(parts, ", ")
-		if len(text) > longestFound {
+		if len(text) > maxFoundBytes {
 			return fmt.Sprintf("a list of %d values", len(v))
 		}
 		return "[" + text + "]"
--- a/internal/nodeconfig/watch.go
+++ b/internal/nodeconfig/watch.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// The pace of a watch: each poll asks the file system for the file's time and length, and every so many polls the file is read whatever
-// these say.
+// Polling by Watch: each poll checks the modification time and size of the file, and every readEveryPoll polls the file is read even if both
+// are unchanged.
 const (
-	pollEvery     = time.Second
+	pollInterval  = time.Second
 	readEveryPoll = 10
 )
 
-// Watch calls changed for each new content of the settings file, until the context ends: after a signal at once, else when a poll
-// finds it. It is called from this goroutine, with an error where the new content is not valid: the settings before go on then. The
-// first content that is reported differs from that of current.
+// Watch calls changed for each new content of the settings file until the context ends: immediately after a signal, otherwise when a poll
+// finds it. The call is made on the goroutine of Watch, with an error if the new content is invalid: the previous settings then remain in
+// effect. The first content that is reported differs from that of current.
 func Watch(ctx context.Context, path string, current *Settings, hangup <-chan os.Signal, changed func(*Settings, error)) {
 	w := watcher{path: path, content: current.content}
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
@@ -36,7 +36,7 @@
 	}
 }
 
-// watcher remembers what it saw of a file last.
+// watcher holds the last observed state of a file.
 type watcher struct {
 	path    string
 	content []byte
@@ -45,16 +45,16 @@
 	polls   int
 }
 
-// poll returns the content of the file when it differs from what was seen last. A file that cannot be read, as one that is being
-// replaced, counts as not changed.
+// poll returns the content of the file if it differs from the last observed content. A file that cannot be read, for example while it is
+// being replaced, counts as unchanged.
 func (w *watcher) poll(read bool) ([]byte, bool) {
 	info, err := os.Stat(w.path)
 	if err != nil {
 		return nil, false
 	}
 	w.polls++
-	same := info.Size() == w.size && info.ModTime().Equal(w.time)
-	if same && !read && w.polls%readEveryPoll != 0 {
+	unchanged := info.Size() == w.size && info.ModTime().Equal(w.time)
+	if unchanged && !read && w.polls%readEveryPoll != 0 {
 		return nil, false
 	}
 	content, err := os.ReadFile(w.path)
