--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator is the client side of the operator's API: it asks any control process, follows it to the primary, and goes on to
-// another when there is no clear answer.
+// Package operator implements the client of the operators' HTTP API: it sends requests to any control process, follows redirects to the
+// primary, and tries the next process if there is no conclusive response.
 package operator
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// How calls are repeated. The pause grows from the first to the last by doubling, each time that every address was asked in vain.
+// Limits of calls and retries. The pause between retries doubles from initialPause to maxPause, each time that all addresses have failed.
 const (
-	mostRedirects  = 2
-	callTimeout    = 2 * time.Second
-	slowTimeout    = 30 * time.Second
-	firstPause     = 100 * time.Millisecond
-	lastPause      = time.Second
-	mostAnswer     = 64 << 20
-	mostErrorBytes = 300
+	maxRedirects     = 2
+	callTimeout      = 2 * time.Second
+	slowTimeout      = 30 * time.Second
+	initialPause     = 100 * time.Millisecond
+	maxPause         = time.Second
+	maxResponseBytes = 64 << 20
+	maxErrorBytes    = 300
 )
 
-// Client asks control processes. It may be used by several goroutines.
+// Client calls control processes. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	http      http.Client
-	slow      http.Client // for calls that write or read the whole state
+	slow      http.Client // for calls that write or read the complete state
 }
 
-// New returns a client of the control processes with these ControlPlane addresses. A nil transport is one of the client's own.
+// New returns a client of the control processes with these ControlPlane addresses. If the transport is nil, the client creates one.
 func New(addresses []string, transport http.RoundTripper) *Client {
 	if transport == nil {
 		transport = &http.Transport{ResponseHeaderTimeout: slowTimeout}
@@ -45,25 +45,25 @@
 }
 
 func checkRedirect(_ *http.Request, via []*http.Request) error {
-	if len(via) > mostRedirects {
-		return errors.Newf("redirected more than %d times", mostRedirects)
+	if len(via) > maxRedirects {
+		return errors.Newf("redirected more than %d times", maxRedirects)
 	}
 	return nil
 }
 
-// RefusedError is a clear no to a call.
+// RefusedError reports that a control process rejected a call.
 type RefusedError struct {
 	Status int
-	Text   string // what the process said
+	Text   string // start of the response body
 }
 
-// Error returns the status and what the process said.
+// Error returns the status and the text of the response.
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused with %d: %s", e.Status, e.Text) }
 
-// NoResponseError tells that no control process gave a clear answer in time.
+// NoResponseError reports that no control process gave a conclusive response in time.
 type NoResponseError struct{ Last error }
 
-// Error names the last failure and the remedy.
+// Error names the last failure and tells the operator what to check.
 func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("no control process gave a clear answer (the last: %v); check the addresses, and that most control processes run", e.Last)
 }
@@ -71,28 +71,28 @@
 // Unwrap returns the last failure.
 func (e *NoResponseError) Unwrap() error { return e.Last }
 
-// unclear tells whether an answer says neither yes nor no.
-func unclear(status int) bool {
+// inconclusive reports whether a response with the status neither confirms nor rejects the call.
+func inconclusive(status int) bool {
 	return status >= 500 || status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status < 200 ||
 		status >= 300 && status < 400
 }
 
-// call sends a request to the addresses in turn until one gives a clear answer or the context ends. It also tells whether the call was sent more
-// than once.
-func (c *Client) call(ctx context.Context, method, path string, body []byte) (answer []byte, repeated bool, err error) {
+// call sends a request to the addresses in turn until one gives a conclusive response or the context ends. It also reports whether the call
+// was sent more than once.
+func (c *Client) call(ctx context.Context, method, path string, body []byte) (response []byte, repeated bool, err error) {
 	if len(c.addresses) == 0 {
 		return nil, false, errors.New("no control process is named: give --control HOST:PORT, or a settings file with SeedNodes")
 	}
-	last := errors.New("none was asked")
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
+	last := errors.New("no request was sent")
+	for pause := initialPause; ; pause = min(2*pause, maxPause) {
 		for _, address := range c.addresses {
 			if ctx.Err() != nil {
 				return nil, repeated, &NoResponseError{Last: last}
 			}
-			answer, err := c.callOne(ctx, method, address, path, body)
+			response, err := c.callOne(ctx, method, address, path, body)
 			var refused *RefusedError
 			if err == nil || errors.As(err, &refused) {
-				return answer, repeated, err
+				return response, repeated, err
 			}
 			last, repeated = err, true
 		}
@@ -103,7 +103,7 @@
 	}
 }
 
-// callOne sends a request to one address. The error is a *RefusedError if the answer is a clear no.
+// callOne sends a request to one address. The error is a *RefusedError if the process rejects the call.
 func (c *Client) callOne(ctx context.Context, method, address, path string, body []byte) ([]byte, error) {
 	return callWith(ctx, &c.http, method, address, path, body)
 }
@@ -121,19 +121,19 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	if unclear(response.StatusCode) {
-		return nil, errors.Newf("%s answered %d: %s", address, response.StatusCode, firstBytes(answer))
+	if inconclusive(response.StatusCode) {
+		return nil, errors.Newf("%s answered %d: %s", address, response.StatusCode, firstBytes(content))
 	}
 	if response.StatusCode >= 400 {
-		return nil, &RefusedError{Status: response.StatusCode, Text: firstBytes(answer)}
+		return nil, &RefusedError{Status: response.StatusCode, Text: firstBytes(content)}
 	}
-	return answer, nil
+	return content, nil
 }
 
-func firstBytes(answer []byte) string {
-	return strings.Join(strings.Fields(string(answer[:min(len(answer), mostErrorBytes)])), " ")
+func firstBytes(content []byte) string {
+	return strings.Join(strings.Fields(string(content[:min(len(content), maxErrorBytes)])), " ")
 }
--- a/internal/operator/recovery.go
+++ b/internal/operator/recovery.go
@@ -13,8 +13,8 @@
 	"liftgauge/replication"
 )
 
-// statePoll is how often a founder is asked whether it is back.
-const statePoll = 200 * time.Millisecond
+// statePollInterval is the interval at which AwaitFounded requests the accounts of the control processes.
+const statePollInterval = 200 * time.Millisecond
 
 // Snapshot returns a copy of control's state that a majority has confirmed, as a file.
 func (c *Client) Snapshot(ctx context.Context) ([]byte, error) {
@@ -28,16 +28,16 @@
 	return file, nil
 }
 
-// Accounts asks every control process that answers at the addresses of the client, or that one of these has heard of, what it knows.
+// Accounts requests the accounts of all control processes at the addresses of the client and of those that they report in turn.
 func (c *Client) Accounts(ctx context.Context) ([]recovery.Account, error) {
 	var accounts []recovery.Account
 	var last error
-	asked, nodes := map[string]bool{}, map[string]bool{}
+	requested, nodes := map[string]bool{}, map[string]bool{}
 	for next := c.addresses; len(next) > 0; next = next[1:] {
-		if asked[next[0]] {
+		if requested[next[0]] {
 			continue
 		}
-		asked[next[0]] = true
+		requested[next[0]] = true
 		account, err := c.account(ctx, next[0])
 		if err != nil {
 			last = err
@@ -56,19 +56,19 @@
 }
 
 func (c *Client) account(ctx context.Context, address string) (*recovery.Account, error) {
-	answer, err := c.callOne(ctx, http.MethodGet, address, "/recovery/account", nil)
+	response, err := c.callOne(ctx, http.MethodGet, address, "/recovery/account", nil)
 	if err != nil {
 		return nil, err
 	}
 	account := new(recovery.Account)
-	if err := json.Unmarshal(answer, account); err != nil {
-		return nil, errors.Newf("the account of %s cannot be read (%s): ask a control process of this version", address, firstBytes(answer))
+	if err := json.Unmarshal(response, account); err != nil {
+		return nil, errors.Newf("the account of %s cannot be read (%s): ask a control process of this version", address, firstBytes(response))
 	}
 	return account, nil
 }
 
-// Found carries a plan out: the others join the generation, then the founder writes its state and ends. A file is a snapshot of an earlier
-// time, nil to take the records of the plan's source.
+// Found executes a plan: the other processes join the generation, then the founder writes its state and exits. The file is a snapshot of an
+// earlier state, or nil to use the records of the plan's source.
 func (c *Client) Found(ctx context.Context, p *recovery.Plan, file []byte) error {
 	request := recovery.FoundRequest{View: p.View, Snapshot: file}
 	if file == nil && p.Source != nil {
@@ -110,9 +110,9 @@
 			}
 		}
 		select {
-		case <-time.After(statePoll):
+		case <-time.After(statePollInterval):
 		case <-ctx.Done():
-			return nil, errors.Newf("%s wrote the state, and no primary of it is active yet: see that its process was started again, and that another control process with a disk runs", p.Founder.Node)
+			return nil, errors.Newf("%s wrote the state, but no primary of the new generation is active yet: check that its process was restarted, and that another control process with a disk runs", p.Founder.Node)
 		}
 	}
 }
--- a/internal/recovery/account.go
+++ b/internal/recovery/account.go
@@ -1,5 +1,5 @@
-// Package recovery decides how control's group is founded anew by an operator, after a majority of its witnesses or all of its members have
-// lost their disks. It is pure: accounts of the processes that answer come in, and a plan goes out, or the reason why there is none.
+// Package recovery plans how an operator founds the control group anew after a majority of its witnesses or all of its members have lost
+// their disks. It does no I/O: it turns the accounts of the processes that respond into a plan, or an error that explains why there is none.
 package recovery
 
 import (
@@ -7,47 +7,47 @@
 	"liftgauge/replication"
 )
 
-// Account is what one control process says of itself and of what it knows. It is the body of GET /recovery/account.
+// Account is the state of one control process, with its view of the system. It is the body of GET /recovery/account.
 type Account struct {
 	Node         string // key of the process
-	Name         string // of its machine
-	Member       string // empty without a disk
-	Address      string // internal
+	Name         string // name of its machine
+	Member       string // member id; empty without a disk
+	Address      string // internal address
 	ControlPlane string
-	Seed         bool // by its own settings
-	// Others are the ControlPlane addresses of the other control processes that it has heard of.
+	Seed         bool // according to its settings
+	// Others holds the ControlPlane addresses of the other control processes that it has discovered.
 	Others       []string
-	Active       bool // it is the active primary
+	Active       bool // the process is the active primary
 	HighestEpoch uint64
-	Installed    replication.ControlView // by its own witness
-	// Records tell what its disk has of the group, nil where it has nothing.
+	Installed    replication.ControlView // the view installed by its witness
+	// Records summarizes the records of the group on its disk; nil if there are none.
 	Records *Records `json:",omitempty"`
-	// Heard is the newest view of control that was published, as everybody hears of it.
+	// Heard is the newest published view of control that the process has received.
 	Heard Heard
 
-	Configuration Known // as everybody hears of it
+	Configuration Known // as received through dissemination
 	Partitions    Known
-	// Stores names the stores that partitions lie on, by member; Silent those of them that do not answer this process now.
+	// Stores lists the member ids of the stores that hold partitions; Silent those among them that currently do not respond to this process.
 	Stores []string
 	Silent []string
 }
 
-// Records sums up the records of the group on a disk.
+// Records summarizes the records of the group on a disk.
 type Records struct {
-	Joined   uint64 // the epoch that they are of
-	Revision uint64 // of the configuration, 0 without one
-	Orders   int    // that were taken
+	Joined   uint64 // epoch of the records
+	Revision uint64 // revision of the configuration, 0 without one
+	Orders   int    // number of orders applied
 }
 
-// Heard is a view of control as it was published.
+// Heard is a published view of control.
 type Heard struct {
 	Epoch     uint64
 	Members   []string
 	Witnesses []string
 }
 
-// Known is the version of an item, and what it holds.
+// Known is the version of a disseminated item with a summary of its content.
 type Known struct {
 	Version protocol.ItemVersion
-	Count   uint64 // the configuration's revision, or how many partitions there are
+	Count   uint64 // revision of the configuration, or number of partitions
 }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -13,62 +13,62 @@
 	"liftgauge/replication"
 )
 
-// The reasons for which nothing is founded. Each message names the remedy.
+// The reasons why a recovery is rejected. Each message tells the operator what to do.
 var (
 	ErrNoCandidate           = errors.New("no control process with a disk answers: start one, with Bootstrap = false, and give its address with --control")
 	ErrControlAvailable      = errors.New("control has a majority of its witnesses and a member: it needs no recovery; see liftgauge status")
 	ErrControlMayBeAvailable = errors.New("control may still have a majority among processes that do not answer: start them, or name the machines whose disks are gone for good with --lost")
-	ErrStaleFounder          = errors.New("the process that would found control has not heard of the newest state yet: ask again in a second")
+	ErrStaleFounder          = errors.New("the process that would found control has not received the newest state yet: try again in a second")
 	ErrNoSuchNode            = errors.New("the machine named by --at does not answer, or has no disk: name one that the list shows")
-	ErrNoState               = errors.New("nobody knows a configuration or has records of control: give a snapshot with --from FILE")
+	ErrNoState               = errors.New("no process has a configuration or records of control: give a snapshot with --from FILE")
 )
 
-// Options are what the operator says.
+// Options are the operator's choices.
 type Options struct {
-	Lost []string           // machines whose disks are gone for good
-	At   string             // machine to found on; empty to have it chosen
-	From *snapshot.Snapshot // of an earlier time; nil to go by the survivors
+	Lost []string           // machines whose disks are permanently lost
+	At   string             // machine to found on; empty to choose one automatically
+	From *snapshot.Snapshot // snapshot of an earlier state; nil to use the records of the survivors
 }
 
-// Plan is how control is founded anew.
+// Plan describes how control is founded anew.
 type Plan struct {
 	Founder Account
-	View    replication.ControlView // the first of the new generation
-	// Source is the process whose records are taken, nil where none has any. It is not used with a snapshot.
+	View    replication.ControlView // first view of the new generation
+	// Source is the process whose records are used, nil if no process has any. It is not used with a snapshot.
 	Source *Account
-	// Join are the other processes with a disk that answer. Each has to join the generation before it is founded.
+	// Join holds the other responding processes with a disk. Each has to join the generation before it is founded.
 	Join []Account
-	// Findings say what is known and what is not, a line each.
+	// Findings describe for the operator what the plan is based on, one line each.
 	Findings []string
 }
 
-// FoundRequest asks a control process to found its group anew. It is the body of POST /recovery/found.
+// FoundRequest requests that a control process found its group anew. It is the body of POST /recovery/found.
 type FoundRequest struct {
 	View replication.ControlView
-	// Snapshot is an encoded snapshot with the records to begin with, empty for none.
+	// Snapshot is an encoded snapshot with the initial records, empty for none.
 	Snapshot []byte
-	// Survivor says that the snapshot is of a process that was running, and not of an earlier time.
+	// Survivor is true if the snapshot was read from a running process, and not taken at an earlier time.
 	Survivor bool
 }
 
-// JoinRequest asks a control process to join a generation. It is the body of POST /recovery/join.
+// JoinRequest requests that a control process join a generation. It is the body of POST /recovery/join.
 type JoinRequest struct{ View replication.ControlView }
 
-// survey is what all accounts together say of the group.
+// survey combines all accounts into a picture of the group.
 type survey struct {
 	accounts []Account
 	options  Options
-	members  []string // of the newest view that anybody knows
-	voters   []string // witnesses of it
-	epoch    uint64   // of it
-	highest  uint64   // of any kind
-	answers  map[string]bool
+	members  []string        // members of the newest view in any account
+	voters   []string        // witnesses of that view
+	epoch    uint64          // epoch of that view
+	highest  uint64          // highest epoch of any kind in any account
+	responds map[string]bool // members whose process responds
 }
 
-// NewPlan plans a recovery.
+// NewPlan plans a recovery from the accounts of the processes that respond.
 func NewPlan(accounts []Account, o Options) (*Plan, error) {
 	s := newSurvey(accounts, o)
-	if err := s.mayFound(); err != nil {
+	if err := s.checkFoundable(); err != nil {
 		return nil, err
 	}
 	founder, source, err := s.choose()
@@ -93,10 +93,10 @@
 }
 
 func newSurvey(accounts []Account, o Options) *survey {
-	s := &survey{accounts: accounts, options: o, answers: map[string]bool{}}
+	s := &survey{accounts: accounts, options: o, responds: map[string]bool{}}
 	newest := replication.ControlView{}
 	for _, a := range accounts {
-		s.answers[a.Member] = true
+		s.responds[a.Member] = true
 		s.highest = max(s.highest, a.HighestEpoch, a.Installed.Epoch, a.Heard.Epoch)
 		if cmp.Or(cmp.Compare(a.Installed.Generation, newest.Generation), cmp.Compare(a.Installed.Epoch, newest.Epoch)) > 0 {
 			newest = a.Installed
@@ -124,7 +124,8 @@
 	return highest
 }
 
-// isLost tells whether a member's disk is known to be gone: by the operator's word, or since its machine answers with another one.
+// isLost reports whether a member's disk is known to be lost: because the operator says so, or because its machine responds with another
+// disk.
 func (s *survey) isLost(member string) bool {
 	if slices.Contains(s.options.Lost, placement.NodeName(member)) {
 		return true
@@ -132,39 +133,39 @@
 	return slices.ContainsFunc(s.accounts, func(a Account) bool { return a.Name == placement.NodeName(member) && a.Member != member })
 }
 
-// silent lists the members that neither answer nor are known to be lost.
-func (s *survey) silent(members []string) []string {
-	return slices.DeleteFunc(slices.Clone(members), func(id string) bool { return s.answers[id] || s.isLost(id) })
+// unresponsive lists the members that neither respond nor are known to be lost.
+func (s *survey) unresponsive(members []string) []string {
+	return slices.DeleteFunc(slices.Clone(members), func(id string) bool { return s.responds[id] || s.isLost(id) })
 }
 
-func (s *survey) answering(members []string) (count int) {
+func (s *survey) responding(members []string) (count int) {
 	for _, id := range members {
-		if s.answers[id] {
+		if s.responds[id] {
 			count++
 		}
 	}
 	return count
 }
 
-// mayFound refuses where the group of before works, or could.
-func (s *survey) mayFound() error {
+// checkFoundable returns an error if the previous group is available, or might be.
+func (s *survey) checkFoundable() error {
 	if !slices.ContainsFunc(s.accounts, func(a Account) bool { return a.Member != "" }) {
 		return ErrNoCandidate
 	}
 	majority := len(s.voters)/2 + 1
-	if s.answering(s.voters) >= majority && s.answering(s.members) > 0 {
+	if s.responding(s.voters) >= majority && s.responding(s.members) > 0 {
 		return ErrControlAvailable
 	}
-	if silent := s.silent(s.voters); len(s.voters) > 0 && len(silent) >= majority {
-		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(silent, ", "))
+	if unresponsive := s.unresponsive(s.voters); len(s.voters) > 0 && len(unresponsive) >= majority {
+		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(unresponsive, ", "))
 	}
-	if silent := s.silent(s.members); len(s.voters) > 0 && s.answering(s.voters)+len(s.silent(s.voters)) >= majority && len(silent) > 0 {
-		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(silent, ", ")) // with one of these members there are a majority and a member again
+	if unresponsive := s.unresponsive(s.members); len(s.voters) > 0 && s.responding(s.voters)+len(s.unresponsive(s.voters)) >= majority && len(unresponsive) > 0 {
+		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(unresponsive, ", ")) // any of these members would complete a majority with a member
 	}
 	return nil
 }
 
-// choose finds the process to found on, and the one with the best records.
+// choose selects the process to found on, and the one with the most complete records.
 func (s *survey) choose() (founder, source *Account, err error) {
 	ranked := slices.Clone(s.accounts)
 	slices.SortStableFunc(ranked, func(a, b Account) int { return s.compare(&a, &b) })
@@ -188,7 +189,7 @@
 	return founder, source, nil
 }
 
-// compare puts first whose records are most complete, then seeds, which everybody finds.
+// compare orders accounts by completeness of their records, most complete first, then seeds first, because every process can find seeds.
 func (s *survey) compare(a, b *Account) int {
 	rank := func(a *Account) int {
 		switch {
@@ -216,43 +217,43 @@
 	return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(joined(b), joined(a)), cmp.Compare(seed(b), seed(a)), cmp.Compare(a.Node, b.Node))
 }
 
-// findings say what the plan rests on.
+// findings describes what the plan is based on.
 func (s *survey) findings(p *Plan) (lines []string) {
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	for _, id := range s.voters {
 		switch {
-		case s.answers[id]:
-			say("witness %s answers", id)
+		case s.responds[id]:
+			add("witness %s answers", id)
 		case s.isLost(id):
-			say("witness %s: its disk is lost", id)
+			add("witness %s: its disk is lost", id)
 		default:
-			say("witness %s does not answer; it joins when it comes back", id)
+			add("witness %s does not answer; it joins when it comes back", id)
 		}
 	}
-	s.findRecords(p, say)
-	say("configuration: revision %d is with %s", p.Founder.Configuration.Count, p.Founder.Node)
-	say("partition table: %d partitions known to %s", p.Founder.Partitions.Count, p.Founder.Node)
+	s.addRecordFindings(p, add)
+	add("configuration: revision %d, held by %s", p.Founder.Configuration.Count, p.Founder.Node)
+	add("partition table: %d partitions known to %s", p.Founder.Partitions.Count, p.Founder.Node)
 	for _, id := range p.Founder.Silent {
-		say("store %s does not answer: if it has followed a later table, what was taken by that one since may be missing; start it before --found", id)
+		add("store %s does not answer: if it has applied a later partition table, what was accepted under that table may be missing; start it before --found", id)
 	}
 	return lines
 }
 
-// findRecords says where the records come from, and what they may lack.
-func (s *survey) findRecords(p *Plan, say func(format string, args ...any)) {
+// addRecordFindings describes where the records come from, and what may be missing from them.
+func (s *survey) addRecordFindings(p *Plan, add func(format string, args ...any)) {
 	switch from := s.options.From; {
 	case from != nil:
-		say("records: snapshot of %s at %s (epoch %d, %d records); what was ordered since is known by the configuration alone: "+
-			"an order of before that is sent again may get 412", from.Node, from.TakenAt.UTC().Format("2006-01-02T15:04:05Z"), from.Epoch, len(from.Records))
+		add("records: snapshot of %s at %s (epoch %d, %d records); later orders are reflected in the configuration only: "+
+			"an earlier order that is sent again may get 412", from.Node, from.TakenAt.UTC().Format("2006-01-02T15:04:05Z"), from.Epoch, len(from.Records))
 		if !from.Confirmed {
-			say("the snapshot was not confirmed by a majority: it may have been old when it was made")
+			add("the snapshot was not confirmed by a majority: it may have been outdated when it was taken")
 		}
 	case p.Source == nil:
-		say("records: none; orders taken before are known by the configuration alone: one that is sent again may get 412, and a retirement has to be started again")
+		add("records: none; earlier orders are reflected in the configuration only: one that is sent again may get 412, and a retirement has to be started again")
 	case slices.Contains(s.members, p.Source.Member):
-		say("records: all that was acknowledged, from %s (revision %d, %d orders taken)", p.Source.Node, p.Source.Records.Revision, p.Source.Records.Orders)
+		add("records: all that was acknowledged, from %s (revision %d, %d orders taken)", p.Source.Node, p.Source.Records.Revision, p.Source.Records.Orders)
 	default:
-		say("records: from %s, up to epoch %d of %d (revision %d, %d orders taken); orders taken later are known by the configuration alone: "+
+		add("records: from %s, up to epoch %d of %d (revision %d, %d orders taken); later orders are reflected in the configuration only: "+
 			"one that is sent again may get 412", p.Source.Node, p.Source.Records.Joined, s.epoch, p.Source.Records.Revision, p.Source.Records.Orders)
 	}
 }
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -13,7 +13,7 @@
 	"liftgauge/replication"
 )
 
-// viewOf is a view of disks named machine/1, of which the first so many are members.
+// viewOf returns a view of the disks machine/1 as witnesses, of which the given number from the first on are members.
 func viewOf(epoch uint64, members int, machines ...string) replication.ControlView {
 	v := replication.ControlView{View: replication.View{Epoch: epoch}}
 	for i, m := range machines {
@@ -28,7 +28,7 @@
 	return v
 }
 
-// account is of a process that belongs to a view.
+// account returns the account of a process whose disk belongs to a view.
 func account(machine, disk string, v replication.ControlView) Account {
 	a := Account{Node: machine + "/control", Name: machine, Member: machine + "/" + disk, Address: machine, ControlPlane: machine + ":1",
 		HighestEpoch: v.Epoch, Installed: v, Configuration: Known{Version: protocol.ItemVersion{Term: 3}, Count: 12}, Partitions: Known{Count: 64}}
@@ -38,7 +38,7 @@
 	return a
 }
 
-// empty is of a process with an empty disk, that has heard of a view.
+// empty returns the account of a process with an empty disk that has received a view.
 func empty(machine string, v replication.ControlView) Account {
 	a := account(machine, "2", replication.ControlView{})
 	a.HighestEpoch = 0
@@ -46,7 +46,7 @@
 	return a
 }
 
-func TestMajorityOfDisksLost(t *testing.T) {
+func TestPlanAfterLossOfMajorityOfDisks(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(7, 3, "a", "b", "c", "d", "e")
 	p, err := NewPlan([]Account{empty("a", v), account("b", "1", v), empty("d", v), empty("e", v)}, Options{})
@@ -61,8 +61,8 @@
 	is.True(strings.Contains(text, "witness a/1: its disk is lost"))
 }
 
-// A survivor that an earlier view left out may lack what came after.
-func TestRecordsOfAnEarlierView(t *testing.T) {
+// The only survivor is a member of an earlier view, but not of the newest one: later records may be missing from it.
+func TestRecordsOfEarlierView(t *testing.T) {
 	is := is.New(t)
 	before, v := viewOf(7, 3, "a", "b", "c"), viewOf(9, 2, "a", "b", "c")
 	p, err := NewPlan([]Account{empty("a", v), empty("b", v), account("c", "1", before)}, Options{})
@@ -71,21 +71,21 @@
 	is.True(strings.Contains(strings.Join(p.Findings, "\n"), "up to epoch 7 of 9"))
 }
 
-// All members are gone, and a majority of the witnesses is left: nobody can take over.
-func TestNoMemberLeft(t *testing.T) {
+// All members are lost and a majority of the witnesses remains: no process can take over without recovery.
+func TestPlanAfterLossOfAllMembers(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(7, 2, "a", "b", "c", "d", "e")
-	left := []Account{account("c", "1", v), account("d", "1", v), account("e", "1", v)}
-	_, err := NewPlan(append(left, empty("a", v)), Options{})
-	is.True(errors.Is(err, ErrControlMayBeAvailable)) // b may come back with everything
-	p, err := NewPlan(append(left, empty("a", v), empty("b", v)), Options{})
+	remaining := []Account{account("c", "1", v), account("d", "1", v), account("e", "1", v)}
+	_, err := NewPlan(append(remaining, empty("a", v)), Options{})
+	is.True(errors.Is(err, ErrControlMayBeAvailable)) // b may come back with all records
+	p, err := NewPlan(append(remaining, empty("a", v), empty("b", v)), Options{})
 	is.NoErr(err)
 	is.True(p.Source == nil)
-	_, err = NewPlan(append(left, empty("a", v)), Options{Lost: []string{"b"}})
+	_, err = NewPlan(append(remaining, empty("a", v)), Options{Lost: []string{"b"}})
 	is.NoErr(err)
 }
 
-func TestRefusals(t *testing.T) {
+func TestPlanRejections(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(7, 2, "a", "b", "c")
 	a, b, c := account("a", "1", v), account("b", "1", v), account("c", "1", v)
@@ -112,19 +112,19 @@
 	_, err = NewPlan([]Account{a, newer, empty("c", v)}, Options{})
 	is.True(errors.Is(err, ErrStaleFounder))
 
-	unknowing := Account{Node: "a/control", Name: "a", Member: "a/2", Address: "a"}
-	_, err = NewPlan([]Account{unknowing}, Options{})
+	uninformed := Account{Node: "a/control", Name: "a", Member: "a/2", Address: "a"}
+	_, err = NewPlan([]Account{uninformed}, Options{})
 	is.True(errors.Is(err, ErrNoState))
 	from := &snapshot.Snapshot{Node: "old/control", TakenAt: time.Unix(0, 0), Epoch: 50, Generation: 4}
-	p, err := NewPlan([]Account{unknowing}, Options{From: from})
+	p, err := NewPlan([]Account{uninformed}, Options{From: from})
 	is.NoErr(err)
 	is.Equal(p.View.Generation, uint64(5))
 	is.Equal(p.View.Epoch, uint64(50+replication.RecoveryEpochGap))
 	is.True(strings.Contains(strings.Join(p.Findings, "\n"), "not confirmed by a majority"))
 }
 
-// A view of a later generation counts more than one of a higher epoch.
-func TestGenerationsGoBeforeEpochs(t *testing.T) {
+// A view of a later generation takes precedence over one of a higher epoch.
+func TestGenerationTakesPrecedenceOverEpoch(t *testing.T) {
 	is := is.New(t)
 	old, v := viewOf(3000, 3, "a", "b", "c"), viewOf(1031, 3, "a", "b", "c")
 	v.Generation = 1
@@ -136,8 +136,8 @@
 	is.Equal(p.View.Generation, uint64(2))
 }
 
-// A store that does not answer is named: it may have gone further than anybody knows.
-func TestSilentStoresAreNamed(t *testing.T) {
+// The findings name a store that does not respond: it may have applied a partition table that no account contains.
+func TestFindingsNameUnresponsiveStores(t *testing.T) {
 	is := is.New(t)
 	v := viewOf(7, 3, "a", "b", "c")
 	a := account("a", "1", v)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,8 @@
-// Package snapshot is the file format of a copy of control's state: the records of control's group with where and when they were read.
+// Package snapshot implements the file format for snapshots of control's state: the records of the control group, and where and when they
+// were read.
 //
-// A file begins with magic and a format number, then a body of fields in the encoding of encoding/binary, and closes with a CRC-32C of all before.
+// A file begins with a magic string and a format number, followed by fields in the varint encoding of encoding/binary, and ends with a
+// CRC-32C of everything before it.
 package snapshot
 
 import (
@@ -18,13 +20,13 @@
 const (
 	magic  = "liftgauge control snapshot\n"
 	format = 1
-	// MaxBytes bounds a snapshot: a configuration of 15 MB with its partition table and orders is far below it.
+	// MaxBytes is the maximum size of a snapshot. A configuration of 15 MB with its partition table and orders stays far below it.
 	MaxBytes = 256 << 20
 
 	checksumBytes = 4
 )
 
-// The errors of Decode. Each names the remedy.
+// The errors of Decode. Each tells the operator what to do.
 var (
 	ErrNotASnapshot = errors.New("this is no snapshot of control: make one with liftgauge snapshot > FILE")
 	ErrDamaged      = errors.New("the snapshot is cut off or damaged: take another copy of the file")
@@ -33,17 +35,17 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Snapshot is the state of control's group.
+// Snapshot is the state of the control group.
 type Snapshot struct {
-	Node       string // key of the process that it was read at
+	Node       string // key of the process that it was read from
 	TakenAt    time.Time
-	Epoch      uint64 // of the view
+	Epoch      uint64 // epoch of the view
 	Generation uint64
-	Confirmed  bool // a majority has confirmed that nothing newer was acknowledged
+	Confirmed  bool // a majority has confirmed that no newer state was acknowledged
 	Records    []replication.Record
 }
 
-// Encode returns the file.
+// Encode returns the content of a snapshot file.
 func (s *Snapshot) Encode() []byte {
 	b := append([]byte(magic), format)
 	b = appendText(b, []byte(s.Node))
@@ -57,15 +59,15 @@
 		b = binary.AppendUvarint(b, r.Version)
 		b = appendText(b, r.Value)
 	}
-	return checked(b)
+	return appendChecksum(b)
 }
 
-// checked appends the checksum of a body.
-func checked(body []byte) []byte {
+// appendChecksum appends the checksum of a body.
+func appendChecksum(body []byte) []byte {
 	return binary.BigEndian.AppendUint32(body, crc32.Checksum(body, castagnoli))
 }
 
-// Decode reads a file.
+// Decode parses the content of a snapshot file.
 func Decode(file []byte) (*Snapshot, error) {
 	if !bytes.HasPrefix(file, []byte(magic)) {
 		return nil, ErrNotASnapshot
@@ -85,13 +87,13 @@
 	for range f.count() {
 		s.Records = append(s.Records, replication.Record{Key: string(f.text()), Version: f.number(), Value: f.text()})
 	}
-	if f.bad {
+	if f.invalid {
 		return nil, ErrDamaged
 	}
 	return s, nil
 }
 
-// Read reads a file of at most MostBytes.
+// Read reads and decodes a snapshot file of at most MaxBytes.
 func Read(r io.Reader) (*Snapshot, error) {
 	file, err := io.ReadAll(io.LimitReader(r, MaxBytes+1))
 	if err != nil {
@@ -114,15 +116,15 @@
 	return append(binary.AppendUvarint(b, uint64(len(text))), text...)
 }
 
-// fields takes fields off the body of a file. After the first that does not fit, bad is set and all others are zero.
+// fields reads fields from the body of a file in sequence. After the first field that is malformed, invalid is set and all further fields are zero.
 type fields struct {
-	rest []byte
-	bad  bool
+	rest    []byte
+	invalid bool
 }
 
-func (f *fields) take(size int) {
+func (f *fields) advance(size int) {
 	if size <= 0 {
-		f.rest, f.bad = nil, true
+		f.rest, f.invalid = nil, true
 		return
 	}
 	f.rest = f.rest[size:]
@@ -130,21 +132,21 @@
 
 func (f *fields) number() uint64 {
 	n, size := binary.Uvarint(f.rest)
-	f.take(size)
+	f.advance(size)
 	return n
 }
 
 func (f *fields) signed() int64 {
 	n, size := binary.Varint(f.rest)
-	f.take(size)
+	f.advance(size)
 	return n
 }
 
-// count reads the length of a list whose elements take a byte at least.
+// count reads the length of a list whose elements take at least one byte each.
 func (f *fields) count() uint64 {
 	n := f.number()
 	if n > uint64(len(f.rest)) {
-		f.rest, f.bad = nil, true
+		f.rest, f.invalid = nil, true
 		return 0
 	}
 	return n
--- a/internal/statuspage/status.go
+++ b/internal/statuspage/status.go
@@ -1,4 +1,4 @@
-// Package statuspage is the body of GET /status of a control process: what it knows of the system, and how that is printed.
+// Package statuspage defines the body of GET /status of a control process, and prints it as text.
 package statuspage
 
 import (
@@ -13,26 +13,26 @@
 	"liftgauge/replication"
 )
 
-// Page is what one control process knows of the system.
+// Page is the status of the system as seen by one control process.
 type Page struct {
 	Node         string
 	Member       string
 	Active       bool // this process is the active primary
 	Epoch        uint64
-	Primary      string // member
-	PrimaryPlane string // where the primary serves the operator
+	Primary      string // member id of the primary
+	PrimaryPlane string // ControlPlane address of the primary
 	Members      []string
 	Learners     []string
 	Witnesses    []string
-	LossesBorne  int      // witnesses that may be lost at once
-	LossesAsked  int      // by FaultTolerance
-	Blocked      []string `json:",omitempty"` // members that writes wait for
-	Orders       int      // under way there
+	LossesBorne  int      // number of witnesses that may be lost at once
+	LossesAsked  int      // number of losses that FaultTolerance requires
+	Blocked      []string `json:",omitempty"` // members whose acknowledgement pending writes are waiting for
+	Orders       int      // pending at the process
 	Nodes        []Node
 	Partitions   Partitions
-	Stores       []Store `json:",omitempty"` // the primary only
+	Stores       []Store `json:",omitempty"` // reported by the primary only
 	Workers      int
-	ListReader   bool // that process reads the platform's list
+	ListReader   bool // the process reads the platform's list of workers
 }
 
 // Node is a process with a session.
@@ -42,13 +42,14 @@
 	Leaving                          bool `json:",omitempty"`
 }
 
-// Partitions sums up the partition table.
+// Partitions summarizes the partition table.
 type Partitions struct {
 	Count    int
-	Primary  map[string]int // partitions led, by member
-	Learners int            // partitions that have learners
-	Short    int            // partitions with fewer members than FaultTolerance asks copies for
-	// Waiting counts the partitions that rest until a disk is back or given up; WaitsFor names these disks by member. The primary only.
+	Primary  map[string]int // number of partitions by member id of the primary
+	Learners int            // number of partitions with learners
+	Short    int            // number of partitions with fewer members than FaultTolerance requires
+	// Waiting counts the partitions that are unavailable until a disk returns or is abandoned; WaitsFor lists the member ids of these disks.
+	// Both are reported by the primary only.
 	Waiting  int      `json:",omitempty"`
 	WaitsFor []string `json:",omitempty"`
 }
@@ -59,7 +60,7 @@
 	Live     bool
 	Retiring bool `json:",omitempty"`
 	Emptied  bool `json:",omitempty"`
-	// Abandoned says that the operator has given up the disk.
+	// Abandoned is set if the operator has abandoned the disk.
 	Abandoned bool `json:",omitempty"`
 }
 
--- a/internal/statuspage/status_test.go
+++ b/internal/statuspage/status_test.go
@@ -44,20 +44,20 @@
 `)
 }
 
-func TestPrintTellsThatControlBearsTooFewLosses(t *testing.T) {
+func TestPrintWarnsOfTooFewToleratedLosses(t *testing.T) {
 	is := is.New(t)
-	const told = "  control bears the loss of 1 of its witnesses, FaultTolerance asks for 2: run control on 5 machines with a disk\n"
+	const warned = "  control bears the loss of 1 of its witnesses, FaultTolerance asks for 2: run control on 5 machines with a disk\n"
 	for _, c := range []struct {
-		epoch        uint64
-		borne, asked int
-		told         bool
+		epoch               uint64
+		tolerated, required int
+		warned              bool
 	}{
 		{513, 1, 2, true}, {513, 2, 2, false}, {513, 3, 2, false},
 		{0, 0, 2, false}, // no view is known yet
 	} {
 		var out bytes.Buffer
-		s := Page{Epoch: c.epoch, LossesBorne: c.borne, LossesAsked: c.asked}
+		s := Page{Epoch: c.epoch, LossesBorne: c.tolerated, LossesAsked: c.required}
 		is.NoErr(s.Print(&out))
-		is.Equal(bytes.Contains(out.Bytes(), []byte(told)), c.told)
+		is.Equal(bytes.Contains(out.Bytes(), []byte(warned)), c.warned)
 	}
 }
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -29,12 +29,12 @@
 	},
 	{
 		Promise: "nothing is founded where control may have a majority", File: "internal/recovery/plan.go",
-		Old: "len(s.voters) > 0 && len(silent) >= majority", New: "false && len(silent) >= majority",
+		Old: "len(s.voters) > 0 && len(unresponsive) >= majority", New: "false && len(unresponsive) >= majority",
 		Package: "./internal/recovery",
 	},
 	{
 		Promise: "nothing is founded where a silent member would have a majority", File: "internal/recovery/plan.go",
-		Old: ">= majority && len(silent) > 0", New: ">= majority && len(silent) < 0",
+		Old: ">= majority && len(unresponsive) > 0", New: ">= majority && len(unresponsive) < 0",
 		Package: "./internal/recovery",
 	},
 	{
