--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,10 +1,10 @@
-// Package budget bounds the bytes that the program holds for others, so that no load makes it use more memory than it
-// may: one that does is killed, and loses all that it has taken.
+// Package budget bounds the memory that the program holds for requests, so that no load makes it exceed its memory limit: a process that
+// does is killed, and loses all messages that it has accepted.
 //
-// There are two accounts. Messages take from the first when they come in, and are turned away where it has no room. What
-// must get in however full that one is, the hosts' words on jobs that are held already, waits its turn at the second.
+// There are two accounts. Messages reserve memory from the first on arrival, and are rejected if it is exhausted. Callbacks, in which hosts
+// report on jobs that are already held, must be admitted however full the first account is: they wait in order for the second.
 //
-// All sizes are bytes.
+// All sizes are in bytes.
 package budget
 
 import (
@@ -18,79 +18,79 @@
 	"liftgauge/internal/invariant"
 )
 
-// What things cost beside the bytes that they carry: stacks, tables, buffers, timers.
+// Memory costs in addition to the payload: stacks, tables, buffers, timers.
 const (
 	ConnectionCost = 14 << 10 // a client's connection with its buffers and goroutines
-	MessageCost    = 12 << 10 // a message with its head and an attempt under way, each with a goroutine
-	JobCost        = 3 << 8   // a job that needs none
-	CallbackCost   = 2 << 10  // a call-back
+	MessageCost    = 12 << 10 // a message with its header and a running attempt, each with a goroutine
+	JobCost        = 3 << 8   // a job that needs no goroutine
+	CallbackCost   = 2 << 10  // a callback
 )
 
-// Shares are how a limit of memory is shared out.
+// Shares is the division of a memory limit.
 type Shares struct {
-	Runtime     int64 // the limit for the Go runtime; the rest is for the binary and the kernel's buffers
-	Connections int   // of clients, at most
-	Messages    int64 // what messages may hold
-	Calls       int64 // what call-backs under way may hold
+	Runtime     int64 // limit for the Go runtime; the rest is for the binary and kernel buffers
+	Connections int   // maximum number of client connections
+	Messages    int64 // memory that messages may hold
+	Calls       int64 // memory that callbacks in progress may hold
 }
 
-// SplitMemory shares out a limit of memory. Three quarters are the runtime's. Of these some are in use at rest, and a fifth is
-// left to garbage: without that the collector would run without end.
+// SplitMemory divides a memory limit. Three quarters go to the Go runtime. Of these, some memory is in use when idle, and a fifth is left for
+// garbage: without it the garbage collector would run continuously.
 func SplitMemory(memory int64) Shares {
 	s := Shares{Runtime: memory * 3 / 4}
-	free := max(s.Runtime-atRest, s.Runtime/8)
+	free := max(s.Runtime-idleMemory, s.Runtime/8)
 	s.Connections = int(max(free/5/ConnectionCost, 16))
-	s.Messages = max(free/2, 2*largest)
-	s.Calls = max(free/10, 8*largest)
+	s.Messages = max(free/2, 2*maxBody)
+	s.Calls = max(free/10, 8*maxBody)
 	return s
 }
 
 const (
-	atRest  = 6 << 20
-	largest = 64 << 10 // the largest body
+	idleMemory = 6 << 20
+	maxBody    = 64 << 10 // maximum size of a body
 )
 
-// Budget is the two accounts. It is safe for concurrent use.
+// Budget holds the two accounts. It is safe for concurrent use.
 type Budget struct {
 	Check *invariant.Checker // may be nil
 
 	limit, held, peak atomic.Int64
-	turned            atomic.Int64
+	rejected          atomic.Int64
 	calls             *semaphore.Weighted
-	mostCall          int64
+	maxCall           int64
 }
 
-// New returns a Budget with so much for messages and for call-backs.
+// New returns a Budget with these limits for messages and for callbacks.
 func New(messages, calls int64) *Budget {
-	b := &Budget{calls: semaphore.NewWeighted(calls), mostCall: calls}
+	b := &Budget{calls: semaphore.NewWeighted(calls), maxCall: calls}
 	b.limit.Store(messages)
 	return b
 }
 
-// SetLimit changes what messages may hold. What is held stays.
+// SetLimit changes the limit for messages. Existing reservations stay.
 func (b *Budget) SetLimit(messages int64) { b.limit.Store(messages) }
 
-// Held is what messages hold, Peak the most that they ever held, and Turned how many found no room.
+// Held returns the memory that messages hold, Peak its maximum so far, and Rejected the number of messages that were rejected.
 func (b *Budget) Held() int64     { return b.held.Load() }
 func (b *Budget) Peak() int64     { return b.peak.Load() }
-func (b *Budget) Rejected() int64 { return b.turned.Load() }
+func (b *Budget) Rejected() int64 { return b.rejected.Load() }
 
-// take adds to what is held if there is room.
+// take reserves n bytes of the messages' account if the limit allows it.
 func (b *Budget) take(n int64) bool {
 	for {
 		held := b.held.Load()
 		if held+n > b.limit.Load() {
-			b.turned.Add(1)
+			b.rejected.Add(1)
 			return false
 		}
 		if b.held.CompareAndSwap(held, held+n) {
-			b.top(held + n)
+			b.updatePeak(held + n)
 			return true
 		}
 	}
 }
 
-func (b *Budget) top(held int64) {
+func (b *Budget) updatePeak(held int64) {
 	for {
 		peak := b.peak.Load()
 		if held <= peak || b.peak.CompareAndSwap(peak, held) {
@@ -99,71 +99,73 @@
 	}
 }
 
-// ReserveCallback returns a Hold of a call-back with a body of so many bytes, which becomes a text of the parser's and a result, and
-// one share in it. It waits for room in the order of calls, until the context ends.
+// ReserveCallback returns a Reservation with one reference for a callback with a body of the given size. The cost includes two more copies
+// of the body, one in the parser and one as the result. It waits for free memory, in the order of calls, until the context ends.
 func (b *Budget) ReserveCallback(ctx context.Context, body int) (*Reservation, error) {
-	n := min(CallbackCost+int64(BufferSize(body)+2*body), b.mostCall)
+	n := min(CallbackCost+int64(BufferSize(body)+2*body), b.maxCall)
 	if err := b.calls.Acquire(ctx, n); err != nil {
 		return nil, err
 	}
-	return newHold(b, n, body, true), nil
+	return newReservation(b, n, body, true), nil
 }
 
-// Reservation is what one message or call-back holds. Everybody who uses it or its buffer has a share in it; when the last lets go the bytes
-// are given back and the buffer may be another message's.
+// Reservation is the memory that one message or callback holds. It is reference-counted: each user of it or its buffer has a reference, and
+// when the last one is released the bytes are returned to the account and the buffer may be reused for another message.
 type Reservation struct {
-	b      *Budget
-	n      atomic.Int64
-	shares atomic.Int32
-	call   bool
-	buf    []byte
+	b          *Budget
+	n          atomic.Int64
+	references atomic.Int32
+	call       bool
+	buf        []byte
 }
 
-func newHold(b *Budget, n int64, body int, call bool) *Reservation {
+func newReservation(b *Budget, n int64, body int, call bool) *Reservation {
 	h := &Reservation{b: b, call: call, buf: GetBuffer(body)}
 	h.n.Store(n)
-	h.shares.Store(1)
+	h.references.Store(1)
 	return h
 }
 
-// TryReserve returns a Hold of a message that costs so much beside its body of so many bytes, and one share in it. Nil: no room.
+// TryReserve returns a Reservation with one reference for a message with a body of the given size and additional cost, or nil if the limit
+// would be exceeded.
 func (b *Budget) TryReserve(body int, cost int64) *Reservation {
 	n := cost + int64(BufferSize(body))
 	if !b.take(n) {
 		return nil
 	}
-	return newHold(b, n, body, false)
+	return newReservation(b, n, body, false)
 }
 
-// Buffer is room for the body.
+// Buffer returns the buffer for the body.
 func (h *Reservation) Buffer() []byte { return h.buf }
 
-// Retain adds a share. The caller must have one, or know of one that cannot end meanwhile. A nil Hold has no shares.
+// Retain adds a reference. The caller must hold one, or ensure that another one is not released meanwhile. On a nil Reservation it does
+// nothing.
 func (h *Reservation) Retain() {
 	if h != nil {
-		h.shares.Add(1)
+		h.references.Add(1)
 	}
 }
 
-// Grow makes a message's Hold hold more, whether there is room or not: what it is for is here already. Less than 0 gives
-// some of it back.
+// Grow adds n bytes to the Reservation of a message even if that exceeds the limit, because the memory is already in use. A negative n returns
+// bytes.
 func (h *Reservation) Grow(n int64) {
 	if h != nil && n != 0 {
 		h.n.Add(n)
-		h.b.top(h.b.held.Add(n))
+		h.b.updatePeak(h.b.held.Add(n))
 	}
 }
 
-// Release ends a share.
+// Release drops a reference.
 func (h *Reservation) Release() {
 	if h == nil {
 		return
 	}
-	switch left := h.shares.Add(-1); {
-	case left < 0:
-		h.shares.Add(1)
-		h.b.Check.Check(false, "a share of held bytes was dropped twice")
-	case left == 0:
+	switch remaining := h.references.Add(-1); {
+	case remaining < 0:
+		h.references.Add(1)
+		h.b.Check.Check(false, "a reference to a memory reservation was released twice")
+	case remaining == 0:
 		if h.call {
 			h.b.calls.Release(h.n.Load())
 		} else {
@@ -174,32 +176,32 @@
 	}
 }
 
-// Buffers are kept by size, in powers of two; small ones are not worth it.
+// Buffers are pooled by size, in powers of two; pooling smaller ones does not pay.
 const (
-	leastBits = 12
-	mostBits  = 16
+	minBits = 12
+	maxBits = 16
 )
 
-// Shared by all: they hold nothing that anybody counts on.
-var pools [mostBits - leastBits + 1]sync.Pool
+// pools is shared by all Budgets: pooled buffers hold no state.
+var pools [maxBits - minBits + 1]sync.Pool
 
-// class is the index of the pool for buffers of a size, or -1.
+// class returns the index of the pool for buffers of a size, or -1.
 func class(n int) int {
-	if n <= 1<<(leastBits-1) || n > 1<<mostBits {
+	if n <= 1<<(minBits-1) || n > 1<<maxBits {
 		return -1
 	}
-	return max(bits.Len(uint(n-1)), leastBits) - leastBits
+	return max(bits.Len(uint(n-1)), minBits) - minBits
 }
 
-// BufferSize is what a buffer of a length takes up.
+// BufferSize returns the memory that a buffer of length n takes.
 func BufferSize(n int) int {
 	if c := class(n); c >= 0 {
-		return 1 << (c + leastBits)
+		return 1 << (c + minBits)
 	}
 	return n
 }
 
-// GetBuffer returns a buffer of a length. Its bytes are whatever was there before.
+// GetBuffer returns a buffer of length n. Its content is undefined.
 func GetBuffer(n int) []byte {
 	c := class(n)
 	if c < 0 {
@@ -208,16 +210,16 @@
 	if p, ok := pools[c].Get().(*[]byte); ok {
 		return (*p)[:n]
 	}
-	return make([]byte, n, 1<<(c+leastBits))
+	return make([]byte, n, 1<<(c+minBits))
 }
 
-// PutBuffer takes back a buffer that nobody uses any more. Those that are not of Get are dropped.
+// PutBuffer returns a buffer that is no longer used to its pool. Buffers that do not come from GetBuffer are discarded.
 func PutBuffer(b []byte) {
-	if c := class(cap(b)); c >= 0 && cap(b) == 1<<(c+leastBits) {
+	if c := class(cap(b)); c >= 0 && cap(b) == 1<<(c+minBits) {
 		b = b[:0]
 		pools[c].Put(&b)
 	}
 }
 
-// ReserveEmpty returns a Hold of nothing yet, which Grow is to be used on.
-func (b *Budget) ReserveEmpty() *Reservation { return newHold(b, 0, 0, false) }
+// ReserveEmpty returns a Reservation of 0 bytes, to be extended with Grow.
+func (b *Budget) ReserveEmpty() *Reservation { return newReservation(b, 0, 0, false) }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -8,15 +8,15 @@
 	"testing/synctest"
 )
 
-// TestAgainstModel takes, grows, shares and drops at random, and compares with sums kept beside.
-func TestAgainstModel(t *testing.T) {
+// TestBudgetMatchesModel reserves, grows, retains and releases at random, and compares the Budget with sums kept by the test.
+func TestBudgetMatchesModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	const limit = 1 << 20
 	b := New(limit, 1<<20)
 	type item struct {
-		h      *Reservation
-		n      int64
-		shares int
+		h          *Reservation
+		n          int64
+		references int
 	}
 	var all []*item
 	var held int64
@@ -43,12 +43,12 @@
 		case k == 3:
 			it := all[rng.IntN(len(all))]
 			it.h.Retain()
-			it.shares++
+			it.references++
 		default:
 			i := rng.IntN(len(all))
 			it := all[i]
 			it.h.Release()
-			if it.shares--; it.shares == 0 {
+			if it.references--; it.references == 0 {
 				held -= it.n
 				all[i] = all[len(all)-1]
 				all = all[:len(all)-1]
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestBuffersAreNotShared: a buffer that somebody still has a share in is nobody else's.
-func TestBuffersAreNotShared(t *testing.T) {
+// TestReferencedBufferIsNotReused checks that a buffer is not given to another message while a reference to it remains.
+func TestReferencedBufferIsNotReused(t *testing.T) {
 	b := New(64<<20, 1<<20)
 	var all sync.WaitGroup
 	for g := range 8 {
@@ -89,14 +89,14 @@
 	}
 }
 
-// TestCallsWait: call-backs have room whatever messages hold, and wait for each other.
-func TestCallsWait(t *testing.T) {
+// TestCallbacksWaitForEachOther checks that callbacks are admitted regardless of what messages hold, and wait for each other.
+func TestCallbacksWaitForEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(0, 1000)
 		if b.TryReserve(1, 0) != nil || b.Rejected() != 1 {
-			t.Error("a message found room in an empty budget")
+			t.Error("a message was admitted to a budget of 0 bytes")
 		}
-		first, err := b.ReserveCallback(t.Context(), 60000) // more than there is: it gets all
+		first, err := b.ReserveCallback(t.Context(), 60000) // exceeds the limit: it gets all of it
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,25 +112,25 @@
 		if _, err := b.ReserveCallback(ctx, 10); err == nil || got {
 			t.Errorf("error %v, got %v while all is taken", err, got)
 		}
-		first.Retain() // one is the event's in the owner's queue
+		first.Retain() // the second reference is that of the event in the owner's queue
 		first.Release()
 		synctest.Wait()
 		if got {
-			t.Error("room while the event is still in the queue")
+			t.Error("memory freed while the event is still in the queue")
 		}
 		first.Release()
 		synctest.Wait()
 		if !got {
-			t.Error("the next in turn got no room")
+			t.Error("the next waiting callback was not admitted")
 		}
 	})
 }
 
-func TestShare(t *testing.T) {
+func TestSplitMemory(t *testing.T) {
 	for _, mb := range []int64{16, 24, 64, 192} {
 		s := SplitMemory(mb << 20)
 		all := int64(s.Connections)*ConnectionCost + s.Messages + s.Calls
-		if s.Messages < MessageCost+largest || s.Calls < 3*largest || all > s.Runtime*4/5 {
+		if s.Messages < MessageCost+maxBody || s.Calls < 3*maxBody || all > s.Runtime*4/5 {
 			t.Errorf("%d MB: %+v, in all %d", mb, s, all)
 		}
 	}
--- a/internal/fleetlog/count.go
+++ b/internal/fleetlog/count.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// LateStartThreshold is the wait that is counted: an attempt that did not start within it.
+// LateStartThreshold is the wait after which an attempt that has not started counts as waited.
 const LateStartThreshold = 200 * time.Millisecond
 
-// ZoneTime is what the hosts of a zone did in a stretch of time.
+// ZoneTime is the activity of the hosts of a zone in one interval.
 type ZoneTime struct {
 	Sent    int     `json:"sent"`
 	Waited  int     `json:"waited"`  // of these, not started within 0.2 s
-	Running float64 `json:"running"` // jobs a host, in the mean over the stretch, of hosts that were ever used
+	Running float64 `json:"running"` // jobs per host, averaged over the interval and all hosts that were ever used
 }
 
 // Spread is how evenly the attempts went to the hosts of a zone and kind.
@@ -28,45 +28,45 @@
 	Least, Median, Most int
 }
 
-// Outcome counts the messages of a class that were answered in one way.
+// Outcome counts the messages of a class with one kind of response.
 type Outcome struct {
 	Class    int `json:"class"`
-	Kind     int `json:"kind"` // 0 failed, 1 served, 2 back-off answer
+	Kind     int `json:"kind"` // 0 failed, 1 served, 2 back-off response
 	Messages int `json:"messages"`
 }
 
-// Counts are what the logs of a fleet show.
+// Counts summarizes the logs of a fleet of dispatchers.
 type Counts struct {
 	Lines              int            `json:"lines"`
-	Dispatchers        int            `json:"dispatchers"` // with attempts
+	Dispatchers        int            `json:"dispatchers"` // that made attempts
 	Attempts           int            `json:"attempts"`
 	Late               int            `json:"waited"`        // attempts that did not start within 0.2 s
-	Statuses           map[string]int `json:"ended"`         // attempts by how they ended
-	HostsByZone        map[int]int    `json:"hosts_by_zone"` // that were used
-	MessagesByAttempts map[int]int    `json:"tries"`         // messages by their attempts
-	Outcomes           []Outcome      `json:"outcomes"`      // messages by class and answer
-	Unanswered         int            `json:"unanswered"`    // messages with an attempt and no answer
-	Cold               int            `json:"to_cold"`       // attempts at hosts that had started within the time given
-	MaxColdPerHost     int            `json:"to_cold_most"`  // the most of them at one host within 2 s
-	HomeZones          map[int]int    `json:"homes"`         // dispatchers by the zone that they used most
-	OutsideHomeZone    float64        `json:"outside"`       // share of the attempts that went to another zone than that
-	Step               time.Duration  `json:"step_ns"`       // of Times
-	Times              [][]ZoneTime   `json:"times"`         // by stretch and place in Zones
-	Zones              []int          `json:"zones"`         // in order
+	Statuses           map[string]int `json:"ended"`         // attempts by outcome
+	HostsByZone        map[int]int    `json:"hosts_by_zone"` // hosts used, by zone
+	MessagesByAttempts map[int]int    `json:"tries"`         // messages by number of attempts
+	Outcomes           []Outcome      `json:"outcomes"`      // messages by class and response
+	Unanswered         int            `json:"unanswered"`    // messages with an attempt but no response
+	Cold               int            `json:"to_cold"`       // attempts at cold hosts
+	MaxColdPerHost     int            `json:"to_cold_most"`  // maximum of these at one host within 2 s
+	HomeZones          map[int]int    `json:"homes"`         // dispatchers by their home zone, the one that they used most
+	OutsideHomeZone    float64        `json:"outside"`       // fraction of the attempts sent outside the home zone
+	Step               time.Duration  `json:"step_ns"`       // interval of Times
+	Times              [][]ZoneTime   `json:"times"`         // by interval and index in Zones
+	Zones              []int          `json:"zones"`         // sorted
 	Spreads            []Spread       `json:"spreads"`       // by zone and kind
-	Unrecognized       int            `json:"strange_lines"` // passed over
-	Truncated          []string       `json:"cut_files"`     // whose last line has no end
-	Foreign            []string       `json:"foreign_files"` // without one line of a dispatcher's log
-	Orphans            int            `json:"without_send"`  // starts and ends of attempts whose sending is in none of the logs
-	First              time.Time      `json:"first"`         // of all lines
-	Span               time.Duration  `json:"span_ns"`       // to the last
+	Unrecognized       int            `json:"strange_lines"` // ignored
+	Truncated          []string       `json:"cut_files"`     // files whose last line is truncated
+	Foreign            []string       `json:"foreign_files"` // files without any line of a dispatcher's log
+	Orphans            int            `json:"without_send"`  // starts and ends of attempts whose send is in none of the logs
+	First              time.Time      `json:"first"`         // earliest time of all lines
+	Span               time.Duration  `json:"span_ns"`       // from the first to the last line
 }
 
-// mostRows is how many stretches of time are told apart: a day of seconds. Logs of other days among them would want
-// memory for all the time between.
-const mostRows = 24 * 3600
+// maxRows is the maximum number of intervals: the seconds of a day. Logs from different days would otherwise take memory for all the time
+// between them.
+const maxRows = 24 * 3600
 
-// statuses are the module's words for how an attempt ended.
+// statuses are the names that the balance package gives to the outcomes of an attempt.
 var statuses = [...]string{"none", "ok", "errored", "full", "timed out", "connect failed", "reset", "withdrawn", "never sent"}
 
 type attempt struct {
@@ -78,7 +78,7 @@
 
 type key struct{ dispatcher, message, host string }
 
-// Count counts the logs in a folder. A host is cold while it has been up for less than warm, where the logs tell since when.
+// Count summarizes the logs in a directory. A host is cold until it has been up for the duration warm, if the logs report its age.
 func Count(dir fs.FS, warm, step time.Duration) (*Counts, error) {
 	c := &Counts{Statuses: map[string]int{}, HostsByZone: map[int]int{}, MessagesByAttempts: map[int]int{}, HomeZones: map[int]int{}, Step: step}
 	var all []*attempt
@@ -86,7 +86,7 @@
 	live := map[key]*attempt{}
 	type place struct{ zone, kind int }
 	hosts, used := map[string]place{}, map[string]map[int]int{}
-	tries, answered := map[string]int{}, map[string]bool{}
+	attempts, answered := map[string]int{}, map[string]bool{}
 	outcomes, cold := map[Outcome]int{}, map[string][]time.Time{}
 	noise, err := Read(dir, func(l Line) {
 		c.Lines++
@@ -107,7 +107,7 @@
 				used[l.Dispatcher] = map[int]int{}
 			}
 			used[l.Dispatcher][l.number("zone")]++
-			tries[k.message]++
+			attempts[k.message]++
 			if age, ok := l.duration("age"); ok && age < warm {
 				cold[k.host] = append(cold[k.host], l.At)
 			}
@@ -132,17 +132,17 @@
 		return c, err
 	}
 	if len(all) == 0 {
-		return c, errors.New("no attempts there: are these logs of dispatchers at level debug?")
+		return c, errors.New("no attempts found: are these logs of dispatchers at level debug?")
 	}
 	c.Attempts, c.Dispatchers, c.Span = len(all), len(used), last.Sub(c.First)
-	if c.Span/step > mostRows {
-		return c, fmt.Errorf("they span %v, %d rows of %v: logs of several runs, or a longer --step is wanted", c.Span, c.Span/step, step)
+	if c.Span/step > maxRows {
+		return c, fmt.Errorf("the logs span %v, %d rows of %v: remove logs of other runs, or give a longer --step", c.Span, c.Span/step, step)
 	}
 	for _, p := range hosts {
 		c.HostsByZone[p.zone]++
 	}
 	c.Zones = slices.Sorted(maps.Keys(c.HostsByZone))
-	for message, n := range tries {
+	for message, n := range attempts {
 		c.MessagesByAttempts[n]++
 		if !answered[message] {
 			c.Unanswered++
@@ -192,7 +192,7 @@
 	return c, nil
 }
 
-// time adds an attempt to what its zone did.
+// time adds an attempt to the activity of its zone.
 func (c *Counts) time(a *attempt, zone int, last time.Time) {
 	if a.status < 0 || a.status >= len(statuses) {
 		a.status = 0
@@ -209,20 +209,20 @@
 	if end.IsZero() {
 		end = last
 	}
-	began := a.start
-	if began.IsZero() {
-		began = end
+	started := a.start
+	if started.IsZero() {
+		started = end
 	}
 	sent := at(a.sent.Sub(c.First))
 	sent.Sent++
-	if began.Sub(a.sent) > LateStartThreshold {
+	if started.Sub(a.sent) > LateStartThreshold {
 		sent.Waited++
 		c.Late++
 	}
 	if a.start.IsZero() {
 		return
 	}
-	for t := a.start.Sub(c.First); t < end.Sub(c.First); t = (t/c.Step + 1) * c.Step { // the part of each stretch
+	for t := a.start.Sub(c.First); t < end.Sub(c.First); t = (t/c.Step + 1) * c.Step { // the share of each interval
 		until := min((t/c.Step+1)*c.Step, end.Sub(c.First))
 		at(t).Running += (until - t).Seconds() / c.Step.Seconds() / float64(c.HostsByZone[zone])
 	}
--- a/internal/fleetlog/fleetlog_test.go
+++ b/internal/fleetlog/fleetlog_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// log writes lines as a dispatcher does. Each is a time in milliseconds, a message and its fields.
+// log writes lines in the format of a dispatcher. Each is a time in milliseconds, a message and its fields.
 func log(json bool, lines ...[]any) []byte {
 	var b bytes.Buffer
 	o := &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
@@ -30,7 +30,7 @@
 	return b.Bytes()
 }
 
-var now time.Duration // of the line that log writes
+var now time.Duration // time of the line that log is writing
 
 func send(at int, message, host string, zone int, more ...any) []any {
 	return append([]any{at, "attempt", "message", message, "host", host, "kind", 1, "zone", zone, "cell", 7, "waited", time.Millisecond}, more...)
@@ -48,8 +48,8 @@
 	return []any{at, "answered", "message", message, "class", class, "kind", kind}
 }
 
-// TestCount: two dispatchers, one of which logs JSON and has numbers put before its lines; what is no log of a dispatcher, or ends in the
-// middle of a line, is counted and harms nothing.
+// TestCount counts the logs of dispatchers, one of which logs JSON with numbers put before its lines, among files that are not logs of a
+// dispatcher or end in the middle of a line: these are reported and don't affect the counts.
 func TestCount(t *testing.T) {
 	n1 := log(true, send(500, "c", "s-1", 0), started(1500, "c", "s-1"), ended(2500, "c", "s-1", 1), answered(2500, "c", 1, 1),
 		ended(2600, "x", "s-9", 1), []any{2700, "late report", "message", "c"})
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	got := fmt.Sprint(c.Attempts, c.Dispatchers, c.Late, c.Statuses, c.HostsByZone, c.MessagesByAttempts, c.Outcomes, c.Unanswered, c.Cold, c.MaxColdPerHost, c.HomeZones)
-	// Attempts a, b, b again, c, d. Late: b (never started), b again and c; d goes to the end of the logs, which is at once.
+	// Attempts: a, b, b again, c, d. Late: b (never started), b again and c. d is open until the end of the logs, which is its send time.
 	want := "5 3 3 map[none:2 ok:2 withdrawn:1] map[0:1 3:2] map[1:3 2:1] [{0 1 1} {1 1 1}] 2 2 2 map[0:2 3:1]"
 	if got != want {
 		t.Errorf("%s\nwant %s", got, want)
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestNoLogs: a folder without logs, or without one of a dispatcher at level debug, is an error, not a count of nothing.
-func TestNoLogs(t *testing.T) {
+// TestCountWithoutUsableLogsFails checks that a directory without debug logs of a dispatcher is an error rather than empty counts.
+func TestCountWithoutUsableLogsFails(t *testing.T) {
 	for name, dir := range map[string]fstest.MapFS{"empty": {}, "foreign": {"a.log": {Data: []byte("hello\n")}},
 		"info only": {"n0.log": {Data: log(false, []any{0, "serving", "name", "n0"})}}} {
 		if _, err := Count(dir, time.Second, time.Second); err == nil || strings.Contains(err.Error(), "\n") {
@@ -101,7 +101,7 @@
 	}
 }
 
-// FuzzRead: whatever a file holds, reading ends, and each line is a line of a log, strange, or cut.
+// FuzzRead checks that reading any file terminates, and that each line is parsed, unrecognized, or truncated.
 func FuzzRead(f *testing.F) {
 	f.Add(log(false, send(0, "a", "s-1", 0)))
 	f.Add(log(true, send(0, "a", "s-1", 0)))
--- a/internal/fleetlog/read.go
+++ b/internal/fleetlog/read.go
@@ -1,5 +1,5 @@
-// Package fleetlog reads the debug logs of many dispatchers and counts over all of them what one log alone can't show: where
-// jobs wait, which zones are full, what became of each message and how often it was sent.
+// Package fleetlog reads the debug logs of many dispatchers and aggregates what a single log can't show: where jobs wait, which zones are
+// full, the outcome of each message and how often it was sent.
 package fleetlog
 
 import (
@@ -16,27 +16,27 @@
 	"time"
 )
 
-// Line is a line of a log with its fields as text.
+// Line is a parsed line of a log with its fields as text.
 type Line struct {
-	Dispatcher string // name of the file without its ending
+	Dispatcher string // name of the file without its extension
 	At         time.Time
-	Message    string // what it says
+	Message    string // value of msg
 	Fields     map[string]string
-	Text       string // as it stands
+	Text       string // the unparsed line
 }
 
-// Noise counts what could not be used.
+// Noise counts lines and files that could not be used.
 type Noise struct {
-	Unrecognized int      // lines that are no line of a dispatcher's log
-	Truncated    []string // files whose last line has no end
-	Foreign      []string // files without one line of a dispatcher's log
+	Unrecognized int      // lines that are not from a dispatcher's log
+	Truncated    []string // files whose last line is truncated
+	Foreign      []string // files without any line of a dispatcher's log
 }
 
-// maxLine is the longest line taken; the dispatcher's are a few hundred bytes.
+// maxLine is the maximum length of a line; lines of a dispatcher have a few hundred bytes.
 const maxLine = 64 << 10
 
-// Read calls each for every line of the logs (*.log) in a folder, file after file. A line that is none of a dispatcher's log, a file
-// that ends in the middle of one and a file of another program are counted and passed over.
+// Read calls each for every line of the logs (*.log) in a directory, file by file. Lines that are not from a dispatcher's log, truncated last
+// lines and files of other programs are counted and skipped.
 func Read(dir fs.FS, each func(Line)) (Noise, error) {
 	var noise Noise
 	names, err := fs.Glob(dir, "*.log")
@@ -44,7 +44,7 @@
 		return noise, err
 	}
 	if len(names) == 0 {
-		return noise, errors.New("no logs (*.log) there")
+		return noise, errors.New("no logs (*.log) found")
 	}
 	for _, name := range names {
 		f, err := dir.Open(name)
@@ -66,7 +66,7 @@
 	for {
 		text, err := r.ReadSlice('\n')
 		switch {
-		case errors.Is(err, bufio.ErrBufferFull): // no line of ours: pass over the rest of it
+		case errors.Is(err, bufio.ErrBufferFull): // not a dispatcher's line: skip the rest of it
 			n.Unrecognized++
 			for errors.Is(err, bufio.ErrBufferFull) {
 				_, err = r.ReadSlice('\n')
@@ -94,7 +94,7 @@
 	}
 }
 
-// parse reads a line as slog's text or JSON handler writes it. Whoever collects the logs may have put a number before it.
+// parse parses a line as slog's text or JSON handler writes it. Log collectors may have put a number before it.
 func parse(text string) (Line, bool) {
 	line := Line{Text: text, Fields: map[string]string{}}
 	rest := text
@@ -109,7 +109,7 @@
 			return line, false
 		}
 		for k, v := range all {
-			if f, ok := v.(float64); ok { // durations are nanoseconds there
+			if f, ok := v.(float64); ok { // slog's JSON handler writes durations in nanoseconds
 				line.Fields[k] = strconv.FormatFloat(f, 'f', -1, 64)
 			} else {
 				line.Fields[k] = fmt.Sprint(v)
@@ -146,7 +146,7 @@
 	return true
 }
 
-// number reads a whole number of a line, or -1.
+// number returns an integer field, or -1 if it is absent or invalid.
 func (l *Line) number(key string) int {
 	n, err := strconv.Atoi(l.Fields[key])
 	if err != nil {
@@ -155,7 +155,7 @@
 	return n
 }
 
-// duration reads a duration of a line, as text ("1.5ms") or in nanoseconds.
+// duration returns a duration field, given as text ("1.5ms") or in nanoseconds.
 func (l *Line) duration(key string) (time.Duration, bool) {
 	text, ok := l.Fields[key]
 	if !ok {
@@ -168,7 +168,7 @@
 	return time.Duration(n), err == nil
 }
 
-// Follow returns the lines about one message of all dispatchers, in the order of their times.
+// Follow returns the lines of all dispatchers about one message, ordered by time.
 func Follow(dir fs.FS, message string) ([]Line, Noise, error) {
 	var lines []Line
 	noise, err := Read(dir, func(l Line) {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant states what must always hold. Built with the tag debug a breach panics; otherwise it is counted
-// and logged, and the caller goes on with the careful choice.
+// Package invariant checks conditions that must always hold. In builds with the tag debug a violation panics; otherwise it is counted and
+// logged, and the caller continues with the safe alternative.
 package invariant
 
 import (
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// Checker counts breaches. The zero value is ready for use, as is a nil pointer, which counts nothing.
+// Checker counts violations. The zero value is ready for use, as is a nil pointer, which counts nothing.
 type Checker struct {
-	Log      *slog.Logger
-	breaches atomic.Int64
+	Log        *slog.Logger
+	violations atomic.Int64
 }
 
-// Check reports whether the condition holds, and raises or counts it if not.
+// Check reports whether the condition holds, and panics or counts a violation if not.
 func (c *Checker) Check(holds bool, what string, args ...any) bool {
 	if holds {
 		return true
@@ -22,7 +22,7 @@
 		panic("invariant broken: " + what)
 	}
 	if c != nil {
-		c.breaches.Add(1)
+		c.violations.Add(1)
 		if c.Log != nil {
 			c.Log.Error("invariant broken: "+what, args...)
 		}
@@ -30,10 +30,10 @@
 	return false
 }
 
-// Violations returns how many were counted.
+// Violations returns the number of violations counted.
 func (c *Checker) Violations() int64 {
 	if c == nil {
 		return 0
 	}
-	return c.breaches.Load()
+	return c.violations.Load()
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -5,7 +5,7 @@
 func TestCheck(t *testing.T) {
 	var c Checker
 	if !c.Check(true, "holds") || c.Violations() != 0 {
-		t.Error("what holds was counted")
+		t.Error("a condition that holds was counted")
 	}
 	defer func() {
 		if p := recover(); (p != nil) != panics {
@@ -13,6 +13,6 @@
 		}
 	}()
 	if c.Check(false, "does not hold") || c.Violations() != 1 {
-		t.Error("a breach was not counted")
+		t.Error("a violation was not counted")
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load reads what hosts report of their load: a header of an answer, or a member of a call-back.
+// Package load reads the load reports of hosts: a header of a response, or a member of a callback.
 //
-// A report only helps the module to choose. One that cannot be read is counted, logged the first time, and left aside whole; what it
-// came with counts all the same.
+// A report is only a hint for balancing. One that cannot be read is counted, logged the first time, and ignored as a whole; the response or
+// callback that carried it is processed as usual.
 package load
 
 import (
@@ -17,20 +17,20 @@
 	"liftgauge/internal/jsonval"
 )
 
-// Header is the field of an answer that carries a report.
+// Header is the response header that carries a report.
 const Header = "Srv-Load"
 
-// MaxTextBytes bounds the text of a report: the settings name four values at most, each of some twenty bytes.
+// MaxTextBytes is the maximum length of a report as text: the settings name at most four values of about twenty bytes each.
 const MaxTextBytes = 1 << 10
 
-// Reader reads reports. A nil Reader is of a deployment that has none, and reads nothing. It is safe for concurrent use.
+// Reader reads reports. A nil Reader, for deployments without reports, ignores them. It is safe for concurrent use.
 type Reader struct {
-	columns []string // names of the values, in the module's order
-	log     *slog.Logger
-	bad     atomic.Int64
+	columns    []string // names of the values, in the order that the balance package expects
+	log        *slog.Logger
+	unreadable atomic.Int64
 }
 
-// New returns a Reader of reports with values of these names; nil where there are none.
+// New returns a Reader of reports with values of these names, or nil if there are none.
 func New(columns []string, log *slog.Logger) *Reader {
 	if len(columns) == 0 {
 		return nil
@@ -38,16 +38,16 @@
 	return &Reader{columns: columns, log: log}
 }
 
-// Unreadable is how many reports could not be read.
+// Unreadable returns the number of reports that could not be read.
 func (r *Reader) Unreadable() int64 {
 	if r == nil {
 		return 0
 	}
-	return r.bad.Load()
+	return r.unreadable.Load()
 }
 
-// ParseText reads a report in the form of the header: name=value, separated by commas, in any order. Values that the settings do not
-// name are skipped. An empty text is no report.
+// ParseText reads a report in the format of the header: name=value pairs, separated by commas, in any order. Values that the settings do not
+// name are ignored. An empty text is no report.
 func (r *Reader) ParseText(host, text string) []float32 {
 	if r == nil || text == "" {
 		return nil
@@ -58,7 +58,7 @@
 
 func (r *Reader) text(text string) ([]float32, error) {
 	if len(text) > MaxTextBytes {
-		return nil, fmt.Errorf("%d bytes, %d at most", len(text), MaxTextBytes)
+		return nil, fmt.Errorf("report has %d bytes, the maximum is %d", len(text), MaxTextBytes)
 	}
 	values, seen := make([]float32, len(r.columns)), 0
 	for part := range strings.SplitSeq(text, ",") {
@@ -71,11 +71,11 @@
 			continue
 		}
 		x, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !sound(x) {
+		if err != nil || !valid(x) {
 			return nil, fmt.Errorf("%s: want a number from 0 on", name)
 		}
 		if seen&(1<<i) != 0 {
-			return nil, fmt.Errorf("%s: told twice", name)
+			return nil, fmt.Errorf("%s: reported twice", name)
 		}
 		values[i] = float32(x)
 		seen |= 1 << i
@@ -86,7 +86,7 @@
 	return values, nil
 }
 
-// ParseBody reads a report that is a whole body: an object, or the text of the header. The protocol names no form.
+// ParseBody reads a report that is a complete body: an object, or text in the format of the header. The protocol does not specify the format.
 func (r *Reader) ParseBody(host string, body []byte) []float32 {
 	body = bytes.TrimSpace(body)
 	if r == nil || len(body) == 0 || body[0] != '{' {
@@ -100,7 +100,7 @@
 	return r.object(host, o)
 }
 
-// ParseMember reads a report that is the member of that name, if there is one.
+// ParseMember reads the report in the member with the given key, if there is one.
 func (r *Reader) ParseMember(host string, of jsonval.Object, key string) []float32 {
 	if r == nil || !of.Has(key) {
 		return nil
@@ -116,7 +116,7 @@
 	values := make([]float32, len(r.columns))
 	for i, name := range r.columns {
 		x := o.Float(name)
-		if !o.Has(name) || o.Err() != nil || !sound(x) {
+		if !o.Has(name) || o.Err() != nil || !valid(x) {
 			return r.checked(host, nil, fmt.Errorf("%s: want a number from 0 on", name))
 		}
 		values[i] = float32(x)
@@ -124,13 +124,13 @@
 	return values
 }
 
-// checked counts a report that cannot be read.
+// checked returns the values, or counts and logs a report that cannot be read.
 func (r *Reader) checked(host string, values []float32, err error) []float32 {
 	if err == nil {
 		return values
 	}
-	if r.bad.Add(1) == 1 {
-		r.log.Warn("load report left aside; further ones are only counted", "host", host, "err", err)
+	if r.unreadable.Add(1) == 1 {
+		r.log.Warn("unreadable load report ignored; further ones are only counted", "host", host, "err", err)
 	}
 	return nil
 }
@@ -144,5 +144,5 @@
 	return -1
 }
 
-// sound: a number that a module may go by, and that a float32 holds.
-func sound(x float64) bool { return x >= 0 && x <= math.MaxFloat32 }
+// valid reports whether x is a number that balancing can use and a float32 can represent.
+func valid(x float64) bool { return x >= 0 && x <= math.MaxFloat32 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,8 +12,8 @@
 
 var columns = []string{"latency_ms", "eps", "util", "x0"}
 
-// TestReports: reports in any order, with more than is named, and those that nobody can go by. Each of the latter is counted, the first
-// one logged, and the member's mistake does not become one of the object that it came in.
+// TestReports covers reports in any order, with additional values, and unreadable ones. Each unreadable report is counted, the first one is
+// logged, and an error in the member does not become an error of the object that contains it.
 func TestReports(t *testing.T) {
 	full := []float32{12.5, 0, 0.75, 3}
 	for _, c := range []struct {
@@ -38,14 +38,14 @@
 			t.Fatal(err)
 		}
 		text, member := r.ParseText("s-1", c.text), r.ParseMember("s-1", o, "load")
-		bad := int64(0)
+		unreadable := int64(0)
 		if c.want == nil {
-			bad = 2
+			unreadable = 2
 		}
-		if !reflect.DeepEqual(text, c.want) || !reflect.DeepEqual(member, c.want) || r.Unreadable() != bad || o.Err() != nil {
+		if !reflect.DeepEqual(text, c.want) || !reflect.DeepEqual(member, c.want) || r.Unreadable() != unreadable || o.Err() != nil {
 			t.Errorf("%.60s: %v, %v, %d bad, %v", c.text, text, member, r.Unreadable(), o.Err())
 		}
-		if n := strings.Count(log.String(), "load report"); n != min(int(bad), 1) {
+		if n := strings.Count(log.String(), "load report"); n != min(int(unreadable), 1) {
 			t.Errorf("%.60s: %d lines", c.text, n)
 		}
 	}
@@ -55,8 +55,8 @@
 	}
 }
 
-// FuzzText: no text panics, and what is read has a sound number for each name.
-func FuzzText(f *testing.F) {
+// FuzzParseText checks that no text causes a panic, and that a report has a valid number for each name.
+func FuzzParseText(f *testing.F) {
 	f.Add("latency_ms=1,eps=0,util=0,x0=4")
 	f.Add("x0==,=,x0=1e39")
 	f.Fuzz(func(t *testing.T, in string) {
@@ -65,7 +65,7 @@
 			t.Error(v)
 		} else {
 			for _, x := range v {
-				if !sound(float64(x)) {
+				if !valid(float64(x)) {
 					t.Error(x)
 				}
 			}
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,6 +1,6 @@
-// Package network is the sockets that a process of the system uses, so that its own model can put other ones in their place.
+// Package network abstracts the sockets that a process of the system uses, so that the simulator can replace them.
 //
-// A nil Network stands for the sockets of the operating system wherever one is taken.
+// Wherever a Network is a parameter, nil stands for the sockets of the operating system.
 package network
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Network opens sockets. Its connections need not have a file descriptor.
+// Network opens sockets. Its connections may be without a file descriptor.
 type Network interface {
 	// Listen accepts connections on HOST:PORT.
 	Listen(address string) (net.Listener, error)
@@ -37,7 +37,7 @@
 	return n.Listen(address)
 }
 
-// Client returns a client for calls over n with a limit of their time.
+// Client returns an HTTP client for calls over n with the given timeout.
 func Client(n Network, timeout time.Duration) *http.Client {
 	client := &http.Client{Timeout: timeout}
 	if n != nil {
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -1,5 +1,5 @@
-// Package work is a job as it is passed from any front to any back: each front fills in what it has, each back takes what
-// it needs. It is all that fronts and backs know of each other.
+// Package work defines a job as it is passed from any client protocol to any worker protocol: the client side fills in the fields that it has,
+// the worker side uses those that it needs. It is the only interface between the two sides.
 package work
 
 import (
@@ -14,39 +14,39 @@
 	"liftgauge/internal/serve/owner"
 )
 
-// MaxHTTP is the most bytes that a job's data or result may have where one side speaks HTTP.
+// MaxHTTP is the maximum size in bytes of the data or result of a job where one side speaks HTTP.
 const MaxHTTP = http1.MaxBody
 
-// Work is the payload of an owner.Message. Nothing of it changes once it is handed in.
+// Work is the payload of an owner.Message. It is immutable once it is submitted.
 type Work struct {
-	ID       string // of the message; valid as a Req-Id
+	ID       string // id of the message; valid as a Req-Id
 	Handle   string // by which workers know it
 	Class    string
 	Function string // by which workers know it
 	Unique   string // may be empty
 	Reducer  string // may be empty
-	Keyed    bool   // hosts want a key by which repeats are dropped
+	Keyed    bool   // hosts require an idempotency key to drop duplicates
 	CostHint time.Duration
 	Data     []byte
-	Hold     *budget.Reservation // what Data is in
-	Streams  bool                // its client takes data and warnings as they come
+	Hold     *budget.Reservation // memory of Data
+	Streams  bool                // the client accepts data and warnings as they arrive
 
-	call *http1.Call // as it came over HTTP
+	call *http1.Call // set for a job that arrived over HTTP
 }
 
-// FromHTTP makes a Work of an HTTP client's call.
+// FromHTTP returns the Work of an HTTP client's call.
 func FromHTTP(call *http1.Call, class, function string) *Work {
 	unique, _ := call.Fields.Get("Idempotency-Key")
 	return &Work{ID: call.ID, Handle: "H:" + call.ID, Class: class, Function: function, Unique: unique, call: call}
 }
 
-// FromMessage is a message's Work, or nil.
+// FromMessage returns the Work of a message, or nil if its payload is not a Work.
 func FromMessage(m *owner.Message) *Work {
 	w, _ := m.Payload.(*Work)
 	return w
 }
 
-// Body are the data, and Held what they are in: a call's body comes after its head.
+// Body returns the data. The body of an HTTP call arrives after its header, so it is read from the call.
 func (w *Work) Body() []byte {
 	if w.call != nil {
 		return w.call.Body
@@ -54,7 +54,7 @@
 	return w.Data
 }
 
-// BodyReservation is what the data are in.
+// BodyReservation returns the memory reservation of the data.
 func (w *Work) BodyReservation() *budget.Reservation {
 	if w.call != nil {
 		return w.call.Reservation
@@ -62,7 +62,7 @@
 	return w.Hold
 }
 
-// HTTP is the work as a call to a host: the one that came, or one that says the same.
+// HTTP returns the work as a call to a host: the call that arrived over HTTP, or an equivalent one.
 func (w *Work) HTTP() *http1.Call {
 	if w.call != nil {
 		return w.call
@@ -81,7 +81,8 @@
 	return &http1.Call{ID: w.ID, Method: "POST", Target: target, Fields: fields, Body: w.Data, Reservation: w.Hold}
 }
 
-// Key is by what hosts drop repeats: 32 hex digits of the function and the unique id, or of the id where there is none.
+// Key returns the idempotency key by which hosts drop duplicates: 32 hex digits of a hash of the function and the unique id, or of the
+// message id if there is no unique id.
 func (w *Work) Key() string {
 	of := w.Function + "\x00" + w.Unique
 	if w.Unique == "" {
