--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -99,7 +99,7 @@
 		sum := sha256.Sum256(data)
 		unique = "-" + hex.EncodeToString(sum[:])
 	}
-	w := &work.Work{Class: f.Class, Function: name, Unique: unique, Reducer: reducer, Data: data, Hold: hold, Streams: true, CostHint: f.Hint(data)}
+	w := &work.Work{Class: f.Class, Function: name, Unique: unique, Reducer: reducer, Data: data, Reservation: hold, Streams: true, CostHint: f.Hint(data)}
 	d := &job{work: w, conn: c.id, since: now}
 	p := f.Priority(priority)
 	s.mu.Lock()
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -380,7 +380,7 @@
 	if handed {
 		s.Desk.Gone(d.message)
 	} else { // it was to run later
-		d.work.Hold.Release()
+		d.work.Reservation.Release()
 	}
 }
 
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -19,17 +19,17 @@
 
 // Work is the payload of an owner.Message. It is immutable once it is submitted.
 type Work struct {
-	ID       string // id of the message; valid as a Req-Id
-	Handle   string // by which workers know it
-	Class    string
-	Function string // by which workers know it
-	Unique   string // may be empty
-	Reducer  string // may be empty
-	Keyed    bool   // hosts require an idempotency key to drop duplicates
-	CostHint time.Duration
-	Data     []byte
-	Hold     *budget.Reservation // memory of Data
-	Streams  bool                // the client accepts data and warnings as they arrive
+	ID          string // id of the message; valid as a Req-Id
+	Handle      string // by which workers know it
+	Class       string
+	Function    string // by which workers know it
+	Unique      string // may be empty
+	Reducer     string // may be empty
+	Keyed       bool   // hosts require an idempotency key to drop duplicates
+	CostHint    time.Duration
+	Data        []byte
+	Reservation *budget.Reservation // memory of Data
+	Streams     bool                // the client accepts data and warnings as they arrive
 
 	call *http1.Call // set for a job that arrived over HTTP
 }
@@ -59,7 +59,7 @@
 	if w.call != nil {
 		return w.call.Reservation
 	}
-	return w.Hold
+	return w.Reservation
 }
 
 // HTTP returns the work as a call to a host: the call that arrived over HTTP, or an equivalent one.
@@ -78,7 +78,7 @@
 	if w.CostHint > 0 {
 		fields = append(fields, http1.Field{Name: "Req-Cost", Value: strconv.FormatInt(w.CostHint.Microseconds(), 10)})
 	}
-	return &http1.Call{ID: w.ID, Method: "POST", Target: target, Fields: fields, Body: w.Data, Reservation: w.Hold}
+	return &http1.Call{ID: w.ID, Method: "POST", Target: target, Fields: fields, Body: w.Data, Reservation: w.Reservation}
 }
 
 // Key returns the idempotency key by which hosts drop duplicates: 32 hex digits of a hash of the function and the unique id, or of the
