--- a/configuration/document.go
+++ b/configuration/document.go
@@ -20,8 +20,8 @@
 
 // document is one JSON object, split into the texts of its fields. Fields that are not decoded are kept byte for byte.
 type document struct {
-	what    string // describes the object in errors
-	members []member
+	description string // of the object, for errors
+	members     []member
 }
 
 // readDocument parses a body that consists of exactly one JSON object. The document refers to the body without copying it.
@@ -40,7 +40,7 @@
 	if body[0] != '{' {
 		return nil, newError(KindMalformed, "the body is not an object: %s", remedy)
 	}
-	return &document{what: what, members: splitObject(body)}, nil
+	return &document{description: what, members: splitObject(body)}, nil
 }
 
 // find returns the text of the first field with the name, or nil if there is none.
@@ -74,7 +74,7 @@
 			}
 		}
 		if count > 1 {
-			return newError(KindInvalidField, "%s has the field %s twice: send it once", d.what, name)
+			return newError(KindInvalidField, "%s has the field %s twice: send it once", d.description, name)
 		}
 	}
 	return nil
@@ -82,9 +82,9 @@
 
 func (d *document) wrong(name, wanted string) error {
 	if d.find(name) == nil {
-		return newError(KindInvalidField, "%s has no field %s: send %s", d.what, name, wanted)
+		return newError(KindInvalidField, "%s has no field %s: send %s", d.description, name, wanted)
 	}
-	return newError(KindInvalidField, "%s has a wrong field %s: send %s", d.what, name, wanted)
+	return newError(KindInvalidField, "%s has a wrong field %s: send %s", d.description, name, wanted)
 }
 
 // revision reads the version of a configuration.
--- a/configuration/fields.go
+++ b/configuration/fields.go
@@ -37,7 +37,7 @@
 			return
 		}
 	}
-	f.fail(KindInvalidField, "%s is not an object: send one with the field %s", f.what(), f.names[0])
+	f.fail(KindInvalidField, "%s is not an object: send one with the field %s", f.describe(), f.names[0])
 }
 
 // skip counts an object that need not be decoded.
@@ -49,14 +49,14 @@
 			continue
 		}
 		if f.values[i] != nil {
-			f.fail(KindInvalidField, "%s has the field %s twice: send it once", f.what(), name)
+			f.fail(KindInvalidField, "%s has the field %s twice: send it once", f.describe(), name)
 		}
 		f.values[i] = value
 	}
 }
 
-// what describes the current object for errors.
-func (f *fields) what() string {
+// describe returns a description of the current object for errors.
+func (f *fields) describe() string {
 	if f.kind == fieldLimits {
 		return f.kind
 	}
@@ -71,10 +71,10 @@
 
 func (f *fields) wrong(name, wanted string) {
 	if f.value(name) == nil {
-		f.fail(KindInvalidField, "%s has no field %s: send %s", f.what(), name, wanted)
+		f.fail(KindInvalidField, "%s has no field %s: send %s", f.describe(), name, wanted)
 		return
 	}
-	f.fail(KindInvalidField, "%s has a wrong field %s: send %s", f.what(), name, wanted)
+	f.fail(KindInvalidField, "%s has a wrong field %s: send %s", f.describe(), name, wanted)
 }
 
 func (f *fields) value(name string) *fastjson.Value {
--- a/configuration/match.go
+++ b/configuration/match.go
@@ -11,8 +11,8 @@
 	lengths  []int // distinct lengths of the prefixes, in descending order
 }
 
-// index adds a route to the lookup table. The pointer must refer to the element of Routes.
-func (c *Configuration) index(r *Route) error {
+// addRoute adds a route to the lookup table. The pointer must refer to the element of Routes.
+func (c *Configuration) addRoute(r *Route) error {
 	h, ok := c.hosts[r.Hostname]
 	if !ok {
 		h = &hostRoutes{prefixes: make(map[string]*Route)}
--- a/configuration/parse.go
+++ b/configuration/parse.go
@@ -133,7 +133,7 @@
 				r.Name, r.Service)
 		}
 		r.Service = service.Name // share one copy of the string
-		if err := c.index(r); err != nil {
+		if err := c.addRoute(r); err != nil {
 			return err
 		}
 	}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -112,18 +112,18 @@
 // Reservation is the memory that one message or callback holds. It is reference-counted: each user of it or its buffer has a reference, and
 // when the last one is released the bytes are returned to the account and the buffer may be reused for another message.
 type Reservation struct {
-	b          *Budget
-	n          atomic.Int64
+	budget     *Budget
+	size       atomic.Int64
 	references atomic.Int32
-	call       bool
-	buf        []byte
+	callback   bool
+	buffer     []byte
 }
 
-func newReservation(b *Budget, n int64, body int, call bool) *Reservation {
-	h := &Reservation{b: b, call: call, buf: GetBuffer(body)}
-	h.n.Store(n)
-	h.references.Store(1)
-	return h
+func newReservation(b *Budget, n int64, body int, callback bool) *Reservation {
+	r := &Reservation{budget: b, callback: callback, buffer: GetBuffer(body)}
+	r.size.Store(n)
+	r.references.Store(1)
+	return r
 }
 
 // TryReserve returns a Reservation with one reference for a message with a body of the given size and additional cost, or nil if the limit
@@ -137,42 +137,42 @@
 }
 
 // Buffer returns the buffer for the body.
-func (h *Reservation) Buffer() []byte { return h.buf }
+func (r *Reservation) Buffer() []byte { return r.buffer }
 
 // Retain adds a reference. The caller must hold one, or ensure that another one is not released meanwhile. On a nil Reservation it does
 // nothing.
-func (h *Reservation) Retain() {
-	if h != nil {
-		h.references.Add(1)
+func (r *Reservation) Retain() {
+	if r != nil {
+		r.references.Add(1)
 	}
 }
 
 // Grow adds n bytes to the Reservation of a message even if that exceeds the limit, because the memory is already in use. A negative n returns
 // bytes.
-func (h *Reservation) Grow(n int64) {
-	if h != nil && n != 0 {
-		h.n.Add(n)
-		h.b.updatePeak(h.b.held.Add(n))
+func (r *Reservation) Grow(n int64) {
+	if r != nil && n != 0 {
+		r.size.Add(n)
+		r.budget.updatePeak(r.budget.held.Add(n))
 	}
 }
 
 // Release drops a reference.
-func (h *Reservation) Release() {
-	if h == nil {
+func (r *Reservation) Release() {
+	if r == nil {
 		return
 	}
-	switch remaining := h.references.Add(-1); {
+	switch remaining := r.references.Add(-1); {
 	case remaining < 0:
-		h.references.Add(1)
-		h.b.Check.Check(false, "a reference to a memory reservation was released twice")
+		r.references.Add(1)
+		r.budget.Check.Check(false, "a reference to a memory reservation was released twice")
 	case remaining == 0:
-		if h.call {
-			h.b.calls.Release(h.n.Load())
+		if r.callback {
+			r.budget.calls.Release(r.size.Load())
 		} else {
-			h.b.held.Add(-h.n.Load())
+			r.budget.held.Add(-r.size.Load())
 		}
-		PutBuffer(h.buf)
-		h.buf = nil
+		PutBuffer(r.buffer)
+		r.buffer = nil
 	}
 }
 
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -14,9 +14,9 @@
 	const limit = 1 << 20
 	b := New(limit, 1<<20)
 	type item struct {
-		h          *Reservation
-		n          int64
-		references int
+		reservation *Reservation
+		n           int64
+		references  int
 	}
 	var all []*item
 	var held int64
@@ -25,29 +25,29 @@
 		case k < 2:
 			body, more := rng.IntN(64<<10+1), int64(rng.IntN(20000))
 			n := more + int64(BufferSize(body))
-			h := b.TryReserve(body, more)
-			if (h != nil) != (held+n <= limit) {
-				t.Fatalf("step %d: taken %v with %d of %d held and %d wanted", step, h != nil, held, limit, n)
+			reservation := b.TryReserve(body, more)
+			if (reservation != nil) != (held+n <= limit) {
+				t.Fatalf("step %d: taken %v with %d of %d held and %d wanted", step, reservation != nil, held, limit, n)
 			}
-			if h != nil {
-				if len(h.Buffer()) != body {
-					t.Fatalf("buffer of %d, want %d", len(h.Buffer()), body)
+			if reservation != nil {
+				if len(reservation.Buffer()) != body {
+					t.Fatalf("buffer of %d, want %d", len(reservation.Buffer()), body)
 				}
-				all, held = append(all, &item{h, n, 1}), held+n
+				all, held = append(all, &item{reservation, n, 1}), held+n
 			}
 		case len(all) == 0:
 		case k == 2:
 			it, n := all[rng.IntN(len(all))], int64(rng.IntN(70000))
-			it.h.Grow(n)
+			it.reservation.Grow(n)
 			it.n, held = it.n+n, held+n
 		case k == 3:
 			it := all[rng.IntN(len(all))]
-			it.h.Retain()
+			it.reservation.Retain()
 			it.references++
 		default:
 			i := rng.IntN(len(all))
 			it := all[i]
-			it.h.Release()
+			it.reservation.Release()
 			if it.references--; it.references == 0 {
 				held -= it.n
 				all[i] = all[len(all)-1]
@@ -67,19 +67,19 @@
 	for g := range 8 {
 		all.Go(func() {
 			for i := range 500 {
-				h := b.TryReserve(3000+i*100, 0)
-				for j := range h.Buffer() {
-					h.Buffer()[j] = byte(g)
+				reservation := b.TryReserve(3000+i*100, 0)
+				for j := range reservation.Buffer() {
+					reservation.Buffer()[j] = byte(g)
 				}
-				h.Retain()
-				h.Release()
-				for _, x := range h.Buffer() {
+				reservation.Retain()
+				reservation.Release()
+				for _, x := range reservation.Buffer() {
 					if x != byte(g) {
 						t.Errorf("byte of %d in the buffer of %d", x, g)
 						return
 					}
 				}
-				h.Release()
+				reservation.Release()
 			}
 		})
 	}
--- a/internal/nodeconfig/bounds.go
+++ b/internal/nodeconfig/bounds.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Bounds holds the limits that the platform applies to the system, in the units that the field names end with. Each duration has a method
-// of the same name without the unit.
+// Bounds holds the parameters of the rules that the system must keep, in the units that the field names end with. Each duration has a
+// method of the same name without the unit.
 type Bounds struct {
 	SeedLagS        float64 // maximum age of the operator's list of control processes
 	ReuseAfterS     float64 // after this time the address of an ended worker may be reused
--- a/internal/nodeconfig/settings.go
+++ b/internal/nodeconfig/settings.go
@@ -86,7 +86,7 @@
 	return 1 + max(s.FaultTolerance.Machines, s.FaultTolerance.Zones, s.FaultTolerance.Regions)
 }
 
-// HasCapability tells whether Serves holds the word.
+// HasCapability reports whether Serves lists the capability.
 func (s *Settings) HasCapability(capability string) bool {
 	return slices.Contains(s.Serves, capability)
 }
--- a/internal/nodeconfig/settings_test.go
+++ b/internal/nodeconfig/settings_test.go
@@ -76,7 +76,7 @@
 	is.Equal(s.FaultTolerance, FaultTolerance{1, 0, 0})
 	is.Equal(s.CloudApi, CloudApi{"10.200.0.17:8040", 47, 800})
 	is.Equal(s.Bounds.CatchUp(), 4400*time.Millisecond) // a fraction
-	is.Equal(s.Bounds.Grace(), 6*time.Second)           // a whole number
+	is.Equal(s.Bounds.Grace(), 6*time.Second)           // an integer
 	is.Equal(s.Bounds.Drain(), 3*time.Second)
 	is.Equal(s.Bounds.OriginOverage, 1.1)
 	is.Equal(s.Bounds.Status(), 2*time.Minute) // not in the file
@@ -113,8 +113,8 @@
 		`node.toml: field Serves: found ["edge", "control"], wanted a list with storage for the role store`)
 }
 
-// TestMistakes changes one line of the example each; an empty replacement takes it out.
-func TestMistakes(t *testing.T) {
+// TestInvalidFields replaces one line of the example at a time; an empty replacement removes it.
+func TestInvalidFields(t *testing.T) {
 	for _, c := range []struct {
 		line, instead string
 		kind          FieldKind
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -20,9 +20,9 @@
 // Work is the payload of an owner.Message. It is immutable once it is submitted.
 type Work struct {
 	ID          string // id of the message; valid as a Req-Id
-	Handle      string // by which workers know it
+	Handle      string // handle under which workers know the job
 	Class       string
-	Function    string // by which workers know it
+	Function    string // function name under which workers register
 	Unique      string // may be empty
 	Reducer     string // may be empty
 	Keyed       bool   // hosts require an idempotency key to drop duplicates
