--- a/configuration/orders.go
+++ b/configuration/orders.go
@@ -84,16 +84,16 @@
 // when it becomes primary, and discards it when it no longer is primary or when the outcome of a write is unknown.
 type Orders struct {
 	current *Configuration
-	taken   map[string]uint64 // revision that each applied order created, by hash of the order
+	applied map[string]uint64 // revision that each applied order created, by hash of the order
 	pending *Decision
 }
 
 // NewOrders returns the state with the current configuration, nil if there is none yet, and the revision that each applied order created, by
 // the hash of the order.
-func NewOrders(current *Configuration, taken map[string]uint64) *Orders {
-	o := &Orders{current: current, taken: make(map[string]uint64, len(taken))}
-	for hash, revision := range taken {
-		o.taken[hash] = revision
+func NewOrders(current *Configuration, applied map[string]uint64) *Orders {
+	o := &Orders{current: current, applied: make(map[string]uint64, len(applied))}
+	for hash, revision := range applied {
+		o.applied[hash] = revision
 	}
 	return o
 }
@@ -102,12 +102,12 @@
 func (o *Orders) Current() *Configuration { return o.current }
 
 // Applied returns the number of orders that were applied.
-func (o *Orders) Applied() int { return len(o.taken) }
+func (o *Orders) Applied() int { return len(o.applied) }
 
 // Decide decides how to handle an order. With ActionWrite the order is pending until Commit or Abort is called.
 func (o *Orders) Decide(order Order) Decision {
 	d := Decision{Hash: order.Hash()}
-	if _, ok := o.taken[d.Hash]; ok {
+	if _, ok := o.applied[d.Hash]; ok {
 		d.Action, d.Status = ActionRespond, StatusApplied
 		return d
 	}
@@ -153,7 +153,7 @@
 		return
 	}
 	o.current = o.pending.Configuration
-	o.taken[hash] = o.current.Revision
+	o.applied[hash] = o.current.Revision
 	o.pending = nil
 }
 
--- a/configuration/orders_test.go
+++ b/configuration/orders_test.go
@@ -44,17 +44,17 @@
 	o := NewOrders(nil, nil)
 	first := replace(0, 1, "a")
 	is.Equal(applyOrder(o, first).Status, StatusApplied)
-	taken := map[string]uint64{first.Hash(): 1}
+	applied := map[string]uint64{first.Hash(): 1}
 	for i := range 10 {
 		order := Order{VerbUpdate, uint64(i + 1), fmt.Appendf(nil, `{"Revision":%d,"Upsert":{"Services":[{"Name":"s%d"}]}}`, i+2, i)}
 		is.Equal(applyOrder(o, order).Status, StatusApplied)
-		taken[order.Hash()] = uint64(i + 2)
+		applied[order.Hash()] = uint64(i + 2)
 	}
 	is.Equal(applyOrder(o, first).Status, StatusApplied)
 	is.Equal(o.Current().Revision, uint64(11)) // the repeated order is not applied again
 	is.Equal(o.Applied(), 11)
 	// Another process continues from the records.
-	after := NewOrders(o.Current(), taken)
+	after := NewOrders(o.Current(), applied)
 	is.Equal(applyOrder(after, first).Status, StatusApplied)
 	is.Equal(applyOrder(after, replace(10, 20, "x")).Status, StatusVersionConflict)
 	is.Equal(applyOrder(after, replace(11, 20, "x")).Status, StatusApplied)
@@ -109,7 +109,7 @@
 type model struct {
 	current  uint64
 	winners  map[uint64]string // hash of the order that was applied on each base
-	taken    map[string]bool
+	applied  map[string]bool
 	sent     []Order
 	known    map[string]uint64 // records
 	raw      []byte
@@ -121,7 +121,7 @@
 func TestOrdersModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := NewOrders(nil, nil)
-		m := &model{winners: map[uint64]string{}, taken: map[string]bool{}, known: map[string]uint64{}, rejected: map[string]bool{}}
+		m := &model{winners: map[uint64]string{}, applied: map[string]bool{}, known: map[string]uint64{}, rejected: map[string]bool{}}
 		var pending *Decision
 		var pendingOrder Order
 		commit := func() {
@@ -132,7 +132,7 @@
 				t.Fatalf("two orders applied on base %d", pendingOrder.Base)
 			}
 			m.winners[pendingOrder.Base] = pending.Hash
-			m.taken[pending.Hash] = true
+			m.applied[pending.Hash] = true
 			pending = nil
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -175,8 +175,8 @@
 				o = NewOrders(current, m.known)
 			},
 			"": func(t *rapid.T) {
-				if o.revision() != m.current || o.Applied() != len(m.taken) {
-					t.Fatalf("revision %d, want %d; %d orders applied, want %d", o.revision(), m.current, o.Applied(), len(m.taken))
+				if o.revision() != m.current || o.Applied() != len(m.applied) {
+					t.Fatalf("revision %d, want %d; %d orders applied, want %d", o.revision(), m.current, o.Applied(), len(m.applied))
 				}
 				if m.raw != nil && string(o.Current().Raw) != string(m.raw) {
 					t.Fatalf("wrong configuration is current: %s", o.Current().Raw)
@@ -217,7 +217,7 @@
 func check(t *rapid.T, m *model, order Order, valid bool, d Decision, pending *Decision) {
 	var want Decision
 	switch {
-	case m.taken[order.Hash()]:
+	case m.applied[order.Hash()]:
 		want.Action, want.Status = ActionRespond, StatusApplied
 	case pending != nil:
 		want.Action = ActionWait
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -94,8 +94,8 @@
 	},
 	{
 		Promise: "an order that was taken is acknowledged for good", File: "configuration/orders.go",
-		Old:     "if _, ok := o.taken[d.Hash]; ok {",
-		New:     "if _, ok := o.taken[d.Hash]; ok && len(o.taken) == 0 {",
+		Old:     "if _, ok := o.applied[d.Hash]; ok {",
+		New:     "if _, ok := o.applied[d.Hash]; ok && len(o.applied) == 0 {",
 		Package: "./configuration",
 	},
 	{
