--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -27,7 +27,7 @@
 			n := more + int64(BufferSize(body))
 			reservation := b.TryReserve(body, more)
 			if (reservation != nil) != (held+n <= limit) {
-				t.Fatalf("step %d: taken %v with %d of %d held and %d wanted", step, reservation != nil, held, limit, n)
+				t.Fatalf("step %d: reserved %v with %d of %d held and %d wanted", step, reservation != nil, held, limit, n)
 			}
 			if reservation != nil {
 				if len(reservation.Buffer()) != body {
@@ -110,7 +110,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
 		if _, err := b.ReserveCallback(ctx, 10); err == nil || got {
-			t.Errorf("error %v, got %v while all is taken", err, got)
+			t.Errorf("error %v, got %v while all memory is reserved", err, got)
 		}
 		first.Retain() // the second reference is that of the event in the owner's queue
 		first.Release()
--- a/internal/fleetlog/count.go
+++ b/internal/fleetlog/count.go
@@ -84,8 +84,8 @@
 	var all []*attempt
 	var last time.Time
 	live := map[key]*attempt{}
-	type place struct{ zone, kind int }
-	hosts, used := map[string]place{}, map[string]map[int]int{}
+	type zoneAndKind struct{ zone, kind int }
+	hosts, sentByZone := map[string]zoneAndKind{}, map[string]map[int]int{}
 	attempts, answered := map[string]int{}, map[string]bool{}
 	outcomes, cold := map[Outcome]int{}, map[string][]time.Time{}
 	noise, err := Read(dir, func(l Line) {
@@ -102,11 +102,11 @@
 			a := &attempt{host: k.host, sent: l.At}
 			live[k] = a
 			all = append(all, a)
-			hosts[k.host] = place{l.number("zone"), l.number("kind")}
-			if used[l.Dispatcher] == nil {
-				used[l.Dispatcher] = map[int]int{}
+			hosts[k.host] = zoneAndKind{l.number("zone"), l.number("kind")}
+			if sentByZone[l.Dispatcher] == nil {
+				sentByZone[l.Dispatcher] = map[int]int{}
 			}
-			used[l.Dispatcher][l.number("zone")]++
+			sentByZone[l.Dispatcher][l.number("zone")]++
 			attempts[k.message]++
 			if age, ok := l.duration("age"); ok && age < warm {
 				cold[k.host] = append(cold[k.host], l.At)
@@ -134,7 +134,7 @@
 	if len(all) == 0 {
 		return c, errors.New("no attempts found: are these logs of dispatchers at level debug?")
 	}
-	c.Attempts, c.Dispatchers, c.Span = len(all), len(used), last.Sub(c.First)
+	c.Attempts, c.Dispatchers, c.Span = len(all), len(sentByZone), last.Sub(c.First)
 	if c.Span/step > maxRows {
 		return c, fmt.Errorf("the logs span %v, %d rows of %v: remove logs of other runs, or give a longer --step", c.Span, c.Span/step, step)
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	outside := 0
-	for _, zones := range used {
+	for _, zones := range sentByZone {
 		home, most, sum := 0, 0, 0
 		for _, z := range slices.Sorted(maps.Keys(zones)) {
 			if sum += zones[z]; zones[z] > most {
@@ -178,13 +178,13 @@
 	perHost := map[string]int{}
 	for _, a := range all {
 		perHost[a.host]++
-		c.time(a, hosts[a.host].zone, last)
+		c.addAttempt(a, hosts[a.host].zone, last)
 	}
-	byPlace := map[place][]int{}
+	byZoneAndKind := map[zoneAndKind][]int{}
 	for host, n := range perHost {
-		byPlace[hosts[host]] = append(byPlace[hosts[host]], n)
+		byZoneAndKind[hosts[host]] = append(byZoneAndKind[hosts[host]], n)
 	}
-	for p, n := range byPlace {
+	for p, n := range byZoneAndKind {
 		slices.Sort(n)
 		c.Spreads = append(c.Spreads, Spread{p.zone, p.kind, len(n), n[0], n[len(n)/2], n[len(n)-1]})
 	}
@@ -192,8 +192,8 @@
 	return c, nil
 }
 
-// time adds an attempt to the activity of its zone.
-func (c *Counts) time(a *attempt, zone int, last time.Time) {
+// addAttempt adds an attempt to the activity of its zone.
+func (c *Counts) addAttempt(a *attempt, zone int, last time.Time) {
 	if a.status < 0 || a.status >= len(statuses) {
 		a.status = 0
 	}
--- a/internal/fleetlog/fleetlog_test.go
+++ b/internal/fleetlog/fleetlog_test.go
@@ -76,7 +76,7 @@
 		t.Errorf("%s\nwant %s", got, want)
 	}
 	if c.Unrecognized != 4 || fmt.Sprint(c.Truncated, c.Foreign) != "[n3.log] [n2.log n4.log n5.log]" || c.Orphans != 1 {
-		t.Errorf("%d lines, cut %v, foreign %v, %d orphans", c.Unrecognized, c.Truncated, c.Foreign, c.Orphans)
+		t.Errorf("%d unrecognized lines, truncated %v, foreign %v, %d orphans", c.Unrecognized, c.Truncated, c.Foreign, c.Orphans)
 	}
 	// s-1, the only host of zone 0, runs a from 10 to 1010 ms and c from 1500 to 2500 ms.
 	if r := c.Times; len(r) != 4 || fmt.Sprintf("%.2f %.2f %.2f", r[0][0].Running, r[1][0].Running, r[2][0].Running) != "0.99 0.51 0.50" || r[0][0].Sent != 2 || r[0][0].Waited != 1 {
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 		if lines := bytes.Count(data, []byte("\n")); n+noise.Unrecognized > lines+1 {
-			t.Errorf("%d lines and %d strange ones of %d", n, noise.Unrecognized, lines)
+			t.Errorf("%d lines and %d unrecognized ones of %d", n, noise.Unrecognized, lines)
 		}
 		_, _ = Count(fstest.MapFS{"n.log": {Data: data}}, time.Second, time.Second)
 	})
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -72,7 +72,7 @@
 		}
 		x, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err != nil || !valid(x) {
-			return nil, fmt.Errorf("%s: want a number from 0 on", name)
+			return nil, fmt.Errorf("%s: want a number of at least 0", name)
 		}
 		if seen&(1<<i) != 0 {
 			return nil, fmt.Errorf("%s: reported twice", name)
@@ -117,7 +117,7 @@
 	for i, name := range r.columns {
 		x := o.Float(name)
 		if !o.Has(name) || o.Err() != nil || !valid(x) {
-			return r.checked(host, nil, fmt.Errorf("%s: want a number from 0 on", name))
+			return r.checked(host, nil, fmt.Errorf("%s: want a number of at least 0", name))
 		}
 		values[i] = float32(x)
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -43,7 +43,7 @@
 			unreadable = 2
 		}
 		if !reflect.DeepEqual(text, c.want) || !reflect.DeepEqual(member, c.want) || r.Unreadable() != unreadable || o.Err() != nil {
-			t.Errorf("%.60s: %v, %v, %d bad, %v", c.text, text, member, r.Unreadable(), o.Err())
+			t.Errorf("%.60s: %v, %v, %d unreadable, %v", c.text, text, member, r.Unreadable(), o.Err())
 		}
 		if n := strings.Count(log.String(), "load report"); n != min(int(unreadable), 1) {
 			t.Errorf("%.60s: %d lines", c.text, n)
--- a/internal/nodeconfig/table.go
+++ b/internal/nodeconfig/table.go
@@ -59,7 +59,7 @@
 	}
 	text, ok := value.(string)
 	if !ok {
-		t.wrongType(key, value, "a text")
+		t.wrongType(key, value, "a string")
 	}
 	return text
 }
@@ -129,7 +129,7 @@
 
 // number reads an integer or a fraction that is not negative.
 func (t table) number(key string, fallback float64) float64 {
-	const wanted = "a number from 0 on"
+	const wanted = "a number of at least 0"
 	value, ok := t.values[key]
 	if !ok {
 		return fallback
@@ -159,7 +159,7 @@
 }
 
 func (t table) requiredInteger(key, wanted string) int {
-	wanted += ", a whole number from 0 on"
+	wanted += ", an integer of at least 0"
 	value, ok := t.values[key]
 	if !ok {
 		t.missing(key, wanted)
