--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -56,13 +56,13 @@
 
 // survey combines all accounts into a picture of the group.
 type survey struct {
-	accounts []Account
-	options  Options
-	members  []string        // members of the newest view in any account
-	voters   []string        // witnesses of that view
-	epoch    uint64          // epoch of that view
-	highest  uint64          // highest epoch of any kind in any account
-	responds map[string]bool // members whose process responds
+	accounts     []Account
+	options      Options
+	members      []string        // members of the newest view in any account
+	witnesses    []string        // witnesses of that view
+	epoch        uint64          // epoch of that view
+	highestEpoch uint64          // highest epoch of any kind in any account
+	responds     map[string]bool // members whose process responds
 }
 
 // NewPlan plans a recovery from the accounts of the processes that respond.
@@ -81,7 +81,7 @@
 	self := replication.Peer{Member: founder.Member, Address: founder.Address}
 	p := &Plan{
 		Founder: *founder, Source: source,
-		View: replication.FirstViewOfGeneration(self, s.highest+replication.RecoveryEpochGap, s.generation()+1),
+		View: replication.FirstViewOfGeneration(self, s.highestEpoch+replication.RecoveryEpochGap, s.generation()+1),
 	}
 	for _, a := range s.accounts {
 		if a.Member != "" && a.Member != founder.Member {
@@ -97,19 +97,19 @@
 	newest := replication.ControlView{}
 	for _, a := range accounts {
 		s.responds[a.Member] = true
-		s.highest = max(s.highest, a.HighestEpoch, a.Installed.Epoch, a.Heard.Epoch)
+		s.highestEpoch = max(s.highestEpoch, a.HighestEpoch, a.Installed.Epoch, a.Heard.Epoch)
 		if cmp.Or(cmp.Compare(a.Installed.Generation, newest.Generation), cmp.Compare(a.Installed.Epoch, newest.Epoch)) > 0 {
 			newest = a.Installed
 		}
 	}
-	s.members, s.voters, s.epoch = newest.Members, newest.Witnesses, newest.Epoch
+	s.members, s.witnesses, s.epoch = newest.Members, newest.Witnesses, newest.Epoch
 	for _, a := range accounts {
 		if a.Heard.Epoch > s.epoch {
-			s.members, s.voters, s.epoch = a.Heard.Members, a.Heard.Witnesses, a.Heard.Epoch
+			s.members, s.witnesses, s.epoch = a.Heard.Members, a.Heard.Witnesses, a.Heard.Epoch
 		}
 	}
 	if o.From != nil {
-		s.highest = max(s.highest, o.From.Epoch)
+		s.highestEpoch = max(s.highestEpoch, o.From.Epoch)
 	}
 	return s
 }
@@ -152,14 +152,14 @@
 	if !slices.ContainsFunc(s.accounts, func(a Account) bool { return a.Member != "" }) {
 		return ErrNoCandidate
 	}
-	majority := len(s.voters)/2 + 1
-	if s.responding(s.voters) >= majority && s.responding(s.members) > 0 {
+	majority := len(s.witnesses)/2 + 1
+	if s.responding(s.witnesses) >= majority && s.responding(s.members) > 0 {
 		return ErrControlAvailable
 	}
-	if unresponsive := s.unresponsive(s.voters); len(s.voters) > 0 && len(unresponsive) >= majority {
+	if unresponsive := s.unresponsive(s.witnesses); len(s.witnesses) > 0 && len(unresponsive) >= majority {
 		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(unresponsive, ", "))
 	}
-	if unresponsive := s.unresponsive(s.members); len(s.voters) > 0 && s.responding(s.voters)+len(s.unresponsive(s.voters)) >= majority && len(unresponsive) > 0 {
+	if unresponsive := s.unresponsive(s.members); len(s.witnesses) > 0 && s.responding(s.witnesses)+len(s.unresponsive(s.witnesses)) >= majority && len(unresponsive) > 0 {
 		return errors.Wrap(ErrControlMayBeAvailable, strings.Join(unresponsive, ", ")) // any of these members would complete a majority with a member
 	}
 	return nil
@@ -220,7 +220,7 @@
 // findings describes what the plan is based on.
 func (s *survey) findings(p *Plan) (lines []string) {
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	for _, id := range s.voters {
+	for _, id := range s.witnesses {
 		switch {
 		case s.responds[id]:
 			add("witness %s answers", id)
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -29,7 +29,7 @@
 	},
 	{
 		Promise: "nothing is founded where control may have a majority", File: "internal/recovery/plan.go",
-		Old: "len(s.voters) > 0 && len(unresponsive) >= majority", New: "false && len(unresponsive) >= majority",
+		Old: "len(s.witnesses) > 0 && len(unresponsive) >= majority", New: "false && len(unresponsive) >= majority",
 		Package: "./internal/recovery",
 	},
 	{
