--- a/configuration/orders.go
+++ b/configuration/orders.go
@@ -71,7 +71,7 @@
 // Decision is the result of Orders.Decide.
 type Decision struct {
 	Action        Action
-	Status        int            // of HTTP, with ActionAnswer
+	Status        int            // HTTP status, with ActionRespond
 	Err           error          // why the order is rejected
 	Hash          string         // of the order
 	Configuration *Configuration // with ActionWrite: the configuration to become current
