--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -8,15 +8,15 @@
 	"testing/synctest"
 )
 
-// TestAgainstModel takes, grows, shares and drops at random, and compares with sums kept beside.
-func TestAgainstModel(t *testing.T) {
+// TestBudgetMatchesModel reserves, grows, retains and releases at random, and compares the Budget with sums kept by the test.
+func TestBudgetMatchesModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	const limit = 1 << 20
 	b := New(limit, 1<<20)
 	type item struct {
-		h      *Hold
-		n      int64
-		shares int
+		reservation *Reservation
+		n           int64
+		references  int
 	}
 	var all []*item
 	var held int64
@@ -24,31 +24,31 @@
 		switch k := rng.IntN(6); {
 		case k < 2:
 			body, more := rng.IntN(64<<10+1), int64(rng.IntN(20000))
-			n := more + int64(Size(body))
-			h := b.Take(body, more)
-			if (h != nil) != (held+n <= limit) {
-				t.Fatalf("step %d: taken %v with %d of %d held and %d wanted", step, h != nil, held, limit, n)
+			n := more + int64(BufferSize(body))
+			reservation := b.TryReserve(body, more)
+			if (reservation != nil) != (held+n <= limit) {
+				t.Fatalf("step %d: reserved %v with %d of %d held and %d wanted", step, reservation != nil, held, limit, n)
 			}
-			if h != nil {
-				if len(h.Buffer()) != body {
-					t.Fatalf("buffer of %d, want %d", len(h.Buffer()), body)
+			if reservation != nil {
+				if len(reservation.Buffer()) != body {
+					t.Fatalf("buffer of %d, want %d", len(reservation.Buffer()), body)
 				}
-				all, held = append(all, &item{h, n, 1}), held+n
+				all, held = append(all, &item{reservation, n, 1}), held+n
 			}
 		case len(all) == 0:
 		case k == 2:
 			it, n := all[rng.IntN(len(all))], int64(rng.IntN(70000))
-			it.h.Grow(n)
+			it.reservation.Grow(n)
 			it.n, held = it.n+n, held+n
 		case k == 3:
 			it := all[rng.IntN(len(all))]
-			it.h.Share()
-			it.shares++
+			it.reservation.Retain()
+			it.references++
 		default:
 			i := rng.IntN(len(all))
 			it := all[i]
-			it.h.Drop()
-			if it.shares--; it.shares == 0 {
+			it.reservation.Release()
+			if it.references--; it.references == 0 {
 				held -= it.n
 				all[i] = all[len(all)-1]
 				all = all[:len(all)-1]
@@ -60,26 +60,26 @@
 	}
 }
 
-// TestBuffersAreNotShared: a buffer that somebody still has a share in is nobody else's.
-func TestBuffersAreNotShared(t *testing.T) {
+// TestReferencedBufferIsNotReused checks that a buffer is not given to another message while a reference to it remains.
+func TestReferencedBufferIsNotReused(t *testing.T) {
 	b := New(64<<20, 1<<20)
 	var all sync.WaitGroup
 	for g := range 8 {
 		all.Go(func() {
 			for i := range 500 {
-				h := b.Take(3000+i*100, 0)
-				for j := range h.Buffer() {
-					h.Buffer()[j] = byte(g)
+				reservation := b.TryReserve(3000+i*100, 0)
+				for j := range reservation.Buffer() {
+					reservation.Buffer()[j] = byte(g)
 				}
-				h.Share()
-				h.Drop()
-				for _, x := range h.Buffer() {
+				reservation.Retain()
+				reservation.Release()
+				for _, x := range reservation.Buffer() {
 					if x != byte(g) {
 						t.Errorf("byte of %d in the buffer of %d", x, g)
 						return
 					}
 				}
-				h.Drop()
+				reservation.Release()
 			}
 		})
 	}
@@ -89,48 +89,48 @@
 	}
 }
 
-// TestCallsWait: call-backs have room whatever messages hold, and wait for each other.
-func TestCallsWait(t *testing.T) {
+// TestCallbacksWaitForEachOther checks that callbacks are admitted regardless of what messages hold, and wait for each other.
+func TestCallbacksWaitForEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(0, 1000)
-		if b.Take(1, 0) != nil || b.Turned() != 1 {
-			t.Error("a message found room in an empty budget")
+		if b.TryReserve(1, 0) != nil || b.Rejected() != 1 {
+			t.Error("a message was admitted to a budget of 0 bytes")
 		}
-		first, err := b.Call(t.Context(), 60000) // more than there is: it gets all
+		first, err := b.ReserveCallback(t.Context(), 60000) // exceeds the limit: it gets all of it
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := false
 		go func() {
-			next, err := b.Call(t.Context(), 10)
+			next, err := b.ReserveCallback(t.Context(), 10)
 			got = err == nil
-			next.Drop()
+			next.Release()
 		}()
 		synctest.Wait()
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
-		if _, err := b.Call(ctx, 10); err == nil || got {
-			t.Errorf("error %v, got %v while all is taken", err, got)
+		if _, err := b.ReserveCallback(ctx, 10); err == nil || got {
+			t.Errorf("error %v, got %v while all memory is reserved", err, got)
 		}
-		first.Share() // one is the event's in the owner's queue
-		first.Drop()
+		first.Retain() // the second reference is that of the event in the owner's queue
+		first.Release()
 		synctest.Wait()
 		if got {
-			t.Error("room while the event is still in the queue")
+			t.Error("memory freed while the event is still in the queue")
 		}
-		first.Drop()
+		first.Release()
 		synctest.Wait()
 		if !got {
-			t.Error("the next in turn got no room")
+			t.Error("the next waiting callback was not admitted")
 		}
 	})
 }
 
-func TestShare(t *testing.T) {
+func TestSplitMemory(t *testing.T) {
 	for _, mb := range []int64{16, 24, 64, 192} {
-		s := Share(mb << 20)
-		all := int64(s.Connections)*Connection + s.Messages + s.Calls
-		if s.Messages < Message+largest || s.Calls < 3*largest || all > s.Runtime*4/5 {
+		s := SplitMemory(mb << 20)
+		all := int64(s.Connections)*ConnectionCost + s.Messages + s.Calls
+		if s.Messages < MessageCost+maxBody || s.Calls < 3*maxBody || all > s.Runtime*4/5 {
 			t.Errorf("%d MB: %+v, in all %d", mb, s, all)
 		}
 	}
--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -52,7 +52,7 @@
 
 // submit takes a job, or attaches the client to the same one where that is open. It returns the hold if it is still the
 // caller's.
-func (c *conn) submit(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Hold) *budget.Hold {
+func (c *conn) submit(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Reservation) *budget.Reservation {
 	s := c.s
 	g, table := s.settings.Load(), s.table.Load()
 	name, unique := string(args[0]), string(args[1])
@@ -99,7 +99,7 @@
 		sum := sha256.Sum256(data)
 		unique = "-" + hex.EncodeToString(sum[:])
 	}
-	w := &work.Work{Class: f.Class, Function: name, Unique: unique, Reducer: reducer, Data: data, Hold: hold, Streams: true, Hint: f.Hint(data)}
+	w := &work.Work{Class: f.Class, Function: name, Unique: unique, Reducer: reducer, Data: data, Reservation: hold, Streams: true, CostHint: f.Hint(data)}
 	d := &job{work: w, conn: c.id, since: now}
 	p := f.Priority(priority)
 	s.mu.Lock()
@@ -134,8 +134,8 @@
 		class = f.Background
 	}
 	w.Keyed = s.Classes[class].Effect == balance.Keyed
-	d.message = &owner.Message{Key: w.ID, Payload: w, Settled: hold.Drop, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
-		Hint: w.Hint, Weight: p.Weight()}}
+	d.message = &owner.Message{Key: w.ID, Payload: w, Settled: hold.Release, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
+		Hint: w.CostHint, Weight: p.Weight()}}
 	if s.Subject != nil {
 		d.message.Subject = s.Subject(unique)
 	}
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -48,7 +48,7 @@
 	marks     []mark
 	writing   bool
 	broken    bool
-	room      *budget.Hold // what the buffer holds
+	room      *budget.Reservation // what the buffer holds
 }
 
 // mark is an attempt whose JOB_ASSIGN ends at a place in the stream.
@@ -240,11 +240,11 @@
 		return err
 	}
 	var body []byte
-	var hold *budget.Hold // of data that go on; whoever takes them over sets it to nil
+	var hold *budget.Reservation // of data that go on; whoever takes them over sets it to nil
 	switch h.Type {
 	case packet.SubmitJob, packet.SubmitJobBg, packet.SubmitJobHigh, packet.SubmitJobHighBg, packet.SubmitJobLow, packet.SubmitJobLowBg,
 		packet.SubmitJobSched, packet.SubmitJobEpoch, packet.SubmitReduceJob, packet.SubmitReduceJobBg:
-		if hold = c.s.Budget.Take(size, budget.Job); hold == nil {
+		if hold = c.s.Budget.TryReserve(size, budget.JobCost); hold == nil {
 			done := c.limit(size)
 			_, err := c.r.Discard(size)
 			done()
@@ -261,12 +261,12 @@
 			break
 		}
 		// Not read on until there is room: what workers bring has an account that messages cannot fill.
-		if hold, err = c.s.Budget.Call(c.s.ctx, size); err != nil {
+		if hold, err = c.s.Budget.ReserveCallback(c.s.ctx, size); err != nil {
 			return err
 		}
 		body = hold.Buffer()
 	}
-	defer func() { hold.Drop() }()
+	defer func() { hold.Release() }()
 	done = c.limit(size)
 	_, err = io.ReadFull(c.r, body)
 	done()
@@ -448,10 +448,10 @@
 		s.mu.Unlock()
 		c.send(packet.Append[string](nil, packet.NoJob), inline)
 	} else {
-		w := work.Of(a.Message)
+		w := work.FromMessage(a.Message)
 		c.worker.Assigned(now, a, w.Handle, w.Function)
 		s.counts.Assigned++
-		handle, function, unique, data := []byte(w.Handle), []byte(w.Function), []byte(w.Unique), w.Bytes()
+		handle, function, unique, data := []byte(w.Handle), []byte(w.Function), []byte(w.Unique), w.Body()
 		b := make([]byte, 0, packet.HeaderSize+len(handle)+len(function)+len(unique)+len(w.Reducer)+len(data)+4)
 		switch c.asks {
 		case packet.GrabJobUniq:
@@ -507,7 +507,7 @@
 }
 
 // word is what a worker says of a job that it is at. It returns the hold if it is still the caller's.
-func (c *conn) word(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Hold) *budget.Hold {
+func (c *conn) word(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Reservation) *budget.Reservation {
 	s := c.s
 	handle := string(args[0])
 	s.mu.Lock()
@@ -521,7 +521,7 @@
 		s.Log.Debug("gearman: late word", "packet", t, "handle", handle, "worker", c.name)
 		return hold
 	}
-	a, w := r.Attempt, work.Of(r.Attempt.Message)
+	a, w := r.Attempt, work.FromMessage(r.Attempt.Message)
 	parts := c.parts[handle]
 	switch t {
 	case packet.WorkComplete, packet.WorkFail:
@@ -544,8 +544,8 @@
 		if !w.Streams || hold == nil { // else it is copied again before the hold ends
 			result = append(parts, result...)
 		}
-		s.Desk.Served(a, result, hold.Drop)
-		w.Held().Drop()
+		s.Desk.Served(a, result, hold.Release)
+		w.BodyReservation().Release()
 		return nil
 	case w.Streams:
 		p := passed{t: t}
@@ -554,7 +554,7 @@
 				p.args[i] = append([]byte(nil), args[i]...)
 			}
 		}
-		s.Desk.Passed(a, p, hold.Drop)
+		s.Desk.Passed(a, p, hold.Release)
 		return nil
 	}
 	return hold
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,8 +12,8 @@
 
 var columns = []string{"latency_ms", "eps", "util", "x0"}
 
-// TestReports: reports in any order, with more than is named, and those that nobody can go by. Each of the latter is counted, the first
-// one logged, and the member's mistake does not become one of the object that it came in.
+// TestReports covers reports in any order, with additional values, and unreadable ones. Each unreadable report is counted, the first one is
+// logged, and an error in the member does not become an error of the object that contains it.
 func TestReports(t *testing.T) {
 	full := []float32{12.5, 0, 0.75, 3}
 	for _, c := range []struct {
@@ -37,35 +37,35 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, member := r.Text("s-1", c.text), r.Member("s-1", o, "load")
-		bad := int64(0)
+		text, member := r.ParseText("s-1", c.text), r.ParseMember("s-1", o, "load")
+		unreadable := int64(0)
 		if c.want == nil {
-			bad = 2
+			unreadable = 2
 		}
-		if !reflect.DeepEqual(text, c.want) || !reflect.DeepEqual(member, c.want) || r.Bad() != bad || o.Err() != nil {
-			t.Errorf("%.60s: %v, %v, %d bad, %v", c.text, text, member, r.Bad(), o.Err())
+		if !reflect.DeepEqual(text, c.want) || !reflect.DeepEqual(member, c.want) || r.Unreadable() != unreadable || o.Err() != nil {
+			t.Errorf("%.60s: %v, %v, %d unreadable, %v", c.text, text, member, r.Unreadable(), o.Err())
 		}
-		if n := strings.Count(log.String(), "load report"); n != min(int(bad), 1) {
+		if n := strings.Count(log.String(), "load report"); n != min(int(unreadable), 1) {
 			t.Errorf("%.60s: %d lines", c.text, n)
 		}
 	}
 	var none *Reader
-	if New(nil, nil) != nil || none.Text("s-1", "x0=3") != nil || none.Bad() != 0 {
+	if New(nil, nil) != nil || none.ParseText("s-1", "x0=3") != nil || none.Unreadable() != 0 {
 		t.Error("a deployment without reports reads some")
 	}
 }
 
-// FuzzText: no text panics, and what is read has a sound number for each name.
-func FuzzText(f *testing.F) {
+// FuzzParseText checks that no text causes a panic, and that a report has a valid number for each name.
+func FuzzParseText(f *testing.F) {
 	f.Add("latency_ms=1,eps=0,util=0,x0=4")
 	f.Add("x0==,=,x0=1e39")
 	f.Fuzz(func(t *testing.T, in string) {
 		r := New(columns, slog.New(slog.DiscardHandler))
-		if v := r.Text("h", in); v != nil && len(v) != len(columns) {
+		if v := r.ParseText("h", in); v != nil && len(v) != len(columns) {
 			t.Error(v)
 		} else {
 			for _, x := range v {
-				if !sound(float64(x)) {
+				if !valid(float64(x)) {
 					t.Error(x)
 				}
 			}
--- a/internal/nodeconfig/settings_test.go
+++ b/internal/nodeconfig/settings_test.go
@@ -13,7 +13,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// example is the file that DEPLOY.md shows.
+// example is the settings file shown in DEPLOY.md.
 const example = `NodeName = "edge-chaguanas-hall-1"
 Role = "my-edge"
 MachineClass = "edge"
@@ -76,7 +76,7 @@
 	is.Equal(s.FaultTolerance, FaultTolerance{1, 0, 0})
 	is.Equal(s.CloudApi, CloudApi{"10.200.0.17:8040", 47, 800})
 	is.Equal(s.Bounds.CatchUp(), 4400*time.Millisecond) // a fraction
-	is.Equal(s.Bounds.Grace(), 6*time.Second)           // a whole number
+	is.Equal(s.Bounds.Grace(), 6*time.Second)           // an integer
 	is.Equal(s.Bounds.Drain(), 3*time.Second)
 	is.Equal(s.Bounds.OriginOverage, 1.1)
 	is.Equal(s.Bounds.Status(), 2*time.Minute) // not in the file
@@ -113,8 +113,8 @@
 		`node.toml: field Serves: found ["edge", "control"], wanted a list with storage for the role store`)
 }
 
-// TestMistakes changes one line of the example each; an empty replacement takes it out.
-func TestMistakes(t *testing.T) {
+// TestInvalidFields replaces one line of the example at a time; an empty replacement removes it.
+func TestInvalidFields(t *testing.T) {
 	for _, c := range []struct {
 		line, instead string
 		kind          FieldKind
@@ -123,7 +123,7 @@
 		{`NodeName = "edge-chaguanas-hall-1"`, ``, FieldMissing, `field NodeName: found nothing, wanted the machine's name`},
 		{`NodeName = "edge-chaguanas-hall-1"`, `NodeName = ""`, FieldValue, `field NodeName: found "", wanted the machine's name`},
 		{`NodeName = "edge-chaguanas-hall-1"`, `NodeName = 7`, FieldType, `field NodeName: found 7, wanted the machine's name`},
-		{`Role = "my-edge"`, `Role = ["a"]`, FieldType, `field Role: found ["a"], wanted a text`},
+		{`Role = "my-edge"`, `Role = ["a"]`, FieldType, `field Role: found ["a"], wanted a string`},
 		{`Serves = ["edge","control"]`, `Serves = "edge"`, FieldType, `field Serves: found "edge", wanted a list of edge, control, storage`},
 		{`Serves = ["edge","control"]`, `Serves = ["egde"]`, FieldValue, `field Serves: found "egde", wanted a list of edge, control, storage`},
 		{`Serves = ["edge","control"]`, ``, FieldMissing, `field Serves: found nothing, wanted a list of edge, control, storage`},
@@ -150,16 +150,16 @@
 			`field BindAddresses.Frontend: found nothing, wanted an address as IP:PORT, since Serves holds edge`},
 		{`ControlPlane = "10.1.0.30:8046"`, `ControlPlane = "8046"`, FieldValue,
 			`field BindAddresses.ControlPlane: found "8046", wanted an address as IP:PORT, since Serves holds control`},
-		{`MemoryMb = 284`, `MemoryMb = "284"`, FieldType, `field Limits.MemoryMb: found "284", wanted a number from 0 on`},
-		{`MemoryMb = 284`, `MemoryMb = -1`, FieldValue, `field Limits.MemoryMb: found -1, wanted a number from 0 on`},
-		{`CpuShare = 0.72`, `CpuShare = nan`, FieldValue, `field Limits.CpuShare: found NaN, wanted a number from 0 on`},
+		{`MemoryMb = 284`, `MemoryMb = "284"`, FieldType, `field Limits.MemoryMb: found "284", wanted a number of at least 0`},
+		{`MemoryMb = 284`, `MemoryMb = -1`, FieldValue, `field Limits.MemoryMb: found -1, wanted a number of at least 0`},
+		{`CpuShare = 0.72`, `CpuShare = nan`, FieldValue, `field Limits.CpuShare: found NaN, wanted a number of at least 0`},
 		{`Machines = 1`, ``, FieldMissing,
-			`field FaultTolerance.Machines: found nothing, wanted how many machines may be lost at a time, a whole number from 0 on`},
+			`field FaultTolerance.Machines: found nothing, wanted how many machines may be lost at a time, an integer of at least 0`},
 		{`Machines = 1`, `Machines = 1.5`, FieldType,
-			`field FaultTolerance.Machines: found 1.5, wanted how many machines may be lost at a time, a whole number from 0 on`},
+			`field FaultTolerance.Machines: found 1.5, wanted how many machines may be lost at a time, an integer of at least 0`},
 		{`[FaultTolerance]`, `[Other]`, FieldMissing,
-			`field FaultTolerance.Machines: found nothing, wanted how many machines may be lost at a time, a whole number from 0 on`},
-		{`GraceS = 6`, `GraceS = true`, FieldType, `field Bounds.GraceS: found true, wanted a number from 0 on`},
+			`field FaultTolerance.Machines: found nothing, wanted how many machines may be lost at a time, an integer of at least 0`},
+		{`GraceS = 6`, `GraceS = true`, FieldType, `field Bounds.GraceS: found true, wanted a number of at least 0`},
 		{`Address = "10.200.0.17:8040"`, ``, FieldMissing,
 			`field CloudApi.Address: found nothing, wanted the address of the platform's list as IP:PORT`},
 		{`[CloudApi]`, "[[CloudApi]]", FieldType, `field CloudApi: found [a table], wanted a table`},
@@ -187,8 +187,8 @@
 	is.True(!strings.Contains(err.Error(), "\n"))
 }
 
-// TestStoreNeedsDisk has a file of a storage machine: it needs a folder, but neither addresses for callers nor the platform's list.
-func TestStoreNeedsDisk(t *testing.T) {
+// TestStoreRequiresDataDir reads the file of a storage machine: it requires DataDir, but neither BindAddresses nor CloudApi.
+func TestStoreRequiresDataDir(t *testing.T) {
 	is := is.New(t)
 	const file = `NodeName = "s1"
 Serves = ["storage"]
@@ -204,10 +204,10 @@
 	is.Equal(err.Error(), "node.toml: field DataDir: found nothing, wanted a folder on the machine's disk")
 	s, err := Parse("node.toml", []byte("DataDir = \"/data\"\n"+file))
 	is.NoErr(err)
-	is.Equal(s.Zones, map[string]string{"a": "r"}) // its own zone, where the table lacks
+	is.Equal(s.Zones, map[string]string{"a": "r"}) // the machine's zone is added if the table is missing
 }
 
-func TestLoadNamesTheRemedy(t *testing.T) {
+func TestLoadErrorsTellWhatToDo(t *testing.T) {
 	is := is.New(t)
 	_, err := Load("")
 	is.Equal(err.Error(), "no settings file named: set LIFTGAUGE_CONFIG or give --config FILE")
@@ -228,12 +228,12 @@
 		s, err := Parse("node.toml", content)
 		if err != nil {
 			if strings.ContainsAny(err.Error(), "\n\r") {
-				t.Errorf("more than a line: %q", err.Error())
+				t.Errorf("more than one line: %q", err.Error())
 			}
 			return
 		}
 		if s.Copies() < 1 || len(s.SeedAddresses()) == 0 || s.Ip == "" {
-			t.Errorf("taken, but not whole: %+v", s)
+			t.Errorf("accepted, but incomplete: %+v", s)
 		}
 	})
 }
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -29,22 +29,22 @@
 	},
 	{
 		Promise: "nothing is founded where control may have a majority", File: "internal/recovery/plan.go",
-		Old: "len(s.voters) > 0 && len(silent) >= majority", New: "false && len(silent) >= majority",
+		Old: "len(s.witnesses) > 0 && len(unresponsive) >= majority", New: "false && len(unresponsive) >= majority",
 		Package: "./internal/recovery",
 	},
 	{
 		Promise: "nothing is founded where a silent member would have a majority", File: "internal/recovery/plan.go",
-		Old: ">= majority && len(silent) > 0", New: ">= majority && len(silent) < 0",
+		Old: ">= majority && len(unresponsive) > 0", New: ">= majority && len(unresponsive) < 0",
 		Package: "./internal/recovery",
 	},
 	{
 		Promise: "nothing is founded beside a control that works", File: "internal/recovery/plan.go",
-		Old: "\t\treturn ErrControlLive\n", New: "\t\treturn nil\n",
+		Old: "\t\treturn ErrControlAvailable\n", New: "\t\treturn nil\n",
 		Package: "./internal/recovery",
 	},
 	{
 		Promise: "a founder knows the newest of what everybody heard", File: "internal/recovery/plan.go",
-		Old: "return nil, nil, errors.Wrap(ErrStale, founder.Node)", New: "continue",
+		Old: "return nil, nil, errors.Wrap(ErrStaleFounder, founder.Node)", New: "continue",
 		Package: "./internal/recovery",
 	},
 	{
