--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -275,7 +275,7 @@
 	case a.options.Handle != nil:
 		a.options.Handle(c, kind, body, reply)
 	case reply != nil:
-		reply(nil, rpc.Errorf(protocol.CodeUnknownKind, "no handler for frames of kind %d", kind))
+		reply(nil, rpc.Errorf(protocol.CodeUnknownKind, "no handler for frames of kind %d here", kind))
 	}
 }
 
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -8,7 +8,7 @@
 )
 
 // ErrMalformed is returned by Decode for bytes that are not a valid encoding.
-var ErrMalformed = errors.New("protocol: malformed message: check that both sides run adjacent versions")
+var ErrMalformed = errors.New("protocol: malformed message: check that both sides run neighbouring versions")
 
 // Message is the content of a frame's body.
 type Message interface {
