--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -81,7 +81,7 @@
 		Old: "d.act(d.elector.Confirm(d.now(), once))", New: "once(true)",
 	},
 	{
-		Promise: "complaints from before a silence are void", File: "internal/roles/control/storetrouble.go",
+		Promise: "complaints from before a silence are void", File: "internal/roles/control/storefaults.go",
 		Old:     "known && now-before > silentAfter {",
 		New:     "known && now < before {",
 		Package: "./internal/roles/control",
