--- a/internal/roles/control/abandon.go
+++ b/internal/roles/control/abandon.go
@@ -11,8 +11,8 @@
 	"liftgauge/placement"
 )
 
-// abandonmentPage is what the operator reads of an abandonment.
-type abandonmentPage struct {
+// abandonmentBody is what the operator reads of an abandonment.
+type abandonmentBody struct {
 	Stores []string // the disks that are given up, by member
 	placement.Abandonment
 }
@@ -21,19 +21,19 @@
 	name := r.PathValue("node")
 	a.respond(w, r, func(reply func(answer)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.answerDurably(func() answer { return p.abandonment(a.daemon.now(), name, p.abandonable(name)) }, reply)
+			p.replyDurably(func() answer { return p.abandonment(a.daemon.now(), name, p.abandonable(name)) }, reply)
 		}, reply)
 	})
 }
 
 func (a operatorAPI) startAbandonment(w http.ResponseWriter, r *http.Request) {
-	if _, ok := readBody(w, r, mostRetireBytes); !ok {
+	if _, ok := readBody(w, r, maxRetireBytes); !ok {
 		return
 	}
 	name := r.PathValue("node")
 	a.respond(w, r, func(reply func(answer)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.answerDurably(func() answer { return p.startAbandonment(a.daemon.now(), name) }, reply)
+			p.replyDurably(func() answer { return p.startAbandonment(a.daemon.now(), name) }, reply)
 		}, reply)
 	})
 }
@@ -66,7 +66,7 @@
 	case len(members) == 0:
 		return refusal(http.StatusConflict, "the store of this machine is there with its disk: empty it by /retire/NODE/start")
 	}
-	page := abandonmentPage{Stores: members, Abandonment: placement.PreviewAbandonment(p.placementInput(now), members)}
+	page := abandonmentBody{Stores: members, Abandonment: placement.PreviewAbandonment(p.placementInput(now), members)}
 	body, _ := json.Marshal(page) // numbers and texts always encode
 	return answer{status: http.StatusOK, body: body}
 }
--- a/internal/roles/control/activation.go
+++ b/internal/roles/control/activation.go
@@ -24,7 +24,7 @@
 	}
 	if d.primary != nil {
 		d.primary.continueIn(epoch)
-		d.reviewWaiting()
+		d.retryPendingCalls()
 		return
 	}
 	d.replica.AwaitCommit(func(err error) {
@@ -72,7 +72,7 @@
 	d.logger.Info("control: active primary", zap.Uint64("epoch", epoch), zap.Int("nodes", len(m.nodes)),
 		zap.Int("partitions", len(m.partitions)))
 	d.primary.begin()
-	d.reviewWaiting()
+	d.retryPendingCalls()
 	d.nextOrder()
 }
 
@@ -85,7 +85,7 @@
 	d.primary = nil
 	d.logger.Info("control: deposed", zap.Uint64("epoch", p.epoch))
 	p.writer.close()
-	d.reviewWaiting()
+	d.retryPendingCalls()
 }
 
 func activationRecord(epoch, activation uint64) replication.Record {
--- a/internal/roles/control/cutoff_test.go
+++ b/internal/roles/control/cutoff_test.go
@@ -29,9 +29,9 @@
 	return &primary{daemon: d, model: m, sessions: newSessions(0, m), placement: newPlacementState(0)}
 }
 
-// letTimePass goes from one moment to another while the stores for which heard is true send heartbeats. It returns how long from the
+// simulateHeartbeats goes from one moment to another while the stores for which heard is true send heartbeats. It returns how long from the
 // beginning on sessions were first held open for another member to take over, or -1, and for how long they were.
-func letTimePass(p *primary, from, to time.Duration, heard func(protocol.Node) bool) (first, held time.Duration) {
+func simulateHeartbeats(p *primary, from, to time.Duration, heard func(protocol.Node) bool) (first, held time.Duration) {
 	first = -1
 	for now := from; now < to; now += heartbeatInterval {
 		for _, n := range p.model.nodes {
@@ -67,15 +67,15 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := newPrimaryOfStores(nodeconfig.FaultTolerance{Machines: 2})
-			first, _ := letTimePass(p, 0, newPrimaryPause, all)
+			first, _ := simulateHeartbeats(p, 0, newPrimaryCooldown, all)
 			is.Equal(first, time.Duration(-1))
-			first, held := letTimePass(p, newPrimaryPause, newPrimaryPause+5*time.Second, c.heard)
+			first, held := simulateHeartbeats(p, newPrimaryCooldown, newPrimaryCooldown+5*time.Second, c.heard)
 			if !c.waits {
 				is.Equal(first, time.Duration(-1))
 				return
 			}
 			is.True(first >= storeExpiry-heartbeatInterval && first <= storeExpiry+heartbeatInterval)
-			is.True(held >= takeOverPatience && held <= takeOverPatience+heartbeatInterval) // after that it is the stores that are gone
+			is.True(held >= takeOverTimeout && held <= takeOverTimeout+heartbeatInterval) // after that it is the stores that are gone
 		})
 	}
 }
@@ -84,6 +84,6 @@
 func TestNewPrimaryDoesNotHandOver(t *testing.T) {
 	is := is.New(t)
 	p := newPrimaryOfStores(nodeconfig.FaultTolerance{Machines: 2})
-	first, _ := letTimePass(p, 0, newPrimaryPause-heartbeatInterval, func(protocol.Node) bool { return false })
+	first, _ := simulateHeartbeats(p, 0, newPrimaryCooldown-heartbeatInterval, func(protocol.Node) bool { return false })
 	is.Equal(first, time.Duration(-1))
 }
--- a/internal/roles/control/daemon.go
+++ b/internal/roles/control/daemon.go
@@ -29,20 +29,20 @@
 
 	elector *replication.Elector // nil without a disk, as the replica
 	replica *replication.Replica
-	peers   peerBook
+	peers   peerDirectory
 	replyTo map[string]*rpc.Conn // by member: where its requests of replication came from
 
-	primary      *primary // nil while this process is not the active primary
-	waiting      []*waiter
-	orders       orderQueue
-	orderLimit   int64 // bytes of an order
-	reader       *listReader
-	ending       bool          // a planned end has begun
-	witnessUntil time.Duration // a planned end waits no longer to be left out of the witnesses
-	began        time.Duration // when the process began
-	ended        chan struct{} // closed when the loop ends
-	founding     bool          // the state of a new generation is being written: this process takes no part in the present one any more
-	foundedAnew  chan struct{} // closed when that is on disk
+	primary         *primary // nil while this process is not the active primary
+	waiting         []*waiter
+	orders          orderQueue
+	orderLimit      int64 // bytes of an order
+	reader          *listReader
+	ending          bool          // a planned end has begun
+	witnessDeadline time.Duration // a planned end waits no longer to be left out of the witnesses
+	began           time.Duration // when the process began
+	ended           chan struct{} // closed when the loop ends
+	founding        bool          // the state of a new generation is being written: this process takes no part in the present one any more
+	foundedAnew     chan struct{} // closed when that is on disk
 }
 
 // reason is the log field of an error, without the stack that zap.Error would add.
@@ -56,12 +56,12 @@
 	if d.elector != nil && !d.founding {
 		d.act(d.elector.Tick(now))
 		d.replica.Tick(now)
-		d.keepLinks(d.elector.View())
+		d.connectPeers(d.elector.View())
 	}
 	if d.primary != nil {
 		d.primary.tick(now)
 	}
-	d.expireWaiting(now)
+	d.expirePendingCalls(now)
 	d.expireOrders(now)
 }
 
@@ -72,8 +72,8 @@
 	}
 }
 
-// keepLinks dials the other processes of a view.
-func (d *daemon) keepLinks(view replication.ControlView) {
+// connectPeers dials the other processes of a view.
+func (d *daemon) connectPeers(view replication.ControlView) {
 	for _, p := range view.Peers {
 		if p.Address != d.self.Address && p.Address != "" {
 			d.links.keep(p.Address)
--- a/internal/roles/control/duty.go
+++ b/internal/roles/control/duty.go
@@ -16,11 +16,11 @@
 const (
 	rankOther   = 0
 	rankPrimary = 1
-	rankUnread  = 2 // and more: it gave the duty up lately
+	rankGaveUp  = 2 // and more: it gave the duty up lately
 )
 
-// unreadFor is how long a process that could not read the list comes after all others.
-const unreadFor = 30 * time.Second
+// demotionPeriod is how long a process that could not read the list comes after all others.
+const demotionPeriod = 30 * time.Second
 
 // dutyState runs the election of the list reader. The heartbeats of control processes count as their bids.
 type dutyState struct {
@@ -48,11 +48,11 @@
 }
 
 // heartbeat takes the bid of a control process, or reminds it that it has the duty.
-func (s *dutyState) heartbeat(now time.Duration, node protocol.Node, listUnread bool) {
+func (s *dutyState) heartbeat(now time.Duration, node protocol.Node, listStale bool) {
 	if node.Leaving {
 		return
 	}
-	if listUnread && s.round.Current() == s.durable && s.round.Resign(holderOf(node)) {
+	if listStale && s.round.Current() == s.durable && s.round.Resign(holderOf(node)) {
 		s.primary.daemon.logger.Warn("control: the holder of a duty cannot reach the platform; another is looked for", zap.String("duty", dutyReader),
 			zap.String("holder", node.Key))
 		s.unread[node.Key] = now
@@ -61,8 +61,8 @@
 	if node.Key == s.primary.daemon.agent.Node().Key {
 		rank = rankPrimary
 	}
-	if at, gaveUp := s.unread[node.Key]; gaveUp && now-at < unreadFor {
-		rank = rankUnread + int((unreadFor-(now-at))/time.Second) // who gave it up first comes first
+	if at, gaveUp := s.unread[node.Key]; gaveUp && now-at < demotionPeriod {
+		rank = rankGaveUp + int((demotionPeriod-(now-at))/time.Second) // who gave it up first comes first
 	}
 	s.round.Bid(now, election.Bid{Holder: holderOf(node), Rank: rank})
 	if !s.durable.Vacant() && s.durable.Holder == holderOf(node) && s.round.Current() == s.durable {
@@ -105,7 +105,7 @@
 	d := s.primary.daemon
 	notice := dutyNotice{name: dutyReader, term: s.durable.Term, incarnation: node.Incarnation}
 	if node.Key == d.agent.Node().Key {
-		d.takeDuty(notice)
+		d.acceptDuty(notice)
 		return
 	}
 	f := frame{kind: frameDuty, from: d.self.Member, to: node.Member, address: d.self.Address,
@@ -113,8 +113,8 @@
 	d.links.send(node.Address, protocol.KindWitness, f.append(nil))
 }
 
-// takeDuty begins the duty that this process was given.
-func (d *daemon) takeDuty(n dutyNotice) {
+// acceptDuty begins the duty that this process was given.
+func (d *daemon) acceptDuty(n dutyNotice) {
 	if n.name == dutyReader && n.incarnation == d.agent.Node().Incarnation && !d.ending {
 		d.reader.begin(n.term)
 	}
--- a/internal/roles/control/epochs.go
+++ b/internal/roles/control/epochs.go
@@ -14,8 +14,8 @@
 // epochWatch tells once that epochs are being used up, and once that they are.
 type epochWatch struct{ warned, refused bool }
 
-// mayChange tells whether a partition may take the view of a change, and logs where the epochs run out.
-func (p *primary) mayChange(change *placement.Change) bool {
+// allowsChange tells whether a partition may take the view of a change, and logs where the epochs run out.
+func (p *primary) allowsChange(change *placement.Change) bool {
 	w, logger := &p.epochs, p.daemon.logger
 	epoch := zap.Uint64("epoch", change.View.Epoch)
 	limit := zap.Uint64("limit", replication.EpochLimit)
--- a/internal/roles/control/epochs_test.go
+++ b/internal/roles/control/epochs_test.go
@@ -16,15 +16,15 @@
 	is := is.New(t)
 	core, logs := observer.New(zap.WarnLevel)
 	p := &primary{daemon: &daemon{logger: zap.New(core)}}
-	mayChange := func(epoch uint64) bool {
-		return p.mayChange(&placement.Change{Partition: 3, View: placement.View{Epoch: epoch}})
+	allowsChange := func(epoch uint64) bool {
+		return p.allowsChange(&placement.Change{Partition: 3, View: placement.View{Epoch: epoch}})
 	}
-	is.True(mayChange(replication.EpochWarning - 1))
+	is.True(allowsChange(replication.EpochWarning - 1))
 	is.Equal(logs.Len(), 0)
-	is.True(mayChange(replication.EpochWarning))
-	is.True(mayChange(replication.EpochLimit - 1))
+	is.True(allowsChange(replication.EpochWarning))
+	is.True(allowsChange(replication.EpochLimit - 1))
 	is.Equal(logs.Len(), 1)
-	is.True(!mayChange(replication.EpochLimit))
-	is.True(!mayChange(replication.EpochLimit + 7))
+	is.True(!allowsChange(replication.EpochLimit))
+	is.True(!allowsChange(replication.EpochLimit + 7))
 	is.Equal(logs.Len(), 2)
 }
--- a/internal/roles/control/fakes_test.go
+++ b/internal/roles/control/fakes_test.go
@@ -26,8 +26,8 @@
 	stalled bool
 }
 
-// inTrouble has the store say whom it cannot reach, and whether its disk stalls.
-func (s *fakeStore) inTrouble(stalled bool, stuck ...string) {
+// setFaults has the store say whom it cannot reach, and whether its disk stalls.
+func (s *fakeStore) setFaults(stalled bool, stuck ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stuck, s.stalled = stuck, stalled
--- a/internal/roles/control/frame.go
+++ b/internal/roles/control/frame.go
@@ -36,7 +36,7 @@
 
 func decodeFrame(b []byte) (frame, error) {
 	if len(b) == 0 {
-		return frame{}, errRecord
+		return frame{}, errMalformedRecord
 	}
 	r := fieldReader{rest: b[1:]}
 	f := frame{kind: frameKind(b[0]), from: r.text(), to: r.text(), address: r.text(), controlPlane: r.text()}
--- a/internal/roles/control/handle.go
+++ b/internal/roles/control/handle.go
@@ -50,7 +50,7 @@
 		d.receiveElection(f)
 	case frameDuty:
 		if notice, err := decodeDutyNotice(f.body); err == nil {
-			d.takeDuty(notice)
+			d.acceptDuty(notice)
 		}
 	}
 }
--- a/internal/roles/control/links.go
+++ b/internal/roles/control/links.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	linkDialTimeout   = time.Second
-	linkPause         = 200 * time.Millisecond // after a failed dial
-	mostWaitingFrames = 16                     // election frames kept while a link is being dialed
+	linkDialTimeout = time.Second
+	linkRetryDelay  = 200 * time.Millisecond // after a failed dial
+	maxQueuedFrames = 16                     // election frames kept while a link is being dialed
 )
 
 // links keeps one dialed connection to each other control process. It belongs to the event loop.
@@ -31,10 +31,10 @@
 	conn    *rpc.Conn // nil while it is down
 	dialing bool
 	pausing bool // after a failed dial
-	waiting []waitingFrame
+	waiting []queuedFrame
 }
 
-type waitingFrame struct {
+type queuedFrame struct {
 	kind rpc.Kind
 	body []byte
 }
@@ -90,7 +90,7 @@
 	k.waiting = nil
 	if err != nil {
 		k.pausing = true
-		l.after(linkPause, func() { k.pausing = false })
+		l.after(linkRetryDelay, func() { k.pausing = false })
 		return
 	}
 	k.conn = conn
@@ -118,8 +118,8 @@
 		l.notify(k, kind, body)
 		return
 	}
-	if k.dialing && len(k.waiting) < mostWaitingFrames {
-		k.waiting = append(k.waiting, waitingFrame{kind: kind, body: body})
+	if k.dialing && len(k.waiting) < maxQueuedFrames {
+		k.waiting = append(k.waiting, queuedFrame{kind: kind, body: body})
 	}
 }
 
--- a/internal/roles/control/links_test.go
+++ b/internal/roles/control/links_test.go
@@ -35,7 +35,7 @@
 		keep(func() { l.heard("a") })
 		is.Equal(len(dials), 2)
 		is.Equal(forgotten, 1)
-		time.Sleep(linkPause) // the bubble's clock
+		time.Sleep(linkRetryDelay) // the bubble's clock
 		synctest.Wait()
 		keep(func() { l.keep("a") })
 		is.Equal(len(dials), 3)
--- a/internal/roles/control/membership.go
+++ b/internal/roles/control/membership.go
@@ -45,7 +45,7 @@
 	for _, p := range view.Peers {
 		d.learnPeer(p.Member, p.Address, false)
 	}
-	d.keepLinks(view)
+	d.connectPeers(view)
 }
 
 func (d *daemon) sendElection(a replication.SendElection) {
@@ -81,7 +81,7 @@
 	} else if d.primary != nil {
 		d.primary.publishView()
 	}
-	d.reviewWaiting()
+	d.retryPendingCalls()
 }
 
 // receiveElection takes a frame of another control process.
--- a/internal/roles/control/model.go
+++ b/internal/roles/control/model.go
@@ -64,9 +64,9 @@
 		return err
 	case r.Key == keyFounded:
 		m.founded = true
-	case strings.HasPrefix(r.Key, prefixTaken):
-		revision, err := decodeTaken(r.Value)
-		m.taken[r.Key[len(prefixTaken):]] = revision
+	case strings.HasPrefix(r.Key, prefixAccepted):
+		revision, err := decodeAccepted(r.Value)
+		m.taken[r.Key[len(prefixAccepted):]] = revision
 		return err
 	case strings.HasPrefix(r.Key, prefixNode):
 		return m.applyNode(r.Key[len(prefixNode):], r)
@@ -89,7 +89,7 @@
 	}
 	var node protocol.Node
 	if err := node.Decode(r.Value); err != nil {
-		return errors.Mark(err, errRecord)
+		return errors.Mark(err, errMalformedRecord)
 	}
 	m.nodes[key] = node
 	return nil
@@ -97,12 +97,12 @@
 
 func (m *model) applyPartition(number string, r replication.Record) error {
 	index, err := strconv.ParseUint(number, 10, 32)
-	if err != nil || index >= mostPartitions {
-		return errRecord
+	if err != nil || index >= maxPartitions {
+		return errMalformedRecord
 	}
 	var view protocol.PartitionView
 	if err := view.Decode(r.Value); err != nil {
-		return errors.Mark(err, errRecord)
+		return errors.Mark(err, errMalformedRecord)
 	}
 	for uint64(len(m.partitions)) <= index {
 		m.partitions = append(m.partitions, protocol.PartitionView{Partition: uint32(len(m.partitions))})
--- a/internal/roles/control/model_test.go
+++ b/internal/roles/control/model_test.go
@@ -31,7 +31,7 @@
 	version := protocol.ItemVersion{Term: 4, Number: 1<<40 | 2}
 	view := protocol.PartitionView{Partition: 2, Epoch: 7, Primary: "s1/d", Members: []string{"s1/d", "s2/d"}, Learners: []string{"s3/d"}}
 	m := applyAll(t, nodeRecord(node), store.record(), dutyRecord(dutyReader, award), versionRecord(version), partitionRecord(view),
-		configurationRecord([]byte(`{"Revision":1}`)), takenRecord("abc", 12), foundedRecord(64), replication.Record{Key: "of/a/newer/version"})
+		configurationRecord([]byte(`{"Revision":1}`)), acceptedRecord("abc", 12), foundedRecord(64), replication.Record{Key: "of/a/newer/version"})
 	is.Equal(m.nodes[node.Key], node)
 	is.Equal(m.stores[store.Member], store)
 	is.Equal(m.duties[dutyReader], award)
@@ -51,7 +51,7 @@
 
 func TestModelRefusesGarbledRecords(t *testing.T) {
 	is := is.New(t)
-	for _, key := range []string{prefixPartition + "x", prefixPartition + "99999", prefixStore + "a", prefixDuty + "a", prefixTaken + "a", keyConfigurationVersion} {
+	for _, key := range []string{prefixPartition + "x", prefixPartition + "99999", prefixStore + "a", prefixDuty + "a", prefixAccepted + "a", keyConfigurationVersion} {
 		is.True(newModel().apply(replication.Record{Key: key, Value: []byte{0xff}}) != nil)
 	}
 }
--- a/internal/roles/control/operator.go
+++ b/internal/roles/control/operator.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	headerTimeout   = 5 * time.Second
-	idleTimeout     = 60 * time.Second
-	bodyPause       = 10 * time.Second // without a byte of a body
-	answerTimeout   = 10 * time.Second // for the operator to read an answer
-	mostRetireBytes = 64 << 10
-	retryAfter      = time.Second
-	headerBase      = "X-Base-Version"
+	headerTimeout        = 5 * time.Second
+	idleTimeout          = 60 * time.Second
+	bodyReadTimeout      = 10 * time.Second // without a byte of a body
+	responseWriteTimeout = 10 * time.Second // for the operator to read an answer
+	maxRetireBytes       = 64 << 10
+	retryAfter           = time.Second
+	headerBase           = "X-Base-Version"
 )
 
 // operatorAPI serves the operator's calls.
@@ -92,13 +92,13 @@
 }
 
 func (a operatorAPI) startRetirement(w http.ResponseWriter, r *http.Request) {
-	if _, ok := readBody(w, r, mostRetireBytes); !ok {
+	if _, ok := readBody(w, r, maxRetireBytes); !ok {
 		return
 	}
 	name := r.PathValue("node")
 	a.respond(w, r, func(reply func(answer)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.answerDurably(func() answer { return p.startRetirement(a.daemon.now(), name) }, reply)
+			p.replyDurably(func() answer { return p.startRetirement(a.daemon.now(), name) }, reply)
 		}, reply)
 	})
 }
@@ -107,7 +107,7 @@
 	name := r.PathValue("node")
 	a.respond(w, r, func(reply func(answer)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.answerDurably(func() answer { return p.describeRetirement(name) }, reply)
+			p.replyDurably(func() answer { return p.describeRetirement(name) }, reply)
 		}, reply)
 	})
 }
@@ -118,8 +118,8 @@
 	}
 }
 
-// answerDurably answers by the model once a majority confirms that this process is the primary and what it put is durable.
-func (p *primary) answerDurably(work func() answer, reply func(answer)) {
+// replyDurably answers by the model once a majority confirms that this process is the primary and what it put is durable.
+func (p *primary) replyDurably(work func() answer, reply func(answer)) {
 	d := p.daemon
 	d.confirm(func(stands bool) {
 		if !stands || d.primary != p {
@@ -143,7 +143,7 @@
 		write(w, r, refusal(http.StatusRequestEntityTooLarge, "the body is too large: at most "+strconv.FormatInt(most, 10)+" bytes"))
 		return nil, false
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, patientBody{ReadCloser: r.Body, control: http.NewResponseController(w)}, most))
+	body, err := io.ReadAll(http.MaxBytesReader(w, deadlineBody{ReadCloser: r.Body, control: http.NewResponseController(w)}, most))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -155,21 +155,21 @@
 	return body, true
 }
 
-// patientBody gives each read of a body its own deadline.
-type patientBody struct {
+// deadlineBody gives each read of a body its own deadline.
+type deadlineBody struct {
 	io.ReadCloser
 	control *http.ResponseController
 }
 
 // Read reads what has come.
-func (b patientBody) Read(p []byte) (int, error) {
-	_ = b.control.SetReadDeadline(time.Now().Add(bodyPause)) // not every ResponseWriter has deadlines
+func (b deadlineBody) Read(p []byte) (int, error) {
+	_ = b.control.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not every ResponseWriter has deadlines
 	return b.ReadCloser.Read(p)
 }
 
 // write sends an answer.
 func write(w http.ResponseWriter, r *http.Request, a answer) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	switch {
 	case a.status == http.StatusTemporaryRedirect:
 		w.Header().Set("Location", "http://"+a.controlPlane+r.URL.RequestURI())
--- a/internal/roles/control/orders.go
+++ b/internal/roles/control/orders.go
@@ -11,18 +11,18 @@
 	"liftgauge/internal/protocol"
 )
 
-// An order, and the configuration that it makes, has at most mostOrderBytes, so that it fits into a frame, and leaves most of the disk free.
+// An order, and the configuration that it makes, has at most maxOrderBytes, so that it fits into a frame, and leaves most of the disk free.
 const (
-	mostOrderBytes = 15 << 20
+	maxOrderBytes  = 15 << 20
 	orderDiskShare = 8
 )
 
 // orderLimit returns the most bytes that an order may have with a log of so many bytes, 0 for any.
 func orderLimit(diskBytes int64) int64 {
 	if diskBytes <= 0 {
-		return mostOrderBytes
+		return maxOrderBytes
 	}
-	return min(mostOrderBytes, diskBytes/orderDiskShare)
+	return min(maxOrderBytes, diskBytes/orderDiskShare)
 }
 
 // order is one order of the operator, however often it was sent.
@@ -96,11 +96,11 @@
 	if d.orders.active == o {
 		d.orders.active = nil
 	}
-	d.reviewOrders()
+	d.redirectOrders()
 }
 
-// reviewOrders sends callers on when another process is primary.
-func (d *daemon) reviewOrders() {
+// redirectOrders sends callers on when another process is primary.
+func (d *daemon) redirectOrders() {
 	if d.primary != nil {
 		return
 	}
@@ -169,7 +169,7 @@
 	d := p.daemon
 	p.put(configurationRecord(next.Raw))
 	p.put(versionRecord(p.items.nextVersion()))
-	p.put(takenRecord(o.hash, next.Revision))
+	p.put(acceptedRecord(o.hash, next.Revision))
 	p.items.mark(protocol.ItemConfiguration, true)
 	p.writer.then(func(err error) {
 		if err != nil {
--- a/internal/roles/control/peers.go
+++ b/internal/roles/control/peers.go
@@ -2,16 +2,16 @@
 
 import "net"
 
-// peerBook knows which member of the group is at which internal address, and where that process serves the operator.
-type peerBook struct {
+// peerDirectory knows which member of the group is at which internal address, and where that process serves the operator.
+type peerDirectory struct {
 	addressOf    map[string]string // by member
 	memberOf     map[string]string // by address
 	claimed      map[string]bool   // by address: its member was heard from that address itself
 	controlPlane map[string]string // by address
 }
 
-func newPeerBook() peerBook {
-	return peerBook{
+func newPeerDirectory() peerDirectory {
+	return peerDirectory{
 		addressOf:    make(map[string]string),
 		memberOf:     make(map[string]string),
 		claimed:      make(map[string]bool),
@@ -20,11 +20,11 @@
 }
 
 // memberAt returns the member at an address, or "".
-func (b *peerBook) memberAt(address string) string { return b.memberOf[address] }
+func (b *peerDirectory) memberAt(address string) string { return b.memberOf[address] }
 
 // learn notes that a member is at an address. What the process there says itself (direct) counts more than what views name. It returns the
 // member that was there before, and whether anything changed.
-func (b *peerBook) learn(member, address string, direct bool) (before string, changed bool) {
+func (b *peerDirectory) learn(member, address string, direct bool) (before string, changed bool) {
 	if member == "" || address == "" {
 		return "", false
 	}
--- a/internal/roles/control/peers_test.go
+++ b/internal/roles/control/peers_test.go
@@ -8,7 +8,7 @@
 
 func TestPeerBookBelievesTheProcessItself(t *testing.T) {
 	is := is.New(t)
-	b := newPeerBook()
+	b := newPeerDirectory()
 	before, changed := b.learn("a/1", "10.0.0.1:7240", false)
 	is.True(changed)
 	is.Equal(before, "")
--- a/internal/roles/control/placement.go
+++ b/internal/roles/control/placement.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	fewestPartitions   = 64
-	mostPartitions     = 4096
+	minPartitions      = 64
+	maxPartitions      = 4096
 	partitionsPerStore = 16
 
-	// The table is founded when no new store has come for foundingQuiet, or foundingLatest after this process became primary.
-	foundingQuiet  = 500 * time.Millisecond
-	foundingLatest = 1500 * time.Millisecond
+	// The table is founded when no new store has come for foundingQuiet, or foundingDeadline after this process became primary.
+	foundingQuiet    = 500 * time.Millisecond
+	foundingDeadline = 1500 * time.Millisecond
 
 	balanceInterval = time.Second      // between moves made only for balance
 	forgetAfter     = 10 * time.Minute // a store that is gone and that no partition names is forgotten
@@ -27,10 +27,10 @@
 // placementState is what the primary knows for placing partitions beside the model.
 type placementState struct {
 	since       time.Duration
-	lastStore   time.Duration            // when a store came last
-	goneSince   map[string]time.Duration // by member, of stores without a session
+	lastStoreAt time.Duration            // when a store came last
+	downSince   map[string]time.Duration // by member, of stores without a session
 	offers      map[int][]string         // learners that are equal, for the present epochs
-	trouble     storeTrouble
+	trouble     storeFaults
 	planWanted  bool
 	balance     bool // the next plan may move partitions for balance, too
 	nextBalance time.Duration
@@ -38,8 +38,8 @@
 
 func newPlacementState(now time.Duration) placementState {
 	return placementState{
-		since: now, lastStore: now, goneSince: make(map[string]time.Duration), offers: make(map[int][]string),
-		trouble: newStoreTrouble(), planWanted: true, nextBalance: now + balanceInterval,
+		since: now, lastStoreAt: now, downSince: make(map[string]time.Duration), offers: make(map[int][]string),
+		trouble: newStoreFaults(), planWanted: true, nextBalance: now + balanceInterval,
 	}
 }
 
@@ -65,10 +65,10 @@
 	if node.Member == "" {
 		return
 	}
-	delete(p.placement.goneSince, node.Member)
+	delete(p.placement.downSince, node.Member)
 	known, ok := p.model.stores[node.Member]
 	if !ok {
-		p.placement.lastStore = now
+		p.placement.lastStoreAt = now
 		known = storeRecord{Member: node.Member, Retiring: p.retiringName(node.Name)}
 	}
 	record := known
@@ -78,11 +78,11 @@
 	}
 }
 
-// storeGone notes a store whose session ended.
-func (p *primary) storeGone(now time.Duration, node protocol.Node) {
+// storeDown notes a store whose session ended.
+func (p *primary) storeDown(now time.Duration, node protocol.Node) {
 	p.placement.planWanted = true
 	if node.Member != "" {
-		p.placement.goneSince[node.Member] = now
+		p.placement.downSince[node.Member] = now
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	if p.placement.trouble.tick(now) {
 		p.placement.planWanted = true
-		p.logStoreTrouble(now)
+		p.logStoreFaults(now)
 	}
 	if now >= p.placement.nextBalance {
 		p.placement.nextBalance = now + balanceInterval
@@ -103,8 +103,8 @@
 	}
 }
 
-// logStoreTrouble tells which stores are left out now because of their links or disks.
-func (p *primary) logStoreTrouble(now time.Duration) {
+// logStoreFaults tells which stores are left out now because of their links or disks.
+func (p *primary) logStoreFaults(now time.Duration) {
 	var stalled []string
 	for _, member := range p.model.storeMembers() {
 		if p.placement.trouble.isStalled(now, member) {
@@ -118,7 +118,7 @@
 // found makes the first table once the stores have come.
 func (p *primary) found(now time.Duration) {
 	s := &p.placement
-	if now-s.lastStore < foundingQuiet && now-s.since < foundingLatest {
+	if now-s.lastStoreAt < foundingQuiet && now-s.since < foundingDeadline {
 		return
 	}
 	input := p.placementInput(now)
@@ -145,10 +145,10 @@
 // partitionCount is the number of partitions for a number of stores.
 func partitionCount(stores int) int {
 	wanted := stores * partitionsPerStore
-	if wanted <= fewestPartitions {
-		return fewestPartitions
+	if wanted <= minPartitions {
+		return minPartitions
 	}
-	return min(1<<bits.Len(uint(wanted-1)), mostPartitions)
+	return min(1<<bits.Len(uint(wanted-1)), maxPartitions)
 }
 
 func (p *primary) putPartition(number int, v placement.View) {
@@ -168,7 +168,7 @@
 	input := p.placementInput(now)
 	input.NoBalance = !p.placement.balance
 	changes := placement.Plan(input)
-	changes = slices.DeleteFunc(changes, func(change placement.Change) bool { return !p.mayChange(&change) })
+	changes = slices.DeleteFunc(changes, func(change placement.Change) bool { return !p.allowsChange(&change) })
 	for _, change := range changes {
 		if len(change.View.Sources) > 0 && len(input.Partitions[change.Partition].Sources) == 0 {
 			p.daemon.logger.Warn("control: the disks of all members of a partition are lost; it is put together from what others hold",
@@ -214,16 +214,16 @@
 			store.Leaving = node.Leaving
 			store.Stalled = p.placement.trouble.isStalled(now, member)
 		} else {
-			store.DownFor = max(now-p.goneSince(member), 1)
+			store.DownFor = max(now-p.downSince(member), 1)
 		}
 		stores = append(stores, store)
 	}
 	return stores
 }
 
-// goneSince returns since when a store has had no session, as far as this primary knows.
-func (p *primary) goneSince(member string) time.Duration {
-	if since, ok := p.placement.goneSince[member]; ok {
+// downSince returns since when a store has had no session, as far as this primary knows.
+func (p *primary) downSince(member string) time.Duration {
+	if since, ok := p.placement.downSince[member]; ok {
 		return since
 	}
 	return p.since
@@ -244,7 +244,7 @@
 			store.Emptied = true
 			p.put(store.record())
 		}
-		if !live[member] && now-p.goneSince(member) >= forgetAfter {
+		if !live[member] && now-p.downSince(member) >= forgetAfter {
 			p.put(deletion(prefixStore + member))
 		}
 	}
--- a/internal/roles/control/primary.go
+++ b/internal/roles/control/primary.go
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	p.items = newItemPublisher(p)
-	p.writer = &writer{write: p.write, began: p.items.snapshot, after: d.loop.after, refused: p.yieldToAnotherDisk}
+	p.writer = &writer{write: p.write, began: p.items.snapshot, after: d.loop.after, refused: p.handOverForDiskFailure}
 	p.sessions = newSessions(now, m)
 	p.placement = newPlacementState(now)
 	p.duty = newDutyState(p)
@@ -65,7 +65,7 @@
 	p.daemon.agent.SetClock(time.Duration(p.daemon.agent.ClusterTime().UnixNano()) - p.daemon.agent.Steady())
 	p.duty.begin()
 	p.items.publishAll()
-	p.daemon.lookForLostStores(p)
+	p.daemon.probeStores(p)
 }
 
 // continueIn goes on in the next epoch of this process, whose writes went on.
@@ -101,9 +101,9 @@
 	})
 }
 
-// yieldToAnotherDisk asks another member to take over from this process, whose own disk refuses what the disks of others may take. It is called from
+// handOverForDiskFailure asks another member to take over from this process, whose own disk refuses what the disks of others may take. It is called from
 // within the replica.
-func (p *primary) yieldToAnotherDisk() {
+func (p *primary) handOverForDiskFailure() {
 	d := p.daemon
 	d.logger.Warn("control: the own disk refuses to write; another member is asked to take over")
 	d.loop.post(func() { d.act(d.elector.HandOver(d.now())) })
--- a/internal/roles/control/reader.go
+++ b/internal/roles/control/reader.go
@@ -29,13 +29,13 @@
 	unread atomic.Bool
 }
 
-// unreadAfter is how long the holder of the duty may fail to read the list before it gives the duty up: half of the time that the list may be
+// staleAfter is how long the holder of the duty may fail to read the list before it gives the duty up: half of the time that the list may be
 // old, and a few calls at least.
-func (r *listReader) unreadAfter() time.Duration {
-	return max(r.daemon.settings.Bounds.Drain()/2, leastUnread)
+func (r *listReader) staleAfter() time.Duration {
+	return max(r.daemon.settings.Bounds.Drain()/2, minStaleAfter)
 }
 
-const leastUnread = time.Second
+const minStaleAfter = time.Second
 
 func newListReader(d *daemon) *listReader {
 	return &listReader{daemon: d, client: network.Client(d.environment.Network, instances.CallTimeout)}
@@ -105,7 +105,7 @@
 			r.publish(changed)
 		}
 	}
-	r.unread.Store(now-r.readAt >= r.unreadAfter())
+	r.unread.Store(now-r.readAt >= r.staleAfter())
 	r.step(term)
 }
 
--- a/internal/roles/control/records.go
+++ b/internal/roles/control/records.go
@@ -20,7 +20,7 @@
 const (
 	keyConfiguration        = configuration.RecordCurrent     // the operator's JSON, whole
 	keyConfigurationVersion = "config/version"                // ItemVersion of it
-	prefixTaken             = configuration.RecordTakenPrefix // + hash of an order: its revision
+	prefixAccepted          = configuration.RecordTakenPrefix // + hash of an order: its revision
 	prefixNode              = "node/"                         // + key of a node: protocol.Node
 	prefixPartition         = "partition/"                    // + number: protocol.PartitionView
 	prefixStore             = "store/"                        // + member: storeRecord
@@ -28,8 +28,8 @@
 	keyFounded              = "founded"                       // number of partitions
 )
 
-// errRecord marks a record that cannot be decoded.
-var errRecord = errors.New("control: a record of the group cannot be read: run the version that wrote it")
+// errMalformedRecord marks a record that cannot be decoded.
+var errMalformedRecord = errors.New("control: a record of the group cannot be read: run the version that wrote it")
 
 func configurationRecord(raw []byte) replication.Record {
 	return replication.Record{Key: keyConfiguration, Value: raw}
@@ -40,8 +40,8 @@
 	return replication.Record{Key: keyConfigurationVersion, Value: binary.AppendUvarint(value, v.Number)}
 }
 
-func takenRecord(hash string, revision uint64) replication.Record {
-	return replication.Record{Key: prefixTaken + hash, Value: strconv.AppendUint(nil, revision, 10)}
+func acceptedRecord(hash string, revision uint64) replication.Record {
+	return replication.Record{Key: prefixAccepted + hash, Value: strconv.AppendUint(nil, revision, 10)}
 }
 
 func nodeRecord(n protocol.Node) replication.Record {
@@ -119,10 +119,10 @@
 	return protocol.ItemVersion{Term: r.number(), Number: r.number()}, r.err
 }
 
-func decodeTaken(value []byte) (uint64, error) {
+func decodeAccepted(value []byte) (uint64, error) {
 	revision, err := strconv.ParseUint(string(value), 10, 64)
 	if err != nil {
-		return 0, errRecord
+		return 0, errMalformedRecord
 	}
 	return revision, nil
 }
@@ -140,7 +140,7 @@
 func (r *fieldReader) number() uint64 {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 {
-		r.rest, r.err = nil, errRecord
+		r.rest, r.err = nil, errMalformedRecord
 		return 0
 	}
 	r.rest = r.rest[size:]
@@ -150,7 +150,7 @@
 func (r *fieldReader) bytes() []byte {
 	n := r.number()
 	if n > uint64(len(r.rest)) {
-		r.rest, r.err = nil, errRecord
+		r.rest, r.err = nil, errMalformedRecord
 		return nil
 	}
 	b := r.rest[:n]
--- a/internal/roles/control/recovered.go
+++ b/internal/roles/control/recovered.go
@@ -21,7 +21,7 @@
 		records = append(records, configurationRecord(m.configuration), versionRecord(m.configurationVersion))
 	}
 	for _, hash := range slices.Sorted(maps.Keys(m.taken)) {
-		records = append(records, takenRecord(hash, m.taken[hash]))
+		records = append(records, acceptedRecord(hash, m.taken[hash]))
 	}
 	for _, key := range slices.Sorted(maps.Keys(m.nodes)) {
 		records = append(records, nodeRecord(m.nodes[key]))
@@ -58,17 +58,17 @@
 			return nil, errors.Wrapf(err, "record %q", record.Key)
 		}
 	}
-	if err := r.takeConfiguration(); err != nil {
+	if err := r.adoptConfiguration(); err != nil {
 		return nil, err
 	}
-	r.takePartitions()
-	r.takeNodes()
+	r.mergePartitions()
+	r.mergeNodes()
 	r.model.duties = map[string]election.Award{dutyReader: {Term: max(r.model.duties[dutyReader].Term, epoch)}} // vacant
 	return r.model, nil
 }
 
-// takeConfiguration publishes the newest configuration anew, in a version that goes before all that were published.
-func (r *recovered) takeConfiguration() error {
+// adoptConfiguration publishes the newest configuration anew, in a version that goes before all that were published.
+func (r *recovered) adoptConfiguration() error {
 	m := r.model
 	if m.configuration == nil || m.configurationVersion.Less(r.heard.ConfigurationVersion) {
 		m.configuration = r.heard.Configuration
@@ -82,10 +82,10 @@
 	return errors.Wrap(err, "the configuration to begin with")
 }
 
-// takePartitions takes the newest view of each partition. Views that running processes follow begin an epoch far above them, as a store that
+// mergePartitions takes the newest view of each partition. Views that running processes follow begin an epoch far above them, as a store that
 // does not answer may have followed a later one. Those of a snapshot alone begin the next one: a store that has gone further refuses it, and
 // keeps what it has.
-func (r *recovered) takePartitions() {
+func (r *recovered) mergePartitions() {
 	m := r.model
 	for n, heard := range r.heard.Partitions.Partitions {
 		if n >= len(m.partitions) {
@@ -105,8 +105,8 @@
 	m.founded = len(m.partitions) > 0
 }
 
-// takeNodes keeps the sessions that were heard of, whose deadlines begin anew, and a record of each store that a partition names.
-func (r *recovered) takeNodes() {
+// mergeNodes keeps the sessions that were heard of, whose deadlines begin anew, and a record of each store that a partition names.
+func (r *recovered) mergeNodes() {
 	m := r.model
 	if len(r.heard.Nodes) > 0 {
 		clear(m.nodes)
--- a/internal/roles/control/recovery.go
+++ b/internal/roles/control/recovery.go
@@ -24,8 +24,8 @@
 var ErrFoundedAnew = errors.New("control is founded anew on this disk: start the process again")
 
 const (
-	mostFoundBytes = 64 << 20
-	mostJoinBytes  = 64 << 10
+	maxFoundBytes = 64 << 20
+	maxJoinBytes  = 64 << 10
 	// storeDialTimeout is how long a store may take to accept a connection before it counts as silent.
 	storeDialTimeout = 300 * time.Millisecond
 	// foundingBatch bounds the bytes that are appended at once.
@@ -50,7 +50,7 @@
 func (a operatorAPI) snapshot(w http.ResponseWriter, r *http.Request) {
 	a.respond(w, r, func(reply func(answer)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.answerDurably(func() answer {
+			p.replyDurably(func() answer {
 				return answer{status: http.StatusOK, contentType: snapshotType, body: a.daemon.snapshotOf(p.model.records(), true)}
 			}, reply)
 		}, reply)
@@ -95,7 +95,7 @@
 		return
 	}
 	if given.status == http.StatusOK {
-		account.Silent = a.daemon.silentStores(r.Context(), account.Stores, addresses)
+		account.Silent = a.daemon.unresponsiveStores(r.Context(), account.Stores, addresses)
 		given.body, _ = json.Marshal(account) // it holds nothing that cannot be encoded
 	}
 	write(w, r, given)
@@ -156,8 +156,8 @@
 	return parsed.Revision
 }
 
-// silentStores returns the stores that accept no connection.
-func (d *daemon) silentStores(ctx context.Context, members []string, addresses map[string]string) []string {
+// unresponsiveStores returns the stores that accept no connection.
+func (d *daemon) unresponsiveStores(ctx context.Context, members []string, addresses map[string]string) []string {
 	ctx, cancel := context.WithTimeout(ctx, storeDialTimeout)
 	defer cancel()
 	dial := (&net.Dialer{}).DialContext
@@ -187,7 +187,7 @@
 // joinGeneration has this process belong to a generation, and answers once that is on disk.
 func (a operatorAPI) joinGeneration(w http.ResponseWriter, r *http.Request) {
 	var request recovery.JoinRequest
-	if !readJSON(w, r, mostJoinBytes, &request) {
+	if !readJSON(w, r, maxJoinBytes, &request) {
 		return
 	}
 	a.respond(w, r, func(reply func(answer)) {
@@ -221,7 +221,7 @@
 // foundAnew writes the state in which control is founded anew, answers, and ends the process.
 func (a operatorAPI) foundAnew(w http.ResponseWriter, r *http.Request) {
 	var request recovery.FoundRequest
-	if !readJSON(w, r, mostFoundBytes, &request) {
+	if !readJSON(w, r, maxFoundBytes, &request) {
 		return
 	}
 	var records []replication.Record
--- a/internal/roles/control/recovery_test.go
+++ b/internal/roles/control/recovery_test.go
@@ -25,8 +25,8 @@
 	return operator.New(addresses, nil)
 }
 
-// loseDisks has machines come back with empty disks, all at once.
-func (c *cluster) loseDisks(lost ...*machine) {
+// restartWithEmptyDisks has machines come back with empty disks, all at once.
+func (c *cluster) restartWithEmptyDisks(lost ...*machine) {
 	c.t.Helper()
 	for _, m := range lost {
 		c.kill(m)
@@ -35,8 +35,8 @@
 	c.start(lost...)
 }
 
-// awaitHeard waits until every running control process has heard of a table and a revision.
-func (c *cluster) awaitHeard(partitions int, revision uint64) {
+// awaitReceived waits until every running control process has heard of a table and a revision.
+func (c *cluster) awaitReceived(partitions int, revision uint64) {
 	c.t.Helper()
 	for _, m := range c.machines {
 		if m.process != nil {
@@ -88,7 +88,7 @@
 	})
 }
 
-const recoveredPartitions = fewestPartitions
+const recoveredPartitions = minPartitions
 
 // startRecoverable starts three control processes with two stores and a dispatcher, and has two orders taken.
 func startRecoverable(t *testing.T) (c *cluster, edge *agent.Agent) {
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	is.Equal(c.replace(c.machine(1), 0, configurationOf(1, "one")), http.StatusOK)
 	is.Equal(c.replace(c.machine(1), 1, configurationOf(2, "two")), http.StatusOK)
-	c.awaitHeard(recoveredPartitions, 2)
+	c.awaitReceived(recoveredPartitions, 2)
 	c.noBootstrap()
 	return c, edge
 }
@@ -114,8 +114,8 @@
 	primary := c.primary()
 	primary.onLoop(c, func(d *daemon) { before = slices.Clone(d.primary.model.partitions) })
 	survivor := c.machine(2)
-	c.loseDisks(c.machine(1), c.machine(3))
-	c.awaitHeard(recoveredPartitions, 2)
+	c.restartWithEmptyDisks(c.machine(1), c.machine(3))
+	c.awaitReceived(recoveredPartitions, 2)
 
 	plan := c.recover(recovery.Options{}, nil)
 	is.Equal(plan.Founder.Name, survivor.settings.NodeName)
@@ -140,8 +140,8 @@
 func TestControlIsFoundedAnewFromWhatOthersKnow(t *testing.T) {
 	is := is.New(t)
 	c, edge := startRecoverable(t)
-	c.loseDisks(c.machine(1), c.machine(2), c.machine(3))
-	c.awaitHeard(recoveredPartitions, 2)
+	c.restartWithEmptyDisks(c.machine(1), c.machine(2), c.machine(3))
+	c.awaitReceived(recoveredPartitions, 2)
 	plan := c.recover(recovery.Options{At: "control-3"}, nil)
 	is.Equal(plan.Founder.Name, "control-3")
 	is.True(plan.Source == nil)
@@ -154,8 +154,8 @@
 	c.primary().onLoop(c, func(d *daemon) { is.Equal(len(d.primary.model.partitions), recoveredPartitions) })
 
 	// It can be done again, in the next generation.
-	c.loseDisks(c.machine(1), c.machine(2), c.machine(3))
-	c.awaitHeard(recoveredPartitions, 3)
+	c.restartWithEmptyDisks(c.machine(1), c.machine(2), c.machine(3))
+	c.awaitReceived(recoveredPartitions, 3)
 	c.recover(recovery.Options{}, nil)
 	is.Equal(c.replace(c.machine(1), 3, configurationOf(4, "four")), http.StatusOK)
 }
@@ -229,8 +229,8 @@
 func TestOutdatedPlanIsRefused(t *testing.T) {
 	is := is.New(t)
 	c, _ := startRecoverable(t)
-	c.loseDisks(c.machine(1), c.machine(3))
-	c.awaitHeard(recoveredPartitions, 2)
+	c.restartWithEmptyDisks(c.machine(1), c.machine(3))
+	c.awaitReceived(recoveredPartitions, 2)
 	accounts, err := c.client().Accounts(c.ctx)
 	is.NoErr(err)
 	plan, err := recovery.Make(accounts, recovery.Options{})
--- a/internal/roles/control/refusal.go
+++ b/internal/roles/control/refusal.go
@@ -13,13 +13,13 @@
 	"liftgauge/internal/rpc"
 )
 
-// A store whose connection broke is dialed refusalDials times, refusalPause apart. If its address refuses each dial, no process listens there.
+// A store whose connection broke is dialed refusalDials times, refusalDialInterval apart. If its address refuses each dial, no process listens there.
 const (
-	refusalDials       = 2
-	refusalPause       = 20 * time.Millisecond
-	refusalDialTimeout = 100 * time.Millisecond
-	// newcomerPeriod is how long a process may be a newcomer beside others that start at the same time.
-	newcomerPeriod = time.Second
+	refusalDials        = 2
+	refusalDialInterval = 20 * time.Millisecond
+	refusalDialTimeout  = 100 * time.Millisecond
+	// startupPeriod is how long a process may be a newcomer beside others that start at the same time.
+	startupPeriod = time.Second
 )
 
 // sender is who sent heartbeats over a connection; it is the connection's tag.
@@ -57,10 +57,10 @@
 	}
 }
 
-// lookForLostStores dials every store that has a session once: one that was killed together with the primary before has broken no connection to this
+// probeStores dials every store that has a session once: one that was killed together with the primary before has broken no connection to this
 // process. After a start of this process nothing is done: all stores may be starting as well, and refuse until they listen.
-func (d *daemon) lookForLostStores(p *primary) {
-	if d.now()-d.began < newcomerPeriod {
+func (d *daemon) probeStores(p *primary) {
+	if d.now()-d.began < startupPeriod {
 		return
 	}
 	for key, node := range p.model.nodes {
@@ -74,7 +74,7 @@
 func (d *daemon) refuses(address string) bool {
 	for i := range refusalDials {
 		if i > 0 {
-			pause := time.NewTimer(refusalPause)
+			pause := time.NewTimer(refusalDialInterval)
 			select {
 			case <-d.ended:
 				pause.Stop()
--- a/internal/roles/control/refusal_test.go
+++ b/internal/roles/control/refusal_test.go
@@ -11,8 +11,8 @@
 	"liftgauge/internal/protocol"
 )
 
-// neverExpires lets a session go without heartbeats for an hour.
-func (c *cluster) neverExpires(key string) {
+// extendSession lets a session go without heartbeats for an hour.
+func (c *cluster) extendSession(key string) {
 	c.t.Helper()
 	c.primary().onLoop(c, func(d *daemon) {
 		node, ok := d.primary.sessions.Get(key)
@@ -30,7 +30,7 @@
 	c.startAll()
 	one, other := c.startStore(30, "disk"), c.startStore(31, "disk")
 	c.await(other.Agent, "both stores", func(v *agent.View) bool { return len(v.Live(protocol.RoleStore)) == 2 })
-	c.neverExpires("storage-30/store")
+	c.extendSession("storage-30/store")
 	one.Close()
 	c.await(other.Agent, "the end of the session", func(v *agent.View) bool { return len(v.Live(protocol.RoleStore)) == 1 })
 }
@@ -45,7 +45,7 @@
 	c.eventually("all processes to be no newcomers", func() bool {
 		newcomers := false
 		for _, m := range c.machines {
-			m.onLoop(c, func(d *daemon) { newcomers = newcomers || d.now()-d.began < newcomerPeriod })
+			m.onLoop(c, func(d *daemon) { newcomers = newcomers || d.now()-d.began < startupPeriod })
 		}
 		return !newcomers
 	})
--- a/internal/roles/control/run.go
+++ b/internal/roles/control/run.go
@@ -65,10 +65,10 @@
 // start opens disk and sockets and begins the event loop.
 func start(ctx context.Context, o options) (*process, error) {
 	d := &daemon{
-		settings: o.settings, logger: o.logger, environment: o.environment, loop: newEventLoop(), peers: newPeerBook(), replyTo: make(map[string]*rpc.Conn),
+		settings: o.settings, logger: o.logger, environment: o.environment, loop: newEventLoop(), peers: newPeerDirectory(), replyTo: make(map[string]*rpc.Conn),
 		ended: make(chan struct{}), foundedAnew: make(chan struct{}), orderLimit: orderLimit(logBytes(o.settings)),
 	}
-	p := &process{daemon: d, grace: graceTime(o.settings), patience: handOverTime, initial: o.settings}
+	p := &process{daemon: d, grace: shutdownGrace(o.settings), patience: maxHandOverTime, initial: o.settings}
 	d.self.Address = o.settings.InternalAddress(protocol.RoleControl)
 	if err := p.open(ctx); err != nil {
 		return nil, err
@@ -158,7 +158,7 @@
 	d.agent = started
 	d.began = started.Steady()
 	d.links = newLinks(started.Pool(), d.loop, d.linkChanged)
-	started.Subscribe(func(*agent.View, []protocol.ItemKind) { d.loop.post(d.reviewWaiting) })
+	started.Subscribe(func(*agent.View, []protocol.ItemKind) { d.loop.post(d.retryPendingCalls) })
 	return nil
 }
 
@@ -181,16 +181,16 @@
 	return p.close(grace)
 }
 
-// The planned end takes at most the platform's grace less graceMargin, and waits at most handOverTime for another primary.
+// The planned end takes at most the platform's grace less graceMargin, and waits at most maxHandOverTime for another primary.
 const (
-	graceMargin  = time.Second
-	shortestEnd  = time.Second
-	handOverTime = 1500 * time.Millisecond
-	leaveTimeout = 500 * time.Millisecond
+	graceMargin      = time.Second
+	minShutdownGrace = time.Second
+	maxHandOverTime  = 1500 * time.Millisecond
+	leaveTimeout     = 500 * time.Millisecond
 )
 
-func graceTime(s *nodeconfig.Settings) time.Duration {
-	return max(s.Bounds.Grace()-graceMargin, shortestEnd)
+func shutdownGrace(s *nodeconfig.Settings) time.Duration {
+	return max(s.Bounds.Grace()-graceMargin, minShutdownGrace)
 }
 
 // handOver leaves the group and the duties to others.
@@ -201,7 +201,7 @@
 	}
 	cancel()
 	resigned := make(chan struct{})
-	p.loop.post(func() { p.beginEnd(resigned) })
+	p.loop.post(func() { p.beginShutdown(resigned) })
 	wait, cancel := context.WithTimeout(ctx, p.patience)
 	defer cancel()
 	select {
--- a/internal/roles/control/sessions.go
+++ b/internal/roles/control/sessions.go
@@ -115,7 +115,7 @@
 	p.items.mark(protocol.ItemNodes, true)
 	switch node.Role {
 	case protocol.RoleStore:
-		p.storeGone(now, node)
+		p.storeDown(now, node)
 	case protocol.RoleControl:
 		p.duty.ended(node)
 	}
--- a/internal/roles/control/shutdown.go
+++ b/internal/roles/control/shutdown.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// endPoll is how often the planned end looks whether the others do without this process.
-	endPoll = 20 * time.Millisecond
-	// witnessEnd is how long the planned end of a process that is no member any more waits to be left out of the witnesses.
-	witnessEnd = time.Second
+	// shutdownPoll is how often the planned end looks whether the others do without this process.
+	shutdownPoll = 20 * time.Millisecond
+	// witnessTimeout is how long the planned end of a process that is no member any more waits to be left out of the witnesses.
+	witnessTimeout = time.Second
 )
 
-// beginEnd resigns, and closes done when this process is not needed any more.
-func (d *daemon) beginEnd(done chan struct{}) {
+// beginShutdown resigns, and closes done when this process is not needed any more.
+func (d *daemon) beginShutdown(done chan struct{}) {
 	d.ending = true
 	d.reader.stop()
 	if d.elector == nil {
 		close(done)
 		return
 	}
-	d.witnessUntil = d.now() + witnessEnd
+	d.witnessDeadline = d.now() + witnessTimeout
 	d.act(d.elector.Resign(d.now()))
 	d.awaitSuccessor(done)
 }
@@ -35,8 +35,8 @@
 func (d *daemon) awaitSuccessor(done chan struct{}) {
 	switch now := d.now(); {
 	case d.elector.View().Includes(d.self.Member):
-		d.witnessUntil = now + witnessEnd
-	case now >= d.witnessUntil:
+		d.witnessDeadline = now + witnessTimeout
+	case now >= d.witnessDeadline:
 		close(done)
 		return
 	}
@@ -44,7 +44,7 @@
 		close(done)
 		return
 	}
-	d.loop.after(endPoll, func() { d.awaitSuccessor(done) })
+	d.loop.after(shutdownPoll, func() { d.awaitSuccessor(done) })
 }
 
 // watchSettings takes new settings when the file has changed, with or without a signal.
--- a/internal/roles/control/shutdown_test.go
+++ b/internal/roles/control/shutdown_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// knowsOther tells whether any running process knows of another primary than the member.
-func (c *cluster) knowsOther(member string) bool {
+// hasOtherPrimary tells whether any running process knows of another primary than the member.
+func (c *cluster) hasOtherPrimary(member string) bool {
 	known := false
 	for _, m := range c.machines {
 		if m.process != nil {
@@ -53,7 +53,7 @@
 		member := old.process.self.Member
 		end := c.runUntilCancelled(old)
 		is.NoErr(end())
-		is.True(c.knowsOther(member)) // it ended only when there was a successor
+		is.True(c.hasOtherPrimary(member)) // it ended only when there was a successor
 		next := c.primary()
 		next.onLoop(c, func(d *daemon) { is.True(!d.elector.View().Includes(member)) }) // nobody waits for the one that ended
 		is.Equal(c.replace(next, base, configurationOf(base+1, "x")), http.StatusOK)
--- a/internal/roles/control/status.go
+++ b/internal/roles/control/status.go
@@ -70,7 +70,7 @@
 
 func (a operatorAPI) metrics(w http.ResponseWriter, r *http.Request) {
 	given, ok := a.await(r, func(reply func(answer)) {
-		reply(answer{status: http.StatusOK, body: []byte(a.daemon.metricsPage())})
+		reply(answer{status: http.StatusOK, body: []byte(a.daemon.renderMetrics())})
 	})
 	if !ok {
 		return
@@ -80,8 +80,8 @@
 	_, _ = w.Write(given.body)
 }
 
-// metricsPage is the body of /metrics, one figure a line.
-func (d *daemon) metricsPage() string {
+// renderMetrics is the body of /metrics, one figure a line.
+func (d *daemon) renderMetrics() string {
 	figures := map[string]float64{
 		"control_orders_under_way": float64(len(d.orders.queue)),
 		"control_calls_waiting":    float64(len(d.waiting)),
--- a/internal/roles/control/storefaults.go
+++ b/internal/roles/control/storefaults.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// stuckSettle is how long a store has to be complained of, more than once, before somebody is left out: by then all who are cut off have said so, and
+	// unreachableConfirmTime is how long a store has to be complained of, more than once, before somebody is left out: by then all who are cut off have said so, and
 	// it shows on which side the trouble is.
-	stuckSettle = 250 * time.Millisecond
-	// stuckForget is how long a complaint holds that is not repeated.
-	stuckForget = 600 * time.Millisecond
-	// silentAfter is how long a store may not have been heard of for a complaint about it to count: one that has ended or stands still is
+	unreachableConfirmTime = 250 * time.Millisecond
+	// reportLifetime is how long a complaint holds that is not repeated.
+	reportLifetime = 600 * time.Millisecond
+	// unresponsiveAfter is how long a store may not have been heard of for a complaint about it to count: one that has ended or stands still is
 	// complained of as well, and to leave out the complainant would leave its partitions to the one that is gone.
-	silentAfter = 350 * time.Millisecond
+	unresponsiveAfter = 350 * time.Millisecond
 	// What was left out is tried again after a pause that doubles each time the same trouble comes back, from firstPause to lastPause.
-	// Trouble that stayed away for calmAfter begins anew.
-	stuckFirstPause   = 3 * time.Second
-	stalledFirstPause = 500 * time.Millisecond
-	troubleLastPause  = 30 * time.Second
-	calmAfter         = time.Minute
+	// Trouble that stayed away for faultFreeReset begins anew.
+	unreachableFirstExclusion = 3 * time.Second
+	stalledFirstExclusion     = 500 * time.Millisecond
+	maxExclusion              = 30 * time.Second
+	faultFreeReset            = time.Minute
 )
 
 // pauser says how long something is left out, with a pause that doubles.
@@ -34,10 +34,10 @@
 // extend keeps the trouble in force from now on, and reports whether it was not before.
 func (t *pauser) extend(now, first time.Duration) (begun bool) {
 	if begun = now >= t.until; begun {
-		if t.pause == 0 || now-t.until >= calmAfter {
+		if t.pause == 0 || now-t.until >= faultFreeReset {
 			t.pause = first
 		} else {
-			t.pause = min(2*t.pause, troubleLastPause)
+			t.pause = min(2*t.pause, maxExclusion)
 		}
 	}
 	t.until = now + t.pause
@@ -46,38 +46,38 @@
 
 func (t *pauser) inForce(now time.Duration) bool { return now < t.until }
 
-// pairTrouble is that two stores cannot reach each other.
-type pairTrouble struct {
+// pairFault is that two stores cannot reach each other.
+type pairFault struct {
 	pauser
 	since, last time.Duration // of the complaints that are repeated now; last 0 for none
 }
 
-// storeTrouble is what the stores' heartbeats say about each other's links and about their disks.
-type storeTrouble struct {
-	pairs   map[[2]string]*pairTrouble // by the two members in order
-	stalled map[string]*pauser         // by member
-	heard   map[string]time.Duration   // by member: its last heartbeat
-	active  int                        // troubles in force at the last tick
+// storeFaults is what the stores' heartbeats say about each other's links and about their disks.
+type storeFaults struct {
+	pairs   map[[2]string]*pairFault // by the two members in order
+	stalled map[string]*pauser       // by member
+	heard   map[string]time.Duration // by member: its last heartbeat
+	active  int                      // troubles in force at the last tick
 }
 
-func newStoreTrouble() storeTrouble {
-	return storeTrouble{pairs: make(map[[2]string]*pairTrouble), stalled: make(map[string]*pauser), heard: make(map[string]time.Duration)}
+func newStoreFaults() storeFaults {
+	return storeFaults{pairs: make(map[[2]string]*pairFault), stalled: make(map[string]*pauser), heard: make(map[string]time.Duration)}
 }
 
 // heartbeat notes what a store says, and reports whether there is something new to plan for.
-func (t *storeTrouble) heartbeat(now time.Duration, h *protocol.Heartbeat) (changed bool) {
-	if before, known := t.heard[h.Node.Member]; known && now-before > silentAfter {
-		t.forgetComplaints(h.Node.Member)
+func (t *storeFaults) heartbeat(now time.Duration, h *protocol.Heartbeat) (changed bool) {
+	if before, known := t.heard[h.Node.Member]; known && now-before > unresponsiveAfter {
+		t.discardReports(h.Node.Member)
 	}
 	t.heard[h.Node.Member] = now
 	for _, other := range h.UnreachablePeers {
 		pair := [2]string{min(h.Node.Member, other), max(h.Node.Member, other)}
 		one := t.pairs[pair]
 		if one == nil {
-			one = &pairTrouble{}
+			one = &pairFault{}
 			t.pairs[pair] = one
 		}
-		if one.last == 0 || now-one.last > stuckForget {
+		if one.last == 0 || now-one.last > reportLifetime {
 			one.since = now
 		}
 		one.last = now
@@ -90,12 +90,12 @@
 		one = &pauser{}
 		t.stalled[h.Node.Member] = one
 	}
-	return one.extend(now, stalledFirstPause)
+	return one.extend(now, stalledFirstExclusion)
 }
 
-// forgetComplaints voids the complaints about a store, and its own, that have not led to anything: they were about its silence, which is over, and
+// discardReports voids the complaints about a store, and its own, that have not led to anything: they were about its silence, which is over, and
 // say nothing of its links now.
-func (t *storeTrouble) forgetComplaints(member string) {
+func (t *storeFaults) discardReports(member string) {
 	for pair, one := range t.pairs {
 		if pair[0] == member || pair[1] == member {
 			one.since, one.last = 0, 0
@@ -104,21 +104,21 @@
 }
 
 // tick takes complaints that have settled, ends what is over, and reports whether there is something new to plan for.
-func (t *storeTrouble) tick(now time.Duration) (changed bool) {
+func (t *storeFaults) tick(now time.Duration) (changed bool) {
 	active := 0
 	for pair, one := range t.pairs {
-		if one.last > one.since && now-one.last <= stuckForget && now-one.since >= stuckSettle && t.bothHeard(now, pair) {
-			changed = one.extend(now, stuckFirstPause) || changed
+		if one.last > one.since && now-one.last <= reportLifetime && now-one.since >= unreachableConfirmTime && t.bothResponsive(now, pair) {
+			changed = one.extend(now, unreachableFirstExclusion) || changed
 		}
 		switch {
 		case one.inForce(now):
 			active++
-		case now-max(one.until, one.last) >= calmAfter:
+		case now-max(one.until, one.last) >= faultFreeReset:
 			delete(t.pairs, pair)
 		}
 	}
 	for member, heard := range t.heard {
-		if now-heard >= calmAfter {
+		if now-heard >= faultFreeReset {
 			delete(t.heard, member)
 		}
 	}
@@ -126,7 +126,7 @@
 		switch {
 		case one.inForce(now):
 			active++
-		case now-one.until >= calmAfter:
+		case now-one.until >= faultFreeReset:
 			delete(t.stalled, member)
 		}
 	}
@@ -135,10 +135,10 @@
 	return changed
 }
 
-// bothHeard reports whether both stores of a pair have sent heartbeats lately.
-func (t *storeTrouble) bothHeard(now time.Duration, pair [2]string) bool {
+// bothResponsive reports whether both stores of a pair have sent heartbeats lately.
+func (t *storeFaults) bothResponsive(now time.Duration, pair [2]string) bool {
 	for _, member := range pair {
-		if heard, known := t.heard[member]; !known || now-heard > silentAfter {
+		if heard, known := t.heard[member]; !known || now-heard > unresponsiveAfter {
 			return false
 		}
 	}
@@ -146,10 +146,10 @@
 }
 
 // blocked returns the pairs that cannot reach each other, in order.
-func (t *storeTrouble) blocked(now time.Duration) [][2]string {
+func (t *storeFaults) blocked(now time.Duration) [][2]string {
 	var pairs [][2]string
 	for pair, one := range t.pairs {
-		if one.inForce(now) && t.bothHeard(now, pair) {
+		if one.inForce(now) && t.bothResponsive(now, pair) {
 			pairs = append(pairs, pair)
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // isStalled reports whether a store's disk is not to be counted on.
-func (t *storeTrouble) isStalled(now time.Duration, member string) bool {
+func (t *storeFaults) isStalled(now time.Duration, member string) bool {
 	one := t.stalled[member]
 	return one != nil && one.inForce(now)
 }
--- a/internal/roles/control/storefaults_cluster_test.go
+++ b/internal/roles/control/storefaults_cluster_test.go
@@ -29,8 +29,8 @@
 	}
 	last := stores[3]
 	c.await(last.Agent, "the first table", func(v *agent.View) bool { return placed(v, members...) })
-	stores[0].inTrouble(false, members[1])
-	stores[1].inTrouble(false, members[0])
+	stores[0].setFaults(false, members[1])
+	stores[1].setFaults(false, members[0])
 	c.await(last.Agent, "a table in which the two share nothing, and all is whole", func(v *agent.View) bool {
 		return placed(v, members...) && none(v, func(p *protocol.PartitionView) bool {
 			return slices.Contains(p.Members, members[0]) && slices.Contains(p.Members, members[1])
@@ -44,11 +44,11 @@
 	stores := []*fakeStore{c.startStore(30, "disk"), c.startStore(31, "disk"), c.startStore(32, "disk")}
 	members := []string{stores[0].member, stores[1].member, stores[2].member}
 	c.await(stores[2].Agent, "the first table", func(v *agent.View) bool { return placed(v, members...) })
-	stores[0].inTrouble(true)
+	stores[0].setFaults(true)
 	c.await(stores[2].Agent, "a table without the stalled store", func(v *agent.View) bool {
 		return none(v, func(p *protocol.PartitionView) bool { return slices.Contains(p.Members, members[0]) })
 	})
-	stores[0].inTrouble(false)
+	stores[0].setFaults(false)
 	c.await(stores[2].Agent, "the store among the members again", func(v *agent.View) bool {
 		return !none(v, func(p *protocol.PartitionView) bool { return slices.Contains(p.Members, members[0]) })
 	})
--- a/internal/roles/control/stores_test.go
+++ b/internal/roles/control/stores_test.go
@@ -63,7 +63,7 @@
 	}
 	last := stores[3]
 	c.await(last.Agent, "the first table", func(v *agent.View) bool { return placed(v, members...) })
-	is.Equal(len(last.View().Partitions.Partitions), fewestPartitions)
+	is.Equal(len(last.View().Partitions.Partitions), minPartitions)
 
 	stores[0].Close() // without a word
 	c.await(last.Agent, "a table without the lost store", func(v *agent.View) bool {
@@ -82,7 +82,7 @@
 	c.kill(c.primary()) // the table outlives it
 	before := last.View().PartitionsVersion
 	c.await(last.Agent, "the table of the next primary", func(v *agent.View) bool {
-		return before.Less(v.PartitionsVersion) && len(v.Partitions.Partitions) == fewestPartitions
+		return before.Less(v.PartitionsVersion) && len(v.Partitions.Partitions) == minPartitions
 	})
 }
 
--- a/internal/roles/control/waiting.go
+++ b/internal/roles/control/waiting.go
@@ -70,8 +70,8 @@
 	return controlPlane
 }
 
-// reviewWaiting answers what waited for a primary to be known, after something about that has changed.
-func (d *daemon) reviewWaiting() {
+// retryPendingCalls answers what waited for a primary to be known, after something about that has changed.
+func (d *daemon) retryPendingCalls() {
 	waiting := d.waiting
 	d.waiting = nil
 	for _, w := range waiting {
@@ -79,11 +79,11 @@
 			d.waiting = append(d.waiting, w)
 		}
 	}
-	d.reviewOrders()
+	d.redirectOrders()
 }
 
-// expireWaiting refuses the calls that have waited too long.
-func (d *daemon) expireWaiting(now time.Duration) {
+// expirePendingCalls refuses the calls that have waited too long.
+func (d *daemon) expirePendingCalls(now time.Duration) {
 	waiting := d.waiting
 	d.waiting = nil
 	for _, w := range waiting {
--- a/internal/roles/control/writer.go
+++ b/internal/roles/control/writer.go
@@ -11,8 +11,8 @@
 const (
 	// storageRetry is the time between attempts to write a batch that the own disk refused.
 	storageRetry = 200 * time.Millisecond
-	// refusalsBorne is how often the own disk may refuse a batch before another member is asked to take over: a full disk may have space again by then.
-	refusalsBorne = 2
+	// toleratedRefusals is how often the own disk may refuse a batch before another member is asked to take over: a full disk may have space again by then.
+	toleratedRefusals = 2
 )
 
 // writer replicates changes of the model in batches, one at a time: what is put while a batch is under way goes into the next one.
@@ -83,7 +83,7 @@
 	w.write(records, func(err error) {
 		if errors.Is(err, replication.ErrStorage) && !w.closed {
 			refusals++
-			if refusals > refusalsBorne {
+			if refusals > toleratedRefusals {
 				w.refused()
 			}
 			w.after(storageRetry, func() { w.attempt(records, refusals, done) })
--- a/internal/roles/control/writer_test.go
+++ b/internal/roles/control/writer_test.go
@@ -9,8 +9,8 @@
 	"liftgauge/replication"
 )
 
-// heldWrites collects the batches of a writer and answers them when the test says so.
-type heldWrites struct {
+// manualWrites collects the batches of a writer and answers them when the test says so.
+type manualWrites struct {
 	batches [][]replication.Record
 	done    []func(error)
 	retries []func()
@@ -18,7 +18,7 @@
 	durable int
 }
 
-func (h *heldWrites) writer() *writer {
+func (h *manualWrites) writer() *writer {
 	return &writer{
 		write: func(records []replication.Record, done func(error)) {
 			h.batches = append(h.batches, records)
@@ -35,7 +35,7 @@
 
 func TestWriterCollectsWhatComesDuringABatch(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	var outcomes []string
 	note := func(name string) func(error) {
@@ -68,27 +68,27 @@
 // A disk that refuses again and again has another member asked to take over, while the batch is tried on.
 func TestWriterTellsOfADiskThatRefuses(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w, told := h.writer(), 0
 	w.refused = func() { told++ }
 	w.put(record("a", "1"))
 	w.flush()
-	for n := range refusalsBorne + 2 {
+	for n := range toleratedRefusals + 2 {
 		h.done[n](replication.ErrStorage)
-		is.Equal(told, max(0, n+1-refusalsBorne))
+		is.Equal(told, max(0, n+1-toleratedRefusals))
 		h.retries[n]()
 	}
-	h.done[refusalsBorne+2](nil)
+	h.done[toleratedRefusals+2](nil)
 	is.Equal(h.durable, 1)
 	w.put(record("a", "2")) // the next batch begins anew
 	w.flush()
-	h.done[refusalsBorne+3](replication.ErrStorage)
+	h.done[toleratedRefusals+3](replication.ErrStorage)
 	is.Equal(told, 2)
 }
 
 func TestWriterAnswersAtOnceWithNothingToWrite(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	answered := false
 	w.then(func(err error) { answered = err == nil })
@@ -99,7 +99,7 @@
 
 func TestWriterRepeatsWhatTheDiskRefused(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	var outcome error
 	answered := 0
@@ -117,7 +117,7 @@
 
 func TestWriterFailsAllWhenClosed(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	failed := 0
 	count := func(err error) {
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -54,7 +54,7 @@
 	},
 	{
 		Promise: "a founder keeps the orders that were taken", File: "internal/roles/control/recovered.go",
-		Old: "records = append(records, takenRecord(hash, m.taken[hash]))", New: "_ = hash",
+		Old: "records = append(records, acceptedRecord(hash, m.taken[hash]))", New: "_ = hash",
 		Package: "./internal/roles/control",
 	},
 	{
@@ -95,12 +95,12 @@
 	},
 	{
 		Promise: "a store that is lost together with control's primary is noticed by the next", File: "internal/roles/control/primary.go",
-		Old: "\tp.daemon.lookForLostStores(p)\n", New: "",
+		Old: "\tp.daemon.probeStores(p)\n", New: "",
 		Package: "./internal/roles/control",
 	},
 	{
 		Promise: "a primary of control whose disk refuses has another take over", File: "internal/roles/control/writer.go",
-		Old: "if refusals > refusalsBorne {", New: "if refusals < 0 {",
+		Old: "if refusals > toleratedRefusals {", New: "if refusals < 0 {",
 		Package: "./internal/roles/control",
 	},
 	{
@@ -125,7 +125,7 @@
 	},
 	{
 		Promise: "a holder that cannot reach the platform gives the duty up", File: "internal/roles/control/duty.go",
-		Old: "if listUnread && s.round", New: "if false && s.round",
+		Old: "if listStale && s.round", New: "if false && s.round",
 		Package: "./internal/roles/control",
 	},
 }
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -82,7 +82,7 @@
 	},
 	{
 		Promise: "complaints from before a silence are void", File: "internal/roles/control/storefaults.go",
-		Old:     "known && now-before > silentAfter {",
+		Old:     "known && now-before > unresponsiveAfter {",
 		New:     "known && now < before {",
 		Package: "./internal/roles/control",
 	},
