--- a/internal/roles/control/abandon.go
+++ b/internal/roles/control/abandon.go
@@ -19,9 +19,9 @@
 
 func (a operatorAPI) describeAbandonment(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("node")
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.replyDurably(func() answer { return p.abandonment(a.daemon.now(), name, p.abandonable(name)) }, reply)
+			p.replyDurably(func() response { return p.abandonment(a.daemon.now(), name, p.abandonable(name)) }, reply)
 		}, reply)
 	})
 }
@@ -31,9 +31,9 @@
 		return
 	}
 	name := r.PathValue("node")
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.replyDurably(func() answer { return p.startAbandonment(a.daemon.now(), name) }, reply)
+			p.replyDurably(func() response { return p.startAbandonment(a.daemon.now(), name) }, reply)
 		}, reply)
 	})
 }
@@ -59,24 +59,24 @@
 }
 
 // abandonment tells what giving up disks of a machine means.
-func (p *primary) abandonment(now time.Duration, name string, members []string) answer {
+func (p *primary) abandonment(now time.Duration, name string, members []string) response {
 	switch {
 	case len(p.storesNamed(name)) == 0:
-		return refusal(http.StatusNotFound, "no storage machine of this name is known: read the names in /status")
+		return errorResponse(http.StatusNotFound, "no storage machine of this name is known: read the names in /status")
 	case len(members) == 0:
-		return refusal(http.StatusConflict, "the store of this machine is there with its disk: empty it by /retire/NODE/start")
+		return errorResponse(http.StatusConflict, "the store of this machine is there with its disk: empty it by /retire/NODE/start")
 	}
 	page := abandonmentBody{Stores: members, Abandonment: placement.PreviewAbandonment(p.placementInput(now), members)}
 	body, _ := json.Marshal(page) // numbers and texts always encode
-	return answer{status: http.StatusOK, body: body}
+	return response{status: http.StatusOK, body: body}
 }
 
 // startAbandonment gives up the disks of a machine whose store is gone, and answers what that means.
-func (p *primary) startAbandonment(now time.Duration, name string) answer {
+func (p *primary) startAbandonment(now time.Duration, name string) response {
 	members := p.abandonable(name)
-	given := p.abandonment(now, name, members)
-	if given.status != http.StatusOK {
-		return given
+	resp := p.abandonment(now, name, members)
+	if resp.status != http.StatusOK {
+		return resp
 	}
 	for _, s := range p.storesNamed(name) {
 		if slices.Contains(members, s.Member) && !s.Abandoned {
@@ -86,5 +86,5 @@
 			p.placement.planWanted = true
 		}
 	}
-	return given
+	return resp
 }
--- a/internal/roles/control/abandon_test.go
+++ b/internal/roles/control/abandon_test.go
@@ -35,25 +35,25 @@
 	c.await(watch, "the end of two sessions", func(v *agent.View) bool { return len(v.Live(protocol.RoleStore)) == 1 })
 	status, err := client.Status(c.ctx)
 	is.NoErr(err)
-	resting := status.Partitions.Waiting
-	is.True(resting > 0)
+	waiting := status.Partitions.Waiting
+	is.True(waiting > 0)
 	is.Equal(status.Partitions.WaitsFor, members[:2])
 
-	told, err := client.Abandonment(c.ctx, stores[0].name)
+	preview, err := client.Abandonment(c.ctx, stores[0].name)
 	is.NoErr(err)
-	is.Equal(told.Stores, members[:1])
-	is.Equal(told.Waiting, resting) // for the other
-	is.True(told.Kept > 0)
+	is.Equal(preview.Stores, members[:1])
+	is.Equal(preview.Waiting, waiting) // for the other
+	is.True(preview.Kept > 0)
 	again, err := client.Abandonment(c.ctx, stores[0].name)
 	is.NoErr(err)
-	is.Equal(again, told) // nothing was done
+	is.Equal(again, preview) // nothing was done
 
 	_, err = client.Abandon(c.ctx, stores[0].name)
 	is.NoErr(err)
 	c.kill(c.primary())
-	told, err = client.Abandonment(c.ctx, stores[1].name)
+	preview, err = client.Abandonment(c.ctx, stores[1].name)
 	is.NoErr(err)
-	is.Equal(told.Emptied+told.Incomplete, resting) // the third may be a learner since the first was gone
+	is.Equal(preview.Emptied+preview.Incomplete, waiting) // the third may be a learner since the first was gone
 	_, err = client.Abandon(c.ctx, stores[1].name)
 	is.NoErr(err)
 	fourth := c.startStore(33, "disk")
--- a/internal/roles/control/activation.go
+++ b/internal/roles/control/activation.go
@@ -42,7 +42,7 @@
 	activation, err := d.nextActivation(epoch)
 	if err != nil {
 		d.logger.Error("control: cannot read the own records", reason(err))
-		d.act(d.elector.Resign(d.now()))
+		d.execute(d.elector.Resign(d.now()))
 		return
 	}
 	d.storage.Append(replication.LocalGroup, []replication.Record{activationRecord(epoch, activation)}, func(err error) {
@@ -66,7 +66,7 @@
 	}
 	if err != nil {
 		d.logger.Error("control: cannot read the group's records", reason(err))
-		d.act(d.elector.Resign(d.now()))
+		d.execute(d.elector.Resign(d.now()))
 		return
 	}
 	d.logger.Info("control: active primary", zap.Uint64("epoch", epoch), zap.Int("nodes", len(m.nodes)),
--- a/internal/roles/control/cluster_test.go
+++ b/internal/roles/control/cluster_test.go
@@ -23,8 +23,8 @@
 	"liftgauge/internal/protocol"
 )
 
-// patience bounds every wait of these tests; it says nothing about how long things should take.
-const patience = 60 * time.Second
+// testTimeout bounds every wait of these tests; it says nothing about how long things should take.
+const testTimeout = 60 * time.Second
 
 // testNetwork gives each cluster a network of its own among the loopback addresses.
 var testNetwork atomic.Uint32
@@ -48,7 +48,7 @@
 }
 
 func newCluster(t *testing.T, controls int) *cluster {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	c := &cluster{t: t, ctx: ctx, network: testNetwork.Add(1), machines: make(map[string]*machine), bootstrap: true}
 	c.ports = [2]int{c.freePort(), c.freePort()}
@@ -224,14 +224,14 @@
 	}
 }
 
-// response is a clear answer to a call.
-type response struct {
+// callResult is a clear answer to a call.
+type callResult struct {
 	status int
 	body   string
 }
 
 // call makes one call of the operator to one process, following two redirects; ok is false without a clear answer.
-func (c *cluster) call(m *machine, method, path string, base uint64, body []byte) (r response, ok bool) {
+func (c *cluster) call(m *machine, method, path string, base uint64, body []byte) (r callResult, ok bool) {
 	client := &http.Client{Timeout: 5 * time.Second, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > 2 {
 			return http.ErrUseLastResponse
@@ -246,20 +246,20 @@
 	request.Header.Set(headerBase, strconv.FormatUint(base, 10))
 	answer, err := client.Do(request)
 	if err != nil {
-		return response{}, false
+		return callResult{}, false
 	}
 	defer answer.Body.Close()
 	content, err := io.ReadAll(answer.Body)
 	if err != nil {
-		return response{}, false
+		return callResult{}, false
 	}
-	return response{status: answer.StatusCode, body: string(content)}, answer.StatusCode < 300 || answer.StatusCode >= 400 && answer.StatusCode < 500
+	return callResult{status: answer.StatusCode, body: string(content)}, answer.StatusCode < 300 || answer.StatusCode >= 400 && answer.StatusCode < 500
 }
 
 // operator makes a call to one process after the other until there is a clear answer.
-func (c *cluster) operator(first *machine, method, path string, base uint64, body []byte) response {
+func (c *cluster) operator(first *machine, method, path string, base uint64, body []byte) callResult {
 	c.t.Helper()
-	var r response
+	var r callResult
 	next := []*machine{first}
 	for _, m := range c.machines {
 		if m != first {
--- a/internal/roles/control/cutoff.go
+++ b/internal/roles/control/cutoff.go
@@ -18,22 +18,22 @@
 
 // cutOff is what a primary does when it is more likely cut off from the stores than these are gone.
 type cutOff struct {
-	until time.Duration // sessions do not expire before
-	next  time.Duration // no other member is asked before
+	holdUntil   time.Duration // sessions do not expire before
+	nextRequest time.Duration // no other member is asked before
 }
 
 // awaitsTakeOver tells whether sessions are to stay open, as most stores fell silent at once, in more than one zone: no tolerated loss does that, but
 // a cut around this process does, and other members may hear the stores. One of them is asked to become primary; its deadlines begin anew.
 func (p *primary) awaitsTakeOver(now time.Duration) bool {
 	c := &p.cutOff
-	if now >= c.until && (now < c.next || now-p.since < newPrimaryCooldown || !p.tooFewStoresResponsive(now)) {
+	if now >= c.holdUntil && (now < c.nextRequest || now-p.since < newPrimaryCooldown || !p.tooFewStoresResponsive(now)) {
 		return false
 	}
-	if now >= c.until {
-		c.until, c.next = now+takeOverTimeout, now+takeOverTimeout+takeOverCooldown
+	if now >= c.holdUntil {
+		c.holdUntil, c.nextRequest = now+takeOverTimeout, now+takeOverTimeout+takeOverCooldown
 		p.daemon.logger.Warn("control: most stores fell silent at once; another member is asked to take over")
 	}
-	p.daemon.act(p.daemon.elector.HandOver(now))
+	p.daemon.execute(p.daemon.elector.HandOver(now))
 	return true
 }
 
@@ -49,10 +49,10 @@
 			stores++
 		}
 	}
-	silent := p.sessions.ExpiringWithin(now, role, expiryMargin)
+	unresponsive := p.sessions.ExpiringWithin(now, role, expiryMargin)
 	zones := make(map[string]bool)
-	for _, n := range silent {
+	for _, n := range unresponsive {
 		zones[n.Region+"/"+n.Zone] = true
 	}
-	return len(zones) > 1 && 2*len(silent) > stores && len(silent) >= p.daemon.settings.Copies()
+	return len(zones) > 1 && 2*len(unresponsive) > stores && len(unresponsive) >= p.daemon.settings.Copies()
 }
--- a/internal/roles/control/cutoff_test.go
+++ b/internal/roles/control/cutoff_test.go
@@ -31,11 +31,11 @@
 
 // simulateHeartbeats goes from one moment to another while the stores for which heard is true send heartbeats. It returns how long from the
 // beginning on sessions were first held open for another member to take over, or -1, and for how long they were.
-func simulateHeartbeats(p *primary, from, to time.Duration, heard func(protocol.Node) bool) (first, held time.Duration) {
+func simulateHeartbeats(p *primary, from, to time.Duration, responsive func(protocol.Node) bool) (first, heldOpen time.Duration) {
 	first = -1
 	for now := from; now < to; now += heartbeatInterval {
 		for _, n := range p.model.nodes {
-			if heard(n) {
+			if responsive(n) {
 				p.sessions.Renew(now, sessionNode(n))
 			}
 		}
@@ -43,10 +43,10 @@
 			if first < 0 {
 				first = now - from
 			}
-			held += heartbeatInterval
+			heldOpen += heartbeatInterval
 		}
 	}
-	return first, held
+	return first, heldOpen
 }
 
 func TestPrimaryThatHearsTooFewStoresWaitsForATakeOver(t *testing.T) {
@@ -55,8 +55,8 @@
 		return func(n protocol.Node) bool { return strings.Contains(zones, n.Zone) }
 	}
 	for name, c := range map[string]struct {
-		heard func(protocol.Node) bool
-		waits bool
+		responsive func(protocol.Node) bool
+		waits      bool
 	}{
 		"all are heard":             {all, false},
 		"one zone is lost":          {inZones("ac"), false},
@@ -69,13 +69,13 @@
 			p := newPrimaryOfStores(nodeconfig.FaultTolerance{Machines: 2})
 			first, _ := simulateHeartbeats(p, 0, newPrimaryCooldown, all)
 			is.Equal(first, time.Duration(-1))
-			first, held := simulateHeartbeats(p, newPrimaryCooldown, newPrimaryCooldown+5*time.Second, c.heard)
+			first, heldOpen := simulateHeartbeats(p, newPrimaryCooldown, newPrimaryCooldown+5*time.Second, c.responsive)
 			if !c.waits {
 				is.Equal(first, time.Duration(-1))
 				return
 			}
 			is.True(first >= storeExpiry-heartbeatInterval && first <= storeExpiry+heartbeatInterval)
-			is.True(held >= takeOverTimeout && held <= takeOverTimeout+heartbeatInterval) // after that it is the stores that are gone
+			is.True(heldOpen >= takeOverTimeout && heldOpen <= takeOverTimeout+heartbeatInterval) // after that it is the stores that are gone
 		})
 	}
 }
--- a/internal/roles/control/daemon.go
+++ b/internal/roles/control/daemon.go
@@ -33,14 +33,14 @@
 	replyTo map[string]*rpc.Conn // by member: where its requests of replication came from
 
 	primary         *primary // nil while this process is not the active primary
-	waiting         []*waiter
+	pendingCalls    []*pendingCall
 	orders          orderQueue
 	orderLimit      int64 // bytes of an order
 	reader          *listReader
-	ending          bool          // a planned end has begun
+	shuttingDown    bool          // a planned end has begun
 	witnessDeadline time.Duration // a planned end waits no longer to be left out of the witnesses
-	began           time.Duration // when the process began
-	ended           chan struct{} // closed when the loop ends
+	startedAt       time.Duration // when the process began
+	stopped         chan struct{} // closed when the loop ends
 	founding        bool          // the state of a new generation is being written: this process takes no part in the present one any more
 	foundedAnew     chan struct{} // closed when that is on disk
 }
@@ -54,7 +54,7 @@
 func (d *daemon) tick() {
 	now := d.now()
 	if d.elector != nil && !d.founding {
-		d.act(d.elector.Tick(now))
+		d.execute(d.elector.Tick(now))
 		d.replica.Tick(now)
 		d.connectPeers(d.elector.View())
 	}
@@ -65,10 +65,10 @@
 	d.expireOrders(now)
 }
 
-// settle runs after each event: it begins what the event made necessary.
-func (d *daemon) settle() {
+// afterEvent runs after each event: it begins what the event made necessary.
+func (d *daemon) afterEvent() {
 	if d.primary != nil {
-		d.primary.settle(d.now())
+		d.primary.afterEvent(d.now())
 	}
 }
 
@@ -76,7 +76,7 @@
 func (d *daemon) connectPeers(view replication.ControlView) {
 	for _, p := range view.Peers {
 		if p.Address != d.self.Address && p.Address != "" {
-			d.links.keep(p.Address)
+			d.links.connect(p.Address)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	if before != "" {
 		d.replica.SetLinked(before, false)
 	}
-	if d.links.up(address) {
+	if d.links.isUp(address) {
 		d.replica.SetLinked(member, true)
 	}
 }
--- a/internal/roles/control/duty.go
+++ b/internal/roles/control/duty.go
@@ -24,22 +24,22 @@
 
 // dutyState runs the election of the list reader. The heartbeats of control processes count as their bids.
 type dutyState struct {
-	primary *primary
-	round   *election.Election
-	durable election.Award           // on disk at the whole view
-	unread  map[string]time.Duration // by node: when it could not read the list last
+	primary  *primary
+	election *election.Election
+	durable  election.Award           // on disk at the whole view
+	gaveUpAt map[string]time.Duration // by node: when it could not read the list last
 }
 
 func newDutyState(p *primary) dutyState {
 	award := p.model.duties[dutyReader]
-	return dutyState{primary: p, round: election.New(election.Options{}, award), durable: award, unread: make(map[string]time.Duration)}
+	return dutyState{primary: p, election: election.New(election.Options{}, award), durable: award, gaveUpAt: make(map[string]time.Duration)}
 }
 
 // begin makes the duty vacant if its holder has no session.
 func (s *dutyState) begin() {
 	holder := s.durable.Holder
 	if node, ok := s.primary.model.nodes[holder.Key]; !ok || node.Incarnation != holder.Incarnation {
-		s.round.SessionEnded(holder)
+		s.election.SessionEnded(holder)
 	}
 }
 
@@ -52,43 +52,43 @@
 	if node.Leaving {
 		return
 	}
-	if listStale && s.round.Current() == s.durable && s.round.Resign(holderOf(node)) {
+	if listStale && s.election.Current() == s.durable && s.election.Resign(holderOf(node)) {
 		s.primary.daemon.logger.Warn("control: the holder of a duty cannot reach the platform; another is looked for", zap.String("duty", dutyReader),
 			zap.String("holder", node.Key))
-		s.unread[node.Key] = now
+		s.gaveUpAt[node.Key] = now
 	}
 	rank := rankOther
 	if node.Key == s.primary.daemon.agent.Node().Key {
 		rank = rankPrimary
 	}
-	if at, gaveUp := s.unread[node.Key]; gaveUp && now-at < demotionPeriod {
+	if at, gaveUp := s.gaveUpAt[node.Key]; gaveUp && now-at < demotionPeriod {
 		rank = rankGaveUp + int((demotionPeriod-(now-at))/time.Second) // who gave it up first comes first
 	}
-	s.round.Bid(now, election.Bid{Holder: holderOf(node), Rank: rank})
-	if !s.durable.Vacant() && s.durable.Holder == holderOf(node) && s.round.Current() == s.durable {
+	s.election.Bid(now, election.Bid{Holder: holderOf(node), Rank: rank})
+	if !s.durable.Vacant() && s.durable.Holder == holderOf(node) && s.election.Current() == s.durable {
 		s.notify(node)
 	}
 }
 
-func (s *dutyState) ended(node protocol.Node) {
-	s.round.Withdraw(node.Key)
-	s.round.SessionEnded(holderOf(node))
+func (s *dutyState) sessionEnded(node protocol.Node) {
+	s.election.Withdraw(node.Key)
+	s.election.SessionEnded(holderOf(node))
 }
 
 func (s *dutyState) resign(node protocol.Node) {
-	s.round.Withdraw(node.Key)
-	s.round.Resign(holderOf(node))
+	s.election.Withdraw(node.Key)
+	s.election.Resign(holderOf(node))
 }
 
 // tick writes a new award when one is due, and tells its holder once it is durable.
 func (s *dutyState) tick(now time.Duration) {
-	award, ok := s.round.Tick(now)
+	award, ok := s.election.Tick(now)
 	if !ok {
 		return
 	}
 	p := s.primary
 	p.put(dutyRecord(dutyReader, award))
-	p.writer.then(func(err error) {
+	p.writer.onDurable(func(err error) {
 		if err != nil {
 			return
 		}
@@ -115,7 +115,7 @@
 
 // acceptDuty begins the duty that this process was given.
 func (d *daemon) acceptDuty(n dutyNotice) {
-	if n.name == dutyReader && n.incarnation == d.agent.Node().Incarnation && !d.ending {
+	if n.name == dutyReader && n.incarnation == d.agent.Node().Incarnation && !d.shuttingDown {
 		d.reader.begin(n.term)
 	}
 }
--- a/internal/roles/control/fakes_test.go
+++ b/internal/roles/control/fakes_test.go
@@ -20,17 +20,17 @@
 	*agent.Agent
 	name, member string
 
-	mutex   sync.Mutex
-	offers  []protocol.PromotionOffer
-	stuck   []string
-	stalled bool
+	mutex       sync.Mutex
+	offers      []protocol.PromotionOffer
+	unreachable []string
+	stalled     bool
 }
 
 // setFaults has the store say whom it cannot reach, and whether its disk stalls.
-func (s *fakeStore) setFaults(stalled bool, stuck ...string) {
+func (s *fakeStore) setFaults(stalled bool, unreachable ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.stuck, s.stalled = stuck, stalled
+	s.unreachable, s.stalled = unreachable, stalled
 }
 
 // startStore starts a store on a host of its own.
@@ -43,7 +43,7 @@
 		Report: func(h *protocol.Heartbeat) {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
-			h.Offers, h.UnreachablePeers, h.DiskStalled = s.offers, s.stuck, s.stalled
+			h.Offers, h.UnreachablePeers, h.DiskStalled = s.offers, s.unreachable, s.stalled
 		},
 	})
 	if err != nil {
--- a/internal/roles/control/handle.go
+++ b/internal/roles/control/handle.go
@@ -77,7 +77,7 @@
 		return
 	}
 	p.leave(d.now(), l)
-	p.writer.then(func(err error) {
+	p.writer.onDurable(func(err error) {
 		if err != nil {
 			err = rpc.Errorf(protocol.CodeOutcomeUnknown, "%v", err)
 		}
--- a/internal/roles/control/identity.go
+++ b/internal/roles/control/identity.go
@@ -25,9 +25,9 @@
 	if found {
 		return nodeName + "/" + string(record.Value), nil
 	}
-	drawn := make([]byte, diskIDBytes)
-	_, _ = rand.Read(drawn) // never fails
-	id := hex.EncodeToString(drawn)
+	random := make([]byte, diskIDBytes)
+	_, _ = rand.Read(random) // never fails
+	id := hex.EncodeToString(random)
 	done := make(chan error, 1)
 	storage.Append(replication.LocalGroup, []replication.Record{{Key: identityKey, Version: 1, Value: []byte(id)}},
 		func(err error) { done <- err })
--- a/internal/roles/control/links.go
+++ b/internal/roles/control/links.go
@@ -16,22 +16,22 @@
 // links keeps one dialed connection to each other control process. It belongs to the event loop.
 type links struct {
 	dial func(ctx context.Context, address string) (*rpc.Conn, error)
-	// forget ends the pause after failed dials to an address.
-	forget func(address string)
-	post   func(func())
-	after  func(time.Duration, func())
+	// resetBackoff ends the pause after failed dials to an address.
+	resetBackoff func(address string)
+	post         func(func())
+	after        func(time.Duration, func())
 	// changed is told when the link to an address came up or broke.
-	changed func(address string, up bool)
+	changed func(address string, isUp bool)
 
 	byAddress map[string]*link
 }
 
 type link struct {
-	address string
-	conn    *rpc.Conn // nil while it is down
-	dialing bool
-	pausing bool // after a failed dial
-	waiting []queuedFrame
+	address    string
+	conn       *rpc.Conn // nil while it is down
+	dialing    bool
+	backingOff bool // after a failed dial
+	queued     []queuedFrame
 }
 
 type queuedFrame struct {
@@ -46,24 +46,24 @@
 		}
 	}
 	return &links{
-		dial: pool.Get, forget: forget, post: loop.post, after: loop.after, changed: changed, byAddress: make(map[string]*link),
+		dial: pool.Get, resetBackoff: forget, post: loop.post, after: loop.after, changed: changed, byAddress: make(map[string]*link),
 	}
 }
 
-// up tells whether the link to an address is open.
-func (l *links) up(address string) bool {
+// isUp reports whether the link to an address is open.
+func (l *links) isUp(address string) bool {
 	k := l.byAddress[address]
 	return k != nil && k.conn != nil
 }
 
-// keep dials the link to an address if it is down.
-func (l *links) keep(address string) *link {
+// connect dials the link to an address if it is down.
+func (l *links) connect(address string) *link {
 	k := l.byAddress[address]
 	if k == nil {
 		k = &link{address: address}
 		l.byAddress[address] = k
 	}
-	if k.conn == nil && !k.dialing && !k.pausing {
+	if k.conn == nil && !k.dialing && !k.backingOff {
 		k.dialing = true
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), linkDialTimeout)
@@ -75,28 +75,28 @@
 	return k
 }
 
-// heard dials the link to an address at once, since the process there was just heard of.
-func (l *links) heard(address string) {
+// reconnect dials the link to an address at once, since the process there was just reconnect of.
+func (l *links) reconnect(address string) {
 	if k := l.byAddress[address]; k != nil && k.conn == nil && !k.dialing {
-		k.pausing = false
-		l.forget(address)
+		k.backingOff = false
+		l.resetBackoff(address)
 	}
-	l.keep(address)
+	l.connect(address)
 }
 
 func (l *links) dialed(k *link, conn *rpc.Conn, err error) {
 	k.dialing = false
-	waiting := k.waiting
-	k.waiting = nil
+	waiting := k.queued
+	k.queued = nil
 	if err != nil {
-		k.pausing = true
-		l.after(linkRetryDelay, func() { k.pausing = false })
+		k.backingOff = true
+		l.after(linkRetryDelay, func() { k.backingOff = false })
 		return
 	}
 	k.conn = conn
 	go func() {
 		<-conn.Done()
-		l.post(func() { l.broken(k, conn) })
+		l.post(func() { l.disconnected(k, conn) })
 	}()
 	l.changed(k.address, true)
 	for _, f := range waiting {
@@ -104,7 +104,7 @@
 	}
 }
 
-func (l *links) broken(k *link, conn *rpc.Conn) {
+func (l *links) disconnected(k *link, conn *rpc.Conn) {
 	if k.conn == conn {
 		k.conn = nil
 		l.changed(k.address, false)
@@ -113,13 +113,13 @@
 
 // send gives a frame to the link, which is dialed if it is down; the frame then waits, or is lost with the attempt.
 func (l *links) send(address string, kind rpc.Kind, body []byte) {
-	k := l.keep(address)
+	k := l.connect(address)
 	if k.conn != nil {
 		l.notify(k, kind, body)
 		return
 	}
-	if k.dialing && len(k.waiting) < maxQueuedFrames {
-		k.waiting = append(k.waiting, queuedFrame{kind: kind, body: body})
+	if k.dialing && len(k.queued) < maxQueuedFrames {
+		k.queued = append(k.queued, queuedFrame{kind: kind, body: body})
 	}
 }
 
@@ -132,6 +132,6 @@
 
 func (l *links) notify(k *link, kind rpc.Kind, body []byte) {
 	if err := k.conn.Notify(kind, body); err != nil {
-		l.broken(k, k.conn)
+		l.disconnected(k, k.conn)
 	}
 }
--- a/internal/roles/control/links_test.go
+++ b/internal/roles/control/links_test.go
@@ -25,19 +25,19 @@
 				dials <- address
 				return nil, errors.New("refused")
 			},
-			forget: func(string) { forgotten++ }, post: loop.post, after: loop.after, byAddress: make(map[string]*link),
+			resetBackoff: func(string) { forgotten++ }, post: loop.post, after: loop.after, byAddress: make(map[string]*link),
 		}
 		keep := func(f func()) { loop.post(f); synctest.Wait() }
-		keep(func() { l.keep("a") })
+		keep(func() { l.connect("a") })
 		is.Equal(len(dials), 1)
-		keep(func() { l.keep("a"); l.send("a", 1, nil) })
+		keep(func() { l.connect("a"); l.send("a", 1, nil) })
 		is.Equal(len(dials), 1) // in the pause
-		keep(func() { l.heard("a") })
+		keep(func() { l.reconnect("a") })
 		is.Equal(len(dials), 2)
 		is.Equal(forgotten, 1)
 		time.Sleep(linkRetryDelay) // the bubble's clock
 		synctest.Wait()
-		keep(func() { l.keep("a") })
+		keep(func() { l.connect("a") })
 		is.Equal(len(dials), 3)
 		cancel()
 	})
--- a/internal/roles/control/loop.go
+++ b/internal/roles/control/loop.go
@@ -35,7 +35,7 @@
 }
 
 // run executes posted functions, each followed by settle, and tick at the interval, until the context ends.
-func (l *eventLoop) run(ctx context.Context, interval time.Duration, tick, settle func()) {
+func (l *eventLoop) run(ctx context.Context, interval time.Duration, tick, afterEvent func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -45,11 +45,11 @@
 			return
 		case <-ticker.C:
 			tick()
-			settle()
+			afterEvent()
 		case <-l.wake:
 			for _, f := range l.take() {
 				f()
-				settle()
+				afterEvent()
 			}
 		}
 	}
--- a/internal/roles/control/loop_test.go
+++ b/internal/roles/control/loop_test.go
@@ -18,15 +18,15 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			l.run(ctx, time.Second, func() { events = append(events, "tick") }, func() { events = append(events, "settle") })
+			l.run(ctx, time.Second, func() { events = append(events, "tick") }, func() { events = append(events, "afterEvent") })
 		}()
 		l.post(func() { events = append(events, "a"); l.post(func() { events = append(events, "c") }) })
 		l.post(func() { events = append(events, "b") })
 		synctest.Wait()
-		is.Equal(events, []string{"a", "settle", "b", "settle", "c", "settle"})
+		is.Equal(events, []string{"a", "afterEvent", "b", "afterEvent", "c", "afterEvent"})
 		time.Sleep(time.Second) // the bubble's clock
 		synctest.Wait()
-		is.Equal(events[6:], []string{"tick", "settle"})
+		is.Equal(events[6:], []string{"tick", "afterEvent"})
 		cancel()
 		<-ended
 		l.post(func() { t.Error("ran after the end") })
--- a/internal/roles/control/membership.go
+++ b/internal/roles/control/membership.go
@@ -8,8 +8,8 @@
 	"liftgauge/replication"
 )
 
-// act does what the elector asks for, in order.
-func (d *daemon) act(actions []replication.Action) {
+// execute does what the elector asks for, in order.
+func (d *daemon) execute(actions []replication.Action) {
 	if d.founding {
 		return
 	}
@@ -59,13 +59,13 @@
 func (d *daemon) persistRegister(a replication.PersistRegister) {
 	records := []replication.Record{replication.RegisterRecord(a.Register)}
 	d.storage.Append(replication.LocalGroup, records, func(err error) {
-		d.loop.post(func() { d.act(d.elector.Persisted(a.Token, err, d.now())) })
+		d.loop.post(func() { d.execute(d.elector.Persisted(a.Token, err, d.now())) })
 	})
 }
 
 // prepared is called from within the replica, therefore the elector hears of it later.
 func (d *daemon) prepared(epoch uint64) {
-	d.loop.post(func() { d.act(d.elector.Prepared(epoch, d.now())) })
+	d.loop.post(func() { d.execute(d.elector.Prepared(epoch, d.now())) })
 }
 
 func (d *daemon) installView(view replication.ControlView) {
@@ -90,14 +90,14 @@
 		return
 	}
 	d.peers.controlPlane[f.address] = f.controlPlane
-	d.links.heard(f.address)
+	d.links.reconnect(f.address)
 	d.learnPeer(f.from, f.address, true)
 	var message replication.ElectionFrame
 	if err := message.Decode(f.body); err != nil {
 		d.logger.Warn("control: unreadable election message", zap.String("from", f.from), reason(err))
 		return
 	}
-	d.act(d.elector.Receive(message, d.now()))
+	d.execute(d.elector.Receive(message, d.now()))
 }
 
 // sendReplication sends a message of the replica. What a primary sends goes over the link that it dialed; answers go back on the connection
@@ -148,13 +148,13 @@
 	if !d.replica.IsActive() {
 		d.deactivate()
 	}
-	d.loop.post(func() { d.act(d.elector.Deposed(epoch, d.replica.HighestEpoch(), d.now())) })
+	d.loop.post(func() { d.execute(d.elector.Deposed(epoch, d.replica.HighestEpoch(), d.now())) })
 }
 
 // Offer tells the elector of a learner that is equal.
 func (e replicaEvents) Offer(epoch uint64, learner replication.MemberID) {
 	d := e.daemon
-	d.loop.post(func() { d.act(d.elector.Offered(epoch, learner, d.now())) })
+	d.loop.post(func() { d.execute(d.elector.Offered(epoch, learner, d.now())) })
 }
 
 // Applied needs nothing: a new primary reads its state when it becomes active.
--- a/internal/roles/control/model.go
+++ b/internal/roles/control/model.go
@@ -18,7 +18,7 @@
 type model struct {
 	configuration        []byte // nil before the first
 	configurationVersion protocol.ItemVersion
-	taken                map[string]uint64 // revision by hash of the order
+	acceptedOrders       map[string]uint64 // revision by hash of the order
 	nodes                map[string]protocol.Node
 	partitions           []protocol.PartitionView // by number
 	stores               map[string]storeRecord   // by member
@@ -28,10 +28,10 @@
 
 func newModel() *model {
 	return &model{
-		taken:  make(map[string]uint64),
-		nodes:  make(map[string]protocol.Node),
-		stores: make(map[string]storeRecord),
-		duties: make(map[string]election.Award),
+		acceptedOrders: make(map[string]uint64),
+		nodes:          make(map[string]protocol.Node),
+		stores:         make(map[string]storeRecord),
+		duties:         make(map[string]election.Award),
 	}
 }
 
@@ -66,7 +66,7 @@
 		m.founded = true
 	case strings.HasPrefix(r.Key, prefixAccepted):
 		revision, err := decodeAccepted(r.Value)
-		m.taken[r.Key[len(prefixAccepted):]] = revision
+		m.acceptedOrders[r.Key[len(prefixAccepted):]] = revision
 		return err
 	case strings.HasPrefix(r.Key, prefixNode):
 		return m.applyNode(r.Key[len(prefixNode):], r)
@@ -142,8 +142,8 @@
 // storeMembers returns the members of all known stores in order.
 func (m *model) storeMembers() []string { return slices.Sorted(maps.Keys(m.stores)) }
 
-// names tells whether any partition names the member.
-func (m *model) names(member string) bool {
+// references tells whether any partition references the member.
+func (m *model) references(member string) bool {
 	for i := range m.partitions {
 		v := &m.partitions[i]
 		if v.Primary == member || v.Includes(member) {
--- a/internal/roles/control/operator.go
+++ b/internal/roles/control/operator.go
@@ -46,22 +46,22 @@
 }
 
 // await has the event loop work on a call and returns its answer, or false when the caller is gone.
-func (a operatorAPI) await(r *http.Request, work func(reply func(answer))) (answer, bool) {
-	result := make(chan answer, 1)
+func (a operatorAPI) await(r *http.Request, work func(reply func(response))) (response, bool) {
+	result := make(chan response, 1)
 	a.daemon.loop.post(func() {
-		work(func(given answer) {
+		work(func(resp response) {
 			select {
-			case result <- given:
+			case result <- resp:
 			default: // answered before
 			}
 		})
 	})
 	select {
-	case given := <-result:
-		return given, true
+	case resp := <-result:
+		return resp, true
 	case <-r.Context().Done():
-		return answer{}, false
-	case <-a.daemon.ended:
+		return response{}, false
+	case <-a.daemon.stopped:
 		return unavailable("this process ends: try another"), true
 	}
 }
@@ -74,19 +74,19 @@
 		}
 		base, err := configuration.ParseBase(r.Header.Get(headerBase))
 		if err != nil {
-			write(w, r, refusal(http.StatusBadRequest, err.Error()))
+			write(w, r, errorResponse(http.StatusBadRequest, err.Error()))
 			return
 		}
 		order := configuration.Order{Verb: verb, Base: base, Body: body}
 		hash := order.Hash()
-		a.respond(w, r, func(reply func(answer)) {
+		a.respond(w, r, func(reply func(response)) {
 			a.daemon.withPrimary(func(*primary) { a.daemon.submitOrder(order, hash, reply) }, reply)
 		})
 	}
 }
 
 func (a operatorAPI) describe(w http.ResponseWriter, r *http.Request) {
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) { p.describe(reply) }, reply)
 	})
 }
@@ -96,58 +96,58 @@
 		return
 	}
 	name := r.PathValue("node")
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.replyDurably(func() answer { return p.startRetirement(a.daemon.now(), name) }, reply)
+			p.replyDurably(func() response { return p.startRetirement(a.daemon.now(), name) }, reply)
 		}, reply)
 	})
 }
 
 func (a operatorAPI) describeRetirement(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("node")
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.replyDurably(func() answer { return p.describeRetirement(name) }, reply)
+			p.replyDurably(func() response { return p.describeRetirement(name) }, reply)
 		}, reply)
 	})
 }
 
-func (a operatorAPI) respond(w http.ResponseWriter, r *http.Request, work func(reply func(answer))) {
-	if given, ok := a.await(r, work); ok {
-		write(w, r, given)
+func (a operatorAPI) respond(w http.ResponseWriter, r *http.Request, work func(reply func(response))) {
+	if resp, ok := a.await(r, work); ok {
+		write(w, r, resp)
 	}
 }
 
 // replyDurably answers by the model once a majority confirms that this process is the primary and what it put is durable.
-func (p *primary) replyDurably(work func() answer, reply func(answer)) {
+func (p *primary) replyDurably(work func() response, reply func(response)) {
 	d := p.daemon
-	d.confirm(func(stands bool) {
-		if !stands || d.primary != p {
+	d.confirm(func(confirmed bool) {
+		if !confirmed || d.primary != p {
 			reply(unavailable("this process could not confirm that it is the primary: try again"))
 			return
 		}
-		given := work()
+		resp := work()
 		d.loop.after(orderTimeout, func() { reply(unavailable("the outcome is not known yet: send the same call again")) })
-		p.writer.then(func(err error) {
+		p.writer.onDurable(func(err error) {
 			if err != nil {
-				given = unavailable("the outcome is not known: send the same call again")
+				resp = unavailable("the outcome is not known: send the same call again")
 			}
-			reply(given)
+			reply(resp)
 		})
 	})
 }
 
 // readBody reads a whole body, or refuses it. Every byte is read before an answer, since closing with unread bytes resets the connection.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
-	if r.ContentLength > most {
-		write(w, r, refusal(http.StatusRequestEntityTooLarge, "the body is too large: at most "+strconv.FormatInt(most, 10)+" bytes"))
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
+	if r.ContentLength > limit {
+		write(w, r, errorResponse(http.StatusRequestEntityTooLarge, "the body is too large: at most "+strconv.FormatInt(limit, 10)+" bytes"))
 		return nil, false
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, deadlineBody{ReadCloser: r.Body, control: http.NewResponseController(w)}, most))
+	body, err := io.ReadAll(http.MaxBytesReader(w, deadlineBody{ReadCloser: r.Body, control: http.NewResponseController(w)}, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		write(w, r, refusal(http.StatusRequestEntityTooLarge, "the body is too large: at most "+strconv.FormatInt(most, 10)+" bytes"))
+		write(w, r, errorResponse(http.StatusRequestEntityTooLarge, "the body is too large: at most "+strconv.FormatInt(limit, 10)+" bytes"))
 		return nil, false
 	case err != nil: // broken off: there is nobody to answer
 		return nil, false
@@ -168,7 +168,7 @@
 }
 
 // write sends an answer.
-func write(w http.ResponseWriter, r *http.Request, a answer) {
+func write(w http.ResponseWriter, r *http.Request, a response) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	switch {
 	case a.status == http.StatusTemporaryRedirect:
--- a/internal/roles/control/orders.go
+++ b/internal/roles/control/orders.go
@@ -35,7 +35,7 @@
 // orderCaller is one call that waits for an order's outcome.
 type orderCaller struct {
 	deadline time.Duration
-	reply    func(answer)
+	reply    func(response)
 }
 
 // orderQueue holds the orders that have no outcome yet. They are decided one after the other: each is judged by the state that the one
@@ -63,7 +63,7 @@
 }
 
 // submitOrder takes an order, or joins a call to the same one that is under way.
-func (d *daemon) submitOrder(o configuration.Order, hash string, reply func(answer)) {
+func (d *daemon) submitOrder(o configuration.Order, hash string, reply func(response)) {
 	caller := orderCaller{deadline: d.now() + orderTimeout, reply: reply}
 	if known := d.orders.find(hash); known != nil {
 		known.callers = append(known.callers, caller)
@@ -83,7 +83,7 @@
 }
 
 // finishOrder answers all callers of an order.
-func (d *daemon) finishOrder(o *order, a answer) {
+func (d *daemon) finishOrder(o *order, a response) {
 	d.orders.remove(o)
 	for _, c := range o.callers {
 		c.reply(a)
@@ -132,15 +132,15 @@
 
 // decide judges an order by the state that is durable, and carries it out.
 func (p *primary) decide(o *order) {
-	decision := p.operator.Decide(o.Order)
+	decision := p.orders.Decide(o.Order)
 	switch {
 	case decision.Action == configuration.ActionWrite && int64(len(decision.Configuration.Raw)) > p.daemon.orderLimit:
-		p.operator.Abort(o.hash)
+		p.orders.Abort(o.hash)
 		p.refuse(o, http.StatusRequestEntityTooLarge, "the configuration is too large: remove routes")
 	case decision.Action == configuration.ActionWrite:
 		p.writeOrder(o, decision.Configuration)
 	case decision.Status == http.StatusOK:
-		p.daemon.finishOrder(o, answer{status: http.StatusOK})
+		p.daemon.finishOrder(o, response{status: http.StatusOK})
 	case decision.Action == configuration.ActionWait:
 		p.daemon.finishOrder(o, unavailable("another order is under way: send the same order again"))
 	default:
@@ -151,12 +151,12 @@
 // refuse refuses an order once a majority confirms that the state by which it was judged is not an old one.
 func (p *primary) refuse(o *order, status int, text string) {
 	d := p.daemon
-	d.confirm(func(stands bool) {
+	d.confirm(func(confirmed bool) {
 		if d.orders.active != o || d.primary != p {
 			return
 		}
-		if stands {
-			d.finishOrder(o, refusal(status, text))
+		if confirmed {
+			d.finishOrder(o, errorResponse(status, text))
 		} else {
 			d.finishOrder(o, unavailable("this process could not confirm that it is the primary: send the same order again"))
 		}
@@ -171,31 +171,31 @@
 	p.put(versionRecord(p.items.nextVersion()))
 	p.put(acceptedRecord(o.hash, next.Revision))
 	p.items.mark(protocol.ItemConfiguration, true)
-	p.writer.then(func(err error) {
+	p.writer.onDurable(func(err error) {
 		if err != nil {
-			d.logger.Warn("control: the fate of an order is not known", zap.Uint64("revision", next.Revision), reason(err))
+			d.logger.Warn("control: the outcome of an order is unknown", zap.Uint64("revision", next.Revision), reason(err))
 			d.reopenOrder(o)
 			return
 		}
-		p.operator.Commit(o.hash)
-		p.durable = next.Raw
+		p.orders.Commit(o.hash)
+		p.durableConfiguration = next.Raw
 		d.logger.Info("control: configuration in force", zap.Uint64("revision", next.Revision))
-		d.finishOrder(o, answer{status: http.StatusOK})
+		d.finishOrder(o, response{status: http.StatusOK})
 		d.nextOrder()
 	})
 }
 
 // describe answers the newest configuration once a majority confirms that it is the newest.
-func (p *primary) describe(reply func(answer)) {
+func (p *primary) describe(reply func(response)) {
 	d := p.daemon
-	d.confirm(func(stands bool) {
+	d.confirm(func(confirmed bool) {
 		switch {
-		case !stands || d.primary != p:
+		case !confirmed || d.primary != p:
 			reply(unavailable("this process could not confirm that it is the primary: try again"))
-		case p.durable == nil:
+		case p.durableConfiguration == nil:
 			reply(unavailable("no configuration has been taken yet: POST /config/replace first"))
 		default:
-			reply(answer{status: http.StatusOK, body: p.durable})
+			reply(response{status: http.StatusOK, body: p.durableConfiguration})
 		}
 	})
 }
--- a/internal/roles/control/orders_test.go
+++ b/internal/roles/control/orders_test.go
@@ -88,7 +88,7 @@
 	}
 	c.startAll()
 	is.Equal(c.replace(c.machine(1), 0, configurationOf(5, "x")), http.StatusOK)
-	c.whole(3)
+	c.awaitMembers(3)
 	c.kill(c.primary())
 	is.Equal(c.replace(c.machine(1), 5, configurationOf(6, "x")), http.StatusOK)
 	revision, _ := c.described(c.machine(2))
@@ -101,7 +101,7 @@
 	c := newCluster(t, 5)
 	c.startAll()
 	is.Equal(c.replace(c.machine(1), 0, configurationOf(5, "x")), http.StatusOK)
-	c.whole(3)
+	c.awaitMembers(3)
 	var view replication.ControlView
 	c.eventually("five witnesses", func() bool {
 		c.primary().onLoop(c, func(d *daemon) { view = d.elector.View() })
--- a/internal/roles/control/peers.go
+++ b/internal/roles/control/peers.go
@@ -6,7 +6,7 @@
 type peerDirectory struct {
 	addressOf    map[string]string // by member
 	memberOf     map[string]string // by address
-	claimed      map[string]bool   // by address: its member was heard from that address itself
+	selfReported map[string]bool   // by address: its member was heard from that address itself
 	controlPlane map[string]string // by address
 }
 
@@ -14,7 +14,7 @@
 	return peerDirectory{
 		addressOf:    make(map[string]string),
 		memberOf:     make(map[string]string),
-		claimed:      make(map[string]bool),
+		selfReported: make(map[string]bool),
 		controlPlane: make(map[string]string),
 	}
 }
@@ -29,23 +29,23 @@
 		return "", false
 	}
 	if b.memberOf[address] == member && b.addressOf[member] == address {
-		b.claimed[address] = b.claimed[address] || direct
+		b.selfReported[address] = b.selfReported[address] || direct
 		return "", false
 	}
-	if !direct && b.claimed[address] {
+	if !direct && b.selfReported[address] {
 		return "", false
 	}
 	before = b.memberOf[address]
 	if old := b.addressOf[member]; old != "" && old != address && b.memberOf[old] == member {
 		delete(b.memberOf, old)
-		delete(b.claimed, old)
+		delete(b.selfReported, old)
 	}
 	if before != "" && before != member {
 		delete(b.addressOf, before)
 	} else {
 		before = ""
 	}
-	b.memberOf[address], b.addressOf[member], b.claimed[address] = member, address, direct
+	b.memberOf[address], b.addressOf[member], b.selfReported[address] = member, address, direct
 	return before, true
 }
 
--- a/internal/roles/control/placement.go
+++ b/internal/roles/control/placement.go
@@ -30,7 +30,7 @@
 	lastStoreAt time.Duration            // when a store came last
 	downSince   map[string]time.Duration // by member, of stores without a session
 	offers      map[int][]string         // learners that are equal, for the present epochs
-	trouble     storeFaults
+	faults      storeFaults
 	planWanted  bool
 	balance     bool // the next plan may move partitions for balance, too
 	nextBalance time.Duration
@@ -39,7 +39,7 @@
 func newPlacementState(now time.Duration) placementState {
 	return placementState{
 		since: now, lastStoreAt: now, downSince: make(map[string]time.Duration), offers: make(map[int][]string),
-		trouble: newStoreFaults(), planWanted: true, nextBalance: now + balanceInterval,
+		faults: newStoreFaults(), planWanted: true, nextBalance: now + balanceInterval,
 	}
 }
 
@@ -89,10 +89,10 @@
 // tickPlacement founds the table, and asks for moves of balance from time to time.
 func (p *primary) tickPlacement(now time.Duration) {
 	if !p.model.founded {
-		p.found(now)
+		p.createTable(now)
 		return
 	}
-	if p.placement.trouble.tick(now) {
+	if p.placement.faults.tick(now) {
 		p.placement.planWanted = true
 		p.logStoreFaults(now)
 	}
@@ -107,16 +107,16 @@
 func (p *primary) logStoreFaults(now time.Duration) {
 	var stalled []string
 	for _, member := range p.model.storeMembers() {
-		if p.placement.trouble.isStalled(now, member) {
+		if p.placement.faults.isStalled(now, member) {
 			stalled = append(stalled, member)
 		}
 	}
 	p.daemon.logger.Info("control: stores in trouble", zap.Strings("stalled", stalled),
-		zap.Any("apart", p.placement.trouble.blocked(now)))
+		zap.Any("apart", p.placement.faults.blockedPairs(now)))
 }
 
-// found makes the first table once the stores have come.
-func (p *primary) found(now time.Duration) {
+// createTable makes the first table once the stores have come.
+func (p *primary) createTable(now time.Duration) {
 	s := &p.placement
 	if now-s.lastStoreAt < foundingQuiet && now-s.since < foundingDeadline {
 		return
@@ -184,7 +184,7 @@
 	settings := p.daemon.settings
 	input := placement.Input{
 		Stores: p.placementStores(now), Copies: settings.Copies(), Offers: p.placement.offers,
-		Blocked:       p.placement.trouble.blocked(now),
+		Blocked:       p.placement.faults.blockedPairs(now),
 		SpreadRegions: settings.FaultTolerance.Regions > 0,
 		SharedZones:   settings.FaultTolerance.Regions == 0 && settings.FaultTolerance.Zones == 0,
 		Partitions:    make([]placement.View, len(p.model.partitions)),
@@ -212,7 +212,7 @@
 		store := placement.Store{Member: member, Zone: record.Zone, Region: record.Region, Retiring: record.Retiring, Abandoned: record.Abandoned}
 		if node, ok := live[member]; ok {
 			store.Leaving = node.Leaving
-			store.Stalled = p.placement.trouble.isStalled(now, member)
+			store.Stalled = p.placement.faults.isStalled(now, member)
 		} else {
 			store.DownFor = max(now-p.downSince(member), 1)
 		}
@@ -237,7 +237,7 @@
 	}
 	for _, member := range p.model.storeMembers() {
 		store := p.model.stores[member]
-		if p.model.names(member) {
+		if p.model.references(member) {
 			continue
 		}
 		if store.Retiring && !store.Emptied {
--- a/internal/roles/control/primary.go
+++ b/internal/roles/control/primary.go
@@ -20,27 +20,27 @@
 	since      time.Duration
 
 	// model is the state with all changes that were begun; what is published and acknowledged is what the writer made durable of it.
-	model     *model
-	writer    *writer
-	items     itemPublisher
-	operator  *configuration.Orders
-	durable   []byte // configuration on disk at the whole view; nil before the first
-	sessions  *session.Table
-	cutOff    cutOff
-	placement placementState
-	duty      dutyState
-	tolerance toleranceWatch
-	epochs    epochWatch
+	model                *model
+	writer               *writer
+	items                itemPublisher
+	orders               *configuration.Orders
+	durableConfiguration []byte // configuration on disk at the whole view; nil before the first
+	sessions             *session.Table
+	cutOff               cutOff
+	placement            placementState
+	duty                 dutyState
+	tolerance            toleranceWatch
+	epochs               epochWatch
 }
 
 func newPrimary(d *daemon, epoch, activation uint64, m *model) (*primary, error) {
 	now := d.now()
-	p := &primary{daemon: d, epoch: epoch, activation: activation, since: now, model: m, durable: m.configuration}
+	p := &primary{daemon: d, epoch: epoch, activation: activation, since: now, model: m, durableConfiguration: m.configuration}
 	if err := p.resetOrders(); err != nil {
 		return nil, err
 	}
 	p.items = newItemPublisher(p)
-	p.writer = &writer{write: p.write, began: p.items.snapshot, after: d.loop.after, refused: p.handOverForDiskFailure}
+	p.writer = &writer{write: p.write, onBegin: p.items.snapshot, after: d.loop.after, onRefused: p.handOverForDiskFailure}
 	p.sessions = newSessions(now, m)
 	p.placement = newPlacementState(now)
 	p.duty = newDutyState(p)
@@ -56,7 +56,7 @@
 			return errors.Wrap(err, "the configuration in force")
 		}
 	}
-	p.operator = configuration.NewOrders(current, p.model.taken)
+	p.orders = configuration.NewOrders(current, p.model.acceptedOrders)
 	return nil
 }
 
@@ -106,7 +106,7 @@
 func (p *primary) handOverForDiskFailure() {
 	d := p.daemon
 	d.logger.Warn("control: the own disk refuses to write; another member is asked to take over")
-	d.loop.post(func() { d.act(d.elector.HandOver(d.now())) })
+	d.loop.post(func() { d.execute(d.elector.HandOver(d.now())) })
 }
 
 func (p *primary) tick(now time.Duration) {
@@ -117,8 +117,8 @@
 	p.watchTolerance(now)
 }
 
-// settle begins what the last event made necessary.
-func (p *primary) settle(now time.Duration) {
+// afterEvent begins what the last event made necessary.
+func (p *primary) afterEvent(now time.Duration) {
 	if p.writer.idle() {
 		p.plan(now)
 	}
@@ -127,13 +127,13 @@
 
 // revision is the version of the configuration in force, 0 before the first.
 func (p *primary) revision() uint64 {
-	if current := p.operator.Current(); current != nil {
+	if current := p.orders.Current(); current != nil {
 		return current.Revision
 	}
 	return 0
 }
 
-func (p *primary) nodes(role protocol.Role) int {
+func (p *primary) countNodes(role protocol.Role) int {
 	count := 0
 	for _, n := range p.model.nodes {
 		if n.Role == role {
--- a/internal/roles/control/reader.go
+++ b/internal/roles/control/reader.go
@@ -24,9 +24,9 @@
 	published protocol.ItemVersion // of the list that this term published last
 	stopped   bool
 	readAt    time.Duration // when this term last read the list whole, or began
-	// unread says that this was too long ago. The process makes no calls then, and says so in its heartbeats until it is given the duty anew; the
+	// stale says that this was too long ago. The process makes no calls then, and says so in its heartbeats until it is given the duty anew; the
 	// agent's goroutine reads it.
-	unread atomic.Bool
+	stale atomic.Bool
 }
 
 // staleAfter is how long the holder of the duty may fail to read the list before it gives the duty up: half of the time that the list may be
@@ -43,7 +43,7 @@
 
 // begin starts the duty of a term.
 func (r *listReader) begin(term uint64) {
-	again := term == r.term && r.unread.Load() // by a primary of a version that knows nothing of unread lists
+	again := term == r.term && r.stale.Load() // by a primary of a version that knows nothing of unread lists
 	if term <= r.term && !again || r.daemon.settings.CloudApi.Address == "" {
 		return
 	}
@@ -52,7 +52,7 @@
 		r.published = protocol.ItemVersion{}
 	}
 	r.term, r.stopped, r.readAt = term, false, r.daemon.now()
-	r.unread.Store(false)
+	r.stale.Store(false)
 	r.reader = workerlist.NewReader(workerlist.Options{RatePerS: r.daemon.settings.CloudApi.RatePerS})
 	r.step(term)
 }
@@ -60,12 +60,12 @@
 // stop ends the duty.
 func (r *listReader) stop() {
 	r.stopped = true
-	r.unread.Store(false)
+	r.stale.Store(false)
 }
 
 // mayRead tells whether the duty of a term is still this process's, as far as it knows.
 func (r *listReader) mayRead(term uint64) bool {
-	return term == r.term && !r.stopped && !r.unread.Load() && r.daemon.agent.View().WorkersVersion.Term <= term
+	return term == r.term && !r.stopped && !r.stale.Load() && r.daemon.agent.View().WorkersVersion.Term <= term
 }
 
 // step makes the next call, or waits for its time.
@@ -85,10 +85,10 @@
 // call asks for one page; it runs on a goroutine of its own.
 func (r *listReader) call(term uint64, address string, request workerlist.Request) {
 	status, body, err := instances.Fetch(context.Background(), r.client, address, request.PageToken)
-	r.daemon.loop.post(func() { r.answered(term, request, status, body, err) })
+	r.daemon.loop.post(func() { r.handleResponse(term, request, status, body, err) })
 }
 
-func (r *listReader) answered(term uint64, request workerlist.Request, status int, body []byte, err error) {
+func (r *listReader) handleResponse(term uint64, request workerlist.Request, status int, body []byte, err error) {
 	if !r.mayRead(term) {
 		return
 	}
@@ -105,7 +105,7 @@
 			r.publish(changed)
 		}
 	}
-	r.unread.Store(now-r.readAt >= r.staleAfter())
+	r.stale.Store(now-r.readAt >= r.staleAfter())
 	r.step(term)
 }
 
--- a/internal/roles/control/recovered.go
+++ b/internal/roles/control/recovered.go
@@ -20,8 +20,8 @@
 	if m.configuration != nil {
 		records = append(records, configurationRecord(m.configuration), versionRecord(m.configurationVersion))
 	}
-	for _, hash := range slices.Sorted(maps.Keys(m.taken)) {
-		records = append(records, acceptedRecord(hash, m.taken[hash]))
+	for _, hash := range slices.Sorted(maps.Keys(m.acceptedOrders)) {
+		records = append(records, acceptedRecord(hash, m.acceptedOrders[hash]))
 	}
 	for _, key := range slices.Sorted(maps.Keys(m.nodes)) {
 		records = append(records, nodeRecord(m.nodes[key]))
@@ -41,18 +41,18 @@
 	return records
 }
 
-// recovered puts together the state that control is founded anew with: from records, and from what a running process has heard of.
-type recovered struct {
+// recoveredState puts together the state that control is founded anew with: from records, and from what a running process has heard of.
+type recoveredState struct {
 	model *model
-	heard *agent.View
+	view  *agent.View
 	epoch uint64 // the first of the new generation
 	// survivor says that the records are of a process that was running: its table is one that stores have followed.
 	survivor bool
 }
 
 // recoverModel returns the state in which control begins a generation. What is newer of the records and of what was heard counts.
-func recoverModel(records []replication.Record, survivor bool, heard *agent.View, epoch uint64) (*model, error) {
-	r := recovered{model: newModel(), heard: heard, epoch: epoch, survivor: survivor}
+func recoverModel(records []replication.Record, survivor bool, view *agent.View, epoch uint64) (*model, error) {
+	r := recoveredState{model: newModel(), view: view, epoch: epoch, survivor: survivor}
 	for _, record := range records {
 		if err := r.model.apply(record); err != nil {
 			return nil, errors.Wrapf(err, "record %q", record.Key)
@@ -68,10 +68,10 @@
 }
 
 // adoptConfiguration publishes the newest configuration anew, in a version that goes before all that were published.
-func (r *recovered) adoptConfiguration() error {
+func (r *recoveredState) adoptConfiguration() error {
 	m := r.model
-	if m.configuration == nil || m.configurationVersion.Less(r.heard.ConfigurationVersion) {
-		m.configuration = r.heard.Configuration
+	if m.configuration == nil || m.configurationVersion.Less(r.view.ConfigurationVersion) {
+		m.configuration = r.view.Configuration
 	}
 	if len(m.configuration) == 0 {
 		m.configuration = nil
@@ -85,17 +85,17 @@
 // mergePartitions takes the newest view of each partition. Views that running processes follow begin an epoch far above them, as a store that
 // does not answer may have followed a later one. Those of a snapshot alone begin the next one: a store that has gone further refuses it, and
 // keeps what it has.
-func (r *recovered) mergePartitions() {
+func (r *recoveredState) mergePartitions() {
 	m := r.model
-	for n, heard := range r.heard.Partitions.Partitions {
+	for n, published := range r.view.Partitions.Partitions {
 		if n >= len(m.partitions) {
-			m.partitions = append(m.partitions, heard)
-		} else if heard.Epoch > m.partitions[n].Epoch {
-			m.partitions[n] = heard
+			m.partitions = append(m.partitions, published)
+		} else if published.Epoch > m.partitions[n].Epoch {
+			m.partitions[n] = published
 		}
 	}
 	for n := range m.partitions {
-		followed := r.survivor || n < len(r.heard.Partitions.Partitions)
+		followed := r.survivor || n < len(r.view.Partitions.Partitions)
 		if followed {
 			m.partitions[n].Epoch += replication.RecoveryEpochGap
 		} else {
@@ -106,12 +106,12 @@
 }
 
 // mergeNodes keeps the sessions that were heard of, whose deadlines begin anew, and a record of each store that a partition names.
-func (r *recovered) mergeNodes() {
+func (r *recoveredState) mergeNodes() {
 	m := r.model
-	if len(r.heard.Nodes) > 0 {
+	if len(r.view.Nodes) > 0 {
 		clear(m.nodes)
 	}
-	for _, node := range r.heard.Nodes {
+	for _, node := range r.view.Nodes {
 		m.nodes[node.Key] = node
 		if _, known := m.stores[node.Member]; node.Role == protocol.RoleStore && !known {
 			m.stores[node.Member] = storeRecord{Member: node.Member, Name: node.Name, Zone: node.Zone, Region: node.Region}
--- a/internal/roles/control/recovery.go
+++ b/internal/roles/control/recovery.go
@@ -48,10 +48,10 @@
 
 // snapshot answers a copy of control's state: everything that was acknowledged before the call is in it, and all of it is durable.
 func (a operatorAPI) snapshot(w http.ResponseWriter, r *http.Request) {
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.replyDurably(func() answer {
-				return answer{status: http.StatusOK, contentType: snapshotType, body: a.daemon.snapshotOf(p.model.records(), true)}
+			p.replyDurably(func() response {
+				return response{status: http.StatusOK, contentType: snapshotType, body: a.daemon.snapshotOf(p.model.records(), true)}
 			}, reply)
 		}, reply)
 	})
@@ -59,18 +59,18 @@
 
 // recoveryRecords answers what the own disk has, confirmed by nobody.
 func (a operatorAPI) recoveryRecords(w http.ResponseWriter, r *http.Request) {
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		d := a.daemon
 		if d.elector == nil {
-			reply(refusal(http.StatusNotFound, "this process has no disk: ask another"))
+			reply(errorResponse(http.StatusNotFound, "this process has no disk: ask another"))
 			return
 		}
 		m, err := loadModel(d.storage)
 		if err != nil {
-			reply(refusal(http.StatusConflict, err.Error()))
+			reply(errorResponse(http.StatusConflict, err.Error()))
 			return
 		}
-		reply(answer{status: http.StatusOK, contentType: snapshotType, body: d.snapshotOf(m.records(), false)})
+		reply(response{status: http.StatusOK, contentType: snapshotType, body: d.snapshotOf(m.records(), false)})
 	})
 }
 
@@ -87,18 +87,18 @@
 func (a operatorAPI) recoveryAccount(w http.ResponseWriter, r *http.Request) {
 	var account recovery.Account
 	var addresses map[string]string // of stores, by member
-	given, ok := a.await(r, func(reply func(answer)) {
+	resp, ok := a.await(r, func(reply func(response)) {
 		account, addresses = a.daemon.account()
-		reply(answer{status: http.StatusOK})
+		reply(response{status: http.StatusOK})
 	})
 	if !ok {
 		return
 	}
-	if given.status == http.StatusOK {
+	if resp.status == http.StatusOK {
 		account.Silent = a.daemon.unresponsiveStores(r.Context(), account.Stores, addresses)
-		given.body, _ = json.Marshal(account) // it holds nothing that cannot be encoded
+		resp.body, _ = json.Marshal(account) // it holds nothing that cannot be encoded
 	}
-	write(w, r, given)
+	write(w, r, resp)
 }
 
 // account says what this process is and knows, and where the stores that partitions lie on are.
@@ -124,7 +124,7 @@
 	for i := range view.Partitions.Partitions {
 		p := &view.Partitions.Partitions[i]
 		for _, member := range slices.Concat(p.Members, p.Learners, p.Holders) {
-			if _, noted := addresses[member]; !noted {
+			if _, listed := addresses[member]; !listed {
 				store, _ := view.NodeByMember(member)
 				addresses[member] = store.Address
 				a.Stores = append(a.Stores, member)
@@ -141,7 +141,7 @@
 	if err != nil || d.replica.JoinedEpoch() == 0 {
 		return nil
 	}
-	return &recovery.Records{Joined: d.replica.JoinedEpoch(), Revision: revisionOf(m.configuration), Orders: len(m.taken)}
+	return &recovery.Records{Joined: d.replica.JoinedEpoch(), Revision: revisionOf(m.configuration), Orders: len(m.acceptedOrders)}
 }
 
 // revisionOf returns the revision of a configuration, 0 without one.
@@ -164,12 +164,12 @@
 	if n := d.environment.Network; n != nil {
 		dial = n.DialContext
 	}
-	silent := make([]bool, len(members))
+	unresponsive := make([]bool, len(members))
 	var dials sync.WaitGroup
 	for i, member := range members {
 		dials.Go(func() {
 			conn, err := dial(ctx, "tcp", addresses[member])
-			if silent[i] = addresses[member] == "" || err != nil; err == nil {
+			if unresponsive[i] = addresses[member] == "" || err != nil; err == nil {
 				_ = conn.Close()
 			}
 		})
@@ -177,7 +177,7 @@
 	dials.Wait()
 	var names []string
 	for i, member := range members {
-		if silent[i] {
+		if unresponsive[i] {
 			names = append(names, member)
 		}
 	}
@@ -190,16 +190,16 @@
 	if !readJSON(w, r, maxJoinBytes, &request) {
 		return
 	}
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		d := a.daemon
 		if d.elector == nil {
-			reply(refusal(http.StatusConflict, "this process has no disk, and no vote"))
+			reply(errorResponse(http.StatusConflict, "this process has no disk, and no vote"))
 			return
 		}
 		joined, actions := d.elector.JoinGeneration(request.View, d.now())
-		d.act(actions)
+		d.execute(actions)
 		if !joined {
-			reply(refusal(http.StatusConflict, "this process belongs to another generation: ask all processes again"))
+			reply(errorResponse(http.StatusConflict, "this process belongs to another generation: ask all processes again"))
 			return
 		}
 		d.awaitPersisted(d.now()+orderTimeout, reply)
@@ -207,10 +207,10 @@
 }
 
 // awaitPersisted answers once the register is on disk.
-func (d *daemon) awaitPersisted(deadline time.Duration, reply func(answer)) {
+func (d *daemon) awaitPersisted(deadline time.Duration, reply func(response)) {
 	switch {
 	case d.elector.IsPersisted():
-		reply(answer{status: http.StatusOK})
+		reply(response{status: http.StatusOK})
 	case d.now() >= deadline:
 		reply(unavailable("the disk has not taken it yet: send the same call again"))
 	default:
@@ -228,35 +228,35 @@
 	if len(request.Snapshot) > 0 {
 		s, err := snapshot.Decode(request.Snapshot)
 		if err != nil {
-			write(w, r, refusal(http.StatusBadRequest, err.Error()))
+			write(w, r, errorResponse(http.StatusBadRequest, err.Error()))
 			return
 		}
 		records = s.Records
 	}
-	a.respond(w, r, func(reply func(answer)) { a.daemon.found(&request, records, reply) })
+	a.respond(w, r, func(reply func(response)) { a.daemon.foundGeneration(&request, records, reply) })
 }
 
-// found checks a request, and writes what it asks for. From then on this process takes no part in the group any more.
-func (d *daemon) found(request *recovery.FoundRequest, records []replication.Record, reply func(answer)) {
+// foundGeneration checks a request, and writes what it asks for. From then on this process takes no part in the group any more.
+func (d *daemon) foundGeneration(request *recovery.FoundRequest, records []replication.Record, reply func(response)) {
 	view := request.View
 	switch {
 	case d.elector == nil:
-		reply(refusal(http.StatusConflict, "this process has no disk: found control on another"))
+		reply(errorResponse(http.StatusConflict, "this process has no disk: found control on another"))
 		return
 	case d.founding || !d.elector.MayFound(view):
-		reply(refusal(http.StatusConflict, "this process has another disk, or has gone on since it was asked: ask all processes again"))
+		reply(errorResponse(http.StatusConflict, "this process has another disk, or has gone on since it was asked: ask all processes again"))
 		return
 	}
 	m, err := recoverModel(records, request.Survivor, d.agent.View(), view.Epoch)
 	if err != nil {
-		reply(refusal(http.StatusBadRequest, err.Error()))
+		reply(errorResponse(http.StatusBadRequest, err.Error()))
 		return
 	}
 	d.founding = true
 	d.deactivate()
 	d.replica.Close()
 	d.logger.Warn("control: founding the group anew", zap.Uint64("epoch", view.Epoch), zap.Uint64("generation", view.Generation),
-		zap.Int("partitions", len(m.partitions)), zap.Int("orders", len(m.taken)))
+		zap.Int("partitions", len(m.partitions)), zap.Int("orders", len(m.acceptedOrders)))
 	d.appendAll(foundingRecords(m, d.storage, view.Epoch), func(err error) {
 		if err != nil {
 			reply(unavailable("the disk has not taken the state: " + err.Error() + "; start the process again, then send the same call"))
@@ -267,7 +267,7 @@
 				reply(unavailable("the disk has not taken the view: " + err.Error() + "; start the process again, then send the same call"))
 				return
 			}
-			reply(answer{status: http.StatusOK})
+			reply(response{status: http.StatusOK})
 			close(d.foundedAnew)
 		})
 	})
@@ -296,13 +296,13 @@
 }
 
 // readJSON reads a body into a value, or answers 400.
-func readJSON(w http.ResponseWriter, r *http.Request, most int64, into any) bool {
-	body, ok := readBody(w, r, most)
+func readJSON(w http.ResponseWriter, r *http.Request, limit int64, into any) bool {
+	body, ok := readBody(w, r, limit)
 	if !ok {
 		return false
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		write(w, r, refusal(http.StatusBadRequest, "the body is no request of liftgauge recover: "+err.Error()))
+		write(w, r, errorResponse(http.StatusBadRequest, "the body is no request of liftgauge recover: "+err.Error()))
 		return false
 	}
 	return true
--- a/internal/roles/control/recovery_test.go
+++ b/internal/roles/control/recovery_test.go
@@ -75,8 +75,8 @@
 	return plan
 }
 
-// isWhole waits until all control processes are witnesses of the generation, and orders are taken.
-func (c *cluster) isWhole(generation uint64) {
+// awaitWitnesses waits until all control processes are witnesses of the generation, and orders are taken.
+func (c *cluster) awaitWitnesses(generation uint64) {
 	c.t.Helper()
 	c.eventually("all to be witnesses of the generation", func() bool {
 		whole := false
@@ -120,7 +120,7 @@
 	plan := c.recover(recovery.Options{}, nil)
 	is.Equal(plan.Founder.Name, survivor.settings.NodeName)
 	is.True(slices.Contains(plan.Findings, "records: all that was acknowledged, from control-2/control (revision 2, 2 orders taken)"))
-	c.isWhole(1)
+	c.awaitWitnesses(1)
 	revision, text := c.described(c.machine(1))
 	is.Equal(revision, uint64(2))
 	is.Equal(text, string(configurationOf(2, "two")))
@@ -145,7 +145,7 @@
 	plan := c.recover(recovery.Options{At: "control-3"}, nil)
 	is.Equal(plan.Founder.Name, "control-3")
 	is.True(plan.Source == nil)
-	c.isWhole(1)
+	c.awaitWitnesses(1)
 	revision, _ := c.described(c.machine(1))
 	is.Equal(revision, uint64(2))
 	is.Equal(c.replace(c.machine(1), 0, configurationOf(1, "one")), http.StatusPreconditionFailed) // as was said before
@@ -177,7 +177,7 @@
 	other.noBootstrap()
 	other.startAll()
 	plan := other.recover(recovery.Options{From: taken}, file)
-	other.isWhole(1)
+	other.awaitWitnesses(1)
 	is.True(plan.View.Epoch > taken.Epoch)
 	revision, _ := other.described(other.machine(1))
 	is.Equal(revision, uint64(2))
@@ -194,18 +194,18 @@
 func TestNothingIsFoundedBesideAControlThatMayLive(t *testing.T) {
 	is := is.New(t)
 	c, _ := startRecoverable(t)
-	make := func(o recovery.Options) error {
+	makePlan := func(o recovery.Options) error {
 		accounts, err := c.client().Accounts(c.ctx)
 		is.NoErr(err)
 		_, err = recovery.Make(accounts, o)
 		return err
 	}
-	is.True(errors.Is(make(recovery.Options{}), recovery.ErrControlLive))
+	is.True(errors.Is(makePlan(recovery.Options{}), recovery.ErrControlLive))
 	c.kill(c.machine(1))
 	c.kill(c.machine(2))
-	is.True(errors.Is(make(recovery.Options{}), recovery.ErrMayLive))
-	is.True(errors.Is(make(recovery.Options{Lost: []string{"control-3"}}), recovery.ErrMayLive))
-	is.NoErr(make(recovery.Options{Lost: []string{"control-1", "control-2"}}))
+	is.True(errors.Is(makePlan(recovery.Options{}), recovery.ErrMayLive))
+	is.True(errors.Is(makePlan(recovery.Options{Lost: []string{"control-3"}}), recovery.ErrMayLive))
+	is.NoErr(makePlan(recovery.Options{Lost: []string{"control-1", "control-2"}}))
 }
 
 // A disk of before that is put back after all takes no part in what was before: it joins as a newcomer.
@@ -219,7 +219,7 @@
 	c.start(c.add(4)) // one disk alone is too few to act
 	c.recover(recovery.Options{Lost: []string{"control-1", "control-3"}}, nil)
 	c.start(old...)
-	c.isWhole(1)
+	c.awaitWitnesses(1)
 	is.Equal(c.replace(old[0], 2, configurationOf(3, "three")), http.StatusOK)
 	revision, _ := c.described(old[1])
 	is.Equal(revision, uint64(3))
--- a/internal/roles/control/refusal.go
+++ b/internal/roles/control/refusal.go
@@ -22,8 +22,8 @@
 	startupPeriod = time.Second
 )
 
-// sender is who sent heartbeats over a connection; it is the connection's tag.
-type sender struct {
+// heartbeatSender is who sent heartbeats over a connection; it is the connection's tag.
+type heartbeatSender struct {
 	key         string
 	incarnation uint64
 	address     string
@@ -32,14 +32,14 @@
 // tagStore notes that a connection is a store's.
 func tagStore(c *rpc.Conn, n *protocol.Node) {
 	if n.Role == protocol.RoleStore && c.Tag() == nil {
-		c.SetTag(sender{key: n.Key, incarnation: n.Incarnation, address: n.Address})
+		c.SetTag(heartbeatSender{key: n.Key, incarnation: n.Incarnation, address: n.Address})
 	}
 }
 
 // connectionClosed is called when a connection of this process is over. A store that was killed leaves an address that refuses connections:
 // its session is ended then, long before it would expire, so that its partitions get other primaries.
 func (d *daemon) connectionClosed(c *rpc.Conn, _ error) {
-	s, isStore := c.Tag().(sender)
+	s, isStore := c.Tag().(heartbeatSender)
 	if !isStore {
 		return
 	}
@@ -51,32 +51,32 @@
 }
 
 // endIfRefused ends the session of a store if its address refuses connections.
-func (d *daemon) endIfRefused(s sender) {
-	if d.refuses(s.address) {
-		d.loop.post(func() { d.refused(s) })
+func (d *daemon) endIfRefused(s heartbeatSender) {
+	if d.refusesConnections(s.address) {
+		d.loop.post(func() { d.storeRefused(s) })
 	}
 }
 
 // probeStores dials every store that has a session once: one that was killed together with the primary before has broken no connection to this
 // process. After a start of this process nothing is done: all stores may be starting as well, and refuse until they listen.
 func (d *daemon) probeStores(p *primary) {
-	if d.now()-d.began < startupPeriod {
+	if d.now()-d.startedAt < startupPeriod {
 		return
 	}
 	for key, node := range p.model.nodes {
 		if node.Role == protocol.RoleStore {
-			go d.endIfRefused(sender{key: key, incarnation: node.Incarnation, address: node.Address})
+			go d.endIfRefused(heartbeatSender{key: key, incarnation: node.Incarnation, address: node.Address})
 		}
 	}
 }
 
-// refuses tells whether an address refuses connections again and again. Silence is no refusal.
-func (d *daemon) refuses(address string) bool {
+// refusesConnections tells whether an address refusesConnections connections again and again. Silence is no refusal.
+func (d *daemon) refusesConnections(address string) bool {
 	for i := range refusalDials {
 		if i > 0 {
 			pause := time.NewTimer(refusalDialInterval)
 			select {
-			case <-d.ended:
+			case <-d.stopped:
 				pause.Stop()
 				return false
 			case <-pause.C:
@@ -104,9 +104,9 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// refused ends the session of a store whose address refuses connections. The process may run all the same, behind a network that refuses for
+// storeRefused ends the session of a store whose address refuses connections. The process may run all the same, behind a network that refuses for
 // it: the end is not certain, so all that was granted to it holds until it is over, and its next heartbeat opens a session again.
-func (d *daemon) refused(s sender) {
+func (d *daemon) storeRefused(s heartbeatSender) {
 	p := d.primary
 	if p == nil {
 		return
--- a/internal/roles/control/refusal_test.go
+++ b/internal/roles/control/refusal_test.go
@@ -45,7 +45,7 @@
 	c.eventually("all processes to be no newcomers", func() bool {
 		newcomers := false
 		for _, m := range c.machines {
-			m.onLoop(c, func(d *daemon) { newcomers = newcomers || d.now()-d.began < startupPeriod })
+			m.onLoop(c, func(d *daemon) { newcomers = newcomers || d.now()-d.startedAt < startupPeriod })
 		}
 		return !newcomers
 	})
@@ -67,18 +67,18 @@
 	store := c.startStore(30, "disk")
 	c.await(store.Agent, "the store", func(v *agent.View) bool { return len(v.Live(protocol.RoleStore)) == 1 })
 	address := store.Node().Address
-	c.primary().onLoop(c, func(d *daemon) { is.True(!d.refuses(address)) })
+	c.primary().onLoop(c, func(d *daemon) { is.True(!d.refusesConnections(address)) })
 }
 
 func TestRefusalIsNotSilence(t *testing.T) {
 	is := is.New(t)
-	d := &daemon{ended: make(chan struct{})}
+	d := &daemon{stopped: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := listener.Addr().String()
-	is.True(!d.refuses(address)) // somebody listens
+	is.True(!d.refusesConnections(address)) // somebody listens
 	is.NoErr(listener.Close())
-	is.True(d.refuses(address))
-	close(d.ended)
-	is.True(!d.refuses(address)) // the own process ends meanwhile
+	is.True(d.refusesConnections(address))
+	close(d.stopped)
+	is.True(!d.refusesConnections(address)) // the own process ends meanwhile
 }
--- a/internal/roles/control/retire.go
+++ b/internal/roles/control/retire.go
@@ -38,10 +38,10 @@
 }
 
 // startRetirement begins to empty the stores of a machine and returns the answer, which holds once all that was put is durable.
-func (p *primary) startRetirement(now time.Duration, name string) answer {
+func (p *primary) startRetirement(now time.Duration, name string) response {
 	stores := p.storesNamed(name)
 	if len(stores) == 0 {
-		return refusal(http.StatusNotFound, "no storage machine of this name is known: read the names in /status")
+		return errorResponse(http.StatusNotFound, "no storage machine of this name is known: read the names in /status")
 	}
 	for _, s := range stores {
 		if s.Retiring {
@@ -63,36 +63,36 @@
 }
 
 // mayRetire refuses a retirement that would leave too few machines: for good, unless one that is away now is likely to be back.
-func (p *primary) mayRetire(now time.Duration, member string) (refused answer, ok bool) {
+func (p *primary) mayRetire(now time.Duration, member string) (refused response, ok bool) {
 	stores, copies := p.placementStores(now), p.daemon.settings.Copies()
 	switch {
 	case placement.CanRetire(stores, member, copies):
-		return answer{}, true
+		return response{}, true
 	case placement.CanRetireSoon(stores, member, copies):
 		return unavailable("a storage machine is away, and without it too few would remain: ask again when it is back"), false
 	}
-	return refusal(http.StatusConflict, "too few storage machines would remain: add one before"), false
+	return errorResponse(http.StatusConflict, "too few storage machines would remain: add one before"), false
 }
 
 // describeRetirement says how far the emptying of a machine is.
-func (p *primary) describeRetirement(name string) answer {
+func (p *primary) describeRetirement(name string) response {
 	retiring := false
 	for _, s := range p.storesNamed(name) {
 		retiring = retiring || s.Retiring
 	}
 	if !retiring {
-		return refusal(http.StatusNotFound, "this machine is not being emptied: POST /retire/NODE/start first")
+		return errorResponse(http.StatusNotFound, "this machine is not being emptied: POST /retire/NODE/start first")
 	}
 	return p.retirement(name)
 }
 
-func (p *primary) retirement(name string) answer {
+func (p *primary) retirement(name string) response {
 	state := retirementSucceeded
 	for _, s := range p.storesNamed(name) {
-		if p.model.names(s.Member) {
+		if p.model.references(s.Member) {
 			state = retirementRunning
 		}
 	}
 	body, _ := json.Marshal(struct{ State string }{state}) // a struct of a text always encodes
-	return answer{status: http.StatusOK, body: body}
+	return response{status: http.StatusOK, body: body}
 }
--- a/internal/roles/control/run.go
+++ b/internal/roles/control/run.go
@@ -52,23 +52,23 @@
 // process is a started daemon with what has to be closed at its end.
 type process struct {
 	*daemon
-	log      *recordlog.Log // nil without a disk
-	server   *http.Server
-	listener net.Listener
-	cancel   context.CancelFunc // of the event loop
-	loopDone chan struct{}
-	grace    time.Duration // for the planned end
-	patience time.Duration // of the planned end for a successor
-	initial  *nodeconfig.Settings
+	log             *recordlog.Log // nil without a disk
+	server          *http.Server
+	listener        net.Listener
+	cancel          context.CancelFunc // of the event loop
+	loopDone        chan struct{}
+	grace           time.Duration // for the planned end
+	handOverTimeout time.Duration // of the planned end for a successor
+	initial         *nodeconfig.Settings
 }
 
 // start opens disk and sockets and begins the event loop.
 func start(ctx context.Context, o options) (*process, error) {
 	d := &daemon{
 		settings: o.settings, logger: o.logger, environment: o.environment, loop: newEventLoop(), peers: newPeerDirectory(), replyTo: make(map[string]*rpc.Conn),
-		ended: make(chan struct{}), foundedAnew: make(chan struct{}), orderLimit: orderLimit(logBytes(o.settings)),
+		stopped: make(chan struct{}), foundedAnew: make(chan struct{}), orderLimit: orderLimit(logBytes(o.settings)),
 	}
-	p := &process{daemon: d, grace: shutdownGrace(o.settings), patience: maxHandOverTime, initial: o.settings}
+	p := &process{daemon: d, grace: shutdownGrace(o.settings), handOverTimeout: maxHandOverTime, initial: o.settings}
 	d.self.Address = o.settings.InternalAddress(protocol.RoleControl)
 	if err := p.open(ctx); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	p.cancel, p.loopDone = cancel, make(chan struct{})
 	go func() {
 		defer close(p.loopDone)
-		d.loop.run(loopContext, tickInterval, d.tick, d.settle)
+		d.loop.run(loopContext, tickInterval, d.tick, d.afterEvent)
 	}()
 	p.server = operatorAPI{daemon: d}.server()
 	p.server.ErrorLog = zap.NewStdLog(o.logger.WithOptions(zap.IncreaseLevel(zap.WarnLevel)))
@@ -149,14 +149,14 @@
 	started, err := agent.Start(agent.Options{
 		Settings: p.settings, Role: protocol.RoleControl, Member: d.self.Member, Logger: p.logger, Handle: d.handle,
 		OnClose: d.connectionClosed,
-		Report:  func(h *protocol.Heartbeat) { h.WorkerListStale = d.reader.unread.Load() },
+		Report:  func(h *protocol.Heartbeat) { h.WorkerListStale = d.reader.stale.Load() },
 		RPC:     rpc.Options{Network: d.environment.Network},
 	})
 	if err != nil {
 		return errors.Wrap(err, "starting on the internal address")
 	}
 	d.agent = started
-	d.began = started.Steady()
+	d.startedAt = started.Steady()
 	d.links = newLinks(started.Pool(), d.loop, d.linkChanged)
 	started.Subscribe(func(*agent.View, []protocol.ItemKind) { d.loop.post(d.retryPendingCalls) })
 	return nil
@@ -202,7 +202,7 @@
 	cancel()
 	resigned := make(chan struct{})
 	p.loop.post(func() { p.beginShutdown(resigned) })
-	wait, cancel := context.WithTimeout(ctx, p.patience)
+	wait, cancel := context.WithTimeout(ctx, p.handOverTimeout)
 	defer cancel()
 	select {
 	case <-resigned:
@@ -228,7 +228,7 @@
 
 // stop ends the loop and the agent without a word to anybody.
 func (p *process) stop() {
-	close(p.ended)
+	close(p.stopped)
 	p.cancel()
 	<-p.loopDone
 	p.agent.Close()
--- a/internal/roles/control/sessions.go
+++ b/internal/roles/control/sessions.go
@@ -56,7 +56,7 @@
 	switch h.Node.Role {
 	case protocol.RoleStore:
 		p.placement.takeOffers(p.model.partitions, h)
-		if p.placement.trouble.heartbeat(now, h) {
+		if p.placement.faults.heartbeat(now, h) {
 			p.placement.planWanted = true
 		}
 	case protocol.RoleControl:
@@ -117,6 +117,6 @@
 	case protocol.RoleStore:
 		p.storeDown(now, node)
 	case protocol.RoleControl:
-		p.duty.ended(node)
+		p.duty.sessionEnded(node)
 	}
 }
--- a/internal/roles/control/shutdown.go
+++ b/internal/roles/control/shutdown.go
@@ -19,14 +19,14 @@
 
 // beginShutdown resigns, and closes done when this process is not needed any more.
 func (d *daemon) beginShutdown(done chan struct{}) {
-	d.ending = true
+	d.shuttingDown = true
 	d.reader.stop()
 	if d.elector == nil {
 		close(done)
 		return
 	}
 	d.witnessDeadline = d.now() + witnessTimeout
-	d.act(d.elector.Resign(d.now()))
+	d.execute(d.elector.Resign(d.now()))
 	d.awaitSuccessor(done)
 }
 
--- a/internal/roles/control/shutdown_test.go
+++ b/internal/roles/control/shutdown_test.go
@@ -17,7 +17,7 @@
 	done := make(chan error, 1)
 	p := m.process
 	m.process = nil // it closes itself
-	p.grace, p.patience = patience, patience
+	p.grace, p.handOverTimeout = testTimeout, testTimeout
 	go func() { done <- p.serve(ctx) }()
 	return func() error {
 		cancel()
@@ -48,7 +48,7 @@
 	dispatcher := c.startDispatcher(20)
 	base := uint64(0)
 	for range 3 {
-		c.whole(3)
+		c.awaitMembers(3)
 		old := c.primary()
 		member := old.process.self.Member
 		end := c.runUntilCancelled(old)
@@ -93,7 +93,7 @@
 		}
 	}()
 	for host := 1; host <= 4; host++ {
-		c.whole(3)
+		c.awaitMembers(3)
 		m := c.machine(host)
 		is.NoErr(c.runUntilCancelled(m)())
 		c.start(m)
--- a/internal/roles/control/status.go
+++ b/internal/roles/control/status.go
@@ -15,9 +15,9 @@
 )
 
 func (a operatorAPI) status(w http.ResponseWriter, r *http.Request) {
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		body, _ := json.MarshalIndent(a.daemon.statusPage(), "", "  ") // it holds nothing that cannot be encoded
-		reply(answer{status: http.StatusOK, body: append(body, '\n')})
+		reply(response{status: http.StatusOK, body: append(body, '\n')})
 	})
 }
 
@@ -69,22 +69,22 @@
 }
 
 func (a operatorAPI) metrics(w http.ResponseWriter, r *http.Request) {
-	given, ok := a.await(r, func(reply func(answer)) {
-		reply(answer{status: http.StatusOK, body: []byte(a.daemon.renderMetrics())})
+	resp, ok := a.await(r, func(reply func(response)) {
+		reply(response{status: http.StatusOK, body: []byte(a.daemon.renderMetrics())})
 	})
 	if !ok {
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	w.WriteHeader(given.status)
-	_, _ = w.Write(given.body)
+	w.WriteHeader(resp.status)
+	_, _ = w.Write(resp.body)
 }
 
 // renderMetrics is the body of /metrics, one figure a line.
 func (d *daemon) renderMetrics() string {
 	figures := map[string]float64{
 		"control_orders_under_way": float64(len(d.orders.queue)),
-		"control_calls_waiting":    float64(len(d.waiting)),
+		"control_calls_waiting":    float64(len(d.pendingCalls)),
 		"control_active":           0,
 		"control_session_age_s":    d.agent.SessionAge().Seconds(),
 	}
@@ -98,10 +98,10 @@
 	if p := d.primary; p != nil {
 		figures["control_active"] = 1
 		figures["control_configuration_revision"] = float64(p.revision())
-		figures["control_orders_taken"] = float64(p.operator.Taken())
+		figures["control_orders_taken"] = float64(p.orders.Taken())
 		figures["control_partitions"] = float64(len(p.model.partitions))
 		for _, role := range []protocol.Role{protocol.RoleControl, protocol.RoleDispatcher, protocol.RoleStore} {
-			figures[fmt.Sprintf("control_sessions{role=%q}", role)] = float64(p.nodes(role))
+			figures[fmt.Sprintf("control_sessions{role=%q}", role)] = float64(p.countNodes(role))
 		}
 	}
 	var page strings.Builder
--- a/internal/roles/control/storefaults.go
+++ b/internal/roles/control/storefaults.go
@@ -25,14 +25,14 @@
 	faultFreeReset            = time.Minute
 )
 
-// pauser says how long something is left out, with a pause that doubles.
-type pauser struct {
+// exclusion says how long something is left out, with a pause that doubles.
+type exclusion struct {
 	until time.Duration // in force before it
 	pause time.Duration
 }
 
 // extend keeps the trouble in force from now on, and reports whether it was not before.
-func (t *pauser) extend(now, first time.Duration) (begun bool) {
+func (t *exclusion) extend(now, first time.Duration) (begun bool) {
 	if begun = now >= t.until; begun {
 		if t.pause == 0 || now-t.until >= faultFreeReset {
 			t.pause = first
@@ -44,61 +44,61 @@
 	return begun
 }
 
-func (t *pauser) inForce(now time.Duration) bool { return now < t.until }
+func (t *exclusion) inForce(now time.Duration) bool { return now < t.until }
 
 // pairFault is that two stores cannot reach each other.
 type pairFault struct {
-	pauser
+	exclusion
 	since, last time.Duration // of the complaints that are repeated now; last 0 for none
 }
 
 // storeFaults is what the stores' heartbeats say about each other's links and about their disks.
 type storeFaults struct {
-	pairs   map[[2]string]*pairFault // by the two members in order
-	stalled map[string]*pauser       // by member
-	heard   map[string]time.Duration // by member: its last heartbeat
-	active  int                      // troubles in force at the last tick
+	pairs         map[[2]string]*pairFault // by the two members in order
+	stalled       map[string]*exclusion    // by member
+	lastHeartbeat map[string]time.Duration // by member: its last heartbeat
+	active        int                      // troubles in force at the last tick
 }
 
 func newStoreFaults() storeFaults {
-	return storeFaults{pairs: make(map[[2]string]*pairFault), stalled: make(map[string]*pauser), heard: make(map[string]time.Duration)}
+	return storeFaults{pairs: make(map[[2]string]*pairFault), stalled: make(map[string]*exclusion), lastHeartbeat: make(map[string]time.Duration)}
 }
 
 // heartbeat notes what a store says, and reports whether there is something new to plan for.
 func (t *storeFaults) heartbeat(now time.Duration, h *protocol.Heartbeat) (changed bool) {
-	if before, known := t.heard[h.Node.Member]; known && now-before > unresponsiveAfter {
+	if before, known := t.lastHeartbeat[h.Node.Member]; known && now-before > unresponsiveAfter {
 		t.discardReports(h.Node.Member)
 	}
-	t.heard[h.Node.Member] = now
+	t.lastHeartbeat[h.Node.Member] = now
 	for _, other := range h.UnreachablePeers {
 		pair := [2]string{min(h.Node.Member, other), max(h.Node.Member, other)}
-		one := t.pairs[pair]
-		if one == nil {
-			one = &pairFault{}
-			t.pairs[pair] = one
+		fault := t.pairs[pair]
+		if fault == nil {
+			fault = &pairFault{}
+			t.pairs[pair] = fault
 		}
-		if one.last == 0 || now-one.last > reportLifetime {
-			one.since = now
+		if fault.last == 0 || now-fault.last > reportLifetime {
+			fault.since = now
 		}
-		one.last = now
+		fault.last = now
 	}
 	if !h.DiskStalled {
 		return false
 	}
-	one := t.stalled[h.Node.Member]
-	if one == nil {
-		one = &pauser{}
-		t.stalled[h.Node.Member] = one
+	fault := t.stalled[h.Node.Member]
+	if fault == nil {
+		fault = &exclusion{}
+		t.stalled[h.Node.Member] = fault
 	}
-	return one.extend(now, stalledFirstExclusion)
+	return fault.extend(now, stalledFirstExclusion)
 }
 
 // discardReports voids the complaints about a store, and its own, that have not led to anything: they were about its silence, which is over, and
 // say nothing of its links now.
 func (t *storeFaults) discardReports(member string) {
-	for pair, one := range t.pairs {
+	for pair, fault := range t.pairs {
 		if pair[0] == member || pair[1] == member {
-			one.since, one.last = 0, 0
+			fault.since, fault.last = 0, 0
 		}
 	}
 }
@@ -106,27 +106,27 @@
 // tick takes complaints that have settled, ends what is over, and reports whether there is something new to plan for.
 func (t *storeFaults) tick(now time.Duration) (changed bool) {
 	active := 0
-	for pair, one := range t.pairs {
-		if one.last > one.since && now-one.last <= reportLifetime && now-one.since >= unreachableConfirmTime && t.bothResponsive(now, pair) {
-			changed = one.extend(now, unreachableFirstExclusion) || changed
+	for pair, fault := range t.pairs {
+		if fault.last > fault.since && now-fault.last <= reportLifetime && now-fault.since >= unreachableConfirmTime && t.bothResponsive(now, pair) {
+			changed = fault.extend(now, unreachableFirstExclusion) || changed
 		}
 		switch {
-		case one.inForce(now):
+		case fault.inForce(now):
 			active++
-		case now-max(one.until, one.last) >= faultFreeReset:
+		case now-max(fault.until, fault.last) >= faultFreeReset:
 			delete(t.pairs, pair)
 		}
 	}
-	for member, heard := range t.heard {
-		if now-heard >= faultFreeReset {
-			delete(t.heard, member)
+	for member, last := range t.lastHeartbeat {
+		if now-last >= faultFreeReset {
+			delete(t.lastHeartbeat, member)
 		}
 	}
-	for member, one := range t.stalled {
+	for member, fault := range t.stalled {
 		switch {
-		case one.inForce(now):
+		case fault.inForce(now):
 			active++
-		case now-one.until >= faultFreeReset:
+		case now-fault.until >= faultFreeReset:
 			delete(t.stalled, member)
 		}
 	}
@@ -138,18 +138,18 @@
 // bothResponsive reports whether both stores of a pair have sent heartbeats lately.
 func (t *storeFaults) bothResponsive(now time.Duration, pair [2]string) bool {
 	for _, member := range pair {
-		if heard, known := t.heard[member]; !known || now-heard > unresponsiveAfter {
+		if last, known := t.lastHeartbeat[member]; !known || now-last > unresponsiveAfter {
 			return false
 		}
 	}
 	return true
 }
 
-// blocked returns the pairs that cannot reach each other, in order.
-func (t *storeFaults) blocked(now time.Duration) [][2]string {
+// blockedPairs returns the pairs that cannot reach each other, in order.
+func (t *storeFaults) blockedPairs(now time.Duration) [][2]string {
 	var pairs [][2]string
-	for pair, one := range t.pairs {
-		if one.inForce(now) && t.bothResponsive(now, pair) {
+	for pair, fault := range t.pairs {
+		if fault.inForce(now) && t.bothResponsive(now, pair) {
 			pairs = append(pairs, pair)
 		}
 	}
@@ -159,6 +159,6 @@
 
 // isStalled reports whether a store's disk is not to be counted on.
 func (t *storeFaults) isStalled(now time.Duration, member string) bool {
-	one := t.stalled[member]
-	return one != nil && one.inForce(now)
+	fault := t.stalled[member]
+	return fault != nil && fault.inForce(now)
 }
--- a/internal/roles/control/storefaults_cluster_test.go
+++ b/internal/roles/control/storefaults_cluster_test.go
@@ -8,8 +8,8 @@
 	"liftgauge/internal/protocol"
 )
 
-// none tells whether no partition has a fitting view, and there are partitions.
-func none(v *agent.View, fits func(p *protocol.PartitionView) bool) bool {
+// noPartition tells whether no partition has a fitting view, and there are partitions.
+func noPartition(v *agent.View, fits func(p *protocol.PartitionView) bool) bool {
 	for i := range v.Partitions.Partitions {
 		if fits(&v.Partitions.Partitions[i]) {
 			return false
@@ -32,7 +32,7 @@
 	stores[0].setFaults(false, members[1])
 	stores[1].setFaults(false, members[0])
 	c.await(last.Agent, "a table in which the two share nothing, and all is whole", func(v *agent.View) bool {
-		return placed(v, members...) && none(v, func(p *protocol.PartitionView) bool {
+		return placed(v, members...) && noPartition(v, func(p *protocol.PartitionView) bool {
 			return slices.Contains(p.Members, members[0]) && slices.Contains(p.Members, members[1])
 		})
 	})
@@ -46,10 +46,10 @@
 	c.await(stores[2].Agent, "the first table", func(v *agent.View) bool { return placed(v, members...) })
 	stores[0].setFaults(true)
 	c.await(stores[2].Agent, "a table without the stalled store", func(v *agent.View) bool {
-		return none(v, func(p *protocol.PartitionView) bool { return slices.Contains(p.Members, members[0]) })
+		return noPartition(v, func(p *protocol.PartitionView) bool { return slices.Contains(p.Members, members[0]) })
 	})
 	stores[0].setFaults(false)
 	c.await(stores[2].Agent, "the store among the members again", func(v *agent.View) bool {
-		return !none(v, func(p *protocol.PartitionView) bool { return slices.Contains(p.Members, members[0]) })
+		return !noPartition(v, func(p *protocol.PartitionView) bool { return slices.Contains(p.Members, members[0]) })
 	})
 }
--- a/internal/roles/control/stores_test.go
+++ b/internal/roles/control/stores_test.go
@@ -195,7 +195,7 @@
 	c.startAll()
 	c.await(c.startDispatcher(20), "the list", func(v *agent.View) bool { return len(v.Workers.Workers) == 1 })
 	c.machine(3).onLoop(c, func(d *daemon) {
-		if !d.reader.mayRead(d.reader.term) || d.reader.unread.Load() {
+		if !d.reader.mayRead(d.reader.term) || d.reader.stale.Load() {
 			t.Error("another has the duty")
 		}
 	})
--- a/internal/roles/control/takeover_test.go
+++ b/internal/roles/control/takeover_test.go
@@ -54,7 +54,7 @@
 		is.Equal(revision, base)
 		is.Equal(c.replace(c.primary(), 0, configurationOf(1, "first")), http.StatusOK) // taken before, under another primary
 		c.start(old)
-		c.whole(3)
+		c.awaitMembers(3)
 	}
 }
 
@@ -64,8 +64,8 @@
 	return epoch
 }
 
-// whole waits until the group has so many members that are equal.
-func (c *cluster) whole(members int) {
+// awaitMembers waits until the group has so many members that are equal.
+func (c *cluster) awaitMembers(members int) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("a view of %d members", members), func() bool {
 		whole := false
@@ -103,7 +103,7 @@
 	c := newCluster(t, 4)
 	c.startAll()
 	is.Equal(c.replace(c.machine(1), 0, configurationOf(1, "x")), http.StatusOK)
-	c.whole(3)
+	c.awaitMembers(3)
 	wiped := c.primary()
 	before := wiped.process.self.Member
 	c.kill(wiped)
@@ -118,7 +118,7 @@
 		c.primary().onLoop(c, func(d *daemon) { view = d.elector.View() })
 		return view.IsWitness(member) && !view.IsWitness(before)
 	})
-	c.whole(3)
+	c.awaitMembers(3)
 	for host := 1; host <= 4; host++ {
 		revision, _ := c.described(c.machine(host))
 		is.Equal(revision, uint64(2))
@@ -131,20 +131,20 @@
 	c := newCluster(t, 4)
 	c.startAll()
 	is.Equal(c.replace(c.machine(1), 0, configurationOf(1, "old")), http.StatusOK)
-	c.whole(3)
+	c.awaitMembers(3)
 	old := c.primary()
 	frozen, thaw := make(chan struct{}), make(chan struct{})
 	old.process.loop.post(func() { close(frozen); <-thaw })
 	<-frozen
 	// What waits in the frozen process's queue first are calls of the operator.
-	described := make(chan answer, 1)
-	ordered := make(chan answer, 1)
+	described := make(chan response, 1)
+	ordered := make(chan response, 1)
 	d := old.process.daemon
 	d.loop.post(func() {
-		d.withPrimary(func(p *primary) { p.describe(func(a answer) { described <- a }) }, func(a answer) { described <- a })
+		d.withPrimary(func(p *primary) { p.describe(func(a response) { described <- a }) }, func(a response) { described <- a })
 	})
 	stale := configuration.Order{Verb: configuration.VerbReplace, Base: 2, Body: configurationOf(3, "new")}
-	d.loop.post(func() { d.submitOrder(stale, stale.Hash(), func(a answer) { ordered <- a }) })
+	d.loop.post(func() { d.submitOrder(stale, stale.Hash(), func(a response) { ordered <- a }) })
 
 	others := &cluster{t: t, ctx: c.ctx, machines: make(map[string]*machine)}
 	for name, m := range c.machines {
--- a/internal/roles/control/tolerance.go
+++ b/internal/roles/control/tolerance.go
@@ -25,8 +25,8 @@
 )
 
 // observe takes how many losses are borne and asked for now, and how long a shortage is nothing unusual.
-func (w *toleranceWatch) observe(now time.Duration, borne, asked int, patience time.Duration) toleranceChange {
-	if borne >= asked {
+func (w *toleranceWatch) observe(now time.Duration, tolerated, required int, timeout time.Duration) toleranceChange {
+	if tolerated >= required {
 		restored := w.reported
 		*w = toleranceWatch{}
 		if restored {
@@ -37,7 +37,7 @@
 	if !w.short {
 		w.short, w.shortSince = true, now
 	}
-	if w.reported || now-w.shortSince < patience {
+	if w.reported || now-w.shortSince < timeout {
 		return toleranceUnchanged
 	}
 	w.reported = true
@@ -47,14 +47,14 @@
 // watchTolerance logs when control has too few witnesses for FaultTolerance, and when it has enough again.
 func (p *primary) watchTolerance(now time.Duration) {
 	d := p.daemon
-	view, asked := d.elector.View(), d.settings.Copies()-1
+	view, required := d.elector.View(), d.settings.Copies()-1
 	witnesses := zap.Strings("witnesses", view.Witnesses)
-	borne := zap.Int("losses_borne", view.ToleratedLosses())
-	switch p.tolerance.observe(now, view.ToleratedLosses(), asked, d.settings.Bounds.CatchUp()) {
+	tolerated := zap.Int("losses_borne", view.ToleratedLosses())
+	switch p.tolerance.observe(now, view.ToleratedLosses(), required, d.settings.Bounds.CatchUp()) {
 	case toleranceLost:
-		d.logger.Warn("control: bears fewer losses than FaultTolerance asks for: run it on more machines with a disk", borne,
-			zap.Int("losses_asked", asked), zap.Int("machines_needed", replication.WitnessesFor(asked)), witnesses)
+		d.logger.Warn("control: bears fewer losses than FaultTolerance asks for: run it on more machines with a disk", tolerated,
+			zap.Int("losses_asked", required), zap.Int("machines_needed", replication.WitnessesFor(required)), witnesses)
 	case toleranceRestored:
-		d.logger.Info("control: bears as many losses as FaultTolerance asks for again", borne, witnesses)
+		d.logger.Info("control: bears as many losses as FaultTolerance asks for again", tolerated, witnesses)
 	}
 }
--- a/internal/roles/control/tolerance_test.go
+++ b/internal/roles/control/tolerance_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestToleranceIsReportedOnceAndOnlyAfterARepairsTime(t *testing.T) {
-	const patience = 4 * time.Second
+	const repairTime = 4 * time.Second
 	is := is.New(t)
 	var w toleranceWatch
 	for _, step := range []struct {
-		at           time.Duration
-		borne, asked int
-		want         toleranceChange
+		at                  time.Duration
+		tolerated, required int
+		want                toleranceChange
 	}{
 		{0, 1, 2, toleranceUnchanged},
 		{3 * time.Second, 1, 2, toleranceUnchanged},
@@ -26,6 +26,6 @@
 		{12 * time.Second, 2, 2, toleranceUnchanged},
 		{13 * time.Second, 0, 0, toleranceUnchanged},
 	} {
-		is.Equal(w.observe(step.at, step.borne, step.asked, patience), step.want)
+		is.Equal(w.observe(step.at, step.tolerated, step.required, repairTime), step.want)
 	}
 }
--- a/internal/roles/control/waiting.go
+++ b/internal/roles/control/waiting.go
@@ -14,8 +14,8 @@
 	confirmTimeout = 600 * time.Millisecond
 )
 
-// answer is what a call of the operator is answered.
-type answer struct {
+// response is what a call of the operator is answered.
+type response struct {
 	status       int
 	body         []byte
 	contentType  string // of the body; JSON where it is empty
@@ -23,39 +23,39 @@
 	controlPlane string // of the primary, for 307
 }
 
-func refusal(status int, text string) answer { return answer{status: status, text: text} }
+func errorResponse(status int, text string) response { return response{status: status, text: text} }
 
 // unavailable is no clear answer: the operator sends the call again.
-func unavailable(text string) answer { return refusal(http.StatusServiceUnavailable, text) }
+func unavailable(text string) response { return errorResponse(http.StatusServiceUnavailable, text) }
 
-func redirect(controlPlane string) answer {
-	return answer{status: http.StatusTemporaryRedirect, controlPlane: controlPlane}
+func redirect(controlPlane string) response {
+	return response{status: http.StatusTemporaryRedirect, controlPlane: controlPlane}
 }
 
-// waiter is a call that waits for a primary to be known.
-type waiter struct {
+// pendingCall is a call that waits for a primary to be known.
+type pendingCall struct {
 	deadline time.Duration
 	run      func(*primary)
-	refuse   func(answer)
+	reply    func(response)
 }
 
 // withPrimary runs a function with the active primary if that is this process. Otherwise the call is sent on to the primary, or waits until
 // one is known.
-func (d *daemon) withPrimary(run func(*primary), refuse func(answer)) {
-	w := &waiter{deadline: d.now() + holdTimeout, run: run, refuse: refuse}
+func (d *daemon) withPrimary(run func(*primary), reply func(response)) {
+	w := &pendingCall{deadline: d.now() + holdTimeout, run: run, reply: reply}
 	if !d.resolve(w) {
-		d.waiting = append(d.waiting, w)
+		d.pendingCalls = append(d.pendingCalls, w)
 	}
 }
 
 // resolve answers a waiting call if that can be done now.
-func (d *daemon) resolve(w *waiter) bool {
+func (d *daemon) resolve(w *pendingCall) bool {
 	if d.primary != nil {
 		w.run(d.primary)
 		return true
 	}
 	if other := d.otherPrimary(); other != "" {
-		w.refuse(redirect(other))
+		w.reply(redirect(other))
 		return true
 	}
 	return false
@@ -72,11 +72,11 @@
 
 // retryPendingCalls answers what waited for a primary to be known, after something about that has changed.
 func (d *daemon) retryPendingCalls() {
-	waiting := d.waiting
-	d.waiting = nil
+	waiting := d.pendingCalls
+	d.pendingCalls = nil
 	for _, w := range waiting {
 		if !d.resolve(w) {
-			d.waiting = append(d.waiting, w)
+			d.pendingCalls = append(d.pendingCalls, w)
 		}
 	}
 	d.redirectOrders()
@@ -84,26 +84,26 @@
 
 // expirePendingCalls refuses the calls that have waited too long.
 func (d *daemon) expirePendingCalls(now time.Duration) {
-	waiting := d.waiting
-	d.waiting = nil
+	waiting := d.pendingCalls
+	d.pendingCalls = nil
 	for _, w := range waiting {
 		if now < w.deadline {
-			d.waiting = append(d.waiting, w)
+			d.pendingCalls = append(d.pendingCalls, w)
 			continue
 		}
-		w.refuse(unavailable("no primary is known: try again"))
+		w.reply(unavailable("no primary is known: try again"))
 	}
 }
 
 // confirm calls f with whether this process still is the primary by the word of a majority.
-func (d *daemon) confirm(f func(stands bool)) {
+func (d *daemon) confirm(f func(confirmed bool)) {
 	answered := false
-	once := func(stands bool) {
+	once := func(confirmed bool) {
 		if !answered {
 			answered = true
-			f(stands)
+			f(confirmed)
 		}
 	}
 	d.loop.after(confirmTimeout, func() { once(false) })
-	d.act(d.elector.Confirm(d.now(), once))
+	d.execute(d.elector.Confirm(d.now(), once))
 }
--- a/internal/roles/control/writer.go
+++ b/internal/roles/control/writer.go
@@ -19,11 +19,11 @@
 type writer struct {
 	// write replicates a batch; done is called on the event loop.
 	write func(records []replication.Record, done func(error))
-	// began is called when a batch begins, with the model as it is after it; what it returns is called when the batch is durable.
-	began func() (durable func())
-	after func(time.Duration, func())
-	// refused is called each time that the own disk has refused a batch more often than is borne.
-	refused func()
+	// onBegin is called when a batch begins, with the model as it is after it; what it returns is called when the batch is durable.
+	onBegin func() (durable func())
+	after   func(time.Duration, func())
+	// onRefused is called each time that the own disk has onRefused a batch more often than is borne.
+	onRefused func()
 
 	records   []replication.Record
 	index     map[string]int // of records, by key
@@ -45,8 +45,8 @@
 	w.records = append(w.records, r)
 }
 
-// then calls f when all that was put so far is durable, or with an error if its fate is unknown.
-func (w *writer) then(f func(error)) {
+// onDurable calls f when all that was put so far is durable, or with an error if its fate is unknown.
+func (w *writer) onDurable(f func(error)) {
 	if w.closed {
 		f(replication.ErrDeposed)
 		return
@@ -66,7 +66,7 @@
 			callAll(callbacks, nil)
 			continue
 		}
-		durable := w.began()
+		durable := w.onBegin()
 		w.inFlight = true
 		w.attempt(records, 0, func(err error) {
 			w.inFlight = false
@@ -84,7 +84,7 @@
 		if errors.Is(err, replication.ErrStorage) && !w.closed {
 			refusals++
 			if refusals > toleratedRefusals {
-				w.refused()
+				w.onRefused()
 			}
 			w.after(storageRetry, func() { w.attempt(records, refusals, done) })
 			return
--- a/internal/roles/control/writer_test.go
+++ b/internal/roles/control/writer_test.go
@@ -24,8 +24,8 @@
 			h.batches = append(h.batches, records)
 			h.done = append(h.done, done)
 		},
-		began: func() func() { h.began++; return func() { h.durable++ } },
-		after: func(_ time.Duration, f func()) { h.retries = append(h.retries, f) },
+		onBegin: func() func() { h.began++; return func() { h.durable++ } },
+		after:   func(_ time.Duration, f func()) { h.retries = append(h.retries, f) },
 	}
 }
 
@@ -47,12 +47,12 @@
 		}
 	}
 	w.put(record("a", "1"))
-	w.then(note("first"))
+	w.onDurable(note("first"))
 	w.flush()
 	w.put(record("a", "2"))
 	w.put(record("b", "1"))
 	w.put(record("a", "3"))
-	w.then(note("second"))
+	w.onDurable(note("second"))
 	w.flush()
 	is.Equal(len(h.batches), 1) // one at a time
 	is.Equal(len(outcomes), 0)
@@ -69,13 +69,13 @@
 func TestWriterTellsOfADiskThatRefuses(t *testing.T) {
 	is := is.New(t)
 	var h manualWrites
-	w, told := h.writer(), 0
-	w.refused = func() { told++ }
+	w, reported := h.writer(), 0
+	w.onRefused = func() { reported++ }
 	w.put(record("a", "1"))
 	w.flush()
 	for n := range toleratedRefusals + 2 {
 		h.done[n](replication.ErrStorage)
-		is.Equal(told, max(0, n+1-toleratedRefusals))
+		is.Equal(reported, max(0, n+1-toleratedRefusals))
 		h.retries[n]()
 	}
 	h.done[toleratedRefusals+2](nil)
@@ -83,7 +83,7 @@
 	w.put(record("a", "2")) // the next batch begins anew
 	w.flush()
 	h.done[toleratedRefusals+3](replication.ErrStorage)
-	is.Equal(told, 2)
+	is.Equal(reported, 2)
 }
 
 func TestWriterAnswersAtOnceWithNothingToWrite(t *testing.T) {
@@ -91,7 +91,7 @@
 	var h manualWrites
 	w := h.writer()
 	answered := false
-	w.then(func(err error) { answered = err == nil })
+	w.onDurable(func(err error) { answered = err == nil })
 	w.flush()
 	is.True(answered)
 	is.Equal(h.began, 0)
@@ -104,7 +104,7 @@
 	var outcome error
 	answered := 0
 	w.put(record("a", "1"))
-	w.then(func(err error) { outcome = err; answered++ })
+	w.onDurable(func(err error) { outcome = err; answered++ })
 	w.flush()
 	h.done[0](replication.ErrStorage)
 	is.Equal(answered, 0) // its fate is open
@@ -126,15 +126,15 @@
 		}
 	}
 	w.put(record("a", "1"))
-	w.then(count)
+	w.onDurable(count)
 	w.flush()
 	w.put(record("b", "1"))
-	w.then(count)
+	w.onDurable(count)
 	w.close()
 	is.Equal(failed, 1) // the one that had not begun
 	h.done[0](replication.ErrDeposed)
 	is.Equal(failed, 2)
-	w.then(count)
+	w.onDurable(count)
 	is.Equal(failed, 3)
 	w.flush()
 	is.Equal(len(h.batches), 1)
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -54,7 +54,7 @@
 	},
 	{
 		Promise: "a founder keeps the orders that were taken", File: "internal/roles/control/recovered.go",
-		Old: "records = append(records, acceptedRecord(hash, m.taken[hash]))", New: "_ = hash",
+		Old: "records = append(records, acceptedRecord(hash, m.acceptedOrders[hash]))", New: "_ = hash",
 		Package: "./internal/roles/control",
 	},
 	{
@@ -125,7 +125,7 @@
 	},
 	{
 		Promise: "a holder that cannot reach the platform gives the duty up", File: "internal/roles/control/duty.go",
-		Old: "if listStale && s.round", New: "if false && s.round",
+		Old: "if listStale && s.election", New: "if false && s.election",
 		Package: "./internal/roles/control",
 	},
 }
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -73,12 +73,12 @@
 	},
 	{
 		Promise: "an order is on disk before it is acknowledged", File: "internal/roles/control/orders.go",
-		Old: "p.writer.then(func(err error) {\n\t\tif err != nil {\n\t\t\td.logger.Warn(\"control: the fate",
-		New: "d.finishOrder(o, answer{status: http.StatusOK})\n\tp.writer.then(func(err error) {\n\t\tif err != nil {\n\t\t\td.logger.Warn(\"control: the fate",
+		Old: "p.writer.onDurable(func(err error) {\n\t\tif err != nil {\n\t\t\td.logger.Warn(\"control: the outcome",
+		New: "d.finishOrder(o, response{status: http.StatusOK})\n\tp.writer.onDurable(func(err error) {\n\t\tif err != nil {\n\t\t\td.logger.Warn(\"control: the outcome",
 	},
 	{
 		Promise: "a majority confirms what is read", File: "internal/roles/control/waiting.go",
-		Old: "d.act(d.elector.Confirm(d.now(), once))", New: "once(true)",
+		Old: "d.execute(d.elector.Confirm(d.now(), once))", New: "once(true)",
 	},
 	{
 		Promise: "complaints from before a silence are void", File: "internal/roles/control/storefaults.go",
@@ -112,20 +112,20 @@
 	},
 	{
 		Promise: "a refused order is refused by a primary that a majority confirms", File: "internal/roles/control/orders.go",
-		Old:     "\t\tif stands {\n",
-		New:     "\t\tif stands || text != \"\" {\n",
+		Old:     "\t\tif confirmed {\n",
+		New:     "\t\tif confirmed || text != \"\" {\n",
 		Package: "./internal/roles/control",
 	},
 	{
 		Promise: "the state of a retirement is told by a primary that a majority confirms", File: "internal/roles/control/operator.go",
-		Old:     "if !stands || d.primary != p {",
+		Old:     "if !confirmed || d.primary != p {",
 		New:     "if d.primary != p {",
 		Package: "./internal/roles/control",
 	},
 	{
 		Promise: "a retirement has succeeded when no partition names the store", File: "internal/roles/control/retire.go",
-		Old:     "if p.model.names(s.Member) {",
-		New:     "if s.Emptied && p.model.names(s.Member) {",
+		Old:     "if p.model.references(s.Member) {",
+		New:     "if s.Emptied && p.model.references(s.Member) {",
 		Package: "./internal/roles/control",
 	},
 	{
@@ -248,7 +248,7 @@
 	},
 	{
 		Promise: "too few witnesses are told of", File: "internal/roles/control/tolerance.go",
-		Old: "if w.reported || now-w.shortSince < patience {", New: "if true {",
+		Old: "if w.reported || now-w.shortSince < timeout {", New: "if true {",
 		Package: "./internal/roles/control",
 	},
 	{
