--- a/internal/roles/control/abandon.go
+++ b/internal/roles/control/abandon.go
@@ -11,9 +11,9 @@
 	"liftgauge/placement"
 )
 
-// abandonmentBody is what the operator reads of an abandonment.
+// abandonmentBody is the JSON body that describes an abandonment to the operator.
 type abandonmentBody struct {
-	Stores []string // the disks that are given up, by member
+	Stores []string // members whose disks are abandoned
 	placement.Abandonment
 }
 
@@ -38,7 +38,7 @@
 	})
 }
 
-// abandonable lists the disks of a machine that are gone: those of stores without a session.
+// abandonable returns the members on a machine whose disks may be abandoned: those of stores without a session.
 func (p *primary) abandonable(name string) (members []string) {
 	for _, s := range p.storesNamed(name) {
 		if _, live := p.sessionOf(s.Member); !live {
@@ -48,7 +48,7 @@
 	return members
 }
 
-// sessionOf returns the key of the live process that has a disk.
+// sessionOf returns the key of the process that has a session with the given disk.
 func (p *primary) sessionOf(member string) (key string, live bool) {
 	for key, node := range p.model.nodes {
 		if node.Member == member {
@@ -58,7 +58,7 @@
 	return "", false
 }
 
-// abandonment tells what giving up disks of a machine means.
+// abandonment describes the effects of abandoning the given disks of a machine.
 func (p *primary) abandonment(now time.Duration, name string, members []string) response {
 	switch {
 	case len(p.storesNamed(name)) == 0:
@@ -66,12 +66,12 @@
 	case len(members) == 0:
 		return errorResponse(http.StatusConflict, "the store of this machine is there with its disk: empty it by /retire/NODE/start")
 	}
-	page := abandonmentBody{Stores: members, Abandonment: placement.PreviewAbandonment(p.placementInput(now), members)}
-	body, _ := json.Marshal(page) // numbers and texts always encode
+	summary := abandonmentBody{Stores: members, Abandonment: placement.PreviewAbandonment(p.placementInput(now), members)}
+	body, _ := json.Marshal(summary) // numbers and strings always encode
 	return response{status: http.StatusOK, body: body}
 }
 
-// startAbandonment gives up the disks of a machine whose store is gone, and answers what that means.
+// startAbandonment abandons the disks of a machine whose stores have no session, and returns the effects.
 func (p *primary) startAbandonment(now time.Duration, name string) response {
 	members := p.abandonable(name)
 	resp := p.abandonment(now, name, members)
@@ -80,7 +80,7 @@
 	}
 	for _, s := range p.storesNamed(name) {
 		if slices.Contains(members, s.Member) && !s.Abandoned {
-			p.daemon.logger.Warn("control: the disk of a store is given up", zap.String("store", s.Member))
+			p.daemon.logger.Warn("control: the disk of a store is abandoned", zap.String("store", s.Member))
 			s.Abandoned = true
 			p.put(s.record())
 			p.placement.planWanted = true
--- a/internal/roles/control/abandon_test.go
+++ b/internal/roles/control/abandon_test.go
@@ -12,9 +12,10 @@
 	"liftgauge/internal/protocol"
 )
 
-// Two of three stores never come back, one more than F: partitions that lie on both rest, and status says for which disks, until the operator gives
-// them up. That is refused for a store that is there, changes nothing before it is confirmed, and is kept through a change of the primary.
-func TestStoresAreGivenUp(t *testing.T) {
+// Two of three stores are lost for good, one more than FaultTolerance covers: partitions with members on both wait, and status lists the disks that
+// they wait for, until the operator abandons these. Abandoning is rejected for a store that has a session, a preview of it changes nothing, and it
+// survives a change of the primary.
+func TestLostStoresCanBeAbandoned(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
@@ -42,28 +43,28 @@
 	preview, err := client.Abandonment(c.ctx, stores[0].name)
 	is.NoErr(err)
 	is.Equal(preview.Stores, members[:1])
-	is.Equal(preview.Waiting, waiting) // for the other
+	is.Equal(preview.Waiting, waiting) // still for the other store
 	is.True(preview.Kept > 0)
 	again, err := client.Abandonment(c.ctx, stores[0].name)
 	is.NoErr(err)
-	is.Equal(again, preview) // nothing was done
+	is.Equal(again, preview) // the preview changed nothing
 
 	_, err = client.Abandon(c.ctx, stores[0].name)
 	is.NoErr(err)
 	c.kill(c.primary())
 	preview, err = client.Abandonment(c.ctx, stores[1].name)
 	is.NoErr(err)
-	is.Equal(preview.Emptied+preview.Incomplete, waiting) // the third may be a learner since the first was gone
+	is.Equal(preview.Emptied+preview.Incomplete, waiting) // the third may have become a learner after the first was lost
 	_, err = client.Abandon(c.ctx, stores[1].name)
 	is.NoErr(err)
 	fourth := c.startStore(33, "disk")
-	c.await(watch, "partitions on what is left", func(v *agent.View) bool { return placed(v, stores[2].member, fourth.member) })
+	c.await(watch, "partitions on the remaining stores", func(v *agent.View) bool { return placed(v, stores[2].member, fourth.member) })
 	status, err = client.Status(c.ctx)
 	is.NoErr(err)
 	is.Equal(status.Partitions.Waiting, 0)
 
-	c.startStore(30, "disk") // back all the same
-	c.eventually("its disk to count again", func() bool {
+	c.startStore(30, "disk") // an abandoned store returns
+	c.eventually("its disk not to be abandoned any longer", func() bool {
 		status, err := client.Status(c.ctx)
 		is.NoErr(err)
 		for _, s := range status.Stores {
--- a/internal/roles/control/activation.go
+++ b/internal/roles/control/activation.go
@@ -9,15 +9,15 @@
 	"liftgauge/replication"
 )
 
-// activationKey is the record of replication.LocalGroup that counts how often this disk's process became active in an epoch.
+// activationKey is the record of replication.LocalGroup that counts how often the process on this disk became active in an epoch.
 const activationKey = "control/activation"
 
-// activationBits hold the number of the activation in the version of that record.
+// activationBits is the number of low bits of the version of that record that hold the activation number; the epoch is above them.
 const activationBits = 20
 
-// activate is called when the replica has become active: its records are what all members have on disk. This process acts as primary once
-// they are on enough disks. Until then it may hold an order that was never acknowledged and that the loss of its disk would take away:
-// to publish or to acknowledge that one would be a promise that one loss can break.
+// activate is called when the replica has become active, which means that all members have its records on disk. This process acts as
+// primary only once the records are on enough disks. Until then it may hold an unacknowledged order that would be lost with its disk, so
+// publishing or acknowledging that order would not be durable.
 func (d *daemon) activate(epoch uint64) {
 	if !d.replica.IsActive() || d.replica.View().Epoch != epoch {
 		return
@@ -34,14 +34,14 @@
 	})
 }
 
-// beginActivation counts the activation on disk before anything is published.
+// beginActivation writes the next activation number to disk before anything is published.
 func (d *daemon) beginActivation(epoch uint64) {
 	if !d.replica.IsActive() || d.replica.View().Epoch != epoch || d.primary != nil {
 		return
 	}
 	activation, err := d.nextActivation(epoch)
 	if err != nil {
-		d.logger.Error("control: cannot read the own records", reason(err))
+		d.logger.Error("control: cannot read the local records", reason(err))
 		d.execute(d.elector.Resign(d.now()))
 		return
 	}
@@ -50,13 +50,13 @@
 	})
 }
 
-// activated goes on when the number of the activation is on disk, so that no version of an item is ever published twice.
+// activated continues once the activation number is on disk, so that no version of an item is ever published twice.
 func (d *daemon) activated(epoch, activation uint64, err error) {
 	if !d.replica.IsActive() || d.replica.View().Epoch != epoch || d.primary != nil {
 		return
 	}
 	if err != nil {
-		d.logger.Warn("control: cannot write; trying again", reason(err))
+		d.logger.Warn("control: cannot write the activation; retrying", reason(err))
 		d.loop.after(storageRetry, func() { d.activate(epoch) })
 		return
 	}
@@ -76,7 +76,7 @@
 	d.nextOrder()
 }
 
-// deactivate ends acting as primary.
+// deactivate stops acting as primary.
 func (d *daemon) deactivate() {
 	p := d.primary
 	if p == nil {
@@ -93,7 +93,7 @@
 	return replication.Record{Key: activationKey, Version: epoch<<activationBits | activation, Value: binary.AppendUvarint(value, activation)}
 }
 
-// nextActivation returns the number of the coming activation in the epoch, from 1.
+// nextActivation returns the number of the next activation in the epoch, starting at 1.
 func (d *daemon) nextActivation(epoch uint64) (uint64, error) {
 	record, found, err := d.storage.Get(replication.LocalGroup, activationKey)
 	if err != nil || !found {
--- a/internal/roles/control/cluster_test.go
+++ b/internal/roles/control/cluster_test.go
@@ -23,13 +23,13 @@
 	"liftgauge/internal/protocol"
 )
 
-// testTimeout bounds every wait of these tests; it says nothing about how long things should take.
+// testTimeout limits every wait of these tests. It is not the expected duration of anything.
 const testTimeout = 60 * time.Second
 
-// testNetwork gives each cluster a network of its own among the loopback addresses.
+// testNetwork counts the clusters, each of which uses a separate network of loopback addresses.
 var testNetwork atomic.Uint32
 
-// cluster is a few control processes with disks on loopback addresses of their own, and what talks to them.
+// cluster is a group of control processes with disks on separate loopback addresses, with the settings that their clients share.
 type cluster struct {
 	t         *testing.T
 	ctx       context.Context
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+c.network/250, 1+c.network%250, host)
 }
 
-// freePort returns a port that nobody had on this cluster's network a moment ago.
+// freePort returns a port that was free on the cluster's network when it was checked.
 func (c *cluster) freePort() int {
 	l, err := net.Listen("tcp", c.ip(1)+":0")
 	if err != nil {
@@ -80,7 +80,7 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// settings describes a machine of the cluster.
+// settings returns the settings of a machine of the cluster.
 func (c *cluster) settings(host int, name string) *nodeconfig.Settings {
 	s := &nodeconfig.Settings{
 		NodeName: name, Ip: c.ip(host), Zone: fmt.Sprintf("zone-%d", host%4), Region: "region",
@@ -92,7 +92,7 @@
 	return s
 }
 
-// add makes a control machine with an empty disk; it is not started.
+// add creates a control machine with an empty disk without starting it.
 func (c *cluster) add(host int) *machine {
 	name := fmt.Sprintf("control-%d", host)
 	s := c.settings(host, name)
@@ -125,7 +125,7 @@
 	}
 }
 
-// restarted makes settings as the platform gives them after the first start.
+// noBootstrap clears Bootstrap in all settings, as the platform does after the first start.
 func (c *cluster) noBootstrap() {
 	c.bootstrap = false
 	for _, m := range c.machines {
@@ -135,7 +135,7 @@
 	}
 }
 
-// kill ends a process without a word to anybody.
+// kill ends a process without notifying other processes.
 func (c *cluster) kill(m *machine) {
 	if m.process == nil {
 		return
@@ -147,14 +147,14 @@
 	m.process = nil
 }
 
-// wipe empties the disk of a machine that is down.
+// wipe gives a machine that is down an empty disk.
 func (c *cluster) wipe(m *machine) {
 	s := *m.settings
 	s.DataDir = filepath.Join(c.t.TempDir(), s.NodeName)
 	m.settings = &s
 }
 
-// testLogger writes to the test's log until the test ends.
+// testLogger returns a logger that writes to the log of the test until the test ends.
 func testLogger(t *testing.T) *zap.Logger {
 	w := &testWriter{t: t}
 	t.Cleanup(w.end)
@@ -193,7 +193,7 @@
 	return found
 }
 
-// eventually checks again and again until a condition holds.
+// eventually polls until a condition holds.
 func (c *cluster) eventually(what string, holds func() bool) {
 	c.t.Helper()
 	ticker := time.NewTicker(10 * time.Millisecond)
@@ -224,13 +224,13 @@
 	}
 }
 
-// callResult is a clear answer to a call.
+// callResult is the final response to a call.
 type callResult struct {
 	status int
 	body   string
 }
 
-// call makes one call of the operator to one process, following two redirects; ok is false without a clear answer.
+// call makes one call of the operator to one process, following up to two redirects; ok is false without a response of status 2xx or 4xx.
 func (c *cluster) call(m *machine, method, path string, base uint64, body []byte) (r callResult, ok bool) {
 	client := &http.Client{Timeout: 5 * time.Second, CheckRedirect: func(_ *http.Request, via []*http.Request) error {
 		if len(via) > 2 {
@@ -256,7 +256,7 @@
 	return callResult{status: answer.StatusCode, body: string(content)}, answer.StatusCode < 300 || answer.StatusCode >= 400 && answer.StatusCode < 500
 }
 
-// operator makes a call to one process after the other until there is a clear answer.
+// operator makes a call to one process after the other until one responds with status 2xx or 4xx.
 func (c *cluster) operator(first *machine, method, path string, base uint64, body []byte) callResult {
 	c.t.Helper()
 	var r callResult
@@ -266,7 +266,7 @@
 			next = append(next, m)
 		}
 	}
-	c.eventually("a clear answer to "+path, func() bool {
+	c.eventually("a final response to "+path, func() bool {
 		m := next[0]
 		next = append(next[1:], m)
 		var ok bool
@@ -276,7 +276,7 @@
 	return r
 }
 
-// configurationOf makes a configuration with a revision and a mark to tell it from others of the same revision.
+// configurationOf returns a configuration with a revision and a mark that distinguishes it from others of the same revision.
 func configurationOf(revision uint64, mark string) []byte {
 	return fmt.Appendf(nil, `{"Revision":%d,"Routes":[{"Name":"r-1","Hostname":"h.example","PathPrefix":"/%s/","Type":"async","TimeoutMs":500,`+
 		`"TargetLatencyMs":80,"Priority":1,"Backend":"svc","MaxAttempts":6,"Fifo":true,"RetentionS":90.0,"CallbackUrl":false,"TargetStartMs":500}],`+
@@ -284,7 +284,7 @@
 		`"Pull":false,"Static":null}],"Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":262144,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`, revision, mark)
 }
 
-// replace sends a whole configuration.
+// replace sends a complete configuration and returns the status of the response.
 func (c *cluster) replace(m *machine, base uint64, body []byte) int {
 	c.t.Helper()
 	return c.operator(m, http.MethodPost, "/config/replace", base, body).status
--- a/internal/roles/control/cutoff.go
+++ b/internal/roles/control/cutoff.go
@@ -7,23 +7,26 @@
 )
 
 const (
-	// expiryMargin is how much sooner than its session's end a store counts as silent: heartbeats of several stores do not end at one moment.
+	// expiryMargin is how long before the end of its session a store counts as unresponsive, since the last heartbeats of several stores do not
+	// arrive at the same moment.
 	expiryMargin = 250 * time.Millisecond
-	// takeOverTimeout is how long a primary that hears too few stores leaves their sessions open for another to take over.
+	// takeOverTimeout is how long a primary that receives heartbeats from too few stores holds their sessions open for another member to take over.
 	takeOverTimeout = time.Second
-	// takeOverCooldown is how long after that it takes the silence for the stores' own; newPrimaryCooldown the same after it became primary.
+	// For takeOverCooldown after that, and for newPrimaryCooldown after becoming primary, it attributes missing heartbeats to the stores and
+	// requests no take-over.
 	takeOverCooldown   = 10 * time.Second
 	newPrimaryCooldown = 3 * time.Second
 )
 
-// cutOff is what a primary does when it is more likely cut off from the stores than these are gone.
+// cutOff is the state of a primary that is more likely to be partitioned from the stores than the stores are to be lost.
 type cutOff struct {
-	holdUntil   time.Duration // sessions do not expire before
-	nextRequest time.Duration // no other member is asked before
+	holdUntil   time.Duration // sessions do not expire before this
+	nextRequest time.Duration // no further take-over is requested before this
 }
 
-// awaitsTakeOver tells whether sessions are to stay open, as most stores fell silent at once, in more than one zone: no tolerated loss does that, but
-// a cut around this process does, and other members may hear the stores. One of them is asked to become primary; its deadlines begin anew.
+// awaitsTakeOver reports whether sessions are held open because most stores, in more than one zone, became unresponsive at once. No tolerated loss
+// causes that, but a network partition around this process does, and other members may still receive the stores' heartbeats. One of them is
+// requested to become primary; it starts all session deadlines anew.
 func (p *primary) awaitsTakeOver(now time.Duration) bool {
 	c := &p.cutOff
 	if now >= c.holdUntil && (now < c.nextRequest || now-p.since < newPrimaryCooldown || !p.tooFewStoresResponsive(now)) {
@@ -31,13 +34,14 @@
 	}
 	if now >= c.holdUntil {
 		c.holdUntil, c.nextRequest = now+takeOverTimeout, now+takeOverTimeout+takeOverCooldown
-		p.daemon.logger.Warn("control: most stores fell silent at once; another member is asked to take over")
+		p.daemon.logger.Warn("control: most stores became unresponsive at once; requesting another member to take over")
 	}
 	p.daemon.execute(p.daemon.elector.HandOver(now))
 	return true
 }
 
-// tooFewStoresResponsive tells whether a session of a store is over, and more than half of all stores are silent, more than may be lost, in several zones.
+// tooFewStoresResponsive reports whether the session of a store is due to expire while more than half of all stores, more than the tolerated losses
+// and in several zones, are unresponsive.
 func (p *primary) tooFewStoresResponsive(now time.Duration) bool {
 	role := uint8(protocol.RoleStore)
 	if len(p.sessions.ExpiringWithin(now, role, 0)) == 0 {
--- a/internal/roles/control/cutoff_test.go
+++ b/internal/roles/control/cutoff_test.go
@@ -14,7 +14,7 @@
 	"liftgauge/replication"
 )
 
-// heartbeatInterval is how often the stores of these tests are heard of.
+// heartbeatInterval is the interval at which the stores of these tests send heartbeats.
 const heartbeatInterval = 100 * time.Millisecond
 
 // newPrimaryOfStores returns a primary with a session of each store, two in each of the zones a, b and c, at time 0.
@@ -29,8 +29,8 @@
 	return &primary{daemon: d, model: m, sessions: newSessions(0, m), placement: newPlacementState(0)}
 }
 
-// simulateHeartbeats goes from one moment to another while the stores for which heard is true send heartbeats. It returns how long from the
-// beginning on sessions were first held open for another member to take over, or -1, and for how long they were.
+// simulateHeartbeats advances the time from one value to another while the stores for which responsive is true send heartbeats. It returns how long
+// after the beginning sessions were first held open for another member to take over, or -1, and for how long they were held open.
 func simulateHeartbeats(p *primary, from, to time.Duration, responsive func(protocol.Node) bool) (first, heldOpen time.Duration) {
 	first = -1
 	for now := from; now < to; now += heartbeatInterval {
@@ -49,7 +49,7 @@
 	return first, heldOpen
 }
 
-func TestPrimaryThatHearsTooFewStoresWaitsForATakeOver(t *testing.T) {
+func TestPrimaryWithTooFewResponsiveStoresAwaitsTakeOver(t *testing.T) {
 	all := func(protocol.Node) bool { return true }
 	inZones := func(zones string) func(protocol.Node) bool {
 		return func(n protocol.Node) bool { return strings.Contains(zones, n.Zone) }
@@ -58,11 +58,11 @@
 		responsive func(protocol.Node) bool
 		waits      bool
 	}{
-		"all are heard":             {all, false},
-		"one zone is lost":          {inZones("ac"), false},
-		"a store of each of two is": {func(n protocol.Node) bool { return n.Key != "store0" && n.Key != "store2" }, false},
-		"two zones are":             {inZones("a"), true},
-		"nobody is heard":           {inZones(""), true},
+		"all stores are responsive":              {all, false},
+		"one zone is lost":                       {inZones("ac"), false},
+		"one store in each of two zones is lost": {func(n protocol.Node) bool { return n.Key != "store0" && n.Key != "store2" }, false},
+		"two zones are lost":                     {inZones("a"), true},
+		"all stores are lost":                    {inZones(""), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -75,12 +75,12 @@
 				return
 			}
 			is.True(first >= storeExpiry-heartbeatInterval && first <= storeExpiry+heartbeatInterval)
-			is.True(heldOpen >= takeOverTimeout && heldOpen <= takeOverTimeout+heartbeatInterval) // after that it is the stores that are gone
+			is.True(heldOpen >= takeOverTimeout && heldOpen <= takeOverTimeout+heartbeatInterval) // after that the stores count as lost
 		})
 	}
 }
 
-// A primary that has only just taken over may be the one that was asked to: it doesn't hand over in turn.
+// A new primary may be the member that was requested to take over, so it does not hand over in turn.
 func TestNewPrimaryDoesNotHandOver(t *testing.T) {
 	is := is.New(t)
 	p := newPrimaryOfStores(nodeconfig.FaultTolerance{Machines: 2})
--- a/internal/roles/control/daemon.go
+++ b/internal/roles/control/daemon.go
@@ -13,10 +13,10 @@
 	"liftgauge/replication"
 )
 
-// tickInterval is how often the loop drives what depends on time.
+// tickInterval is the interval of the event loop's time-driven work.
 const tickInterval = 50 * time.Millisecond
 
-// daemon is one control process. Its fields belong to the event loop, apart from those that are safe for any goroutine by themselves.
+// daemon is one control process. Its fields belong to the event loop, except those that are safe for concurrent use.
 type daemon struct {
 	settings    *nodeconfig.Settings
 	logger      *zap.Logger
@@ -30,27 +30,27 @@
 	elector *replication.Elector // nil without a disk, as the replica
 	replica *replication.Replica
 	peers   peerDirectory
-	replyTo map[string]*rpc.Conn // by member: where its requests of replication came from
+	replyTo map[string]*rpc.Conn // by member: the connection that its replication requests came from
 
 	primary         *primary // nil while this process is not the active primary
 	pendingCalls    []*pendingCall
 	orders          orderQueue
-	orderLimit      int64 // bytes of an order
+	orderLimit      int64 // maximum size of an order in bytes
 	reader          *listReader
-	shuttingDown    bool          // a planned end has begun
-	witnessDeadline time.Duration // a planned end waits no longer to be left out of the witnesses
-	startedAt       time.Duration // when the process began
+	shuttingDown    bool          // a planned shutdown has begun
+	witnessDeadline time.Duration // until when a planned shutdown waits to be removed from the witnesses
+	startedAt       time.Duration // when the process started
 	stopped         chan struct{} // closed when the loop ends
-	founding        bool          // the state of a new generation is being written: this process takes no part in the present one any more
-	foundedAnew     chan struct{} // closed when that is on disk
+	founding        bool          // the state of a new generation is being written; this process no longer takes part in the current one
+	foundedAnew     chan struct{} // closed when that state is on disk
 }
 
-// reason is the log field of an error, without the stack that zap.Error would add.
+// reason returns the log field of an error, without the stack that zap.Error would add.
 func reason(err error) zap.Field { return zap.String("error", err.Error()) }
 
 func (d *daemon) now() time.Duration { return d.agent.Steady() }
 
-// tick drives everything that depends on time.
+// tick runs all time-driven work.
 func (d *daemon) tick() {
 	now := d.now()
 	if d.elector != nil && !d.founding {
@@ -65,7 +65,7 @@
 	d.expireOrders(now)
 }
 
-// afterEvent runs after each event: it begins what the event made necessary.
+// afterEvent runs after each event and starts the work that the event made necessary.
 func (d *daemon) afterEvent() {
 	if d.primary != nil {
 		d.primary.afterEvent(d.now())
@@ -81,7 +81,7 @@
 	}
 }
 
-// linkChanged tells the replica that the link to an address came up or broke.
+// linkChanged notifies the replica that the link to an address was established or lost.
 func (d *daemon) linkChanged(address string, up bool) {
 	if d.replica == nil {
 		return
@@ -91,7 +91,7 @@
 	}
 }
 
-// learnPeer takes what is known of another control process.
+// learnPeer records the address of another control process.
 func (d *daemon) learnPeer(member, address string, direct bool) {
 	if d.replica == nil || member == d.self.Member {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// primaryAddress returns the internal address and the ControlPlane address of control's primary, as far as they are known.
+// primaryAddress returns the internal address and the ControlPlane address of control's primary, or empty strings where unknown.
 func (d *daemon) primaryAddress() (address, controlPlane string) {
 	if d.elector != nil {
 		if view := d.elector.View(); view.Primary != "" {
@@ -126,8 +126,8 @@
 	return "", ""
 }
 
-// controlPlaneOf returns where a control process serves the operator. Before it has been heard of, the own port is taken, which is the same
-// on all machines.
+// controlPlaneOf returns the address at which a control process serves the operator. Until the process has reported it, the port of this
+// process is assumed, which is the same on all machines.
 func (d *daemon) controlPlaneOf(member, address string) string {
 	if known := d.peers.controlPlane[address]; known != "" {
 		return known
@@ -138,7 +138,7 @@
 	return withPortOf(address, d.settings.BindAddresses.ControlPlane)
 }
 
-// controlView is the body of the item that tells everybody of control's view.
+// controlView returns the body of the item that publishes the view of control's group to all processes.
 func (d *daemon) controlView() []byte {
 	view := d.elector.View()
 	item := protocol.ControlView{
--- a/internal/roles/control/duty.go
+++ b/internal/roles/control/duty.go
@@ -9,25 +9,25 @@
 	"liftgauge/internal/protocol"
 )
 
-// dutyReader is the duty of reading the platform's list of workers.
+// dutyReader is the name of the duty of reading the platform's list of workers.
 const dutyReader = "reader"
 
-// The ranks of bids: the primary has other work.
+// The ranks of bids, lowest first. The primary ranks behind other processes because it has other work.
 const (
 	rankOther   = 0
 	rankPrimary = 1
-	rankGaveUp  = 2 // and more: it gave the duty up lately
+	rankGaveUp  = 2 // and above: the process gave the duty up recently
 )
 
-// demotionPeriod is how long a process that could not read the list comes after all others.
+// demotionPeriod is how long a process that could not read the list ranks behind all others.
 const demotionPeriod = 30 * time.Second
 
 // dutyState runs the election of the list reader. The heartbeats of control processes count as their bids.
 type dutyState struct {
 	primary  *primary
 	election *election.Election
-	durable  election.Award           // on disk at the whole view
-	gaveUpAt map[string]time.Duration // by node: when it could not read the list last
+	durable  election.Award           // on disk at all members of the view
+	gaveUpAt map[string]time.Duration // by node: when it last gave the duty up because it could not read the list
 }
 
 func newDutyState(p *primary) dutyState {
@@ -35,7 +35,7 @@
 	return dutyState{primary: p, election: election.New(election.Options{}, award), durable: award, gaveUpAt: make(map[string]time.Duration)}
 }
 
-// begin makes the duty vacant if its holder has no session.
+// begin vacates the duty if its holder has no session.
 func (s *dutyState) begin() {
 	holder := s.durable.Holder
 	if node, ok := s.primary.model.nodes[holder.Key]; !ok || node.Incarnation != holder.Incarnation {
@@ -47,13 +47,13 @@
 	return election.Holder{Key: n.Key, Incarnation: n.Incarnation}
 }
 
-// heartbeat takes the bid of a control process, or reminds it that it has the duty.
+// heartbeat takes the bid of a control process and, if it holds the duty, notifies it again.
 func (s *dutyState) heartbeat(now time.Duration, node protocol.Node, listStale bool) {
 	if node.Leaving {
 		return
 	}
 	if listStale && s.election.Current() == s.durable && s.election.Resign(holderOf(node)) {
-		s.primary.daemon.logger.Warn("control: the holder of a duty cannot reach the platform; another is looked for", zap.String("duty", dutyReader),
+		s.primary.daemon.logger.Warn("control: the holder of a duty cannot reach the platform; electing another", zap.String("duty", dutyReader),
 			zap.String("holder", node.Key))
 		s.gaveUpAt[node.Key] = now
 	}
@@ -62,7 +62,7 @@
 		rank = rankPrimary
 	}
 	if at, gaveUp := s.gaveUpAt[node.Key]; gaveUp && now-at < demotionPeriod {
-		rank = rankGaveUp + int((demotionPeriod-(now-at))/time.Second) // who gave it up first comes first
+		rank = rankGaveUp + int((demotionPeriod-(now-at))/time.Second) // the process that gave it up first ranks first
 	}
 	s.election.Bid(now, election.Bid{Holder: holderOf(node), Rank: rank})
 	if !s.durable.Vacant() && s.durable.Holder == holderOf(node) && s.election.Current() == s.durable {
@@ -80,7 +80,7 @@
 	s.election.Resign(holderOf(node))
 }
 
-// tick writes a new award when one is due, and tells its holder once it is durable.
+// tick writes a new award when one is due, and notifies its holder once it is durable.
 func (s *dutyState) tick(now time.Duration) {
 	award, ok := s.election.Tick(now)
 	if !ok {
@@ -113,7 +113,7 @@
 	d.links.send(node.Address, protocol.KindWitness, f.append(nil))
 }
 
-// acceptDuty begins the duty that this process was given.
+// acceptDuty starts a duty that was awarded to this process.
 func (d *daemon) acceptDuty(n dutyNotice) {
 	if n.name == dutyReader && n.incarnation == d.agent.Node().Incarnation && !d.shuttingDown {
 		d.reader.begin(n.term)
--- a/internal/roles/control/epochs.go
+++ b/internal/roles/control/epochs.go
@@ -7,14 +7,14 @@
 	"liftgauge/replication"
 )
 
-// epochRemedy is what is told where a group uses up its epochs.
-const epochRemedy = "each change of a view uses one: find in status why views change without end; at the limit this group changes no more, and its " +
-	"messages have to be handed in again to a system that is founded anew"
+// epochRemedy is the advice that is logged when a group is running out of epochs.
+const epochRemedy = "each view change uses one: find in status why views keep changing; at the limit the view of this group can no longer change, " +
+	"and its messages have to be submitted again to a newly founded system"
 
-// epochWatch tells once that epochs are being used up, and once that they are.
+// epochWatch keeps the warning about epochs running out, and the error when they have run out, to one each.
 type epochWatch struct{ warned, refused bool }
 
-// allowsChange tells whether a partition may take the view of a change, and logs where the epochs run out.
+// allowsChange reports whether a partition may change to the view of a change, and logs when the epochs run out.
 func (p *primary) allowsChange(change *placement.Change) bool {
 	w, logger := &p.epochs, p.daemon.logger
 	epoch := zap.Uint64("epoch", change.View.Epoch)
--- a/internal/roles/control/frame.go
+++ b/internal/roles/control/frame.go
@@ -7,7 +7,7 @@
 	"liftgauge/replication"
 )
 
-// frameKind says what the body of a frame between control processes is.
+// frameKind is the type of the body of a frame between control processes.
 type frameKind uint8
 
 const (
@@ -44,7 +44,7 @@
 	return f, r.err
 }
 
-// dutyNotice tells a process that it has the duty of a term.
+// dutyNotice notifies a process that it holds a duty for a term.
 type dutyNotice struct {
 	name        string
 	term        uint64
--- a/internal/roles/control/handle.go
+++ b/internal/roles/control/handle.go
@@ -5,7 +5,7 @@
 	"liftgauge/internal/rpc"
 )
 
-// handle takes the frames that are not the agent's own; it runs on the read goroutines of connections.
+// handle processes the frames that the agent does not handle itself; it runs on the read goroutines of connections.
 func (d *daemon) handle(c *rpc.Conn, kind rpc.Kind, body []byte, reply func([]byte, error)) {
 	switch kind {
 	case protocol.KindHeartbeat:
@@ -55,7 +55,7 @@
 	}
 }
 
-// receiveHeartbeat answers a heartbeat: with the primary's address where this process is not it.
+// receiveHeartbeat replies to a heartbeat; the reply names the address of the primary.
 func (d *daemon) receiveHeartbeat(h *protocol.Heartbeat, reply func([]byte, error)) {
 	d.agent.HandleDigest(h.Digest)
 	var r protocol.HeartbeatReply
@@ -68,7 +68,7 @@
 	reply(r.Append(nil), nil)
 }
 
-// receiveLeave answers when what the process said is durable.
+// receiveLeave replies once the announced departure is durable.
 func (d *daemon) receiveLeave(l *protocol.Leave, reply func([]byte, error)) {
 	p := d.primary
 	if p == nil {
--- a/internal/roles/control/identity.go
+++ b/internal/roles/control/identity.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// identityKey is the record of replication.LocalGroup that names the disk.
+	// identityKey is the record of replication.LocalGroup that holds the ID of the disk.
 	identityKey = "identity/disk"
 	diskIDBytes = 8
 )
 
-// memberOf returns the member of a disk. The name of a disk is drawn at its first use, and is on disk before it is told to anybody.
+// memberOf returns the member ID of a disk. The random ID of a disk is generated at its first use, and is durable before it is used.
 func memberOf(ctx context.Context, storage replication.Storage, nodeName string) (string, error) {
 	record, found, err := storage.Get(replication.LocalGroup, identityKey)
 	if err != nil {
@@ -33,7 +33,7 @@
 		func(err error) { done <- err })
 	select {
 	case err := <-done:
-		return nodeName + "/" + id, errors.Wrap(err, "keeping the disk's identity")
+		return nodeName + "/" + id, errors.Wrap(err, "writing the disk's identity")
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
--- a/internal/roles/control/items.go
+++ b/internal/roles/control/items.go
@@ -4,15 +4,15 @@
 	"liftgauge/internal/protocol"
 )
 
-// activationShift leaves room for the items published in one activation.
+// activationShift is the number of low bits of a version number that count the items published in one activation.
 const activationShift = 40
 
-// itemPublisher publishes the items of control's primary. Their versions are the epoch and a number that no other activation of the
-// epoch uses; the configuration's is drawn when it is written and kept with it.
+// itemPublisher publishes the items of control's primary. Their versions consist of the epoch and a number that no other activation of the
+// epoch uses; the version of the configuration is assigned when it is written and stored with it.
 type itemPublisher struct {
 	primary *primary
 	last    uint64
-	// changed tells which items the records of the next batch change, and whether that may not wait for the next tick.
+	// changed holds the items that the records of the next batch change; true means that publishing must not wait for the next tick.
 	changed  map[protocol.ItemKind]bool
 	deferred map[protocol.ItemKind][]byte
 }
@@ -25,18 +25,18 @@
 	}
 }
 
-// nextVersion draws a version.
+// nextVersion returns a version that has not been used before.
 func (i *itemPublisher) nextVersion() protocol.ItemVersion {
 	i.last++
 	return protocol.ItemVersion{Term: i.primary.epoch, Number: i.primary.activation<<activationShift | i.last}
 }
 
-// mark notes that the next batch changes an item.
+// mark records that the next batch changes an item.
 func (i *itemPublisher) mark(kind protocol.ItemKind, urgent bool) {
 	i.changed[kind] = i.changed[kind] || urgent
 }
 
-// snapshot takes the changed items as they are after the batch that begins now, and returns what publishes them.
+// snapshot encodes the changed items as they are after the batch that begins now, and returns the function that publishes them.
 func (i *itemPublisher) snapshot() (durable func()) {
 	if len(i.changed) == 0 {
 		return func() {}
@@ -85,7 +85,7 @@
 	}
 }
 
-// publishDeferred publishes what could wait.
+// publishDeferred publishes the items that were not urgent.
 func (i *itemPublisher) publishDeferred() {
 	for kind, body := range i.deferred {
 		i.publish(protocol.Item{Kind: kind, Version: i.nextVersion(), Body: body})
@@ -93,7 +93,7 @@
 	clear(i.deferred)
 }
 
-// publishAll publishes every item as it is in the model, all of which is durable.
+// publishAll publishes every item from the model, which must be durable as a whole.
 func (i *itemPublisher) publishAll() {
 	items := []protocol.Item{i.item(protocol.ItemControl), i.item(protocol.ItemNodes)}
 	if len(i.primary.model.partitions) > 0 {
--- a/internal/roles/control/links.go
+++ b/internal/roles/control/links.go
@@ -13,14 +13,14 @@
 	maxQueuedFrames = 16                     // election frames kept while a link is being dialed
 )
 
-// links keeps one dialed connection to each other control process. It belongs to the event loop.
+// links maintains one dialed connection to each other control process. It belongs to the event loop.
 type links struct {
 	dial func(ctx context.Context, address string) (*rpc.Conn, error)
 	// resetBackoff ends the pause after failed dials to an address.
 	resetBackoff func(address string)
 	post         func(func())
 	after        func(time.Duration, func())
-	// changed is told when the link to an address came up or broke.
+	// changed is called when the link to an address is established or lost.
 	changed func(address string, isUp bool)
 
 	byAddress map[string]*link
@@ -75,7 +75,7 @@
 	return k
 }
 
-// reconnect dials the link to an address at once, since the process there was just reconnect of.
+// reconnect dials the link to an address at once, because a message from the process there has just arrived.
 func (l *links) reconnect(address string) {
 	if k := l.byAddress[address]; k != nil && k.conn == nil && !k.dialing {
 		k.backingOff = false
@@ -111,7 +111,7 @@
 	}
 }
 
-// send gives a frame to the link, which is dialed if it is down; the frame then waits, or is lost with the attempt.
+// send sends a frame over the link, which is dialed if it is down. The frame is queued meanwhile and dropped if the dial fails.
 func (l *links) send(address string, kind rpc.Kind, body []byte) {
 	k := l.connect(address)
 	if k.conn != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// sendIfUp gives a frame to the link unless it is down.
+// sendIfUp sends a frame over the link unless it is down.
 func (l *links) sendIfUp(address string, kind rpc.Kind, body []byte) {
 	if k := l.byAddress[address]; k != nil && k.conn != nil {
 		l.notify(k, kind, body)
--- a/internal/roles/control/loop.go
+++ b/internal/roles/control/loop.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// eventLoop runs functions one after the other on one goroutine. Its queue is unbounded, so that post never waits.
+// eventLoop runs functions sequentially on one goroutine. Its queue is unbounded, so that post never blocks.
 type eventLoop struct {
 	mutex sync.Mutex
 	queue []func()
@@ -29,12 +29,12 @@
 	}
 }
 
-// after posts a function when the duration is over.
+// after posts a function once the duration has elapsed.
 func (l *eventLoop) after(d time.Duration, f func()) {
 	time.AfterFunc(d, func() { l.post(f) })
 }
 
-// run executes posted functions, each followed by settle, and tick at the interval, until the context ends.
+// run executes posted functions, and tick at the interval, each followed by afterEvent, until the context ends.
 func (l *eventLoop) run(ctx context.Context, interval time.Duration, tick, afterEvent func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/roles/control/membership.go
+++ b/internal/roles/control/membership.go
@@ -8,7 +8,7 @@
 	"liftgauge/replication"
 )
 
-// execute does what the elector asks for, in order.
+// execute carries out the actions of the elector in order.
 func (d *daemon) execute(actions []replication.Action) {
 	if d.founding {
 		return
@@ -32,7 +32,7 @@
 			d.replica.StepDown()
 			d.deactivate()
 		case replication.JoinedGeneration:
-			d.logger.Warn("control: the group was founded anew by an operator; what this disk has of before counts no more",
+			d.logger.Warn("control: an operator founded the group anew; records of earlier generations on this disk are no longer valid",
 				zap.Uint64("generation", a.Generation))
 		case replication.ConfirmResult:
 			a.Callback(a.Confirmed)
@@ -40,7 +40,7 @@
 	}
 }
 
-// preparePeers dials the members of a view that this process is to lead.
+// preparePeers dials the members of a view of which this process is to be the primary.
 func (d *daemon) preparePeers(view replication.ControlView) {
 	for _, p := range view.Peers {
 		d.learnPeer(p.Member, p.Address, false)
@@ -63,7 +63,7 @@
 	})
 }
 
-// prepared is called from within the replica, therefore the elector hears of it later.
+// prepared is called from within the replica, therefore the elector is notified from the event loop.
 func (d *daemon) prepared(epoch uint64) {
 	d.loop.post(func() { d.execute(d.elector.Prepared(epoch, d.now())) })
 }
@@ -84,7 +84,7 @@
 	d.retryPendingCalls()
 }
 
-// receiveElection takes a frame of another control process.
+// receiveElection processes an election frame of another control process.
 func (d *daemon) receiveElection(f frame) {
 	if d.elector == nil || d.founding || f.to != "" && f.to != d.self.Member {
 		return
@@ -100,8 +100,8 @@
 	d.execute(d.elector.Receive(message, d.now()))
 }
 
-// sendReplication sends a message of the replica. What a primary sends goes over the link that it dialed; answers go back on the connection
-// that the request came from, so that both break together.
+// sendReplication sends a message of the replica. Requests of a primary use the link that it dialed; replies go back on the connection that
+// the request came from, so that both directions fail together.
 func (d *daemon) sendReplication(to string, m replication.Message) {
 	body := replicationBody(d.self.Member, to, m)
 	if !replication.IsReply(m) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// receiveReplication takes a message of another replica.
+// receiveReplication processes a message of another replica.
 func (d *daemon) receiveReplication(conn *rpc.Conn, f protocol.ReplicationFrame) {
 	if d.replica == nil || d.founding || f.Group != controlGroup || f.To != d.self.Member {
 		return
@@ -134,15 +134,16 @@
 	d.replica.Receive(f.From, m)
 }
 
-// replicaEvents hands the events of the replica to the daemon. They come from within calls of the replica, so what calls it again is posted.
+// replicaEvents passes the events of the replica to the daemon. They are raised from within calls of the replica, so anything that calls the replica
+// again is posted to the event loop.
 type replicaEvents struct{ daemon *daemon }
 
-// Active makes this process act as primary.
+// Active starts the activation of this process as primary.
 func (e replicaEvents) Active(epoch uint64) {
 	e.daemon.loop.post(func() { e.daemon.activate(epoch) })
 }
 
-// Deposed ends that at once.
+// Deposed stops acting as primary at once, and notifies the elector.
 func (e replicaEvents) Deposed(epoch uint64) {
 	d := e.daemon
 	if !d.replica.IsActive() {
@@ -151,11 +152,11 @@
 	d.loop.post(func() { d.execute(d.elector.Deposed(epoch, d.replica.HighestEpoch(), d.now())) })
 }
 
-// Offer tells the elector of a learner that is equal.
+// Offer notifies the elector of a learner that has caught up.
 func (e replicaEvents) Offer(epoch uint64, learner replication.MemberID) {
 	d := e.daemon
 	d.loop.post(func() { d.execute(d.elector.Offered(epoch, learner, d.now())) })
 }
 
-// Applied needs nothing: a new primary reads its state when it becomes active.
+// Applied does nothing: a new primary reads its state from disk when it becomes active.
 func (e replicaEvents) Applied([]replication.Record) {}
--- a/internal/roles/control/model.go
+++ b/internal/roles/control/model.go
@@ -14,9 +14,9 @@
 	"liftgauge/replication"
 )
 
-// model is the content of the records of controlGroup.
+// model is the decoded content of the records of controlGroup.
 type model struct {
-	configuration        []byte // nil before the first
+	configuration        []byte // nil until the first order
 	configurationVersion protocol.ItemVersion
 	acceptedOrders       map[string]uint64 // revision by hash of the order
 	nodes                map[string]protocol.Node
@@ -53,7 +53,7 @@
 	return m, nil
 }
 
-// apply takes one record. Records with unknown keys, of newer versions, are ignored.
+// apply applies one record. Records with unknown keys, which newer versions write, are ignored.
 func (m *model) apply(r replication.Record) error {
 	switch {
 	case r.Key == keyConfiguration:
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// nodeTable is the body of the item of nodes.
+// nodeTable returns the body of the item of nodes.
 func (m *model) nodeTable() []byte {
 	table := protocol.NodeTable{Nodes: make([]protocol.Node, 0, len(m.nodes))}
 	for _, key := range slices.Sorted(maps.Keys(m.nodes)) {
@@ -133,16 +133,16 @@
 	return table.Append(nil)
 }
 
-// partitionTable is the body of the item of partitions.
+// partitionTable returns the body of the item of partitions.
 func (m *model) partitionTable() []byte {
 	table := protocol.PartitionTable{Partitions: m.partitions}
 	return table.Append(nil)
 }
 
-// storeMembers returns the members of all known stores in order.
+// storeMembers returns the members of all known stores in sorted order.
 func (m *model) storeMembers() []string { return slices.Sorted(maps.Keys(m.stores)) }
 
-// references tells whether any partition references the member.
+// references reports whether the view of any partition names the member.
 func (m *model) references(member string) bool {
 	for i := range m.partitions {
 		v := &m.partitions[i]
--- a/internal/roles/control/operator.go
+++ b/internal/roles/control/operator.go
@@ -14,17 +14,17 @@
 const (
 	headerTimeout        = 5 * time.Second
 	idleTimeout          = 60 * time.Second
-	bodyReadTimeout      = 10 * time.Second // without a byte of a body
-	responseWriteTimeout = 10 * time.Second // for the operator to read an answer
+	bodyReadTimeout      = 10 * time.Second // for each read of a body
+	responseWriteTimeout = 10 * time.Second // for the operator to read a response
 	maxRetireBytes       = 64 << 10
 	retryAfter           = time.Second
 	headerBase           = "X-Base-Version"
 )
 
-// operatorAPI serves the operator's calls.
+// operatorAPI serves the operator's HTTP API.
 type operatorAPI struct{ daemon *daemon }
 
-// handler routes the calls; unknown paths get 404 and other methods 405.
+// handler routes requests; unknown paths get 404 and other methods 405.
 func (a operatorAPI) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /config/replace", a.order(configuration.VerbReplace))
@@ -40,19 +40,19 @@
 	return mux
 }
 
-// server is the HTTP server of the operator's API. A body may come slowly, as long as it comes.
+// server returns the HTTP server of the operator's API. It has no overall read timeout: a body may be slow as long as each read makes progress.
 func (a operatorAPI) server() *http.Server {
 	return &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// await has the event loop work on a call and returns its answer, or false when the caller is gone.
+// await runs a call on the event loop and returns its response, or false when the caller has disconnected.
 func (a operatorAPI) await(r *http.Request, work func(reply func(response))) (response, bool) {
 	result := make(chan response, 1)
 	a.daemon.loop.post(func() {
 		work(func(resp response) {
 			select {
 			case result <- resp:
-			default: // answered before
+			default: // already answered
 			}
 		})
 	})
@@ -118,7 +118,8 @@
 	}
 }
 
-// replyDurably answers by the model once a majority confirms that this process is the primary and what it put is durable.
+// replyDurably computes a response from the model once a majority confirms that this process is the primary, and sends it once all records
+// put so far are durable.
 func (p *primary) replyDurably(work func() response, reply func(response)) {
 	d := p.daemon
 	d.confirm(func(confirmed bool) {
@@ -137,7 +138,8 @@
 	})
 }
 
-// readBody reads a whole body, or refuses it. Every byte is read before an answer, since closing with unread bytes resets the connection.
+// readBody reads a whole body, or responds with an error. It reads the body before any response, since closing a connection with unread bytes
+// resets it.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	if r.ContentLength > limit {
 		write(w, r, errorResponse(http.StatusRequestEntityTooLarge, "the body is too large: at most "+strconv.FormatInt(limit, 10)+" bytes"))
@@ -149,25 +151,25 @@
 	case errors.As(err, &tooLarge):
 		write(w, r, errorResponse(http.StatusRequestEntityTooLarge, "the body is too large: at most "+strconv.FormatInt(limit, 10)+" bytes"))
 		return nil, false
-	case err != nil: // broken off: there is nobody to answer
+	case err != nil: // the connection broke: there is no caller to respond to
 		return nil, false
 	}
 	return body, true
 }
 
-// deadlineBody gives each read of a body its own deadline.
+// deadlineBody sets a new deadline before each read of a body.
 type deadlineBody struct {
 	io.ReadCloser
 	control *http.ResponseController
 }
 
-// Read reads what has come.
+// Read extends the read deadline and reads from the body.
 func (b deadlineBody) Read(p []byte) (int, error) {
 	_ = b.control.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not every ResponseWriter has deadlines
 	return b.ReadCloser.Read(p)
 }
 
-// write sends an answer.
+// write sends a response.
 func write(w http.ResponseWriter, r *http.Request, a response) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	switch {
@@ -185,5 +187,5 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(a.status)
-	_, _ = w.Write(body) // a caller that is gone asks again
+	_, _ = w.Write(body) // a caller that has disconnected retries
 }
--- a/internal/roles/control/orders.go
+++ b/internal/roles/control/orders.go
@@ -11,13 +11,14 @@
 	"liftgauge/internal/protocol"
 )
 
-// An order, and the configuration that it makes, has at most maxOrderBytes, so that it fits into a frame, and leaves most of the disk free.
+// An order, and the resulting configuration, has at most maxOrderBytes, so that it fits into a frame, and at most 1/orderDiskShare of the disk
+// space, so that most of it stays free.
 const (
 	maxOrderBytes  = 15 << 20
 	orderDiskShare = 8
 )
 
-// orderLimit returns the most bytes that an order may have with a log of so many bytes, 0 for any.
+// orderLimit returns the maximum size of an order for a log limited to diskBytes; 0 means that the log has no limit.
 func orderLimit(diskBytes int64) int64 {
 	if diskBytes <= 0 {
 		return maxOrderBytes
@@ -25,25 +26,25 @@
 	return min(maxOrderBytes, diskBytes/orderDiskShare)
 }
 
-// order is one order of the operator, however often it was sent.
+// order is one order of the operator. All calls that send the same order share it.
 type order struct {
 	configuration.Order
 	hash    string
 	callers []orderCaller
 }
 
-// orderCaller is one call that waits for an order's outcome.
+// orderCaller is one call that waits for the outcome of an order.
 type orderCaller struct {
 	deadline time.Duration
 	reply    func(response)
 }
 
-// orderQueue holds the orders that have no outcome yet. They are decided one after the other: each is judged by the state that the one
-// before left on disk. The queue outlives changes of the primary, so that an order of unknown fate is decided again if this process
-// stays primary.
+// orderQueue holds the orders that have no outcome yet. They are decided one after the other, each against the state that the previous one
+// left on disk. The queue survives changes of the primary, so that an order whose outcome is unknown is decided again if this process
+// becomes primary again.
 type orderQueue struct {
 	queue  []*order
-	active *order // the one that is being decided or written
+	active *order // the order that is being decided or written
 }
 
 func (q *orderQueue) find(hash string) *order {
@@ -62,7 +63,7 @@
 	q.queue = slices.DeleteFunc(q.queue, func(other *order) bool { return other == o })
 }
 
-// submitOrder takes an order, or joins a call to the same one that is under way.
+// submitOrder queues an order, or adds the caller to the same order if it is already queued.
 func (d *daemon) submitOrder(o configuration.Order, hash string, reply func(response)) {
 	caller := orderCaller{deadline: d.now() + orderTimeout, reply: reply}
 	if known := d.orders.find(hash); known != nil {
@@ -73,7 +74,7 @@
 	d.nextOrder()
 }
 
-// nextOrder decides the first order of the queue if none is under way.
+// nextOrder decides the first order of the queue if none is in progress.
 func (d *daemon) nextOrder() {
 	for d.primary != nil && d.orders.active == nil && len(d.orders.queue) > 0 {
 		o := d.orders.queue[0]
@@ -82,7 +83,7 @@
 	}
 }
 
-// finishOrder answers all callers of an order.
+// finishOrder removes an order and responds to all its callers.
 func (d *daemon) finishOrder(o *order, a response) {
 	d.orders.remove(o)
 	for _, c := range o.callers {
@@ -91,7 +92,7 @@
 	o.callers = nil
 }
 
-// reopenOrder leaves an order without an outcome in the queue: the next primary decides it again.
+// reopenOrder keeps an order whose outcome is unknown in the queue: it is decided again, or redirected if another process is the primary.
 func (d *daemon) reopenOrder(o *order) {
 	if d.orders.active == o {
 		d.orders.active = nil
@@ -99,7 +100,7 @@
 	d.redirectOrders()
 }
 
-// redirectOrders sends callers on when another process is primary.
+// redirectOrders redirects the callers of all orders when another process is primary.
 func (d *daemon) redirectOrders() {
 	if d.primary != nil {
 		return
@@ -114,7 +115,7 @@
 	}
 }
 
-// expireOrders gives no clear answer to callers that have waited too long. An order that is under way goes on without them.
+// expireOrders responds that the outcome is unknown to callers that have waited too long. An order in progress continues without them.
 func (d *daemon) expireOrders(now time.Duration) {
 	for _, o := range slices.Clone(d.orders.queue) {
 		late := func(c orderCaller) bool { return now >= c.deadline }
@@ -130,7 +131,7 @@
 	}
 }
 
-// decide judges an order by the state that is durable, and carries it out.
+// decide checks an order against the durable state, and carries it out.
 func (p *primary) decide(o *order) {
 	decision := p.orders.Decide(o.Order)
 	switch {
@@ -148,7 +149,7 @@
 	}
 }
 
-// refuse refuses an order once a majority confirms that the state by which it was judged is not an old one.
+// refuse rejects an order once a majority confirms that this process is the primary, so that the state it was checked against is current.
 func (p *primary) refuse(o *order, status int, text string) {
 	d := p.daemon
 	d.confirm(func(confirmed bool) {
@@ -164,7 +165,7 @@
 	})
 }
 
-// writeOrder puts a configuration into force.
+// writeOrder writes the configuration that an order results in.
 func (p *primary) writeOrder(o *order, next *configuration.Configuration) {
 	d := p.daemon
 	p.put(configurationRecord(next.Raw))
@@ -185,7 +186,7 @@
 	})
 }
 
-// describe answers the newest configuration once a majority confirms that it is the newest.
+// describe responds with the newest configuration once a majority confirms that this process is the primary.
 func (p *primary) describe(reply func(response)) {
 	d := p.daemon
 	d.confirm(func(confirmed bool) {
--- a/internal/roles/control/peers.go
+++ b/internal/roles/control/peers.go
@@ -2,11 +2,11 @@
 
 import "net"
 
-// peerDirectory knows which member of the group is at which internal address, and where that process serves the operator.
+// peerDirectory maps the members of the group to internal addresses, and these to the addresses where the processes serve the operator.
 type peerDirectory struct {
 	addressOf    map[string]string // by member
 	memberOf     map[string]string // by address
-	selfReported map[string]bool   // by address: its member was heard from that address itself
+	selfReported map[string]bool   // by address: the process there reported the member itself
 	controlPlane map[string]string // by address
 }
 
@@ -22,8 +22,8 @@
 // memberAt returns the member at an address, or "".
 func (b *peerDirectory) memberAt(address string) string { return b.memberOf[address] }
 
-// learn notes that a member is at an address. What the process there says itself (direct) counts more than what views name. It returns the
-// member that was there before, and whether anything changed.
+// learn records that a member is at an address. A report of the process itself (direct) takes precedence over the addresses in views. It returns
+// the member that was at the address before, and whether anything changed.
 func (b *peerDirectory) learn(member, address string, direct bool) (before string, changed bool) {
 	if member == "" || address == "" {
 		return "", false
--- a/internal/roles/control/placement.go
+++ b/internal/roles/control/placement.go
@@ -16,23 +16,23 @@
 	maxPartitions      = 4096
 	partitionsPerStore = 16
 
-	// The table is founded when no new store has come for foundingQuiet, or foundingDeadline after this process became primary.
+	// The partition table is created when no new store has appeared for foundingQuiet, or foundingDeadline after this process became primary.
 	foundingQuiet    = 500 * time.Millisecond
 	foundingDeadline = 1500 * time.Millisecond
 
-	balanceInterval = time.Second      // between moves made only for balance
-	forgetAfter     = 10 * time.Minute // a store that is gone and that no partition names is forgotten
+	balanceInterval = time.Second      // between moves that only serve balance
+	forgetAfter     = 10 * time.Minute // after which a store without a session that no partition names is removed
 )
 
-// placementState is what the primary knows for placing partitions beside the model.
+// placementState is the state for placing partitions that is not part of the model.
 type placementState struct {
 	since       time.Duration
-	lastStoreAt time.Duration            // when a store came last
+	lastStoreAt time.Duration            // when the last new store appeared
 	downSince   map[string]time.Duration // by member, of stores without a session
-	offers      map[int][]string         // learners that are equal, for the present epochs
+	offers      map[int][]string         // by partition: learners that have caught up, in the current epoch
 	faults      storeFaults
 	planWanted  bool
-	balance     bool // the next plan may move partitions for balance, too
+	balance     bool // the next plan may also move partitions for balance
 	nextBalance time.Duration
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// takeOffers notes the offers of a heartbeat as far as they concern the present views.
+// takeOffers records the promotion offers of a heartbeat that apply to the current views.
 func (s *placementState) takeOffers(partitions []protocol.PartitionView, h *protocol.Heartbeat) {
 	for _, o := range h.Offers {
 		if int(o.Partition) >= len(partitions) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// storeChanged notes a store that opened a session or changed.
+// storeChanged records that a store opened a session or changed.
 func (p *primary) storeChanged(now time.Duration, node protocol.Node) {
 	p.placement.planWanted = true
 	if node.Member == "" {
@@ -78,7 +78,7 @@
 	}
 }
 
-// storeDown notes a store whose session ended.
+// storeDown records that the session of a store ended.
 func (p *primary) storeDown(now time.Duration, node protocol.Node) {
 	p.placement.planWanted = true
 	if node.Member != "" {
@@ -86,7 +86,7 @@
 	}
 }
 
-// tickPlacement founds the table, and asks for moves of balance from time to time.
+// tickPlacement creates the partition table, and requests moves for balance at intervals.
 func (p *primary) tickPlacement(now time.Duration) {
 	if !p.model.founded {
 		p.createTable(now)
@@ -103,7 +103,7 @@
 	}
 }
 
-// logStoreFaults tells which stores are left out now because of their links or disks.
+// logStoreFaults logs which stores are currently excluded because of their links or disks.
 func (p *primary) logStoreFaults(now time.Duration) {
 	var stalled []string
 	for _, member := range p.model.storeMembers() {
@@ -111,11 +111,11 @@
 			stalled = append(stalled, member)
 		}
 	}
-	p.daemon.logger.Info("control: stores in trouble", zap.Strings("stalled", stalled),
+	p.daemon.logger.Info("control: stores with faults", zap.Strings("stalled", stalled),
 		zap.Any("apart", p.placement.faults.blockedPairs(now)))
 }
 
-// createTable makes the first table once the stores have come.
+// createTable creates the partition table once enough stores have sessions.
 func (p *primary) createTable(now time.Duration) {
 	s := &p.placement
 	if now-s.lastStoreAt < foundingQuiet && now-s.since < foundingDeadline {
@@ -135,14 +135,14 @@
 	if views == nil {
 		return
 	}
-	p.daemon.logger.Info("control: partition table founded", zap.Int("partitions", len(views)), zap.Int("stores", live))
+	p.daemon.logger.Info("control: partition table created", zap.Int("partitions", len(views)), zap.Int("stores", live))
 	p.put(foundedRecord(len(views)))
 	for n, v := range views {
 		p.putPartition(n, v)
 	}
 }
 
-// partitionCount is the number of partitions for a number of stores.
+// partitionCount returns the number of partitions for a number of stores.
 func partitionCount(stores int) int {
 	wanted := stores * partitionsPerStore
 	if wanted <= minPartitions {
@@ -160,7 +160,7 @@
 	p.items.mark(protocol.ItemPartitions, true)
 }
 
-// plan changes partitions as the stores and offers ask for.
+// plan changes partitions according to the state of the stores and the promotion offers.
 func (p *primary) plan(now time.Duration) {
 	if !p.placement.planWanted || !p.model.founded {
 		return
@@ -176,7 +176,7 @@
 		}
 		p.putPartition(change.Partition, change.View)
 	}
-	// What these changes make possible is planned once they are durable.
+	// Changes that depend on these are planned once these are durable.
 	p.placement.planWanted, p.placement.balance = len(changes) > 0, false
 }
 
@@ -221,7 +221,7 @@
 	return stores
 }
 
-// downSince returns since when a store has had no session, as far as this primary knows.
+// downSince returns when the session of a store ended, or when this process became primary if it ended before that.
 func (p *primary) downSince(member string) time.Duration {
 	if since, ok := p.placement.downSince[member]; ok {
 		return since
@@ -229,7 +229,8 @@
 	return p.since
 }
 
-// reviewStores notes which retiring stores are emptied, and forgets those that are gone and not needed.
+// reviewStores records which retiring stores are emptied, and removes stores that have been without a session for forgetAfter and that no
+// partition names.
 func (p *primary) reviewStores(now time.Duration) {
 	live := make(map[string]bool)
 	for _, n := range p.model.nodes {
--- a/internal/roles/control/primary.go
+++ b/internal/roles/control/primary.go
@@ -12,19 +12,19 @@
 	"liftgauge/session"
 )
 
-// primary is what a process knows and does while it is control's active primary.
+// primary is the state of a process while it is control's active primary.
 type primary struct {
 	daemon     *daemon
 	epoch      uint64
 	activation uint64
 	since      time.Duration
 
-	// model is the state with all changes that were begun; what is published and acknowledged is what the writer made durable of it.
+	// model includes changes that are not durable yet; only what the writer has made durable is published and acknowledged.
 	model                *model
 	writer               *writer
 	items                itemPublisher
 	orders               *configuration.Orders
-	durableConfiguration []byte // configuration on disk at the whole view; nil before the first
+	durableConfiguration []byte // on disk at all members of the view; nil until the first order
 	sessions             *session.Table
 	cutOff               cutOff
 	placement            placementState
@@ -47,7 +47,7 @@
 	return p, nil
 }
 
-// resetOrders builds the state of the operator's orders from the model.
+// resetOrders restores the state of the operator's orders from the model.
 func (p *primary) resetOrders() error {
 	var current *configuration.Configuration
 	if p.model.configuration != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// begin publishes everything as it was found.
+// begin sets the cluster clock and publishes all items from the loaded records.
 func (p *primary) begin() {
 	p.daemon.agent.SetClock(time.Duration(p.daemon.agent.ClusterTime().UnixNano()) - p.daemon.agent.Steady())
 	p.duty.begin()
@@ -68,44 +68,44 @@
 	p.daemon.probeStores(p)
 }
 
-// continueIn goes on in the next epoch of this process, whose writes went on.
+// continueIn continues in a new epoch in which this process is still the primary, without interrupting its writes.
 func (p *primary) continueIn(epoch uint64) {
 	if epoch == p.epoch {
 		return
 	}
-	p.daemon.logger.Info("control: goes on as primary", zap.Uint64("epoch", epoch), zap.Uint64("before", p.epoch))
+	p.daemon.logger.Info("control: continuing as primary", zap.Uint64("epoch", epoch), zap.Uint64("before", p.epoch))
 	p.epoch = epoch
 	p.items.publishView()
 }
 
 func (p *primary) publishView() { p.items.publishView() }
 
-// put changes the model and puts the record into the next batch.
+// put applies a record to the model and adds it to the next batch.
 func (p *primary) put(r replication.Record) {
 	if err := p.model.apply(r); err != nil {
-		p.daemon.logger.Error("control: own record cannot be read", zap.String("key", r.Key), reason(err))
+		p.daemon.logger.Error("control: a new record cannot be decoded", zap.String("key", r.Key), reason(err))
 		return
 	}
 	p.writer.put(r)
 }
 
-// write replicates a batch. An error that leaves its fate open ends acting as primary.
+// write replicates a batch. On an error that leaves the outcome unknown this process stops acting as primary.
 func (p *primary) write(records []replication.Record, done func(error)) {
 	d := p.daemon
 	d.replica.Write(records, func(err error) {
 		if err != nil && !errors.Is(err, replication.ErrStorage) && d.primary == p {
 			d.deactivate()
-			d.loop.after(storageRetry, func() { d.activate(p.epoch) }) // if it was only a passing refusal
+			d.loop.after(storageRetry, func() { d.activate(p.epoch) }) // in case the error was transient
 		}
 		done(err)
 	})
 }
 
-// handOverForDiskFailure asks another member to take over from this process, whose own disk refuses what the disks of others may take. It is called from
-// within the replica.
+// handOverForDiskFailure requests another member to take over because the local disk rejects writes that the disks of others may accept. It is
+// called from within the replica.
 func (p *primary) handOverForDiskFailure() {
 	d := p.daemon
-	d.logger.Warn("control: the own disk refuses to write; another member is asked to take over")
+	d.logger.Warn("control: the local disk rejects writes; requesting another member to take over")
 	d.loop.post(func() { d.execute(d.elector.HandOver(d.now())) })
 }
 
@@ -117,7 +117,7 @@
 	p.watchTolerance(now)
 }
 
-// afterEvent begins what the last event made necessary.
+// afterEvent plans partitions unless a batch is in flight, and writes the next batch.
 func (p *primary) afterEvent(now time.Duration) {
 	if p.writer.idle() {
 		p.plan(now)
@@ -125,7 +125,7 @@
 	p.writer.flush()
 }
 
-// revision is the version of the configuration in force, 0 before the first.
+// revision returns the revision of the configuration in force, 0 if there is none.
 func (p *primary) revision() uint64 {
 	if current := p.orders.Current(); current != nil {
 		return current.Revision
--- a/internal/roles/control/reader.go
+++ b/internal/roles/control/reader.go
@@ -14,23 +14,23 @@
 	"liftgauge/workerlist"
 )
 
-// listReader polls the platform's list of workers while this process has the duty. It belongs to the event loop; calls are made on
-// goroutines of their own, one at a time.
+// listReader polls the platform's list of workers while this process holds the duty. It belongs to the event loop; calls are made one at
+// a time on separate goroutines.
 type listReader struct {
 	daemon    *daemon
 	client    *http.Client
-	term      uint64 // 0 before the first
+	term      uint64 // 0 before the first duty
 	reader    *workerlist.Reader
-	published protocol.ItemVersion // of the list that this term published last
+	published protocol.ItemVersion // version of the list that was last published in this term
 	stopped   bool
-	readAt    time.Duration // when this term last read the list whole, or began
-	// stale says that this was too long ago. The process makes no calls then, and says so in its heartbeats until it is given the duty anew; the
-	// agent's goroutine reads it.
+	readAt    time.Duration // when the list was last read completely in this term, or when the term began
+	// stale is set when readAt is too long ago. The process then makes no calls, and reports it in its heartbeats until it is awarded the duty
+	// again. The agent's goroutine reads it.
 	stale atomic.Bool
 }
 
-// staleAfter is how long the holder of the duty may fail to read the list before it gives the duty up: half of the time that the list may be
-// old, and a few calls at least.
+// staleAfter returns how long the holder of the duty may fail to read the list before it gives the duty up: half of the maximum age of the
+// list, and at least the time of a few calls.
 func (r *listReader) staleAfter() time.Duration {
 	return max(r.daemon.settings.Bounds.Drain()/2, minStaleAfter)
 }
@@ -41,13 +41,13 @@
 	return &listReader{daemon: d, client: network.Client(d.environment.Network, instances.CallTimeout)}
 }
 
-// begin starts the duty of a term.
+// begin starts the duty for a term.
 func (r *listReader) begin(term uint64) {
-	again := term == r.term && r.stale.Load() // by a primary of a version that knows nothing of unread lists
+	again := term == r.term && r.stale.Load() // awarded again by a primary of a version that does not know WorkerListStale
 	if term <= r.term && !again || r.daemon.settings.CloudApi.Address == "" {
 		return
 	}
-	r.daemon.logger.Info("control: reading the platform's list", zap.Uint64("term", term))
+	r.daemon.logger.Info("control: reading the platform's worker list", zap.Uint64("term", term))
 	if !again {
 		r.published = protocol.ItemVersion{}
 	}
@@ -63,12 +63,12 @@
 	r.stale.Store(false)
 }
 
-// mayRead tells whether the duty of a term is still this process's, as far as it knows.
+// mayRead reports whether this process still holds the duty of a term, as far as it knows.
 func (r *listReader) mayRead(term uint64) bool {
 	return term == r.term && !r.stopped && !r.stale.Load() && r.daemon.agent.View().WorkersVersion.Term <= term
 }
 
-// step makes the next call, or waits for its time.
+// step makes the next call, or schedules it if it is not due yet.
 func (r *listReader) step(term uint64) {
 	if !r.mayRead(term) {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// call asks for one page; it runs on a goroutine of its own.
+// call requests one page of the list; it runs on a separate goroutine.
 func (r *listReader) call(term uint64, address string, request workerlist.Request) {
 	status, body, err := instances.Fetch(context.Background(), r.client, address, request.PageToken)
 	r.daemon.loop.post(func() { r.handleResponse(term, request, status, body, err) })
@@ -98,7 +98,7 @@
 	} else {
 		complete, changed, err := r.reader.Answer(now, request, status, body)
 		if err != nil {
-			r.daemon.logger.Warn("control: the platform's list cannot be read", zap.Int("status", status), reason(err))
+			r.daemon.logger.Warn("control: the platform's worker list cannot be read", zap.Int("status", status), reason(err))
 		}
 		if complete {
 			r.readAt = now
@@ -109,7 +109,7 @@
 	r.step(term)
 }
 
-// publish tells everybody of a complete reading.
+// publish publishes a complete reading of the list, or only its time if the list is unchanged.
 func (r *listReader) publish(changed bool) {
 	list := r.reader.List()
 	a := r.daemon.agent
--- a/internal/roles/control/records.go
+++ b/internal/roles/control/records.go
@@ -18,8 +18,8 @@
 
 // The keys of the records of controlGroup.
 const (
-	keyConfiguration        = configuration.RecordCurrent     // the operator's JSON, whole
-	keyConfigurationVersion = "config/version"                // ItemVersion of it
+	keyConfiguration        = configuration.RecordCurrent     // the operator's JSON, complete
+	keyConfigurationVersion = "config/version"                // its protocol.ItemVersion
 	prefixAccepted          = configuration.RecordTakenPrefix // + hash of an order: its revision
 	prefixNode              = "node/"                         // + key of a node: protocol.Node
 	prefixPartition         = "partition/"                    // + number: protocol.PartitionView
@@ -64,15 +64,15 @@
 
 func deletion(key string) replication.Record { return replication.Record{Key: key, Deleted: true} }
 
-// storeRecord is what is kept of a store, also while it has no session.
+// storeRecord is the stored information on a store. It is kept while the store has no session.
 type storeRecord struct {
 	Member   string
 	Name     string // of the machine
 	Zone     string
 	Region   string
 	Retiring bool
-	Emptied  bool // it was retiring and no partition names it any more
-	// Abandoned says that the operator has given up the disk. It is taken back when the store opens a session with it.
+	Emptied  bool // it was retiring and no partition names it any longer
+	// Abandoned is set when the operator has abandoned the disk, and cleared when the store opens a session with it.
 	Abandoned bool
 }
 
@@ -131,7 +131,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(text))), text...)
 }
 
-// fieldReader reads fields one after the other and keeps the first error.
+// fieldReader reads fields in sequence and keeps the error, if any.
 type fieldReader struct {
 	rest []byte
 	err  error
--- a/internal/roles/control/recovered.go
+++ b/internal/roles/control/recovered.go
@@ -41,16 +41,16 @@
 	return records
 }
 
-// recoveredState puts together the state that control is founded anew with: from records, and from what a running process has heard of.
+// recoveredState builds the state with which control is founded anew, from records and from the items that a running process has received.
 type recoveredState struct {
 	model *model
 	view  *agent.View
 	epoch uint64 // the first of the new generation
-	// survivor says that the records are of a process that was running: its table is one that stores have followed.
+	// survivor is set when the records are those of a running process, so that stores have followed its partition table.
 	survivor bool
 }
 
-// recoverModel returns the state in which control begins a generation. What is newer of the records and of what was heard counts.
+// recoverModel returns the state with which control begins a generation. Of the records and the received items the newer ones are used.
 func recoverModel(records []replication.Record, survivor bool, view *agent.View, epoch uint64) (*model, error) {
 	r := recoveredState{model: newModel(), view: view, epoch: epoch, survivor: survivor}
 	for _, record := range records {
@@ -67,7 +67,7 @@
 	return r.model, nil
 }
 
-// adoptConfiguration publishes the newest configuration anew, in a version that goes before all that were published.
+// adoptConfiguration selects the newest configuration, and gives it a version that supersedes all published ones.
 func (r *recoveredState) adoptConfiguration() error {
 	m := r.model
 	if m.configuration == nil || m.configurationVersion.Less(r.view.ConfigurationVersion) {
@@ -82,9 +82,9 @@
 	return errors.Wrap(err, "the configuration to begin with")
 }
 
-// mergePartitions takes the newest view of each partition. Views that running processes follow begin an epoch far above them, as a store that
-// does not answer may have followed a later one. Those of a snapshot alone begin the next one: a store that has gone further refuses it, and
-// keeps what it has.
+// mergePartitions selects the newest view of each partition. Views that running processes follow get an epoch far above the current one, as an
+// unresponsive store may have followed a later view. Views found only in a snapshot get the next epoch: a store that has followed a later one
+// rejects it and keeps its data.
 func (r *recoveredState) mergePartitions() {
 	m := r.model
 	for n, published := range r.view.Partitions.Partitions {
@@ -105,7 +105,7 @@
 	m.founded = len(m.partitions) > 0
 }
 
-// mergeNodes keeps the sessions that were heard of, whose deadlines begin anew, and a record of each store that a partition names.
+// mergeNodes keeps the published sessions, whose deadlines start anew, and a record of each store that a partition names.
 func (r *recoveredState) mergeNodes() {
 	m := r.model
 	if len(r.view.Nodes) > 0 {
@@ -127,7 +127,8 @@
 	}
 }
 
-// foundingRecords are the records of the group for the first epoch of a generation: those of the model, and deletions of all else that the disk has.
+// foundingRecords returns the records of the group for the first epoch of a generation: those of the model, and deletions of all other records on
+// the disk.
 func foundingRecords(m *model, storage replication.Storage, epoch uint64) []replication.Record {
 	records := m.records()
 	kept := make(map[string]bool, len(records))
--- a/internal/roles/control/recovery.go
+++ b/internal/roles/control/recovery.go
@@ -20,15 +20,15 @@
 	"liftgauge/replication"
 )
 
-// ErrFoundedAnew ends a process that has written the state in which control is founded anew: it begins with that at its next start.
+// ErrFoundedAnew is returned by a process that has written the state with which control is founded anew; it uses that state at its next start.
 var ErrFoundedAnew = errors.New("control is founded anew on this disk: start the process again")
 
 const (
 	maxFoundBytes = 64 << 20
 	maxJoinBytes  = 64 << 10
-	// storeDialTimeout is how long a store may take to accept a connection before it counts as silent.
+	// storeDialTimeout is how long a store may take to accept a connection before it counts as unresponsive.
 	storeDialTimeout = 300 * time.Millisecond
-	// foundingBatch bounds the bytes that are appended at once.
+	// foundingBatch is the approximate size in bytes of one append.
 	foundingBatch = 1 << 20
 	persistPoll   = 10 * time.Millisecond
 	snapshotType  = "application/octet-stream"
@@ -37,7 +37,7 @@
 // allRecords is the range of every key.
 var allRecords = reconcile.Range{}
 
-// routeRecovery adds the calls of liftgauge snapshot and liftgauge recover.
+// routeRecovery adds the routes that liftgauge snapshot and liftgauge recover call.
 func (a operatorAPI) routeRecovery(mux *http.ServeMux) {
 	mux.HandleFunc("GET /snapshot", a.snapshot)
 	mux.HandleFunc("GET /recovery/account", a.recoveryAccount)
@@ -46,7 +46,7 @@
 	mux.HandleFunc("POST /recovery/found", a.foundAnew)
 }
 
-// snapshot answers a copy of control's state: everything that was acknowledged before the call is in it, and all of it is durable.
+// snapshot responds with a copy of control's state, which contains everything acknowledged before the call and only durable state.
 func (a operatorAPI) snapshot(w http.ResponseWriter, r *http.Request) {
 	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// recoveryRecords answers what the own disk has, confirmed by nobody.
+// recoveryRecords responds with the records on the local disk, without confirmation by a majority.
 func (a operatorAPI) recoveryRecords(w http.ResponseWriter, r *http.Request) {
 	a.respond(w, r, func(reply func(response)) {
 		d := a.daemon
@@ -83,7 +83,7 @@
 	return s.Encode()
 }
 
-// recoveryAccount answers what this process knows, and which stores answer it.
+// recoveryAccount responds with the state of this process and the stores that it cannot connect to.
 func (a operatorAPI) recoveryAccount(w http.ResponseWriter, r *http.Request) {
 	var account recovery.Account
 	var addresses map[string]string // of stores, by member
@@ -96,12 +96,12 @@
 	}
 	if resp.status == http.StatusOK {
 		account.Silent = a.daemon.unresponsiveStores(r.Context(), account.Stores, addresses)
-		resp.body, _ = json.Marshal(account) // it holds nothing that cannot be encoded
+		resp.body, _ = json.Marshal(account) // all its values can be encoded
 	}
 	write(w, r, resp)
 }
 
-// account says what this process is and knows, and where the stores that partitions lie on are.
+// account returns the state of this process for a recovery, and the addresses of the stores that partitions name.
 func (d *daemon) account() (recovery.Account, map[string]string) {
 	view, node := d.agent.View(), d.agent.Node()
 	a := recovery.Account{
@@ -135,7 +135,7 @@
 	return a, addresses
 }
 
-// recordsOnDisk sums up the records of the group, nil without any.
+// recordsOnDisk returns a summary of the records of the group, or nil if there are none.
 func (d *daemon) recordsOnDisk() *recovery.Records {
 	m, err := loadModel(d.storage)
 	if err != nil || d.replica.JoinedEpoch() == 0 {
@@ -156,7 +156,7 @@
 	return parsed.Revision
 }
 
-// unresponsiveStores returns the stores that accept no connection.
+// unresponsiveStores returns the stores that do not accept a connection.
 func (d *daemon) unresponsiveStores(ctx context.Context, members []string, addresses map[string]string) []string {
 	ctx, cancel := context.WithTimeout(ctx, storeDialTimeout)
 	defer cancel()
@@ -184,7 +184,7 @@
 	return names
 }
 
-// joinGeneration has this process belong to a generation, and answers once that is on disk.
+// joinGeneration makes this process join a generation, and responds once that is on disk.
 func (a operatorAPI) joinGeneration(w http.ResponseWriter, r *http.Request) {
 	var request recovery.JoinRequest
 	if !readJSON(w, r, maxJoinBytes, &request) {
@@ -206,7 +206,7 @@
 	})
 }
 
-// awaitPersisted answers once the register is on disk.
+// awaitPersisted responds once the register is on disk.
 func (d *daemon) awaitPersisted(deadline time.Duration, reply func(response)) {
 	switch {
 	case d.elector.IsPersisted():
@@ -218,7 +218,7 @@
 	}
 }
 
-// foundAnew writes the state in which control is founded anew, answers, and ends the process.
+// foundAnew writes the state with which control is founded anew, responds, and ends the process.
 func (a operatorAPI) foundAnew(w http.ResponseWriter, r *http.Request) {
 	var request recovery.FoundRequest
 	if !readJSON(w, r, maxFoundBytes, &request) {
@@ -236,7 +236,7 @@
 	a.respond(w, r, func(reply func(response)) { a.daemon.foundGeneration(&request, records, reply) })
 }
 
-// foundGeneration checks a request, and writes what it asks for. From then on this process takes no part in the group any more.
+// foundGeneration checks a request and writes the requested state. From then on this process no longer takes part in the current group.
 func (d *daemon) foundGeneration(request *recovery.FoundRequest, records []replication.Record, reply func(response)) {
 	view := request.View
 	switch {
@@ -295,7 +295,7 @@
 	})
 }
 
-// readJSON reads a body into a value, or answers 400.
+// readJSON decodes a JSON body into a value, or responds with 400.
 func readJSON(w http.ResponseWriter, r *http.Request, limit int64, into any) bool {
 	body, ok := readBody(w, r, limit)
 	if !ok {
--- a/internal/roles/control/refusal.go
+++ b/internal/roles/control/refusal.go
@@ -13,31 +13,32 @@
 	"liftgauge/internal/rpc"
 )
 
-// A store whose connection broke is dialed refusalDials times, refusalDialInterval apart. If its address refuses each dial, no process listens there.
+// A store whose connection broke is dialed refusalDials times, refusalDialInterval apart. If its address refuses each dial, no process is listening
+// there.
 const (
 	refusalDials        = 2
 	refusalDialInterval = 20 * time.Millisecond
 	refusalDialTimeout  = 100 * time.Millisecond
-	// startupPeriod is how long a process may be a newcomer beside others that start at the same time.
+	// startupPeriod is how long after the start of this process other processes may still be starting as well.
 	startupPeriod = time.Second
 )
 
-// heartbeatSender is who sent heartbeats over a connection; it is the connection's tag.
+// heartbeatSender is the store that sends heartbeats over a connection. It is the tag of the connection.
 type heartbeatSender struct {
 	key         string
 	incarnation uint64
 	address     string
 }
 
-// tagStore notes that a connection is a store's.
+// tagStore tags a connection that belongs to a store.
 func tagStore(c *rpc.Conn, n *protocol.Node) {
 	if n.Role == protocol.RoleStore && c.Tag() == nil {
 		c.SetTag(heartbeatSender{key: n.Key, incarnation: n.Incarnation, address: n.Address})
 	}
 }
 
-// connectionClosed is called when a connection of this process is over. A store that was killed leaves an address that refuses connections:
-// its session is ended then, long before it would expire, so that its partitions get other primaries.
+// connectionClosed is called when a connection of this process is closed. The address of a store that was killed refuses connections: its session
+// is then ended, long before it would expire, so that its partitions get other primaries.
 func (d *daemon) connectionClosed(c *rpc.Conn, _ error) {
 	s, isStore := c.Tag().(heartbeatSender)
 	if !isStore {
@@ -57,8 +58,9 @@
 	}
 }
 
-// probeStores dials every store that has a session once: one that was killed together with the primary before has broken no connection to this
-// process. After a start of this process nothing is done: all stores may be starting as well, and refuse until they listen.
+// probeStores dials every store that has a session, because the loss of a store that was killed together with the previous primary closed no
+// connection to this process. Right after the start of this process it does nothing: all stores may be starting as well, and refuse connections
+// until they listen.
 func (d *daemon) probeStores(p *primary) {
 	if d.now()-d.startedAt < startupPeriod {
 		return
@@ -70,7 +72,7 @@
 	}
 }
 
-// refusesConnections tells whether an address refusesConnections connections again and again. Silence is no refusal.
+// refusesConnections reports whether an address refuses connections repeatedly. A dial that times out is not a refusal.
 func (d *daemon) refusesConnections(address string) bool {
 	for i := range refusalDials {
 		if i > 0 {
@@ -104,8 +106,9 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// storeRefused ends the session of a store whose address refuses connections. The process may run all the same, behind a network that refuses for
-// it: the end is not certain, so all that was granted to it holds until it is over, and its next heartbeat opens a session again.
+// storeRefused ends the session of a store whose address refuses connections. The process may still run, behind a network that refuses connections
+// on its behalf. It is therefore not certain to have stopped: everything granted to it stays valid until it expires, and its next heartbeat opens
+// a session again.
 func (d *daemon) storeRefused(s heartbeatSender) {
 	p := d.primary
 	if p == nil {
--- a/internal/roles/control/retire.go
+++ b/internal/roles/control/retire.go
@@ -10,13 +10,13 @@
 	"liftgauge/placement"
 )
 
-// The states of a retirement as the operator reads them.
+// The states of a retirement that are reported to the operator.
 const (
 	retirementRunning   = "running"
 	retirementSucceeded = "succeeded"
 )
 
-// retiringName tells whether a machine is being emptied, so that the store there stays retiring when it comes back with another disk.
+// retiringName reports whether a machine is being emptied, so that a store there stays retiring when it returns with another disk.
 func (p *primary) retiringName(name string) bool {
 	for _, s := range p.model.stores {
 		if s.Name == name && s.Retiring && !s.Emptied {
@@ -37,7 +37,7 @@
 	return stores
 }
 
-// startRetirement begins to empty the stores of a machine and returns the answer, which holds once all that was put is durable.
+// startRetirement begins to empty the stores of a machine and returns the response, which is valid once all records put so far are durable.
 func (p *primary) startRetirement(now time.Duration, name string) response {
 	stores := p.storesNamed(name)
 	if len(stores) == 0 {
@@ -62,7 +62,8 @@
 	return p.retirement(name)
 }
 
-// mayRetire refuses a retirement that would leave too few machines: for good, unless one that is away now is likely to be back.
+// mayRetire rejects a retirement that would leave too few machines: with a conflict, or as unavailable if a machine that is currently away would
+// make it possible.
 func (p *primary) mayRetire(now time.Duration, member string) (refused response, ok bool) {
 	stores, copies := p.placementStores(now), p.daemon.settings.Copies()
 	switch {
@@ -74,7 +75,7 @@
 	return errorResponse(http.StatusConflict, "too few storage machines would remain: add one before"), false
 }
 
-// describeRetirement says how far the emptying of a machine is.
+// describeRetirement returns the state of the retirement of a machine.
 func (p *primary) describeRetirement(name string) response {
 	retiring := false
 	for _, s := range p.storesNamed(name) {
@@ -93,6 +94,6 @@
 			state = retirementRunning
 		}
 	}
-	body, _ := json.Marshal(struct{ State string }{state}) // a struct of a text always encodes
+	body, _ := json.Marshal(struct{ State string }{state}) // a struct of a string always encodes
 	return response{status: http.StatusOK, body: body}
 }
--- a/internal/roles/control/run.go
+++ b/internal/roles/control/run.go
@@ -24,16 +24,16 @@
 
 const (
 	dataFolder = "control" // in DataDir
-	// diskShare is the part of the machine's disk that the log may use; another process may share it.
+	// diskShare is the divisor of Limits.DiskMb that gives the share of the log, since another process may use the same disk.
 	diskShare = 2
 )
 
-// Run is a control process until the context ends, which begins its planned end.
+// Run runs a control process until the context is cancelled, which starts its planned shutdown.
 func Run(ctx context.Context, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	return RunIn(ctx, roles.Environment{}, settings, logger)
 }
 
-// RunIn is Run in an environment.
+// RunIn is Run in the given environment.
 func RunIn(ctx context.Context, e roles.Environment, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	d, err := start(ctx, options{settings: settings, logger: logger, environment: e})
 	if err != nil {
@@ -42,14 +42,14 @@
 	return d.serve(ctx)
 }
 
-// options are what a process starts with; tests override addresses.
+// options configures a process.
 type options struct {
 	settings    *nodeconfig.Settings
 	logger      *zap.Logger
 	environment roles.Environment
 }
 
-// process is a started daemon with what has to be closed at its end.
+// process is a started daemon with the resources that have to be closed at its shutdown.
 type process struct {
 	*daemon
 	log             *recordlog.Log // nil without a disk
@@ -57,12 +57,12 @@
 	listener        net.Listener
 	cancel          context.CancelFunc // of the event loop
 	loopDone        chan struct{}
-	grace           time.Duration // for the planned end
-	handOverTimeout time.Duration // of the planned end for a successor
+	grace           time.Duration // time limit of the planned shutdown
+	handOverTimeout time.Duration // how long the planned shutdown waits for a successor
 	initial         *nodeconfig.Settings
 }
 
-// start opens disk and sockets and begins the event loop.
+// start opens disk and sockets and starts the event loop.
 func start(ctx context.Context, o options) (*process, error) {
 	d := &daemon{
 		settings: o.settings, logger: o.logger, environment: o.environment, loop: newEventLoop(), peers: newPeerDirectory(), replyTo: make(map[string]*rpc.Conn),
@@ -93,10 +93,10 @@
 	return p, nil
 }
 
-// logBytes is the space that the record log may use, 0 where the settings name no limit.
+// logBytes returns the disk space in bytes that the record log may use, 0 if the settings name no limit.
 func logBytes(s *nodeconfig.Settings) int64 { return int64(s.Limits.DiskMb) << 20 / diskShare }
 
-// open opens the disk and makes what lives on it. Without DataDir there is nothing to open.
+// open opens the record log and creates the replicated group from it. Without DataDir there is nothing to open.
 func (p *process) open(ctx context.Context) error {
 	s := p.settings
 	if s.DataDir == "" {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// openGroup makes the replica and the elector from what is on disk.
+// openGroup creates the replica and the elector from the state on disk.
 func (p *process) openGroup() error {
 	d := p.daemon
 	s := p.settings
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// serve waits for the planned end and carries it out within the time that the platform gives.
+// serve waits for the planned shutdown and carries it out within the grace period of the platform.
 func (p *process) serve(ctx context.Context) error {
 	watchContext, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
@@ -174,14 +174,15 @@
 		return multierr.Append(ErrFoundedAnew, p.close(grace))
 	case <-ctx.Done():
 	}
-	p.logger.Info("control: planned end begins")
+	p.logger.Info("control: planned shutdown begins")
 	grace, cancel := context.WithTimeout(context.Background(), p.grace)
 	defer cancel()
 	p.handOver(grace)
 	return p.close(grace)
 }
 
-// The planned end takes at most the platform's grace less graceMargin, and waits at most maxHandOverTime for another primary.
+// The planned shutdown takes at most the grace period of the platform less graceMargin, or minShutdownGrace if that is longer, and waits at most
+// maxHandOverTime for another primary.
 const (
 	graceMargin      = time.Second
 	minShutdownGrace = time.Second
@@ -193,11 +194,11 @@
 	return max(s.Bounds.Grace()-graceMargin, minShutdownGrace)
 }
 
-// handOver leaves the group and the duties to others.
+// handOver hands the role in the group and the duties over to other processes.
 func (p *process) handOver(ctx context.Context) {
 	leaving, cancel := context.WithTimeout(ctx, leaveTimeout)
 	if err := p.agent.Leave(leaving, false); err != nil {
-		p.logger.Info("control: nobody heard of the planned end", reason(err))
+		p.logger.Info("control: no process was notified of the planned shutdown", reason(err))
 	}
 	cancel()
 	resigned := make(chan struct{})
@@ -210,7 +211,7 @@
 	}
 }
 
-// close ends everything; open calls of the operator are answered first.
+// close stops the process; open calls of the operator are answered first.
 func (p *process) close(ctx context.Context) error {
 	shutdown, cancel := context.WithTimeout(ctx, orderTimeout)
 	err := p.server.Shutdown(shutdown)
@@ -220,13 +221,13 @@
 		_ = p.server.Close()
 	}
 	leaving, cancel := context.WithTimeout(ctx, leaveTimeout)
-	_ = p.agent.Leave(leaving, true) // the session expires otherwise
+	_ = p.agent.Leave(leaving, true) // if this fails, the session expires
 	cancel()
 	p.stop()
 	return multierr.Append(err, p.closeLog())
 }
 
-// stop ends the loop and the agent without a word to anybody.
+// stop ends the loop and the agent without notifying other processes.
 func (p *process) stop() {
 	close(p.stopped)
 	p.cancel()
--- a/internal/roles/control/sessions.go
+++ b/internal/roles/control/sessions.go
@@ -9,15 +9,15 @@
 	"liftgauge/session"
 )
 
-// The time without heartbeats, of which there are five a second, after which a session ends. A store's is the shortest: its messages wait for
-// another primary. It is longer than a store's lease, so that the next primary need not wait for that as well.
+// The time without heartbeats, which are sent five times a second, after which a session expires. It is shortest for a store, whose messages wait
+// for another primary. It is longer than the lease of a store, so that the next primary need not wait for the lease as well.
 const (
 	storeExpiry      = 700 * time.Millisecond
 	controlExpiry    = 1000 * time.Millisecond
 	dispatcherExpiry = 1500 * time.Millisecond
 )
 
-// newSessions returns the table with the sessions of the model, whose deadlines begin now.
+// newSessions returns a table with the sessions of the model, whose deadlines start now.
 func newSessions(now time.Duration, m *model) *session.Table {
 	table := session.New(session.Options{Expiry: map[uint8]time.Duration{
 		uint8(protocol.RoleStore):      storeExpiry,
@@ -65,21 +65,21 @@
 	return true
 }
 
-// leave takes the word of a process that its planned end begins or is over.
+// leave handles the notification of a process that its planned shutdown begins or has ended.
 func (p *primary) leave(now time.Duration, l *protocol.Leave) {
 	p.applySessionEvents(now, p.sessions.Leave(now, l.Key, l.Incarnation, l.EndSession))
 }
 
 func (p *primary) tickSessions(now time.Duration) {
 	if p.sessions.Tick(now) {
-		p.daemon.logger.Info("control: this process was paused; sessions get that time back")
+		p.daemon.logger.Info("control: this process was paused; extending all sessions by the duration of the pause")
 	}
 	if !p.awaitsTakeOver(now) {
 		p.applySessionEvents(now, p.sessions.Expire(now))
 	}
 }
 
-// applySessionEvents writes what changed in the table of sessions.
+// applySessionEvents writes the changes of the session table to the model.
 func (p *primary) applySessionEvents(now time.Duration, events []session.Event) {
 	for _, e := range events {
 		node := protocolNode(e.Node)
--- a/internal/roles/control/shutdown.go
+++ b/internal/roles/control/shutdown.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// shutdownPoll is how often the planned end looks whether the others do without this process.
+	// shutdownPoll is the interval at which a planned shutdown checks whether the group still needs this process.
 	shutdownPoll = 20 * time.Millisecond
-	// witnessTimeout is how long the planned end of a process that is no member any more waits to be left out of the witnesses.
+	// witnessTimeout is how long the planned shutdown of a process that is no longer a member waits to be removed from the witnesses.
 	witnessTimeout = time.Second
 )
 
-// beginShutdown resigns, and closes done when this process is not needed any more.
+// beginShutdown resigns, and closes done when this process is no longer needed.
 func (d *daemon) beginShutdown(done chan struct{}) {
 	d.shuttingDown = true
 	d.reader.stop()
@@ -30,8 +30,8 @@
 	d.awaitSuccessor(done)
 }
 
-// awaitSuccessor closes done when this process is neither primary nor a member that writes wait for, nor a witness that the others can do without;
-// as a witness it waits for a while only.
+// awaitSuccessor closes done when the group no longer needs this process as primary or member, nor as a witness that may be removed; a process
+// that is only a witness waits for at most witnessTimeout.
 func (d *daemon) awaitSuccessor(done chan struct{}) {
 	switch now := d.now(); {
 	case d.elector.View().Includes(d.self.Member):
@@ -47,7 +47,7 @@
 	d.loop.after(shutdownPoll, func() { d.awaitSuccessor(done) })
 }
 
-// watchSettings takes new settings when the file has changed, with or without a signal.
+// watchSettings applies new settings when the file has changed, with or without a signal.
 func (p *process) watchSettings(ctx context.Context, current *nodeconfig.Settings) {
 	if current.File == "" {
 		return
@@ -62,13 +62,13 @@
 
 func (p *process) settingsChanged(s *nodeconfig.Settings, err error) {
 	if err != nil {
-		p.logger.Warn("control: the new settings are not valid; the ones before go on", reason(err))
+		p.logger.Warn("control: the new settings are invalid; keeping the current ones", reason(err))
 		return
 	}
-	p.logger.Info("control: new settings")
+	p.logger.Info("control: settings reloaded")
 	p.agent.Reload(s)
 	p.loop.post(func() {
-		changed := *p.daemon.settings // what sockets and the disk were opened with stays
+		changed := *p.daemon.settings // settings that sockets and the disk were opened with are kept
 		changed.CloudApi, changed.FaultTolerance = s.CloudApi, s.FaultTolerance
 		p.daemon.settings = &changed
 	})
--- a/internal/roles/control/status.go
+++ b/internal/roles/control/status.go
@@ -16,7 +16,7 @@
 
 func (a operatorAPI) status(w http.ResponseWriter, r *http.Request) {
 	a.respond(w, r, func(reply func(response)) {
-		body, _ := json.MarshalIndent(a.daemon.statusPage(), "", "  ") // it holds nothing that cannot be encoded
+		body, _ := json.MarshalIndent(a.daemon.statusPage(), "", "  ") // all its values can be encoded
 		reply(response{status: http.StatusOK, body: append(body, '\n')})
 	})
 }
@@ -80,7 +80,7 @@
 	_, _ = w.Write(resp.body)
 }
 
-// renderMetrics is the body of /metrics, one figure a line.
+// renderMetrics returns the body of /metrics, one metric per line.
 func (d *daemon) renderMetrics() string {
 	figures := map[string]float64{
 		"control_orders_under_way": float64(len(d.orders.queue)),
--- a/internal/roles/control/storefaults.go
+++ b/internal/roles/control/storefaults.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// unreachableConfirmTime is how long a store has to be complained of, more than once, before somebody is left out: by then all who are cut off have said so, and
-	// it shows on which side the trouble is.
+	// unreachableConfirmTime is how long a store has to be reported as unreachable, more than once, before a store is excluded. By then all affected
+	// stores have sent reports, which shows on which side the fault is.
 	unreachableConfirmTime = 250 * time.Millisecond
-	// reportLifetime is how long a complaint holds that is not repeated.
+	// reportLifetime is how long a report that is not repeated stays valid.
 	reportLifetime = 600 * time.Millisecond
-	// unresponsiveAfter is how long a store may not have been heard of for a complaint about it to count: one that has ended or stands still is
-	// complained of as well, and to leave out the complainant would leave its partitions to the one that is gone.
+	// unresponsiveAfter is the maximum age of the last heartbeat of a store for reports about it to count. A store that has stopped or is paused is
+	// reported as unreachable as well, and excluding the reporting store would leave its partitions to the one that is lost.
 	unresponsiveAfter = 350 * time.Millisecond
-	// What was left out is tried again after a pause that doubles each time the same trouble comes back, from firstPause to lastPause.
-	// Trouble that stayed away for faultFreeReset begins anew.
+	// An excluded store or pair is used again after a time that doubles with each recurrence of the fault, from unreachableFirstExclusion or
+	// stalledFirstExclusion up to maxExclusion. It starts anew when the fault has not recurred for faultFreeReset.
 	unreachableFirstExclusion = 3 * time.Second
 	stalledFirstExclusion     = 500 * time.Millisecond
 	maxExclusion              = 30 * time.Second
 	faultFreeReset            = time.Minute
 )
 
-// exclusion says how long something is left out, with a pause that doubles.
+// exclusion is the time for which a store or a pair of stores is excluded; it doubles with each recurrence.
 type exclusion struct {
-	until time.Duration // in force before it
+	until time.Duration // in force until then
 	pause time.Duration
 }
 
-// extend keeps the trouble in force from now on, and reports whether it was not before.
+// extend keeps the exclusion in force from now on, and reports whether it was not in force before.
 func (t *exclusion) extend(now, first time.Duration) (begun bool) {
 	if begun = now >= t.until; begun {
 		if t.pause == 0 || now-t.until >= faultFreeReset {
@@ -46,25 +46,25 @@
 
 func (t *exclusion) inForce(now time.Duration) bool { return now < t.until }
 
-// pairFault is that two stores cannot reach each other.
+// pairFault is the fault that two stores cannot reach each other.
 type pairFault struct {
 	exclusion
-	since, last time.Duration // of the complaints that are repeated now; last 0 for none
+	since, last time.Duration // of the current series of reports; last is 0 if there is none
 }
 
-// storeFaults is what the stores' heartbeats say about each other's links and about their disks.
+// storeFaults collects the faults of links between stores and of disks that the stores report in their heartbeats.
 type storeFaults struct {
-	pairs         map[[2]string]*pairFault // by the two members in order
+	pairs         map[[2]string]*pairFault // by the two members in sorted order
 	stalled       map[string]*exclusion    // by member
-	lastHeartbeat map[string]time.Duration // by member: its last heartbeat
-	active        int                      // troubles in force at the last tick
+	lastHeartbeat map[string]time.Duration // by member: when its last heartbeat arrived
+	active        int                      // exclusions in force at the last tick
 }
 
 func newStoreFaults() storeFaults {
 	return storeFaults{pairs: make(map[[2]string]*pairFault), stalled: make(map[string]*exclusion), lastHeartbeat: make(map[string]time.Duration)}
 }
 
-// heartbeat notes what a store says, and reports whether there is something new to plan for.
+// heartbeat records the faults that a store reports, and reports whether partitions have to be planned anew.
 func (t *storeFaults) heartbeat(now time.Duration, h *protocol.Heartbeat) (changed bool) {
 	if before, known := t.lastHeartbeat[h.Node.Member]; known && now-before > unresponsiveAfter {
 		t.discardReports(h.Node.Member)
@@ -93,8 +93,8 @@
 	return fault.extend(now, stalledFirstExclusion)
 }
 
-// discardReports voids the complaints about a store, and its own, that have not led to anything: they were about its silence, which is over, and
-// say nothing of its links now.
+// discardReports discards the reports about a store, and its own, that have not led to an exclusion: they were caused by a time in which it was
+// unresponsive, which is over, and are no evidence about its links now.
 func (t *storeFaults) discardReports(member string) {
 	for pair, fault := range t.pairs {
 		if pair[0] == member || pair[1] == member {
@@ -103,7 +103,7 @@
 	}
 }
 
-// tick takes complaints that have settled, ends what is over, and reports whether there is something new to plan for.
+// tick excludes pairs whose reports are confirmed, removes expired entries, and reports whether partitions have to be planned anew.
 func (t *storeFaults) tick(now time.Duration) (changed bool) {
 	active := 0
 	for pair, fault := range t.pairs {
@@ -135,7 +135,7 @@
 	return changed
 }
 
-// bothResponsive reports whether both stores of a pair have sent heartbeats lately.
+// bothResponsive reports whether both stores of a pair have sent heartbeats recently.
 func (t *storeFaults) bothResponsive(now time.Duration, pair [2]string) bool {
 	for _, member := range pair {
 		if last, known := t.lastHeartbeat[member]; !known || now-last > unresponsiveAfter {
@@ -145,7 +145,7 @@
 	return true
 }
 
-// blockedPairs returns the pairs that cannot reach each other, in order.
+// blockedPairs returns the pairs that cannot reach each other, in sorted order.
 func (t *storeFaults) blockedPairs(now time.Duration) [][2]string {
 	var pairs [][2]string
 	for pair, fault := range t.pairs {
@@ -157,7 +157,7 @@
 	return pairs
 }
 
-// isStalled reports whether a store's disk is not to be counted on.
+// isStalled reports whether a store is excluded because its disk stalls.
 func (t *storeFaults) isStalled(now time.Duration, member string) bool {
 	fault := t.stalled[member]
 	return fault != nil && fault.inForce(now)
--- a/internal/roles/control/tolerance.go
+++ b/internal/roles/control/tolerance.go
@@ -8,14 +8,14 @@
 	"liftgauge/replication"
 )
 
-// toleranceWatch notices that control bears fewer losses than FaultTolerance asks for, for longer than a repair takes.
+// toleranceWatch detects that control tolerates fewer losses than FaultTolerance requires for longer than a repair takes.
 type toleranceWatch struct {
 	short      bool
 	shortSince time.Duration
 	reported   bool
 }
 
-// toleranceChange is what is to be told of it.
+// toleranceChange is the change that is to be logged.
 type toleranceChange int
 
 const (
@@ -24,7 +24,7 @@
 	toleranceRestored
 )
 
-// observe takes how many losses are borne and asked for now, and how long a shortage is nothing unusual.
+// observe takes how many losses are tolerated and required now, and how long a shortage may last before it is reported.
 func (w *toleranceWatch) observe(now time.Duration, tolerated, required int, timeout time.Duration) toleranceChange {
 	if tolerated >= required {
 		restored := w.reported
@@ -52,9 +52,9 @@
 	tolerated := zap.Int("losses_borne", view.ToleratedLosses())
 	switch p.tolerance.observe(now, view.ToleratedLosses(), required, d.settings.Bounds.CatchUp()) {
 	case toleranceLost:
-		d.logger.Warn("control: bears fewer losses than FaultTolerance asks for: run it on more machines with a disk", tolerated,
+		d.logger.Warn("control: tolerates fewer losses than FaultTolerance requires: run it on more machines with a disk", tolerated,
 			zap.Int("losses_asked", required), zap.Int("machines_needed", replication.WitnessesFor(required)), witnesses)
 	case toleranceRestored:
-		d.logger.Info("control: bears as many losses as FaultTolerance asks for again", tolerated, witnesses)
+		d.logger.Info("control: tolerates as many losses as FaultTolerance requires again", tolerated, witnesses)
 	}
 }
--- a/internal/roles/control/waiting.go
+++ b/internal/roles/control/waiting.go
@@ -6,41 +6,41 @@
 )
 
 const (
-	// holdTimeout is how long a call waits for a primary to be known. It stays below the second after which the operator goes elsewhere.
+	// holdTimeout is how long a call waits for a primary to be known. It is below the second after which the operator tries another process.
 	holdTimeout = 700 * time.Millisecond
-	// orderTimeout is how long an order waits to be durable before it gets no clear answer.
+	// orderTimeout is how long an order may take to become durable before its callers are told that the outcome is unknown.
 	orderTimeout = 2500 * time.Millisecond
-	// confirmTimeout bounds the round that confirms that this process still is the primary.
+	// confirmTimeout limits the round that confirms that this process is still the primary.
 	confirmTimeout = 600 * time.Millisecond
 )
 
-// response is what a call of the operator is answered.
+// response is the HTTP response to a call of the operator.
 type response struct {
 	status       int
 	body         []byte
 	contentType  string // of the body; JSON where it is empty
-	text         string // of a refusal, instead of a body
+	text         string // of an error, instead of a body
 	controlPlane string // of the primary, for 307
 }
 
 func errorResponse(status int, text string) response { return response{status: status, text: text} }
 
-// unavailable is no clear answer: the operator sends the call again.
+// unavailable returns a response after which the operator retries the call.
 func unavailable(text string) response { return errorResponse(http.StatusServiceUnavailable, text) }
 
 func redirect(controlPlane string) response {
 	return response{status: http.StatusTemporaryRedirect, controlPlane: controlPlane}
 }
 
-// pendingCall is a call that waits for a primary to be known.
+// pendingCall is a call that waits until a primary is known.
 type pendingCall struct {
 	deadline time.Duration
 	run      func(*primary)
 	reply    func(response)
 }
 
-// withPrimary runs a function with the active primary if that is this process. Otherwise the call is sent on to the primary, or waits until
-// one is known.
+// withPrimary calls run with the active primary if that is this process. Otherwise the call is redirected to the primary, or waits until one is
+// known.
 func (d *daemon) withPrimary(run func(*primary), reply func(response)) {
 	w := &pendingCall{deadline: d.now() + holdTimeout, run: run, reply: reply}
 	if !d.resolve(w) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// resolve answers a waiting call if that can be done now.
+// resolve runs or redirects a pending call if a primary is known.
 func (d *daemon) resolve(w *pendingCall) bool {
 	if d.primary != nil {
 		w.run(d.primary)
@@ -61,7 +61,7 @@
 	return false
 }
 
-// otherPrimary returns where another process serves the operator as primary, or "".
+// otherPrimary returns the address at which another process serves the operator as primary, or "".
 func (d *daemon) otherPrimary() string {
 	address, controlPlane := d.primaryAddress()
 	if address == d.self.Address {
@@ -70,7 +70,7 @@
 	return controlPlane
 }
 
-// retryPendingCalls answers what waited for a primary to be known, after something about that has changed.
+// retryPendingCalls resolves the pending calls that can be resolved, after what is known of the primary has changed.
 func (d *daemon) retryPendingCalls() {
 	waiting := d.pendingCalls
 	d.pendingCalls = nil
@@ -82,7 +82,7 @@
 	d.redirectOrders()
 }
 
-// expirePendingCalls refuses the calls that have waited too long.
+// expirePendingCalls responds with an error to the calls that have waited too long.
 func (d *daemon) expirePendingCalls(now time.Duration) {
 	waiting := d.pendingCalls
 	d.pendingCalls = nil
@@ -95,7 +95,7 @@
 	}
 }
 
-// confirm calls f with whether this process still is the primary by the word of a majority.
+// confirm calls f with whether a majority confirms that this process is still the primary.
 func (d *daemon) confirm(f func(confirmed bool)) {
 	answered := false
 	once := func(confirmed bool) {
--- a/internal/roles/control/writer.go
+++ b/internal/roles/control/writer.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// storageRetry is the time between attempts to write a batch that the own disk refused.
+	// storageRetry is the time between attempts to write a batch that the local disk rejected.
 	storageRetry = 200 * time.Millisecond
-	// toleratedRefusals is how often the own disk may refuse a batch before another member is asked to take over: a full disk may have space again by then.
+	// toleratedRefusals is how often the local disk may reject a batch before another member is requested to take over: a full disk may have space
+	// again by then.
 	toleratedRefusals = 2
 )
 
-// writer replicates changes of the model in batches, one at a time: what is put while a batch is under way goes into the next one.
+// writer replicates changes of the model in batches, one at a time: records that are put while a batch is in flight go into the next one.
 type writer struct {
 	// write replicates a batch; done is called on the event loop.
 	write func(records []replication.Record, done func(error))
-	// onBegin is called when a batch begins, with the model as it is after it; what it returns is called when the batch is durable.
+	// onBegin is called when a batch begins, while the model is as the batch leaves it; the returned function is called when the batch is durable.
 	onBegin func() (durable func())
 	after   func(time.Duration, func())
-	// onRefused is called each time that the own disk has onRefused a batch more often than is borne.
+	// onRefused is called on each rejection of a batch by the local disk beyond toleratedRefusals.
 	onRefused func()
 
 	records   []replication.Record
@@ -32,7 +33,7 @@
 	closed    bool
 }
 
-// put adds a record to the next batch; the last one of a key counts.
+// put adds a record to the next batch, where it replaces an earlier one with the same key.
 func (w *writer) put(r replication.Record) {
 	if w.index == nil {
 		w.index = make(map[string]int)
@@ -45,7 +46,7 @@
 	w.records = append(w.records, r)
 }
 
-// onDurable calls f when all that was put so far is durable, or with an error if its fate is unknown.
+// onDurable calls f when all records put so far are durable, or with an error if the outcome is unknown.
 func (w *writer) onDurable(f func(error)) {
 	if w.closed {
 		f(replication.ErrDeposed)
@@ -54,10 +55,10 @@
 	w.callbacks = append(w.callbacks, f)
 }
 
-// idle tells whether nothing is under way.
+// idle reports whether no batch is in flight.
 func (w *writer) idle() bool { return !w.inFlight }
 
-// flush begins the next batch if there is something to do and no batch is under way.
+// flush begins the next batch if there are records or callbacks and no batch is in flight.
 func (w *writer) flush() {
 	for !w.closed && !w.inFlight && (len(w.records) > 0 || len(w.callbacks) > 0) {
 		records, callbacks := w.records, w.callbacks
@@ -78,7 +79,7 @@
 	}
 }
 
-// attempt writes a batch until the own disk takes it or the process is deposed. Giving up earlier would leave its fate open.
+// attempt writes a batch repeatedly until the local disk accepts it or the process is deposed. Giving up earlier would leave the outcome unknown.
 func (w *writer) attempt(records []replication.Record, refusals int, done func(error)) {
 	w.write(records, func(err error) {
 		if errors.Is(err, replication.ErrStorage) && !w.closed {
@@ -93,7 +94,7 @@
 	})
 }
 
-// close ends the writer: what has not begun fails, and what is under way is answered by the replica.
+// close closes the writer: records that are not in flight fail, and the replica reports the outcome of the batch in flight.
 func (w *writer) close() {
 	w.closed = true
 	callbacks := w.callbacks
