--- a/internal/roles/control/cluster_test.go
+++ b/internal/roles/control/cluster_test.go
@@ -29,7 +29,7 @@
 // testNetwork counts the clusters, each of which uses a separate network of loopback addresses.
 var testNetwork atomic.Uint32
 
-// cluster is a group of control processes with disks on separate loopback addresses, with the settings that their clients share.
+// cluster is a group of control processes with disks on separate loopback addresses.
 type cluster struct {
 	t         *testing.T
 	ctx       context.Context
--- a/internal/roles/control/epochs_test.go
+++ b/internal/roles/control/epochs_test.go
@@ -11,8 +11,8 @@
 	"liftgauge/replication"
 )
 
-// Epochs that run out are told of long before, once, and no partition takes a view beyond the last.
-func TestEpochsThatRunOutAreTold(t *testing.T) {
+// A partition that is running out of epochs is logged once well before the limit and once at the limit, and no partition takes a view beyond it.
+func TestExhaustionOfEpochsIsLogged(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.WarnLevel)
 	p := &primary{daemon: &daemon{logger: zap.New(core)}}
--- a/internal/roles/control/fakes_test.go
+++ b/internal/roles/control/fakes_test.go
@@ -15,7 +15,7 @@
 	"liftgauge/internal/rpc"
 )
 
-// fakeStore is a store that has a session and says of every learner that it is equal.
+// fakeStore is a store that has a session and reports every learner as caught up.
 type fakeStore struct {
 	*agent.Agent
 	name, member string
@@ -26,14 +26,14 @@
 	stalled     bool
 }
 
-// setFaults has the store say whom it cannot reach, and whether its disk stalls.
+// setFaults sets which stores this store reports as unreachable, and whether it reports its disk as stalled.
 func (s *fakeStore) setFaults(stalled bool, unreachable ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.unreachable, s.stalled = unreachable, stalled
 }
 
-// startStore starts a store on a host of its own.
+// startStore starts a store on a separate host.
 func (c *cluster) startStore(host int, disk string) *fakeStore {
 	c.t.Helper()
 	name := fmt.Sprintf("storage-%d", host)
@@ -85,7 +85,7 @@
 	}
 }
 
-// platform serves a list of workers in pages of one.
+// platform serves a list of workers in pages of one entry.
 type platform struct {
 	mutex   sync.Mutex
 	workers []string
@@ -122,7 +122,7 @@
 		`"ColdRemainingMs":0,"Id":%q}],"NextPageToken":%s}`, p.workers[page], next)
 }
 
-// testWriter drops log entries once the test is over.
+// testWriter drops log entries after the end of the test.
 type testWriter struct {
 	t     *testing.T
 	mutex sync.Mutex
@@ -137,18 +137,18 @@
 
 func (w *testWriter) wrap(core zapcore.Core) zapcore.Core { return &endingCore{Core: core, writer: w} }
 
-// endingCore writes entries only while the test runs.
+// endingCore writes entries only until the end of the test.
 type endingCore struct {
 	zapcore.Core
 	writer *testWriter
 }
 
-// With keeps the wrapping.
+// With returns a core with the fields that is wrapped as well.
 func (c *endingCore) With(fields []zapcore.Field) zapcore.Core {
 	return &endingCore{Core: c.Core.With(fields), writer: c.writer}
 }
 
-// Check adds this core.
+// Check adds this core if the level is enabled.
 func (c *endingCore) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(e.Level) {
 		return checked.AddCore(e, c)
@@ -156,7 +156,7 @@
 	return checked
 }
 
-// Write writes while the test runs.
+// Write writes the entry unless the test has ended.
 func (c *endingCore) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	c.writer.mutex.Lock()
 	defer c.writer.mutex.Unlock()
--- a/internal/roles/control/loop_test.go
+++ b/internal/roles/control/loop_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestLoopRunsInOrderAndSettlesAfterEach(t *testing.T) {
+func TestLoopRunsFunctionsInOrderEachFollowedByAfterEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -24,7 +24,7 @@
 		l.post(func() { events = append(events, "b") })
 		synctest.Wait()
 		is.Equal(events, []string{"a", "afterEvent", "b", "afterEvent", "c", "afterEvent"})
-		time.Sleep(time.Second) // the bubble's clock
+		time.Sleep(time.Second) // on the clock of the synctest bubble
 		synctest.Wait()
 		is.Equal(events[6:], []string{"tick", "afterEvent"})
 		cancel()
--- a/internal/roles/control/model_test.go
+++ b/internal/roles/control/model_test.go
@@ -49,7 +49,7 @@
 	is.Equal(len(m.nodes)+len(m.stores), 0)
 }
 
-func TestModelRefusesGarbledRecords(t *testing.T) {
+func TestModelRejectsMalformedRecords(t *testing.T) {
 	is := is.New(t)
 	for _, key := range []string{prefixPartition + "x", prefixPartition + "99999", prefixStore + "a", prefixDuty + "a", prefixAccepted + "a", keyConfigurationVersion} {
 		is.True(newModel().apply(replication.Record{Key: key, Value: []byte{0xff}}) != nil)
--- a/internal/roles/control/orders_test.go
+++ b/internal/roles/control/orders_test.go
@@ -13,7 +13,7 @@
 	"liftgauge/replication"
 )
 
-func TestOneOfTwoOrdersAtOnceWins(t *testing.T) {
+func TestOneOfTwoConcurrentOrdersSucceeds(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
@@ -23,7 +23,7 @@
 		var wait sync.WaitGroup
 		for i := range statuses {
 			wait.Go(func() {
-				mark := string(rune('a' + i/2)) // two orders, each sent twice at the same time
+				mark := string(rune('a' + i/2)) // two orders, each sent twice concurrently
 				statuses[i] = c.replace(c.machine(1+i%3), base, configurationOf(base+1, mark))
 			})
 		}
@@ -40,8 +40,8 @@
 	}
 }
 
-// A primary whose state was taken over may not know yet. Without a majority it says nothing that is sure.
-func TestPrimaryWithoutAMajoritySaysNothingClear(t *testing.T) {
+// A primary may not have noticed yet that another process has taken over. Without confirmation by a majority it gives no final response.
+func TestPrimaryWithoutAMajorityGivesNoFinalResponse(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
@@ -58,7 +58,7 @@
 			c.kill(m)
 		}
 	}
-	var calls sync.WaitGroup // at once, before the ends of sessions are to be written
+	var calls sync.WaitGroup // all at once, before sessions expire and that has to be written
 	for _, call := range []struct {
 		method, path string
 		base         uint64
@@ -71,16 +71,16 @@
 		{http.MethodGet, "/retire/" + store.name + "/describe", 0, nil},
 	} {
 		calls.Go(func() {
-			if r, clear := c.call(primary, call.method, call.path, call.base, call.body); clear {
-				t.Errorf("%s %s (%s) is answered %d %s", call.method, call.path, call.body, r.status, r.body)
+			if r, final := c.call(primary, call.method, call.path, call.base, call.body); final {
+				t.Errorf("%s %s (%s): got final response %d %s", call.method, call.path, call.body, r.status, r.body)
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// Three processes of control bear the loss of one, whatever FaultTolerance asks of the stores: orders go on without it.
-func TestOrdersGoOnWithTwoOfThreeWhereMoreCopiesAreWanted(t *testing.T) {
+// Three control processes tolerate the loss of one, whatever FaultTolerance requires of the stores: orders continue without it.
+func TestOrdersContinueWithTwoOfThreeProcessesWhereMoreCopiesAreConfigured(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	for _, m := range c.machines {
@@ -95,7 +95,7 @@
 	is.Equal(revision, uint64(6))
 }
 
-// A primary with fewer members than copies may hold an order that no other disk has: it acts once a learner has all, and not before.
+// A primary with fewer members than copies may hold an order that is on no other disk. It acts as primary only once a learner has caught up.
 func TestPrimaryActsOnceItsStateIsOnEnoughDisks(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5)
@@ -107,12 +107,12 @@
 		c.primary().onLoop(c, func(d *daemon) { view = d.elector.View() })
 		return len(view.Witnesses) == 5
 	})
-	var last *machine // the member that is left
+	var last *machine // the remaining member
 	for _, m := range c.machines {
 		var member string
 		m.onLoop(c, func(d *daemon) {
 			if member = d.self.Member; !view.IsMember(member) {
-				d.replica.Close() // it votes, and takes no records
+				d.replica.Close() // it votes, but accepts no records
 			}
 		})
 		switch {
@@ -125,15 +125,15 @@
 	}
 	is.True(last != nil)
 	c.kill(c.primary())
-	c.eventually("the member that is left to lead alone", func() bool {
+	c.eventually("the remaining member to lead alone", func() bool {
 		active := false
 		last.onLoop(c, func(d *daemon) { active = d.replica.IsActive() })
 		return active
 	})
-	if r, clear := c.call(last, http.MethodGet, "/config/describe", 0, nil); clear {
-		t.Errorf("one disk is enough for an answer: %d %s", r.status, r.body)
+	if r, final := c.call(last, http.MethodGet, "/config/describe", 0, nil); final {
+		t.Errorf("got a final response with the records on one disk only: %d %s", r.status, r.body)
 	}
-	for _, m := range c.machines { // the two others come back with replicas
+	for _, m := range c.machines { // the other two restart with replicas
 		if m.process != nil && m != last {
 			c.kill(m)
 			c.start(m)
@@ -155,11 +155,11 @@
 	revision, body := c.described(c.machine(3))
 	is.Equal(revision, uint64(4))
 	is.True(strings.Contains(body, "r-2") && !strings.Contains(body, "r-1"))
-	r = c.operator(c.machine(3), http.MethodPost, "/config/update", 1, change) // again
+	r = c.operator(c.machine(3), http.MethodPost, "/config/update", 1, change) // repeated
 	is.Equal(r.status, http.StatusOK)
 }
 
-func TestOperatorAPIRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestOperatorAPIRejectsUnknownPathsMethodsAndNames(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
--- a/internal/roles/control/peers_test.go
+++ b/internal/roles/control/peers_test.go
@@ -6,13 +6,13 @@
 	"github.com/matryer/is"
 )
 
-func TestPeerBookBelievesTheProcessItself(t *testing.T) {
+func TestPeerDirectoryPrefersReportsOfTheProcessItself(t *testing.T) {
 	is := is.New(t)
 	b := newPeerDirectory()
 	before, changed := b.learn("a/1", "10.0.0.1:7240", false)
 	is.True(changed)
 	is.Equal(before, "")
-	before, changed = b.learn("a/2", "10.0.0.1:7240", true) // came back with an empty disk
+	before, changed = b.learn("a/2", "10.0.0.1:7240", true) // restarted with an empty disk
 	is.True(changed)
 	is.Equal(before, "a/1")
 	is.Equal(b.memberAt("10.0.0.1:7240"), "a/2")
--- a/internal/roles/control/recovery_test.go
+++ b/internal/roles/control/recovery_test.go
@@ -16,7 +16,7 @@
 	"liftgauge/replication"
 )
 
-// client is a client of all control processes of the cluster.
+// client returns a client for all control processes of the cluster.
 func (c *cluster) client() *operator.Client {
 	var addresses []string
 	for _, m := range c.machines {
@@ -25,7 +25,7 @@
 	return operator.New(addresses, nil)
 }
 
-// restartWithEmptyDisks has machines come back with empty disks, all at once.
+// restartWithEmptyDisks restarts machines with empty disks, all at once.
 func (c *cluster) restartWithEmptyDisks(lost ...*machine) {
 	c.t.Helper()
 	for _, m := range lost {
@@ -35,7 +35,7 @@
 	c.start(lost...)
 }
 
-// awaitReceived waits until every running control process has heard of a table and a revision.
+// awaitReceived waits until every running control process has received a table with this number of partitions and a revision.
 func (c *cluster) awaitReceived(partitions int, revision uint64) {
 	c.t.Helper()
 	for _, m := range c.machines {
@@ -47,7 +47,7 @@
 	}
 }
 
-// recover plans and carries a recovery out, and starts the founder again as the platform does.
+// recover plans and carries out a recovery, and restarts the founder as the platform does.
 func (c *cluster) recover(o recovery.Options, file []byte) *recovery.Plan {
 	c.t.Helper()
 	accounts, err := c.client().Accounts(c.ctx)
@@ -75,7 +75,7 @@
 	return plan
 }
 
-// awaitWitnesses waits until all control processes are witnesses of the generation, and orders are taken.
+// awaitWitnesses waits until all control processes are witnesses of the generation, and the view has its full number of members.
 func (c *cluster) awaitWitnesses(generation uint64) {
 	c.t.Helper()
 	c.eventually("all to be witnesses of the generation", func() bool {
@@ -90,7 +90,7 @@
 
 const recoveredPartitions = minPartitions
 
-// startRecoverable starts three control processes with two stores and a dispatcher, and has two orders taken.
+// startRecoverable starts three control processes with two stores and a dispatcher, and has two orders accepted.
 func startRecoverable(t *testing.T) (c *cluster, edge *agent.Agent) {
 	c = newCluster(t, 3)
 	c.startAll()
@@ -105,9 +105,9 @@
 	return c, edge
 }
 
-// Of three processes two lose their disks: no command of the ordinary kind mends that. What the survivor has goes on, the orders that it took
-// are known, partitions begin epochs above all that any store may have followed, and a returned dispatcher hears of later orders.
-func TestControlIsFoundedAnewOnASurvivor(t *testing.T) {
+// Two of three processes lose their disks, which only a recovery can repair. The state of the survivor is kept, including the orders that it
+// accepted, partitions get epochs above all that any store may have followed, and a dispatcher receives later orders.
+func TestControlIsFoundedAnewFromASurvivor(t *testing.T) {
 	is := is.New(t)
 	c, edge := startRecoverable(t)
 	var before []protocol.PartitionView
@@ -124,7 +124,7 @@
 	revision, text := c.described(c.machine(1))
 	is.Equal(revision, uint64(2))
 	is.Equal(text, string(configurationOf(2, "two")))
-	is.Equal(c.replace(c.machine(3), 0, configurationOf(1, "one")), http.StatusOK) // taken before, and still known
+	is.Equal(c.replace(c.machine(3), 0, configurationOf(1, "one")), http.StatusOK) // accepted before the recovery
 	is.Equal(c.replace(c.machine(3), 1, configurationOf(2, "rival")), http.StatusPreconditionFailed)
 	is.Equal(c.replace(c.machine(3), 2, configurationOf(3, "three")), http.StatusOK)
 	c.await(edge, "the third configuration", func(v *agent.View) bool { return revisionOf(v.Configuration) == 3 })
@@ -136,8 +136,8 @@
 	})
 }
 
-// All disks of control are lost while stores and dispatchers run: what everybody has heard of is what control begins with.
-func TestControlIsFoundedAnewFromWhatOthersKnow(t *testing.T) {
+// All disks of control are lost while stores and dispatchers run: control is founded from the items that the running processes have received.
+func TestControlIsFoundedAnewFromPublishedItems(t *testing.T) {
 	is := is.New(t)
 	c, edge := startRecoverable(t)
 	c.restartWithEmptyDisks(c.machine(1), c.machine(2), c.machine(3))
@@ -148,19 +148,19 @@
 	c.awaitWitnesses(1)
 	revision, _ := c.described(c.machine(1))
 	is.Equal(revision, uint64(2))
-	is.Equal(c.replace(c.machine(1), 0, configurationOf(1, "one")), http.StatusPreconditionFailed) // as was said before
+	is.Equal(c.replace(c.machine(1), 0, configurationOf(1, "one")), http.StatusPreconditionFailed) // the order was accepted before, but its record is lost
 	is.Equal(c.replace(c.machine(1), 2, configurationOf(3, "three")), http.StatusOK)
 	c.await(edge, "the third configuration", func(v *agent.View) bool { return revisionOf(v.Configuration) == 3 })
 	c.primary().onLoop(c, func(d *daemon) { is.Equal(len(d.primary.model.partitions), recoveredPartitions) })
 
-	// It can be done again, in the next generation.
+	// It can be repeated, in the next generation.
 	c.restartWithEmptyDisks(c.machine(1), c.machine(2), c.machine(3))
 	c.awaitReceived(recoveredPartitions, 3)
 	c.recover(recovery.Options{}, nil)
 	is.Equal(c.replace(c.machine(1), 3, configurationOf(4, "four")), http.StatusOK)
 }
 
-// A snapshot is taken while orders run, and control is founded from it on machines with other addresses, where nobody knows anything.
+// Control is founded from a snapshot of a running cluster on machines with other addresses, which have no state.
 func TestControlIsFoundedFromASnapshot(t *testing.T) {
 	is := is.New(t)
 	c, _ := startRecoverable(t)
@@ -190,8 +190,8 @@
 	})
 }
 
-// Nothing is founded beside a control that works, nor where it may work among those that do not answer.
-func TestNothingIsFoundedBesideAControlThatMayLive(t *testing.T) {
+// No recovery is planned while control works, nor while it may work among the processes that do not respond.
+func TestNoRecoveryIsPlannedWhileControlMayBeLive(t *testing.T) {
 	is := is.New(t)
 	c, _ := startRecoverable(t)
 	makePlan := func(o recovery.Options) error {
@@ -208,15 +208,15 @@
 	is.NoErr(makePlan(recovery.Options{Lost: []string{"control-1", "control-2"}}))
 }
 
-// A disk of before that is put back after all takes no part in what was before: it joins as a newcomer.
-func TestOldDiskIsPutBackAfterARecovery(t *testing.T) {
+// A process with a disk from before a recovery that returns after it joins the new generation as a new process.
+func TestDiskFromBeforeARecoveryJoinsTheNewGeneration(t *testing.T) {
 	is := is.New(t)
 	c, _ := startRecoverable(t)
 	old := []*machine{c.machine(1), c.machine(3)}
 	for _, m := range old {
 		c.kill(m)
 	}
-	c.start(c.add(4)) // one disk alone is too few to act
+	c.start(c.add(4)) // one disk alone is not enough to act as primary
 	c.recover(recovery.Options{Lost: []string{"control-1", "control-3"}}, nil)
 	c.start(old...)
 	c.awaitWitnesses(1)
@@ -225,8 +225,8 @@
 	is.Equal(revision, uint64(3))
 }
 
-// A founder refuses a plan that was made before it went on, or for another disk.
-func TestOutdatedPlanIsRefused(t *testing.T) {
+// A founder rejects a plan whose epoch it has passed, and a plan for another disk.
+func TestOutdatedPlanIsRejected(t *testing.T) {
 	is := is.New(t)
 	c, _ := startRecoverable(t)
 	c.restartWithEmptyDisks(c.machine(1), c.machine(3))
--- a/internal/roles/control/refusal_test.go
+++ b/internal/roles/control/refusal_test.go
@@ -11,7 +11,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// extendSession lets a session go without heartbeats for an hour.
+// extendSession keeps a session open for an hour without heartbeats.
 func (c *cluster) extendSession(key string) {
 	c.t.Helper()
 	c.primary().onLoop(c, func(d *daemon) {
@@ -24,7 +24,7 @@
 	})
 }
 
-// TestSessionOfAStoreThatRefusesConnectionsEnds has a store that ends without a word, and a session that would not expire.
+// TestSessionOfAStoreThatRefusesConnectionsEnds stops a store without notification while its session is far from expiring.
 func TestSessionOfAStoreThatRefusesConnectionsEnds(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startAll()
@@ -35,19 +35,19 @@
 	c.await(other.Agent, "the end of the session", func(v *agent.View) bool { return len(v.Live(protocol.RoleStore)) == 1 })
 }
 
-// TestStoreThatIsLostWithThePrimaryIsNoticed kills a store right after control's primary: no connection to the next one breaks. There its session would not
-// expire.
-func TestStoreThatIsLostWithThePrimaryIsNoticed(t *testing.T) {
+// TestStoreLostTogetherWithThePrimaryIsDetected kills a store right after control's primary, so that no connection to the next primary breaks, where
+// the session of the store is far from expiring.
+func TestStoreLostTogetherWithThePrimaryIsDetected(t *testing.T) {
 	c := newCluster(t, 4)
 	c.startAll()
 	one, other := c.startStore(30, "disk"), c.startStore(31, "disk")
 	c.await(other.Agent, "both stores", func(v *agent.View) bool { return len(v.Live(protocol.RoleStore)) == 2 })
-	c.eventually("all processes to be no newcomers", func() bool {
-		newcomers := false
+	c.eventually("the end of the startup period of all processes", func() bool {
+		starting := false
 		for _, m := range c.machines {
-			m.onLoop(c, func(d *daemon) { newcomers = newcomers || d.now()-d.startedAt < startupPeriod })
+			m.onLoop(c, func(d *daemon) { starting = starting || d.now()-d.startedAt < startupPeriod })
 		}
-		return !newcomers
+		return !starting
 	})
 	c.kill(c.primary())
 	one.Close()
@@ -59,8 +59,8 @@
 	c.await(other.Agent, "the end of the session", func(v *agent.View) bool { return len(v.Live(protocol.RoleStore)) == 1 })
 }
 
-// TestConnectionThatOnlyBreaksEndsNoSession breaks the connections of a store that goes on to listen.
-func TestConnectionThatOnlyBreaksEndsNoSession(t *testing.T) {
+// A store that still listens does not count as refusing connections, so a broken connection alone does not end its session.
+func TestStoreThatStillListensDoesNotRefuseConnections(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
@@ -70,15 +70,15 @@
 	c.primary().onLoop(c, func(d *daemon) { is.True(!d.refusesConnections(address)) })
 }
 
-func TestRefusalIsNotSilence(t *testing.T) {
+func TestOnlyAnAddressWithoutListenerRefusesConnections(t *testing.T) {
 	is := is.New(t)
 	d := &daemon{stopped: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := listener.Addr().String()
-	is.True(!d.refusesConnections(address)) // somebody listens
+	is.True(!d.refusesConnections(address)) // a listener exists
 	is.NoErr(listener.Close())
 	is.True(d.refusesConnections(address))
 	close(d.stopped)
-	is.True(!d.refusesConnections(address)) // the own process ends meanwhile
+	is.True(!d.refusesConnections(address)) // this process is shutting down
 }
--- a/internal/roles/control/shutdown_test.go
+++ b/internal/roles/control/shutdown_test.go
@@ -16,7 +16,7 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	done := make(chan error, 1)
 	p := m.process
-	m.process = nil // it closes itself
+	m.process = nil // serve closes the process
 	p.grace, p.handOverTimeout = testTimeout, testTimeout
 	go func() { done <- p.serve(ctx) }()
 	return func() error {
@@ -30,7 +30,7 @@
 	}
 }
 
-// hasOtherPrimary tells whether any running process knows of another primary than the member.
+// hasOtherPrimary reports whether the view of any running process has another primary than the given member.
 func (c *cluster) hasOtherPrimary(member string) bool {
 	known := false
 	for _, m := range c.machines {
@@ -41,7 +41,7 @@
 	return known
 }
 
-func TestPlannedEndOfThePrimary(t *testing.T) {
+func TestPlannedShutdownOfThePrimary(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
@@ -53,18 +53,18 @@
 		member := old.process.self.Member
 		end := c.runUntilCancelled(old)
 		is.NoErr(end())
-		is.True(c.hasOtherPrimary(member)) // it ended only when there was a successor
+		is.True(c.hasOtherPrimary(member)) // it shut down only when there was a successor
 		next := c.primary()
-		next.onLoop(c, func(d *daemon) { is.True(!d.elector.View().Includes(member)) }) // nobody waits for the one that ended
+		next.onLoop(c, func(d *daemon) { is.True(!d.elector.View().Includes(member)) }) // writes do not wait for the process that shut down
 		is.Equal(c.replace(next, base, configurationOf(base+1, "x")), http.StatusOK)
 		base++
 		c.await(dispatcher, "the end of the session", func(v *agent.View) bool { return len(v.Live(protocol.RoleControl)) == 3 })
 		c.start(old)
-		c.await(dispatcher, "its return", func(v *agent.View) bool { return len(v.Live(protocol.RoleControl)) == 4 })
+		c.await(dispatcher, "the session after its restart", func(v *agent.View) bool { return len(v.Live(protocol.RoleControl)) == 4 })
 	}
 }
 
-func TestOrdersGoOnWhileProcessesEndInTurn(t *testing.T) {
+func TestOrdersContinueDuringARollingRestart(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
@@ -104,6 +104,6 @@
 		revision, _ := c.described(c.machine(2))
 		is.Equal(revision, acknowledged)
 	case <-c.ctx.Done():
-		t.Fatal("the orders did not end")
+		t.Fatal("the orders did not stop")
 	}
 }
--- a/internal/roles/control/storefaults_cluster_test.go
+++ b/internal/roles/control/storefaults_cluster_test.go
@@ -8,7 +8,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// noPartition tells whether no partition has a fitting view, and there are partitions.
+// noPartition reports whether there are partitions, and none has a view for which fits is true.
 func noPartition(v *agent.View, fits func(p *protocol.PartitionView) bool) bool {
 	for i := range v.Partitions.Partitions {
 		if fits(&v.Partitions.Partitions[i]) {
@@ -18,7 +18,7 @@
 	return len(v.Partitions.Partitions) > 0
 }
 
-func TestStoresThatDoNotReachEachOtherShareNoPartition(t *testing.T) {
+func TestStoresThatCannotReachEachOtherShareNoPartition(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startAll()
 	var stores []*fakeStore
@@ -31,14 +31,14 @@
 	c.await(last.Agent, "the first table", func(v *agent.View) bool { return placed(v, members...) })
 	stores[0].setFaults(false, members[1])
 	stores[1].setFaults(false, members[0])
-	c.await(last.Agent, "a table in which the two share nothing, and all is whole", func(v *agent.View) bool {
+	c.await(last.Agent, "a complete table in which the two share no partition", func(v *agent.View) bool {
 		return placed(v, members...) && noPartition(v, func(p *protocol.PartitionView) bool {
 			return slices.Contains(p.Members, members[0]) && slices.Contains(p.Members, members[1])
 		})
 	})
 }
 
-func TestStalledStoreLosesItsPartitionsAndGetsSomeAgain(t *testing.T) {
+func TestStalledStoreLosesItsPartitionsUntilItRecovers(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startAll()
 	stores := []*fakeStore{c.startStore(30, "disk"), c.startStore(31, "disk"), c.startStore(32, "disk")}
--- a/internal/roles/control/storefaults_test.go
+++ b/internal/roles/control/storefaults_test.go
@@ -13,7 +13,7 @@
 	return &protocol.Heartbeat{Node: protocol.Node{Member: member}, UnreachablePeers: unreachable}
 }
 
-func TestPairIsBlockedOnceComplaintsHaveSettled(t *testing.T) {
+func TestPairIsBlockedOnceReportsAreConfirmed(t *testing.T) {
 	is := is.New(t)
 	faults := newStoreFaults()
 	now := time.Minute
@@ -26,21 +26,22 @@
 	faults.heartbeat(now, unreachableHeartbeat("c"))
 	is.True(faults.tick(now))
 	is.Equal(faults.blockedPairs(now), [][2]string{{"a", "b"}, {"b", "c"}})
-	is.True(!faults.tick(now)) // nothing new
+	is.True(!faults.tick(now)) // no change
 
-	now += reportLifetime + unreachableFirstExclusion // nobody shares partitions any more, so nobody complains
+	now += reportLifetime + unreachableFirstExclusion // the stores no longer share partitions, so there are no reports
 	is.True(faults.tick(now))
 	is.Equal(faults.blockedPairs(now), nil)
 }
 
-// A store that has ended is complained of until its session expires. Its partner holds what is left and must not be left out for it.
-func TestSilentStoreIsNotTakenForBlocked(t *testing.T) {
+// A store that has stopped is reported as unreachable until its session expires. The reporting store holds the remaining copies and must not be
+// excluded because of these reports.
+func TestUnresponsiveStoreIsNotTreatedAsBlocked(t *testing.T) {
 	is := is.New(t)
 	faults := newStoreFaults()
 	now := time.Minute
 	faults.heartbeat(now, unreachableHeartbeat("a"))
 	faults.heartbeat(now, unreachableHeartbeat("b"))
-	for range 6 { // b has lost its power; a goes on
+	for range 6 { // b has stopped; a continues
 		now += 200 * time.Millisecond
 		faults.heartbeat(now, unreachableHeartbeat("a", "b"))
 		faults.tick(now)
@@ -48,33 +49,33 @@
 			is.Equal(faults.blockedPairs(now), nil)
 		}
 	}
-	for range 3 { // b stood still only, and cannot reach a now
+	for range 3 { // b was only paused, and cannot reach a now
 		now += 200 * time.Millisecond
 		faults.heartbeat(now, unreachableHeartbeat("a", "b"))
 		faults.heartbeat(now, unreachableHeartbeat("b", "a"))
 		faults.tick(now)
 	}
 	is.Equal(faults.blockedPairs(now), [][2]string{{"a", "b"}})
-	now += unresponsiveAfter + 1 // b goes while the two are held apart
+	now += unresponsiveAfter + 1 // b stops while the pair is blocked
 	faults.heartbeat(now, unreachableHeartbeat("a"))
 	is.Equal(faults.blockedPairs(now), nil)
 }
 
-// A store that was cut off from all, control too, is heard again together with the last complaints about its silence. These are no sign of a
-// link that is cut now: only complaints that last from then on are.
-func TestComplaintFromBeforeASilenceIsForgotten(t *testing.T) {
+// The first heartbeat of a store that was partitioned from all processes arrives together with the last reports about it. These are no evidence
+// of a broken link now: only reports that are repeated from then on are.
+func TestReportsFromBeforeAStoreRespondedAgainAreDiscarded(t *testing.T) {
 	is := is.New(t)
 	faults := newStoreFaults()
 	now := time.Minute
 	faults.heartbeat(now, unreachableHeartbeat("a"))
 	faults.heartbeat(now, unreachableHeartbeat("b"))
-	for range 15 { // a hears nobody and is not heard
+	for range 15 { // a neither receives nor sends anything
 		now += 200 * time.Millisecond
 		faults.heartbeat(now, unreachableHeartbeat("b", "a"))
 		is.True(!faults.tick(now))
 	}
 	now += 20 * time.Millisecond
-	faults.heartbeat(now, unreachableHeartbeat("a", "b")) // healed; its leases are not answered yet
+	faults.heartbeat(now, unreachableHeartbeat("a", "b")) // the partition has healed; lease requests of a have no replies yet
 	is.True(!faults.tick(now))
 	now += 180 * time.Millisecond
 	faults.heartbeat(now, unreachableHeartbeat("b", "a"))
@@ -82,7 +83,7 @@
 	is.True(!faults.tick(now))
 	is.Equal(faults.blockedPairs(now), nil)
 
-	for range 2 { // but the link between the two stays cut
+	for range 2 { // but the link between the two stays broken
 		now += 200 * time.Millisecond
 		faults.heartbeat(now, unreachableHeartbeat("a", "b"))
 		faults.heartbeat(now, unreachableHeartbeat("b", "a"))
@@ -91,19 +92,19 @@
 	is.Equal(faults.blockedPairs(now), [][2]string{{"a", "b"}})
 }
 
-func TestPassingComplaintBlocksNobody(t *testing.T) {
+func TestReportThatIsNotRepeatedBlocksNoPair(t *testing.T) {
 	is := is.New(t)
 	faults := newStoreFaults()
 	now := time.Minute
 	faults.heartbeat(now, unreachableHeartbeat("a", "b"))
 	is.True(!faults.tick(now + unreachableConfirmTime)) // not repeated
 	now += reportLifetime + 1
-	faults.heartbeat(now, unreachableHeartbeat("a", "b")) // another one, that has not settled
+	faults.heartbeat(now, unreachableHeartbeat("a", "b")) // another report, not confirmed yet
 	is.True(!faults.tick(now))
 	is.Equal(faults.blockedPairs(now), nil)
 }
 
-func TestTroubleThatComesBackIsLeftOutLonger(t *testing.T) {
+func TestExclusionDoublesWithEachRecurrenceOfAFault(t *testing.T) {
 	is := is.New(t)
 	faults := newStoreFaults()
 	now := time.Minute
@@ -115,7 +116,7 @@
 		is.True(faults.isStalled(now+pause-1, "a"))
 		now += pause
 		is.True(!faults.isStalled(now, "a"))
-		is.True(faults.tick(now)) // the store may be planned with again
+		is.True(faults.tick(now)) // the store may be used again
 	}
 	now += faultFreeReset + maxExclusion
 	faults.tick(now)
--- a/internal/roles/control/stores_test.go
+++ b/internal/roles/control/stores_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// placed tells whether the table has partitions, each of which has two members among these stores, and no learners.
+// placed reports whether the table has partitions, each of which has two members among these stores and no learners.
 func placed(v *agent.View, members ...string) bool {
 	for _, p := range v.Partitions.Partitions {
 		if len(p.Members) != 2 || len(p.Learners) != 0 || !slices.Contains(p.Members, p.Primary) {
@@ -43,7 +43,7 @@
 	c.await(first, "all sessions", func(v *agent.View) bool {
 		return len(v.Live(protocol.RoleControl)) == 3 && len(v.Live(protocol.RoleDispatcher)) == 2
 	})
-	second.Close() // without a word
+	second.Close() // without notification
 	c.await(first, "the end of a session", func(v *agent.View) bool { return len(v.Live(protocol.RoleDispatcher)) == 1 })
 	c.kill(c.primary())
 	c.await(first, "the end of the primary's session", func(v *agent.View) bool {
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestPartitionsFollowTheStores(t *testing.T) {
+func TestPartitionsAreMovedFromLostStores(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
@@ -65,7 +65,7 @@
 	c.await(last.Agent, "the first table", func(v *agent.View) bool { return placed(v, members...) })
 	is.Equal(len(last.View().Partitions.Partitions), minPartitions)
 
-	stores[0].Close() // without a word
+	stores[0].Close() // without notification
 	c.await(last.Agent, "a table without the lost store", func(v *agent.View) bool {
 		for _, p := range v.Partitions.Partitions {
 			if p.Primary == members[0] || slices.Contains(p.Members, members[0]) || len(p.Members) != 2 {
@@ -79,7 +79,7 @@
 		return slices.ContainsFunc(v.Nodes, func(n protocol.Node) bool { return n.Member == replaced.member })
 	})
 
-	c.kill(c.primary()) // the table outlives it
+	c.kill(c.primary()) // the table survives it
 	before := last.View().PartitionsVersion
 	c.await(last.Agent, "the table of the next primary", func(v *agent.View) bool {
 		return before.Less(v.PartitionsVersion) && len(v.Partitions.Partitions) == minPartitions
@@ -109,7 +109,7 @@
 	start := func(name string) int {
 		r := c.operator(c.machine(2), http.MethodPost, "/retire/"+name+"/start", 0, []byte(`{"DurationS":10}`))
 		if name == stores[0].name {
-			is.Equal(r.body, `{"State":"running"}`) // nothing can have been moved yet
+			is.Equal(r.body, `{"State":"running"}`) // no partition can have been moved yet
 		}
 		return r.status
 	}
@@ -131,8 +131,8 @@
 	is.Equal(r.body, `{"State":"succeeded"}`)
 }
 
-// A store that is away for a moment does not make the refusal of a retirement final.
-func TestRetirementWhileAStoreIsAway(t *testing.T) {
+// While a store is down for a short time, a retirement that it would make possible is rejected as unavailable, not as a conflict.
+func TestRetirementIsUnavailableWhileAStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
@@ -147,7 +147,7 @@
 	is.Equal(c.operator(c.machine(1), http.MethodPost, path, 0, []byte(`{"DurationS":10}`)).status, http.StatusOK)
 }
 
-func TestListIsReadByOneAndTakenOver(t *testing.T) {
+func TestAnotherProcessTakesOverReadingTheWorkerList(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	list, address := startPlatform(t, "w-1", "w-2", "w-3")
@@ -180,28 +180,28 @@
 	is.True(reader != nil)
 	c.kill(reader)
 	list.set("w-2", "w-4")
-	c.await(dispatcher, "the list read by another", has("w-2", "w-4"))
+	c.await(dispatcher, "the list as read by another process", has("w-2", "w-4"))
 	is.True(dispatcher.View().WorkersVersion.Term > term)
 }
 
-// TestHolderThatCannotReadTheListGivesTheDutyUp has the platform out of reach of all processes but one: the duty goes on until that one has it.
+// TestHolderThatCannotReadTheListGivesTheDutyUp makes the platform unreachable for all processes but one: the duty moves on until that one holds it.
 func TestHolderThatCannotReadTheListGivesTheDutyUp(t *testing.T) {
 	c := newCluster(t, 3)
 	_, address := startPlatform(t, "w-1")
 	for _, m := range c.machines {
-		m.settings.CloudApi.Address = net.JoinHostPort(c.ip(99), "1") // nobody listens there
+		m.settings.CloudApi.Address = net.JoinHostPort(c.ip(99), "1") // no process listens there
 	}
 	c.machine(3).settings.CloudApi.Address = address
 	c.startAll()
 	c.await(c.startDispatcher(20), "the list", func(v *agent.View) bool { return len(v.Workers.Workers) == 1 })
 	c.machine(3).onLoop(c, func(d *daemon) {
 		if !d.reader.mayRead(d.reader.term) || d.reader.stale.Load() {
-			t.Error("another has the duty")
+			t.Error("the process that can read the list does not hold the duty")
 		}
 	})
 }
 
-func TestCopiesShareZonesOnlyWhereNoLossOfZonesIsToBeBorne(t *testing.T) {
+func TestCopiesShareZonesOnlyIfNoLossOfAZoneIsToBeTolerated(t *testing.T) {
 	for _, c := range []struct {
 		tolerance      nodeconfig.FaultTolerance
 		shared, spread bool
--- a/internal/roles/control/takeover_test.go
+++ b/internal/roles/control/takeover_test.go
@@ -13,7 +13,7 @@
 	"liftgauge/replication"
 )
 
-func TestOrdersAreTakenAtAnyProcess(t *testing.T) {
+func TestOrdersAreAcceptedAtAnyProcess(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
@@ -26,7 +26,7 @@
 		for other := 1; other <= 4; other++ {
 			revision, body := c.described(c.machine(other))
 			is.Equal(revision, base)
-			is.Equal(body, string(configurationOf(next, "x"))) // whole, as it was sent
+			is.Equal(body, string(configurationOf(next, "x"))) // byte for byte as it was sent
 		}
 	}
 	c.await(dispatcher, "the configuration at a dispatcher", func(v *agent.View) bool {
@@ -37,7 +37,7 @@
 	is.Equal(c.replace(c.machine(3), base, []byte(`{"Revision":`)), http.StatusBadRequest)
 }
 
-func TestAnotherTakesOverWhenThePrimaryIsKilled(t *testing.T) {
+func TestAnotherProcessTakesOverWhenThePrimaryIsKilled(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
@@ -47,24 +47,24 @@
 		old := c.primary()
 		before := old.epoch(c)
 		c.kill(old)
-		is.Equal(c.replace(old, base, configurationOf(base+1, "next")), http.StatusOK) // the operator goes elsewhere by itself
+		is.Equal(c.replace(old, base, configurationOf(base+1, "next")), http.StatusOK) // the client tries other processes by itself
 		base++
 		is.True(c.primary().epoch(c) > before)
 		revision, _ := c.described(c.primary())
 		is.Equal(revision, base)
-		is.Equal(c.replace(c.primary(), 0, configurationOf(1, "first")), http.StatusOK) // taken before, under another primary
+		is.Equal(c.replace(c.primary(), 0, configurationOf(1, "first")), http.StatusOK) // accepted before, by another primary
 		c.start(old)
 		c.awaitMembers(3)
 	}
 }
 
-// epoch is the epoch of the view that a process knows.
+// epoch returns the epoch of the view that a process has.
 func (m *machine) epoch(c *cluster) (epoch uint64) {
 	m.onLoop(c, func(d *daemon) { epoch = d.elector.View().Epoch })
 	return epoch
 }
 
-// awaitMembers waits until the group has so many members that are equal.
+// awaitMembers waits until the view has this number of members and none of them blocks writes.
 func (c *cluster) awaitMembers(members int) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("a view of %d members", members), func() bool {
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestEverythingComesBackFromDisk(t *testing.T) {
+func TestStateIsRestoredFromDisk(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
@@ -91,14 +91,14 @@
 	revision, body := c.described(c.machine(2))
 	is.Equal(revision, uint64(5))
 	is.Equal(body, string(configurationOf(5, "x")))
-	for revision := uint64(1); revision <= 5; revision++ { // each order is found again by its hash
+	for revision := uint64(1); revision <= 5; revision++ { // each order is recognized by its hash
 		is.Equal(c.replace(c.machine(3), revision-1, configurationOf(revision, "x")), http.StatusOK)
 		is.Equal(c.replace(c.machine(3), revision-1, configurationOf(revision, "y")), http.StatusPreconditionFailed) // same number, other content
 	}
 	is.Equal(c.replace(c.machine(4), 5, configurationOf(6, "x")), http.StatusOK)
 }
 
-func TestWipedProcessReturnsAsAnotherMember(t *testing.T) {
+func TestProcessWithEmptyDiskReturnsAsAnotherMember(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
@@ -136,7 +136,7 @@
 	frozen, thaw := make(chan struct{}), make(chan struct{})
 	old.process.loop.post(func() { close(frozen); <-thaw })
 	<-frozen
-	// What waits in the frozen process's queue first are calls of the operator.
+	// Calls of the operator are the first functions in the queue of the frozen process.
 	described := make(chan response, 1)
 	ordered := make(chan response, 1)
 	d := old.process.daemon
@@ -154,15 +154,15 @@
 	}
 	is.Equal(others.replace(others.primary(), 1, configurationOf(2, "new")), http.StatusOK)
 	close(thaw)
-	is.True((<-described).status != http.StatusOK) // version 1 would be old
-	refused := (<-ordered).status                  // a proper order on top of version 2, which the frozen process did not know
+	is.True((<-described).status != http.StatusOK) // version 1 is outdated
+	refused := (<-ordered).status                  // a valid order based on version 2, which the frozen process had not received
 	is.True(refused == http.StatusServiceUnavailable || refused == http.StatusTemporaryRedirect)
 	revision, _ := c.described(old)
 	is.Equal(revision, uint64(2))
 	is.Equal(c.replace(old, 2, configurationOf(3, "new")), http.StatusOK)
 }
 
-func TestVersionsOfItemsNeverGoBack(t *testing.T) {
+func TestVersionsOfItemsNeverDecrease(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3)
 	c.startAll()
@@ -173,11 +173,11 @@
 	dispatcher.Subscribe(func(v *agent.View, _ []protocol.ItemKind) {
 		now := seen{v.NodesVersion, v.ControlVersion, v.ConfigurationVersion}
 		if now.nodes.Less(last.nodes) || now.control.Less(last.control) || now.configuration.Less(last.configuration) {
-			t.Errorf("went back from %+v to %+v", last, now)
+			t.Errorf("versions decreased from %+v to %+v", last, now)
 		}
 		last = now
 		if known, ok := bodies[v.ConfigurationVersion]; ok && known != string(v.Configuration) {
-			t.Errorf("two contents of %+v", v.ConfigurationVersion)
+			t.Errorf("two different configurations with version %+v", v.ConfigurationVersion)
 		}
 		bodies[v.ConfigurationVersion] = string(v.Configuration)
 	})
--- a/internal/roles/control/tolerance_test.go
+++ b/internal/roles/control/tolerance_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestToleranceIsReportedOnceAndOnlyAfterARepairsTime(t *testing.T) {
+func TestReducedToleranceIsReportedOnceAfterTheTimeOfARepair(t *testing.T) {
 	const repairTime = 4 * time.Second
 	is := is.New(t)
 	var w toleranceWatch
@@ -18,7 +18,7 @@
 	}{
 		{0, 1, 2, toleranceUnchanged},
 		{3 * time.Second, 1, 2, toleranceUnchanged},
-		{3500 * time.Millisecond, 2, 2, toleranceUnchanged}, // repaired in time: nothing to tell
+		{3500 * time.Millisecond, 2, 2, toleranceUnchanged}, // repaired in time: nothing to report
 		{5 * time.Second, 1, 2, toleranceUnchanged},
 		{9 * time.Second, 1, 2, toleranceLost},
 		{10 * time.Second, 1, 2, toleranceUnchanged},
--- a/internal/roles/control/writer_test.go
+++ b/internal/roles/control/writer_test.go
@@ -9,7 +9,7 @@
 	"liftgauge/replication"
 )
 
-// manualWrites collects the batches of a writer and answers them when the test says so.
+// manualWrites collects the batches of a writer; the test completes them manually.
 type manualWrites struct {
 	batches [][]replication.Record
 	done    []func(error)
@@ -33,7 +33,7 @@
 	return replication.Record{Key: key, Value: []byte(value)}
 }
 
-func TestWriterCollectsWhatComesDuringABatch(t *testing.T) {
+func TestWriterCollectsRecordsDuringABatch(t *testing.T) {
 	is := is.New(t)
 	var h manualWrites
 	w := h.writer()
@@ -59,14 +59,14 @@
 	h.done[0](nil)
 	is.Equal(outcomes, []string{"first"})
 	w.flush()
-	is.Equal(h.batches[1], []replication.Record{record("a", "3"), record("b", "1")}) // the last of a key counts
+	is.Equal(h.batches[1], []replication.Record{record("a", "3"), record("b", "1")}) // the last record of a key is written
 	h.done[1](nil)
 	is.Equal(outcomes, []string{"first", "second"})
 	is.Equal(h.durable, 2)
 }
 
-// A disk that refuses again and again has another member asked to take over, while the batch is tried on.
-func TestWriterTellsOfADiskThatRefuses(t *testing.T) {
+// After repeated rejections of a batch by the disk another member is requested to take over, while the batch is retried.
+func TestWriterReportsADiskThatRejectsWrites(t *testing.T) {
 	is := is.New(t)
 	var h manualWrites
 	w, reported := h.writer(), 0
@@ -80,13 +80,13 @@
 	}
 	h.done[toleratedRefusals+2](nil)
 	is.Equal(h.durable, 1)
-	w.put(record("a", "2")) // the next batch begins anew
+	w.put(record("a", "2")) // the next batch starts counting anew
 	w.flush()
 	h.done[toleratedRefusals+3](replication.ErrStorage)
 	is.Equal(reported, 2)
 }
 
-func TestWriterAnswersAtOnceWithNothingToWrite(t *testing.T) {
+func TestWriterCallsBackAtOnceWithNothingToWrite(t *testing.T) {
 	is := is.New(t)
 	var h manualWrites
 	w := h.writer()
@@ -97,7 +97,7 @@
 	is.Equal(h.began, 0)
 }
 
-func TestWriterRepeatsWhatTheDiskRefused(t *testing.T) {
+func TestWriterRetriesABatchThatTheDiskRejected(t *testing.T) {
 	is := is.New(t)
 	var h manualWrites
 	w := h.writer()
@@ -107,7 +107,7 @@
 	w.onDurable(func(err error) { outcome = err; answered++ })
 	w.flush()
 	h.done[0](replication.ErrStorage)
-	is.Equal(answered, 0) // its fate is open
+	is.Equal(answered, 0) // its outcome is unknown
 	h.retries[0]()
 	is.Equal(len(h.batches), 2)
 	h.done[1](nil)
@@ -115,7 +115,7 @@
 	is.NoErr(outcome)
 }
 
-func TestWriterFailsAllWhenClosed(t *testing.T) {
+func TestWriterFailsAllCallbacksWhenClosed(t *testing.T) {
 	is := is.New(t)
 	var h manualWrites
 	w := h.writer()
