--- a/internal/roles/control/frame_test.go
+++ b/internal/roles/control/frame_test.go
@@ -19,8 +19,8 @@
 }
 
 func FuzzDecodeFrame(f *testing.F) {
-	whole := frame{kind: frameElection, from: "a", to: "b", address: "c", controlPlane: "d", body: []byte("e")}
-	f.Add(whole.append(nil))
+	complete := frame{kind: frameElection, from: "a", to: "b", address: "c", controlPlane: "d", body: []byte("e")}
+	f.Add(complete.append(nil))
 	f.Add([]byte{1, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if decoded, err := decodeFrame(b); err == nil {
--- a/internal/roles/control/links.go
+++ b/internal/roles/control/links.go
@@ -40,13 +40,13 @@
 }
 
 func newLinks(pool *rpc.Pool, loop *eventLoop, changed func(string, bool)) *links {
-	forget := func(address string) {
+	resetBackoff := func(address string) {
 		if pool.Peek(address) == nil {
 			pool.Drop(address)
 		}
 	}
 	return &links{
-		dial: pool.Get, resetBackoff: forget, post: loop.post, after: loop.after, changed: changed, byAddress: make(map[string]*link),
+		dial: pool.Get, resetBackoff: resetBackoff, post: loop.post, after: loop.after, changed: changed, byAddress: make(map[string]*link),
 	}
 }
 
--- a/internal/roles/control/operator.go
+++ b/internal/roles/control/operator.go
@@ -170,22 +170,22 @@
 }
 
 // write sends a response.
-func write(w http.ResponseWriter, r *http.Request, a response) {
+func write(w http.ResponseWriter, r *http.Request, resp response) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	switch {
-	case a.status == http.StatusTemporaryRedirect:
-		w.Header().Set("Location", "http://"+a.controlPlane+r.URL.RequestURI())
-	case a.status == http.StatusServiceUnavailable:
+	case resp.status == http.StatusTemporaryRedirect:
+		w.Header().Set("Location", "http://"+resp.controlPlane+r.URL.RequestURI())
+	case resp.status == http.StatusServiceUnavailable:
 		w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter/time.Second)))
 	}
-	body := a.body
-	if body == nil && a.text != "" {
+	body := resp.body
+	if body == nil && resp.text != "" {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		body = append([]byte(a.text), '\n')
+		body = append([]byte(resp.text), '\n')
 	} else {
-		w.Header().Set("Content-Type", cmp.Or(a.contentType, "application/json"))
+		w.Header().Set("Content-Type", cmp.Or(resp.contentType, "application/json"))
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(a.status)
+	w.WriteHeader(resp.status)
 	_, _ = w.Write(body) // a caller that has disconnected retries
 }
--- a/internal/roles/control/orders.go
+++ b/internal/roles/control/orders.go
@@ -84,10 +84,10 @@
 }
 
 // finishOrder removes an order and responds to all its callers.
-func (d *daemon) finishOrder(o *order, a response) {
+func (d *daemon) finishOrder(o *order, resp response) {
 	d.orders.remove(o)
 	for _, c := range o.callers {
-		c.reply(a)
+		c.reply(resp)
 	}
 	o.callers = nil
 }
--- a/internal/roles/control/recovery_test.go
+++ b/internal/roles/control/recovery_test.go
@@ -79,12 +79,12 @@
 func (c *cluster) awaitWitnesses(generation uint64) {
 	c.t.Helper()
 	c.eventually("all to be witnesses of the generation", func() bool {
-		whole := false
+		complete := false
 		c.primary().onLoop(c, func(d *daemon) {
 			v := d.elector.View()
-			whole = v.Generation == generation && len(v.Witnesses) == len(c.machines) && len(v.Members) == min(len(c.machines), 3)
+			complete = v.Generation == generation && len(v.Witnesses) == len(c.machines) && len(v.Members) == min(len(c.machines), 3)
 		})
-		return whole
+		return complete
 	})
 }
 
--- a/internal/roles/control/takeover_test.go
+++ b/internal/roles/control/takeover_test.go
@@ -68,11 +68,11 @@
 func (c *cluster) awaitMembers(members int) {
 	c.t.Helper()
 	c.eventually(fmt.Sprintf("a view of %d members", members), func() bool {
-		whole := false
+		complete := false
 		c.primary().onLoop(c, func(d *daemon) {
-			whole = d.primary != nil && len(d.elector.View().Members) == members && len(d.replica.BlockingPeers()) == 0
+			complete = d.primary != nil && len(d.elector.View().Members) == members && len(d.replica.BlockingPeers()) == 0
 		})
-		return whole
+		return complete
 	})
 }
 
--- a/internal/roles/control/waiting.go
+++ b/internal/roles/control/waiting.go
@@ -49,13 +49,13 @@
 }
 
 // resolve runs or redirects a pending call if a primary is known.
-func (d *daemon) resolve(w *pendingCall) bool {
+func (d *daemon) resolve(call *pendingCall) bool {
 	if d.primary != nil {
-		w.run(d.primary)
+		call.run(d.primary)
 		return true
 	}
 	if other := d.otherPrimary(); other != "" {
-		w.reply(redirect(other))
+		call.reply(redirect(other))
 		return true
 	}
 	return false
