--- a/internal/roles/control/frame.go
+++ b/internal/roles/control/frame.go
@@ -7,7 +7,7 @@
 	"liftgauge/replication"
 )
 
-// frameKind says what the body of a frame between control processes is.
+// frameKind is the type of the body of a frame between control processes.
 type frameKind uint8
 
 const (
@@ -36,7 +36,7 @@
 
 func decodeFrame(b []byte) (frame, error) {
 	if len(b) == 0 {
-		return frame{}, errRecord
+		return frame{}, errMalformedRecord
 	}
 	r := fieldReader{rest: b[1:]}
 	f := frame{kind: frameKind(b[0]), from: r.text(), to: r.text(), address: r.text(), controlPlane: r.text()}
@@ -44,7 +44,7 @@
 	return f, r.err
 }
 
-// dutyNotice tells a process that it has the duty of a term.
+// dutyNotice notifies a process that it holds a duty for a term.
 type dutyNotice struct {
 	name        string
 	term        uint64
--- a/internal/roles/control/model.go
+++ b/internal/roles/control/model.go
@@ -14,11 +14,11 @@
 	"liftgauge/replication"
 )
 
-// model is the content of the records of controlGroup.
+// model is the decoded content of the records of controlGroup.
 type model struct {
-	configuration        []byte // nil before the first
+	configuration        []byte // nil until the first order
 	configurationVersion protocol.ItemVersion
-	taken                map[string]uint64 // revision by hash of the order
+	acceptedOrders       map[string]uint64 // revision by hash of the order
 	nodes                map[string]protocol.Node
 	partitions           []protocol.PartitionView // by number
 	stores               map[string]storeRecord   // by member
@@ -28,10 +28,10 @@
 
 func newModel() *model {
 	return &model{
-		taken:  make(map[string]uint64),
-		nodes:  make(map[string]protocol.Node),
-		stores: make(map[string]storeRecord),
-		duties: make(map[string]election.Award),
+		acceptedOrders: make(map[string]uint64),
+		nodes:          make(map[string]protocol.Node),
+		stores:         make(map[string]storeRecord),
+		duties:         make(map[string]election.Award),
 	}
 }
 
@@ -53,7 +53,7 @@
 	return m, nil
 }
 
-// apply takes one record. Records with unknown keys, of newer versions, are ignored.
+// apply applies one record. Records with unknown keys, which newer versions write, are ignored.
 func (m *model) apply(r replication.Record) error {
 	switch {
 	case r.Key == keyConfiguration:
@@ -64,9 +64,9 @@
 		return err
 	case r.Key == keyFounded:
 		m.founded = true
-	case strings.HasPrefix(r.Key, prefixTaken):
-		revision, err := decodeTaken(r.Value)
-		m.taken[r.Key[len(prefixTaken):]] = revision
+	case strings.HasPrefix(r.Key, prefixAccepted):
+		revision, err := decodeAccepted(r.Value)
+		m.acceptedOrders[r.Key[len(prefixAccepted):]] = revision
 		return err
 	case strings.HasPrefix(r.Key, prefixNode):
 		return m.applyNode(r.Key[len(prefixNode):], r)
@@ -89,7 +89,7 @@
 	}
 	var node protocol.Node
 	if err := node.Decode(r.Value); err != nil {
-		return errors.Mark(err, errRecord)
+		return errors.Mark(err, errMalformedRecord)
 	}
 	m.nodes[key] = node
 	return nil
@@ -97,12 +97,12 @@
 
 func (m *model) applyPartition(number string, r replication.Record) error {
 	index, err := strconv.ParseUint(number, 10, 32)
-	if err != nil || index >= mostPartitions {
-		return errRecord
+	if err != nil || index >= maxPartitions {
+		return errMalformedRecord
 	}
 	var view protocol.PartitionView
 	if err := view.Decode(r.Value); err != nil {
-		return errors.Mark(err, errRecord)
+		return errors.Mark(err, errMalformedRecord)
 	}
 	for uint64(len(m.partitions)) <= index {
 		m.partitions = append(m.partitions, protocol.PartitionView{Partition: uint32(len(m.partitions))})
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// nodeTable is the body of the item of nodes.
+// nodeTable returns the body of the item of nodes.
 func (m *model) nodeTable() []byte {
 	table := protocol.NodeTable{Nodes: make([]protocol.Node, 0, len(m.nodes))}
 	for _, key := range slices.Sorted(maps.Keys(m.nodes)) {
@@ -133,17 +133,17 @@
 	return table.Append(nil)
 }
 
-// partitionTable is the body of the item of partitions.
+// partitionTable returns the body of the item of partitions.
 func (m *model) partitionTable() []byte {
 	table := protocol.PartitionTable{Partitions: m.partitions}
 	return table.Append(nil)
 }
 
-// storeMembers returns the members of all known stores in order.
+// storeMembers returns the members of all known stores in sorted order.
 func (m *model) storeMembers() []string { return slices.Sorted(maps.Keys(m.stores)) }
 
-// names tells whether any partition names the member.
-func (m *model) names(member string) bool {
+// references reports whether the view of any partition names the member.
+func (m *model) references(member string) bool {
 	for i := range m.partitions {
 		v := &m.partitions[i]
 		if v.Primary == member || v.Includes(member) {
--- a/internal/roles/control/orders.go
+++ b/internal/roles/control/orders.go
@@ -11,39 +11,40 @@
 	"liftgauge/internal/protocol"
 )
 
-// An order, and the configuration that it makes, has at most mostOrderBytes, so that it fits into a frame, and leaves most of the disk free.
+// An order, and the resulting configuration, has at most maxOrderBytes, so that it fits into a frame, and at most 1/orderDiskShare of the disk
+// space, so that most of it stays free.
 const (
-	mostOrderBytes = 15 << 20
+	maxOrderBytes  = 15 << 20
 	orderDiskShare = 8
 )
 
-// orderLimit returns the most bytes that an order may have with a log of so many bytes, 0 for any.
+// orderLimit returns the maximum size of an order for a log limited to diskBytes; 0 means that the log has no limit.
 func orderLimit(diskBytes int64) int64 {
 	if diskBytes <= 0 {
-		return mostOrderBytes
+		return maxOrderBytes
 	}
-	return min(mostOrderBytes, diskBytes/orderDiskShare)
+	return min(maxOrderBytes, diskBytes/orderDiskShare)
 }
 
-// order is one order of the operator, however often it was sent.
+// order is one order of the operator. All calls that send the same order share it.
 type order struct {
 	configuration.Order
 	hash    string
 	callers []orderCaller
 }
 
-// orderCaller is one call that waits for an order's outcome.
+// orderCaller is one call that waits for the outcome of an order.
 type orderCaller struct {
 	deadline time.Duration
-	reply    func(answer)
+	reply    func(response)
 }
 
-// orderQueue holds the orders that have no outcome yet. They are decided one after the other: each is judged by the state that the one
-// before left on disk. The queue outlives changes of the primary, so that an order of unknown fate is decided again if this process
-// stays primary.
+// orderQueue holds the orders that have no outcome yet. They are decided one after the other, each against the state that the previous one
+// left on disk. The queue survives changes of the primary, so that an order whose outcome is unknown is decided again if this process
+// becomes primary again.
 type orderQueue struct {
 	queue  []*order
-	active *order // the one that is being decided or written
+	active *order // the order that is being decided or written
 }
 
 func (q *orderQueue) find(hash string) *order {
@@ -62,8 +63,8 @@
 	q.queue = slices.DeleteFunc(q.queue, func(other *order) bool { return other == o })
 }
 
-// submitOrder takes an order, or joins a call to the same one that is under way.
-func (d *daemon) submitOrder(o configuration.Order, hash string, reply func(answer)) {
+// submitOrder queues an order, or adds the caller to the same order if it is already queued.
+func (d *daemon) submitOrder(o configuration.Order, hash string, reply func(response)) {
 	caller := orderCaller{deadline: d.now() + orderTimeout, reply: reply}
 	if known := d.orders.find(hash); known != nil {
 		known.callers = append(known.callers, caller)
@@ -73,7 +74,7 @@
 	d.nextOrder()
 }
 
-// nextOrder decides the first order of the queue if none is under way.
+// nextOrder decides the first order of the queue if none is in progress.
 func (d *daemon) nextOrder() {
 	for d.primary != nil && d.orders.active == nil && len(d.orders.queue) > 0 {
 		o := d.orders.queue[0]
@@ -82,25 +83,25 @@
 	}
 }
 
-// finishOrder answers all callers of an order.
-func (d *daemon) finishOrder(o *order, a answer) {
+// finishOrder removes an order and responds to all its callers.
+func (d *daemon) finishOrder(o *order, resp response) {
 	d.orders.remove(o)
 	for _, c := range o.callers {
-		c.reply(a)
+		c.reply(resp)
 	}
 	o.callers = nil
 }
 
-// reopenOrder leaves an order without an outcome in the queue: the next primary decides it again.
+// reopenOrder keeps an order whose outcome is unknown in the queue: it is decided again, or redirected if another process is the primary.
 func (d *daemon) reopenOrder(o *order) {
 	if d.orders.active == o {
 		d.orders.active = nil
 	}
-	d.reviewOrders()
+	d.redirectOrders()
 }
 
-// reviewOrders sends callers on when another process is primary.
-func (d *daemon) reviewOrders() {
+// redirectOrders redirects the callers of all orders when another process is primary.
+func (d *daemon) redirectOrders() {
 	if d.primary != nil {
 		return
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-// expireOrders gives no clear answer to callers that have waited too long. An order that is under way goes on without them.
+// expireOrders responds that the outcome is unknown to callers that have waited too long. An order in progress continues without them.
 func (d *daemon) expireOrders(now time.Duration) {
 	for _, o := range slices.Clone(d.orders.queue) {
 		late := func(c orderCaller) bool { return now >= c.deadline }
@@ -130,17 +131,17 @@
 	}
 }
 
-// decide judges an order by the state that is durable, and carries it out.
+// decide checks an order against the durable state, and carries it out.
 func (p *primary) decide(o *order) {
-	decision := p.operator.Decide(o.Order)
+	decision := p.orders.Decide(o.Order)
 	switch {
 	case decision.Action == configuration.ActionWrite && int64(len(decision.Configuration.Raw)) > p.daemon.orderLimit:
-		p.operator.Abort(o.hash)
+		p.orders.Abort(o.hash)
 		p.refuse(o, http.StatusRequestEntityTooLarge, "the configuration is too large: remove routes")
 	case decision.Action == configuration.ActionWrite:
 		p.writeOrder(o, decision.Configuration)
 	case decision.Status == http.StatusOK:
-		p.daemon.finishOrder(o, answer{status: http.StatusOK})
+		p.daemon.finishOrder(o, response{status: http.StatusOK})
 	case decision.Action == configuration.ActionWait:
 		p.daemon.finishOrder(o, unavailable("another order is under way: send the same order again"))
 	default:
@@ -148,15 +149,15 @@
 	}
 }
 
-// refuse refuses an order once a majority confirms that the state by which it was judged is not an old one.
+// refuse rejects an order once a majority confirms that this process is the primary, so that the state it was checked against is current.
 func (p *primary) refuse(o *order, status int, text string) {
 	d := p.daemon
-	d.confirm(func(stands bool) {
+	d.confirm(func(confirmed bool) {
 		if d.orders.active != o || d.primary != p {
 			return
 		}
-		if stands {
-			d.finishOrder(o, refusal(status, text))
+		if confirmed {
+			d.finishOrder(o, errorResponse(status, text))
 		} else {
 			d.finishOrder(o, unavailable("this process could not confirm that it is the primary: send the same order again"))
 		}
@@ -164,38 +165,38 @@
 	})
 }
 
-// writeOrder puts a configuration into force.
+// writeOrder writes the configuration that an order results in.
 func (p *primary) writeOrder(o *order, next *configuration.Configuration) {
 	d := p.daemon
 	p.put(configurationRecord(next.Raw))
 	p.put(versionRecord(p.items.nextVersion()))
-	p.put(takenRecord(o.hash, next.Revision))
+	p.put(acceptedRecord(o.hash, next.Revision))
 	p.items.mark(protocol.ItemConfiguration, true)
-	p.writer.then(func(err error) {
+	p.writer.onDurable(func(err error) {
 		if err != nil {
-			d.logger.Warn("control: the fate of an order is not known", zap.Uint64("revision", next.Revision), reason(err))
+			d.logger.Warn("control: the outcome of an order is unknown", zap.Uint64("revision", next.Revision), reason(err))
 			d.reopenOrder(o)
 			return
 		}
-		p.operator.Commit(o.hash)
-		p.durable = next.Raw
+		p.orders.Commit(o.hash)
+		p.durableConfiguration = next.Raw
 		d.logger.Info("control: configuration in force", zap.Uint64("revision", next.Revision))
-		d.finishOrder(o, answer{status: http.StatusOK})
+		d.finishOrder(o, response{status: http.StatusOK})
 		d.nextOrder()
 	})
 }
 
-// describe answers the newest configuration once a majority confirms that it is the newest.
-func (p *primary) describe(reply func(answer)) {
+// describe responds with the newest configuration once a majority confirms that this process is the primary.
+func (p *primary) describe(reply func(response)) {
 	d := p.daemon
-	d.confirm(func(stands bool) {
+	d.confirm(func(confirmed bool) {
 		switch {
-		case !stands || d.primary != p:
+		case !confirmed || d.primary != p:
 			reply(unavailable("this process could not confirm that it is the primary: try again"))
-		case p.durable == nil:
+		case p.durableConfiguration == nil:
 			reply(unavailable("no configuration has been taken yet: POST /config/replace first"))
 		default:
-			reply(answer{status: http.StatusOK, body: p.durable})
+			reply(response{status: http.StatusOK, body: p.durableConfiguration})
 		}
 	})
 }
--- a/internal/roles/control/peers.go
+++ b/internal/roles/control/peers.go
@@ -2,50 +2,50 @@
 
 import "net"
 
-// peerBook knows which member of the group is at which internal address, and where that process serves the operator.
-type peerBook struct {
+// peerDirectory maps the members of the group to internal addresses, and these to the addresses where the processes serve the operator.
+type peerDirectory struct {
 	addressOf    map[string]string // by member
 	memberOf     map[string]string // by address
-	claimed      map[string]bool   // by address: its member was heard from that address itself
+	selfReported map[string]bool   // by address: the process there reported the member itself
 	controlPlane map[string]string // by address
 }
 
-func newPeerBook() peerBook {
-	return peerBook{
+func newPeerDirectory() peerDirectory {
+	return peerDirectory{
 		addressOf:    make(map[string]string),
 		memberOf:     make(map[string]string),
-		claimed:      make(map[string]bool),
+		selfReported: make(map[string]bool),
 		controlPlane: make(map[string]string),
 	}
 }
 
 // memberAt returns the member at an address, or "".
-func (b *peerBook) memberAt(address string) string { return b.memberOf[address] }
+func (b *peerDirectory) memberAt(address string) string { return b.memberOf[address] }
 
-// learn notes that a member is at an address. What the process there says itself (direct) counts more than what views name. It returns the
-// member that was there before, and whether anything changed.
-func (b *peerBook) learn(member, address string, direct bool) (before string, changed bool) {
+// learn records that a member is at an address. A report of the process itself (direct) takes precedence over the addresses in views. It returns
+// the member that was at the address before, and whether anything changed.
+func (b *peerDirectory) learn(member, address string, direct bool) (before string, changed bool) {
 	if member == "" || address == "" {
 		return "", false
 	}
 	if b.memberOf[address] == member && b.addressOf[member] == address {
-		b.claimed[address] = b.claimed[address] || direct
+		b.selfReported[address] = b.selfReported[address] || direct
 		return "", false
 	}
-	if !direct && b.claimed[address] {
+	if !direct && b.selfReported[address] {
 		return "", false
 	}
 	before = b.memberOf[address]
 	if old := b.addressOf[member]; old != "" && old != address && b.memberOf[old] == member {
 		delete(b.memberOf, old)
-		delete(b.claimed, old)
+		delete(b.selfReported, old)
 	}
 	if before != "" && before != member {
 		delete(b.addressOf, before)
 	} else {
 		before = ""
 	}
-	b.memberOf[address], b.addressOf[member], b.claimed[address] = member, address, direct
+	b.memberOf[address], b.addressOf[member], b.selfReported[address] = member, address, direct
 	return before, true
 }
 
--- a/internal/roles/control/placement.go
+++ b/internal/roles/control/placement.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	fewestPartitions   = 64
-	mostPartitions     = 4096
+	minPartitions      = 64
+	maxPartitions      = 4096
 	partitionsPerStore = 16
 
-	// The table is founded when no new store has come for foundingQuiet, or foundingLatest after this process became primary.
-	foundingQuiet  = 500 * time.Millisecond
-	foundingLatest = 1500 * time.Millisecond
+	// The partition table is created when no new store has appeared for foundingQuiet, or foundingDeadline after this process became primary.
+	foundingQuiet    = 500 * time.Millisecond
+	foundingDeadline = 1500 * time.Millisecond
 
-	balanceInterval = time.Second      // between moves made only for balance
-	forgetAfter     = 10 * time.Minute // a store that is gone and that no partition names is forgotten
+	balanceInterval = time.Second      // between moves that only serve balance
+	forgetAfter     = 10 * time.Minute // after which a store without a session that no partition names is removed
 )
 
-// placementState is what the primary knows for placing partitions beside the model.
+// placementState is the state for placing partitions that is not part of the model.
 type placementState struct {
 	since       time.Duration
-	lastStore   time.Duration            // when a store came last
-	goneSince   map[string]time.Duration // by member, of stores without a session
-	offers      map[int][]string         // learners that are equal, for the present epochs
-	trouble     storeTrouble
+	lastStoreAt time.Duration            // when the last new store appeared
+	downSince   map[string]time.Duration // by member, of stores without a session
+	offers      map[int][]string         // by partition: learners that have caught up, in the current epoch
+	faults      storeFaults
 	planWanted  bool
-	balance     bool // the next plan may move partitions for balance, too
+	balance     bool // the next plan may also move partitions for balance
 	nextBalance time.Duration
 }
 
 func newPlacementState(now time.Duration) placementState {
 	return placementState{
-		since: now, lastStore: now, goneSince: make(map[string]time.Duration), offers: make(map[int][]string),
-		trouble: newStoreTrouble(), planWanted: true, nextBalance: now + balanceInterval,
+		since: now, lastStoreAt: now, downSince: make(map[string]time.Duration), offers: make(map[int][]string),
+		faults: newStoreFaults(), planWanted: true, nextBalance: now + balanceInterval,
 	}
 }
 
-// takeOffers notes the offers of a heartbeat as far as they concern the present views.
+// takeOffers records the promotion offers of a heartbeat that apply to the current views.
 func (s *placementState) takeOffers(partitions []protocol.PartitionView, h *protocol.Heartbeat) {
 	for _, o := range h.Offers {
 		if int(o.Partition) >= len(partitions) {
@@ -59,16 +59,16 @@
 	}
 }
 
-// storeChanged notes a store that opened a session or changed.
+// storeChanged records that a store opened a session or changed.
 func (p *primary) storeChanged(now time.Duration, node protocol.Node) {
 	p.placement.planWanted = true
 	if node.Member == "" {
 		return
 	}
-	delete(p.placement.goneSince, node.Member)
+	delete(p.placement.downSince, node.Member)
 	known, ok := p.model.stores[node.Member]
 	if !ok {
-		p.placement.lastStore = now
+		p.placement.lastStoreAt = now
 		known = storeRecord{Member: node.Member, Retiring: p.retiringName(node.Name)}
 	}
 	record := known
@@ -78,23 +78,23 @@
 	}
 }
 
-// storeGone notes a store whose session ended.
-func (p *primary) storeGone(now time.Duration, node protocol.Node) {
+// storeDown records that the session of a store ended.
+func (p *primary) storeDown(now time.Duration, node protocol.Node) {
 	p.placement.planWanted = true
 	if node.Member != "" {
-		p.placement.goneSince[node.Member] = now
+		p.placement.downSince[node.Member] = now
 	}
 }
 
-// tickPlacement founds the table, and asks for moves of balance from time to time.
+// tickPlacement creates the partition table, and requests moves for balance at intervals.
 func (p *primary) tickPlacement(now time.Duration) {
 	if !p.model.founded {
-		p.found(now)
+		p.createTable(now)
 		return
 	}
-	if p.placement.trouble.tick(now) {
+	if p.placement.faults.tick(now) {
 		p.placement.planWanted = true
-		p.logStoreTrouble(now)
+		p.logStoreFaults(now)
 	}
 	if now >= p.placement.nextBalance {
 		p.placement.nextBalance = now + balanceInterval
@@ -103,22 +103,22 @@
 	}
 }
 
-// logStoreTrouble tells which stores are left out now because of their links or disks.
-func (p *primary) logStoreTrouble(now time.Duration) {
+// logStoreFaults logs which stores are currently excluded because of their links or disks.
+func (p *primary) logStoreFaults(now time.Duration) {
 	var stalled []string
 	for _, member := range p.model.storeMembers() {
-		if p.placement.trouble.isStalled(now, member) {
+		if p.placement.faults.isStalled(now, member) {
 			stalled = append(stalled, member)
 		}
 	}
-	p.daemon.logger.Info("control: stores in trouble", zap.Strings("stalled", stalled),
-		zap.Any("apart", p.placement.trouble.blocked(now)))
+	p.daemon.logger.Info("control: stores with faults", zap.Strings("stalled", stalled),
+		zap.Any("apart", p.placement.faults.blockedPairs(now)))
 }
 
-// found makes the first table once the stores have come.
-func (p *primary) found(now time.Duration) {
+// createTable creates the partition table once enough stores have sessions.
+func (p *primary) createTable(now time.Duration) {
 	s := &p.placement
-	if now-s.lastStore < foundingQuiet && now-s.since < foundingLatest {
+	if now-s.lastStoreAt < foundingQuiet && now-s.since < foundingDeadline {
 		return
 	}
 	input := p.placementInput(now)
@@ -135,20 +135,20 @@
 	if views == nil {
 		return
 	}
-	p.daemon.logger.Info("control: partition table founded", zap.Int("partitions", len(views)), zap.Int("stores", live))
+	p.daemon.logger.Info("control: partition table created", zap.Int("partitions", len(views)), zap.Int("stores", live))
 	p.put(foundedRecord(len(views)))
 	for n, v := range views {
 		p.putPartition(n, v)
 	}
 }
 
-// partitionCount is the number of partitions for a number of stores.
+// partitionCount returns the number of partitions for a number of stores.
 func partitionCount(stores int) int {
 	wanted := stores * partitionsPerStore
-	if wanted <= fewestPartitions {
-		return fewestPartitions
+	if wanted <= minPartitions {
+		return minPartitions
 	}
-	return min(1<<bits.Len(uint(wanted-1)), mostPartitions)
+	return min(1<<bits.Len(uint(wanted-1)), maxPartitions)
 }
 
 func (p *primary) putPartition(number int, v placement.View) {
@@ -160,7 +160,7 @@
 	p.items.mark(protocol.ItemPartitions, true)
 }
 
-// plan changes partitions as the stores and offers ask for.
+// plan changes partitions according to the state of the stores and the promotion offers.
 func (p *primary) plan(now time.Duration) {
 	if !p.placement.planWanted || !p.model.founded {
 		return
@@ -168,7 +168,7 @@
 	input := p.placementInput(now)
 	input.NoBalance = !p.placement.balance
 	changes := placement.Plan(input)
-	changes = slices.DeleteFunc(changes, func(change placement.Change) bool { return !p.mayChange(&change) })
+	changes = slices.DeleteFunc(changes, func(change placement.Change) bool { return !p.allowsChange(&change) })
 	for _, change := range changes {
 		if len(change.View.Sources) > 0 && len(input.Partitions[change.Partition].Sources) == 0 {
 			p.daemon.logger.Warn("control: the disks of all members of a partition are lost; it is put together from what others hold",
@@ -176,7 +176,7 @@
 		}
 		p.putPartition(change.Partition, change.View)
 	}
-	// What these changes make possible is planned once they are durable.
+	// Changes that depend on these are planned once these are durable.
 	p.placement.planWanted, p.placement.balance = len(changes) > 0, false
 }
 
@@ -184,7 +184,7 @@
 	settings := p.daemon.settings
 	input := placement.Input{
 		Stores: p.placementStores(now), Copies: settings.Copies(), Offers: p.placement.offers,
-		Blocked:       p.placement.trouble.blocked(now),
+		Blocked:       p.placement.faults.blockedPairs(now),
 		SpreadRegions: settings.FaultTolerance.Regions > 0,
 		SharedZones:   settings.FaultTolerance.Regions == 0 && settings.FaultTolerance.Zones == 0,
 		Partitions:    make([]placement.View, len(p.model.partitions)),
@@ -212,24 +212,25 @@
 		store := placement.Store{Member: member, Zone: record.Zone, Region: record.Region, Retiring: record.Retiring, Abandoned: record.Abandoned}
 		if node, ok := live[member]; ok {
 			store.Leaving = node.Leaving
-			store.Stalled = p.placement.trouble.isStalled(now, member)
+			store.Stalled = p.placement.faults.isStalled(now, member)
 		} else {
-			store.DownFor = max(now-p.goneSince(member), 1)
+			store.DownFor = max(now-p.downSince(member), 1)
 		}
 		stores = append(stores, store)
 	}
 	return stores
 }
 
-// goneSince returns since when a store has had no session, as far as this primary knows.
-func (p *primary) goneSince(member string) time.Duration {
-	if since, ok := p.placement.goneSince[member]; ok {
+// downSince returns when the session of a store ended, or when this process became primary if it ended before that.
+func (p *primary) downSince(member string) time.Duration {
+	if since, ok := p.placement.downSince[member]; ok {
 		return since
 	}
 	return p.since
 }
 
-// reviewStores notes which retiring stores are emptied, and forgets those that are gone and not needed.
+// reviewStores records which retiring stores are emptied, and removes stores that have been without a session for forgetAfter and that no
+// partition names.
 func (p *primary) reviewStores(now time.Duration) {
 	live := make(map[string]bool)
 	for _, n := range p.model.nodes {
@@ -237,14 +238,14 @@
 	}
 	for _, member := range p.model.storeMembers() {
 		store := p.model.stores[member]
-		if p.model.names(member) {
+		if p.model.references(member) {
 			continue
 		}
 		if store.Retiring && !store.Emptied {
 			store.Emptied = true
 			p.put(store.record())
 		}
-		if !live[member] && now-p.goneSince(member) >= forgetAfter {
+		if !live[member] && now-p.downSince(member) >= forgetAfter {
 			p.put(deletion(prefixStore + member))
 		}
 	}
--- a/internal/roles/control/records.go
+++ b/internal/roles/control/records.go
@@ -18,9 +18,9 @@
 
 // The keys of the records of controlGroup.
 const (
-	keyConfiguration        = configuration.RecordCurrent       // the operator's JSON, whole
-	keyConfigurationVersion = "config/version"                  // ItemVersion of it
-	prefixTaken             = configuration.RecordAppliedPrefix // + hash of an order: its revision
+	keyConfiguration        = configuration.RecordCurrent       // the operator's JSON, complete
+	keyConfigurationVersion = "config/version"                  // its protocol.ItemVersion
+	prefixAccepted          = configuration.RecordAppliedPrefix // + hash of an order: its revision
 	prefixNode              = "node/"                           // + key of a node: protocol.Node
 	prefixPartition         = "partition/"                      // + number: protocol.PartitionView
 	prefixStore             = "store/"                          // + member: storeRecord
@@ -28,8 +28,8 @@
 	keyFounded              = "founded"                         // number of partitions
 )
 
-// errRecord marks a record that cannot be decoded.
-var errRecord = errors.New("control: a record of the group cannot be read: run the version that wrote it")
+// errMalformedRecord marks a record that cannot be decoded.
+var errMalformedRecord = errors.New("control: a record of the group cannot be read: run the version that wrote it")
 
 func configurationRecord(raw []byte) replication.Record {
 	return replication.Record{Key: keyConfiguration, Value: raw}
@@ -40,8 +40,8 @@
 	return replication.Record{Key: keyConfigurationVersion, Value: binary.AppendUvarint(value, v.Number)}
 }
 
-func takenRecord(hash string, revision uint64) replication.Record {
-	return replication.Record{Key: prefixTaken + hash, Value: strconv.AppendUint(nil, revision, 10)}
+func acceptedRecord(hash string, revision uint64) replication.Record {
+	return replication.Record{Key: prefixAccepted + hash, Value: strconv.AppendUint(nil, revision, 10)}
 }
 
 func nodeRecord(n protocol.Node) replication.Record {
@@ -64,15 +64,15 @@
 
 func deletion(key string) replication.Record { return replication.Record{Key: key, Deleted: true} }
 
-// storeRecord is what is kept of a store, also while it has no session.
+// storeRecord is the stored information on a store. It is kept while the store has no session.
 type storeRecord struct {
 	Member   string
 	Name     string // of the machine
 	Zone     string
 	Region   string
 	Retiring bool
-	Emptied  bool // it was retiring and no partition names it any more
-	// Abandoned says that the operator has given up the disk. It is taken back when the store opens a session with it.
+	Emptied  bool // it was retiring and no partition names it any longer
+	// Abandoned is set when the operator has abandoned the disk, and cleared when the store opens a session with it.
 	Abandoned bool
 }
 
@@ -119,10 +119,10 @@
 	return protocol.ItemVersion{Term: r.number(), Number: r.number()}, r.err
 }
 
-func decodeTaken(value []byte) (uint64, error) {
+func decodeAccepted(value []byte) (uint64, error) {
 	revision, err := strconv.ParseUint(string(value), 10, 64)
 	if err != nil {
-		return 0, errRecord
+		return 0, errMalformedRecord
 	}
 	return revision, nil
 }
@@ -131,7 +131,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(text))), text...)
 }
 
-// fieldReader reads fields one after the other and keeps the first error.
+// fieldReader reads fields in sequence and keeps the error, if any.
 type fieldReader struct {
 	rest []byte
 	err  error
@@ -140,7 +140,7 @@
 func (r *fieldReader) number() uint64 {
 	n, size := binary.Uvarint(r.rest)
 	if size <= 0 {
-		r.rest, r.err = nil, errRecord
+		r.rest, r.err = nil, errMalformedRecord
 		return 0
 	}
 	r.rest = r.rest[size:]
@@ -150,7 +150,7 @@
 func (r *fieldReader) bytes() []byte {
 	n := r.number()
 	if n > uint64(len(r.rest)) {
-		r.rest, r.err = nil, errRecord
+		r.rest, r.err = nil, errMalformedRecord
 		return nil
 	}
 	b := r.rest[:n]
--- a/internal/roles/control/recovered.go
+++ b/internal/roles/control/recovered.go
@@ -20,8 +20,8 @@
 	if m.configuration != nil {
 		records = append(records, configurationRecord(m.configuration), versionRecord(m.configurationVersion))
 	}
-	for _, hash := range slices.Sorted(maps.Keys(m.taken)) {
-		records = append(records, takenRecord(hash, m.taken[hash]))
+	for _, hash := range slices.Sorted(maps.Keys(m.acceptedOrders)) {
+		records = append(records, acceptedRecord(hash, m.acceptedOrders[hash]))
 	}
 	for _, key := range slices.Sorted(maps.Keys(m.nodes)) {
 		records = append(records, nodeRecord(m.nodes[key]))
@@ -41,37 +41,37 @@
 	return records
 }
 
-// recovered puts together the state that control is founded anew with: from records, and from what a running process has heard of.
-type recovered struct {
+// recoveredState builds the state with which control is founded anew, from records and from the items that a running process has received.
+type recoveredState struct {
 	model *model
-	heard *agent.View
+	view  *agent.View
 	epoch uint64 // the first of the new generation
-	// survivor says that the records are of a process that was running: its table is one that stores have followed.
+	// survivor is set when the records are those of a running process, so that stores have followed its partition table.
 	survivor bool
 }
 
-// recoverModel returns the state in which control begins a generation. What is newer of the records and of what was heard counts.
-func recoverModel(records []replication.Record, survivor bool, heard *agent.View, epoch uint64) (*model, error) {
-	r := recovered{model: newModel(), heard: heard, epoch: epoch, survivor: survivor}
+// recoverModel returns the state with which control begins a generation. Of the records and the received items the newer ones are used.
+func recoverModel(records []replication.Record, survivor bool, view *agent.View, epoch uint64) (*model, error) {
+	r := recoveredState{model: newModel(), view: view, epoch: epoch, survivor: survivor}
 	for _, record := range records {
 		if err := r.model.apply(record); err != nil {
 			return nil, errors.Wrapf(err, "record %q", record.Key)
 		}
 	}
-	if err := r.takeConfiguration(); err != nil {
+	if err := r.adoptConfiguration(); err != nil {
 		return nil, err
 	}
-	r.takePartitions()
-	r.takeNodes()
+	r.mergePartitions()
+	r.mergeNodes()
 	r.model.duties = map[string]election.Award{dutyReader: {Term: max(r.model.duties[dutyReader].Term, epoch)}} // vacant
 	return r.model, nil
 }
 
-// takeConfiguration publishes the newest configuration anew, in a version that goes before all that were published.
-func (r *recovered) takeConfiguration() error {
+// adoptConfiguration selects the newest configuration, and gives it a version that supersedes all published ones.
+func (r *recoveredState) adoptConfiguration() error {
 	m := r.model
-	if m.configuration == nil || m.configurationVersion.Less(r.heard.ConfigurationVersion) {
-		m.configuration = r.heard.Configuration
+	if m.configuration == nil || m.configurationVersion.Less(r.view.ConfigurationVersion) {
+		m.configuration = r.view.Configuration
 	}
 	if len(m.configuration) == 0 {
 		m.configuration = nil
@@ -82,20 +82,20 @@
 	return errors.Wrap(err, "the configuration to begin with")
 }
 
-// takePartitions takes the newest view of each partition. Views that running processes follow begin an epoch far above them, as a store that
-// does not answer may have followed a later one. Those of a snapshot alone begin the next one: a store that has gone further refuses it, and
-// keeps what it has.
-func (r *recovered) takePartitions() {
+// mergePartitions selects the newest view of each partition. Views that running processes follow get an epoch far above the current one, as an
+// unresponsive store may have followed a later view. Views found only in a snapshot get the next epoch: a store that has followed a later one
+// rejects it and keeps its data.
+func (r *recoveredState) mergePartitions() {
 	m := r.model
-	for n, heard := range r.heard.Partitions.Partitions {
+	for n, published := range r.view.Partitions.Partitions {
 		if n >= len(m.partitions) {
-			m.partitions = append(m.partitions, heard)
-		} else if heard.Epoch > m.partitions[n].Epoch {
-			m.partitions[n] = heard
+			m.partitions = append(m.partitions, published)
+		} else if published.Epoch > m.partitions[n].Epoch {
+			m.partitions[n] = published
 		}
 	}
 	for n := range m.partitions {
-		followed := r.survivor || n < len(r.heard.Partitions.Partitions)
+		followed := r.survivor || n < len(r.view.Partitions.Partitions)
 		if followed {
 			m.partitions[n].Epoch += replication.RecoveryEpochGap
 		} else {
@@ -105,13 +105,13 @@
 	m.founded = len(m.partitions) > 0
 }
 
-// takeNodes keeps the sessions that were heard of, whose deadlines begin anew, and a record of each store that a partition names.
-func (r *recovered) takeNodes() {
+// mergeNodes keeps the published sessions, whose deadlines start anew, and a record of each store that a partition names.
+func (r *recoveredState) mergeNodes() {
 	m := r.model
-	if len(r.heard.Nodes) > 0 {
+	if len(r.view.Nodes) > 0 {
 		clear(m.nodes)
 	}
-	for _, node := range r.heard.Nodes {
+	for _, node := range r.view.Nodes {
 		m.nodes[node.Key] = node
 		if _, known := m.stores[node.Member]; node.Role == protocol.RoleStore && !known {
 			m.stores[node.Member] = storeRecord{Member: node.Member, Name: node.Name, Zone: node.Zone, Region: node.Region}
@@ -127,7 +127,8 @@
 	}
 }
 
-// foundingRecords are the records of the group for the first epoch of a generation: those of the model, and deletions of all else that the disk has.
+// foundingRecords returns the records of the group for the first epoch of a generation: those of the model, and deletions of all other records on
+// the disk.
 func foundingRecords(m *model, storage replication.Storage, epoch uint64) []replication.Record {
 	records := m.records()
 	kept := make(map[string]bool, len(records))
--- a/internal/roles/control/recovery.go
+++ b/internal/roles/control/recovery.go
@@ -20,15 +20,15 @@
 	"liftgauge/replication"
 )
 
-// ErrFoundedAnew ends a process that has written the state in which control is founded anew: it begins with that at its next start.
+// ErrFoundedAnew is returned by a process that has written the state with which control is founded anew; it uses that state at its next start.
 var ErrFoundedAnew = errors.New("control is founded anew on this disk: start the process again")
 
 const (
-	mostFoundBytes = 64 << 20
-	mostJoinBytes  = 64 << 10
-	// storeDialTimeout is how long a store may take to accept a connection before it counts as silent.
+	maxFoundBytes = 64 << 20
+	maxJoinBytes  = 64 << 10
+	// storeDialTimeout is how long a store may take to accept a connection before it counts as unresponsive.
 	storeDialTimeout = 300 * time.Millisecond
-	// foundingBatch bounds the bytes that are appended at once.
+	// foundingBatch is the approximate size in bytes of one append.
 	foundingBatch = 1 << 20
 	persistPoll   = 10 * time.Millisecond
 	snapshotType  = "application/octet-stream"
@@ -37,7 +37,7 @@
 // allRecords is the range of every key.
 var allRecords = reconcile.Range{}
 
-// routeRecovery adds the calls of liftgauge snapshot and liftgauge recover.
+// routeRecovery adds the routes that liftgauge snapshot and liftgauge recover call.
 func (a operatorAPI) routeRecovery(mux *http.ServeMux) {
 	mux.HandleFunc("GET /snapshot", a.snapshot)
 	mux.HandleFunc("GET /recovery/account", a.recoveryAccount)
@@ -46,31 +46,31 @@
 	mux.HandleFunc("POST /recovery/found", a.foundAnew)
 }
 
-// snapshot answers a copy of control's state: everything that was acknowledged before the call is in it, and all of it is durable.
+// snapshot responds with a copy of control's state, which contains everything acknowledged before the call and only durable state.
 func (a operatorAPI) snapshot(w http.ResponseWriter, r *http.Request) {
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		a.daemon.withPrimary(func(p *primary) {
-			p.answerDurably(func() answer {
-				return answer{status: http.StatusOK, contentType: snapshotType, body: a.daemon.snapshotOf(p.model.records(), true)}
+			p.replyDurably(func() response {
+				return response{status: http.StatusOK, contentType: snapshotType, body: a.daemon.snapshotOf(p.model.records(), true)}
 			}, reply)
 		}, reply)
 	})
 }
 
-// recoveryRecords answers what the own disk has, confirmed by nobody.
+// recoveryRecords responds with the records on the local disk, without confirmation by a majority.
 func (a operatorAPI) recoveryRecords(w http.ResponseWriter, r *http.Request) {
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		d := a.daemon
 		if d.elector == nil {
-			reply(refusal(http.StatusNotFound, "this process has no disk: ask another"))
+			reply(errorResponse(http.StatusNotFound, "this process has no disk: ask another"))
 			return
 		}
 		m, err := loadModel(d.storage)
 		if err != nil {
-			reply(refusal(http.StatusConflict, err.Error()))
+			reply(errorResponse(http.StatusConflict, err.Error()))
 			return
 		}
-		reply(answer{status: http.StatusOK, contentType: snapshotType, body: d.snapshotOf(m.records(), false)})
+		reply(response{status: http.StatusOK, contentType: snapshotType, body: d.snapshotOf(m.records(), false)})
 	})
 }
 
@@ -83,25 +83,25 @@
 	return s.Encode()
 }
 
-// recoveryAccount answers what this process knows, and which stores answer it.
+// recoveryAccount responds with the state of this process and the stores that it cannot connect to.
 func (a operatorAPI) recoveryAccount(w http.ResponseWriter, r *http.Request) {
 	var account recovery.Account
 	var addresses map[string]string // of stores, by member
-	given, ok := a.await(r, func(reply func(answer)) {
+	resp, ok := a.await(r, func(reply func(response)) {
 		account, addresses = a.daemon.account()
-		reply(answer{status: http.StatusOK})
+		reply(response{status: http.StatusOK})
 	})
 	if !ok {
 		return
 	}
-	if given.status == http.StatusOK {
-		account.Silent = a.daemon.silentStores(r.Context(), account.Stores, addresses)
-		given.body, _ = json.Marshal(account) // it holds nothing that cannot be encoded
+	if resp.status == http.StatusOK {
+		account.Silent = a.daemon.unresponsiveStores(r.Context(), account.Stores, addresses)
+		resp.body, _ = json.Marshal(account) // all its values can be encoded
 	}
-	write(w, r, given)
+	write(w, r, resp)
 }
 
-// account says what this process is and knows, and where the stores that partitions lie on are.
+// account returns the state of this process for a recovery, and the addresses of the stores that partitions name.
 func (d *daemon) account() (recovery.Account, map[string]string) {
 	view, node := d.agent.View(), d.agent.Node()
 	a := recovery.Account{
@@ -124,7 +124,7 @@
 	for i := range view.Partitions.Partitions {
 		p := &view.Partitions.Partitions[i]
 		for _, member := range slices.Concat(p.Members, p.Learners, p.Holders) {
-			if _, noted := addresses[member]; !noted {
+			if _, listed := addresses[member]; !listed {
 				store, _ := view.NodeByMember(member)
 				addresses[member] = store.Address
 				a.Stores = append(a.Stores, member)
@@ -135,13 +135,13 @@
 	return a, addresses
 }
 
-// recordsOnDisk sums up the records of the group, nil without any.
+// recordsOnDisk returns a summary of the records of the group, or nil if there are none.
 func (d *daemon) recordsOnDisk() *recovery.Records {
 	m, err := loadModel(d.storage)
 	if err != nil || d.replica.JoinedEpoch() == 0 {
 		return nil
 	}
-	return &recovery.Records{Joined: d.replica.JoinedEpoch(), Revision: revisionOf(m.configuration), Orders: len(m.taken)}
+	return &recovery.Records{Joined: d.replica.JoinedEpoch(), Revision: revisionOf(m.configuration), Orders: len(m.acceptedOrders)}
 }
 
 // revisionOf returns the revision of a configuration, 0 without one.
@@ -156,20 +156,20 @@
 	return parsed.Revision
 }
 
-// silentStores returns the stores that accept no connection.
-func (d *daemon) silentStores(ctx context.Context, members []string, addresses map[string]string) []string {
+// unresponsiveStores returns the stores that do not accept a connection.
+func (d *daemon) unresponsiveStores(ctx context.Context, members []string, addresses map[string]string) []string {
 	ctx, cancel := context.WithTimeout(ctx, storeDialTimeout)
 	defer cancel()
 	dial := (&net.Dialer{}).DialContext
 	if n := d.environment.Network; n != nil {
 		dial = n.DialContext
 	}
-	silent := make([]bool, len(members))
+	unresponsive := make([]bool, len(members))
 	var dials sync.WaitGroup
 	for i, member := range members {
 		dials.Go(func() {
 			conn, err := dial(ctx, "tcp", addresses[member])
-			if silent[i] = addresses[member] == "" || err != nil; err == nil {
+			if unresponsive[i] = addresses[member] == "" || err != nil; err == nil {
 				_ = conn.Close()
 			}
 		})
@@ -177,40 +177,40 @@
 	dials.Wait()
 	var names []string
 	for i, member := range members {
-		if silent[i] {
+		if unresponsive[i] {
 			names = append(names, member)
 		}
 	}
 	return names
 }
 
-// joinGeneration has this process belong to a generation, and answers once that is on disk.
+// joinGeneration makes this process join a generation, and responds once that is on disk.
 func (a operatorAPI) joinGeneration(w http.ResponseWriter, r *http.Request) {
 	var request recovery.JoinRequest
-	if !readJSON(w, r, mostJoinBytes, &request) {
+	if !readJSON(w, r, maxJoinBytes, &request) {
 		return
 	}
-	a.respond(w, r, func(reply func(answer)) {
+	a.respond(w, r, func(reply func(response)) {
 		d := a.daemon
 		if d.elector == nil {
-			reply(refusal(http.StatusConflict, "this process has no disk, and no vote"))
+			reply(errorResponse(http.StatusConflict, "this process has no disk, and no vote"))
 			return
 		}
 		joined, actions := d.elector.JoinGeneration(request.View, d.now())
-		d.act(actions)
+		d.execute(actions)
 		if !joined {
-			reply(refusal(http.StatusConflict, "this process belongs to another generation: ask all processes again"))
+			reply(errorResponse(http.StatusConflict, "this process belongs to another generation: ask all processes again"))
 			return
 		}
 		d.awaitPersisted(d.now()+orderTimeout, reply)
 	})
 }
 
-// awaitPersisted answers once the register is on disk.
-func (d *daemon) awaitPersisted(deadline time.Duration, reply func(answer)) {
+// awaitPersisted responds once the register is on disk.
+func (d *daemon) awaitPersisted(deadline time.Duration, reply func(response)) {
 	switch {
 	case d.elector.IsPersisted():
-		reply(answer{status: http.StatusOK})
+		reply(response{status: http.StatusOK})
 	case d.now() >= deadline:
 		reply(unavailable("the disk has not taken it yet: send the same call again"))
 	default:
@@ -218,45 +218,45 @@
 	}
 }
 
-// foundAnew writes the state in which control is founded anew, answers, and ends the process.
+// foundAnew writes the state with which control is founded anew, responds, and ends the process.
 func (a operatorAPI) foundAnew(w http.ResponseWriter, r *http.Request) {
 	var request recovery.FoundRequest
-	if !readJSON(w, r, mostFoundBytes, &request) {
+	if !readJSON(w, r, maxFoundBytes, &request) {
 		return
 	}
 	var records []replication.Record
 	if len(request.Snapshot) > 0 {
 		s, err := snapshot.Decode(request.Snapshot)
 		if err != nil {
-			write(w, r, refusal(http.StatusBadRequest, err.Error()))
+			write(w, r, errorResponse(http.StatusBadRequest, err.Error()))
 			return
 		}
 		records = s.Records
 	}
-	a.respond(w, r, func(reply func(answer)) { a.daemon.found(&request, records, reply) })
+	a.respond(w, r, func(reply func(response)) { a.daemon.foundGeneration(&request, records, reply) })
 }
 
-// found checks a request, and writes what it asks for. From then on this process takes no part in the group any more.
-func (d *daemon) found(request *recovery.FoundRequest, records []replication.Record, reply func(answer)) {
+// foundGeneration checks a request and writes the requested state. From then on this process no longer takes part in the current group.
+func (d *daemon) foundGeneration(request *recovery.FoundRequest, records []replication.Record, reply func(response)) {
 	view := request.View
 	switch {
 	case d.elector == nil:
-		reply(refusal(http.StatusConflict, "this process has no disk: found control on another"))
+		reply(errorResponse(http.StatusConflict, "this process has no disk: found control on another"))
 		return
 	case d.founding || !d.elector.MayFound(view):
-		reply(refusal(http.StatusConflict, "this process has another disk, or has gone on since it was asked: ask all processes again"))
+		reply(errorResponse(http.StatusConflict, "this process has another disk, or has gone on since it was asked: ask all processes again"))
 		return
 	}
 	m, err := recoverModel(records, request.Survivor, d.agent.View(), view.Epoch)
 	if err != nil {
-		reply(refusal(http.StatusBadRequest, err.Error()))
+		reply(errorResponse(http.StatusBadRequest, err.Error()))
 		return
 	}
 	d.founding = true
 	d.deactivate()
 	d.replica.Close()
 	d.logger.Warn("control: founding the group anew", zap.Uint64("epoch", view.Epoch), zap.Uint64("generation", view.Generation),
-		zap.Int("partitions", len(m.partitions)), zap.Int("orders", len(m.taken)))
+		zap.Int("partitions", len(m.partitions)), zap.Int("orders", len(m.acceptedOrders)))
 	d.appendAll(foundingRecords(m, d.storage, view.Epoch), func(err error) {
 		if err != nil {
 			reply(unavailable("the disk has not taken the state: " + err.Error() + "; start the process again, then send the same call"))
@@ -267,7 +267,7 @@
 				reply(unavailable("the disk has not taken the view: " + err.Error() + "; start the process again, then send the same call"))
 				return
 			}
-			reply(answer{status: http.StatusOK})
+			reply(response{status: http.StatusOK})
 			close(d.foundedAnew)
 		})
 	})
@@ -295,14 +295,14 @@
 	})
 }
 
-// readJSON reads a body into a value, or answers 400.
-func readJSON(w http.ResponseWriter, r *http.Request, most int64, into any) bool {
-	body, ok := readBody(w, r, most)
+// readJSON decodes a JSON body into a value, or responds with 400.
+func readJSON(w http.ResponseWriter, r *http.Request, limit int64, into any) bool {
+	body, ok := readBody(w, r, limit)
 	if !ok {
 		return false
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		write(w, r, refusal(http.StatusBadRequest, "the body is no request of liftgauge recover: "+err.Error()))
+		write(w, r, errorResponse(http.StatusBadRequest, "the body is no request of liftgauge recover: "+err.Error()))
 		return false
 	}
 	return true
--- a/internal/roles/control/refusal.go
+++ b/internal/roles/control/refusal.go
@@ -13,33 +13,34 @@
 	"liftgauge/internal/rpc"
 )
 
-// A store whose connection broke is dialed refusalDials times, refusalPause apart. If its address refuses each dial, no process listens there.
+// A store whose connection broke is dialed refusalDials times, refusalDialInterval apart. If its address refuses each dial, no process is listening
+// there.
 const (
-	refusalDials       = 2
-	refusalPause       = 20 * time.Millisecond
-	refusalDialTimeout = 100 * time.Millisecond
-	// newcomerPeriod is how long a process may be a newcomer beside others that start at the same time.
-	newcomerPeriod = time.Second
+	refusalDials        = 2
+	refusalDialInterval = 20 * time.Millisecond
+	refusalDialTimeout  = 100 * time.Millisecond
+	// startupPeriod is how long after the start of this process other processes may still be starting as well.
+	startupPeriod = time.Second
 )
 
-// sender is who sent heartbeats over a connection; it is the connection's tag.
-type sender struct {
+// heartbeatSender is the store that sends heartbeats over a connection. It is the tag of the connection.
+type heartbeatSender struct {
 	key         string
 	incarnation uint64
 	address     string
 }
 
-// tagStore notes that a connection is a store's.
+// tagStore tags a connection that belongs to a store.
 func tagStore(c *rpc.Conn, n *protocol.Node) {
 	if n.Role == protocol.RoleStore && c.Tag() == nil {
-		c.SetTag(sender{key: n.Key, incarnation: n.Incarnation, address: n.Address})
+		c.SetTag(heartbeatSender{key: n.Key, incarnation: n.Incarnation, address: n.Address})
 	}
 }
 
-// connectionClosed is called when a connection of this process is over. A store that was killed leaves an address that refuses connections:
-// its session is ended then, long before it would expire, so that its partitions get other primaries.
+// connectionClosed is called when a connection of this process is closed. The address of a store that was killed refuses connections: its session
+// is then ended, long before it would expire, so that its partitions get other primaries.
 func (d *daemon) connectionClosed(c *rpc.Conn, _ error) {
-	s, isStore := c.Tag().(sender)
+	s, isStore := c.Tag().(heartbeatSender)
 	if !isStore {
 		return
 	}
@@ -51,32 +52,33 @@
 }
 
 // endIfRefused ends the session of a store if its address refuses connections.
-func (d *daemon) endIfRefused(s sender) {
-	if d.refuses(s.address) {
-		d.loop.post(func() { d.refused(s) })
+func (d *daemon) endIfRefused(s heartbeatSender) {
+	if d.refusesConnections(s.address) {
+		d.loop.post(func() { d.storeRefused(s) })
 	}
 }
 
-// lookForLostStores dials every store that has a session once: one that was killed together with the primary before has broken no connection to this
-// process. After a start of this process nothing is done: all stores may be starting as well, and refuse until they listen.
-func (d *daemon) lookForLostStores(p *primary) {
-	if d.now()-d.began < newcomerPeriod {
+// probeStores dials every store that has a session, because the loss of a store that was killed together with the previous primary closed no
+// connection to this process. Right after the start of this process it does nothing: all stores may be starting as well, and refuse connections
+// until they listen.
+func (d *daemon) probeStores(p *primary) {
+	if d.now()-d.startedAt < startupPeriod {
 		return
 	}
 	for key, node := range p.model.nodes {
 		if node.Role == protocol.RoleStore {
-			go d.endIfRefused(sender{key: key, incarnation: node.Incarnation, address: node.Address})
+			go d.endIfRefused(heartbeatSender{key: key, incarnation: node.Incarnation, address: node.Address})
 		}
 	}
 }
 
-// refuses tells whether an address refuses connections again and again. Silence is no refusal.
-func (d *daemon) refuses(address string) bool {
+// refusesConnections reports whether an address refuses connections repeatedly. A dial that times out is not a refusal.
+func (d *daemon) refusesConnections(address string) bool {
 	for i := range refusalDials {
 		if i > 0 {
-			pause := time.NewTimer(refusalPause)
+			pause := time.NewTimer(refusalDialInterval)
 			select {
-			case <-d.ended:
+			case <-d.stopped:
 				pause.Stop()
 				return false
 			case <-pause.C:
@@ -104,9 +106,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// refused ends the session of a store whose address refuses connections. The process may run all the same, behind a network that refuses for
-// it: the end is not certain, so all that was granted to it holds until it is over, and its next heartbeat opens a session again.
-func (d *daemon) refused(s sender) {
+// storeRefused ends the session of a store whose address refuses connections. The process may still run, behind a network that refuses connections
+// on its behalf. It is therefore not certain to have stopped: everything granted to it stays valid until it expires, and its next heartbeat opens
+// a session again.
+func (d *daemon) storeRefused(s heartbeatSender) {
 	p := d.primary
 	if p == nil {
 		return
--- a/internal/roles/control/retire.go
+++ b/internal/roles/control/retire.go
@@ -10,13 +10,13 @@
 	"liftgauge/placement"
 )
 
-// The states of a retirement as the operator reads them.
+// The states of a retirement that are reported to the operator.
 const (
 	retirementRunning   = "running"
 	retirementSucceeded = "succeeded"
 )
 
-// retiringName tells whether a machine is being emptied, so that the store there stays retiring when it comes back with another disk.
+// retiringName reports whether a machine is being emptied, so that a store there stays retiring when it returns with another disk.
 func (p *primary) retiringName(name string) bool {
 	for _, s := range p.model.stores {
 		if s.Name == name && s.Retiring && !s.Emptied {
@@ -37,11 +37,11 @@
 	return stores
 }
 
-// startRetirement begins to empty the stores of a machine and returns the answer, which holds once all that was put is durable.
-func (p *primary) startRetirement(now time.Duration, name string) answer {
+// startRetirement begins to empty the stores of a machine and returns the response, which is valid once all records put so far are durable.
+func (p *primary) startRetirement(now time.Duration, name string) response {
 	stores := p.storesNamed(name)
 	if len(stores) == 0 {
-		return refusal(http.StatusNotFound, "no storage machine of this name is known: read the names in /status")
+		return errorResponse(http.StatusNotFound, "no storage machine of this name is known: read the names in /status")
 	}
 	for _, s := range stores {
 		if s.Retiring {
@@ -62,37 +62,38 @@
 	return p.retirement(name)
 }
 
-// mayRetire refuses a retirement that would leave too few machines: for good, unless one that is away now is likely to be back.
-func (p *primary) mayRetire(now time.Duration, member string) (refused answer, ok bool) {
+// mayRetire rejects a retirement that would leave too few machines: with a conflict, or as unavailable if a machine that is currently away would
+// make it possible.
+func (p *primary) mayRetire(now time.Duration, member string) (refused response, ok bool) {
 	stores, copies := p.placementStores(now), p.daemon.settings.Copies()
 	switch {
 	case placement.CanRetire(stores, member, copies):
-		return answer{}, true
+		return response{}, true
 	case placement.CanRetireSoon(stores, member, copies):
 		return unavailable("a storage machine is away, and without it too few would remain: ask again when it is back"), false
 	}
-	return refusal(http.StatusConflict, "too few storage machines would remain: add one before"), false
+	return errorResponse(http.StatusConflict, "too few storage machines would remain: add one before"), false
 }
 
-// describeRetirement says how far the emptying of a machine is.
-func (p *primary) describeRetirement(name string) answer {
+// describeRetirement returns the state of the retirement of a machine.
+func (p *primary) describeRetirement(name string) response {
 	retiring := false
 	for _, s := range p.storesNamed(name) {
 		retiring = retiring || s.Retiring
 	}
 	if !retiring {
-		return refusal(http.StatusNotFound, "this machine is not being emptied: POST /retire/NODE/start first")
+		return errorResponse(http.StatusNotFound, "this machine is not being emptied: POST /retire/NODE/start first")
 	}
 	return p.retirement(name)
 }
 
-func (p *primary) retirement(name string) answer {
+func (p *primary) retirement(name string) response {
 	state := retirementSucceeded
 	for _, s := range p.storesNamed(name) {
-		if p.model.names(s.Member) {
+		if p.model.references(s.Member) {
 			state = retirementRunning
 		}
 	}
-	body, _ := json.Marshal(struct{ State string }{state}) // a struct of a text always encodes
-	return answer{status: http.StatusOK, body: body}
+	body, _ := json.Marshal(struct{ State string }{state}) // a struct of a string always encodes
+	return response{status: http.StatusOK, body: body}
 }
--- a/internal/roles/control/end_test.go
+++ b/internal/roles/control/shutdown_test.go
@@ -16,8 +16,8 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	done := make(chan error, 1)
 	p := m.process
-	m.process = nil // it closes itself
-	p.grace, p.patience = patience, patience
+	m.process = nil // serve closes the process
+	p.grace, p.handOverTimeout = testTimeout, testTimeout
 	go func() { done <- p.serve(ctx) }()
 	return func() error {
 		cancel()
@@ -30,8 +30,8 @@
 	}
 }
 
-// knowsOther tells whether any running process knows of another primary than the member.
-func (c *cluster) knowsOther(member string) bool {
+// hasOtherPrimary reports whether the view of any running process has another primary than the given member.
+func (c *cluster) hasOtherPrimary(member string) bool {
 	known := false
 	for _, m := range c.machines {
 		if m.process != nil {
@@ -41,30 +41,30 @@
 	return known
 }
 
-func TestPlannedEndOfThePrimary(t *testing.T) {
+func TestPlannedShutdownOfThePrimary(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
 	dispatcher := c.startDispatcher(20)
 	base := uint64(0)
 	for range 3 {
-		c.whole(3)
+		c.awaitMembers(3)
 		old := c.primary()
 		member := old.process.self.Member
 		end := c.runUntilCancelled(old)
 		is.NoErr(end())
-		is.True(c.knowsOther(member)) // it ended only when there was a successor
+		is.True(c.hasOtherPrimary(member)) // it shut down only when there was a successor
 		next := c.primary()
-		next.onLoop(c, func(d *daemon) { is.True(!d.elector.View().Includes(member)) }) // nobody waits for the one that ended
+		next.onLoop(c, func(d *daemon) { is.True(!d.elector.View().Includes(member)) }) // writes do not wait for the process that shut down
 		is.Equal(c.replace(next, base, configurationOf(base+1, "x")), http.StatusOK)
 		base++
 		c.await(dispatcher, "the end of the session", func(v *agent.View) bool { return len(v.Live(protocol.RoleControl)) == 3 })
 		c.start(old)
-		c.await(dispatcher, "its return", func(v *agent.View) bool { return len(v.Live(protocol.RoleControl)) == 4 })
+		c.await(dispatcher, "the session after its restart", func(v *agent.View) bool { return len(v.Live(protocol.RoleControl)) == 4 })
 	}
 }
 
-func TestOrdersGoOnWhileProcessesEndInTurn(t *testing.T) {
+func TestOrdersContinueDuringARollingRestart(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4)
 	c.startAll()
@@ -93,7 +93,7 @@
 		}
 	}()
 	for host := 1; host <= 4; host++ {
-		c.whole(3)
+		c.awaitMembers(3)
 		m := c.machine(host)
 		is.NoErr(c.runUntilCancelled(m)())
 		c.start(m)
@@ -104,6 +104,6 @@
 		revision, _ := c.described(c.machine(2))
 		is.Equal(revision, acknowledged)
 	case <-c.ctx.Done():
-		t.Fatal("the orders did not end")
+		t.Fatal("the orders did not stop")
 	}
 }
--- a/internal/roles/control/waiting.go
+++ b/internal/roles/control/waiting.go
@@ -6,62 +6,62 @@
 )
 
 const (
-	// holdTimeout is how long a call waits for a primary to be known. It stays below the second after which the operator goes elsewhere.
+	// holdTimeout is how long a call waits for a primary to be known. It is below the second after which the operator tries another process.
 	holdTimeout = 700 * time.Millisecond
-	// orderTimeout is how long an order waits to be durable before it gets no clear answer.
+	// orderTimeout is how long an order may take to become durable before its callers are told that the outcome is unknown.
 	orderTimeout = 2500 * time.Millisecond
-	// confirmTimeout bounds the round that confirms that this process still is the primary.
+	// confirmTimeout limits the round that confirms that this process is still the primary.
 	confirmTimeout = 600 * time.Millisecond
 )
 
-// answer is what a call of the operator is answered.
-type answer struct {
+// response is the HTTP response to a call of the operator.
+type response struct {
 	status       int
 	body         []byte
 	contentType  string // of the body; JSON where it is empty
-	text         string // of a refusal, instead of a body
+	text         string // of an error, instead of a body
 	controlPlane string // of the primary, for 307
 }
 
-func refusal(status int, text string) answer { return answer{status: status, text: text} }
+func errorResponse(status int, text string) response { return response{status: status, text: text} }
 
-// unavailable is no clear answer: the operator sends the call again.
-func unavailable(text string) answer { return refusal(http.StatusServiceUnavailable, text) }
+// unavailable returns a response after which the operator retries the call.
+func unavailable(text string) response { return errorResponse(http.StatusServiceUnavailable, text) }
 
-func redirect(controlPlane string) answer {
-	return answer{status: http.StatusTemporaryRedirect, controlPlane: controlPlane}
+func redirect(controlPlane string) response {
+	return response{status: http.StatusTemporaryRedirect, controlPlane: controlPlane}
 }
 
-// waiter is a call that waits for a primary to be known.
-type waiter struct {
+// pendingCall is a call that waits until a primary is known.
+type pendingCall struct {
 	deadline time.Duration
 	run      func(*primary)
-	refuse   func(answer)
+	reply    func(response)
 }
 
-// withPrimary runs a function with the active primary if that is this process. Otherwise the call is sent on to the primary, or waits until
-// one is known.
-func (d *daemon) withPrimary(run func(*primary), refuse func(answer)) {
-	w := &waiter{deadline: d.now() + holdTimeout, run: run, refuse: refuse}
+// withPrimary calls run with the active primary if that is this process. Otherwise the call is redirected to the primary, or waits until one is
+// known.
+func (d *daemon) withPrimary(run func(*primary), reply func(response)) {
+	w := &pendingCall{deadline: d.now() + holdTimeout, run: run, reply: reply}
 	if !d.resolve(w) {
-		d.waiting = append(d.waiting, w)
+		d.pendingCalls = append(d.pendingCalls, w)
 	}
 }
 
-// resolve answers a waiting call if that can be done now.
-func (d *daemon) resolve(w *waiter) bool {
+// resolve runs or redirects a pending call if a primary is known.
+func (d *daemon) resolve(call *pendingCall) bool {
 	if d.primary != nil {
-		w.run(d.primary)
+		call.run(d.primary)
 		return true
 	}
 	if other := d.otherPrimary(); other != "" {
-		w.refuse(redirect(other))
+		call.reply(redirect(other))
 		return true
 	}
 	return false
 }
 
-// otherPrimary returns where another process serves the operator as primary, or "".
+// otherPrimary returns the address at which another process serves the operator as primary, or "".
 func (d *daemon) otherPrimary() string {
 	address, controlPlane := d.primaryAddress()
 	if address == d.self.Address {
@@ -70,40 +70,40 @@
 	return controlPlane
 }
 
-// reviewWaiting answers what waited for a primary to be known, after something about that has changed.
-func (d *daemon) reviewWaiting() {
-	waiting := d.waiting
-	d.waiting = nil
+// retryPendingCalls resolves the pending calls that can be resolved, after what is known of the primary has changed.
+func (d *daemon) retryPendingCalls() {
+	waiting := d.pendingCalls
+	d.pendingCalls = nil
 	for _, w := range waiting {
 		if !d.resolve(w) {
-			d.waiting = append(d.waiting, w)
+			d.pendingCalls = append(d.pendingCalls, w)
 		}
 	}
-	d.reviewOrders()
+	d.redirectOrders()
 }
 
-// expireWaiting refuses the calls that have waited too long.
-func (d *daemon) expireWaiting(now time.Duration) {
-	waiting := d.waiting
-	d.waiting = nil
+// expirePendingCalls responds with an error to the calls that have waited too long.
+func (d *daemon) expirePendingCalls(now time.Duration) {
+	waiting := d.pendingCalls
+	d.pendingCalls = nil
 	for _, w := range waiting {
 		if now < w.deadline {
-			d.waiting = append(d.waiting, w)
+			d.pendingCalls = append(d.pendingCalls, w)
 			continue
 		}
-		w.refuse(unavailable("no primary is known: try again"))
+		w.reply(unavailable("no primary is known: try again"))
 	}
 }
 
-// confirm calls f with whether this process still is the primary by the word of a majority.
-func (d *daemon) confirm(f func(stands bool)) {
+// confirm calls f with whether a majority confirms that this process is still the primary.
+func (d *daemon) confirm(f func(confirmed bool)) {
 	answered := false
-	once := func(stands bool) {
+	once := func(confirmed bool) {
 		if !answered {
 			answered = true
-			f(stands)
+			f(confirmed)
 		}
 	}
 	d.loop.after(confirmTimeout, func() { once(false) })
-	d.act(d.elector.Confirm(d.now(), once))
+	d.execute(d.elector.Confirm(d.now(), once))
 }
--- a/internal/roles/control/writer_test.go
+++ b/internal/roles/control/writer_test.go
@@ -9,8 +9,8 @@
 	"liftgauge/replication"
 )
 
-// heldWrites collects the batches of a writer and answers them when the test says so.
-type heldWrites struct {
+// manualWrites collects the batches of a writer; the test completes them manually.
+type manualWrites struct {
 	batches [][]replication.Record
 	done    []func(error)
 	retries []func()
@@ -18,14 +18,14 @@
 	durable int
 }
 
-func (h *heldWrites) writer() *writer {
+func (h *manualWrites) writer() *writer {
 	return &writer{
 		write: func(records []replication.Record, done func(error)) {
 			h.batches = append(h.batches, records)
 			h.done = append(h.done, done)
 		},
-		began: func() func() { h.began++; return func() { h.durable++ } },
-		after: func(_ time.Duration, f func()) { h.retries = append(h.retries, f) },
+		onBegin: func() func() { h.began++; return func() { h.durable++ } },
+		after:   func(_ time.Duration, f func()) { h.retries = append(h.retries, f) },
 	}
 }
 
@@ -33,9 +33,9 @@
 	return replication.Record{Key: key, Value: []byte(value)}
 }
 
-func TestWriterCollectsWhatComesDuringABatch(t *testing.T) {
+func TestWriterCollectsRecordsDuringABatch(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	var outcomes []string
 	note := func(name string) func(error) {
@@ -47,67 +47,67 @@
 		}
 	}
 	w.put(record("a", "1"))
-	w.then(note("first"))
+	w.onDurable(note("first"))
 	w.flush()
 	w.put(record("a", "2"))
 	w.put(record("b", "1"))
 	w.put(record("a", "3"))
-	w.then(note("second"))
+	w.onDurable(note("second"))
 	w.flush()
 	is.Equal(len(h.batches), 1) // one at a time
 	is.Equal(len(outcomes), 0)
 	h.done[0](nil)
 	is.Equal(outcomes, []string{"first"})
 	w.flush()
-	is.Equal(h.batches[1], []replication.Record{record("a", "3"), record("b", "1")}) // the last of a key counts
+	is.Equal(h.batches[1], []replication.Record{record("a", "3"), record("b", "1")}) // the last record of a key is written
 	h.done[1](nil)
 	is.Equal(outcomes, []string{"first", "second"})
 	is.Equal(h.durable, 2)
 }
 
-// A disk that refuses again and again has another member asked to take over, while the batch is tried on.
-func TestWriterTellsOfADiskThatRefuses(t *testing.T) {
+// After repeated rejections of a batch by the disk another member is requested to take over, while the batch is retried.
+func TestWriterReportsADiskThatRejectsWrites(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
-	w, told := h.writer(), 0
-	w.refused = func() { told++ }
+	var h manualWrites
+	w, reported := h.writer(), 0
+	w.onRefused = func() { reported++ }
 	w.put(record("a", "1"))
 	w.flush()
-	for n := range refusalsBorne + 2 {
+	for n := range toleratedRefusals + 2 {
 		h.done[n](replication.ErrStorage)
-		is.Equal(told, max(0, n+1-refusalsBorne))
+		is.Equal(reported, max(0, n+1-toleratedRefusals))
 		h.retries[n]()
 	}
-	h.done[refusalsBorne+2](nil)
+	h.done[toleratedRefusals+2](nil)
 	is.Equal(h.durable, 1)
-	w.put(record("a", "2")) // the next batch begins anew
+	w.put(record("a", "2")) // the next batch starts counting anew
 	w.flush()
-	h.done[refusalsBorne+3](replication.ErrStorage)
-	is.Equal(told, 2)
+	h.done[toleratedRefusals+3](replication.ErrStorage)
+	is.Equal(reported, 2)
 }
 
-func TestWriterAnswersAtOnceWithNothingToWrite(t *testing.T) {
+func TestWriterCallsBackAtOnceWithNothingToWrite(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	answered := false
-	w.then(func(err error) { answered = err == nil })
+	w.onDurable(func(err error) { answered = err == nil })
 	w.flush()
 	is.True(answered)
 	is.Equal(h.began, 0)
 }
 
-func TestWriterRepeatsWhatTheDiskRefused(t *testing.T) {
+func TestWriterRetriesABatchThatTheDiskRejected(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	var outcome error
 	answered := 0
 	w.put(record("a", "1"))
-	w.then(func(err error) { outcome = err; answered++ })
+	w.onDurable(func(err error) { outcome = err; answered++ })
 	w.flush()
 	h.done[0](replication.ErrStorage)
-	is.Equal(answered, 0) // its fate is open
+	is.Equal(answered, 0) // its outcome is unknown
 	h.retries[0]()
 	is.Equal(len(h.batches), 2)
 	h.done[1](nil)
@@ -115,9 +115,9 @@
 	is.NoErr(outcome)
 }
 
-func TestWriterFailsAllWhenClosed(t *testing.T) {
+func TestWriterFailsAllCallbacksWhenClosed(t *testing.T) {
 	is := is.New(t)
-	var h heldWrites
+	var h manualWrites
 	w := h.writer()
 	failed := 0
 	count := func(err error) {
@@ -126,15 +126,15 @@
 		}
 	}
 	w.put(record("a", "1"))
-	w.then(count)
+	w.onDurable(count)
 	w.flush()
 	w.put(record("b", "1"))
-	w.then(count)
+	w.onDurable(count)
 	w.close()
 	is.Equal(failed, 1) // the one that had not begun
 	h.done[0](replication.ErrDeposed)
 	is.Equal(failed, 2)
-	w.then(count)
+	w.onDurable(count)
 	is.Equal(failed, 3)
 	w.flush()
 	is.Equal(len(h.batches), 1)
