--- a/cmd/liftgauge/capture.go
+++ b/cmd/liftgauge/capture.go
@@ -12,7 +12,7 @@
 	"liftgauge/internal/capture"
 	"liftgauge/internal/config"
 	"liftgauge/internal/serve/control"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // records writes what was seen of messages. It is nil where settings leave it off.
@@ -58,14 +58,14 @@
 }
 
 // seen makes a record of a message that has settled.
-func (r *records) seen() func(*owner.Message, owner.Kind, bool, time.Duration, []*owner.Attempt) {
+func (r *records) seen() func(*engine.Message, engine.Kind, bool, time.Duration, []*engine.Attempt) {
 	if r == nil {
 		return nil
 	}
-	return func(m *owner.Message, answer owner.Kind, answered bool, at time.Duration, attempts []*owner.Attempt) {
+	return func(m *engine.Message, answer engine.Kind, answered bool, at time.Duration, attempts []*engine.Attempt) {
 		rec := capture.Record{Arrived: int64(m.Arrived), Class: m.Job.Class, Key: m.Subject, Hint: int64(m.Job.Hint), Slots: m.Job.Slots,
 			Zone: r.zone, Tenant: m.Job.Tenant, Patience: int64(m.Job.Left), Again: m.Job.Again, Took: int64(at - m.Arrived),
-			End: [...]uint8{owner.Failed: capture.Failed, owner.Served: capture.Served, owner.BackOff: capture.BackOff}[answer]}
+			End: [...]uint8{engine.Failed: capture.Failed, engine.Served: capture.Served, engine.BackOff: capture.BackOff}[answer]}
 		if !answered {
 			rec.End = capture.Left
 		}
@@ -84,7 +84,7 @@
 }
 
 // age is how long a host's process had been there when it was sent something.
-func age(a *owner.Attempt) int64 {
+func age(a *engine.Attempt) int64 {
 	if up := a.Host.Worker.Up; up > 0 && a.Sent() >= up {
 		return int64(a.Sent() - up)
 	}
--- a/cmd/liftgauge/main_test.go
+++ b/cmd/liftgauge/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"liftgauge/internal/config"
-	"liftgauge/internal/serve/north"
+	"liftgauge/internal/serve/clientlistener"
 )
 
 func run(args ...string) (string, error) {
@@ -163,7 +163,7 @@
 	start   time.Time
 }
 
-func (c *clients) Enter(p north.Phase) {
+func (c *clients) Enter(p clientlistener.Phase) {
 	if text := p.String() + " at " + time.Since(c.start).String(); len(c.entered) == 0 || !strings.HasPrefix(c.entered[len(c.entered)-1], p.String()) {
 		c.entered = append(c.entered, text)
 	}
--- a/cmd/liftgauge/members.go
+++ b/cmd/liftgauge/members.go
@@ -18,7 +18,7 @@
 	"liftgauge/internal/config"
 	"liftgauge/internal/gossip"
 	"liftgauge/internal/serve/control"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/member"
 )
 
@@ -27,7 +27,7 @@
 
 // openMembership opens the socket that the settings ask for. What membership finds out reaches the module as this dispatcher's number, how
 // many there are, and how many in its zone; where it is not in touch with most of the fleet the settings' figures hold.
-func openMembership(ctx context.Context, c *config.Config, own *own, o *owner.Owner, now func() time.Duration, log *slog.Logger) (*fellows, error) {
+func openMembership(ctx context.Context, c *config.Config, own *own, o *engine.Owner, now func() time.Duration, log *slog.Logger) (*fellows, error) {
 	s := own.Membership
 	if s == nil {
 		return nil, nil
--- a/cmd/liftgauge/pulls.go
+++ b/cmd/liftgauge/pulls.go
@@ -16,9 +16,9 @@
 	"liftgauge/internal/config"
 	"liftgauge/internal/gearman"
 	"liftgauge/internal/http1"
+	"liftgauge/internal/serve/clientlistener"
 	"liftgauge/internal/serve/control"
-	"liftgauge/internal/serve/north"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/work"
 )
 
@@ -78,7 +78,7 @@
 }
 
 // reload reads the settings file anew. Nothing of a file that cannot be used counts.
-func (p *pulls) reload(ctx context.Context, o options, c *config.Config, owner *owner.Owner, log *slog.Logger) error {
+func (p *pulls) reload(ctx context.Context, o options, c *config.Config, owner *engine.Owner, log *slog.Logger) error {
 	next, err := o.load(ctx, c)
 	if err != nil {
 		return err
@@ -157,11 +157,11 @@
 
 // both ends two sides together.
 type both struct {
-	clients *north.Server
+	clients *clientlistener.Server
 	pulls   *pulls
 }
 
-func (b both) Enter(p north.Phase) {
+func (b both) Enter(p clientlistener.Phase) {
 	b.clients.Enter(p)
 	b.pulls.Enter(gearman.Phase(p)) // they go alike
 }
--- a/cmd/liftgauge/serve.go
+++ b/cmd/liftgauge/serve.go
@@ -19,12 +19,12 @@
 	"liftgauge/internal/http1"
 	"liftgauge/internal/invariant"
 	"liftgauge/internal/load"
+	"liftgauge/internal/serve/backend"
+	"liftgauge/internal/serve/clientlistener"
 	"liftgauge/internal/serve/control"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/serve/handover"
 	"liftgauge/internal/serve/inventory"
-	"liftgauge/internal/serve/north"
-	"liftgauge/internal/serve/owner"
-	"liftgauge/internal/serve/south"
 )
 
 // How a planned end goes, counted from SIGTERM. New connections go on coming for up to 0.4 s, and clients use those that
@@ -98,7 +98,7 @@
 }
 
 // lateSink lets the sides be made before the owner that they report to.
-type lateSink struct{ *owner.Owner }
+type lateSink struct{ *engine.Owner }
 
 func serve(ctx context.Context, c *config.Config, own *own, o options, log *slog.Logger) error {
 	if own.Sockets > 0 {
@@ -139,7 +139,7 @@
 	n.pulls = pulls
 	loads := load.New(c.Loads, log)
 	northConns, southConns, pullConns := n.room(c.Sockets, c.Memory)
-	hosts := south.New(south.Config{Sink: sink, ConnectTimeout: c.Settings.ConnectTimeout, Keepalive: c.Keepalive,
+	hosts := backend.New(backend.Config{Sink: sink, ConnectTimeout: c.Settings.ConnectTimeout, Keepalive: c.Keepalive,
 		MaxConns: southConns, Copies: c.Settings.SecondCopies, Loads: loads, Now: now, Log: log})
 	list := inventory.New(c.Discovery, known.Revision, c.Zones, c.Kinds, log)
 	list.Sink = sink
@@ -153,10 +153,10 @@
 	if err != nil {
 		return err
 	}
-	sink.Owner = owner.New(owner.Config{Seen: records.seen(), Settings: module, HostRuns: own.table.HostClasses, Seed: c.Seed, Known: known.Hosts, South: hosts,
+	sink.Owner = engine.New(engine.Config{Seen: records.seen(), Settings: module, HostRuns: own.table.HostClasses, Seed: c.Seed, Known: known.Hosts, South: hosts,
 		Inventory: list, Now: now, Queue: 4096, Log: log, Check: check,
 		Follows: n.follows, Lessons: n.learned, Ever: state.Listed, Offline: state.Offline, Listed: n.store.Listed})
-	var other north.Other
+	var other clientlistener.Other
 	if n.peer != nil {
 		other = n.peer
 	}
@@ -167,7 +167,7 @@
 			Shutdown: cancel, Now: now, Log: log, Check: check})
 		wrap = pulls.wrap(c.Classes)
 	}
-	clients := north.New(north.Config{Desk: sink, Sees: sink.Sees, Wrap: wrap, Subject: records.subject(), Other: other, Classes: c.Classes, Limits: c.Settings.Classes,
+	clients := clientlistener.New(clientlistener.Config{Desk: sink, Sees: sink.Sees, Wrap: wrap, Subject: records.subject(), Other: other, Classes: c.Classes, Limits: c.Settings.Classes,
 		MaxConns: northConns, Loads: loads, Budget: bytes, LastAnswer: lastAnswer, Now: now, Log: log, Check: check})
 	n.owner, n.clients, n.hosts, n.list, n.bytes = sink.Owner, clients, hosts, list, bytes
 	if n.peer != nil {
@@ -229,7 +229,7 @@
 }
 
 // figures gathers the counts, each from where the thing is counted.
-func figures(c *config.Config, clients *north.Server, o *owner.Owner, pulls *pulls, bytes *budget.Budget, records *records, loads *load.Reader, members *fellows) control.Figures {
+func figures(c *config.Config, clients *clientlistener.Server, o *engine.Owner, pulls *pulls, bytes *budget.Budget, records *records, loads *load.Reader, members *fellows) control.Figures {
 	f := control.Figures{Forwards: o.Forwards(), Outstanding: clients.Outstanding()}
 	f.Discovered, f.Ejected = o.Fleet()
 	f.More = append(pulls.figures(bytes), records.figures()...)
@@ -277,7 +277,7 @@
 
 // leaver is what a planned end needs of the north side.
 type leaver interface {
-	Enter(p north.Phase)
+	Enter(p clientlistener.Phase)
 	Open() int64
 	HandOver()
 	Pass() // open messages to a successor
@@ -300,10 +300,10 @@
 	}
 	handing := succeeded()
 	log.Info("leaving", "open", clients.Open(), "succeeded", handing)
-	clients.Enter(north.Leaving)
+	clients.Enter(clientlistener.Leaving)
 	if handing {
 		clients.HandOver()
-		clients.Enter(north.Closing)
+		clients.Enter(clientlistener.Closing)
 	}
 	start, concluded := time.Now(), false
 	ticks := time.NewTicker(endTick)
@@ -324,9 +324,9 @@
 			log.Info("left")
 			return
 		case since >= lastCall:
-			clients.Enter(north.Ending)
+			clients.Enter(clientlistener.Ending)
 		case since >= overlap:
-			clients.Enter(north.Closing)
+			clients.Enter(clientlistener.Closing)
 		}
 		select {
 		case <-ticks.C:
--- a/cmd/liftgauge/upgrade.go
+++ b/cmd/liftgauge/upgrade.go
@@ -17,11 +17,11 @@
 	"liftgauge/balance"
 	"liftgauge/internal/budget"
 	"liftgauge/internal/config"
+	"liftgauge/internal/serve/backend"
+	"liftgauge/internal/serve/clientlistener"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/serve/handover"
 	"liftgauge/internal/serve/inventory"
-	"liftgauge/internal/serve/north"
-	"liftgauge/internal/serve/owner"
-	"liftgauge/internal/serve/south"
 )
 
 // node is this process as the other process of an upgrade, and the operators, meet it.
@@ -29,9 +29,9 @@
 	c       *config.Config
 	store   *handover.Store
 	peer    *handover.Peer // nil where there is no folder to meet in
-	owner   *owner.Owner
-	clients *north.Server
-	hosts   *south.Client
+	owner   *engine.Owner
+	clients *clientlistener.Server
+	hosts   *backend.Client
 	list    *inventory.Client
 	bytes   *budget.Budget
 	pulls   *pulls // nil where Gearman is off
@@ -134,7 +134,7 @@
 	}
 	there, err := n.peer.Offline(id, out, known)
 	switch {
-	case errors.Is(err, owner.ErrNobody):
+	case errors.Is(err, engine.ErrNobody):
 		return known, nil
 	case err != nil:
 		return known, fmt.Errorf("the other process: %w", err)
@@ -164,7 +164,7 @@
 // start tells the process before, if there is one, that this one takes clients.
 func (n *node) start() {
 	if n.peer != nil {
-		if err := n.peer.Announce(); err != nil && !errors.Is(err, owner.ErrNobody) {
+		if err := n.peer.Announce(); err != nil && !errors.Is(err, engine.ErrNobody) {
 			n.log.Warn("the process before was not told", "err", err)
 		}
 	}
--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -10,7 +10,7 @@
 	"liftgauge/internal/budget"
 	"liftgauge/internal/gearman/packet"
 	"liftgauge/internal/gearman/state"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/work"
 	"liftgauge/route"
 
@@ -134,12 +134,12 @@
 		class = f.Background
 	}
 	w.Keyed = s.Classes[class].Effect == balance.Keyed
-	d.message = &owner.Message{Key: w.ID, Payload: w, Settled: hold.Drop, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
+	d.message = &engine.Message{Key: w.ID, Payload: w, Settled: hold.Drop, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
 		Hint: w.Hint, Weight: p.Weight()}}
 	if s.Subject != nil {
 		d.message.Subject = s.Subject(unique)
 	}
-	d.message.Reply = func(a owner.Answer) { s.finish(j, a, false) }
+	d.message.Reply = func(a engine.Answer) { s.finish(j, a, false) }
 	d.message.Event = func(what any) { s.event(j, what) }
 	if d.at = at; at > now {
 		s.later = append(s.later, d)
@@ -196,14 +196,14 @@
 	var b []byte
 	exceptions := false
 	switch e := what.(type) {
-	case owner.Begun:
+	case engine.Begun:
 		j.Data.(*job).begun = true
 		s.jobs.Begin(j, true)
 		return
-	case owner.Waits:
+	case engine.Waits:
 		s.jobs.Begin(j, false)
 		return
-	case owner.Share: // of a host that speaks HTTP
+	case engine.Share: // of a host that speaks HTTP
 		num := strconv.Itoa(int(max(0, min(float64(e), 1))*100 + 0.5))
 		s.jobs.Progress(j, num, "100")
 		b = packet.Append(nil, packet.WorkStatus, handle, []byte(num), []byte("100"))
@@ -234,18 +234,18 @@
 }
 
 // finish gives a job its one end. False: it had it. Cut says that the planned end leaves no time for it.
-func (s *Server) finish(j *state.Job, a owner.Answer, cut bool) bool {
+func (s *Server) finish(j *state.Job, a engine.Answer, cut bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clients, ok := s.jobs.End(s.Now(), j, a.Kind == owner.Served)
+	clients, ok := s.jobs.End(s.Now(), j, a.Kind == engine.Served)
 	if !ok {
 		return false
 	}
 	switch a.Kind {
-	case owner.Served:
+	case engine.Served:
 		s.counts.Served++
 		s.tell(clients, packet.Append(nil, packet.WorkComplete, []byte(j.Handle), a.Result), false)
-	case owner.BackOff:
+	case engine.BackOff:
 		s.counts.BackOffs++
 		text := "refused: not done, try again later"
 		if a.Wait > 0 {
@@ -262,7 +262,7 @@
 			s.counts.BackgroundLost++
 		} else {
 			s.Log.Info("gearman: background job ended", "handle", j.Handle, "function", j.Function, "unique", j.Unique,
-				"end", [...]string{owner.Failed: "failed", owner.Served: "served", owner.BackOff: "refused"}[a.Kind],
+				"end", [...]string{engine.Failed: "failed", engine.Served: "served", engine.BackOff: "refused"}[a.Kind],
 				"may_have_run", j.Data.(*job).begun, "took", s.Now()-j.Data.(*job).since)
 		}
 	}
@@ -338,7 +338,7 @@
 		s.later = slices.DeleteFunc(s.later, func(o *job) bool { return o == d })
 	}
 	s.mu.Unlock()
-	if !ok || !s.finish(j, owner.Answer{Kind: owner.Failed}, false) {
+	if !ok || !s.finish(j, engine.Answer{Kind: engine.Failed}, false) {
 		return false
 	}
 	s.leave(j)
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -11,7 +11,7 @@
 	"liftgauge/internal/budget"
 	"liftgauge/internal/gearman/packet"
 	"liftgauge/internal/gearman/state"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/work"
 )
 
@@ -29,14 +29,14 @@
 	shut       bool   // closed from here, to send its peer elsewhere
 	client     string // id that it gave
 	exceptions bool
-	worker     *state.Worker[*owner.Attempt] // nil until it says that it can do something
-	name       string                        // as a host; empty until it is ready
+	worker     *state.Worker[*engine.Attempt] // nil until it says that it can do something
+	name       string                         // as a host; empty until it is ready
 	listed     bool
-	host       owner.Host // as it was listed last
+	host       engine.Host // as it was listed last
 	asks       packet.Type
 	asking     bool // GRAB_JOB waits for its answer
 	told       bool // an end was reported that the owner may not have dealt with yet
-	stops      map[*owner.Attempt]func() bool
+	stops      map[*engine.Attempt]func() bool
 	ends       map[string]int64  // by handle: where in the stream its JOB_ASSIGN ends
 	parts      map[string][]byte // by handle: data that came before the end, for clients that take all at once
 
@@ -54,7 +54,7 @@
 // mark is an attempt whose JOB_ASSIGN ends at a place in the stream.
 type mark struct {
 	end int64
-	a   *owner.Attempt
+	a   *engine.Attempt
 }
 
 // How what is put into the buffer gets out of it.
@@ -77,7 +77,7 @@
 
 // put puts packets into the buffer and returns where in the stream they end. An attempt is told to be assigned once they
 // are written.
-func (c *conn) put(b []byte, a *owner.Attempt, by how) (end int64) {
+func (c *conn) put(b []byte, a *engine.Attempt, by how) (end int64) {
 	most := c.s.settings.Load().Limits
 	c.out.Lock()
 	defer c.out.Unlock()
@@ -327,13 +327,13 @@
 		}
 		within = time.Duration(seconds) * time.Second
 	}
-	var never []*owner.Attempt
-	var failed []*state.Run[*owner.Attempt]
+	var never []*engine.Attempt
+	var failed []*state.Run[*engine.Attempt]
 	wake, many := false, false
 	s.mu.Lock()
 	if c.worker == nil && t != packet.SetClientID {
-		c.worker = state.NewWorker[*owner.Attempt](time.Duration(g.Timeouts.Grab))
-		c.stops, c.ends, c.parts = map[*owner.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
+		c.worker = state.NewWorker[*engine.Attempt](time.Duration(g.Timeouts.Grab))
+		c.stops, c.ends, c.parts = map[*engine.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
 	}
 	switch t {
 	case packet.SetClientID:
@@ -379,14 +379,14 @@
 }
 
 // retire forgets picks that have ended. The lock is held.
-func (s *Server) retire(c *conn, picks []*owner.Attempt) {
+func (s *Server) retire(c *conn, picks []*engine.Attempt) {
 	s.active -= len(picks)
 	for _, a := range picks {
 		c.forgetStop(a)
 	}
 }
 
-func (c *conn) forgetStop(a *owner.Attempt) {
+func (c *conn) forgetStop(a *engine.Attempt) {
 	if stop := c.stops[a]; stop != nil {
 		stop()
 		delete(c.stops, a)
@@ -394,7 +394,7 @@
 }
 
 // unsaid ends jobs whose worker told of an exception and went on without another word.
-func (c *conn) unsaid(failed []*state.Run[*owner.Attempt]) {
+func (c *conn) unsaid(failed []*state.Run[*engine.Attempt]) {
 	for _, r := range failed {
 		c.s.mu.Lock()
 		c.end(r)
@@ -408,8 +408,8 @@
 	s := c.s
 	s.mu.Lock()
 	if c.worker == nil {
-		c.worker = state.NewWorker[*owner.Attempt](time.Duration(s.settings.Load().Timeouts.Grab))
-		c.stops, c.ends, c.parts = map[*owner.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
+		c.worker = state.NewWorker[*engine.Attempt](time.Duration(s.settings.Load().Timeouts.Grab))
+		c.stops, c.ends, c.parts = map[*engine.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
 	}
 	c.asks, c.asking = t, true
 	c.ready()
@@ -428,7 +428,7 @@
 // answer is the answer to GRAB_JOB.
 func (c *conn) answer(inline bool) {
 	s := c.s
-	var moot []*owner.Attempt
+	var moot []*engine.Attempt
 	s.mu.Lock()
 	if !c.asking || s.conns[c.id] != c {
 		s.mu.Unlock()
@@ -492,7 +492,7 @@
 }
 
 // end notes that a worker is done with a job. The lock is held.
-func (c *conn) end(r *state.Run[*owner.Attempt]) {
+func (c *conn) end(r *state.Run[*engine.Attempt]) {
 	c.s.active--
 	c.forgetStop(r.Attempt)
 	delete(c.ends, r.Handle)
@@ -500,7 +500,7 @@
 	c.s.touchIfLate(c)
 }
 
-// Passed on by owner.Owner.Passed: a packet of a worker's for the clients of a job.
+// Passed on by engine.Owner.Passed: a packet of a worker's for the clients of a job.
 type passed struct {
 	t    packet.Type
 	args [3][]byte
@@ -511,7 +511,7 @@
 	s := c.s
 	handle := string(args[0])
 	s.mu.Lock()
-	var r *state.Run[*owner.Attempt]
+	var r *state.Run[*engine.Attempt]
 	if c.worker != nil {
 		r = c.worker.Run(handle)
 	}
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -18,7 +18,7 @@
 	"liftgauge/internal/budget"
 	"liftgauge/internal/gearman/packet"
 	"liftgauge/internal/invariant"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/settings"
 	"liftgauge/internal/standin"
 	"liftgauge/internal/work"
@@ -66,24 +66,24 @@
 // world is a server with a real owner, in a synctest bubble.
 type world struct {
 	t    *testing.T
-	o    *owner.Owner
+	o    *engine.Owner
 	s    *Server
 	l    pipes
 	log  bytes.Buffer
-	http []*owner.Attempt // sends to hosts that speak HTTP
+	http []*engine.Attempt // sends to hosts that speak HTTP
 	shut int
 	mu   sync.Mutex
 	stop context.CancelFunc
 }
 
-func (w *world) Send(_ context.Context, a *owner.Attempt) {
+func (w *world) Send(_ context.Context, a *engine.Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.http = append(w.http, a)
 }
-func (w *world) Probe(owner.Host)  {}
-func (w *world) Forget(owner.Host) {}
-func (w *world) Watch()            {}
+func (w *world) Probe(engine.Host)  {}
+func (w *world) Forget(engine.Host) {}
+func (w *world) Watch()             {}
 
 func within(t *testing.T, change func(*settings.Gearman), hosts int, test func(w *world)) {
 	t.Helper()
@@ -100,11 +100,11 @@
 		now := func() time.Duration { return time.Duration(time.Now().UnixNano()) }
 		log := slog.New(slog.NewTextHandler(&w.log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 		check := &invariant.Checker{Log: log}
-		var known []owner.Host
+		var known []engine.Host
 		for i := range hosts {
-			known = append(known, owner.Host{Name: fmt.Sprintf("s-%08x", i), Address: "x:1", Worker: balance.Worker{Weight: 1}})
+			known = append(known, engine.Host{Name: fmt.Sprintf("s-%08x", i), Address: "x:1", Worker: balance.Worker{Weight: 1}})
 		}
-		w.o = owner.New(owner.Config{Settings: balance.Settings{Classes: table.Classes(), Dispatchers: 1, Tick: 2 * time.Millisecond,
+		w.o = engine.New(engine.Config{Settings: balance.Settings{Classes: table.Classes(), Dispatchers: 1, Tick: 2 * time.Millisecond,
 			ReportsStart: true, MaxAttempts: 4, ConnectTimeout: 250 * time.Millisecond, CanCancel: true, CanProbe: true, FreeSlots: -1,
 			FreeMemory: -1, DrainGrace: 500 * time.Millisecond, StartCapacity: 0.3, WarmWithin: 8 * time.Second,
 			OverloadFactor: 2.5, OverloadTime: 2 * time.Second}, Seed: 7, Known: known, South: w, Inventory: w, Queue: 512, Log: log, Check: check,
@@ -548,15 +548,15 @@
 		if key, _ := call.Fields.Get("Idempotency-Key"); len(key) != 32 || call.Target != "/"+reading || call.Method != "POST" || string(call.Body) != "level 3" {
 			t.Errorf("%+v", call)
 		}
-		report := func(s owner.State, share float64) {
-			w.o.Reported(owner.Report{Key: call.ID, From: a.Host.Name, State: s, Share: share, Result: []byte("ok")}, nil, nil)
+		report := func(s engine.State, share float64) {
+			w.o.Reported(engine.Report{Key: call.ID, From: a.Host.Name, State: s, Share: share, Result: []byte("ok")}, nil, nil)
 			synctest.Wait()
 		}
-		report(owner.Started, 0)
+		report(engine.Started, 0)
 		c.say(packet.GetStatus, "H:n0:b-1")
-		report(owner.Progress, 0.4)
-		report(owner.Done, 0)
-		report(owner.Done, 0)
+		report(engine.Progress, 0.4)
+		report(engine.Done, 0)
+		report(engine.Done, 0)
 		c.want("JOB_CREATED H:n0:b-1", "STATUS_RES H:n0:b-1|1|1|0|0", "WORK_STATUS H:n0:b-1|40|100", "WORK_COMPLETE H:n0:b-1|ok")
 		c.say(packet.SubmitJob, reading, "", strings.Repeat("x", 65<<10))
 		c.want("ERROR data_too_large|*")
@@ -569,7 +569,7 @@
 		p, c := w.worker("x", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "1")
 		p.take("H:n0:b-1", warning, "1")
-		w.o.Reported(owner.Report{Key: "gb-1", From: "gearman:x:0", State: owner.Done}, nil, nil)
+		w.o.Reported(engine.Report{Key: "gb-1", From: "gearman:x:0", State: engine.Done}, nil, nil)
 		synctest.Wait()
 		c.want("JOB_CREATED H:n0:b-1")
 	})
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -24,7 +24,7 @@
 	"liftgauge/internal/gearman/packet"
 	"liftgauge/internal/gearman/state"
 	"liftgauge/internal/invariant"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/settings"
 	"liftgauge/internal/work"
 	"liftgauge/route"
@@ -32,14 +32,14 @@
 
 // Desk is what the Gearman side asks of the owner.
 type Desk interface {
-	Submit(m *owner.Message) bool
-	Gone(m *owner.Message)
-	List(kind balance.ListKind, hosts []owner.Host)
-	Assigned(a *owner.Attempt)
-	Passed(a *owner.Attempt, what any, settled func())
-	Served(a *owner.Attempt, result []byte, settled func())
-	Ended(a *owner.Attempt, status balance.Status)
-	Probed(h owner.Host, status balance.Status, load []float32)
+	Submit(m *engine.Message) bool
+	Gone(m *engine.Message)
+	List(kind balance.ListKind, hosts []engine.Host)
+	Assigned(a *engine.Attempt)
+	Passed(a *engine.Attempt, what any, settled func())
+	Served(a *engine.Attempt, result []byte, settled func())
+	Ended(a *engine.Attempt, status balance.Status)
+	Probed(h engine.Host, status balance.Status, load []float32)
 	After(f func())
 }
 
@@ -92,7 +92,7 @@
 	Waiting, Running, Clients int64 // now
 }
 
-// Server is the Gearman side. It implements owner.South for its workers.
+// Server is the Gearman side. It implements engine.South for its workers.
 type Server struct {
 	Config
 	table    atomic.Pointer[route.Table]
@@ -107,7 +107,7 @@
 	last    state.Conn
 	workers map[string]*conn // that have a name
 	dirty   map[*conn]bool   // of these, those whose listing is to be looked at
-	gone    []owner.Host     // that have left and are still listed
+	gone    []engine.Host    // that have left and are still listed
 	queues  map[string]int   // bounds of waiting jobs by an admin's word
 	later   []*job           // that are to run at a later time
 	until   time.Duration    // by when all must have ended; 0: no end is under way
@@ -122,11 +122,11 @@
 	tasks        errgroup.Group
 }
 
-var _ owner.South = (*Server)(nil)
+var _ engine.South = (*Server)(nil)
 
 // job is what the server keeps with a state.Job.
 type job struct {
-	message *owner.Message
+	message *engine.Message
 	work    *work.Work
 	at      time.Duration // when it is to run, if not at once
 	begun   bool          // it may have run
@@ -331,7 +331,7 @@
 	delete(s.conns, c.id)
 	abandoned := s.jobs.Leave(c.id)
 	s.counts.Abandoned += int64(len(abandoned))
-	var never, lost []*owner.Attempt
+	var never, lost []*engine.Attempt
 	if c.worker != nil {
 		picks, runs := c.worker.Close()
 		never = picks
@@ -385,7 +385,7 @@
 }
 
 // ended reports an attempt's end. The hold on its data goes with it.
-func (s *Server) ended(a *owner.Attempt, status balance.Status) {
+func (s *Server) ended(a *engine.Attempt, status balance.Status) {
 	s.Desk.Ended(a, status)
 	work.Of(a.Message).Held().Drop()
 }
@@ -439,10 +439,10 @@
 }
 
 // listing is how a worker is to be listed now, and whether that is something new. The lock is held.
-func (s *Server) listing(c *conn) (h owner.Host, changed bool) {
+func (s *Server) listing(c *conn) (h engine.Host, changed bool) {
 	t := s.table.Load()
 	open := c.worker.Open()
-	h = owner.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.Kinds + 1 + t.Kind(c.client),
+	h = engine.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.Kinds + 1 + t.Kind(c.client),
 		Cell: t.Cell(c.client, uint64(c.id)), Weight: 1, Up: c.since, Slots: 1, Pulls: true, Runs: t.WorkerClasses(c.client, c.worker.Can)}}
 	if !open {
 		h.Worker.State = balance.Removed
@@ -486,7 +486,7 @@
 }
 
 // Send keeps an attempt for the worker that the module picked, until it asks. It is called from the owner's goroutine.
-func (s *Server) Send(ctx context.Context, a *owner.Attempt) {
+func (s *Server) Send(ctx context.Context, a *engine.Attempt) {
 	w := work.Of(a.Message)
 	if w == nil {
 		s.tasks.Go(func() error { s.Desk.Ended(a, balance.NotSent); return nil })
@@ -509,7 +509,7 @@
 	s.active++
 	// Only a withdrawal is of interest: any other end is told from here.
 	c.stops[a] = context.AfterFunc(ctx, func() {
-		if errors.Is(context.Cause(ctx), owner.ErrWithdrawn) {
+		if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) {
 			s.withdrawn(c, a)
 		}
 	})
@@ -522,7 +522,7 @@
 
 // withdrawn takes an attempt back where the worker has not got it. Else the worker is at it, whoever has given it up, and
 // gets nothing else until it says how it ended.
-func (s *Server) withdrawn(c *conn, a *owner.Attempt) {
+func (s *Server) withdrawn(c *conn, a *engine.Attempt) {
 	s.mu.Lock()
 	delete(c.stops, a)
 	dropped := c.worker.Drop(a)
@@ -539,7 +539,7 @@
 }
 
 // Probe asks whether a worker is there. Nothing can be asked of one; it is if it is connected and not silent.
-func (s *Server) Probe(h owner.Host) {
+func (s *Server) Probe(h engine.Host) {
 	s.mu.Lock()
 	c := s.workers[h.Name]
 	there := c != nil && c.worker.Open()
@@ -552,7 +552,7 @@
 }
 
 // Forget has nothing to drop: a worker's connection is its own.
-func (s *Server) Forget(owner.Host) {}
+func (s *Server) Forget(engine.Host) {}
 
 func (s *Server) wake() {
 	select {
@@ -591,8 +591,8 @@
 func (s *Server) tick() {
 	now := s.Now()
 	s.mu.Lock()
-	var late []*owner.Attempt
-	var overdue []*owner.Attempt
+	var late []*engine.Attempt
+	var overdue []*engine.Attempt
 	for _, c := range s.workers {
 		picks, runs := c.worker.Tick(now)
 		if len(picks) > 0 {
@@ -654,7 +654,7 @@
 		s.Log.Warn("gearman: background job cut off by the planned end", "handle", j.Handle, "function", j.Function, "unique", j.Unique,
 			"may_have_run", begun)
 	}
-	if s.finish(j, owner.Answer{Kind: owner.Failed}, true) {
+	if s.finish(j, engine.Answer{Kind: engine.Failed}, true) {
 		s.leave(j)
 	}
 }
--- a/internal/serve/south/south.go
+++ b/internal/serve/backend/client.go
@@ -1,6 +1,6 @@
 // Package south carries attempts to the south side hosts over HTTP/1.1: sends, withdrawals and probes, on pools of
 // connections. It never sends anything twice and reports "never ran" only where that is proven.
-package south
+package backend
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
 	"liftgauge/internal/load"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 const (
@@ -33,9 +33,9 @@
 
 // Sink takes what became of attempts and probes.
 type Sink interface {
-	Written(a *owner.Attempt, fresh bool)
-	Ended(a *owner.Attempt, status balance.Status)
-	Probed(h owner.Host, status balance.Status, load []float32)
+	Written(a *engine.Attempt, fresh bool)
+	Ended(a *engine.Attempt, status balance.Status)
+	Probed(h engine.Host, status balance.Status, load []float32)
 }
 
 // Config is what a Client needs.
@@ -52,7 +52,7 @@
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Client is the south side. It implements owner.South.
+// Client is the south side. It implements engine.South.
 type Client struct {
 	Config
 	pool  *pool
@@ -63,8 +63,8 @@
 }
 
 var _ interface {
-	owner.South
-	owner.Resumer
+	engine.South
+	engine.Resumer
 } = (*Client)(nil)
 
 // New returns a Client.
@@ -103,7 +103,7 @@
 }
 
 // Send carries out an attempt for as long as its context lasts.
-func (c *Client) Send(ctx context.Context, a *owner.Attempt) {
+func (c *Client) Send(ctx context.Context, a *engine.Attempt) {
 	call := callOf(a.Message)
 	if call != nil {
 		call.Hold.Share() // the owner, which calls this, has one until the attempt is over; a write may end later
@@ -123,9 +123,9 @@
 }
 
 // settle waits for the end of an attempt that its host has taken, and withdraws it there if that is asked for.
-func (c *Client) settle(ctx context.Context, a *owner.Attempt) {
+func (c *Client) settle(ctx context.Context, a *engine.Attempt) {
 	<-ctx.Done()
-	if errors.Is(context.Cause(ctx), owner.ErrWithdrawn) {
+	if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) {
 		c.Sink.Ended(a, c.withdraw(a, balance.Cancelled))
 	}
 }
@@ -133,7 +133,7 @@
 // withdraw gives an attempt up at its host. It returns the outcome that follows from that, or TimedOut where the host has not heard: the
 // attempt may run there yet, and it is neither over nor given up. Where no copy is allowed it goes on until the host has heard, or the
 // deadline makes an end of all: nothing else may be done with the message meanwhile.
-func (c *Client) withdraw(a *owner.Attempt, heard balance.Status) balance.Status {
+func (c *Client) withdraw(a *engine.Attempt, heard balance.Status) balance.Status {
 	for pause := firstAgain; ; pause = min(2*pause, giveUpWithin) {
 		switch {
 		case c.giveUp(a):
@@ -150,13 +150,13 @@
 }
 
 // Resume goes on with an attempt that its host has taken from another process of this dispatcher.
-func (c *Client) Resume(ctx context.Context, a *owner.Attempt) { c.spawn(func() { c.settle(ctx, a) }) }
+func (c *Client) Resume(ctx context.Context, a *engine.Attempt) { c.spawn(func() { c.settle(ctx, a) }) }
 
 // Caller is a payload that can be passed on as a call, whatever its client spoke.
 type Caller interface{ HTTP() *http1.Call }
 
 // callOf is a message as it is passed on, or nil.
-func callOf(m *owner.Message) *http1.Call {
+func callOf(m *engine.Message) *http1.Call {
 	switch p := m.Payload.(type) {
 	case *http1.Call:
 		return p
@@ -167,7 +167,7 @@
 }
 
 // Probe asks for a host's health.
-func (c *Client) Probe(h owner.Host) {
+func (c *Client) Probe(h engine.Host) {
 	c.spawn(func() {
 		began := c.Now()
 		status, told := c.probe(h)
@@ -177,7 +177,7 @@
 }
 
 // Forget closes the idle connections to a host; those in use end with what they carry.
-func (c *Client) Forget(h owner.Host) { c.pool.forget(h.Name) }
+func (c *Client) Forget(h engine.Host) { c.pool.forget(h.Name) }
 
 // SetLimit changes how many connections there may be, to one of at most MaxConns.
 func (c *Client) SetLimit(n int) { c.pool.setLimit(n) }
@@ -186,7 +186,7 @@
 //
 // What proves that it never ran: the connection did not come up, or failed before the last byte was written. A write
 // that took all bytes may have reached the host, even on a connection that turns out to be broken.
-func (c *Client) send(ctx context.Context, a *owner.Attempt) balance.Status {
+func (c *Client) send(ctx context.Context, a *engine.Attempt) balance.Status {
 	call := callOf(a.Message)
 	if call == nil {
 		return balance.NotSent
@@ -216,7 +216,7 @@
 		conn.SetWriteDeadline(time.Now().Add(a.Until - c.Now()))
 	}
 	stop := context.AfterFunc(ctx, func() {
-		if errors.Is(context.Cause(ctx), owner.ErrSettled) {
+		if errors.Is(context.Cause(ctx), engine.ErrSettled) {
 			conn.SetReadDeadline(time.Now().Add(lateAnswer))
 		} else {
 			conn.SetDeadline(time.Now())
@@ -243,7 +243,7 @@
 	answer, err := c.head(conn) // before the 202, closing the connection also gives the attempt up
 	var spoilt *http1.Error
 	if err != nil {
-		if errors.Is(context.Cause(ctx), owner.ErrWithdrawn) { // the 202 may be on the way
+		if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) { // the 202 may be on the way
 			return c.withdraw(a, balance.Cancelled)
 		}
 		c.Log.Debug("reset", "message", call.ID, "host", a.Host.Name, "kept", conn.kept, "err", err)
@@ -361,7 +361,7 @@
 
 // giveUp tells a host that nobody waits for a job any more, and says whether it has heard. A 202 is no answer to that, but one to a job that
 // came twice. A host that refuses the connection is gone, with all that it had.
-func (c *Client) giveUp(a *owner.Attempt) (heard bool) {
+func (c *Client) giveUp(a *engine.Attempt) (heard bool) {
 	call := callOf(a.Message)
 	answer, _, status := c.ask(a.Host, "DELETE", "/jobs/"+call.ID, giveUpWithin)
 	heard = status == balance.OK && answer.Status != 202 && answer.Status < 500 || status == refused
@@ -372,7 +372,7 @@
 }
 
 // probe asks for a host's load where it reports any, else whether it is well.
-func (c *Client) probe(h owner.Host) (balance.Status, []float32) {
+func (c *Client) probe(h engine.Host) (balance.Status, []float32) {
 	target := "/-/healthy"
 	if c.Loads != nil {
 		target = "/-/load"
@@ -397,7 +397,7 @@
 }
 
 // ask makes one call that carries no job, within a time. OK says that an answer came, whose body is given if it is short.
-func (c *Client) ask(h owner.Host, method, target string, within time.Duration) (*http1.Response, []byte, balance.Status) {
+func (c *Client) ask(h engine.Host, method, target string, within time.Duration) (*http1.Response, []byte, balance.Status) {
 	ctx, stop := context.WithTimeout(c.ctx, within)
 	defer stop()
 	conn, err := c.pool.get(ctx, h)
--- a/internal/serve/south/south_test.go
+++ b/internal/serve/backend/client_test.go
@@ -1,4 +1,4 @@
-package south
+package backend
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
 	"liftgauge/internal/load"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 const (
@@ -41,13 +41,13 @@
 	f()
 }
 
-func (h *host) Written(_ *owner.Attempt, fresh bool) {
+func (h *host) Written(_ *engine.Attempt, fresh bool) {
 	h.note(func() { h.written = append(h.written, fresh) })
 }
-func (h *host) Ended(a *owner.Attempt, s balance.Status) {
+func (h *host) Ended(a *engine.Attempt, s balance.Status) {
 	h.note(func() { h.status, h.loads = append(h.status, s), append(h.loads, a.Load) })
 }
-func (h *host) Probed(_ owner.Host, s balance.Status, loads []float32) {
+func (h *host) Probed(_ engine.Host, s balance.Status, loads []float32) {
 	h.note(func() { h.status, h.loads = append(h.status, s), append(h.loads, loads) })
 }
 
@@ -151,10 +151,10 @@
 // steps follow the protocol's table of outcomes. Where the host is reached by an idle connection, dial has no effect:
 // that is for such a step the same as if it came up.
 var steps = []step{
-	{answer: taken, stop: owner.ErrSettled, after: soon, keeps: true},
-	{answer: taken, stop: owner.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
-	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + taken, stop: owner.ErrSettled, after: soon, keeps: true},
-	{answer: "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", stop: owner.ErrSettled, after: soon},
+	{answer: taken, stop: engine.ErrSettled, after: soon, keeps: true},
+	{answer: taken, stop: engine.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
+	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + taken, stop: engine.ErrSettled, after: soon, keeps: true},
+	{answer: "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", stop: engine.ErrSettled, after: soon},
 	{answer: "HTTP/1.1 503 No\r\n" + declined, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\n" + declined, want: balance.Full},
 	{answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Errored, gives: true, keeps: true}, // that of the withdrawal
@@ -162,14 +162,14 @@
 	{answer: "HTTP/1.1 400 No\r\n" + empty, want: balance.Rejected},
 	{answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.Errored, gives: true, keeps: true},
 	{answer: "what?\r\n\r\n", want: balance.Reset, breaks: true, gives: true, keeps: true},
-	{answer: "HTTP/1.1 202 Acc", thinks: soon, stop: owner.ErrWithdrawn, after: 2 * soon, want: balance.Cancelled, gives: true, keeps: true},
+	{answer: "HTTP/1.1 202 Acc", thinks: soon, stop: engine.ErrWithdrawn, after: 2 * soon, want: balance.Cancelled, gives: true, keeps: true},
 	{answer: "close", want: balance.Reset, breaks: true},
 	{reads: 1, want: balance.ConnectFailed, unheard: true, breaks: true},
 	{reads: 120, want: balance.ConnectFailed, unheard: true, breaks: true},
 	{barred: true, want: balance.NotSent, unheard: true, keeps: true},
-	{answer: "", stop: owner.ErrWithdrawn, after: time.Second, want: balance.Cancelled, gives: true, keeps: true},
-	{answer: taken, thinks: 2 * soon, stop: owner.ErrSettled, after: soon}, // the host's word came first
-	{answer: "", stop: owner.ErrSettled, after: soon, want: balance.Reset}, // too late to count, but it ends
+	{answer: "", stop: engine.ErrWithdrawn, after: time.Second, want: balance.Cancelled, gives: true, keeps: true},
+	{answer: taken, thinks: 2 * soon, stop: engine.ErrSettled, after: soon}, // the host's word came first
+	{answer: "", stop: engine.ErrSettled, after: soon, want: balance.Reset}, // too late to count, but it ends
 	{probe: true, answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.OK, keeps: true},
 	{probe: true, answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Full},
 	{probe: true, answer: "HTTP/1.1 404 No\r\n" + empty, want: balance.Errored},
@@ -180,14 +180,14 @@
 	{pass: keepalive / 8, keeps: true},
 	{dial: "refused", want: balance.ConnectFailed, unheard: true},
 	{dial: "silent", want: balance.ConnectFailed, unheard: true},
-	{dial: "silent", stop: owner.ErrWithdrawn, after: soon, want: balance.NotSent, unheard: true},
+	{dial: "silent", stop: engine.ErrWithdrawn, after: soon, want: balance.NotSent, unheard: true},
 	{dial: "silent", probe: true, want: balance.ConnectFailed, unheard: true},
 	// What the head says counts though the body never ends.
 	{answer: "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\n" + endless, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nx", want: balance.Full},
 	{answer: "HTTP/1.1 500 No\r\n" + endless, want: balance.Errored},
-	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: owner.ErrSettled, after: soon},
-	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: owner.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
+	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrSettled, after: soon},
+	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
 	{answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 40), want: balance.Reset, breaks: true, gives: true, keeps: true},
 }
 
@@ -201,7 +201,7 @@
 	t *testing.T
 	*host
 	c    *Client
-	to   owner.Host
+	to   engine.Host
 	kept bool          // the model's pool: whether there is an idle connection,
 	idle time.Duration // and since when, at the end of a step
 	// Kept connections have broken: none is kept until then, for so long.
@@ -210,7 +210,7 @@
 
 func within(t *testing.T, conns int, test func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, host: &host{}, to: owner.Host{Name: "s-1", Address: "10.0.0.1:1"}}
+		w := &world{t: t, host: &host{}, to: engine.Host{Name: "s-1", Address: "10.0.0.1:1"}}
 		w.c = New(Config{Sink: w.host, ConnectTimeout: connect, Keepalive: keepalive, MaxConns: conns, Dial: w.dial,
 			Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		ctx, stop := context.WithCancel(t.Context())
@@ -226,10 +226,10 @@
 	})
 }
 
-func (w *world) attempt(barred bool) *owner.Attempt {
+func (w *world) attempt(barred bool) *engine.Attempt {
 	call := &http1.Call{ID: "9b1f", Method: "POST", Target: "/send-warning/x?y=%41", Body: []byte("high"),
 		Fields: http1.Fields{{Name: "Req-Id", Value: "9b1f"}, {Name: "Idempotency-Key", Value: "k"}}}
-	return &owner.Attempt{Message: &owner.Message{Payload: call}, Host: w.to, Deadline: w.c.Now() + 5*time.Second,
+	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: w.to, Deadline: w.c.Now() + 5*time.Second,
 		Clear: func() bool { return !barred }}
 }
 
@@ -393,7 +393,7 @@
 		if len(w.status) != 1 || w.status[0] != balance.NotSent {
 			t.Errorf("statuses %v", w.status)
 		}
-		stop(owner.ErrWithdrawn)
+		stop(engine.ErrWithdrawn)
 		synctest.Wait()
 	})
 }
@@ -425,7 +425,7 @@
 				t.Errorf("statuses %v", w.status)
 			}
 		})
-		stop(owner.ErrSettled)
+		stop(engine.ErrSettled)
 		time.Sleep(2 * time.Second)
 	})
 }
@@ -438,7 +438,7 @@
 			w.to.Name = name
 			w.note(func() { w.act = step{answer: taken} })
 			ctx, stop := context.WithCancelCause(w.t.Context())
-			defer stop(owner.ErrSettled)
+			defer stop(engine.ErrSettled)
 			w.c.Send(ctx, w.attempt(false))
 			time.Sleep(soon)
 		}
--- a/internal/serve/south/pool.go
+++ b/internal/serve/backend/pool.go
@@ -1,4 +1,4 @@
-package south
+package backend
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/sock"
 )
 
@@ -74,7 +74,7 @@
 }
 
 // get returns a connection, an idle one if there is one that is whole.
-func (p *pool) get(ctx context.Context, to owner.Host) (*conn, error) {
+func (p *pool) get(ctx context.Context, to engine.Host) (*conn, error) {
 	for {
 		c, age, err := p.take(to.Name)
 		if err != nil {
@@ -132,7 +132,7 @@
 	p.open--
 }
 
-func (p *pool) connect(ctx context.Context, to owner.Host, age int) (*conn, error) {
+func (p *pool) connect(ctx context.Context, to engine.Host, age int) (*conn, error) {
 	ctx, stop := context.WithTimeout(ctx, p.ConnectTimeout)
 	defer stop()
 	raw, err := p.Dial(ctx, to.Address)
--- a/internal/serve/south/crossings_test.go
+++ b/internal/serve/backend/races_test.go
@@ -1,4 +1,4 @@
-package south
+package backend
 
 import (
 	"context"
@@ -11,18 +11,18 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // outcomes holds what a Client reports, in order.
 type outcomes struct{ written, ended chan balance.Status }
 
-func (o outcomes) Written(*owner.Attempt, bool)                 { o.written <- 0 }
-func (o outcomes) Ended(_ *owner.Attempt, s balance.Status)     { o.ended <- s }
-func (o outcomes) Probed(owner.Host, balance.Status, []float32) {}
+func (o outcomes) Written(*engine.Attempt, bool)                 { o.written <- 0 }
+func (o outcomes) Ended(_ *engine.Attempt, s balance.Status)     { o.ended <- s }
+func (o outcomes) Probed(engine.Host, balance.Status, []float32) {}
 
 // peer plays a host on loopback, one function for each connection in the order in which they come.
-func peer(t *testing.T, conns ...func(net.Conn, *http1.Reader)) owner.Host {
+func peer(t *testing.T, conns ...func(net.Conn, *http1.Reader)) engine.Host {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 			}()
 		}
 	}()
-	return owner.Host{Name: "s-1", Address: l.Addr().String()}
+	return engine.Host{Name: "s-1", Address: l.Addr().String()}
 }
 
 // client runs a Client over real connections.
@@ -57,9 +57,9 @@
 	return c, o
 }
 
-func attempt(c *Client, to owner.Host, id string) *owner.Attempt {
+func attempt(c *Client, to engine.Host, id string) *engine.Attempt {
 	call := &http1.Call{ID: id, Method: "POST", Target: "/a/x", Body: []byte("high"), Fields: http1.Fields{{Name: "Req-Id", Value: id}}}
-	return &owner.Attempt{Message: &owner.Message{Payload: call}, Host: to, Deadline: c.Now() + time.Hour, Clear: func() bool { return true }}
+	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: to, Deadline: c.Now() + time.Hour, Clear: func() bool { return true }}
 }
 
 // request reads a whole request and returns its method and path.
@@ -100,11 +100,11 @@
 		t.Errorf("the first job: status %d", s)
 	}
 	ctx, stop := context.WithCancelCause(t.Context())
-	defer stop(owner.ErrSettled)
+	defer stop(engine.ErrSettled)
 	a := attempt(c, to, "2")
 	c.Send(ctx, a)
 	<-took
-	stop(owner.ErrSettled)
+	stop(engine.ErrSettled)
 	c.tasks.Wait()
 	select {
 	case s := <-o.ended:
@@ -129,7 +129,7 @@
 		a := w.attempt(false)
 		a.Until = w.c.Now() + time.Second
 		ctx, stop := context.WithCancelCause(w.t.Context())
-		defer stop(owner.ErrSettled)
+		defer stop(engine.ErrSettled)
 		began := time.Now()
 		w.c.Send(ctx, a)
 		w.c.tasks.Wait()
@@ -156,7 +156,7 @@
 			fmt.Fprint(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 		})
 		ctx, stop := context.WithCancelCause(t.Context())
-		defer stop(owner.ErrSettled)
+		defer stop(engine.ErrSettled)
 		c.Send(ctx, attempt(c, to, "1"))
 		want := []string{"POST /a/x", "DELETE /jobs/1", "DELETE /jobs/1", "DELETE /jobs/1"}
 		status := balance.Cancelled
@@ -169,7 +169,7 @@
 				t.Errorf("copies %v: call %d is %q, want %q", copies, i, got, w)
 			}
 			if i == 0 {
-				stop(owner.ErrWithdrawn)
+				stop(engine.ErrWithdrawn)
 			}
 		}
 		if s := <-o.ended; s != status {
@@ -194,7 +194,7 @@
 	c.Send(ctx, attempt(c, to, "1"))
 	<-calls
 	<-o.written
-	stop(owner.ErrWithdrawn)
+	stop(engine.ErrWithdrawn)
 	if got := <-calls; got != "DELETE /jobs/1" {
 		t.Errorf("the host heard %q", got)
 	}
@@ -224,6 +224,6 @@
 	ctx, stop := context.WithCancelCause(context.Background())
 	c.Send(ctx, attempt(c, to, "1"))
 	<-o.written
-	stop(owner.ErrWithdrawn)
+	stop(engine.ErrWithdrawn)
 	<-calls
 }
--- a/internal/serve/north/conn.go
+++ b/internal/serve/clientlistener/conn.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 
 	"liftgauge/internal/budget"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/sock"
 )
 
@@ -310,7 +310,7 @@
 }
 
 // await hands in a message and answers it.
-func (c *conn) await(m *owner.Message, hold *budget.Hold, last, full bool) bool {
+func (c *conn) await(m *engine.Message, hold *budget.Hold, last, full bool) bool {
 	c.s.open.Add(1)
 	defer c.s.open.Add(-1)
 	c.s.taken.Add(1)
@@ -325,9 +325,9 @@
 }
 
 // expect has the answer of a message come by a channel.
-func (c *conn) expect(m *owner.Message, hold *budget.Hold) <-chan owner.Answer {
-	reply := make(chan owner.Answer, 1)
-	m.Reply = func(a owner.Answer) {
+func (c *conn) expect(m *engine.Message, hold *budget.Hold) <-chan engine.Answer {
+	reply := make(chan engine.Answer, 1)
+	m.Reply = func(a engine.Answer) {
 		hold.Grow(c.s.resulted(len(a.Result)))
 		reply <- a
 	}
@@ -337,7 +337,7 @@
 }
 
 // wait answers a message that is handed in, or hands its connection on.
-func (c *conn) wait(m *owner.Message, reply <-chan owner.Answer, last bool) bool {
+func (c *conn) wait(m *engine.Message, reply <-chan engine.Answer, last bool) bool {
 	class := m.Job.Class
 	select { // of a message before
 	case <-c.pass:
@@ -349,9 +349,9 @@
 		case a := <-reply:
 			if len(a.Result) > http1.MaxBody { // of a worker that speaks something else: no answer here may be so long
 				c.s.Log.Warn("result too long for HTTP", "message", m.Key, "bytes", len(a.Result))
-				a = owner.Answer{Kind: owner.Failed}
+				a = engine.Answer{Kind: engine.Failed}
 			}
-			c.s.end(class, [...]int{owner.Failed: aborted, owner.Served: succeeded, owner.BackOff: declined}[a.Kind])
+			c.s.end(class, [...]int{engine.Failed: aborted, engine.Served: succeeded, engine.BackOff: declined}[a.Kind])
 			return c.give(a, last || c.s.at() >= Closing)
 		case <-c.s.ended: // the program ends without waiting for answers
 			c.s.end(class, aborted)
@@ -380,11 +380,11 @@
 }
 
 // give writes a final answer.
-func (c *conn) give(a owner.Answer, last bool) bool {
+func (c *conn) give(a engine.Answer, last bool) bool {
 	switch a.Kind {
-	case owner.Served:
+	case engine.Served:
 		return c.finish(200, last, nil, a.Result)
-	case owner.BackOff:
+	case engine.BackOff:
 		var fields http1.Fields
 		if a.Wait > 0 {
 			wait := strconv.FormatFloat(a.Wait.Seconds(), 'f', 3, 64)
--- a/internal/serve/north/drain.go
+++ b/internal/serve/clientlistener/drain.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"sync/atomic"
--- a/internal/serve/north/pass.go
+++ b/internal/serve/clientlistener/handover.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"liftgauge/internal/budget"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // In an upgrade the messages that wait for their answers go over to the successor, each with its connection: a class may be far more
@@ -25,7 +25,7 @@
 	Fields  http1.Fields `cbor:"4,keyasint"`
 	Body    []byte       `cbor:"5,keyasint"`
 	Subject uint64       `cbor:"6,keyasint"`
-	Past    owner.Past   `cbor:"7,keyasint"`
+	Past    engine.Past  `cbor:"7,keyasint"`
 	Last    bool         `cbor:"8,keyasint"` // the connection ends with the answer
 }
 
@@ -33,7 +33,7 @@
 type caller interface{ HTTP() *http1.Call }
 
 // callOf is a message as its client sent it.
-func callOf(m *owner.Message) *http1.Call {
+func callOf(m *engine.Message) *http1.Call {
 	switch p := m.Payload.(type) {
 	case *http1.Call:
 		return p
@@ -76,7 +76,7 @@
 
 // handOn passes the connection and its message on to a successor. The read that is under way must end first: what it took the
 // successor would never see. True: the message is another's now.
-func (c *conn) handOn(m *owner.Message, gone <-chan error, last bool) bool {
+func (c *conn) handOn(m *engine.Message, gone <-chan error, last bool) bool {
 	call := callOf(m)
 	if call == nil {
 		return false
@@ -91,7 +91,7 @@
 		c.peeked <- err
 		return false
 	}
-	var past owner.Past
+	var past engine.Past
 	released := false
 	taken, err := c.s.Other.Pass(c.Conn, func() ([]byte, bool) {
 		if past, released = c.s.Desk.Release(c.s.run, m); !released {
@@ -145,7 +145,7 @@
 	}
 	defer hold.Drop()
 	call := &http1.Call{ID: r.Key, Method: r.Method, Target: r.Target, Fields: r.Fields, Body: hold.Buffer()[:copy(hold.Buffer(), r.Body)], Hold: hold}
-	m := &owner.Message{Key: r.Key, Payload: call, Subject: r.Subject, Job: r.Past.Job}
+	m := &engine.Message{Key: r.Key, Payload: call, Subject: r.Subject, Job: r.Past.Job}
 	if s.Wrap != nil {
 		m.Payload = s.Wrap(class, call)
 	}
--- a/internal/serve/north/pass_test.go
+++ b/internal/serve/clientlistener/handover_test.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"net"
@@ -11,13 +11,13 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // upgrade is a world whose process leaves, and the one of its successor.
 func upgrade(t *testing.T, test func(old, next *world, o *other)) {
 	within(t, 64, func(next *world) {
-		next.answer = owner.Answer{Kind: owner.Served, Result: []byte("next")}
+		next.answer = engine.Answer{Kind: engine.Served, Result: []byte("next")}
 		next.adopts = true
 		serve(next.t, 64, func(old *world) {
 			o := &other{live: true, status: 204, known: true, next: next.s}
@@ -82,7 +82,7 @@
 				c.set(old, next, o)
 				old.s.Pass()
 				synctest.Wait()
-				old.taken[0].Reply(owner.Answer{Kind: owner.Served, Result: []byte("old")})
+				old.taken[0].Reply(engine.Answer{Kind: engine.Served, Result: []byte("old")})
 				old.wait(time.Second)
 				if got := strings.Join(old.answers, ","); got != "200 old" || len(next.taken) != 0 || o.asked != c.asked || len(old.moved) != c.moved {
 					t.Errorf("answers %q, %d messages there, asked %d, moved %v", got, len(next.taken), o.asked, old.moved)
@@ -126,9 +126,9 @@
 
 // FuzzRecord: whatever comes as a message of another process, it is taken over whole or not at all, and its connection closed then.
 func FuzzRecord(f *testing.F) {
-	good := record{Key: "9b1f", Method: "POST", Target: "/send-warning", Body: []byte("high"), Past: owner.Past{Job: balance.Job{Class: 1, Left: time.Second}}}
+	good := record{Key: "9b1f", Method: "POST", Target: "/send-warning", Body: []byte("high"), Past: engine.Past{Job: balance.Job{Class: 1, Left: time.Second}}}
 	for _, change := range []func(*record){func(r *record) {}, func(r *record) { r.Key = "../x" }, func(r *record) { r.Past.Job.Class = 2 }, func(r *record) { r.Past.Job.Class = -1 },
-		func(r *record) { r.Body = make([]byte, http1.MaxBody+1) }, func(r *record) { r.Past.Attempts = make([]owner.PastAttempt, 3) }} {
+		func(r *record) { r.Body = make([]byte, http1.MaxBody+1) }, func(r *record) { r.Past.Attempts = make([]engine.PastAttempt, 3) }} {
 		r := good
 		change(&r)
 		text, err := cbor.Marshal(&r)
@@ -140,7 +140,7 @@
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		within(t, 64, func(w *world) {
-			w.adopts, w.answer = true, owner.Answer{Kind: owner.Served, Result: []byte("x")}
+			w.adopts, w.answer = true, engine.Answer{Kind: engine.Served, Result: []byte("x")}
 			near, far := net.Pipe()
 			defer near.Close()
 			heard := make(chan string, 1)
--- a/internal/serve/north/message.go
+++ b/internal/serve/clientlistener/message.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"errors"
@@ -11,13 +11,13 @@
 	"liftgauge/internal/budget"
 	"liftgauge/internal/http1"
 	"liftgauge/internal/jsonval"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 const maxID = 128
 
 // message makes a message of the head of a client's request. What it refuses has not reached the module.
-func (s *Server) message(head *http1.Request) (*owner.Message, *http1.Call, error) {
+func (s *Server) message(head *http1.Request) (*engine.Message, *http1.Call, error) {
 	first, _, _ := strings.Cut(head.Path[1:], "/")
 	class, ok := s.classes[first]
 	if !ok {
@@ -26,7 +26,7 @@
 	if head.Method != "POST" {
 		return nil, nil, &http1.Error{Status: 405, Reason: "jobs come by POST"}
 	}
-	refuse := func(reason string) (*owner.Message, *http1.Call, error) {
+	refuse := func(reason string) (*engine.Message, *http1.Call, error) {
 		return nil, nil, &http1.Error{Status: 400, Reason: reason}
 	}
 	if kind, n := head.Fields.Get("Req-Kind"); n > 0 {
@@ -69,7 +69,7 @@
 			call.Fields = append(call.Fields, f)
 		}
 	}
-	m := &owner.Message{Key: id, Job: job, Payload: call}
+	m := &engine.Message{Key: id, Job: job, Payload: call}
 	if s.Subject != nil {
 		key, _ := head.Fields.Get("Req-Key")
 		if key == "" {
@@ -81,7 +81,7 @@
 }
 
 // arrive notes that all of a message has come.
-func (s *Server) arrive(m *owner.Message) {
+func (s *Server) arrive(m *engine.Message) {
 	m.Arrived = s.Now()
 	if s.Ending() && !s.passes() { // the program may be killed soon after: what it has not answered by then would be lost
 		m.Job.Left = min(m.Job.Left, max(0, time.Duration(s.last.Load())-m.Arrived))
@@ -156,7 +156,7 @@
 		return status, reason
 	case err == nil:
 		return status, nil
-	case errors.Is(err, owner.ErrNobody): // it has ended, and with it its messages: a late word, for nobody
+	case errors.Is(err, engine.ErrNobody): // it has ended, and with it its messages: a late word, for nobody
 		return 204, nil
 	default:
 		s.Log.Warn("call-back not handed on", "err", err)
@@ -184,11 +184,11 @@
 		return 400, false, []byte(err.Error() + "\n")
 	}
 	wait = wait || s.left()
-	var told chan owner.Standing
-	var tell func(owner.Standing)
+	var told chan engine.Standing
+	var tell func(engine.Standing)
 	if wait {
-		told = make(chan owner.Standing, 1)
-		tell = func(standing owner.Standing) { told <- standing }
+		told = make(chan engine.Standing, 1)
+		tell = func(standing engine.Standing) { told <- standing }
 	}
 	hold.Share()
 	if !s.Desk.Reported(report, tell, hold.Drop) {
@@ -200,22 +200,22 @@
 	}
 	select {
 	case standing := <-told:
-		if standing == owner.Moving { // the host says it again, to whoever has the message then
+		if standing == engine.Moving { // the host says it again, to whoever has the message then
 			return 503, false, nil
 		}
-		return 204, standing == owner.Here, nil
+		return 204, standing == engine.Here, nil
 	case <-s.ended:
 		return 503, false, nil
 	}
 }
 
 // parseReport reads a call-back.
-func (s *Server) parseReport(p *jsonval.Parser, body []byte) (owner.Report, error) {
+func (s *Server) parseReport(p *jsonval.Parser, body []byte) (engine.Report, error) {
 	o, err := p.Parse(body)
 	if err != nil {
-		return owner.Report{}, err
+		return engine.Report{}, err
 	}
-	r := owner.Report{Key: o.Text("id"), From: o.Text("from"), Share: o.Float("share")}
+	r := engine.Report{Key: o.Text("id"), From: o.Text("from"), Share: o.Float("share")}
 	for _, key := range []string{"id", "from"} {
 		if o.Text(key) == "" {
 			o.Fail(key, "a name")
@@ -223,17 +223,17 @@
 	}
 	switch o.Text("state") {
 	case "started":
-		r.State = owner.Started
+		r.State = engine.Started
 	case "running":
-		r.State = owner.Progress
+		r.State = engine.Progress
 	case "done":
-		r.State, r.Result = owner.Done, []byte(o.Text("result"))
+		r.State, r.Result = engine.Done, []byte(o.Text("result"))
 	case "failed":
-		r.State = owner.Broken
+		r.State = engine.Broken
 	case "returned":
-		r.State = owner.Returned
+		r.State = engine.Returned
 	case "lost":
-		r.State = owner.Lost
+		r.State = engine.Lost
 	default:
 		o.Fail("state", "a known state")
 	}
--- a/internal/serve/north/crossings_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"context"
@@ -12,26 +12,26 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/invariant"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/sock"
 )
 
 // inbox is a desk that leaves all to the test.
-type inbox struct{ taken, gone chan *owner.Message }
+type inbox struct{ taken, gone chan *engine.Message }
 
-func (b inbox) Submit(m *owner.Message) bool                             { b.taken <- m; return true }
-func (b inbox) Gone(m *owner.Message)                                    { b.gone <- m }
-func (b inbox) Reported(owner.Report, func(owner.Standing), func()) bool { return true }
-func (b inbox) Release(context.Context, *owner.Message) (owner.Past, bool) {
-	return owner.Past{}, false
+func (b inbox) Submit(m *engine.Message) bool                              { b.taken <- m; return true }
+func (b inbox) Gone(m *engine.Message)                                     { b.gone <- m }
+func (b inbox) Reported(engine.Report, func(engine.Standing), func()) bool { return true }
+func (b inbox) Release(context.Context, *engine.Message) (engine.Past, bool) {
+	return engine.Past{}, false
 }
-func (b inbox) Moved(*owner.Message, owner.Past, bool)                 {}
-func (b inbox) Adopt(context.Context, *owner.Message, owner.Past) bool { return false }
+func (b inbox) Moved(*engine.Message, engine.Past, bool)                 {}
+func (b inbox) Adopt(context.Context, *engine.Message, engine.Past) bool { return false }
 
 // listening runs a server on loopback.
 func listening(t *testing.T) (*Server, inbox, string) {
 	t.Helper()
-	b := inbox{make(chan *owner.Message, 8), make(chan *owner.Message, 8)}
+	b := inbox{make(chan *engine.Message, 8), make(chan *engine.Message, 8)}
 	s := New(Config{Desk: b, Classes: []string{"a"}, Limits: []balance.Class{{Limit: time.Hour}}, MaxConns: 16, LastAnswer: time.Hour,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 	if _, err := io.WriteString(c, strings.Repeat("x", 64<<10)); err != nil { // more than the reader has room for
 		t.Fatal(err)
 	}
-	m.Reply(owner.Answer{Kind: owner.Served, Result: []byte("level 3")})
+	m.Reply(engine.Answer{Kind: engine.Served, Result: []byte("level 3")})
 	if answer, err := io.ReadAll(c); err != nil || !strings.HasSuffix(string(answer), "level 3") {
 		t.Errorf("answer %q, %v", answer, err)
 	}
@@ -99,9 +99,9 @@
 	fmt.Fprint(c, request(1, "")+second[:20])
 	first := <-b.taken
 	fmt.Fprint(c, second[20:60])
-	first.Reply(owner.Answer{Kind: owner.Served, Result: []byte("one")})
+	first.Reply(engine.Answer{Kind: engine.Served, Result: []byte("one")})
 	fmt.Fprint(c, second[60:])
-	(<-b.taken).Reply(owner.Answer{Kind: owner.Served, Result: []byte("two")})
+	(<-b.taken).Reply(engine.Answer{Kind: engine.Served, Result: []byte("two")})
 	if answer, err := io.ReadAll(c); err != nil || strings.Count(string(answer), "200 OK") != 2 || !strings.HasSuffix(string(answer), "two") {
 		t.Errorf("answers %q, %v", answer, err)
 	}
@@ -149,7 +149,7 @@
 		}()
 		select {
 		case m := <-b.taken:
-			m.Reply(owner.Answer{Kind: owner.Served, Result: []byte("level 3")})
+			m.Reply(engine.Answer{Kind: engine.Served, Result: []byte("level 3")})
 			if got := <-answered; !strings.Contains(got, "Connection: close") || !strings.HasSuffix(got, "level 3 <nil>") {
 				t.Errorf("read %v: answer %q", read, got)
 			}
--- a/internal/serve/north/north.go
+++ b/internal/serve/clientlistener/server.go
@@ -1,6 +1,6 @@
 // Package north is the side of the clients: the listener, their connections, and what shares the address with them,
 // the hosts' call-backs and the readiness check.
-package north
+package clientlistener
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"liftgauge/internal/http1"
 	"liftgauge/internal/invariant"
 	"liftgauge/internal/load"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/sock"
 )
 
@@ -34,14 +34,14 @@
 
 // Desk takes messages and call-backs.
 type Desk interface {
-	Submit(m *owner.Message) bool
-	Gone(m *owner.Message)
-	Reported(r owner.Report, known func(owner.Standing), settled func()) bool
+	Submit(m *engine.Message) bool
+	Gone(m *engine.Message)
+	Reported(r engine.Report, known func(engine.Standing), settled func()) bool
 
 	// Between two processes, as Owner has them.
-	Release(ctx context.Context, m *owner.Message) (past owner.Past, ok bool)
-	Moved(m *owner.Message, past owner.Past, taken bool)
-	Adopt(ctx context.Context, m *owner.Message, past owner.Past) bool
+	Release(ctx context.Context, m *engine.Message) (past engine.Past, ok bool)
+	Moved(m *engine.Message, past engine.Past, taken bool)
+	Adopt(ctx context.Context, m *engine.Message, past engine.Past) bool
 }
 
 // Other is another process at the same address: a call-back may come to either.
--- a/internal/serve/north/north_test.go
+++ b/internal/serve/clientlistener/server_test.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"context"
@@ -19,18 +19,18 @@
 	"liftgauge/internal/http1"
 	"liftgauge/internal/jsonval"
 	"liftgauge/internal/load"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // desk says how the owner is to act, and holds what reached it.
 type desk struct {
 	full    bool
-	answer  owner.Answer
+	answer  engine.Answer
 	silent  bool // gives no answer
 	foreign bool // knows no message of a call-back
-	taken   []*owner.Message
+	taken   []*engine.Message
 	gone    int
-	reports []owner.Report
+	reports []engine.Report
 
 	moving           bool // what a call-back names is on its way
 	releases, adopts bool // messages between processes
@@ -91,7 +91,7 @@
 	*client
 }
 
-func (w *world) Submit(m *owner.Message) bool {
+func (w *world) Submit(m *engine.Message) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.full {
@@ -108,13 +108,13 @@
 	return true
 }
 
-func (w *world) Gone(*owner.Message) {
+func (w *world) Gone(*engine.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.gone++
 }
 
-func (w *world) Reported(r owner.Report, known func(owner.Standing), settled func()) bool {
+func (w *world) Reported(r engine.Report, known func(engine.Standing), settled func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.full {
@@ -126,25 +126,25 @@
 	if known != nil {
 		switch {
 		case w.moving:
-			known(owner.Moving)
+			known(engine.Moving)
 			return true
 		case w.foreign:
-			known(owner.Unknown)
+			known(engine.Unknown)
 		default:
-			known(owner.Here)
+			known(engine.Here)
 		}
 	}
 	w.reports = append(w.reports, r)
 	return true
 }
 
-func (w *world) Release(_ context.Context, m *owner.Message) (owner.Past, bool) {
+func (w *world) Release(_ context.Context, m *engine.Message) (engine.Past, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return owner.Past{Job: m.Job, Ago: time.Second}, w.releases
+	return engine.Past{Job: m.Job, Ago: time.Second}, w.releases
 }
 
-func (w *world) Moved(m *owner.Message, _ owner.Past, taken bool) {
+func (w *world) Moved(m *engine.Message, _ engine.Past, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.moved = append(w.moved, taken); taken {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (w *world) Adopt(_ context.Context, m *owner.Message, past owner.Past) bool {
+func (w *world) Adopt(_ context.Context, m *engine.Message, past engine.Past) bool {
 	m.Job = past.Job
 	w.mu.Lock()
 	adopts := w.adopts
@@ -243,15 +243,15 @@
 }
 
 var steps = []step{
-	{send: job + "\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.Served, Result: []byte("sent")}}, want: "200 sent", taken: 1},
-	{send: job + "\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.BackOff, Wait: 1500 * time.Millisecond}}, want: "503 1.500", taken: 1},
-	{send: job + "\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.BackOff}}, want: "503", taken: 1},
+	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served, Result: []byte("sent")}}, want: "200 sent", taken: 1},
+	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.BackOff, Wait: 1500 * time.Millisecond}}, want: "503 1.500", taken: 1},
+	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.BackOff}}, want: "503", taken: 1},
 	{send: job + "\r\nhigh", set: desk{}, want: "502", taken: 1},
 	{send: job + "\r\nhigh", set: desk{full: true}, want: "503"},
-	{send: job + "Connection: close\r\n\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.Served}}, want: "200", ends: true, taken: 1},
-	{send: job + "\r\nhigh" + job + "\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.Served}}, want: "200,200", taken: 2},
+	{send: job + "Connection: close\r\n\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", ends: true, taken: 1},
+	{send: job + "\r\nhigh" + job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200,200", taken: 2},
 	{send: job + "\r\nhigh", set: desk{silent: true}, leaves: true, ends: true, taken: 1},
-	{send: job + "Expect: 100-continue\r\n\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.Served}}, want: "100,200", taken: 1},
+	{send: job + "Expect: 100-continue\r\n\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "100,200", taken: 1},
 	{send: callback(report), want: "204"},
 	{send: callback(report), set: desk{full: true}, want: "503"},
 	{send: callback(`{"id":"9b1f","from":"s","state":"resting"}`), want: "400 state: want a known state"},
@@ -330,7 +330,7 @@
 // TestPassedOn: what must reach the host byte for byte does.
 func TestPassedOn(t *testing.T) {
 	within(t, 64, func(w *world) {
-		w.desk = desk{answer: owner.Answer{Kind: owner.Served}}
+		w.desk = desk{answer: engine.Answer{Kind: engine.Served}}
 		w.send("POST /gauge-reading/a%2Fb?c=d HTTP/1.1\r\nreq-id: 9b1f03aa5c7e2d41\r\nIdempotency-Key: \"k, 1\"\r\nReq-Deadline-Ms: 480\r\n" +
 			"Req-Cost: 250000\r\nReq-Extra: slots=2, memory=1.5,mood=good\r\nReq-Retry: 1\r\nCookie: x\r\nContent-Length: 3\r\n\r\n\x00\xff\n")
 		m := w.taken[0]
@@ -360,7 +360,7 @@
 		w.s.Enter(Leaving)
 		w.client = idle
 		w.play(step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", open: 1}, 0)
-		w.play(step{send: job + "\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.Served}}, want: "200", taken: 1, open: 1}, 0)
+		w.play(step{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", taken: 1, open: 1}, 0)
 		if idle.closed {
 			t.Error("an idle connection is closed before the front has noticed")
 		}
@@ -369,7 +369,7 @@
 		if idle.closed || other.closed {
 			t.Errorf("idle closed %v, %v: their clients may have nobody else", idle.closed, other.closed)
 		}
-		w.play(step{send: job + "\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.Served}}, want: "200", ends: true, taken: 1, open: 1}, 0)
+		w.play(step{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", ends: true, taken: 1, open: 1}, 0)
 		// A second of the three is over, and the client would wait for five.
 		if left := w.taken[0].Job.Left; left != 2*time.Second {
 			t.Errorf("patience %v with two seconds to the last answer", left)
@@ -381,7 +381,7 @@
 			t.Errorf("idle closed %v, waiting closed %v", other.closed, waiting.closed)
 		}
 		w.play(step{send: job + "\r\nhigh", want: "503", ends: true, open: 1}, 0)
-		m.Reply(owner.Answer{Kind: owner.Served, Result: []byte("late")})
+		m.Reply(engine.Answer{Kind: engine.Served, Result: []byte("late")})
 		w.wait(time.Second)
 		if strings.Join(waiting.answers, ",") != "200 late" || !waiting.closed || w.s.Open() != 0 {
 			t.Errorf("answers %q, closed %v", waiting.answers, waiting.closed)
@@ -391,7 +391,7 @@
 
 // TestDrain follows a drain to its end, then one that is called back in the middle: nothing of it may come later.
 func TestDrain(t *testing.T) {
-	served := desk{answer: owner.Answer{Kind: owner.Served}}
+	served := desk{answer: engine.Answer{Kind: engine.Served}}
 	ready := step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", ends: true}
 	within(t, 64, func(w *world) {
 		idle := w.client
@@ -452,7 +452,7 @@
 				if w.client = w.dial(); since >= 0 {
 					since += time.Second / 2
 				}
-				s := step{send: job + "\r\nhigh", set: desk{answer: owner.Answer{Kind: owner.Served}}, want: "200", taken: 1, ends: since >= 0}
+				s := step{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", taken: 1, ends: since >= 0}
 				switch {
 				case op == 0 && since < 0:
 					w.s.Drain(true)
@@ -504,7 +504,7 @@
 // TestLongResult: a result that is longer than a body may be, as other protocols allow, is no answer here. It fails, once.
 func TestLongResult(t *testing.T) {
 	within(t, 64, func(w *world) {
-		w.desk = desk{answer: owner.Answer{Kind: owner.Served, Result: make([]byte, http1.MaxBody+1)}}
+		w.desk = desk{answer: engine.Answer{Kind: engine.Served, Result: make([]byte, http1.MaxBody+1)}}
 		w.client = w.dial()
 		w.send(job + "\r\nhigh")
 		w.wait(time.Second)
@@ -525,7 +525,7 @@
 		w.send("POST /callback HTTP/1.1\r\nContent-Length: 41\r\n\r\n" + `{"id":"a","from":"s-1","state":"started"}`)
 		w.wait(time.Second)
 		w.s.Budget.SetLimit(1 << 20)
-		w.desk.answer = owner.Answer{Kind: owner.Served, Result: []byte("ok")}
+		w.desk.answer = engine.Answer{Kind: engine.Served, Result: []byte("ok")}
 		w.send(job + "\r\nhigh")
 		w.wait(time.Second)
 		if fmt.Sprint(w.client.answers) != "[503 204 200 ok]" || len(w.reports) != 1 || len(w.taken) != 1 {
@@ -576,7 +576,7 @@
 		{other{live: true, status: 204}, false, "204", 0},
 		{other{live: true, status: 503}, true, "503", 1},
 		{other{live: true, err: errors.New("silent")}, true, "503", 1},
-		{other{live: true, err: owner.ErrNobody}, true, "204", 1},
+		{other{live: true, err: engine.ErrNobody}, true, "204", 1},
 		{other{live: false, status: 503}, true, "204", 0},
 	} {
 		within(t, 64, func(w *world) {
@@ -595,7 +595,7 @@
 
 // TestHandOver: a listener that is left takes nobody, while those who are there are served and leave one by one.
 func TestHandOver(t *testing.T) {
-	served := desk{answer: owner.Answer{Kind: owner.Served}}
+	served := desk{answer: engine.Answer{Kind: engine.Served}}
 	within(t, 64, func(w *world) {
 		idle := w.client
 		w.client = w.dial()
@@ -624,7 +624,7 @@
 // TestHandOverBlocked: an accept that the kernel holds on to keeps nothing from going on: neither what is open, nor the connection that it
 // takes in the end, nor the end of the program.
 func TestHandOverBlocked(t *testing.T) {
-	served := desk{answer: owner.Answer{Kind: owner.Served}}
+	served := desk{answer: engine.Answer{Kind: engine.Served}}
 	within(t, 64, func(w *world) {
 		w.l.busy <- struct{}{}
 		w.s.Enter(Leaving)
@@ -711,7 +711,7 @@
 	for text, want := range map[string][]float32{head + `,"load":{"util":0.5,"x0":3}}`: {0.5, 3}, head + `}`: nil, head + `,"load":7}`: nil,
 		head + `,"load":{"util":"high","x0":3}}`: nil, head + `,"load":{"x0":3}}`: nil} {
 		r, err := s.parseReport(&jsonval.Parser{}, []byte(text))
-		if err != nil || r.State != owner.Done || string(r.Result) != "r" || !slices.Equal(r.Load, want) {
+		if err != nil || r.State != engine.Done || string(r.Result) != "r" || !slices.Equal(r.Load, want) {
 			t.Errorf("%s: %+v, %v", text, r, err)
 		}
 	}
--- a/internal/serve/owner/actions.go
+++ b/internal/serve/engine/actions.go
@@ -1,4 +1,4 @@
-package owner
+package engine
 
 import (
 	"context"
--- a/internal/serve/owner/owner.go
+++ b/internal/serve/engine/engine.go
@@ -2,7 +2,7 @@
 //
 // It speaks no protocol. The north side (clients), the south side (hosts that run jobs) and the inventory (the list of
 // hosts) reach it by a bounded queue only; it reaches them by the interfaces below, whose methods must not block.
-package owner
+package engine
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"liftgauge/balance"
-	"liftgauge/internal/wheel"
+	"liftgauge/internal/timerwheel"
 )
 
 // Grace is how long after a message's deadline the owner answers by itself. The module answers before the deadline;
@@ -43,10 +43,10 @@
 	mayHave  bool // an attempt may have run
 	out      int
 	attempts []*Attempt
-	timers   []wheel.Timer[timer] // its deadline, and what the module asked for: they end with it
-	kind     Kind                 // of its answer
-	at       time.Duration        // of its answer, or of its client's leaving
-	left     bool                 // the client was first
+	timers   []timerwheel.Timer[timer] // its deadline, and what the module asked for: they end with it
+	kind     Kind                      // of its answer
+	at       time.Duration             // of its answer, or of its client's leaving
+	left     bool                      // the client was first
 }
 
 type host struct {
@@ -63,7 +63,7 @@
 	lane    chan event // goes before the queue: for the few calls of operators, which no load may hold up
 	stopped chan struct{}
 	module  *balance.Dispatcher
-	wheel   *wheel.Wheel[timer]
+	wheel   *timerwheel.Wheel[timer]
 	later   []event // what the module's own calls bring about: it must not be called from within itself
 	jobs    map[balance.JobID]*open
 	keys    map[string]*open
@@ -109,7 +109,7 @@
 	defer close(o.stopped)
 	o.ctx = ctx
 	now := o.Now()
-	o.wheel = wheel.New[timer](o.Settings.Tick, now)
+	o.wheel = timerwheel.New[timer](o.Settings.Tick, now)
 	settings := o.Settings
 	settings.ReportsWritten, settings.ListInherited = true, o.Follows
 	o.module = balance.New(settings, o.Seed, actions{o})
--- a/internal/serve/owner/handover.go
+++ b/internal/serve/engine/handover.go
@@ -1,11 +1,11 @@
-package owner
+package engine
 
 import (
 	"context"
 	"time"
 
 	"liftgauge/balance"
-	"liftgauge/internal/wheel"
+	"liftgauge/internal/timerwheel"
 )
 
 // Past is what has become of a message so far, as one process of the dispatcher tells it another that takes it over. Times are ages:
@@ -110,7 +110,7 @@
 	o.last++
 	p := &open{Message: m, id: o.last, end: m.Arrived + past.Job.Left}
 	o.jobs[p.id], o.keys[m.Key] = p, p
-	p.timers = append(make([]wheel.Timer[timer], 0, 4), o.wheel.Add(max(p.end+Grace, now), timer{open: p}))
+	p.timers = append(make([]timerwheel.Timer[timer], 0, 4), o.wheel.Add(max(p.end+Grace, now), timer{open: p}))
 	tries := make([]balance.AttemptRecord, 0, len(past.Attempts))
 	for i, t := range past.Attempts {
 		t.Try.Worker.ID = o.ids.id(t.Host)
--- a/internal/serve/owner/life.go
+++ b/internal/serve/engine/message.go
@@ -1,10 +1,10 @@
-package owner
+package engine
 
 import (
 	"time"
 
 	"liftgauge/balance"
-	"liftgauge/internal/wheel"
+	"liftgauge/internal/timerwheel"
 )
 
 // The life of a message from its arrival to its answer.
@@ -22,7 +22,7 @@
 	o.last++
 	p := &open{Message: m, id: o.last, end: m.Arrived + m.Job.Left}
 	o.jobs[p.id], o.keys[m.Key] = p, p
-	p.timers = append(make([]wheel.Timer[timer], 0, 4), o.wheel.Add(p.end+Grace, timer{open: p}))
+	p.timers = append(make([]timerwheel.Timer[timer], 0, 4), o.wheel.Add(p.end+Grace, timer{open: p}))
 	job := m.Job
 	job.ID, job.Left = p.id, max(0, p.end-now)
 	o.module.Job(now, job)
--- a/internal/serve/owner/types.go
+++ b/internal/serve/engine/types.go
@@ -1,4 +1,4 @@
-package owner
+package engine
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/invariant"
-	"liftgauge/internal/wheel"
+	"liftgauge/internal/timerwheel"
 )
 
 // Answer is the final answer of a message.
@@ -91,7 +91,7 @@
 	stop   context.CancelCauseFunc
 	host   *host
 	barred atomic.Bool
-	timer  wheel.Timer[timer] // its time-out, where it has one of its own
+	timer  timerwheel.Timer[timer] // its time-out, where it has one of its own
 
 	began, ended time.Duration // 0: not known
 	status       balance.Status
--- a/internal/serve/handover/rights_test.go
+++ b/internal/serve/handover/fdpassing_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // pair is a client's connection as both ends have it.
@@ -37,7 +37,7 @@
 	record := []byte("\x00\xff\"\n}" + strings.Repeat("level 3 at Caroni ", 1<<12))
 	give := func() ([]byte, bool) { return record, true }
 	client, served := pair(t)
-	if taken, err := old.Pass(served, give); taken || !errors.Is(err, owner.ErrNobody) {
+	if taken, err := old.Pass(served, give); taken || !errors.Is(err, engine.ErrNobody) {
 		t.Errorf("passed to nobody: %v, %v", taken, err)
 	}
 	next := start(t, dir)
--- a/internal/serve/inventory/inventory.go
+++ b/internal/serve/inventory/inventory.go
@@ -22,7 +22,7 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 const (
@@ -47,7 +47,7 @@
 
 // Sink takes the lists.
 type Sink interface {
-	List(kind balance.ListKind, hosts []owner.Host)
+	List(kind balance.ListKind, hosts []engine.Host)
 }
 
 // Client watches discovery.
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -16,7 +16,7 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 const entry = `{"id":"s-5be2a07c","host_port":"10.1.0.18:8443","locality":"b","flavor":"m2","cell":3,"phase":"%s","size":1.5,"up_since_ms":%d,"new":{}}`
@@ -46,7 +46,7 @@
 	return near, nil
 }
 
-func (s *service) List(kind balance.ListKind, hosts []owner.Host) {
+func (s *service) List(kind balance.ListKind, hosts []engine.Host) {
 	text := fmt.Sprint("kind ", kind)
 	for _, h := range hosts {
 		text += fmt.Sprintf(" %s state %d zone %d kind %d up %v", h.Name, h.Worker.State, h.Worker.Zone, h.Worker.Kind, h.Worker.Up)
--- a/internal/serve/inventory/list.go
+++ b/internal/serve/inventory/list.go
@@ -7,14 +7,14 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/jsonval"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // List is the inventory, or changes to it.
 type List struct {
 	Revision int64
 	Complete bool
-	Hosts    []owner.Host
+	Hosts    []engine.Host
 }
 
 // Decoder reads lists. It is not safe for concurrent use.
@@ -34,7 +34,7 @@
 		o.Fail("members", "an array")
 	}
 	for _, m := range o.Objects("members") {
-		h := owner.Host{Name: m.Text("id"), Address: m.Text("host_port")}
+		h := engine.Host{Name: m.Text("id"), Address: m.Text("host_port")}
 		h.Worker = balance.Worker{Zone: index(d.Zones, m.Text("locality")), Kind: index(d.Kinds, m.Text("flavor")),
 			Cell: int(m.Whole("cell")), Weight: m.Float("size"), Up: up(m.Whole("up_since_ms"))}
 		switch m.Text("phase") {
--- a/internal/wheel/wheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,7 +1,7 @@
 // Package wheel keeps timers as coarse ticks on a hashed wheel. Adding one and stopping one is constant work, and so is
 // finding when the next tick with a timer is due, so an idle program need not wake at every tick. It is not safe for
 // concurrent use.
-package wheel
+package timerwheel
 
 import (
 	"math/bits"
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"math/rand/v2"
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -11,13 +11,13 @@
 
 	"liftgauge/internal/budget"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 // MaxHTTP is the most bytes that a job's data or result may have where one side speaks HTTP.
 const MaxHTTP = http1.MaxBody
 
-// Work is the payload of an owner.Message. Nothing of it changes once it is handed in.
+// Work is the payload of an engine.Message. Nothing of it changes once it is handed in.
 type Work struct {
 	ID       string // of the message; valid as a Req-Id
 	Handle   string // by which workers know it
@@ -41,7 +41,7 @@
 }
 
 // Of is a message's Work, or nil.
-func Of(m *owner.Message) *Work {
+func Of(m *engine.Message) *Work {
 	w, _ := m.Payload.(*Work)
 	return w
 }
