--- a/cmd/liftgauge/capture.go
+++ b/cmd/liftgauge/capture.go
@@ -58,11 +58,11 @@
 }
 
 // seen makes a record of a message that has settled.
-func (r *records) seen() func(*engine.Message, engine.Kind, bool, time.Duration, []*engine.Attempt) {
+func (r *records) seen() func(*engine.Message, engine.AnswerKind, bool, time.Duration, []*engine.Attempt) {
 	if r == nil {
 		return nil
 	}
-	return func(m *engine.Message, answer engine.Kind, answered bool, at time.Duration, attempts []*engine.Attempt) {
+	return func(m *engine.Message, answer engine.AnswerKind, answered bool, at time.Duration, attempts []*engine.Attempt) {
 		rec := capture.Record{Arrived: int64(m.Arrived), Class: m.Job.Class, Key: m.Subject, Hint: int64(m.Job.Hint), Slots: m.Job.Slots,
 			Zone: r.zone, Tenant: m.Job.Tenant, Patience: int64(m.Job.Left), Again: m.Job.Again, Took: int64(at - m.Arrived),
 			End: [...]uint8{engine.Failed: capture.Failed, engine.Served: capture.Served, engine.BackOff: capture.BackOff}[answer]}
@@ -77,7 +77,7 @@
 		}
 		for _, a := range attempts {
 			rec.Attempts = append(rec.Attempts, capture.Attempt{Host: a.Host.Name, Kind: a.Host.Worker.Kind, Zone: a.Host.Worker.Zone,
-				Sent: since(a.Sent()), Began: since(a.Began()), Ended: since(a.Ended()), Status: uint8(a.Status()), Age: age(a)})
+				Sent: since(a.SentAt()), Began: since(a.StartedAt()), Ended: since(a.EndedAt()), Status: uint8(a.Status()), Age: age(a)})
 		}
 		r.Put(rec)
 	}
@@ -85,8 +85,8 @@
 
 // age is how long a host's process had been there when it was sent something.
 func age(a *engine.Attempt) int64 {
-	if up := a.Host.Worker.Up; up > 0 && a.Sent() >= up {
-		return int64(a.Sent() - up)
+	if up := a.Host.Worker.Up; up > 0 && a.SentAt() >= up {
+		return int64(a.SentAt() - up)
 	}
 	return -1
 }
--- a/cmd/liftgauge/members.go
+++ b/cmd/liftgauge/members.go
@@ -27,7 +27,7 @@
 
 // openMembership opens the socket that the settings ask for. What membership finds out reaches the module as this dispatcher's number, how
 // many there are, and how many in its zone; where it is not in touch with most of the fleet the settings' figures hold.
-func openMembership(ctx context.Context, c *config.Config, own *own, o *engine.Owner, now func() time.Duration, log *slog.Logger) (*fellows, error) {
+func openMembership(ctx context.Context, c *config.Config, own *own, o *engine.Engine, now func() time.Duration, log *slog.Logger) (*fellows, error) {
 	s := own.Membership
 	if s == nil {
 		return nil, nil
@@ -45,7 +45,7 @@
 		Self: member.Peer{ID: member.ID{Name: c.Name, Incarnation: uint64(now() / time.Millisecond)}, Address: cmp.Or(s.Advertise, udp.Address()), Zone: c.Settings.Zone, Number: c.Settings.Number}}
 	log.Info("membership", "listen", udp.Address(), "cluster", s.Cluster, "seeds", len(s.Seeds))
 	return &fellows{gossip.New(gossip.Config{Member: conf.WithDefaults(time.Duration(s.RoundTrip)), Codec: codec, Transport: udp, Seed: c.Seed, Now: now, Log: log,
-		OnPositionChange: func(p gossip.FleetPosition) { o.Among(p.Rank, p.Members, p.InZone) }})}, nil
+		OnPositionChange: func(p gossip.FleetPosition) { o.SetDispatchers(p.Rank, p.Members, p.InZone) }})}, nil
 }
 
 // figures are its counts; none where membership is off.
--- a/cmd/liftgauge/pulls.go
+++ b/cmd/liftgauge/pulls.go
@@ -78,7 +78,7 @@
 }
 
 // reload reads the settings file anew. Nothing of a file that cannot be used counts.
-func (p *pulls) reload(ctx context.Context, o options, c *config.Config, owner *engine.Owner, log *slog.Logger) error {
+func (p *pulls) reload(ctx context.Context, o options, c *config.Config, owner *engine.Engine, log *slog.Logger) error {
 	next, err := o.load(ctx, c)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 		return nil
 	}
 	p.Reload(next.table, next.Gearman)
-	owner.Reroute(next.table.HostClasses)
+	owner.SetHostClasses(next.table.HostClasses)
 	log.Info("settings reloaded")
 	return nil
 }
--- a/cmd/liftgauge/serve.go
+++ b/cmd/liftgauge/serve.go
@@ -98,7 +98,7 @@
 }
 
 // lateSink lets the sides be made before the owner that they report to.
-type lateSink struct{ *engine.Owner }
+type lateSink struct{ *engine.Engine }
 
 func serve(ctx context.Context, c *config.Config, own *own, o options, log *slog.Logger) error {
 	if own.Sockets > 0 {
@@ -153,29 +153,29 @@
 	if err != nil {
 		return err
 	}
-	sink.Owner = engine.New(engine.Config{Seen: records.seen(), Settings: module, HostRuns: own.table.HostClasses, Seed: c.Seed, Known: known.Hosts, South: hosts,
-		Inventory: list, Now: now, Queue: 4096, Log: log, Check: check,
-		Follows: n.follows, Lessons: n.learned, Ever: state.Listed, Offline: state.Offline, Listed: n.store.Listed})
+	sink.Engine = engine.New(engine.Config{OnMessageClosed: records.seen(), Settings: module, HostClasses: own.table.HostClasses, Seed: c.Seed, InitialHosts: known.Hosts, Backend: hosts,
+		Inventory: list, Now: now, QueueSize: 4096, Log: log, Check: check,
+		HostsInherited: n.follows, InitialLearned: n.learned, EverListed: state.Listed, InitialOffline: state.Offline, OnNewHosts: n.store.Listed})
 	var other clientlistener.Other
 	if n.peer != nil {
 		other = n.peer
 	}
 	var wrap func(int, *http1.Call) any
 	if pulls != nil {
-		pulls.start(gearman.Config{Desk: sink.Owner, Routes: own.table, Settings: own.Gearman, Classes: module.Classes, Zone: c.Settings.Zone,
+		pulls.start(gearman.Config{Desk: sink.Engine, Routes: own.table, Settings: own.Gearman, Classes: module.Classes, Zone: c.Settings.Zone,
 			Kinds: len(c.Kinds), Name: c.Name, Boot: id, Subject: records.subject(), MaxConns: pullConns, Budget: bytes, LastAnswer: lastAnswer,
 			Shutdown: cancel, Now: now, Log: log, Check: check})
 		wrap = pulls.wrap(c.Classes)
 	}
-	clients := clientlistener.New(clientlistener.Config{Desk: sink, Sees: sink.Sees, Wrap: wrap, Subject: records.subject(), Other: other, Classes: c.Classes, Limits: c.Settings.Classes,
+	clients := clientlistener.New(clientlistener.Config{Desk: sink, Sees: sink.HasHostList, Wrap: wrap, Subject: records.subject(), Other: other, Classes: c.Classes, Limits: c.Settings.Classes,
 		MaxConns: northConns, Loads: loads, Budget: bytes, LastAnswer: lastAnswer, Now: now, Log: log, Check: check})
-	n.owner, n.clients, n.hosts, n.list, n.bytes = sink.Owner, clients, hosts, list, bytes
+	n.owner, n.clients, n.hosts, n.list, n.bytes = sink.Engine, clients, hosts, list, bytes
 	if n.peer != nil {
 		n.Share(n.peer.Live())
 	}
 	log.Info("serving", "name", c.Name, "listen", c.Listen, "hosts", len(known.Hosts))
 
-	fellows, err := openMembership(ctx, c, own, sink.Owner, now, log)
+	fellows, err := openMembership(ctx, c, own, sink.Engine, now, log)
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 	group.Go(func() error { return clients.Run(run, listener) })
 	if calls != nil {
 		operators := control.New(control.Config{Callers: callers(c), Ready: n.ready, Members: fellows.status(), Drain: clients.Drain, Offline: n.call, Log: log,
-			Figures: func() control.Figures { return figures(c, clients, sink.Owner, pulls, bytes, records, loads, fellows) }})
+			Figures: func() control.Figures { return figures(c, clients, sink.Engine, pulls, bytes, records, loads, fellows) }})
 		group.Go(func() error { return operators.Run(run, calls) })
 	}
 	if pulls != nil {
@@ -217,11 +217,11 @@
 		return nil
 	})
 	group.Go(func() error {
-		reload(run, hup, c, os.Getenv, list.Move, log, func() error { return pulls.reload(run, o, c, sink.Owner, log) })
+		reload(run, hup, c, os.Getenv, list.Move, log, func() error { return pulls.reload(run, o, c, sink.Engine, log) })
 		return nil
 	})
 	group.Go(func() error {
-		leave(ctx, run, n.sides(), n.succeeded, sink.Conclude, log)
+		leave(ctx, run, n.sides(), n.succeeded, sink.AnswerOpenMessages, log)
 		end()
 		return nil
 	})
@@ -229,9 +229,9 @@
 }
 
 // figures gathers the counts, each from where the thing is counted.
-func figures(c *config.Config, clients *clientlistener.Server, o *engine.Owner, pulls *pulls, bytes *budget.Budget, records *records, loads *load.Reader, members *fellows) control.Figures {
+func figures(c *config.Config, clients *clientlistener.Server, o *engine.Engine, pulls *pulls, bytes *budget.Budget, records *records, loads *load.Reader, members *fellows) control.Figures {
 	f := control.Figures{Forwards: o.Forwards(), Outstanding: clients.Outstanding()}
-	f.Discovered, f.Ejected = o.Fleet()
+	f.Discovered, f.Ejected = o.HostCounts()
 	f.More = append(pulls.figures(bytes), records.figures()...)
 	f.More = append(f.More, members.figures()...)
 	if loads != nil {
--- a/cmd/liftgauge/upgrade.go
+++ b/cmd/liftgauge/upgrade.go
@@ -29,7 +29,7 @@
 	c       *config.Config
 	store   *handover.Store
 	peer    *handover.Peer // nil where there is no folder to meet in
-	owner   *engine.Owner
+	owner   *engine.Engine
 	clients *clientlistener.Server
 	hosts   *backend.Client
 	list    *inventory.Client
@@ -134,7 +134,7 @@
 	}
 	there, err := n.peer.Offline(id, out, known)
 	switch {
-	case errors.Is(err, engine.ErrNobody):
+	case errors.Is(err, engine.ErrNoPeer):
 		return known, nil
 	case err != nil:
 		return known, fmt.Errorf("the other process: %w", err)
@@ -164,7 +164,7 @@
 // start tells the process before, if there is one, that this one takes clients.
 func (n *node) start() {
 	if n.peer != nil {
-		if err := n.peer.Announce(); err != nil && !errors.Is(err, engine.ErrNobody) {
+		if err := n.peer.Announce(); err != nil && !errors.Is(err, engine.ErrNoPeer) {
 			n.log.Warn("the process before was not told", "err", err)
 		}
 	}
--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -134,13 +134,13 @@
 		class = f.Background
 	}
 	w.Keyed = s.Classes[class].Effect == balance.Keyed
-	d.message = &engine.Message{Key: w.ID, Payload: w, Settled: hold.Drop, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
+	d.message = &engine.Message{Key: w.ID, Payload: w, OnClosed: hold.Drop, Job: balance.Job{Class: class, Left: s.Classes[class].Limit,
 		Hint: w.Hint, Weight: p.Weight()}}
 	if s.Subject != nil {
 		d.message.Subject = s.Subject(unique)
 	}
 	d.message.Reply = func(a engine.Answer) { s.finish(j, a, false) }
-	d.message.Event = func(what any) { s.event(j, what) }
+	d.message.OnEvent = func(what any) { s.event(j, what) }
 	if d.at = at; at > now {
 		s.later = append(s.later, d)
 		s.wake()
@@ -196,14 +196,14 @@
 	var b []byte
 	exceptions := false
 	switch e := what.(type) {
-	case engine.Begun:
+	case engine.RunningEvent:
 		j.Data.(*job).begun = true
 		s.jobs.Begin(j, true)
 		return
-	case engine.Waits:
+	case engine.WaitingEvent:
 		s.jobs.Begin(j, false)
 		return
-	case engine.Share: // of a host that speaks HTTP
+	case engine.ProgressEvent: // of a host that speaks HTTP
 		num := strconv.Itoa(int(max(0, min(float64(e), 1))*100 + 0.5))
 		s.jobs.Progress(j, num, "100")
 		b = packet.Append(nil, packet.WorkStatus, handle, []byte(num), []byte("100"))
@@ -248,8 +248,8 @@
 	case engine.BackOff:
 		s.counts.BackOffs++
 		text := "refused: not done, try again later"
-		if a.Wait > 0 {
-			text = "refused: not done, try again in " + strconv.FormatFloat(a.Wait.Seconds(), 'f', 3, 64) + " s"
+		if a.RetryAfter > 0 {
+			text = "refused: not done, try again in " + strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64) + " s"
 		}
 		s.tell(clients, packet.Append(nil, packet.WorkException, j.Handle, text), true)
 		s.tell(clients, packet.Append(nil, packet.WorkFail, j.Handle), false)
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -149,7 +149,7 @@
 			c.marks = append(c.marks[:0], c.marks[done:]...)
 			c.out.Unlock()
 			for _, m := range out {
-				c.s.Desk.Assigned(m.a)
+				c.s.Desk.AttemptStarted(m.a)
 			}
 			c.out.Lock()
 		}
@@ -418,7 +418,7 @@
 	c.told = false
 	s.mu.Unlock()
 	if told {
-		s.Desk.After(func() { c.answer(false) })
+		s.Desk.AfterQueued(func() { c.answer(false) })
 		return
 	}
 	c.quiet() // else the job would wait here after it was clear to be sent
@@ -438,7 +438,7 @@
 	now := s.Now()
 	a, ok, failed := c.worker.Asks(now)
 	// Right before the first byte: since the decision the worker may have been left out, or the attempt withdrawn.
-	for ok && !a.Clear() {
+	for ok && !a.MaySend() {
 		moot = append(moot, a)
 		a, ok, _ = c.worker.Asks(now)
 	}
@@ -544,7 +544,7 @@
 		if !w.Streams || hold == nil { // else it is copied again before the hold ends
 			result = append(parts, result...)
 		}
-		s.Desk.Served(a, result, hold.Drop)
+		s.Desk.AttemptServed(a, result, hold.Drop)
 		w.Held().Drop()
 		return nil
 	case w.Streams:
@@ -554,7 +554,7 @@
 				p.args[i] = append([]byte(nil), args[i]...)
 			}
 		}
-		s.Desk.Passed(a, p, hold.Drop)
+		s.Desk.AttemptEvent(a, p, hold.Drop)
 		return nil
 	}
 	return hold
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -66,7 +66,7 @@
 // world is a server with a real owner, in a synctest bubble.
 type world struct {
 	t    *testing.T
-	o    *engine.Owner
+	o    *engine.Engine
 	s    *Server
 	l    pipes
 	log  bytes.Buffer
@@ -107,8 +107,8 @@
 		w.o = engine.New(engine.Config{Settings: balance.Settings{Classes: table.Classes(), Dispatchers: 1, Tick: 2 * time.Millisecond,
 			ReportsStart: true, MaxAttempts: 4, ConnectTimeout: 250 * time.Millisecond, CanCancel: true, CanProbe: true, FreeSlots: -1,
 			FreeMemory: -1, DrainGrace: 500 * time.Millisecond, StartCapacity: 0.3, WarmWithin: 8 * time.Second,
-			OverloadFactor: 2.5, OverloadTime: 2 * time.Second}, Seed: 7, Known: known, South: w, Inventory: w, Queue: 512, Log: log, Check: check,
-			HostRuns: table.HostClasses, Now: now})
+			OverloadFactor: 2.5, OverloadTime: 2 * time.Second}, Seed: 7, InitialHosts: known, Backend: w, Inventory: w, QueueSize: 512, Log: log, Check: check,
+			HostClasses: table.HostClasses, Now: now})
 		w.s = New(Config{Desk: w.o, Routes: table, Settings: g, Classes: table.Classes(), Name: "n0", Boot: "b", MaxConns: 64,
 			Budget: budget.New(16<<20, 4<<20), LastAnswer: 3200 * time.Millisecond, Shutdown: func() { w.shut++ }, Now: now, Log: log, Check: check})
 		ctx, stop := context.WithCancel(t.Context())
@@ -548,8 +548,8 @@
 		if key, _ := call.Fields.Get("Idempotency-Key"); len(key) != 32 || call.Target != "/"+reading || call.Method != "POST" || string(call.Body) != "level 3" {
 			t.Errorf("%+v", call)
 		}
-		report := func(s engine.State, share float64) {
-			w.o.Reported(engine.Report{Key: call.ID, From: a.Host.Name, State: s, Share: share, Result: []byte("ok")}, nil, nil)
+		report := func(s engine.JobState, share float64) {
+			w.o.HandleReport(engine.Report{Key: call.ID, From: a.Host.Name, State: s, Progress: share, Result: []byte("ok")}, nil, nil)
 			synctest.Wait()
 		}
 		report(engine.Started, 0)
@@ -569,7 +569,7 @@
 		p, c := w.worker("x", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "1")
 		p.take("H:n0:b-1", warning, "1")
-		w.o.Reported(engine.Report{Key: "gb-1", From: "gearman:x:0", State: engine.Done}, nil, nil)
+		w.o.HandleReport(engine.Report{Key: "gb-1", From: "gearman:x:0", State: engine.Done}, nil, nil)
 		synctest.Wait()
 		c.want("JOB_CREATED H:n0:b-1")
 	})
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -33,14 +33,14 @@
 // Desk is what the Gearman side asks of the owner.
 type Desk interface {
 	Submit(m *engine.Message) bool
-	Gone(m *engine.Message)
-	List(kind balance.ListKind, hosts []engine.Host)
-	Assigned(a *engine.Attempt)
-	Passed(a *engine.Attempt, what any, settled func())
-	Served(a *engine.Attempt, result []byte, settled func())
-	Ended(a *engine.Attempt, status balance.Status)
-	Probed(h engine.Host, status balance.Status, load []float32)
-	After(f func())
+	Disconnected(m *engine.Message)
+	UpdateHosts(kind balance.ListKind, hosts []engine.Host)
+	AttemptStarted(a *engine.Attempt)
+	AttemptEvent(a *engine.Attempt, what any, settled func())
+	AttemptServed(a *engine.Attempt, result []byte, settled func())
+	AttemptEnded(a *engine.Attempt, status balance.Status)
+	ProbeEnded(h engine.Host, status balance.Status, load []float32)
+	AfterQueued(f func())
 }
 
 // Config is what a Server needs.
@@ -122,7 +122,7 @@
 	tasks        errgroup.Group
 }
 
-var _ engine.South = (*Server)(nil)
+var _ engine.Backend = (*Server)(nil)
 
 // job is what the server keeps with a state.Job.
 type job struct {
@@ -378,7 +378,7 @@
 	handed := d.handed
 	s.mu.Unlock()
 	if handed {
-		s.Desk.Gone(d.message)
+		s.Desk.Disconnected(d.message)
 	} else { // it was to run later
 		d.work.Hold.Drop()
 	}
@@ -386,7 +386,7 @@
 
 // ended reports an attempt's end. The hold on its data goes with it.
 func (s *Server) ended(a *engine.Attempt, status balance.Status) {
-	s.Desk.Ended(a, status)
+	s.Desk.AttemptEnded(a, status)
 	work.Of(a.Message).Held().Drop()
 }
 
@@ -434,7 +434,7 @@
 	clear(s.dirty)
 	s.mu.Unlock()
 	if len(hosts) > 0 {
-		s.Desk.List(balance.ListChanges, hosts)
+		s.Desk.UpdateHosts(balance.ListChanges, hosts)
 	}
 }
 
@@ -442,7 +442,7 @@
 func (s *Server) listing(c *conn) (h engine.Host, changed bool) {
 	t := s.table.Load()
 	open := c.worker.Open()
-	h = engine.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.Kinds + 1 + t.Kind(c.client),
+	h = engine.Host{Name: c.name, Address: c.RemoteAddr().String(), Backend: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.Kinds + 1 + t.Kind(c.client),
 		Cell: t.Cell(c.client, uint64(c.id)), Weight: 1, Up: c.since, Slots: 1, Pulls: true, Runs: t.WorkerClasses(c.client, c.worker.Can)}}
 	if !open {
 		h.Worker.State = balance.Removed
@@ -489,7 +489,7 @@
 func (s *Server) Send(ctx context.Context, a *engine.Attempt) {
 	w := work.Of(a.Message)
 	if w == nil {
-		s.tasks.Go(func() error { s.Desk.Ended(a, balance.NotSent); return nil })
+		s.tasks.Go(func() error { s.Desk.AttemptEnded(a, balance.NotSent); return nil })
 		return
 	}
 	w.Held().Share() // until it is assigned or has ended
@@ -548,7 +548,7 @@
 	if !there {
 		status = balance.ConnectFailed
 	}
-	s.tasks.Go(func() error { s.Desk.Probed(h, status, nil); return nil })
+	s.tasks.Go(func() error { s.Desk.ProbeEnded(h, status, nil); return nil })
 }
 
 // Forget has nothing to drop: a worker's connection is its own.
@@ -634,7 +634,7 @@
 		s.ended(a, balance.ConnectFailed)
 	}
 	for _, a := range overdue { // the hold ends with the run
-		s.Desk.Ended(a, balance.TimedOut)
+		s.Desk.AttemptEnded(a, balance.TimedOut)
 	}
 	for _, j := range due {
 		s.due(j)
--- a/internal/serve/backend/client.go
+++ b/internal/serve/backend/client.go
@@ -33,9 +33,9 @@
 
 // Sink takes what became of attempts and probes.
 type Sink interface {
-	Written(a *engine.Attempt, fresh bool)
-	Ended(a *engine.Attempt, status balance.Status)
-	Probed(h engine.Host, status balance.Status, load []float32)
+	AttemptWritten(a *engine.Attempt, fresh bool)
+	AttemptEnded(a *engine.Attempt, status balance.Status)
+	ProbeEnded(h engine.Host, status balance.Status, load []float32)
 }
 
 // Config is what a Client needs.
@@ -63,7 +63,7 @@
 }
 
 var _ interface {
-	engine.South
+	engine.Backend
 	engine.Resumer
 } = (*Client)(nil)
 
@@ -115,7 +115,7 @@
 			}
 		}()
 		if status := c.send(ctx, a); status != 0 {
-			c.Sink.Ended(a, status)
+			c.Sink.AttemptEnded(a, status)
 			return
 		}
 		c.settle(ctx, a)
@@ -126,7 +126,7 @@
 func (c *Client) settle(ctx context.Context, a *engine.Attempt) {
 	<-ctx.Done()
 	if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) {
-		c.Sink.Ended(a, c.withdraw(a, balance.Cancelled))
+		c.Sink.AttemptEnded(a, c.withdraw(a, balance.Cancelled))
 	}
 }
 
@@ -172,7 +172,7 @@
 		began := c.Now()
 		status, told := c.probe(h)
 		c.Log.Debug("probe ended", "host", h.Name, "status", status, "took", c.Now()-began)
-		c.Sink.Probed(h, status, told)
+		c.Sink.ProbeEnded(h, status, told)
 	})
 }
 
@@ -208,15 +208,15 @@
 	whole := len(head) + len(call.Body)
 	// Since the decision the host may have begun to drain, or the attempt may have been withdrawn: a send counts from
 	// its first byte.
-	if !a.Clear() {
+	if !a.MaySend() {
 		c.pool.put(conn)
 		return balance.NotSent
 	}
-	if a.Until > 0 { // a write that a slow host holds up must not end later: cut short, it proves that nothing ran
-		conn.SetWriteDeadline(time.Now().Add(a.Until - c.Now()))
+	if a.SendDeadline > 0 { // a write that a slow host holds up must not end later: cut short, it proves that nothing ran
+		conn.SetWriteDeadline(time.Now().Add(a.SendDeadline - c.Now()))
 	}
 	stop := context.AfterFunc(ctx, func() {
-		if errors.Is(context.Cause(ctx), engine.ErrSettled) {
+		if errors.Is(context.Cause(ctx), engine.ErrOutcomeKnown) {
 			conn.SetReadDeadline(time.Now().Add(lateAnswer))
 		} else {
 			conn.SetDeadline(time.Now())
@@ -235,7 +235,7 @@
 		}
 		return balance.ConnectFailed
 	}
-	c.Sink.Written(a, !conn.kept)
+	c.Sink.AttemptWritten(a, !conn.kept)
 	// A host that says nothing may be cut off, and then its idle connections are as silent as this one: what is sent on
 	// them counts as perhaps run for as long as the client waits. A new connection shows at once whether it is there.
 	doubt := time.AfterFunc(c.ConnectTimeout, func() { c.pool.forget(a.Host.Name) })
@@ -257,7 +257,7 @@
 	a.Load = c.Loads.Text(a.Host.Name, text)
 	status, known := outcome(answer)
 	if status == 0 {
-		a.Taken()
+		a.MarkAccepted()
 	}
 	// What the head says counts now, whatever becomes of the body. Only after a 202 the connection is kept: should another
 	// answer come late, the next job on it would have it for its own, and "never ran" must not be said of a job that runs.
--- a/internal/serve/backend/client_test.go
+++ b/internal/serve/backend/client_test.go
@@ -41,13 +41,13 @@
 	f()
 }
 
-func (h *host) Written(_ *engine.Attempt, fresh bool) {
+func (h *host) AttemptWritten(_ *engine.Attempt, fresh bool) {
 	h.note(func() { h.written = append(h.written, fresh) })
 }
-func (h *host) Ended(a *engine.Attempt, s balance.Status) {
+func (h *host) AttemptEnded(a *engine.Attempt, s balance.Status) {
 	h.note(func() { h.status, h.loads = append(h.status, s), append(h.loads, a.Load) })
 }
-func (h *host) Probed(_ engine.Host, s balance.Status, loads []float32) {
+func (h *host) ProbeEnded(_ engine.Host, s balance.Status, loads []float32) {
 	h.note(func() { h.status, h.loads = append(h.status, s), append(h.loads, loads) })
 }
 
@@ -151,10 +151,10 @@
 // steps follow the protocol's table of outcomes. Where the host is reached by an idle connection, dial has no effect:
 // that is for such a step the same as if it came up.
 var steps = []step{
-	{answer: taken, stop: engine.ErrSettled, after: soon, keeps: true},
+	{answer: taken, stop: engine.ErrOutcomeKnown, after: soon, keeps: true},
 	{answer: taken, stop: engine.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
-	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + taken, stop: engine.ErrSettled, after: soon, keeps: true},
-	{answer: "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", stop: engine.ErrSettled, after: soon},
+	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + taken, stop: engine.ErrOutcomeKnown, after: soon, keeps: true},
+	{answer: "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", stop: engine.ErrOutcomeKnown, after: soon},
 	{answer: "HTTP/1.1 503 No\r\n" + declined, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\n" + declined, want: balance.Full},
 	{answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Errored, gives: true, keeps: true}, // that of the withdrawal
@@ -168,8 +168,8 @@
 	{reads: 120, want: balance.ConnectFailed, unheard: true, breaks: true},
 	{barred: true, want: balance.NotSent, unheard: true, keeps: true},
 	{answer: "", stop: engine.ErrWithdrawn, after: time.Second, want: balance.Cancelled, gives: true, keeps: true},
-	{answer: taken, thinks: 2 * soon, stop: engine.ErrSettled, after: soon}, // the host's word came first
-	{answer: "", stop: engine.ErrSettled, after: soon, want: balance.Reset}, // too late to count, but it ends
+	{answer: taken, thinks: 2 * soon, stop: engine.ErrOutcomeKnown, after: soon}, // the host's word came first
+	{answer: "", stop: engine.ErrOutcomeKnown, after: soon, want: balance.Reset}, // too late to count, but it ends
 	{probe: true, answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.OK, keeps: true},
 	{probe: true, answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Full},
 	{probe: true, answer: "HTTP/1.1 404 No\r\n" + empty, want: balance.Errored},
@@ -186,7 +186,7 @@
 	{answer: "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\n" + endless, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nx", want: balance.Full},
 	{answer: "HTTP/1.1 500 No\r\n" + endless, want: balance.Errored},
-	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrSettled, after: soon},
+	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrOutcomeKnown, after: soon},
 	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
 	{answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 40), want: balance.Reset, breaks: true, gives: true, keeps: true},
 }
@@ -230,7 +230,7 @@
 	call := &http1.Call{ID: "9b1f", Method: "POST", Target: "/send-warning/x?y=%41", Body: []byte("high"),
 		Fields: http1.Fields{{Name: "Req-Id", Value: "9b1f"}, {Name: "Idempotency-Key", Value: "k"}}}
 	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: w.to, Deadline: w.c.Now() + 5*time.Second,
-		Clear: func() bool { return !barred }}
+		MaySend: func() bool { return !barred }}
 }
 
 func (w *world) play(i int, s step) {
@@ -425,7 +425,7 @@
 				t.Errorf("statuses %v", w.status)
 			}
 		})
-		stop(engine.ErrSettled)
+		stop(engine.ErrOutcomeKnown)
 		time.Sleep(2 * time.Second)
 	})
 }
@@ -438,7 +438,7 @@
 			w.to.Name = name
 			w.note(func() { w.act = step{answer: taken} })
 			ctx, stop := context.WithCancelCause(w.t.Context())
-			defer stop(engine.ErrSettled)
+			defer stop(engine.ErrOutcomeKnown)
 			w.c.Send(ctx, w.attempt(false))
 			time.Sleep(soon)
 		}
--- a/internal/serve/backend/races_test.go
+++ b/internal/serve/backend/races_test.go
@@ -17,9 +17,9 @@
 // outcomes holds what a Client reports, in order.
 type outcomes struct{ written, ended chan balance.Status }
 
-func (o outcomes) Written(*engine.Attempt, bool)                 { o.written <- 0 }
-func (o outcomes) Ended(_ *engine.Attempt, s balance.Status)     { o.ended <- s }
-func (o outcomes) Probed(engine.Host, balance.Status, []float32) {}
+func (o outcomes) AttemptWritten(*engine.Attempt, bool)              { o.written <- 0 }
+func (o outcomes) AttemptEnded(_ *engine.Attempt, s balance.Status)  { o.ended <- s }
+func (o outcomes) ProbeEnded(engine.Host, balance.Status, []float32) {}
 
 // peer plays a host on loopback, one function for each connection in the order in which they come.
 func peer(t *testing.T, conns ...func(net.Conn, *http1.Reader)) engine.Host {
@@ -59,7 +59,7 @@
 
 func attempt(c *Client, to engine.Host, id string) *engine.Attempt {
 	call := &http1.Call{ID: id, Method: "POST", Target: "/a/x", Body: []byte("high"), Fields: http1.Fields{{Name: "Req-Id", Value: id}}}
-	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: to, Deadline: c.Now() + time.Hour, Clear: func() bool { return true }}
+	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: to, Deadline: c.Now() + time.Hour, MaySend: func() bool { return true }}
 }
 
 // request reads a whole request and returns its method and path.
@@ -100,11 +100,11 @@
 		t.Errorf("the first job: status %d", s)
 	}
 	ctx, stop := context.WithCancelCause(t.Context())
-	defer stop(engine.ErrSettled)
+	defer stop(engine.ErrOutcomeKnown)
 	a := attempt(c, to, "2")
 	c.Send(ctx, a)
 	<-took
-	stop(engine.ErrSettled)
+	stop(engine.ErrOutcomeKnown)
 	c.tasks.Wait()
 	select {
 	case s := <-o.ended:
@@ -127,9 +127,9 @@
 			return near, nil
 		}
 		a := w.attempt(false)
-		a.Until = w.c.Now() + time.Second
+		a.SendDeadline = w.c.Now() + time.Second
 		ctx, stop := context.WithCancelCause(w.t.Context())
-		defer stop(engine.ErrSettled)
+		defer stop(engine.ErrOutcomeKnown)
 		began := time.Now()
 		w.c.Send(ctx, a)
 		w.c.tasks.Wait()
@@ -156,7 +156,7 @@
 			fmt.Fprint(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 		})
 		ctx, stop := context.WithCancelCause(t.Context())
-		defer stop(engine.ErrSettled)
+		defer stop(engine.ErrOutcomeKnown)
 		c.Send(ctx, attempt(c, to, "1"))
 		want := []string{"POST /a/x", "DELETE /jobs/1", "DELETE /jobs/1", "DELETE /jobs/1"}
 		status := balance.Cancelled
--- a/internal/serve/clientlistener/conn.go
+++ b/internal/serve/clientlistener/conn.go
@@ -332,7 +332,7 @@
 		reply <- a
 	}
 	hold.Share()
-	m.Settled = hold.Drop
+	m.OnClosed = hold.Drop
 	return reply
 }
 
@@ -369,7 +369,7 @@
 			case errors.Is(err, bufio.ErrBufferFull): // of a client that sends so much ahead no leaving is seen
 				gone = nil
 			case err != nil:
-				c.s.Desk.Gone(m)
+				c.s.Desk.Disconnected(m)
 				c.s.end(class, aborted)
 				return false
 			default: // the next request has come early, and waits in the buffer
@@ -386,8 +386,8 @@
 		return c.finish(200, last, nil, a.Result)
 	case engine.BackOff:
 		var fields http1.Fields
-		if a.Wait > 0 {
-			wait := strconv.FormatFloat(a.Wait.Seconds(), 'f', 3, 64)
+		if a.RetryAfter > 0 {
+			wait := strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)
 			fields = http1.Fields{{Name: "Retry-After", Value: wait}}
 		}
 		return c.finish(503, last, fields, nil)
--- a/internal/serve/clientlistener/handover.go
+++ b/internal/serve/clientlistener/handover.go
@@ -104,7 +104,7 @@
 	if !released {
 		return false
 	}
-	c.s.Desk.Moved(m, past, taken)
+	c.s.Desk.CompleteRelease(m, past, taken)
 	if !taken {
 		c.s.Log.Debug("message not handed over", "message", m.Key, "err", err)
 		return false
--- a/internal/serve/clientlistener/handover_test.go
+++ b/internal/serve/clientlistener/handover_test.go
@@ -54,7 +54,7 @@
 			t.Errorf("counts: %d and %d open, %+v, %+v", old.s.Outstanding(), next.s.Outstanding(), old.s.Results(1), next.s.Results(1))
 		}
 		for _, m := range next.taken {
-			m.Settled()
+			m.OnClosed()
 		}
 		if held := old.s.Budget.Held() + next.s.Budget.Held(); held != 0 {
 			t.Errorf("%d bytes held", held)
@@ -87,7 +87,7 @@
 				if got := strings.Join(old.answers, ","); got != "200 old" || len(next.taken) != 0 || o.asked != c.asked || len(old.moved) != c.moved {
 					t.Errorf("answers %q, %d messages there, asked %d, moved %v", got, len(next.taken), o.asked, old.moved)
 				}
-				old.taken[0].Settled()
+				old.taken[0].OnClosed()
 				if held := old.s.Budget.Held() + next.s.Budget.Held(); held != 0 || next.s.Outstanding() != 0 || next.s.Open() != 0 {
 					t.Errorf("%d bytes held, %d open there", held, next.s.Open())
 				}
@@ -104,7 +104,7 @@
 		if old.gone != 0 || next.gone != 1 {
 			t.Errorf("gone %d here, %d there", old.gone, next.gone)
 		}
-		next.taken[0].Settled()
+		next.taken[0].OnClosed()
 	})
 }
 
@@ -154,7 +154,7 @@
 				t.Errorf("taken %v, the client read %q, %d messages", taken, got, len(w.taken))
 			}
 			for _, m := range w.taken {
-				m.Settled()
+				m.OnClosed()
 			}
 		})
 	})
--- a/internal/serve/clientlistener/message.go
+++ b/internal/serve/clientlistener/message.go
@@ -156,7 +156,7 @@
 		return status, reason
 	case err == nil:
 		return status, nil
-	case errors.Is(err, engine.ErrNobody): // it has ended, and with it its messages: a late word, for nobody
+	case errors.Is(err, engine.ErrNoPeer): // it has ended, and with it its messages: a late word, for nobody
 		return 204, nil
 	default:
 		s.Log.Warn("call-back not handed on", "err", err)
@@ -184,14 +184,14 @@
 		return 400, false, []byte(err.Error() + "\n")
 	}
 	wait = wait || s.left()
-	var told chan engine.Standing
-	var tell func(engine.Standing)
+	var told chan engine.MessageLocation
+	var tell func(engine.MessageLocation)
 	if wait {
-		told = make(chan engine.Standing, 1)
-		tell = func(standing engine.Standing) { told <- standing }
+		told = make(chan engine.MessageLocation, 1)
+		tell = func(standing engine.MessageLocation) { told <- standing }
 	}
 	hold.Share()
-	if !s.Desk.Reported(report, tell, hold.Drop) {
+	if !s.Desk.HandleReport(report, tell, hold.Drop) {
 		hold.Drop()
 		return 503, false, nil // the host says it again
 	}
@@ -200,10 +200,10 @@
 	}
 	select {
 	case standing := <-told:
-		if standing == engine.Moving { // the host says it again, to whoever has the message then
+		if standing == engine.LocationMoving { // the host says it again, to whoever has the message then
 			return 503, false, nil
 		}
-		return 204, standing == engine.Here, nil
+		return 204, standing == engine.LocationLocal, nil
 	case <-s.ended:
 		return 503, false, nil
 	}
@@ -215,7 +215,7 @@
 	if err != nil {
 		return engine.Report{}, err
 	}
-	r := engine.Report{Key: o.Text("id"), From: o.Text("from"), Share: o.Float("share")}
+	r := engine.Report{Key: o.Text("id"), From: o.Text("from"), Progress: o.Float("share")}
 	for _, key := range []string{"id", "from"} {
 		if o.Text(key) == "" {
 			o.Fail(key, "a name")
@@ -229,7 +229,7 @@
 	case "done":
 		r.State, r.Result = engine.Done, []byte(o.Text("result"))
 	case "failed":
-		r.State = engine.Broken
+		r.State = engine.Errored
 	case "returned":
 		r.State = engine.Returned
 	case "lost":
--- a/internal/serve/clientlistener/races_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -19,13 +19,13 @@
 // inbox is a desk that leaves all to the test.
 type inbox struct{ taken, gone chan *engine.Message }
 
-func (b inbox) Submit(m *engine.Message) bool                              { b.taken <- m; return true }
-func (b inbox) Gone(m *engine.Message)                                     { b.gone <- m }
-func (b inbox) Reported(engine.Report, func(engine.Standing), func()) bool { return true }
+func (b inbox) Submit(m *engine.Message) bool                                         { b.taken <- m; return true }
+func (b inbox) Disconnected(m *engine.Message)                                        { b.gone <- m }
+func (b inbox) HandleReport(engine.Report, func(engine.MessageLocation), func()) bool { return true }
 func (b inbox) Release(context.Context, *engine.Message) (engine.Past, bool) {
 	return engine.Past{}, false
 }
-func (b inbox) Moved(*engine.Message, engine.Past, bool)                 {}
+func (b inbox) CompleteRelease(*engine.Message, engine.Past, bool)       {}
 func (b inbox) Adopt(context.Context, *engine.Message, engine.Past) bool { return false }
 
 // listening runs a server on loopback.
--- a/internal/serve/clientlistener/server.go
+++ b/internal/serve/clientlistener/server.go
@@ -35,12 +35,12 @@
 // Desk takes messages and call-backs.
 type Desk interface {
 	Submit(m *engine.Message) bool
-	Gone(m *engine.Message)
-	Reported(r engine.Report, known func(engine.Standing), settled func()) bool
+	Disconnected(m *engine.Message)
+	HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool
 
 	// Between two processes, as Owner has them.
 	Release(ctx context.Context, m *engine.Message) (past engine.Past, ok bool)
-	Moved(m *engine.Message, past engine.Past, taken bool)
+	CompleteRelease(m *engine.Message, past engine.Past, taken bool)
 	Adopt(ctx context.Context, m *engine.Message, past engine.Past) bool
 }
 
--- a/internal/serve/clientlistener/server_test.go
+++ b/internal/serve/clientlistener/server_test.go
@@ -108,13 +108,13 @@
 	return true
 }
 
-func (w *world) Gone(*engine.Message) {
+func (w *world) Disconnected(*engine.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.gone++
 }
 
-func (w *world) Reported(r engine.Report, known func(engine.Standing), settled func()) bool {
+func (w *world) HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.full {
@@ -126,12 +126,12 @@
 	if known != nil {
 		switch {
 		case w.moving:
-			known(engine.Moving)
+			known(engine.LocationMoving)
 			return true
 		case w.foreign:
-			known(engine.Unknown)
+			known(engine.LocationUnknown)
 		default:
-			known(engine.Here)
+			known(engine.LocationLocal)
 		}
 	}
 	w.reports = append(w.reports, r)
@@ -144,11 +144,11 @@
 	return engine.Past{Job: m.Job, Ago: time.Second}, w.releases
 }
 
-func (w *world) Moved(m *engine.Message, _ engine.Past, taken bool) {
+func (w *world) CompleteRelease(m *engine.Message, _ engine.Past, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.moved = append(w.moved, taken); taken {
-		m.Settled()
+		m.OnClosed()
 	}
 }
 
@@ -244,7 +244,7 @@
 
 var steps = []step{
 	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served, Result: []byte("sent")}}, want: "200 sent", taken: 1},
-	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.BackOff, Wait: 1500 * time.Millisecond}}, want: "503 1.500", taken: 1},
+	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.BackOff, RetryAfter: 1500 * time.Millisecond}}, want: "503 1.500", taken: 1},
 	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.BackOff}}, want: "503", taken: 1},
 	{send: job + "\r\nhigh", set: desk{}, want: "502", taken: 1},
 	{send: job + "\r\nhigh", set: desk{full: true}, want: "503"},
@@ -531,7 +531,7 @@
 		if fmt.Sprint(w.client.answers) != "[503 204 200 ok]" || len(w.reports) != 1 || len(w.taken) != 1 {
 			t.Errorf("%q, %d reports, %d taken", w.client.answers, len(w.reports), len(w.taken))
 		}
-		w.taken[0].Settled()
+		w.taken[0].OnClosed()
 		if held := w.s.Budget.Held(); held != 0 {
 			t.Errorf("%d bytes held", held)
 		}
@@ -576,7 +576,7 @@
 		{other{live: true, status: 204}, false, "204", 0},
 		{other{live: true, status: 503}, true, "503", 1},
 		{other{live: true, err: errors.New("silent")}, true, "503", 1},
-		{other{live: true, err: engine.ErrNobody}, true, "204", 1},
+		{other{live: true, err: engine.ErrNoPeer}, true, "204", 1},
 		{other{live: false, status: 503}, true, "204", 0},
 	} {
 		within(t, 64, func(w *world) {
--- a/internal/serve/engine/actions.go
+++ b/internal/serve/engine/actions.go
@@ -10,7 +10,7 @@
 
 // actions carries out what the module decides. Its methods are called from within the module, so what answers it goes
 // to later.
-type actions struct{ o *Owner }
+type actions struct{ o *Engine }
 
 var _ balance.Actions = actions{}
 
@@ -26,8 +26,8 @@
 		end = min(end, now+timeout)
 	}
 	a := &Attempt{Message: p.Message, Host: h.Host, Deadline: end, open: p, number: len(p.attempts), sent: o.Now(), host: h}
-	a.Until = o.until(p)
-	a.Clear = func() bool { return a.clear(o.Now()) }
+	a.SendDeadline = o.until(p)
+	a.MaySend = func() bool { return a.clear(o.Now()) }
 	ctx, stop := context.WithCancelCause(o.ctx)
 	a.stop = stop
 	p.attempts = append(p.attempts, a)
@@ -53,7 +53,7 @@
 
 // until is when nothing more of a message may be sent: the window of a keyed one counts from its first attempt that may have run. The
 // module decides by the same; but from its decision to the first byte a connection may have to come up.
-func (o *Owner) until(p *open) time.Duration {
+func (o *Engine) until(p *open) time.Duration {
 	class := p.Job.Class
 	if class < 0 || class >= len(o.Settings.Classes) || o.Settings.Classes[class].Effect != balance.Keyed {
 		return 0
@@ -79,7 +79,7 @@
 // Refuse gives a back-off answer.
 func (c actions) Refuse(job balance.JobID, wait time.Duration) {
 	if p := c.o.jobs[job]; p != nil {
-		c.o.answer(p, Answer{Kind: BackOff, Wait: wait})
+		c.o.answer(p, Answer{Kind: BackOff, RetryAfter: wait})
 	}
 }
 
--- a/internal/serve/engine/engine.go
+++ b/internal/serve/engine/engine.go
@@ -16,7 +16,7 @@
 
 // Grace is how long after a message's deadline the owner answers by itself. The module answers before the deadline;
 // this only guards against its timer coming late or not at all.
-const Grace = 4 * time.Millisecond
+const DeadlineGrace = 4 * time.Millisecond
 
 const (
 	tellEvery = time.Minute            // a line of counts in the log
@@ -44,7 +44,7 @@
 	out      int
 	attempts []*Attempt
 	timers   []timerwheel.Timer[timer] // its deadline, and what the module asked for: they end with it
-	kind     Kind                      // of its answer
+	kind     AnswerKind                // of its answer
 	at       time.Duration             // of its answer, or of its client's leaving
 	left     bool                      // the client was first
 }
@@ -57,7 +57,7 @@
 }
 
 // Owner owns the module.
-type Owner struct {
+type Engine struct {
 	Config
 	queue   chan event
 	lane    chan event // goes before the queue: for the few calls of operators, which no load may hold up
@@ -82,13 +82,13 @@
 }
 
 // Forwards is how many attempts were written whole.
-func (o *Owner) Forwards() int64 { return o.forwards.Load() }
+func (o *Engine) Forwards() int64 { return o.forwards.Load() }
 
 // Fleet is how many hosts the inventory lists, and how many of these are avoided, as of a moment ago.
-func (o *Owner) Fleet() (listed, avoided int64) { return o.listed.Load(), o.avoided.Load() }
+func (o *Engine) HostCounts() (listed, avoided int64) { return o.listed.Load(), o.avoided.Load() }
 
 // show publishes how the fleet stands.
-func (o *Owner) show(now time.Duration) {
+func (o *Engine) show(now time.Duration) {
 	listed, avoided := o.module.Fleet(now)
 	o.listed.Store(int64(listed))
 	o.avoided.Store(int64(avoided))
@@ -98,33 +98,33 @@
 type Counts struct{ Messages, Served, BackOffs, Failures, Attempts, LateReports int64 }
 
 // New returns an Owner; Run starts the module.
-func New(c Config) *Owner {
-	return &Owner{Config: c, queue: make(chan event, max(c.Queue, 1)), lane: make(chan event), stopped: make(chan struct{}),
+func New(c Config) *Engine {
+	return &Engine{Config: c, queue: make(chan event, max(c.QueueSize, 1)), lane: make(chan event), stopped: make(chan struct{}),
 		jobs: map[balance.JobID]*open{}, keys: map[string]*open{}, moving: map[string]*open{}, hosts: map[balance.WorkerID]*host{},
 		ids: names{}, ever: map[string]bool{}}
 }
 
 // Run owns the module until the context ends.
-func (o *Owner) Run(ctx context.Context) error {
+func (o *Engine) Run(ctx context.Context) error {
 	defer close(o.stopped)
 	o.ctx = ctx
 	now := o.Now()
 	o.wheel = timerwheel.New[timer](o.Settings.Tick, now)
 	settings := o.Settings
-	settings.ReportsWritten, settings.ListInherited = true, o.Follows
+	settings.ReportsWritten, settings.ListInherited = true, o.HostsInherited
 	o.module = balance.New(settings, o.Seed, actions{o})
 	o.wheel.Add(now+tellEvery, timer{tell: true})
-	for _, name := range o.Ever {
+	for _, name := range o.EverListed {
 		o.ever[name] = true
 	}
-	for _, name := range o.Config.Offline { // before any list: nothing may be sent there
+	for _, name := range o.Config.InitialOffline { // before any list: nothing may be sent there
 		o.ever[name] = true
 		o.setOffline(now, name, true)
 	}
 	o.module.Start(now)
-	o.list(now, balance.ListCached, o.Known)
-	if o.Lessons != nil {
-		o.module.Learn(now, o.Lessons)
+	o.list(now, balance.ListCached, o.InitialHosts)
+	if o.InitialLearned != nil {
+		o.module.Learn(now, o.InitialLearned)
 	}
 	o.sees.Store(o.module.HasList())
 	o.wheel.Add(now+showEvery, timer{show: true})
@@ -159,7 +159,7 @@
 }
 
 // tell logs what the owner has seen.
-func (o *Owner) tell() {
+func (o *Engine) tell() {
 	c := &o.counts
 	o.Log.Info("counts", "messages", c.Messages, "served", c.Served, "back_offs", c.BackOffs, "failures", c.Failures,
 		"attempts", c.Attempts, "late_reports", c.LateReports, "turned_away", o.turned.Load(), "open", len(o.jobs),
@@ -168,7 +168,7 @@
 
 // run carries out an event and what it brings about. A panic in the module would take all messages with it; counted, it
 // costs at most those that it touched, which their deadlines answer.
-func (o *Owner) run(e event) {
+func (o *Engine) run(e event) {
 	defer func() {
 		if p := recover(); p != nil {
 			o.Check.Check(false, "panic", "value", p, "stack", string(debug.Stack()))
@@ -184,7 +184,7 @@
 }
 
 // offer queues an event if there is room.
-func (o *Owner) offer(e event) bool {
+func (o *Engine) offer(e event) bool {
 	select {
 	case <-o.stopped:
 		return false
@@ -200,7 +200,7 @@
 }
 
 // post queues an event that must not be lost. It waits for room; the owner never waits for those who post.
-func (o *Owner) post(e event) (done bool) {
+func (o *Engine) post(e event) (done bool) {
 	select {
 	case o.queue <- e:
 		return true
@@ -211,12 +211,12 @@
 
 // Submit hands in a message. False says that the queue is full: the message has not reached the module, has not run
 // and will not, so the north side sends a back-off answer.
-func (o *Owner) Submit(m *Message) bool {
+func (o *Engine) Submit(m *Message) bool {
 	return o.offer(func(now time.Duration) { o.take(now, m) })
 }
 
 // Gone says that the client of a message no longer waits.
-func (o *Owner) Gone(m *Message) {
+func (o *Engine) Disconnected(m *Message) {
 	m.departed.Store(true)
 	o.post(func(now time.Duration) {
 		p := o.keys[m.Key]
--- a/internal/serve/engine/engine_test.go
+++ b/internal/serve/engine/engine_test.go
@@ -42,8 +42,8 @@
 // bench holds an Owner with sides that only note what is asked of them.
 type bench struct {
 	t        *testing.T
-	o        *Owner    // that takes messages
-	both     [2]*Owner // and the one that they may move to, or come from
+	o        *Engine    // that takes messages
+	both     [2]*Engine // and the one that they may move to, or come from
 	sends    []*sent
 	watches  int
 	messages []*message
@@ -68,7 +68,7 @@
 
 type sent struct {
 	a    *Attempt
-	o    *Owner // whose it is now
+	o    *Engine // whose it is now
 	ctx  context.Context
 	end  bool
 	may  bool // it may have run
@@ -130,7 +130,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	b.stop = stop
 	for i := range b.both {
-		b.both[i] = New(Config{Settings: settings, Seed: 7, Known: known, South: side{b, i}, Inventory: b, Queue: 64, Log: log,
+		b.both[i] = New(Config{Settings: settings, Seed: 7, InitialHosts: known, Backend: side{b, i}, Inventory: b, QueueSize: 64, Log: log,
 			Check: &invariant.Checker{}, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})
 		go b.both[i].Run(ctx)
 	}
@@ -153,15 +153,15 @@
 	return m
 }
 
-func (b *bench) report(s *sent, state State, result string) {
+func (b *bench) report(s *sent, state JobState, result string) {
 	for _, o := range b.both { // one of the two knows the message, if it is open
-		o.Reported(Report{Key: s.a.Message.Key, From: s.a.Host.Name, State: state, Result: []byte(result)}, nil, nil)
+		o.HandleReport(Report{Key: s.a.Message.Key, From: s.a.Host.Name, State: state, Result: []byte(result)}, nil, nil)
 	}
 	synctest.Wait()
 }
 
 func (b *bench) ended(s *sent, status balance.Status) {
-	s.o.Ended(s.a, status)
+	s.o.AttemptEnded(s.a, status)
 	synctest.Wait()
 }
 
@@ -173,7 +173,7 @@
 			continue
 		}
 		moved = takes && b.both[1-i].Adopt(b.t.Context(), m.m, past)
-		o.Moved(m.m, past, moved)
+		o.CompleteRelease(m.m, past, moved)
 		synctest.Wait()
 		return moved
 	}
@@ -199,7 +199,7 @@
 	within(t, func(t *testing.T, b *bench) {
 		m := b.submit(warning, 5*time.Second)
 		s := b.sends[0]
-		b.o.Reported(Report{Key: m.m.Key, From: "s-elsewhere", State: Done, Result: []byte("forged")}, nil, nil)
+		b.o.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Done, Result: []byte("forged")}, nil, nil)
 		b.report(s, Started, "") // before the host's answer to the send
 		b.report(s, Done, "level 3")
 		b.report(s, Done, "again")
@@ -207,7 +207,7 @@
 		if len(m.answers) != 1 || m.answers[0].Kind != Served || string(m.answers[0].Result) != "level 3" {
 			t.Errorf("answers %+v", m.answers)
 		}
-		if !errors.Is(context.Cause(s.ctx), ErrSettled) || len(b.sends) != 1 || len(b.o.jobs) != 0 || len(b.o.keys) != 0 {
+		if !errors.Is(context.Cause(s.ctx), ErrOutcomeKnown) || len(b.sends) != 1 || len(b.o.jobs) != 0 || len(b.o.keys) != 0 {
 			t.Errorf("cause %v, %d sends, %d jobs kept", context.Cause(s.ctx), len(b.sends), len(b.o.jobs))
 		}
 	})
@@ -216,11 +216,11 @@
 func TestClientGoneWithdraws(t *testing.T) {
 	within(t, func(t *testing.T, b *bench) {
 		m := b.submit(warning, 5*time.Second)
-		b.o.Gone(m.m)
+		b.o.Disconnected(m.m)
 		synctest.Wait()
 		s := b.sends[0]
-		if !errors.Is(context.Cause(s.ctx), ErrWithdrawn) || s.a.Clear() {
-			t.Errorf("cause %v, clear %v", context.Cause(s.ctx), s.a.Clear())
+		if !errors.Is(context.Cause(s.ctx), ErrWithdrawn) || s.a.MaySend() {
+			t.Errorf("cause %v, clear %v", context.Cause(s.ctx), s.a.MaySend())
 		}
 		b.report(s, Done, "too late")
 		b.ended(s, balance.Cancelled)
@@ -244,11 +244,11 @@
 			t.Fatalf("%d attempts", len(b.sends))
 		}
 		s := b.sends[1]
-		if want := first.Sent() + time.Second - 2*b.o.Settings.Tick; !s.a.Clear() || s.a.Until != want || first.Until != 0 {
-			t.Errorf("clear %v, until %v, want %v; the first one until %v", s.a.Clear(), s.a.Until, want, first.Until)
+		if want := first.SentAt() + time.Second - 2*b.o.Settings.Tick; !s.a.MaySend() || s.a.SendDeadline != want || first.SendDeadline != 0 {
+			t.Errorf("clear %v, until %v, want %v; the first one until %v", s.a.MaySend(), s.a.SendDeadline, want, first.SendDeadline)
 		}
 		b.wait(60 * time.Millisecond) // the connection is up
-		if s.a.Clear() {
+		if s.a.MaySend() {
 			t.Error("clear after the window")
 		}
 		b.ended(s, balance.NotSent)
@@ -266,14 +266,14 @@
 		m := b.submit(warning, 5*time.Second)
 		s := b.sends[0]
 		busy := make(chan struct{})
-		b.o.After(func() { <-busy })
+		b.o.AfterQueued(func() { <-busy })
 		synctest.Wait()
-		if !s.a.Clear() {
+		if !s.a.MaySend() {
 			t.Error("not clear while the client waits")
 		}
-		b.o.Gone(m.m)
-		if s.a.Clear() || context.Cause(s.ctx) != nil {
-			t.Errorf("clear %v, cause %v", s.a.Clear(), context.Cause(s.ctx))
+		b.o.Disconnected(m.m)
+		if s.a.MaySend() || context.Cause(s.ctx) != nil {
+			t.Errorf("clear %v, cause %v", s.a.MaySend(), context.Cause(s.ctx))
 		}
 		close(busy)
 		synctest.Wait()
@@ -309,7 +309,7 @@
 	c.Effect, c.LateValue = balance.Safe, 0
 	withSettings(t, settings, func(t *testing.T, b *bench) {
 		m := b.submit(reading, 5*time.Second)
-		b.o.Written(b.sends[0].a, false)
+		b.o.AttemptWritten(b.sends[0].a, false)
 		b.wait(2 * time.Second)
 		if len(m.answers) != 1 || m.answers[0].Kind != BackOff || b.o.Check.Breaches() != 0 {
 			t.Errorf("answers %+v, %d breaches", m.answers, b.o.Check.Breaches())
@@ -332,8 +332,8 @@
 			}
 		}
 		held := b.submit(reading, 20*time.Second)
-		b.o.Conclude()
-		b.o.Conclude()
+		b.o.AnswerOpenMessages()
+		b.o.AnswerOpenMessages()
 		synctest.Wait()
 		if len(out.answers) != 1 || out.answers[0].Kind != Failed || len(held.answers) != 1 || held.answers[0].Kind != BackOff {
 			t.Errorf("answers %v to what was out, %v to what was held", out.answers, held.answers)
@@ -370,22 +370,22 @@
 		synctest.Wait()
 		close(hold)
 		<-done
-		if s.a.Clear() {
+		if s.a.MaySend() {
 			t.Error("clear to send to a host that is out")
 		}
 		hosts := []Host{testHost(0, balance.Ready), testHost(1, balance.Ready), testHost(2, balance.Ready), testHost(3, balance.Ready)}
-		b.o.List(balance.ListFull, hosts)
+		b.o.UpdateHosts(balance.ListFull, hosts)
 		synctest.Wait()
-		if listed, avoided := b.o.Fleet(); s.a.Clear() || listed != 4 || avoided != 1 {
-			t.Errorf("clear %v, %d listed, %d avoided", s.a.Clear(), listed, avoided)
+		if listed, avoided := b.o.HostCounts(); s.a.MaySend() || listed != 4 || avoided != 1 {
+			t.Errorf("clear %v, %d listed, %d avoided", s.a.MaySend(), listed, avoided)
 		}
-		b.o.List(balance.ListFull, hosts[:0]) // ever listed outlives leaving the list
+		b.o.UpdateHosts(balance.ListFull, hosts[:0]) // ever listed outlives leaving the list
 		synctest.Wait()
 		set(s.a.Host.Name, true, true)
 		set(s.a.Host.Name, false, true)
-		b.o.List(balance.ListFull, hosts)
+		b.o.UpdateHosts(balance.ListFull, hosts)
 		synctest.Wait()
-		if !s.a.Clear() {
+		if !s.a.MaySend() {
 			t.Error("back online and not clear to send to")
 		}
 	})
@@ -396,9 +396,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := &bench{t: t}
 		var listed []string
-		b.o = New(Config{Settings: testSettings(), Seed: 7, Known: []Host{testHost(0, balance.Ready), testHost(1, balance.Ready)},
-			South: side{b, 0}, Inventory: b, Queue: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{},
-			Ever: []string{"s-old"}, Offline: []string{testHost(0, balance.Ready).Name}, Listed: func(names []string) { listed = append(listed, names...) },
+		b.o = New(Config{Settings: testSettings(), Seed: 7, InitialHosts: []Host{testHost(0, balance.Ready), testHost(1, balance.Ready)},
+			Backend: side{b, 0}, Inventory: b, QueueSize: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{},
+			EverListed: []string{"s-old"}, InitialOffline: []string{testHost(0, balance.Ready).Name}, OnNewHosts: func(names []string) { listed = append(listed, names...) },
 			Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})
 		ctx, stop := context.WithCancel(t.Context())
 		go b.o.Run(ctx)
@@ -427,7 +427,7 @@
 			b := &bench{t: t}
 			settings := testSettings()
 			settings.Dispatchers = 48
-			b.o = New(Config{Settings: settings, Seed: 7, Follows: follows, South: side{b, 0}, Inventory: b, Queue: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			b.o = New(Config{Settings: settings, Seed: 7, HostsInherited: follows, Backend: side{b, 0}, Inventory: b, QueueSize: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Check: &invariant.Checker{}, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})
 			ctx, stop := context.WithCancel(t.Context())
 			go b.o.Run(ctx)
@@ -451,7 +451,7 @@
 		twin := &message{m: &Message{Key: m.m.Key, Arrived: b.o.Now(), Job: m.m.Job}}
 		twin.m.Reply = func(a Answer) { twin.answers = append(twin.answers, a) }
 		b.o.Submit(twin.m)
-		b.o.Gone(twin.m)
+		b.o.Disconnected(twin.m)
 		b.report(b.sends[0], Done, "once")
 		if len(twin.answers) != 1 || twin.answers[0].Kind != Failed || len(m.answers) != 1 || m.answers[0].Kind != Served {
 			t.Errorf("answers %+v and %+v", m.answers, twin.answers)
@@ -464,14 +464,14 @@
 	within(t, func(t *testing.T, b *bench) {
 		b.submit(warning, 5*time.Second)
 		s := b.sends[0]
-		if !s.a.Clear() {
+		if !s.a.MaySend() {
 			t.Fatal("not clear at first")
 		}
 		h := s.a.Host
 		h.Worker.State = balance.Draining
-		b.o.List(balance.ListChanges, []Host{h})
+		b.o.UpdateHosts(balance.ListChanges, []Host{h})
 		synctest.Wait()
-		if s.a.Clear() {
+		if s.a.MaySend() {
 			t.Error("clear though the host drains")
 		}
 		b.ended(s, balance.NotSent)
@@ -482,8 +482,8 @@
 }
 
 func TestQueueOverflow(t *testing.T) {
-	o := New(Config{Queue: 1})
-	if !o.Submit(&Message{}) || o.Submit(&Message{}) || o.Reported(Report{}, nil, nil) {
+	o := New(Config{QueueSize: 1})
+	if !o.Submit(&Message{}) || o.Submit(&Message{}) || o.HandleReport(Report{}, nil, nil) {
 		t.Error("want room for one event")
 	}
 }
@@ -492,7 +492,7 @@
 func TestReturnedAgain(t *testing.T) {
 	within(t, func(t *testing.T, b *bench) {
 		for i := 1; i < 4; i++ { // one host is left
-			b.o.List(balance.ListChanges, []Host{testHost(i, balance.Draining)})
+			b.o.UpdateHosts(balance.ListChanges, []Host{testHost(i, balance.Draining)})
 		}
 		m := b.submit(warning, 5*time.Second)
 		b.report(b.sends[0], Returned, "")
@@ -521,7 +521,7 @@
 
 func TestDebugBackOffAfterARun(t *testing.T) {
 	check := &invariant.Checker{}
-	o := New(Config{Check: check, Queue: 1})
+	o := New(Config{Check: check, QueueSize: 1})
 	var got []Answer
 	p := &open{Message: &Message{Reply: func(a Answer) { got = append(got, a) }}, mayHave: true}
 	defer func() {
@@ -534,7 +534,7 @@
 
 // TestPanic: one message's trouble is not everybody's.
 func TestPanic(t *testing.T) {
-	o := New(Config{Check: &invariant.Checker{}, Queue: 1})
+	o := New(Config{Check: &invariant.Checker{}, QueueSize: 1})
 	defer func() {
 		if recover() == nil && o.Check.Breaches() != 1 {
 			t.Errorf("%d breaches", o.Check.Breaches())
@@ -570,17 +570,17 @@
 			b.submit(n%2, time.Duration(n%4)*1700*time.Millisecond)
 		case op == 1 && s != nil:
 			status := []balance.Status{balance.ConnectFailed, balance.Full, balance.Reset, balance.Errored, balance.NotSent}[n%5]
-			if !s.a.Clear() {
+			if !s.a.MaySend() {
 				status = balance.NotSent
 			}
 			s.may = s.may || !s.end && !status.NotRun()
 			s.end = true
 			b.ended(s, status)
 		case op == 2 && s != nil:
-			s.a.Taken()
+			s.a.MarkAccepted()
 			b.report(s, Started, "")
 		case op == 3 && s != nil:
-			state := []State{Done, Broken, Returned, Lost, Progress}[n%5]
+			state := []JobState{Done, Errored, Returned, Lost, Progress}[n%5]
 			if x, again := b.subject(s); x != nil && state != Progress {
 				x.end, x.may, x.back = true, state != Returned || again, state == Returned
 			}
@@ -589,14 +589,14 @@
 			m := b.messages[len(b.messages)-1-n%len(b.messages)]
 			m.gone = true
 			for _, o := range b.both {
-				o.Gone(m.m)
+				o.Disconnected(m.m)
 			}
 			synctest.Wait()
 		case op == 5:
 			h := testHost(n%4, balance.State(n/4%2))
 			draining[h.Name] = h.Worker.State == balance.Draining
 			for _, o := range b.both {
-				o.List(balance.ListChanges, []Host{h})
+				o.UpdateHosts(balance.ListChanges, []Host{h})
 			}
 			synctest.Wait()
 		case op == 6:
@@ -607,7 +607,7 @@
 			}
 			b.o = b.both[n/2%2]
 		case op == 7:
-			b.o.List(balance.ListFailed, nil)
+			b.o.UpdateHosts(balance.ListFailed, nil)
 			synctest.Wait()
 		}
 		for _, s := range b.sends {
@@ -624,7 +624,7 @@
 	for i, m := range b.messages {
 		if n := len(m.answers); n > 1 || n == 0 && !m.gone {
 			t.Errorf("message %d has %d answers, gone %v", i, n, m.gone)
-		} else if late := m.at - m.m.Arrived - m.m.Job.Left; n > 0 && late > Grace+b.o.Settings.Tick {
+		} else if late := m.at - m.m.Arrived - m.m.Job.Left; n > 0 && late > DeadlineGrace+b.o.Settings.Tick {
 			t.Errorf("message %d is answered %v after its deadline", i, late)
 		}
 	}
@@ -672,7 +672,7 @@
 				b.ended(s, balance.Errored)
 				b.wait(time.Second)
 			default:
-				b.o.Gone(m.m)
+				b.o.Disconnected(m.m)
 				synctest.Wait()
 				b.ended(s, balance.Cancelled)
 			}
--- a/internal/serve/engine/handover.go
+++ b/internal/serve/engine/handover.go
@@ -32,19 +32,19 @@
 }
 
 // Taken says that the host has answered that it took the attempt: what is to come of it comes by a report, to whichever process.
-func (a *Attempt) Taken() { a.taken.Store(true) }
+func (a *Attempt) MarkAccepted() { a.taken.Store(true) }
 
 // Release lets go of a message for another process to take over, and returns its past. From here on until Moved says how that went
 // hosts are told to say again what they have to say of it. False: it has its answer, or an attempt is at a point at which only this
 // process can go on: on its way to the host, being withdrawn, or carried by a side that has its own connections to its hosts.
-func (o *Owner) Release(ctx context.Context, m *Message) (past Past, ok bool) {
+func (o *Engine) Release(ctx context.Context, m *Message) (past Past, ok bool) {
 	err := o.ask(ctx, func(now time.Duration) {
 		p := o.keys[m.Key]
-		if p == nil || p.Message != m || p.answered || p.Event != nil {
+		if p == nil || p.Message != m || p.answered || p.OnEvent != nil {
 			return
 		}
 		for _, a := range p.attempts {
-			if a.Host.Via != nil || !a.over && (!a.taken.Load() || a.barred.Load()) {
+			if a.Host.Backend != nil || !a.over && (!a.taken.Load() || a.barred.Load()) {
 				return
 			}
 		}
@@ -59,7 +59,7 @@
 				t.Ended = now - a.ended
 			} else {
 				a.over = true
-				a.stop(ErrReleased)
+				a.stop(ErrHandedOver)
 				o.wheel.Stop(a.timer)
 			}
 			past.Attempts = append(past.Attempts, t)
@@ -76,7 +76,7 @@
 }
 
 // Moved says how a release went on: whether the other process has taken the message over. If it has not this one goes on with it.
-func (o *Owner) Moved(m *Message, past Past, taken bool) {
+func (o *Engine) CompleteRelease(m *Message, past Past, taken bool) {
 	o.post(func(now time.Duration) {
 		if o.moving[m.Key] == nil {
 			return
@@ -85,17 +85,17 @@
 		switch {
 		case !taken:
 			o.adopt(now, m, past)
-		case m.Settled != nil:
-			m.Settled()
+		case m.OnClosed != nil:
+			m.OnClosed()
 		}
 	})
 }
 
 // Adopt takes over a message with its past from another process. False: it is open here already, or its hosts could not be spoken to;
 // nothing has changed then.
-func (o *Owner) Adopt(ctx context.Context, m *Message, past Past) (ok bool) {
+func (o *Engine) Adopt(ctx context.Context, m *Message, past Past) (ok bool) {
 	err := o.ask(ctx, func(now time.Duration) {
-		if _, can := o.South.(Resumer); can && o.keys[m.Key] == nil && o.moving[m.Key] == nil && len(past.Attempts) <= o.Settings.MaxAttempts {
+		if _, can := o.Backend.(Resumer); can && o.keys[m.Key] == nil && o.moving[m.Key] == nil && len(past.Attempts) <= o.Settings.MaxAttempts {
 			m.Job, m.Arrived = past.Job, now-past.Ago
 			o.counts.Messages++
 			o.adopt(now, m, past)
@@ -106,11 +106,11 @@
 }
 
 // adopt makes a message with a past one of this owner's.
-func (o *Owner) adopt(now time.Duration, m *Message, past Past) {
+func (o *Engine) adopt(now time.Duration, m *Message, past Past) {
 	o.last++
 	p := &open{Message: m, id: o.last, end: m.Arrived + past.Job.Left}
 	o.jobs[p.id], o.keys[m.Key] = p, p
-	p.timers = append(make([]timerwheel.Timer[timer], 0, 4), o.wheel.Add(max(p.end+Grace, now), timer{open: p}))
+	p.timers = append(make([]timerwheel.Timer[timer], 0, 4), o.wheel.Add(max(p.end+DeadlineGrace, now), timer{open: p}))
 	tries := make([]balance.AttemptRecord, 0, len(past.Attempts))
 	for i, t := range past.Attempts {
 		t.Try.Worker.ID = o.ids.id(t.Host)
@@ -121,7 +121,7 @@
 		}
 		a := &Attempt{Message: m, Host: h.Host, Deadline: p.end, open: p, number: i, sent: now - t.Try.Sent, over: !t.Try.Out, back: t.Back,
 			host: h, status: t.Status}
-		a.Clear = func() bool { return false } // it was sent
+		a.MaySend = func() bool { return false } // it was sent
 		if t.Try.Started {
 			a.began = now - t.Try.Began
 		}
@@ -134,7 +134,7 @@
 			a.taken.Store(true)
 			var ctx context.Context
 			ctx, a.stop = context.WithCancelCause(o.ctx)
-			o.South.(Resumer).Resume(ctx, a)
+			o.Backend.(Resumer).Resume(ctx, a)
 		}
 		p.attempts = append(p.attempts, a)
 		tries = append(tries, t.Try)
@@ -146,13 +146,13 @@
 }
 
 // Learned returns what the module has learnt.
-func (o *Owner) Learned(ctx context.Context) (l *balance.Learned, err error) {
+func (o *Engine) Learned(ctx context.Context) (l *balance.Learned, err error) {
 	err = o.ask(ctx, func(now time.Duration) { l = o.module.Learned(now) })
 	return l, err
 }
 
 // Among says which of how many dispatchers this one is, and how many of them are in its zone, from now on; 0 of 0: as the settings say.
-func (o *Owner) Among(number, dispatchers, inZone int) {
+func (o *Engine) SetDispatchers(number, dispatchers, inZone int) {
 	o.post(func(now time.Duration) {
 		if dispatchers <= 0 {
 			number, dispatchers = o.Settings.Number, o.Settings.Dispatchers
--- a/internal/serve/engine/handover_test.go
+++ b/internal/serve/engine/handover_test.go
@@ -11,8 +11,8 @@
 )
 
 // standing is where an owner says that a message is.
-func standing(o *Owner, m *message) (at Standing) {
-	o.Reported(Report{Key: m.m.Key, From: "s-elsewhere", State: Progress}, func(s Standing) { at = s }, nil)
+func standing(o *Engine, m *message) (at MessageLocation) {
+	o.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Progress}, func(s MessageLocation) { at = s }, nil)
 	synctest.Wait()
 	return at
 }
@@ -27,15 +27,15 @@
 		if b.move(m, true) {
 			t.Fatal("moved on its way to the host")
 		}
-		s.a.Taken()
-		b.sends[1].a.Taken()
+		s.a.MarkAccepted()
+		b.sends[1].a.MarkAccepted()
 		b.wait(4 * time.Second)
 		first := s.ctx
 		past, ok := old.Release(t.Context(), m.m)
 		if !ok || past.Ago != 4*time.Second || len(past.Attempts) != 1 || past.Attempts[0].Try.Sent != 4*time.Second || !past.Attempts[0].Try.Out {
 			t.Fatalf("%v, past %+v", ok, past)
 		}
-		if standing(old, m) != Moving || standing(next, m) != Unknown || !errors.Is(context.Cause(first), ErrReleased) {
+		if standing(old, m) != LocationMoving || standing(next, m) != LocationUnknown || !errors.Is(context.Cause(first), ErrHandedOver) {
 			t.Errorf("at %v and %v, cause %v", standing(old, m), standing(next, m), context.Cause(first))
 		}
 		b.report(s, Done, "while it moves: nobody takes it")
@@ -45,9 +45,9 @@
 		if !next.Adopt(t.Context(), m.m, past) || next.Adopt(t.Context(), m.m, past) {
 			t.Error("adopted never, or twice")
 		}
-		old.Moved(m.m, past, true)
+		old.CompleteRelease(m.m, past, true)
 		synctest.Wait()
-		if standing(old, m) != Unknown || standing(next, m) != Here || len(m.answers) != 0 {
+		if standing(old, m) != LocationUnknown || standing(next, m) != LocationLocal || len(m.answers) != 0 {
 			t.Errorf("at %v and %v, answers %v", standing(old, m), standing(next, m), m.answers)
 		}
 		b.report(s, Done, "level 3")
@@ -57,7 +57,7 @@
 		if !b.move(left, true) {
 			t.Fatal("the second is not taken over")
 		}
-		next.Gone(left.m)
+		next.Disconnected(left.m)
 		synctest.Wait()
 		if s := b.sends[1]; s.o != next || !errors.Is(context.Cause(s.ctx), ErrWithdrawn) {
 			t.Errorf("cause %v", context.Cause(s.ctx))
@@ -76,8 +76,8 @@
 func TestMoveRefused(t *testing.T) {
 	within(t, func(t *testing.T, b *bench) {
 		m := b.submit(warning, 20*time.Second)
-		b.sends[0].a.Taken()
-		if b.move(m, false) || standing(b.both[0], m) != Here || standing(b.both[1], m) != Unknown {
+		b.sends[0].a.MarkAccepted()
+		if b.move(m, false) || standing(b.both[0], m) != LocationLocal || standing(b.both[1], m) != LocationUnknown {
 			t.Fatalf("at %v and %v", standing(b.both[0], m), standing(b.both[1], m))
 		}
 		if !b.move(m, true) {
@@ -101,14 +101,14 @@
 func TestMoveLate(t *testing.T) {
 	within(t, func(t *testing.T, b *bench) {
 		m := b.submit(warning, time.Second)
-		b.sends[0].a.Taken()
+		b.sends[0].a.MarkAccepted()
 		past, ok := b.both[0].Release(t.Context(), m.m)
 		b.wait(2 * time.Second)
 		past.Ago += 2 * time.Second
 		if !ok || !b.both[1].Adopt(t.Context(), m.m, past) {
 			t.Fatal("not taken over")
 		}
-		b.both[0].Moved(m.m, past, true)
+		b.both[0].CompleteRelease(m.m, past, true)
 		b.wait(10 * time.Millisecond)
 		if len(m.answers) != 1 || m.answers[0].Kind != Failed {
 			t.Errorf("answers %v", m.answers)
--- a/internal/serve/engine/host_list.go
+++ b/internal/serve/engine/host_list.go
@@ -10,12 +10,12 @@
 // The list of hosts.
 
 // Reroute says that Config.HostRuns says something else from now on.
-func (o *Owner) Reroute(hostRuns func(kind int) []bool) {
+func (o *Engine) SetHostClasses(hostRuns func(kind int) []bool) {
 	o.post(func(now time.Duration) {
-		o.HostRuns = hostRuns
+		o.HostClasses = hostRuns
 		var all []Host
 		for _, h := range o.hosts {
-			if h.listed && h.Via == nil {
+			if h.listed && h.Backend == nil {
 				all = append(all, h.Host)
 			}
 		}
@@ -24,32 +24,32 @@
 }
 
 // List hands in the inventory, or changes to it. Hosts that came by themselves say nothing of what discovery has.
-func (o *Owner) List(kind balance.ListKind, hosts []Host) {
+func (o *Engine) UpdateHosts(kind balance.ListKind, hosts []Host) {
 	o.post(func(now time.Duration) {
 		o.list(now, kind, hosts)
-		if kind != balance.ListFailed && !slices.ContainsFunc(hosts, func(h Host) bool { return h.Via != nil }) {
+		if kind != balance.ListFailed && !slices.ContainsFunc(hosts, func(h Host) bool { return h.Backend != nil }) {
 			o.module.ListComplete(now)
 		}
 	})
 }
 
 // Sees says whether messages are sent by the list that is held: see balance.Dispatcher.Heard.
-func (o *Owner) Sees() bool { return o.sees.Load() }
+func (o *Engine) HasHostList() bool { return o.sees.Load() }
 
-func (o *Owner) list(now time.Duration, kind balance.ListKind, hosts []Host) {
+func (o *Engine) list(now time.Duration, kind balance.ListKind, hosts []Host) {
 	entries := make([]balance.Worker, 0, len(hosts))
 	listed := map[balance.WorkerID]bool{}
 	var unheard []string
 	for _, h := range hosts {
 		if !o.ever[h.Name] {
 			o.ever[h.Name] = true
-			if h.Via == nil {
+			if h.Backend == nil {
 				unheard = append(unheard, h.Name)
 			}
 		}
 		w := h.Worker
-		if w.ID = o.ids.id(h.Name); h.Via == nil && o.HostRuns != nil {
-			w.Runs = o.HostRuns(w.Kind)
+		if w.ID = o.ids.id(h.Name); h.Backend == nil && o.HostClasses != nil {
+			w.Runs = o.HostClasses(w.Kind)
 		}
 		h.Worker = w
 		listed[w.ID] = true
@@ -69,7 +69,7 @@
 	}
 	if kind == balance.ListFull || kind == balance.ListCached {
 		for id, h := range o.hosts {
-			if h.Via != nil { // the inventory's lists say nothing of it, and to the module this one is all there is
+			if h.Backend != nil { // the inventory's lists say nothing of it, and to the module this one is all there is
 				if h.listed && !listed[id] {
 					entries = append(entries, h.Worker)
 				}
@@ -78,16 +78,16 @@
 			h.listed = h.listed && listed[id]
 			if !listed[id] && !h.shut.Load() {
 				h.shut.Store(true)
-				o.South.Forget(h.Host)
+				o.Backend.Forget(h.Host)
 			}
 		}
 	}
-	if len(unheard) > 0 && o.Listed != nil {
-		o.Listed(unheard)
+	if len(unheard) > 0 && o.OnNewHosts != nil {
+		o.OnNewHosts(unheard)
 	}
 	o.module.List(now, kind, entries)
 	for _, h := range hosts {
-		if h.Via != nil && h.Worker.State == balance.Removed {
+		if h.Backend != nil && h.Worker.State == balance.Removed {
 			o.forget(h.Name)
 		}
 	}
@@ -96,7 +96,7 @@
 
 // forget drops all that is known of a host that came by itself and has gone: there may be any number of names. An
 // operator's word stays.
-func (o *Owner) forget(name string) {
+func (o *Engine) forget(name string) {
 	id := o.ids.id(name)
 	if h := o.hosts[id]; h != nil && h.Worker.State == balance.Removed && !h.offline.Load() { // else it is back already
 		delete(o.hosts, id)
@@ -106,9 +106,9 @@
 }
 
 // south is the side that carries attempts to a host.
-func (o *Owner) south(h Host) South {
-	if h.Via != nil {
-		return h.Via
+func (o *Engine) south(h Host) Backend {
+	if h.Backend != nil {
+		return h.Backend
 	}
-	return o.South
+	return o.Backend
 }
--- a/internal/serve/engine/message.go
+++ b/internal/serve/engine/message.go
@@ -9,12 +9,12 @@
 
 // The life of a message from its arrival to its answer.
 
-func (o *Owner) take(now time.Duration, m *Message) {
+func (o *Engine) take(now time.Duration, m *Message) {
 	if o.keys[m.Key] != nil || o.moving[m.Key] != nil {
 		// The same id twice at once: the first may be running, so this one is neither run nor called harmless.
 		m.Reply(Answer{Kind: Failed})
-		if m.Settled != nil {
-			m.Settled()
+		if m.OnClosed != nil {
+			m.OnClosed()
 		}
 		return
 	}
@@ -22,14 +22,14 @@
 	o.last++
 	p := &open{Message: m, id: o.last, end: m.Arrived + m.Job.Left}
 	o.jobs[p.id], o.keys[m.Key] = p, p
-	p.timers = append(make([]timerwheel.Timer[timer], 0, 4), o.wheel.Add(p.end+Grace, timer{open: p}))
+	p.timers = append(make([]timerwheel.Timer[timer], 0, 4), o.wheel.Add(p.end+DeadlineGrace, timer{open: p}))
 	job := m.Job
 	job.ID, job.Left = p.id, max(0, p.end-now)
 	o.module.Job(now, job)
 }
 
 // answer gives the final answer, once.
-func (o *Owner) answer(p *open, a Answer) {
+func (o *Engine) answer(p *open, a Answer) {
 	if p.answered {
 		return
 	}
@@ -53,30 +53,30 @@
 }
 
 // repeats: its class may be repeated at will.
-func (o *Owner) repeats(p *open) bool {
+func (o *Engine) repeats(p *open) bool {
 	class := p.Job.Class
 	return class >= 0 && class < len(o.Settings.Classes) && o.Settings.Classes[class].Effect == balance.Safe
 }
 
 // settle forgets a message that is answered and has no attempt out. Its timers go with it: left on the wheel they would
 // hold it, with all that the client sent, until its patience is over.
-func (o *Owner) settle(p *open) {
+func (o *Engine) settle(p *open) {
 	if p.answered && p.out == 0 && o.jobs[p.id] == p {
 		delete(o.jobs, p.id)
 		delete(o.keys, p.Key)
 		for _, t := range p.timers {
 			o.wheel.Stop(t)
 		}
-		if o.Seen != nil {
-			o.Seen(p.Message, p.kind, !p.left, p.at, p.attempts)
+		if o.OnMessageClosed != nil {
+			o.OnMessageClosed(p.Message, p.kind, !p.left, p.at, p.attempts)
 		}
-		if p.Settled != nil {
-			p.Settled()
+		if p.OnClosed != nil {
+			p.OnClosed()
 		}
 	}
 }
 
-func (o *Owner) due(now time.Duration, t timer) {
+func (o *Engine) due(now time.Duration, t timer) {
 	switch {
 	case t.tell:
 		o.tell()
--- a/internal/serve/engine/operators.go
+++ b/internal/serve/engine/operators.go
@@ -12,7 +12,7 @@
 
 // Conclude answers all that is open: the program may be killed soon, and what it has not answered by then nobody ever answers. A message
 // of which nothing can have run gets a back-off answer, any other fails. The module hears that the client is done with.
-func (o *Owner) Conclude() {
+func (o *Engine) AnswerOpenMessages() {
 	o.post(func(now time.Duration) {
 		n := 0
 		for _, id := range slices.Sorted(maps.Keys(o.jobs)) { // in the order in which they came
@@ -37,7 +37,7 @@
 
 // SetOffline leaves a host out, or lets it serve again, at an operator's word. It returns once that holds. Known says
 // whether the host was ever listed; one that was not is left as it is, unless it is sure that it was.
-func (o *Owner) SetOffline(ctx context.Context, name string, out, sure bool) (known bool, err error) {
+func (o *Engine) SetOffline(ctx context.Context, name string, out, sure bool) (known bool, err error) {
 	err = o.ask(ctx, func(now time.Duration) {
 		if sure {
 			o.ever[name] = true
@@ -51,10 +51,10 @@
 
 // Hosts returns what the inventory lists, without hosts that came by themselves: a successor that took those for its own
 // would call them.
-func (o *Owner) Hosts(ctx context.Context) (all []Host, err error) {
+func (o *Engine) Hosts(ctx context.Context) (all []Host, err error) {
 	err = o.ask(ctx, func(time.Duration) {
 		for _, h := range o.hosts {
-			if h.listed && h.Via == nil {
+			if h.listed && h.Backend == nil {
 				all = append(all, h.Host)
 			}
 		}
@@ -63,7 +63,7 @@
 }
 
 // ask has the owner do something before all that waits in the queue, and returns when it is done.
-func (o *Owner) ask(ctx context.Context, do event) error {
+func (o *Engine) ask(ctx context.Context, do event) error {
 	done := make(chan struct{})
 	select {
 	case o.lane <- func(now time.Duration) { defer close(done); do(now) }:
@@ -76,7 +76,7 @@
 	}
 }
 
-func (o *Owner) setOffline(now time.Duration, name string, out bool) {
+func (o *Engine) setOffline(now time.Duration, name string, out bool) {
 	id := o.ids.id(name)
 	h := o.hosts[id]
 	if h == nil { // not on the list now; what is kept of it waits for the day
--- a/internal/serve/handover/fdpassing_test.go
+++ b/internal/serve/handover/fdpassing_test.go
@@ -37,7 +37,7 @@
 	record := []byte("\x00\xff\"\n}" + strings.Repeat("level 3 at Caroni ", 1<<12))
 	give := func() ([]byte, bool) { return record, true }
 	client, served := pair(t)
-	if taken, err := old.Pass(served, give); taken || !errors.Is(err, engine.ErrNobody) {
+	if taken, err := old.Pass(served, give); taken || !errors.Is(err, engine.ErrNoPeer) {
 		t.Errorf("passed to nobody: %v, %v", taken, err)
 	}
 	next := start(t, dir)
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -276,7 +276,7 @@
 	l := p.other
 	p.mu.Unlock()
 	if l == nil {
-		return nil, nil, engine.ErrNobody
+		return nil, nil, engine.ErrNoPeer
 	}
 	ctx, stop := context.WithTimeout(context.Background(), p.askWithin)
 	defer stop()
@@ -289,7 +289,7 @@
 	if err != nil {
 		<-p.asks
 		if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) {
-			return nil, nil, engine.ErrNobody
+			return nil, nil, engine.ErrNoPeer
 		}
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
--- a/internal/serve/handover/peer_test.go
+++ b/internal/serve/handover/peer_test.go
@@ -144,7 +144,7 @@
 		if all, _ := f.sockets(); len(all) != 1 {
 			t.Errorf("sockets %v: the stale one is still there", all)
 		}
-		if _, _, err := old.Peer.Callback(nil); !errors.Is(err, engine.ErrNobody) {
+		if _, _, err := old.Peer.Callback(nil); !errors.Is(err, engine.ErrNoPeer) {
 			t.Errorf("asked nobody: %v", err)
 		}
 		next := start(t, dir)
@@ -190,7 +190,7 @@
 		if <-third.shares || third.Live() {
 			t.Error("the end of the old process is not seen")
 		}
-		if _, _, err := third.Peer.Callback(nil); !errors.Is(err, engine.ErrNobody) {
+		if _, _, err := third.Peer.Callback(nil); !errors.Is(err, engine.ErrNoPeer) {
 			t.Errorf("asked one that has ended: %v", err)
 		}
 		third.end()
--- a/internal/serve/inventory/inventory.go
+++ b/internal/serve/inventory/inventory.go
@@ -47,7 +47,7 @@
 
 // Sink takes the lists.
 type Sink interface {
-	List(kind balance.ListKind, hosts []engine.Host)
+	UpdateHosts(kind balance.ListKind, hosts []engine.Host)
 }
 
 // Client watches discovery.
@@ -214,7 +214,7 @@
 		c.hear()
 		return
 	case e.list.Complete && (first || e.list.Revision >= c.since): // only a service that began anew may know less
-		c.Sink.List(balance.ListFull, e.list.Hosts)
+		c.Sink.UpdateHosts(balance.ListFull, e.list.Hosts)
 	case e.list.Revision < c.since:
 		// The watch that stood before had told more than the service at the new address knows yet: to take its older word
 		// would bring back hosts that drain.
@@ -225,7 +225,7 @@
 		c.hear()
 		return
 	case len(e.list.Hosts) > 0 || first:
-		c.Sink.List(balance.ListChanges, e.list.Hosts)
+		c.Sink.UpdateHosts(balance.ListChanges, e.list.Hosts)
 	}
 	c.heard = true
 	c.since = e.list.Revision
@@ -236,7 +236,7 @@
 func (c *Client) hear() {
 	if !c.heard {
 		c.heard = true
-		c.Sink.List(balance.ListChanges, nil)
+		c.Sink.UpdateHosts(balance.ListChanges, nil)
 	}
 }
 
@@ -265,7 +265,7 @@
 		c.again()
 	default:
 		c.standing = nil
-		c.Sink.List(balance.ListFailed, nil)
+		c.Sink.UpdateHosts(balance.ListFailed, nil)
 	}
 }
 
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -46,7 +46,7 @@
 	return near, nil
 }
 
-func (s *service) List(kind balance.ListKind, hosts []engine.Host) {
+func (s *service) UpdateHosts(kind balance.ListKind, hosts []engine.Host) {
 	text := fmt.Sprint("kind ", kind)
 	for _, h := range hosts {
 		text += fmt.Sprintf(" %s state %d zone %d kind %d up %v", h.Name, h.Worker.State, h.Worker.Zone, h.Worker.Kind, h.Worker.Up)
