--- a/cmd/liftgauge/capture.go
+++ b/cmd/liftgauge/capture.go
@@ -91,9 +91,9 @@
 	return -1
 }
 
-func (r *records) figures() []control.Figure {
+func (r *records) figures() []control.Metric {
 	if r == nil {
 		return nil
 	}
-	return []control.Figure{{Name: "captured_total", N: r.Written()}, {Name: "capture_dropped_total", N: r.Dropped()}}
+	return []control.Metric{{Name: "captured_total", Value: r.Written()}, {Name: "capture_dropped_total", Value: r.Dropped()}}
 }
--- a/cmd/liftgauge/main_test.go
+++ b/cmd/liftgauge/main_test.go
@@ -163,19 +163,19 @@
 	start   time.Time
 }
 
-func (c *clients) Enter(p clientlistener.Phase) {
+func (c *clients) SetPhase(p clientlistener.Phase) {
 	if text := p.String() + " at " + time.Since(c.start).String(); len(c.entered) == 0 || !strings.HasPrefix(c.entered[len(c.entered)-1], p.String()) {
 		c.entered = append(c.entered, text)
 	}
 }
 
-func (c *clients) HandOver() {
+func (c *clients) ReleaseListener() {
 	c.entered = append(c.entered, "handed over at "+time.Since(c.start).String())
 }
 
-func (c *clients) Pass() {}
+func (c *clients) HandOverConnections() {}
 
-func (c *clients) Rest() int { return int(c.Open()) }
+func (c *clients) CloseIdle() int { return int(c.Open()) }
 
 func (c *clients) Open() int64 {
 	if time.Now().Before(c.until) {
--- a/cmd/liftgauge/members.go
+++ b/cmd/liftgauge/members.go
@@ -49,7 +49,7 @@
 }
 
 // figures are its counts; none where membership is off.
-func (f *fellows) figures() []control.Figure {
+func (f *fellows) figures() []control.Metric {
 	if f == nil {
 		return nil
 	}
@@ -58,9 +58,9 @@
 	if p.Known {
 		known = 1
 	}
-	return []control.Figure{{Name: "membership_in_touch", N: known}, {Name: "membership_members", N: int64(p.Members)}, {Name: "membership_sent_total", N: c.Sent},
-		{Name: "membership_received_total", N: c.Received}, {Name: "membership_refused_total", N: c.Refused},
-		{Name: "membership_dropped_total", N: c.Foreign + c.Newer + c.Malformed}}
+	return []control.Metric{{Name: "membership_in_touch", Value: known}, {Name: "membership_members", Value: int64(p.Members)}, {Name: "membership_sent_total", Value: c.Sent},
+		{Name: "membership_received_total", Value: c.Received}, {Name: "membership_refused_total", Value: c.Refused},
+		{Name: "membership_dropped_total", Value: c.Foreign + c.Newer + c.Malformed}}
 }
 
 // status is what operators are told; nil where membership is off.
--- a/cmd/liftgauge/pulls.go
+++ b/cmd/liftgauge/pulls.go
@@ -108,21 +108,21 @@
 }
 
 // figures are the Gearman side's, and how the bytes held stand.
-func (p *pulls) figures(bytes *budget.Budget) []control.Figure {
+func (p *pulls) figures(bytes *budget.Budget) []control.Metric {
 	if p == nil { // the platform's figures stay what they are
 		return nil
 	}
-	all := []control.Figure{{Name: "held_bytes", N: bytes.Held()}, {Name: "held_bytes_peak", N: bytes.Peak()}, {Name: "held_turned_total", N: bytes.Turned()}}
+	all := []control.Metric{{Name: "held_bytes", Value: bytes.Held()}, {Name: "held_bytes_peak", Value: bytes.Peak()}, {Name: "held_turned_total", Value: bytes.Turned()}}
 	c := p.Counts()
-	for _, f := range []control.Figure{
-		{Name: "submitted_total", N: c.Submitted}, {Name: "attached_total", N: c.Attached}, {Name: "served_total", N: c.Served},
-		{Name: "failed_total", N: c.Failed}, {Name: "refused_total", N: c.BackOffs}, {Name: "abandoned_total", N: c.Abandoned},
-		{Name: "turned_total", N: c.Turned}, {Name: "assigned_total", N: c.Assigned}, {Name: "no_jobs_total", N: c.NoJobs},
-		{Name: "late_words_total", N: c.Late}, {Name: "silent_total", N: c.Silent}, {Name: "overdue_total", N: c.Overdue},
-		{Name: "slow_readers_total", N: c.Slow}, {Name: "malformed_total", N: c.Malformed}, {Name: "background_cut_total", N: c.BackgroundLost},
-		{Name: "connections", N: c.Connections}, {Name: "workers", N: c.Workers}, {Name: "waiting", N: c.Waiting}, {Name: "running", N: c.Running},
+	for _, f := range []control.Metric{
+		{Name: "submitted_total", Value: c.Submitted}, {Name: "attached_total", Value: c.Attached}, {Name: "served_total", Value: c.Served},
+		{Name: "failed_total", Value: c.Failed}, {Name: "refused_total", Value: c.BackOffs}, {Name: "abandoned_total", Value: c.Abandoned},
+		{Name: "turned_total", Value: c.Turned}, {Name: "assigned_total", Value: c.Assigned}, {Name: "no_jobs_total", Value: c.NoJobs},
+		{Name: "late_words_total", Value: c.Late}, {Name: "silent_total", Value: c.Silent}, {Name: "overdue_total", Value: c.Overdue},
+		{Name: "slow_readers_total", Value: c.Slow}, {Name: "malformed_total", Value: c.Malformed}, {Name: "background_cut_total", Value: c.BackgroundLost},
+		{Name: "connections", Value: c.Connections}, {Name: "workers", Value: c.Workers}, {Name: "waiting", Value: c.Waiting}, {Name: "running", Value: c.Running},
 	} {
-		all = append(all, control.Figure{Name: "gearman_" + f.Name, N: f.N})
+		all = append(all, control.Metric{Name: "gearman_" + f.Name, Value: f.Value})
 	}
 	return all
 }
@@ -161,14 +161,14 @@
 	pulls   *pulls
 }
 
-func (b both) Enter(p clientlistener.Phase) {
-	b.clients.Enter(p)
+func (b both) SetPhase(p clientlistener.Phase) {
+	b.clients.SetPhase(p)
 	b.pulls.Enter(gearman.Phase(p)) // they go alike
 }
 func (b both) Open() int64 { return b.clients.Open() + b.pulls.Open() }
-func (b both) HandOver() {
-	b.clients.HandOver()
+func (b both) ReleaseListener() {
+	b.clients.ReleaseListener()
 	b.pulls.HandOver()
 }
-func (b both) Pass()     { b.clients.Pass() } // a Gearman client knows its job by a handle of this process
-func (b both) Rest() int { return b.clients.Rest() + b.pulls.Rest() }
+func (b both) HandOverConnections() { b.clients.HandOverConnections() } // a Gearman client knows its job by a handle of this process
+func (b both) CloseIdle() int       { return b.clients.CloseIdle() + b.pulls.Rest() }
--- a/cmd/liftgauge/serve.go
+++ b/cmd/liftgauge/serve.go
@@ -139,12 +139,12 @@
 	n.pulls = pulls
 	loads := load.New(c.Loads, log)
 	northConns, southConns, pullConns := n.room(c.Sockets, c.Memory)
-	hosts := backend.New(backend.Config{Sink: sink, ConnectTimeout: c.Settings.ConnectTimeout, Keepalive: c.Keepalive,
-		MaxConns: southConns, Copies: c.Settings.SecondCopies, Loads: loads, Now: now, Log: log})
+	hosts := backend.New(backend.Config{Sink: sink, ConnectTimeout: c.Settings.ConnectTimeout, HostIdleTimeout: c.Keepalive,
+		MaxConns: southConns, ConcurrentAttempts: c.Settings.SecondCopies, Loads: loads, Now: now, Log: log})
 	list := inventory.New(c.Discovery, known.Revision, c.Zones, c.Kinds, log)
 	list.Sink = sink
 	list.Pushed = !c.Settings.ListOnRequest
-	list.Spread = min(time.Duration(c.Settings.Dispatchers)*remakeFor, longestRemake)
+	list.ReconnectSpread = min(time.Duration(c.Settings.Dispatchers)*remakeFor, longestRemake)
 	module := c.Settings
 	module.Classes = own.table.Classes()
 	module.WaitForList = true
@@ -155,8 +155,8 @@
 	}
 	sink.Engine = engine.New(engine.Config{OnMessageClosed: records.seen(), Settings: module, HostClasses: own.table.HostClasses, Seed: c.Seed, InitialHosts: known.Hosts, Backend: hosts,
 		Inventory: list, Now: now, QueueSize: 4096, Log: log, Check: check,
-		HostsInherited: n.follows, InitialLearned: n.learned, EverListed: state.Listed, InitialOffline: state.Offline, OnNewHosts: n.store.Listed})
-	var other clientlistener.Other
+		HostsInherited: n.follows, InitialLearned: n.learned, EverListed: state.Listed, InitialOffline: state.Offline, OnNewHosts: n.store.AddListed})
+	var other clientlistener.Peer
 	if n.peer != nil {
 		other = n.peer
 	}
@@ -167,11 +167,11 @@
 			Shutdown: cancel, Now: now, Log: log, Check: check})
 		wrap = pulls.wrap(c.Classes)
 	}
-	clients := clientlistener.New(clientlistener.Config{Desk: sink, Sees: sink.HasHostList, Wrap: wrap, Subject: records.subject(), Other: other, Classes: c.Classes, Limits: c.Settings.Classes,
-		MaxConns: northConns, Loads: loads, Budget: bytes, LastAnswer: lastAnswer, Now: now, Log: log, Check: check})
+	clients := clientlistener.New(clientlistener.Config{Engine: sink, HasHostList: sink.HasHostList, WrapPayload: wrap, HashSubject: records.subject(), Peer: other, Classes: c.Classes, Limits: c.Settings.Classes,
+		MaxConns: northConns, Loads: loads, Budget: bytes, ShutdownAnswerTimeout: lastAnswer, Now: now, Log: log, Check: check})
 	n.owner, n.clients, n.hosts, n.list, n.bytes = sink.Engine, clients, hosts, list, bytes
 	if n.peer != nil {
-		n.Share(n.peer.Live())
+		n.SetSharing(n.peer.Connected())
 	}
 	log.Info("serving", "name", c.Name, "listen", c.Listen, "hosts", len(known.Hosts))
 
@@ -186,8 +186,8 @@
 	group, run := errgroup.WithContext(run)
 	group.Go(func() error { return clients.Run(run, listener) })
 	if calls != nil {
-		operators := control.New(control.Config{Callers: callers(c), Ready: n.ready, Members: fellows.status(), Drain: clients.Drain, Offline: n.call, Log: log,
-			Figures: func() control.Figures { return figures(c, clients, sink.Engine, pulls, bytes, records, loads, fellows) }})
+		operators := control.New(control.Config{MaxConns: callers(c), Ready: n.ready, Members: fellows.status(), Drain: clients.Drain, SetOffline: n.call, Log: log,
+			Metrics: func() control.Metrics { return figures(c, clients, sink.Engine, pulls, bytes, records, loads, fellows) }})
 		group.Go(func() error { return operators.Run(run, calls) })
 	}
 	if pulls != nil {
@@ -217,7 +217,7 @@
 		return nil
 	})
 	group.Go(func() error {
-		reload(run, hup, c, os.Getenv, list.Move, log, func() error { return pulls.reload(run, o, c, sink.Engine, log) })
+		reload(run, hup, c, os.Getenv, list.SetAddress, log, func() error { return pulls.reload(run, o, c, sink.Engine, log) })
 		return nil
 	})
 	group.Go(func() error {
@@ -229,17 +229,17 @@
 }
 
 // figures gathers the counts, each from where the thing is counted.
-func figures(c *config.Config, clients *clientlistener.Server, o *engine.Engine, pulls *pulls, bytes *budget.Budget, records *records, loads *load.Reader, members *fellows) control.Figures {
-	f := control.Figures{Forwards: o.Forwards(), Outstanding: clients.Outstanding()}
+func figures(c *config.Config, clients *clientlistener.Server, o *engine.Engine, pulls *pulls, bytes *budget.Budget, records *records, loads *load.Reader, members *fellows) control.Metrics {
+	f := control.Metrics{Forwards: o.Forwards(), Outstanding: clients.Outstanding()}
 	f.Discovered, f.Ejected = o.HostCounts()
-	f.More = append(pulls.figures(bytes), records.figures()...)
-	f.More = append(f.More, members.figures()...)
+	f.Extra = append(pulls.figures(bytes), records.figures()...)
+	f.Extra = append(f.Extra, members.figures()...)
 	if loads != nil {
-		f.More = append(f.More, control.Figure{Name: "load_reports_bad_total", N: loads.Bad()})
+		f.Extra = append(f.Extra, control.Metric{Name: "load_reports_bad_total", Value: loads.Bad()})
 	}
 	for i, name := range c.Classes {
 		r := clients.Results(i)
-		f.Classes = append(f.Classes, control.Class{Name: name, Succeeded: r.Succeeded, Declined: r.Declined, Aborted: r.Aborted})
+		f.Classes = append(f.Classes, control.ClassMetrics{Name: name, Succeeded: r.Succeeded, Declined: r.Declined, Aborted: r.Aborted})
 	}
 	return f
 }
@@ -277,11 +277,11 @@
 
 // leaver is what a planned end needs of the north side.
 type leaver interface {
-	Enter(p clientlistener.Phase)
+	SetPhase(p clientlistener.Phase)
 	Open() int64
-	HandOver()
-	Pass() // open messages to a successor
-	Rest() int
+	ReleaseListener()
+	HandOverConnections() // open messages to a successor
+	CloseIdle() int
 }
 
 // leave waits for the signal and sees the planned end through: it returns when every message taken is answered.
@@ -300,10 +300,10 @@
 	}
 	handing := succeeded()
 	log.Info("leaving", "open", clients.Open(), "succeeded", handing)
-	clients.Enter(clientlistener.Leaving)
+	clients.SetPhase(clientlistener.Leaving)
 	if handing {
-		clients.HandOver()
-		clients.Enter(clientlistener.Closing)
+		clients.ReleaseListener()
+		clients.SetPhase(clientlistener.Closing)
 	}
 	start, concluded := time.Now(), false
 	ticks := time.NewTicker(endTick)
@@ -315,8 +315,8 @@
 		}
 		switch since := time.Since(start); {
 		case handing:
-			clients.Pass()
-			if since >= overlap && clients.Rest() == 0 && clients.Open() == 0 {
+			clients.HandOverConnections()
+			if since >= overlap && clients.CloseIdle() == 0 && clients.Open() == 0 {
 				log.Info("left")
 				return
 			}
@@ -324,9 +324,9 @@
 			log.Info("left")
 			return
 		case since >= lastCall:
-			clients.Enter(clientlistener.Ending)
+			clients.SetPhase(clientlistener.Ending)
 		case since >= overlap:
-			clients.Enter(clientlistener.Closing)
+			clients.SetPhase(clientlistener.Closing)
 		}
 		select {
 		case <-ticks.C:
--- a/cmd/liftgauge/upgrade.go
+++ b/cmd/liftgauge/upgrade.go
@@ -62,11 +62,11 @@
 			log.Error("no process found to follow", "err", err)
 		}
 	}
-	n.store = handover.Open(filepath.Join(dir, handover.Name(c.Name, "state")), log)
+	n.store = handover.Open(filepath.Join(dir, handover.FileName(c.Name, "state")), log)
 	if told == nil {
 		return n, known
 	}
-	n.store.Adopt(told.State)
+	n.store.Replace(told.State)
 	if told.Discovery != "" {
 		c.Discovery = told.Discovery
 	}
@@ -88,11 +88,11 @@
 
 // Snapshot tells a successor what this process knows.
 func (n *node) Snapshot(ctx context.Context) (handover.Snapshot, error) {
-	if !n.started.Load() || n.clients.Ending() { // a third process is to follow the one that stays
+	if !n.started.Load() || n.clients.ShuttingDown() { // a third process is to follow the one that stays
 		return handover.Snapshot{}, errors.New("not serving, or no longer")
 	}
 	// The version first: the hosts may then be newer than it says, and changes told twice do no harm.
-	address, revision := n.list.Where()
+	address, revision := n.list.Position()
 	hosts, err := n.owner.Hosts(ctx)
 	if err != nil {
 		return handover.Snapshot{}, err
@@ -117,7 +117,7 @@
 func (n *node) Adopt(record []byte, client net.Conn) bool { return n.clients.Adopt(record, client) }
 
 // Offline carries out an operators' call that came to the other process.
-func (n *node) Offline(ctx context.Context, id string, out, sure bool) (bool, error) {
+func (n *node) SetOffline(ctx context.Context, id string, out, sure bool) (bool, error) {
 	known, err := n.owner.SetOffline(ctx, id, out, sure)
 	if known && err == nil { // the yes promises that it outlives this process
 		err = n.store.SetOffline(id, out)
@@ -129,23 +129,23 @@
 func (n *node) call(ctx context.Context, id string, out bool) (known bool, err error) {
 	n.calls.Lock()
 	defer n.calls.Unlock()
-	if known, err = n.Offline(ctx, id, out, false); err != nil || n.peer == nil {
+	if known, err = n.SetOffline(ctx, id, out, false); err != nil || n.peer == nil {
 		return known, err
 	}
-	there, err := n.peer.Offline(id, out, known)
+	there, err := n.peer.SetOffline(id, out, known)
 	switch {
 	case errors.Is(err, engine.ErrNoPeer):
 		return known, nil
 	case err != nil:
 		return known, fmt.Errorf("the other process: %w", err)
 	case there && !known: // it has heard more of the inventory
-		return n.Offline(ctx, id, out, true)
+		return n.SetOffline(ctx, id, out, true)
 	}
 	return known, nil
 }
 
 // Share begins or ends the time in which another process has half of what this one may use.
-func (n *node) Share(on bool) {
+func (n *node) SetSharing(on bool) {
 	memory, sockets := n.c.Memory, n.c.Sockets
 	if on {
 		memory, sockets = memory/2, sockets/2
@@ -157,7 +157,7 @@
 	n.clients.SetLimit(northConns)
 	n.hosts.SetLimit(southConns)
 	if !on { // the other may have written last, without what only this one knows
-		n.store.Listed(nil)
+		n.store.AddListed(nil)
 	}
 }
 
@@ -175,4 +175,4 @@
 func (n *node) ready() bool { return n.started.Load() && n.clients.Ready() }
 
 // succeeded says whether another process has taken over.
-func (n *node) succeeded() bool { return n.peer != nil && n.peer.Succeeded() }
+func (n *node) succeeded() bool { return n.peer != nil && n.peer.SuccessorReady() }
--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -85,8 +85,8 @@
 	case len(unique) > g.Limits.Unique || len(reducer) > g.Limits.Function:
 		c.turn("unique_too_long", "a unique id may have "+itoa(g.Limits.Unique)+" bytes")
 		return hold
-	case f.RunsOnHosts() && len(data) > work.MaxHTTP:
-		c.turn("data_too_large", "this function's jobs may run on hosts that take "+itoa(work.MaxHTTP)+" bytes")
+	case f.RunsOnHosts() && len(data) > work.MaxHTTPBytes:
+		c.turn("data_too_large", "this function's jobs may run on hosts that take "+itoa(work.MaxHTTPBytes)+" bytes")
 		return hold
 	case s.at() >= Ending:
 		c.turn("shutting_down", "the server ends: try another")
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -448,7 +448,7 @@
 		s.mu.Unlock()
 		c.send(packet.Append[string](nil, packet.NoJob), inline)
 	} else {
-		w := work.Of(a.Message)
+		w := work.FromMessage(a.Message)
 		c.worker.Assigned(now, a, w.Handle, w.Function)
 		s.counts.Assigned++
 		handle, function, unique, data := []byte(w.Handle), []byte(w.Function), []byte(w.Unique), w.Bytes()
@@ -521,7 +521,7 @@
 		s.Log.Debug("gearman: late word", "packet", t, "handle", handle, "worker", c.name)
 		return hold
 	}
-	a, w := r.Attempt, work.Of(r.Attempt.Message)
+	a, w := r.Attempt, work.FromMessage(r.Attempt.Message)
 	parts := c.parts[handle]
 	switch t {
 	case packet.WorkComplete, packet.WorkFail:
@@ -531,7 +531,7 @@
 	case packet.WorkException:
 		r.Excepted = true
 	case packet.WorkData:
-		if !w.Streams && len(parts) <= work.MaxHTTP { // more than that no client of this kind can be given
+		if !w.Streams && len(parts) <= work.MaxHTTPBytes { // more than that no client of this kind can be given
 			c.parts[handle] = append(parts, args[1]...)
 		}
 	}
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -544,7 +544,7 @@
 			t.Fatalf("%d sends", len(w.http))
 		}
 		a := w.http[0]
-		call := work.Of(a.Message).HTTP()
+		call := work.FromMessage(a.Message).HTTP()
 		if key, _ := call.Fields.Get("Idempotency-Key"); len(key) != 32 || call.Target != "/"+reading || call.Method != "POST" || string(call.Body) != "level 3" {
 			t.Errorf("%+v", call)
 		}
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -387,7 +387,7 @@
 // ended reports an attempt's end. The hold on its data goes with it.
 func (s *Server) ended(a *engine.Attempt, status balance.Status) {
 	s.Desk.AttemptEnded(a, status)
-	work.Of(a.Message).Held().Drop()
+	work.FromMessage(a.Message).Held().Drop()
 }
 
 // touch has the lister look at a worker. The lock is held.
@@ -487,7 +487,7 @@
 
 // Send keeps an attempt for the worker that the module picked, until it asks. It is called from the owner's goroutine.
 func (s *Server) Send(ctx context.Context, a *engine.Attempt) {
-	w := work.Of(a.Message)
+	w := work.FromMessage(a.Message)
 	if w == nil {
 		s.tasks.Go(func() error { s.Desk.AttemptEnded(a, balance.NotSent); return nil })
 		return
@@ -528,7 +528,7 @@
 	dropped := c.worker.Drop(a)
 	if dropped {
 		s.active--
-	} else if r := c.worker.Run(work.Of(a.Message).Handle); r != nil && r.Attempt == a {
+	} else if r := c.worker.Run(work.FromMessage(a.Message).Handle); r != nil && r.Attempt == a {
 		r.Over = true
 		s.touch(c)
 	}
--- a/internal/serve/backend/client.go
+++ b/internal/serve/backend/client.go
@@ -40,16 +40,16 @@
 
 // Config is what a Client needs.
 type Config struct {
-	Sink           Sink
-	ConnectTimeout time.Duration
-	Keepalive      time.Duration // hosts close what stood idle so long
-	MaxConns       int
+	Sink            Sink
+	ConnectTimeout  time.Duration
+	HostIdleTimeout time.Duration // hosts close what stood idle so long
+	MaxConns        int
 	// Copies says that a message may be with two hosts at once: whether a host has heard that an attempt is given up is then asked once.
-	Copies bool
-	Loads  *load.Reader // of hosts' load reports; nil where they have none
-	Now    func() time.Duration
-	Log    *slog.Logger
-	Dial   func(ctx context.Context, address string) (net.Conn, error)
+	ConcurrentAttempts bool
+	Loads              *load.Reader // of hosts' load reports; nil where they have none
+	Now                func() time.Duration
+	Log                *slog.Logger
+	Dial               func(ctx context.Context, address string) (net.Conn, error)
 }
 
 // Client is the south side. It implements engine.South.
@@ -138,7 +138,7 @@
 		switch {
 		case c.giveUp(a):
 			return heard
-		case c.Copies || c.Now()+pause >= a.Deadline:
+		case c.ConcurrentAttempts || c.Now()+pause >= a.Deadline:
 			return balance.TimedOut
 		}
 		select {
@@ -153,14 +153,14 @@
 func (c *Client) Resume(ctx context.Context, a *engine.Attempt) { c.spawn(func() { c.settle(ctx, a) }) }
 
 // Caller is a payload that can be passed on as a call, whatever its client spoke.
-type Caller interface{ HTTP() *http1.Call }
+type HTTPPayload interface{ HTTP() *http1.Call }
 
 // callOf is a message as it is passed on, or nil.
 func callOf(m *engine.Message) *http1.Call {
 	switch p := m.Payload.(type) {
 	case *http1.Call:
 		return p
-	case Caller:
+	case HTTPPayload:
 		return p.HTTP()
 	}
 	return nil
--- a/internal/serve/backend/client_test.go
+++ b/internal/serve/backend/client_test.go
@@ -211,7 +211,7 @@
 func within(t *testing.T, conns int, test func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, host: &host{}, to: engine.Host{Name: "s-1", Address: "10.0.0.1:1"}}
-		w.c = New(Config{Sink: w.host, ConnectTimeout: connect, Keepalive: keepalive, MaxConns: conns, Dial: w.dial,
+		w.c = New(Config{Sink: w.host, ConnectTimeout: connect, HostIdleTimeout: keepalive, MaxConns: conns, Dial: w.dial,
 			Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/serve/backend/pool.go
+++ b/internal/serve/backend/pool.go
@@ -53,7 +53,7 @@
 
 func newPool(c Config) *pool {
 	// Well before a host's machine would close it: a request that crosses such a close may have run.
-	return &pool{Config: c, idleFor: max(c.Keepalive*3/4, 8*time.Millisecond), hosts: map[string]*hostPool{}, limit: c.MaxConns}
+	return &pool{Config: c, idleFor: max(c.HostIdleTimeout*3/4, 8*time.Millisecond), hosts: map[string]*hostPool{}, limit: c.MaxConns}
 }
 
 // setLimit changes how many may be open. Idle ones over it are closed.
--- a/internal/serve/backend/races_test.go
+++ b/internal/serve/backend/races_test.go
@@ -48,7 +48,7 @@
 func client(t *testing.T) (*Client, outcomes) {
 	t.Helper()
 	o := outcomes{make(chan balance.Status, 16), make(chan balance.Status, 16)}
-	c := New(Config{Sink: o, ConnectTimeout: time.Minute, Keepalive: time.Hour, MaxConns: 8,
+	c := New(Config{Sink: o, ConnectTimeout: time.Minute, HostIdleTimeout: time.Hour, MaxConns: 8,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -145,7 +145,7 @@
 func TestUnheardWithdrawal(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		c, o := client(t)
-		c.Copies = copies
+		c.ConcurrentAttempts = copies
 		calls := make(chan string, 8)
 		lose := func(_ net.Conn, r *http1.Reader) { calls <- request(r) }
 		to := peer(t, func(conn net.Conn, r *http1.Reader) {
--- a/internal/serve/clientlistener/conn.go
+++ b/internal/serve/clientlistener/conn.go
@@ -280,8 +280,8 @@
 	}
 	c.SetReadDeadline(time.Time{})
 	call.Body, call.Hold = body, hold
-	if c.s.Wrap != nil {
-		m.Payload = c.s.Wrap(m.Job.Class, call)
+	if c.s.WrapPayload != nil {
+		m.Payload = c.s.WrapPayload(m.Job.Class, call)
 	}
 	c.s.arrive(m) // a request counts from its last byte
 	return c.await(m, hold, ends, full), nil
@@ -316,7 +316,7 @@
 	c.s.taken.Add(1)
 	reply := c.expect(m, hold)
 	// What is turned away here has reached no host: trying again is harmless.
-	if full || c.s.at() >= Ending || !c.s.Desk.Submit(m) {
+	if full || c.s.at() >= Ending || !c.s.Engine.Submit(m) {
 		hold.Drop()
 		c.s.end(m.Job.Class, declined)
 		return c.finish(503, last || c.s.at() >= Closing, nil, nil)
@@ -369,7 +369,7 @@
 			case errors.Is(err, bufio.ErrBufferFull): // of a client that sends so much ahead no leaving is seen
 				gone = nil
 			case err != nil:
-				c.s.Desk.Disconnected(m)
+				c.s.Engine.Disconnected(m)
 				c.s.end(class, aborted)
 				return false
 			default: // the next request has come early, and waits in the buffer
--- a/internal/serve/clientlistener/handover.go
+++ b/internal/serve/clientlistener/handover.go
@@ -54,11 +54,11 @@
 }
 
 // passes says whether what is open goes over to that process.
-func (s *Server) passes() bool { return s.left() && s.Other != nil && s.Other.Live() }
+func (s *Server) passes() bool { return s.left() && s.Peer != nil && s.Peer.Connected() }
 
 // Pass asks for all messages that wait for answers to go over to the successor. It does not wait for them, and those that cannot go now
 // stay: it is to be called again.
-func (s *Server) Pass() {
+func (s *Server) HandOverConnections() {
 	if !s.passes() {
 		return
 	}
@@ -93,8 +93,8 @@
 	}
 	var past engine.Past
 	released := false
-	taken, err := c.s.Other.Pass(c.Conn, func() ([]byte, bool) {
-		if past, released = c.s.Desk.Release(c.s.run, m); !released {
+	taken, err := c.s.Peer.PassConnection(c.Conn, func() ([]byte, bool) {
+		if past, released = c.s.Engine.Release(c.s.run, m); !released {
 			return nil, false
 		}
 		body, err := cbor.Marshal(&record{Key: m.Key, Method: call.Method, Target: call.Target, Fields: call.Fields, Body: call.Body,
@@ -104,7 +104,7 @@
 	if !released {
 		return false
 	}
-	c.s.Desk.CompleteRelease(m, past, taken)
+	c.s.Engine.CompleteRelease(m, past, taken)
 	if !taken {
 		c.s.Log.Debug("message not handed over", "message", m.Key, "err", err)
 		return false
@@ -146,8 +146,8 @@
 	defer hold.Drop()
 	call := &http1.Call{ID: r.Key, Method: r.Method, Target: r.Target, Fields: r.Fields, Body: hold.Buffer()[:copy(hold.Buffer(), r.Body)], Hold: hold}
 	m := &engine.Message{Key: r.Key, Payload: call, Subject: r.Subject, Job: r.Past.Job}
-	if s.Wrap != nil {
-		m.Payload = s.Wrap(class, call)
+	if s.WrapPayload != nil {
+		m.Payload = s.WrapPayload(class, call)
 	}
 	select {
 	case s.slots <- struct{}{}:
@@ -177,7 +177,7 @@
 	}
 	s.open.Add(1)
 	s.taken.Add(1)
-	ok := s.Desk.Adopt(s.run, m, r.Past)
+	ok := s.Engine.Adopt(s.run, m, r.Past)
 	if !ok {
 		hold.Drop()
 		s.open.Add(-1)
--- a/internal/serve/clientlistener/handover_test.go
+++ b/internal/serve/clientlistener/handover_test.go
@@ -21,10 +21,10 @@
 		next.adopts = true
 		serve(next.t, 64, func(old *world) {
 			o := &other{live: true, status: 204, known: true, next: next.s}
-			old.releases, old.silent, old.s.Other = true, true, o
-			old.s.Enter(Leaving)
-			old.s.HandOver()
-			old.s.Enter(Closing)
+			old.releases, old.silent, old.s.Peer = true, true, o
+			old.s.SetPhase(Leaving)
+			old.s.ReleaseListener()
+			old.s.SetPhase(Closing)
 			test(old, next, o)
 		})
 	})
@@ -35,7 +35,7 @@
 func TestPass(t *testing.T) {
 	upgrade(t, func(old, next *world, o *other) {
 		old.send(job + "\r\nhigh")
-		old.s.Pass()
+		old.s.HandOverConnections()
 		old.wait(time.Second)
 		if got := strings.Join(old.answers, ","); got != "200 next" || old.closed || len(next.taken) != 1 {
 			t.Fatalf("answers %q, closed %v, %d messages there", got, old.closed, len(next.taken))
@@ -80,7 +80,7 @@
 			upgrade(t, func(old, next *world, o *other) {
 				old.send(job + "\r\nhigh" + c.send)
 				c.set(old, next, o)
-				old.s.Pass()
+				old.s.HandOverConnections()
 				synctest.Wait()
 				old.taken[0].Reply(engine.Answer{Kind: engine.Served, Result: []byte("old")})
 				old.wait(time.Second)
@@ -97,7 +97,7 @@
 	upgrade(t, func(old, next *world, _ *other) {
 		next.silent = true
 		old.send(job + "\r\nhigh")
-		old.s.Pass()
+		old.s.HandOverConnections()
 		synctest.Wait()
 		old.Close()
 		synctest.Wait()
@@ -112,7 +112,7 @@
 // first, is dealt with where it is now; one for a message on its way is to be said again.
 func TestCallbackCrossing(t *testing.T) {
 	within(t, 64, func(w *world) {
-		w.s.Other = &other{live: true, status: 204}
+		w.s.Peer = &other{live: true, status: 204}
 		w.play(step{send: callback(report), set: desk{foreign: true}, want: "204"}, 0)
 		if len(w.reports) != 2 {
 			t.Errorf("looked for %d times", len(w.reports))
--- a/internal/serve/clientlistener/message.go
+++ b/internal/serve/clientlistener/message.go
@@ -70,12 +70,12 @@
 		}
 	}
 	m := &engine.Message{Key: id, Job: job, Payload: call}
-	if s.Subject != nil {
+	if s.HashSubject != nil {
 		key, _ := head.Fields.Get("Req-Key")
 		if key == "" {
 			key, _ = head.Fields.Get("Idempotency-Key")
 		}
-		m.Subject = s.Subject(key)
+		m.Subject = s.HashSubject(key)
 	}
 	return m, call, nil
 }
@@ -83,7 +83,7 @@
 // arrive notes that all of a message has come.
 func (s *Server) arrive(m *engine.Message) {
 	m.Arrived = s.Now()
-	if s.Ending() && !s.passes() { // the program may be killed soon after: what it has not answered by then would be lost
+	if s.ShuttingDown() && !s.passes() { // the program may be killed soon after: what it has not answered by then would be lost
 		m.Job.Left = min(m.Job.Left, max(0, time.Duration(s.last.Load())-m.Arrived))
 	}
 	m.Job.Left = s.drain.left(m.Arrived, m.Job.Left)
@@ -145,12 +145,12 @@
 
 // callback deals with a host's call. While another process serves at the same address the message may be that one's.
 func (s *Server) callback(body []byte, hold *budget.Hold) (status int, reason []byte) {
-	other := s.Other != nil && s.Other.Live()
+	other := s.Peer != nil && s.Peer.Connected()
 	status, known, reason := s.report(body, other, hold)
 	if status != 204 || known || !other {
 		return status, reason
 	}
-	switch status, there, err := s.Other.Callback(body); {
+	switch status, there, err := s.Peer.Callback(body); {
 	case err == nil && status == 204 && !there: // the message may have come here while the other looked
 		status, _, reason = s.report(body, false, hold)
 		return status, reason
@@ -191,7 +191,7 @@
 		tell = func(standing engine.MessageLocation) { told <- standing }
 	}
 	hold.Share()
-	if !s.Desk.HandleReport(report, tell, hold.Drop) {
+	if !s.Engine.HandleReport(report, tell, hold.Drop) {
 		hold.Drop()
 		return 503, false, nil // the host says it again
 	}
--- a/internal/serve/clientlistener/races_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -32,7 +32,7 @@
 func listening(t *testing.T) (*Server, inbox, string) {
 	t.Helper()
 	b := inbox{make(chan *engine.Message, 8), make(chan *engine.Message, 8)}
-	s := New(Config{Desk: b, Classes: []string{"a"}, Limits: []balance.Class{{Limit: time.Hour}}, MaxConns: 16, LastAnswer: time.Hour,
+	s := New(Config{Engine: b, Classes: []string{"a"}, Limits: []balance.Class{{Limit: time.Hour}}, MaxConns: 16, ShutdownAnswerTimeout: time.Hour,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -186,13 +186,13 @@
 		}
 		s.mu.Unlock()
 	}
-	s.Enter(Ending)
+	s.SetPhase(Ending)
 	for _, c := range all {
 		if n, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("%d bytes, %v", n, err)
 		}
 	}
-	for s.Rest() > 0 {
+	for s.CloseIdle() > 0 {
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serve/clientlistener/server.go
+++ b/internal/serve/clientlistener/server.go
@@ -33,7 +33,7 @@
 )
 
 // Desk takes messages and call-backs.
-type Desk interface {
+type Engine interface {
 	Submit(m *engine.Message) bool
 	Disconnected(m *engine.Message)
 	HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool
@@ -45,34 +45,34 @@
 }
 
 // Other is another process at the same address: a call-back may come to either.
-type Other interface {
-	Live() bool
+type Peer interface {
+	Connected() bool
 	// Callback has the other deal with a call-back, and returns the status that answers it and whether its message was open there.
 	Callback(body []byte) (status int, known bool, err error)
 	// Pass hands a client's connection and the record of the message that waits there to a successor. The record is asked for once;
 	// false says that it cannot be made now.
-	Pass(client net.Conn, record func() ([]byte, bool)) (taken bool, err error)
+	PassConnection(client net.Conn, record func() ([]byte, bool)) (taken bool, err error)
 }
 
 // Config is what a Server needs.
 type Config struct {
-	Desk     Desk
-	Other    Other           // may be nil
-	Sees     func() bool     // whether the list of hosts may be gone by; nil: always
-	Classes  []string        // names, by the module's number
-	Limits   []balance.Class // of the same
-	MaxConns int
-	Loads    *load.Reader // of hosts' load reports; nil where they have none
+	Engine      Engine
+	Peer        Peer            // may be nil
+	HasHostList func() bool     // whether the list of hosts may be gone by; nil: always
+	Classes     []string        // names, by the module's number
+	Limits      []balance.Class // of the same
+	MaxConns    int
+	Loads       *load.Reader // of hosts' load reports; nil where they have none
 	// Subject hashes what a message is about, for records; nil where none are kept.
-	Subject func(key string) uint64
+	HashSubject func(key string) uint64
 	// Wrap makes the payload that other sides understand; nil where there are only hosts that speak HTTP.
-	Wrap   func(class int, call *http1.Call) any
-	Budget *budget.Budget // of what messages and call-backs hold; nil for one of 48 MB and 16 MB
+	WrapPayload func(class int, call *http1.Call) any
+	Budget      *budget.Budget // of what messages and call-backs hold; nil for one of 48 MB and 16 MB
 	// LastAnswer is how long after the beginning of a planned end what is taken in it must be answered.
-	LastAnswer time.Duration
-	Now        func() time.Duration
-	Log        *slog.Logger
-	Check      *invariant.Checker
+	ShutdownAnswerTimeout time.Duration
+	Now                   func() time.Duration
+	Log                   *slog.Logger
+	Check                 *invariant.Checker
 }
 
 // Phase is how far a planned end has come.
@@ -171,9 +171,9 @@
 func (s *Server) Open() int64 { return s.open.Load() }
 
 // Enter begins a phase.
-func (s *Server) Enter(p Phase) {
+func (s *Server) SetPhase(p Phase) {
 	if p == Leaving {
-		s.last.Store(int64(s.Now() + s.LastAnswer))
+		s.last.Store(int64(s.Now() + s.ShutdownAnswerTimeout))
 	}
 	s.phase.Store(int32(p))
 	if p >= Ending {
@@ -196,10 +196,10 @@
 func (s *Server) at() Phase { return max(Phase(s.phase.Load()), s.drain.at(s.Now())) }
 
 // Ending says whether a planned end is under way.
-func (s *Server) Ending() bool { return Phase(s.phase.Load()) != Serving }
+func (s *Server) ShuttingDown() bool { return Phase(s.phase.Load()) != Serving }
 
 // Ready says whether clients are welcome.
-func (s *Server) Ready() bool { return s.at() == Serving && (s.Sees == nil || s.Sees()) }
+func (s *Server) Ready() bool { return s.at() == Serving && (s.HasHostList == nil || s.HasHostList()) }
 
 // Run accepts connections until the context ends, then closes all that are left.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
@@ -278,7 +278,7 @@
 
 // HandOver leaves the listener to another process that has it too: it is closed, not shut down. The connections that are
 // open go on, and one that an accept still under way takes is served. It is called once at most.
-func (s *Server) HandOver() {
+func (s *Server) ReleaseListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.handed)
@@ -288,7 +288,7 @@
 }
 
 // Rest closes the connections that are idle and reports how many are left.
-func (s *Server) Rest() int {
+func (s *Server) CloseIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shutIdle()
--- a/internal/serve/clientlistener/server_test.go
+++ b/internal/serve/clientlistener/server_test.go
@@ -207,7 +207,7 @@
 func serve(t *testing.T, conns int, test func(*world)) {
 	w := &world{t: t, l: pipes{make(chan net.Conn), make(chan struct{}, 1)}}
 	limit := []balance.Class{{Limit: 5 * time.Second}, {Limit: 5 * time.Second}}
-	w.s = New(Config{Desk: w, Classes: []string{"gauge-reading", "send-warning"}, Limits: limit, MaxConns: conns, LastAnswer: 3 * time.Second,
+	w.s = New(Config{Engine: w, Classes: []string{"gauge-reading", "send-warning"}, Limits: limit, MaxConns: conns, ShutdownAnswerTimeout: 3 * time.Second,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -357,14 +357,14 @@
 		idle, other := w.dial(), w.dial()
 		w.client = other
 		w.play(step{send: callback(report), want: "204", open: 1}, 0)
-		w.s.Enter(Leaving)
+		w.s.SetPhase(Leaving)
 		w.client = idle
 		w.play(step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", open: 1}, 0)
 		w.play(step{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", taken: 1, open: 1}, 0)
 		if idle.closed {
 			t.Error("an idle connection is closed before the front has noticed")
 		}
-		w.s.Enter(Closing)
+		w.s.SetPhase(Closing)
 		synctest.Wait()
 		if idle.closed || other.closed {
 			t.Errorf("idle closed %v, %v: their clients may have nobody else", idle.closed, other.closed)
@@ -375,7 +375,7 @@
 			t.Errorf("patience %v with two seconds to the last answer", left)
 		}
 		w.play(step{send: callback(report), want: "204", ends: true, open: 1}, 0)
-		w.s.Enter(Ending)
+		w.s.SetPhase(Ending)
 		synctest.Wait()
 		if !other.closed || waiting.closed {
 			t.Errorf("idle closed %v, waiting closed %v", other.closed, waiting.closed)
@@ -549,8 +549,8 @@
 	asked  int
 }
 
-func (o *other) Live() bool { return o.live }
-func (o *other) Pass(client net.Conn, record func() ([]byte, bool)) (bool, error) {
+func (o *other) Connected() bool { return o.live }
+func (o *other) PassConnection(client net.Conn, record func() ([]byte, bool)) (bool, error) {
 	o.asked++
 	if text, ok := record(); ok && o.next != nil {
 		client.(*shared).more.Add(1)
@@ -580,7 +580,7 @@
 		{other{live: false, status: 503}, true, "204", 0},
 	} {
 		within(t, 64, func(w *world) {
-			w.s.Other = &c.other
+			w.s.Peer = &c.other
 			w.play(step{send: callback(report), set: desk{foreign: c.foreign}, want: c.want}, 0)
 			if len(c.other.bodies) != c.asked || c.asked > 0 && c.other.bodies[0] != report {
 				t.Errorf("%+v: asked %q", c, c.other.bodies)
@@ -600,9 +600,9 @@
 		idle := w.client
 		w.client = w.dial()
 		w.play(step{send: callback(report), want: "204"}, 0)
-		w.s.Enter(Leaving)
-		w.s.HandOver()
-		w.s.Enter(Closing)
+		w.s.SetPhase(Leaving)
+		w.s.ReleaseListener()
+		w.s.SetPhase(Closing)
 		synctest.Wait()
 		if _, open := <-w.l.calls; open {
 			t.Error("the listener is still open")
@@ -611,11 +611,11 @@
 		if idle.closed {
 			t.Error("idle closed early")
 		}
-		if left := w.s.Rest(); left > 1 {
+		if left := w.s.CloseIdle(); left > 1 {
 			t.Errorf("%d left", left)
 		}
 		synctest.Wait()
-		if left := w.s.Rest(); !idle.closed || left != 0 {
+		if left := w.s.CloseIdle(); !idle.closed || left != 0 {
 			t.Errorf("idle closed %v, %d left", idle.closed, left)
 		}
 	})
@@ -627,13 +627,13 @@
 	served := desk{answer: engine.Answer{Kind: engine.Served}}
 	within(t, 64, func(w *world) {
 		w.l.busy <- struct{}{}
-		w.s.Enter(Leaving)
-		w.s.HandOver()
-		w.s.Enter(Closing)
+		w.s.SetPhase(Leaving)
+		w.s.ReleaseListener()
+		w.s.SetPhase(Closing)
 		w.play(step{send: job + "\r\nhigh", set: served, want: "200", ends: true, taken: 1}, 0)
 		w.client = w.dial()
 		w.play(step{send: job + "\r\nhigh", set: served, want: "200", ends: true, taken: 1}, 0)
-		if left := w.s.Rest(); left != 0 {
+		if left := w.s.CloseIdle(); left != 0 {
 			t.Errorf("%d left", left)
 		}
 		time.AfterFunc(time.Minute, func() { <-w.l.busy })
--- a/internal/serve/control/control.go
+++ b/internal/serve/control/control.go
@@ -29,14 +29,14 @@
 
 // Config is what a Server needs. The functions may be called by several callers at once.
 type Config struct {
-	Callers int // how many may be connected
+	MaxConns int // how many may be connected
 	// Ready says whether the process takes clients.
 	Ready func() bool
 	// Figures reads the counts. It must not wait.
-	Figures func() Figures
+	Metrics func() Metrics
 	// Offline leaves a host out or, with false, lets it serve again; it returns once that is applied. Known says whether
 	// the host was ever listed.
-	Offline func(ctx context.Context, id string, out bool) (known bool, err error)
+	SetOffline func(ctx context.Context, id string, out bool) (known bool, err error)
 	// Members tells in JSON what membership knows; nil where it is off.
 	Members func(ctx context.Context) ([]byte, error)
 	// Drain sends clients away or, with false, takes them again.
@@ -61,7 +61,7 @@
 
 // New returns a Server.
 func New(c Config) *Server {
-	return &Server{Config: c, callers: map[*caller]struct{}{}, room: make(chan struct{}, max(c.Callers, 1))}
+	return &Server{Config: c, callers: map[*caller]struct{}{}, room: make(chan struct{}, max(c.MaxConns, 1))}
 }
 
 // Run answers calls until the context ends.
@@ -191,7 +191,7 @@
 		}
 	case "/control/counters":
 		method, act = "GET", func() {
-			status, body = 200, s.Figures().Append(nil)
+			status, body = 200, s.Metrics().Append(nil)
 			fields = http1.Fields{{Name: "Content-Type", Value: "text/plain; version=0.0.4"}}
 		}
 	case "/control/members":
@@ -213,7 +213,7 @@
 		act = func() { s.Drain(false) }
 	default:
 		id, out, ok := hostCall(call.Path)
-		if !ok || s.Offline == nil {
+		if !ok || s.SetOffline == nil {
 			return 404, nil, []byte("unknown path\n")
 		}
 		act = func() { status, body = s.host(ctx, id, out) }
@@ -239,7 +239,7 @@
 func (s *Server) host(ctx context.Context, id string, out bool) (status int, body []byte) {
 	ctx, stop := context.WithTimeout(ctx, applyWithin)
 	defer stop()
-	switch known, err := s.Offline(ctx, id, out); {
+	switch known, err := s.SetOffline(ctx, id, out); {
 	case err != nil:
 		s.Log.Error("control: call not applied", "host", id, "offline", out, "err", err)
 		return 503, []byte("not applied\n")
--- a/internal/serve/control/control_test.go
+++ b/internal/serve/control/control_test.go
@@ -39,11 +39,11 @@
 func within(t *testing.T, callers int, test func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, l: pipes{make(chan net.Conn)}, out: map[string]bool{"s-1": false}}
-		s := New(Config{Callers: callers, Ready: func() bool { return !w.drained }, Drain: func(on bool) { w.drained = on },
-			Figures: func() Figures {
-				return Figures{Classes: []Class{{"a", 1, 2, 3}}, Forwards: 4, Outstanding: 5, Discovered: 6, Ejected: 7}
+		s := New(Config{MaxConns: callers, Ready: func() bool { return !w.drained }, Drain: func(on bool) { w.drained = on },
+			Metrics: func() Metrics {
+				return Metrics{Classes: []ClassMetrics{{"a", 1, 2, 3}}, Forwards: 4, Outstanding: 5, Discovered: 6, Ejected: 7}
 			},
-			Offline: func(ctx context.Context, id string, out bool) (bool, error) {
+			SetOffline: func(ctx context.Context, id string, out bool) (bool, error) {
 				if id == "s-stuck" {
 					<-ctx.Done()
 					return true, errors.New("not applied")
--- a/internal/serve/control/metrics.go
+++ b/internal/serve/control/metrics.go
@@ -3,23 +3,23 @@
 import "strconv"
 
 // Figures are what the dispatcher has counted since its start, and how it stands now.
-type Figures struct {
-	Classes     []Class
+type Metrics struct {
+	Classes     []ClassMetrics
 	Forwards    int64 // attempts written whole to hosts
 	Outstanding int64 // messages taken and not ended
 	Discovered  int64 // hosts in the inventory
 	Ejected     int64 // of these, those avoided now
-	More        []Figure
+	Extra       []Metric
 }
 
 // Figure is one more number with a name of its own.
-type Figure struct {
-	Name string
-	N    int64
+type Metric struct {
+	Name  string
+	Value int64
 }
 
 // Class counts the messages of one class by how they ended. Every message ends in exactly one way.
-type Class struct {
+type ClassMetrics struct {
 	Name                         string
 	Succeeded, Declined, Aborted int64
 }
@@ -27,7 +27,7 @@
 const prefix = "edge_lb_"
 
 // Append writes the figures as text, one to a line.
-func (f Figures) Append(b []byte) []byte {
+func (f Metrics) Append(b []byte) []byte {
 	for _, c := range f.Classes {
 		for _, d := range []struct {
 			name string
@@ -46,9 +46,9 @@
 		b = append(b, prefix+g.name+" "...)
 		b = append(strconv.AppendInt(b, g.n, 10), '\n')
 	}
-	for _, m := range f.More {
+	for _, m := range f.Extra {
 		b = append(b, prefix+m.Name+" "...)
-		b = append(strconv.AppendInt(b, m.N, 10), '\n')
+		b = append(strconv.AppendInt(b, m.Value, 10), '\n')
 	}
 	return b
 }
--- a/internal/serve/handover/fdpassing_test.go
+++ b/internal/serve/handover/fdpassing_test.go
@@ -37,17 +37,17 @@
 	record := []byte("\x00\xff\"\n}" + strings.Repeat("level 3 at Caroni ", 1<<12))
 	give := func() ([]byte, bool) { return record, true }
 	client, served := pair(t)
-	if taken, err := old.Pass(served, give); taken || !errors.Is(err, engine.ErrNoPeer) {
+	if taken, err := old.PassConnection(served, give); taken || !errors.Is(err, engine.ErrNoPeer) {
 		t.Errorf("passed to nobody: %v, %v", taken, err)
 	}
 	next := start(t, dir)
-	if taken, err := old.Pass(served, give); taken || err != nil {
+	if taken, err := old.PassConnection(served, give); taken || err != nil {
 		t.Errorf("not taken there: %v, %v", taken, err)
 	}
-	if taken, err := old.Pass(served, func() ([]byte, bool) { return nil, false }); taken || !errors.Is(err, errNotNow) {
+	if taken, err := old.PassConnection(served, func() ([]byte, bool) { return nil, false }); taken || !errors.Is(err, errNotNow) {
 		t.Errorf("no record: %v, %v", taken, err)
 	}
-	if taken, err := old.Pass(struct{ net.Conn }{served}, give); taken || err == nil {
+	if taken, err := old.PassConnection(struct{ net.Conn }{served}, give); taken || err == nil {
 		t.Errorf("no descriptor: %v, %v", taken, err)
 	}
 	got := make(chan net.Conn, 1)
@@ -58,7 +58,7 @@
 		got <- c
 		return true
 	})
-	if taken, err := old.Pass(served, give); !taken || err != nil {
+	if taken, err := old.PassConnection(served, give); !taken || err != nil {
 		t.Fatalf("not passed: %v, %v", taken, err)
 	}
 	served.Close()
@@ -80,7 +80,7 @@
 		return true
 	})
 	_, served = pair(t)
-	if taken, err := old.Pass(served, give); taken || err == nil {
+	if taken, err := old.PassConnection(served, give); taken || err == nil {
 		t.Errorf("passed to one that died: %v, %v", taken, err)
 	}
 	next.end()
--- a/internal/serve/handover/listen.go
+++ b/internal/serve/handover/listen.go
@@ -80,7 +80,7 @@
 )
 
 func openFolder(path, dispatcher string) (*folder, error) {
-	f := &folder{path: path, prefix: Name(dispatcher, "")}
+	f := &folder{path: path, prefix: FileName(dispatcher, "")}
 	if len(path)+1+len(f.prefix)+8+len(socketEnd) > longestSun {
 		open, err := os.Open(path)
 		if err != nil {
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -45,16 +45,16 @@
 	// Adopt takes over a message and the connection on which its client waits, which is closed if it does not.
 	Adopt(record []byte, client net.Conn) (taken bool)
 	// Offline carries out an operators' call. Sure says that the other knows the host.
-	Offline(ctx context.Context, id string, out, sure bool) (known bool, err error)
+	SetOffline(ctx context.Context, id string, out, sure bool) (known bool, err error)
 	// Share begins or ends the time in which two processes have what one may use.
-	Share(on bool)
+	SetSharing(on bool)
 }
 
 // Peer is this process as the other process of its dispatcher meets it. The one that is called stays the elder.
 type Peer struct {
-	Handler Handler
-	Log     *slog.Logger
-	Asks    int // how many questions may be open each way
+	Handler     Handler
+	Log         *slog.Logger
+	MaxRequests int // how many questions may be open each way
 
 	askWithin, helloWithin, readyWithin time.Duration
 
@@ -89,9 +89,9 @@
 	}
 	var id [4]byte
 	rand.Read(id[:])
-	p := &Peer{Log: log, Asks: max(asks, 1), folder: f, socket: f.prefix + hex.EncodeToString(id[:]) + socketEnd,
+	p := &Peer{Log: log, MaxRequests: max(asks, 1), folder: f, socket: f.prefix + hex.EncodeToString(id[:]) + socketEnd,
 		conns: map[net.Conn]struct{}{}, askWithin: askWithin, helloWithin: helloWithin, readyWithin: readyWithin}
-	p.asks = make(chan struct{}, p.Asks)
+	p.asks = make(chan struct{}, p.MaxRequests)
 	if p.l, err = net.Listen("unix", f.address(p.socket)); err != nil {
 		f.close()
 		return nil, fmt.Errorf("handover: %w", err)
@@ -189,14 +189,14 @@
 }
 
 // Live says whether another process is there.
-func (p *Peer) Live() bool {
+func (p *Peer) Connected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.other != nil
 }
 
 // Succeeded says whether a successor takes clients.
-func (p *Peer) Succeeded() bool {
+func (p *Peer) SuccessorReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.other != nil && !p.other.elder && p.other.ready
@@ -214,7 +214,7 @@
 // Pass hands a client's connection to the successor, with the record of the message that waits there. The record is made once the
 // successor listens: until then nothing has changed. Taken says that the message is the successor's. Where it took the record and said
 // nothing, it may be: then nobody here may answer, and the error is nil.
-func (p *Peer) Pass(client net.Conn, record func() ([]byte, bool)) (taken bool, err error) {
+func (p *Peer) PassConnection(client net.Conn, record func() ([]byte, bool)) (taken bool, err error) {
 	raw, ok := client.(syscall.Conn)
 	if !ok {
 		return false, errors.New("handover: no connection that can be passed on")
@@ -259,7 +259,7 @@
 var errNotNow = errors.New("handover: not now")
 
 // Offline has the other process carry out an operators' call.
-func (p *Peer) Offline(id string, out, sure bool) (known bool, err error) {
+func (p *Peer) SetOffline(id string, out, sure bool) (known bool, err error) {
 	o, err := p.ask(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", out), jsonval.Is("sure", sure))
 	if err != nil {
 		return false, err
@@ -325,7 +325,7 @@
 	}
 	if (old == nil) != (l == nil) {
 		p.Log.Info("handover: sharing", "on", l != nil)
-		p.Handler.Share(l != nil)
+		p.Handler.SetSharing(l != nil)
 	}
 }
 
@@ -338,7 +338,7 @@
 	p.mu.Unlock()
 	if late {
 		p.Log.Error("handover: the new process does not get ready")
-		p.Handler.Share(false)
+		p.Handler.SetSharing(false)
 	}
 }
 
@@ -354,7 +354,7 @@
 	l.ready, l.late = true, false
 	p.mu.Unlock()
 	if again {
-		p.Handler.Share(true)
+		p.Handler.SetSharing(true)
 	}
 	return true
 }
@@ -388,7 +388,7 @@
 			c.Close()
 		}
 	})()
-	room := make(chan struct{}, p.Asks+1) // and the link
+	room := make(chan struct{}, p.MaxRequests+1) // and the link
 	for {
 		c, err := p.l.Accept()
 		if err != nil {
@@ -462,7 +462,7 @@
 		}
 		reply = append(reply, jsonval.Is("taken", taken))
 	case "offline":
-		known, err := p.Handler.Offline(asking, o.Text("id"), o.Flag("out"), o.Flag("sure"))
+		known, err := p.Handler.SetOffline(asking, o.Text("id"), o.Flag("out"), o.Flag("sure"))
 		reply = append(reply, jsonval.Is("known", known), jsonval.Is("done", err == nil))
 	}
 	writeLine(c, reply...)
--- a/internal/serve/handover/peer_test.go
+++ b/internal/serve/handover/peer_test.go
@@ -75,7 +75,7 @@
 	return 204, true
 }
 
-func (p *process) Offline(_ context.Context, id string, out, sure bool) (bool, error) {
+func (p *process) SetOffline(_ context.Context, id string, out, sure bool) (bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if id == "s-stuck" {
@@ -88,7 +88,7 @@
 	return false, nil
 }
 
-func (p *process) Share(on bool) { p.shares <- on }
+func (p *process) SetSharing(on bool) { p.shares <- on }
 
 // start starts a process that meets others in the folder.
 func start(t *testing.T, dir string) *process { return startWithin(t, dir, time.Minute) }
@@ -138,7 +138,7 @@
 		stale.Close()
 
 		old := start(t, dir)
-		if old.told != nil || old.Live() {
+		if old.told != nil || old.Connected() {
 			t.Fatalf("joined nobody and was told %+v", old.told)
 		}
 		if all, _ := f.sockets(); len(all) != 1 {
@@ -152,14 +152,14 @@
 			strings.Join(s.Offline, ",")+" "+strings.Join(s.Listed, ",") != "s-1 s-1,s-2" {
 			t.Fatalf("told %+v", next.told)
 		}
-		if !<-old.shares || !next.Live() {
+		if !<-old.shares || !next.Connected() {
 			t.Error("no sharing")
 		}
-		if old.Succeeded() || next.Succeeded() {
+		if old.SuccessorReady() || next.SuccessorReady() {
 			t.Error("succeeded by one that is not ready")
 		}
-		if err := next.Announce(); err != nil || !old.Succeeded() || next.Succeeded() {
-			t.Errorf("announced: %v, succeeded %v", err, old.Succeeded())
+		if err := next.Announce(); err != nil || !old.SuccessorReady() || next.SuccessorReady() {
+			t.Errorf("announced: %v, succeeded %v", err, old.SuccessorReady())
 		}
 		for _, way := range []struct{ from, to *process }{{old, next}, {next, old}} {
 			body := "{\"id\":\"\\u0000\xff\n\"}"
@@ -172,14 +172,14 @@
 				want bool
 				err  bool
 			}{{"s-1", false, true, false}, {"s-9", false, false, false}, {"s-8", true, true, false}, {"s-stuck", false, false, true}} {
-				known, err := way.from.Peer.Offline(c.id, true, c.sure)
+				known, err := way.from.Peer.SetOffline(c.id, true, c.sure)
 				if known != c.want || (err != nil) != c.err || way.to.isOut(c.id) != c.want {
 					t.Errorf("%s: known %v, %v", c.id, known, err)
 				}
 			}
 		}
 		next.end()
-		if <-old.shares || old.Live() || old.Succeeded() { // a successor that dies leaves the old one whole
+		if <-old.shares || old.Connected() || old.SuccessorReady() { // a successor that dies leaves the old one whole
 			t.Error("the end of the successor is not seen")
 		}
 		third := start(t, dir)
@@ -187,7 +187,7 @@
 			t.Fatal("a second upgrade finds nobody")
 		}
 		old.end()
-		if <-third.shares || third.Live() {
+		if <-third.shares || third.Connected() {
 			t.Error("the end of the old process is not seen")
 		}
 		if _, _, err := third.Peer.Callback(nil); !errors.Is(err, engine.ErrNoPeer) {
@@ -213,7 +213,7 @@
 	old.mu.Lock()
 	old.ready = false
 	old.mu.Unlock()
-	if next := start(t, dir); next.told != nil || next.Live() {
+	if next := start(t, dir); next.told != nil || next.Connected() {
 		t.Errorf("told %+v", next.told)
 	}
 	if !<-old.shares || <-old.shares {
@@ -229,14 +229,14 @@
 	dir := t.TempDir()
 	old := startWithin(t, dir, time.Millisecond)
 	next := start(t, dir)
-	if !<-old.shares || <-old.shares || old.Succeeded() {
+	if !<-old.shares || <-old.shares || old.SuccessorReady() {
 		t.Error("still shares with one that is not ready")
 	}
-	if err := next.Announce(); err != nil || !<-old.shares || !old.Succeeded() {
+	if err := next.Announce(); err != nil || !<-old.shares || !old.SuccessorReady() {
 		t.Errorf("late but ready: %v", err)
 	}
 	next.end()
-	if <-old.shares || old.Succeeded() {
+	if <-old.shares || old.SuccessorReady() {
 		t.Error("the end of the successor is not seen")
 	}
 }
@@ -258,7 +258,7 @@
 		c.Write(in)
 		c.(*net.UnixConn).CloseWrite()
 		defer c.Close()
-		if status, _, err := next.Peer.Callback([]byte("x")); status != 204 && old.Live() {
+		if status, _, err := next.Peer.Callback([]byte("x")); status != 204 && old.Connected() {
 			t.Errorf("%d, %v", status, err)
 		}
 	})
--- a/internal/serve/handover/store.go
+++ b/internal/serve/handover/store.go
@@ -51,7 +51,7 @@
 		log.Error("state not read: starting without", "file", path, "err", err)
 		return s
 	}
-	s.Add(state)
+	s.Merge(state)
 	return s
 }
 
@@ -81,7 +81,7 @@
 }
 
 // Add takes in what another process knows, and saves nothing.
-func (s *Store) Add(more State) {
+func (s *Store) Merge(more State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, name := range more.Offline {
@@ -93,16 +93,16 @@
 }
 
 // Adopt takes the word of a process that serves: what is out there is out here, and nothing else.
-func (s *Store) Adopt(state State) {
+func (s *Store) Replace(state State) {
 	s.mu.Lock()
 	clear(s.offline)
 	s.mu.Unlock()
-	s.Add(state)
+	s.Merge(state)
 }
 
 // Listed notes names that the inventory has listed. It does not wait for the file: Run saves them.
-func (s *Store) Listed(names []string) {
-	s.Add(State{Listed: names})
+func (s *Store) AddListed(names []string) {
+	s.Merge(State{Listed: names})
 	select {
 	case s.changed <- struct{}{}:
 	default: // to be saved already
@@ -140,7 +140,7 @@
 
 // Name is the name of a dispatcher's file of a kind. It holds for every process of that dispatcher, and whatever the
 // dispatcher is called it stays inside its folder.
-func Name(dispatcher, kind string) string {
+func FileName(dispatcher, kind string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
 			return r
--- a/internal/serve/handover/store_test.go
+++ b/internal/serve/handover/store_test.go
@@ -14,9 +14,9 @@
 
 // TestStore: what was said holds for the next process, and the file is whole at any time.
 func TestStore(t *testing.T) {
-	path := filepath.Join(t.TempDir(), Name("n3/../x", "state"))
+	path := filepath.Join(t.TempDir(), FileName("n3/../x", "state"))
 	s := Open(path, quiet)
-	s.Listed([]string{"s-1", "s-2", `s-"3`})
+	s.AddListed([]string{"s-1", "s-2", `s-"3`})
 	for _, step := range []struct {
 		name string
 		out  bool
--- a/internal/serve/inventory/inventory.go
+++ b/internal/serve/inventory/inventory.go
@@ -52,13 +52,13 @@
 
 // Client watches discovery.
 type Client struct {
-	Zones, Kinds []string // names, by the module's number
-	Sink         Sink
-	Log          *slog.Logger
-	Dial         func(ctx context.Context, address string) (net.Conn, error)
-	Spread       time.Duration  // a watch that broke is made anew within it
-	Draw         func() float64 // from 0 to 1
-	Pushed       bool           // lists are pushed, to an agent: a watch of it stands whether the module asks or not
+	Zones, Kinds    []string // names, by the module's number
+	Sink            Sink
+	Log             *slog.Logger
+	Dial            func(ctx context.Context, address string) (net.Conn, error)
+	ReconnectSpread time.Duration  // a watch that broke is made anew within it
+	Random          func() float64 // from 0 to 1
+	Pushed          bool           // lists are pushed, to an agent: a watch of it stands whether the module asks or not
 
 	asked    chan struct{}
 	moved    chan string
@@ -102,7 +102,7 @@
 }
 
 // Where returns the address that counts, and the version of the list that has been handed on.
-func (c *Client) Where() (address string, since int64) {
+func (c *Client) Position() (address string, since int64) {
 	p := c.told.Load()
 	return p.address, p.since
 }
@@ -113,7 +113,7 @@
 func New(address string, since int64, zones, kinds []string, log *slog.Logger) *Client {
 	var dialer net.Dialer
 	c := &Client{address: address, since: since, Zones: zones, Kinds: kinds, Log: log, pause: firstPause,
-		Draw: rand.Float64, asked: make(chan struct{}, 1), moved: make(chan string, 1), events: make(chan event),
+		Random: rand.Float64, asked: make(chan struct{}, 1), moved: make(chan string, 1), events: make(chan event),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		}}
@@ -131,7 +131,7 @@
 
 // Move says that discovery has another address from here on. Of several calls the last one counts. It is not to be
 // called by two goroutines at once.
-func (c *Client) Move(address string) {
+func (c *Client) SetAddress(address string) {
 	select {
 	case <-c.moved: // overtaken
 	default:
@@ -257,7 +257,7 @@
 		// While it was silent changes may have been missed that count as told some seconds later: little time to lose.
 		c.pause = firstPause
 		c.standing, c.within = nil, c.patience()
-		c.retry.Reset(time.Duration(c.Draw() * float64(c.Spread)))
+		c.retry.Reset(time.Duration(c.Random() * float64(c.ReconnectSpread)))
 	case c.Pushed, errors.Is(e.err, errBroken):
 		// Discovery is there, but its lists break off. To leave the next try to the module, which takes a failed call for a
 		// busy service and waits for seconds, let hosts that drained in the meantime get messages.
@@ -273,7 +273,7 @@
 // nothing is called again soon: no call of it waits for others'.
 func (c *Client) again() {
 	c.within = min(moveWithin, c.patience())
-	c.retry.Reset(time.Duration(float64(c.pause) * (0.75 + c.Draw()/2)))
+	c.retry.Reset(time.Duration(float64(c.pause) * (0.75 + c.Random()/2)))
 	if c.pause = min(2*c.pause, longerPause); c.Pushed {
 		c.pause = min(c.pause, agentWithin)
 	}
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -81,7 +81,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &service{t: t, calls: make(chan net.Conn, 8)}
 		c := New("discovery:1", 41, []string{"a", "b"}, []string{"m1", "m2"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.Draw = func() float64 { return 0.5 }
+		c.Random = func() float64 { return 0.5 }
 		c.Sink, c.Dial, c.Pushed = s, s.dial, pushed
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
@@ -207,13 +207,13 @@
 // TestSpread: a watch that had lasted is made anew after a drawn time. Before, all dispatchers remade theirs at once.
 func TestSpread(t *testing.T) {
 	within(t, func(s *service, c *Client) {
-		c.Spread = 700 * time.Millisecond
+		c.ReconnectSpread = 700 * time.Millisecond
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		time.Sleep(lasting)
 		conn.Close()
 		began := time.Now()
-		if s.accept(); time.Since(began) != c.Spread/2 || s.asked[1] != "/api/targets?follow=1&since=43" {
+		if s.accept(); time.Since(began) != c.ReconnectSpread/2 || s.asked[1] != "/api/targets?follow=1&since=43" {
 			t.Errorf("made anew after %v, asked %q", time.Since(began), s.asked)
 		}
 	})
@@ -284,10 +284,10 @@
 		chunk(old, line(43, true, "SERVING"))
 		s.down.Store(true)
 		began := time.Now()
-		c.Move("discovery:2")
+		c.SetAddress("discovery:2")
 		time.Sleep(firstPause / 2)
-		c.Move("discovery:3") // SIGHUP again while the first move is under way
-		c.Move("discovery:3")
+		c.SetAddress("discovery:3") // SIGHUP again while the first move is under way
+		c.SetAddress("discovery:3")
 		time.Sleep(firstPause * 2)
 		chunk(old, line(45, false, "DRAINING"))
 		c.Watch()           // the module asks, too
@@ -317,7 +317,7 @@
 	within(t, func(s *service, c *Client) {
 		old := s.accept()
 		chunk(old, line(43, true, "SERVING"))
-		c.Move("discovery:2")
+		c.SetAddress("discovery:2")
 		conn := s.accept()
 		synctest.Wait()
 		chunk(old, line(44, false, "DRAINING"))
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -15,7 +15,7 @@
 )
 
 // MaxHTTP is the most bytes that a job's data or result may have where one side speaks HTTP.
-const MaxHTTP = http1.MaxBody
+const MaxHTTPBytes = http1.MaxBody
 
 // Work is the payload of an engine.Message. Nothing of it changes once it is handed in.
 type Work struct {
@@ -41,7 +41,7 @@
 }
 
 // Of is a message's Work, or nil.
-func Of(m *engine.Message) *Work {
+func FromMessage(m *engine.Message) *Work {
 	w, _ := m.Payload.(*Work)
 	return w
 }
