--- a/internal/serve/engine/engine_test.go
+++ b/internal/serve/engine/engine_test.go
@@ -207,7 +207,7 @@
 		if len(m.answers) != 1 || m.answers[0].Kind != Served || string(m.answers[0].Result) != "level 3" {
 			t.Errorf("answers %+v", m.answers)
 		}
-		if !errors.Is(context.Cause(s.ctx), ErrOutcomeKnown) || len(b.sends) != 1 || len(b.o.jobs) != 0 || len(b.o.keys) != 0 {
+		if !errors.Is(context.Cause(s.ctx), ErrOutcomeKnown) || len(b.sends) != 1 || len(b.o.jobs) != 0 || len(b.o.byKey) != 0 {
 			t.Errorf("cause %v, %d sends, %d jobs kept", context.Cause(s.ctx), len(b.sends), len(b.o.jobs))
 		}
 	})
@@ -295,7 +295,7 @@
 				t.Fatalf("%d attempts, answers %+v", len(b.sends), m.answers)
 			}
 		}
-		if _, avoided := b.o.module.Fleet(b.o.Now()); avoided != 0 || len(b.o.jobs) != 0 {
+		if _, avoided := b.o.dispatcher.Fleet(b.o.Now()); avoided != 0 || len(b.o.jobs) != 0 {
 			t.Errorf("%d hosts avoided, %d messages kept", avoided, len(b.o.jobs))
 		}
 	})
@@ -362,8 +362,8 @@
 		s := b.sends[0]
 		set("s-never", true, false)
 		hold := make(chan struct{})
-		b.o.post(func(time.Duration) { <-hold }) // the owner is busy, and more waits than the queue holds
-		for b.o.offer(func(time.Duration) {}) {
+		b.o.enqueue(func(time.Duration) { <-hold }) // the owner is busy, and more waits than the queue holds
+		for b.o.tryEnqueue(func(time.Duration) {}) {
 		}
 		done := make(chan struct{})
 		go func() { set(s.a.Host.Name, true, true); close(done) }()
@@ -509,7 +509,7 @@
 }
 
 func TestNames(t *testing.T) {
-	a, b := names{}, names{}
+	a, b := workerNames{}, workerNames{}
 	once, again := a.id("box one"), a.id("box one")
 	if a.id("s-5be2a07c") != 0x5be2a07c || once != b.id("box one") || once != again {
 		t.Error("ids differ")
@@ -523,7 +523,7 @@
 	check := &invariant.Checker{}
 	o := New(Config{Check: check, QueueSize: 1})
 	var got []Answer
-	p := &open{Message: &Message{Reply: func(a Answer) { got = append(got, a) }}, mayHave: true}
+	p := &openMessage{Message: &Message{Reply: func(a Answer) { got = append(got, a) }}, mayHaveRun: true}
 	defer func() {
 		if recover() == nil && (len(got) != 1 || got[0].Kind != Failed || check.Breaches() != 1) {
 			t.Errorf("answers %+v, %d breaches", got, check.Breaches())
@@ -540,7 +540,7 @@
 			t.Errorf("%d breaches", o.Check.Breaches())
 		}
 	}()
-	o.run(func(time.Duration) { panic("as a test") })
+	o.runEvent(func(time.Duration) { panic("as a test") })
 }
 
 // FuzzOwner plays random steps of clients, hosts, the inventory and time, and checks the rules against a model of its
@@ -629,8 +629,8 @@
 		}
 	}
 	for _, o := range b.both {
-		if n := o.Check.Breaches(); n > 0 || len(o.jobs)+len(o.keys)+len(o.moving) > 0 {
-			t.Errorf("%d breaches; kept: %d jobs, %d keys, %d that move", n, len(o.jobs), len(o.keys), len(o.moving))
+		if n := o.Check.Breaches(); n > 0 || len(o.jobs)+len(o.byKey)+len(o.moving) > 0 {
+			t.Errorf("%d breaches; kept: %d jobs, %d keys, %d that move", n, len(o.jobs), len(o.byKey), len(o.moving))
 		}
 	}
 }
--- a/internal/serve/engine/handover_test.go
+++ b/internal/serve/engine/handover_test.go
@@ -64,8 +64,8 @@
 		}
 		b.ended(b.sends[1], balance.Cancelled)
 		for i, o := range b.both {
-			if len(o.jobs)+len(o.keys)+len(o.moving) != 0 {
-				t.Errorf("%d keeps %d jobs, %d keys, %d that move", i, len(o.jobs), len(o.keys), len(o.moving))
+			if len(o.jobs)+len(o.byKey)+len(o.moving) != 0 {
+				t.Errorf("%d keeps %d jobs, %d keys, %d that move", i, len(o.jobs), len(o.byKey), len(o.moving))
 			}
 		}
 	})
--- a/internal/serve/engine/host_list.go
+++ b/internal/serve/engine/host_list.go
@@ -10,65 +10,65 @@
 // The list of hosts.
 
 // Reroute says that Config.HostRuns says something else from now on.
-func (o *Engine) SetHostClasses(hostRuns func(kind int) []bool) {
-	o.post(func(now time.Duration) {
-		o.HostClasses = hostRuns
+func (e *Engine) SetHostClasses(hostRuns func(kind int) []bool) {
+	e.enqueue(func(now time.Duration) {
+		e.HostClasses = hostRuns
 		var all []Host
-		for _, h := range o.hosts {
+		for _, h := range e.hosts {
 			if h.listed && h.Backend == nil {
 				all = append(all, h.Host)
 			}
 		}
-		o.list(now, balance.ListChanges, all)
+		e.updateHosts(now, balance.ListChanges, all)
 	})
 }
 
 // List hands in the inventory, or changes to it. Hosts that came by themselves say nothing of what discovery has.
-func (o *Engine) UpdateHosts(kind balance.ListKind, hosts []Host) {
-	o.post(func(now time.Duration) {
-		o.list(now, kind, hosts)
+func (e *Engine) UpdateHosts(kind balance.ListKind, hosts []Host) {
+	e.enqueue(func(now time.Duration) {
+		e.updateHosts(now, kind, hosts)
 		if kind != balance.ListFailed && !slices.ContainsFunc(hosts, func(h Host) bool { return h.Backend != nil }) {
-			o.module.ListComplete(now)
+			e.dispatcher.ListComplete(now)
 		}
 	})
 }
 
 // Sees says whether messages are sent by the list that is held: see balance.Dispatcher.Heard.
-func (o *Engine) HasHostList() bool { return o.sees.Load() }
+func (e *Engine) HasHostList() bool { return e.hasHostList.Load() }
 
-func (o *Engine) list(now time.Duration, kind balance.ListKind, hosts []Host) {
+func (e *Engine) updateHosts(now time.Duration, kind balance.ListKind, hosts []Host) {
 	entries := make([]balance.Worker, 0, len(hosts))
 	listed := map[balance.WorkerID]bool{}
-	var unheard []string
+	var newNames []string
 	for _, h := range hosts {
-		if !o.ever[h.Name] {
-			o.ever[h.Name] = true
+		if !e.everListed[h.Name] {
+			e.everListed[h.Name] = true
 			if h.Backend == nil {
-				unheard = append(unheard, h.Name)
+				newNames = append(newNames, h.Name)
 			}
 		}
 		w := h.Worker
-		if w.ID = o.ids.id(h.Name); h.Backend == nil && o.HostClasses != nil {
-			w.Runs = o.HostClasses(w.Kind)
+		if w.ID = e.workerIDs.id(h.Name); h.Backend == nil && e.HostClasses != nil {
+			w.Runs = e.HostClasses(w.Kind)
 		}
 		h.Worker = w
 		listed[w.ID] = true
 		entries = append(entries, w)
-		old := o.hosts[w.ID]
+		old := e.hosts[w.ID]
 		if old == nil {
 			old = &host{}
-			o.hosts[w.ID] = old
+			e.hosts[w.ID] = old
 		} else if old.Worker.Up != w.Up || old.Address != h.Address || w.State == balance.Removed {
-			o.south(old.Host).Forget(old.Host)
+			e.backendFor(old.Host).Forget(old.Host)
 		}
 		if w.State == balance.Removed { // a change may carry the id alone
 			h.Address = old.Address
 		}
 		old.Host, old.listed = h, w.State != balance.Removed
-		old.shut.Store(w.State != balance.Ready)
+		old.notReady.Store(w.State != balance.Ready)
 	}
 	if kind == balance.ListFull || kind == balance.ListCached {
-		for id, h := range o.hosts {
+		for id, h := range e.hosts {
 			if h.Backend != nil { // the inventory's lists say nothing of it, and to the module this one is all there is
 				if h.listed && !listed[id] {
 					entries = append(entries, h.Worker)
@@ -76,39 +76,39 @@
 				continue
 			}
 			h.listed = h.listed && listed[id]
-			if !listed[id] && !h.shut.Load() {
-				h.shut.Store(true)
-				o.Backend.Forget(h.Host)
+			if !listed[id] && !h.notReady.Load() {
+				h.notReady.Store(true)
+				e.Backend.Forget(h.Host)
 			}
 		}
 	}
-	if len(unheard) > 0 && o.OnNewHosts != nil {
-		o.OnNewHosts(unheard)
+	if len(newNames) > 0 && e.OnNewHosts != nil {
+		e.OnNewHosts(newNames)
 	}
-	o.module.List(now, kind, entries)
+	e.dispatcher.List(now, kind, entries)
 	for _, h := range hosts {
 		if h.Backend != nil && h.Worker.State == balance.Removed {
-			o.forget(h.Name)
+			e.removeHost(h.Name)
 		}
 	}
-	o.show(now)
+	e.publishHostCounts(now)
 }
 
 // forget drops all that is known of a host that came by itself and has gone: there may be any number of names. An
 // operator's word stays.
-func (o *Engine) forget(name string) {
-	id := o.ids.id(name)
-	if h := o.hosts[id]; h != nil && h.Worker.State == balance.Removed && !h.offline.Load() { // else it is back already
-		delete(o.hosts, id)
-		delete(o.ever, name)
-		delete(o.ids, id)
+func (e *Engine) removeHost(name string) {
+	id := e.workerIDs.id(name)
+	if h := e.hosts[id]; h != nil && h.Worker.State == balance.Removed && !h.offline.Load() { // else it is back already
+		delete(e.hosts, id)
+		delete(e.everListed, name)
+		delete(e.workerIDs, id)
 	}
 }
 
 // south is the side that carries attempts to a host.
-func (o *Engine) south(h Host) Backend {
+func (e *Engine) backendFor(h Host) Backend {
 	if h.Backend != nil {
 		return h.Backend
 	}
-	return o.Backend
+	return e.Backend
 }
--- a/internal/serve/engine/message.go
+++ b/internal/serve/engine/message.go
@@ -9,8 +9,8 @@
 
 // The life of a message from its arrival to its answer.
 
-func (o *Engine) take(now time.Duration, m *Message) {
-	if o.keys[m.Key] != nil || o.moving[m.Key] != nil {
+func (e *Engine) accept(now time.Duration, m *Message) {
+	if e.byKey[m.Key] != nil || e.moving[m.Key] != nil {
 		// The same id twice at once: the first may be running, so this one is neither run nor called harmless.
 		m.Reply(Answer{Kind: Failed})
 		if m.OnClosed != nil {
@@ -18,89 +18,89 @@
 		}
 		return
 	}
-	o.counts.Messages++
-	o.last++
-	p := &open{Message: m, id: o.last, end: m.Arrived + m.Job.Left}
-	o.jobs[p.id], o.keys[m.Key] = p, p
-	p.timers = append(make([]timerwheel.Timer[timer], 0, 4), o.wheel.Add(p.end+DeadlineGrace, timer{open: p}))
+	e.counts.Messages++
+	e.lastJobID++
+	msg := &openMessage{Message: m, jobID: e.lastJobID, deadline: m.Arrived + m.Job.Left}
+	e.jobs[msg.jobID], e.byKey[m.Key] = msg, msg
+	msg.timers = append(make([]timerwheel.Timer[timer], 0, 4), e.wheel.Add(msg.deadline+DeadlineGrace, timer{open: msg}))
 	job := m.Job
-	job.ID, job.Left = p.id, max(0, p.end-now)
-	o.module.Job(now, job)
+	job.ID, job.Left = msg.jobID, max(0, msg.deadline-now)
+	e.dispatcher.Job(now, job)
 }
 
 // answer gives the final answer, once.
-func (o *Engine) answer(p *open, a Answer) {
-	if p.answered {
+func (e *Engine) answer(msg *openMessage, a Answer) {
+	if msg.answered {
 		return
 	}
 	// A back-off answer says that trying again is harmless: never where an attempt may have run, or still may, but for a class that may be
 	// repeated at will.
-	if a.Kind == BackOff && !o.Check.Check(!p.mayHave && p.out == 0 || o.repeats(p), "back-off answer for what may have run", "message", p.Key) {
+	if a.Kind == BackOff && !e.Check.Check(!msg.mayHaveRun && msg.outstanding == 0 || e.isRepeatable(msg), "back-off answer for what may have run", "message", msg.Key) {
 		a = Answer{Kind: Failed}
 	}
-	p.answered, p.kind, p.at = true, a.Kind, o.Now()
-	o.Log.Debug("answered", "message", p.Key, "class", p.Job.Class, "kind", a.Kind, "hint", p.Job.Hint, "took", o.Now()-p.Arrived)
+	msg.answered, msg.answerKind, msg.answeredAt = true, a.Kind, e.Now()
+	e.Log.Debug("answered", "message", msg.Key, "class", msg.Job.Class, "kind", a.Kind, "hint", msg.Job.Hint, "took", e.Now()-msg.Arrived)
 	switch a.Kind {
 	case Served:
-		o.counts.Served++
+		e.counts.Served++
 	case BackOff:
-		o.counts.BackOffs++
+		e.counts.BackOffs++
 	default:
-		o.counts.Failures++
+		e.counts.Failures++
 	}
-	p.Reply(a)
-	o.settle(p)
+	msg.Reply(a)
+	e.closeIfDone(msg)
 }
 
 // repeats: its class may be repeated at will.
-func (o *Engine) repeats(p *open) bool {
-	class := p.Job.Class
-	return class >= 0 && class < len(o.Settings.Classes) && o.Settings.Classes[class].Effect == balance.Safe
+func (e *Engine) isRepeatable(msg *openMessage) bool {
+	class := msg.Job.Class
+	return class >= 0 && class < len(e.Settings.Classes) && e.Settings.Classes[class].Effect == balance.Safe
 }
 
 // settle forgets a message that is answered and has no attempt out. Its timers go with it: left on the wheel they would
 // hold it, with all that the client sent, until its patience is over.
-func (o *Engine) settle(p *open) {
-	if p.answered && p.out == 0 && o.jobs[p.id] == p {
-		delete(o.jobs, p.id)
-		delete(o.keys, p.Key)
-		for _, t := range p.timers {
-			o.wheel.Stop(t)
+func (e *Engine) closeIfDone(msg *openMessage) {
+	if msg.answered && msg.outstanding == 0 && e.jobs[msg.jobID] == msg {
+		delete(e.jobs, msg.jobID)
+		delete(e.byKey, msg.Key)
+		for _, t := range msg.timers {
+			e.wheel.Stop(t)
 		}
-		if o.OnMessageClosed != nil {
-			o.OnMessageClosed(p.Message, p.kind, !p.left, p.at, p.attempts)
+		if e.OnMessageClosed != nil {
+			e.OnMessageClosed(msg.Message, msg.answerKind, !msg.clientLeft, msg.answeredAt, msg.attempts)
 		}
-		if p.OnClosed != nil {
-			p.OnClosed()
+		if msg.OnClosed != nil {
+			msg.OnClosed()
 		}
 	}
 }
 
-func (o *Engine) due(now time.Duration, t timer) {
+func (e *Engine) fireTimer(now time.Duration, t timer) {
 	switch {
-	case t.tell:
-		o.tell()
-		o.wheel.Add(now+tellEvery, t)
+	case t.logCounts:
+		e.logCounts()
+		e.wheel.Add(now+countsLogInterval, t)
 		return
-	case t.show:
-		o.show(now)
-		o.wheel.Add(now+showEvery, t)
+	case t.publishHosts:
+		e.publishHostCounts(now)
+		e.wheel.Add(now+hostCountsInterval, t)
 		return
 	case t.attempt != nil:
-		o.timeOut(now, t.attempt)
+		e.timeOutAttempt(now, t.attempt)
 		return
 	case t.open == nil:
-		o.module.Timer(now, t.token)
+		e.dispatcher.Timer(now, t.token)
 		return
 	}
-	p := t.open
-	for _, a := range p.attempts {
-		o.timeOut(now, a)
+	msg := t.open
+	for _, a := range msg.attempts {
+		e.timeOutAttempt(now, a)
 	}
-	if !p.answered {
-		o.Log.Warn("no final answer from the module by the deadline", "message", p.Key)
-		p.gone = true
-		o.answer(p, Answer{Kind: Failed})
-		o.module.Disconnected(now, p.id)
+	if !msg.answered {
+		e.Log.Warn("no final answer from the module by the deadline", "message", msg.Key)
+		msg.disconnected = true
+		e.answer(msg, Answer{Kind: Failed})
+		e.dispatcher.Disconnected(now, msg.jobID)
 	}
 }
--- a/internal/serve/engine/types.go
+++ b/internal/serve/engine/types.go
@@ -44,7 +44,7 @@
 	OnClosed func()
 	Subject  uint64 // a keyed hash of what it is about, for records only; 0: none
 
-	departed atomic.Bool // its client has gone: known at once, whatever waits in the queue
+	clientLeft atomic.Bool // its client has gone: known at once, whatever waits in the queue
 }
 
 // Begun is an event of a message: it runs.
@@ -82,33 +82,33 @@
 	// deadline. A keyed message may run again only for so long after the first attempt that may have run.
 	SendDeadline time.Duration
 
-	open   *open
-	number int
-	sent   time.Duration
-	over   bool
-	back   bool        // the host handed it back by a report
-	taken  atomic.Bool // see Taken
-	stop   context.CancelCauseFunc
-	host   *host
-	barred atomic.Bool
-	timer  timerwheel.Timer[timer] // its time-out, where it has one of its own
-
-	began, ended time.Duration // 0: not known
-	status       balance.Status
+	open      *openMessage
+	index     int
+	sentAt    time.Duration
+	done      bool
+	returned  bool        // the host handed it back by a report
+	accepted  atomic.Bool // see Taken
+	cancel    context.CancelCauseFunc
+	host      *host
+	withdrawn atomic.Bool
+	timer     timerwheel.Timer[timer] // its time-out, where it has one of its own
+
+	startedAt, endedAt time.Duration // 0: not known
+	status             balance.Status
 }
 
 // Sent, Began and Ended are on the owner's clock, 0 where not known; Status is how it ended. They may be asked for once the
 // message has settled.
-func (a *Attempt) SentAt() time.Duration { return a.sent }
+func (a *Attempt) SentAt() time.Duration { return a.sentAt }
 
-func (a *Attempt) StartedAt() time.Duration { return a.began }
+func (a *Attempt) StartedAt() time.Duration { return a.startedAt }
 
-func (a *Attempt) EndedAt() time.Duration { return a.ended }
+func (a *Attempt) EndedAt() time.Duration { return a.endedAt }
 
 func (a *Attempt) Status() balance.Status { return a.status }
 
-func (a *Attempt) clear(now time.Duration) bool {
-	return !a.barred.Load() && !a.Message.departed.Load() && !a.host.shut.Load() && !a.host.offline.Load() && (a.SendDeadline == 0 || now < a.SendDeadline)
+func (a *Attempt) maySend(now time.Duration) bool {
+	return !a.withdrawn.Load() && !a.Message.clientLeft.Load() && !a.host.notReady.Load() && !a.host.offline.Load() && (a.SendDeadline == 0 || now < a.SendDeadline)
 }
 
 // Causes of the end of an attempt's context.
