--- a/internal/serve/backend/client.go
+++ b/internal/serve/backend/client.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	probeWithin  = 500 * time.Millisecond
-	giveUpWithin = time.Second
-	lateAnswer   = time.Second // how long an answer is awaited whose outcome is known, to keep the connection
-	maxAnswer    = http1.MaxBody
-	mostInterim  = 16 // answers that only announce another
+	probeTimeout        = 500 * time.Millisecond
+	withdrawTimeout     = time.Second
+	lateResponseTimeout = time.Second // how long an answer is awaited whose outcome is known, to keep the connection
+	maxResponseBody     = http1.MaxBody
+	maxInterimResponses = 16 // answers that only announce another
 
-	firstAgain = 50 * time.Millisecond // until a withdrawal that was not heard is said again; twice as long each time
+	minWithdrawPause = 50 * time.Millisecond // until a withdrawal that was not heard is said again; twice as long each time
 
-	refused = balance.Status(255) // of a call without a job: nobody listens there
+	statusRefused = balance.Status(255) // of a call without a job: nobody listens there
 )
 
 // Sink takes what became of attempts and probes.
@@ -55,11 +55,11 @@
 // Client is the south side. It implements engine.South.
 type Client struct {
 	Config
-	pool  *pool
-	tasks errgroup.Group
-	ctx   context.Context
-	stop  context.CancelFunc
-	ended chan struct{} // closed when Run's context has ended: what is not heard by then is not said again
+	pool     *pool
+	tasks    errgroup.Group
+	ctx      context.Context
+	stop     context.CancelFunc
+	stopping chan struct{} // closed when Run's context has ended: what is not heard by then is not said again
 }
 
 var _ interface {
@@ -73,7 +73,7 @@
 		var d net.Dialer
 		c.Dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	s := &Client{Config: c, ended: make(chan struct{})}
+	s := &Client{Config: c, stopping: make(chan struct{})}
 	s.pool = newPool(c)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
@@ -82,14 +82,14 @@
 // Run closes connections before the hosts do. It returns when the context has ended and all tasks are over, which are
 // at most withdrawals and probes by then, and short; nobody may call Send or Probe any more.
 func (c *Client) Run(ctx context.Context) error {
-	ticks := time.NewTicker(c.pool.idleFor / 8)
+	ticks := time.NewTicker(c.pool.maxIdle / 8)
 	defer ticks.Stop()
 	for {
 		select {
 		case <-ticks.C:
 			c.pool.sweep(c.Now())
 		case <-ctx.Done():
-			close(c.ended)
+			close(c.stopping)
 			err := c.tasks.Wait()
 			c.stop()
 			c.pool.close()
@@ -118,12 +118,12 @@
 			c.Sink.AttemptEnded(a, status)
 			return
 		}
-		c.settle(ctx, a)
+		c.awaitOutcome(ctx, a)
 	})
 }
 
 // settle waits for the end of an attempt that its host has taken, and withdraws it there if that is asked for.
-func (c *Client) settle(ctx context.Context, a *engine.Attempt) {
+func (c *Client) awaitOutcome(ctx context.Context, a *engine.Attempt) {
 	<-ctx.Done()
 	if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) {
 		c.Sink.AttemptEnded(a, c.withdraw(a, balance.Cancelled))
@@ -133,24 +133,26 @@
 // withdraw gives an attempt up at its host. It returns the outcome that follows from that, or TimedOut where the host has not heard: the
 // attempt may run there yet, and it is neither over nor given up. Where no copy is allowed it goes on until the host has heard, or the
 // deadline makes an end of all: nothing else may be done with the message meanwhile.
-func (c *Client) withdraw(a *engine.Attempt, heard balance.Status) balance.Status {
-	for pause := firstAgain; ; pause = min(2*pause, giveUpWithin) {
+func (c *Client) withdraw(a *engine.Attempt, confirmed balance.Status) balance.Status {
+	for pause := minWithdrawPause; ; pause = min(2*pause, withdrawTimeout) {
 		switch {
-		case c.giveUp(a):
-			return heard
+		case c.requestWithdrawal(a):
+			return confirmed
 		case c.ConcurrentAttempts || c.Now()+pause >= a.Deadline:
 			return balance.TimedOut
 		}
 		select {
 		case <-time.After(pause):
-		case <-c.ended:
+		case <-c.stopping:
 			return balance.TimedOut
 		}
 	}
 }
 
 // Resume goes on with an attempt that its host has taken from another process of this dispatcher.
-func (c *Client) Resume(ctx context.Context, a *engine.Attempt) { c.spawn(func() { c.settle(ctx, a) }) }
+func (c *Client) Resume(ctx context.Context, a *engine.Attempt) {
+	c.spawn(func() { c.awaitOutcome(ctx, a) })
+}
 
 // Caller is a payload that can be passed on as a call, whatever its client spoke.
 type HTTPPayload interface{ HTTP() *http1.Call }
@@ -170,9 +172,9 @@
 func (c *Client) Probe(h engine.Host) {
 	c.spawn(func() {
 		began := c.Now()
-		status, told := c.probe(h)
+		status, report := c.probe(h)
 		c.Log.Debug("probe ended", "host", h.Name, "status", status, "took", c.Now()-began)
-		c.Sink.ProbeEnded(h, status, told)
+		c.Sink.ProbeEnded(h, status, report)
 	})
 }
 
@@ -196,7 +198,7 @@
 	case ctx.Err() != nil:
 		c.pool.put(conn)
 		return balance.NotSent
-	case errors.Is(err, errNoRoom): // the shortage is here: the host is not to blame
+	case errors.Is(err, errPoolExhausted): // the shortage is here: the host is not to blame
 		return balance.NotSent
 	case err != nil:
 		return balance.ConnectFailed
@@ -217,7 +219,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), engine.ErrOutcomeKnown) {
-			conn.SetReadDeadline(time.Now().Add(lateAnswer))
+			conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
 		} else {
 			conn.SetDeadline(time.Now())
 		}
@@ -226,7 +228,7 @@
 	request := net.Buffers{head, call.Body} // one call of the kernel, and the body is not copied
 	if n, err := request.WriteTo(conn.Conn); err != nil {
 		c.pool.drop(conn)
-		c.broke(ctx, conn)
+		c.noteBroken(ctx, conn)
 		switch {
 		case n >= int64(whole):
 			return balance.Reset
@@ -235,20 +237,20 @@
 		}
 		return balance.ConnectFailed
 	}
-	c.Sink.AttemptWritten(a, !conn.kept)
+	c.Sink.AttemptWritten(a, !conn.reused)
 	// A host that says nothing may be cut off, and then its idle connections are as silent as this one: what is sent on
 	// them counts as perhaps run for as long as the client waits. A new connection shows at once whether it is there.
-	doubt := time.AfterFunc(c.ConnectTimeout, func() { c.pool.forget(a.Host.Name) })
-	defer doubt.Stop()
-	answer, err := c.head(conn) // before the 202, closing the connection also gives the attempt up
-	var spoilt *http1.Error
+	unresponsive := time.AfterFunc(c.ConnectTimeout, func() { c.pool.forget(a.Host.Name) })
+	defer unresponsive.Stop()
+	answer, err := c.readHead(conn) // before the 202, closing the connection also gives the attempt up
+	var malformed *http1.Error
 	if err != nil {
 		if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) { // the 202 may be on the way
 			return c.withdraw(a, balance.Cancelled)
 		}
-		c.Log.Debug("reset", "message", call.ID, "host", a.Host.Name, "kept", conn.kept, "err", err)
-		c.broke(ctx, conn)
-		if errors.As(err, &spoilt) { // it may have been the 202
+		c.Log.Debug("reset", "message", call.ID, "host", a.Host.Name, "kept", conn.reused, "err", err)
+		c.noteBroken(ctx, conn)
+		if errors.As(err, &malformed) { // it may have been the 202
 			return c.withdraw(a, balance.Reset)
 		}
 		return balance.Reset
@@ -262,7 +264,7 @@
 	// What the head says counts now, whatever becomes of the body. Only after a 202 the connection is kept: should another
 	// answer come late, the next job on it would have it for its own, and "never ran" must not be said of a job that runs.
 	if status == 0 {
-		c.rest(conn, answer, stop)
+		c.drainBody(conn, answer, stop)
 	} else {
 		c.pool.drop(conn)
 	}
@@ -274,22 +276,22 @@
 
 // rest reads what is left of an answer whose outcome is known, and keeps the connection if it can be used again. Where the body has
 // yet to come nobody waits for it.
-func (c *Client) rest(conn *conn, answer *http1.Response, stop func() bool) {
+func (c *Client) drainBody(conn *conn, answer *http1.Response, stop func() bool) {
 	read := func() {
-		err := conn.r.SkipBody(&answer.Head, maxAnswer)
-		c.done(conn, answer, err, stop)
+		err := conn.reader.SkipBody(&answer.Head, maxResponseBody)
+		c.releaseConn(conn, answer, err, stop)
 	}
-	if !answer.Chunked && answer.Length >= 0 && answer.Length <= int64(conn.r.Buffered()) {
+	if !answer.Chunked && answer.Length >= 0 && answer.Length <= int64(conn.reader.Buffered()) {
 		read()
 		return
 	}
-	conn.SetReadDeadline(time.Now().Add(lateAnswer))
+	conn.SetReadDeadline(time.Now().Add(lateResponseTimeout))
 	c.spawn(read)
 }
 
 // done puts a connection back whose answer has been read, if it can be used again.
-func (c *Client) done(conn *conn, answer *http1.Response, err error, stop func() bool) {
-	if stopped := stop(); err == nil && !answer.Close && conn.r.Buffered() == 0 && stopped {
+func (c *Client) releaseConn(conn *conn, answer *http1.Response, err error, stop func() bool) {
+	if stopped := stop(); err == nil && !answer.Close && conn.reader.Buffered() == 0 && stopped {
 		c.pool.put(conn)
 	} else {
 		c.pool.drop(conn)
@@ -297,20 +299,20 @@
 }
 
 // broke notes that a connection broke, unless this side ended what it carried.
-func (c *Client) broke(ctx context.Context, conn *conn) {
+func (c *Client) noteBroken(ctx context.Context, conn *conn) {
 	switch {
 	case ctx.Err() != nil:
-	case conn.kept:
-		c.pool.doubt()
+	case conn.reused:
+		c.pool.suspendReuse()
 	default:
-		c.pool.trust()
+		c.pool.resumeReuse()
 	}
 }
 
 // head reads an answer's head, past such as announce another. Without one the connection is dropped.
-func (c *Client) head(conn *conn) (*http1.Response, error) {
-	for range mostInterim {
-		answer, err := conn.r.ReadResponse()
+func (c *Client) readHead(conn *conn) (*http1.Response, error) {
+	for range maxInterimResponses {
+		answer, err := conn.reader.ReadResponse()
 		if err != nil {
 			c.pool.drop(conn)
 			return nil, err
@@ -325,21 +327,21 @@
 
 // answer reads an answer with its body. It keeps the connection if it can be used again; stop ends what may still set
 // its deadlines, and where that has begun already the connection is not kept. A body of up to some size is kept, if it comes whole.
-func (c *Client) answer(conn *conn, stop func() bool, keep int64) (*http1.Response, []byte, error) {
-	answer, err := c.head(conn)
+func (c *Client) readResponse(conn *conn, stop func() bool, keep int64) (*http1.Response, []byte, error) {
+	answer, err := c.readHead(conn)
 	if err != nil {
 		return nil, nil, err
 	}
 	var body []byte
 	if answer.Length > 0 && answer.Length <= keep {
-		body, err = conn.r.ReadBodyInto(&answer.Head, make([]byte, answer.Length))
+		body, err = conn.reader.ReadBodyInto(&answer.Head, make([]byte, answer.Length))
 	} else {
-		err = conn.r.SkipBody(&answer.Head, maxAnswer)
+		err = conn.reader.SkipBody(&answer.Head, maxResponseBody)
 	}
 	if answer.Status >= 300 { // see send: what comes after it must not be another's answer
 		answer.Close = true
 	}
-	c.done(conn, answer, err, stop)
+	c.releaseConn(conn, answer, err, stop)
 	return answer, body, nil
 }
 
@@ -361,14 +363,14 @@
 
 // giveUp tells a host that nobody waits for a job any more, and says whether it has heard. A 202 is no answer to that, but one to a job that
 // came twice. A host that refuses the connection is gone, with all that it had.
-func (c *Client) giveUp(a *engine.Attempt) (heard bool) {
+func (c *Client) requestWithdrawal(a *engine.Attempt) (confirmed bool) {
 	call := callOf(a.Message)
-	answer, _, status := c.ask(a.Host, "DELETE", "/jobs/"+call.ID, giveUpWithin)
-	heard = status == balance.OK && answer.Status != 202 && answer.Status < 500 || status == refused
-	if !heard {
+	answer, _, status := c.call(a.Host, "DELETE", "/jobs/"+call.ID, withdrawTimeout)
+	confirmed = status == balance.OK && answer.Status != 202 && answer.Status < 500 || status == statusRefused
+	if !confirmed {
 		c.Log.Debug("withdrawal not heard", "message", call.ID, "host", a.Host.Name, "status", status)
 	}
-	return heard
+	return confirmed
 }
 
 // probe asks for a host's load where it reports any, else whether it is well.
@@ -377,9 +379,9 @@
 	if c.Loads != nil {
 		target = "/-/load"
 	}
-	answer, body, status := c.ask(h, "GET", target, probeWithin)
+	answer, body, status := c.call(h, "GET", target, probeTimeout)
 	switch {
-	case status == refused:
+	case status == statusRefused:
 		return balance.ConnectFailed, nil
 	case answer == nil:
 		return status, nil
@@ -397,15 +399,15 @@
 }
 
 // ask makes one call that carries no job, within a time. OK says that an answer came, whose body is given if it is short.
-func (c *Client) ask(h engine.Host, method, target string, within time.Duration) (*http1.Response, []byte, balance.Status) {
+func (c *Client) call(h engine.Host, method, target string, within time.Duration) (*http1.Response, []byte, balance.Status) {
 	ctx, stop := context.WithTimeout(c.ctx, within)
 	defer stop()
 	conn, err := c.pool.get(ctx, h)
 	switch {
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errPoolExhausted):
 		return nil, nil, balance.NotSent
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return nil, nil, refused
+		return nil, nil, statusRefused
 	case err != nil:
 		return nil, nil, balance.ConnectFailed
 	}
@@ -414,13 +416,13 @@
 	request := http1.AppendRequest(nil, method, target, http1.Fields{{Name: "Host", Value: h.Address}}, nil)
 	if _, err := conn.Write(request); err != nil {
 		c.pool.drop(conn)
-	} else if answer, body, err := c.answer(conn, abort, load.MostText); err == nil {
+	} else if answer, body, err := c.readResponse(conn, abort, load.MostText); err == nil {
 		return answer, body, balance.OK
 	}
 	if ctx.Err() != nil {
 		c.pool.forget(h.Name)
 		return nil, nil, balance.TimedOut
 	}
-	c.broke(ctx, conn)
+	c.noteBroken(ctx, conn)
 	return nil, nil, balance.Reset
 }
--- a/internal/serve/backend/client_test.go
+++ b/internal/serve/backend/client_test.go
@@ -26,13 +26,13 @@
 
 // host plays one south side host, on a pipe for each connection.
 type host struct {
-	mu      sync.Mutex
-	act     step
-	heard   []string         // whole requests
-	lives   int              // connections that are open
-	written []bool           // on fresh connections
-	status  []balance.Status // what the client reported
-	loads   [][]float32
+	mu       sync.Mutex
+	next     step
+	requests []string         // whole requests
+	open     int              // connections that are open
+	written  []bool           // on fresh connections
+	status   []balance.Status // what the client reported
+	loads    [][]float32
 }
 
 func (h *host) note(f func()) {
@@ -53,7 +53,7 @@
 
 func (h *host) dial(ctx context.Context, _ string) (net.Conn, error) {
 	h.mu.Lock()
-	act := h.act
+	act := h.next
 	h.mu.Unlock()
 	switch act.dial {
 	case "refused":
@@ -63,7 +63,7 @@
 		return nil, ctx.Err()
 	}
 	near, far := net.Pipe()
-	h.note(func() { h.lives++ })
+	h.note(func() { h.open++ })
 	go h.serve(&end{Conn: far, h: h})
 	return near, nil
 }
@@ -77,7 +77,7 @@
 
 func (e *end) Read(p []byte) (int, error) {
 	e.h.mu.Lock()
-	limit := e.h.act.reads
+	limit := e.h.next.reads
 	e.h.mu.Unlock()
 	if limit > 0 && e.read >= limit {
 		e.Close()
@@ -89,7 +89,7 @@
 }
 
 func (h *host) serve(e *end) {
-	defer h.note(func() { h.lives-- })
+	defer h.note(func() { h.open-- })
 	defer e.Close()
 	r := http1.NewReader(e)
 	for {
@@ -106,10 +106,10 @@
 		h.note(func() {
 			id, _ := q.Fields.Get("Req-Id")
 			key, _ := q.Fields.Get("Idempotency-Key")
-			h.heard = append(h.heard, strings.TrimSpace(fmt.Sprint(q.Method, " ", q.Target, " ", id, key, string(body))))
-			act = h.act
+			h.requests = append(h.requests, strings.TrimSpace(fmt.Sprint(q.Method, " ", q.Target, " ", id, key, string(body))))
+			act = h.next
 		})
-		time.Sleep(act.thinks)
+		time.Sleep(act.delay)
 		answer := act.answer
 		if q.Method == "DELETE" {
 			answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -123,21 +123,21 @@
 
 // step is one attempt or probe, how the host acts, and what must come of it.
 type step struct {
-	dial    string // refused or silent; otherwise it comes up
-	reads   int    // bytes before the host closes; 0: all
-	answer  string // or close; "" for none
-	thinks  time.Duration
-	barred  bool          // the host drains or the attempt is withdrawn, right before the first byte
-	stop    error         // the cause that ends the attempt,
-	after   time.Duration // when
-	probe   bool
-	forget  bool          // and nothing else
-	pass    time.Duration // and nothing else
-	want    balance.Status
-	unheard bool // the host gets no whole request
-	gives   bool // the host is told to give up
-	keeps   bool // the connection is used again
-	breaks  bool // it breaks under what it carries
+	dial        string // refused or silent; otherwise it comes up
+	reads       int    // bytes before the host closes; 0: all
+	answer      string // or close; "" for none
+	delay       time.Duration
+	barred      bool          // the host drains or the attempt is withdrawn, right before the first byte
+	stop        error         // the cause that ends the attempt,
+	after       time.Duration // when
+	probe       bool
+	forget      bool          // and nothing else
+	pass        time.Duration // and nothing else
+	want        balance.Status
+	notReceived bool // the host gets no whole request
+	withdraws   bool // the host is told to give up
+	reusable    bool // the connection is used again
+	breaks      bool // it breaks under what it carries
 }
 
 const (
@@ -151,44 +151,44 @@
 // steps follow the protocol's table of outcomes. Where the host is reached by an idle connection, dial has no effect:
 // that is for such a step the same as if it came up.
 var steps = []step{
-	{answer: taken, stop: engine.ErrOutcomeKnown, after: soon, keeps: true},
-	{answer: taken, stop: engine.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
-	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + taken, stop: engine.ErrOutcomeKnown, after: soon, keeps: true},
+	{answer: taken, stop: engine.ErrOutcomeKnown, after: soon, reusable: true},
+	{answer: taken, stop: engine.ErrWithdrawn, after: soon, withdraws: true, want: balance.Cancelled, reusable: true},
+	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + taken, stop: engine.ErrOutcomeKnown, after: soon, reusable: true},
 	{answer: "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", stop: engine.ErrOutcomeKnown, after: soon},
 	{answer: "HTTP/1.1 503 No\r\n" + declined, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\n" + declined, want: balance.Full},
-	{answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Errored, gives: true, keeps: true}, // that of the withdrawal
+	{answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Errored, withdraws: true, reusable: true}, // that of the withdrawal
 	{answer: "HTTP/1.1 500 No\r\n" + declined, want: balance.Errored},
 	{answer: "HTTP/1.1 400 No\r\n" + empty, want: balance.Rejected},
-	{answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.Errored, gives: true, keeps: true},
-	{answer: "what?\r\n\r\n", want: balance.Reset, breaks: true, gives: true, keeps: true},
-	{answer: "HTTP/1.1 202 Acc", thinks: soon, stop: engine.ErrWithdrawn, after: 2 * soon, want: balance.Cancelled, gives: true, keeps: true},
+	{answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.Errored, withdraws: true, reusable: true},
+	{answer: "what?\r\n\r\n", want: balance.Reset, breaks: true, withdraws: true, reusable: true},
+	{answer: "HTTP/1.1 202 Acc", delay: soon, stop: engine.ErrWithdrawn, after: 2 * soon, want: balance.Cancelled, withdraws: true, reusable: true},
 	{answer: "close", want: balance.Reset, breaks: true},
-	{reads: 1, want: balance.ConnectFailed, unheard: true, breaks: true},
-	{reads: 120, want: balance.ConnectFailed, unheard: true, breaks: true},
-	{barred: true, want: balance.NotSent, unheard: true, keeps: true},
-	{answer: "", stop: engine.ErrWithdrawn, after: time.Second, want: balance.Cancelled, gives: true, keeps: true},
-	{answer: taken, thinks: 2 * soon, stop: engine.ErrOutcomeKnown, after: soon}, // the host's word came first
+	{reads: 1, want: balance.ConnectFailed, notReceived: true, breaks: true},
+	{reads: 120, want: balance.ConnectFailed, notReceived: true, breaks: true},
+	{barred: true, want: balance.NotSent, notReceived: true, reusable: true},
+	{answer: "", stop: engine.ErrWithdrawn, after: time.Second, want: balance.Cancelled, withdraws: true, reusable: true},
+	{answer: taken, delay: 2 * soon, stop: engine.ErrOutcomeKnown, after: soon},  // the host's word came first
 	{answer: "", stop: engine.ErrOutcomeKnown, after: soon, want: balance.Reset}, // too late to count, but it ends
-	{probe: true, answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.OK, keeps: true},
+	{probe: true, answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.OK, reusable: true},
 	{probe: true, answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Full},
 	{probe: true, answer: "HTTP/1.1 404 No\r\n" + empty, want: balance.Errored},
 	{probe: true, answer: "", want: balance.TimedOut},
 	{probe: true, answer: "close", want: balance.Reset, breaks: true},
 	{forget: true},
 	{pass: keepalive},
-	{pass: keepalive / 8, keeps: true},
-	{dial: "refused", want: balance.ConnectFailed, unheard: true},
-	{dial: "silent", want: balance.ConnectFailed, unheard: true},
-	{dial: "silent", stop: engine.ErrWithdrawn, after: soon, want: balance.NotSent, unheard: true},
-	{dial: "silent", probe: true, want: balance.ConnectFailed, unheard: true},
+	{pass: keepalive / 8, reusable: true},
+	{dial: "refused", want: balance.ConnectFailed, notReceived: true},
+	{dial: "silent", want: balance.ConnectFailed, notReceived: true},
+	{dial: "silent", stop: engine.ErrWithdrawn, after: soon, want: balance.NotSent, notReceived: true},
+	{dial: "silent", probe: true, want: balance.ConnectFailed, notReceived: true},
 	// What the head says counts though the body never ends.
 	{answer: "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\n" + endless, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nx", want: balance.Full},
 	{answer: "HTTP/1.1 500 No\r\n" + endless, want: balance.Errored},
 	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrOutcomeKnown, after: soon},
-	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrWithdrawn, after: soon, gives: true, want: balance.Cancelled, keeps: true},
-	{answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 40), want: balance.Reset, breaks: true, gives: true, keeps: true},
+	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrWithdrawn, after: soon, withdraws: true, want: balance.Cancelled, reusable: true},
+	{answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 40), want: balance.Reset, breaks: true, withdraws: true, reusable: true},
 }
 
 func (p *pool) count() int {
@@ -197,20 +197,20 @@
 	return p.open
 }
 
-type world struct {
+type harness struct {
 	t *testing.T
 	*host
-	c    *Client
-	to   engine.Host
-	kept bool          // the model's pool: whether there is an idle connection,
-	idle time.Duration // and since when, at the end of a step
+	c       *Client
+	to      engine.Host
+	hasIdle bool          // the model's pool: whether there is an idle connection,
+	idleFor time.Duration // and since when, at the end of a step
 	// Kept connections have broken: none is kept until then, for so long.
-	doubtTill, doubtFor time.Duration
+	noReuseUntil, noReuseFor time.Duration
 }
 
-func within(t *testing.T, conns int, test func(*world)) {
+func runInBubble(t *testing.T, conns int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, host: &host{}, to: engine.Host{Name: "s-1", Address: "10.0.0.1:1"}}
+		w := &harness{t: t, host: &host{}, to: engine.Host{Name: "s-1", Address: "10.0.0.1:1"}}
 		w.c = New(Config{Sink: w.host, ConnectTimeout: connect, HostIdleTimeout: keepalive, MaxConns: conns, Dial: w.dial,
 			Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		ctx, stop := context.WithCancel(t.Context())
@@ -220,24 +220,24 @@
 		stop()
 		<-done
 		synctest.Wait()
-		if w.lives != 0 || w.c.pool.count() != 0 {
-			t.Errorf("%d connections are left, %d counted", w.lives, w.c.pool.count())
+		if w.open != 0 || w.c.pool.count() != 0 {
+			t.Errorf("%d connections are left, %d counted", w.open, w.c.pool.count())
 		}
 	})
 }
 
-func (w *world) attempt(barred bool) *engine.Attempt {
+func (w *harness) attempt(barred bool) *engine.Attempt {
 	call := &http1.Call{ID: "9b1f", Method: "POST", Target: "/send-warning/x?y=%41", Body: []byte("high"),
 		Fields: http1.Fields{{Name: "Req-Id", Value: "9b1f"}, {Name: "Idempotency-Key", Value: "k"}}}
 	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: w.to, Deadline: w.c.Now() + 5*time.Second,
 		MaySend: func() bool { return !barred }}
 }
 
-func (w *world) play(i int, s step) {
-	if w.kept && s.dial != "" {
+func (w *harness) playStep(i int, s step) {
+	if w.hasIdle && s.dial != "" {
 		return
 	}
-	w.note(func() { w.act, w.heard, w.status, w.written = s, nil, nil, nil })
+	w.note(func() { w.next, w.requests, w.status, w.written = s, nil, nil, nil })
 	switch {
 	case s.forget:
 		w.c.Forget(w.to)
@@ -257,61 +257,61 @@
 	synctest.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if sent := s.pass == 0 && !s.forget && !s.probe && !s.unheard; sent != (len(w.written) == 1) || sent && w.written[0] == w.kept {
-		w.t.Errorf("step %d: written on fresh connections %v, one was kept: %v", i, w.written, w.kept)
+	if sent := s.pass == 0 && !s.forget && !s.probe && !s.notReceived; sent != (len(w.written) == 1) || sent && w.written[0] == w.hasIdle {
+		w.t.Errorf("step %d: written on fresh connections %v, one was kept: %v", i, w.written, w.hasIdle)
 	}
 	var want []string
 	switch {
-	case s.forget || s.pass > 0 || s.unheard:
+	case s.forget || s.pass > 0 || s.notReceived:
 	case s.probe:
 		want = append(want, "GET /-/healthy")
 	default:
 		want = append(want, "POST /send-warning/x?y=%41 9b1fkhigh")
 	}
-	if s.gives {
+	if s.withdraws {
 		want = append(want, "DELETE /jobs/9b1f")
 	}
-	if strings.Join(w.heard, ",") != strings.Join(want, ",") {
-		w.t.Errorf("step %d: the host heard %q, want %q", i, w.heard, want)
+	if strings.Join(w.requests, ",") != strings.Join(want, ",") {
+		w.t.Errorf("step %d: the host heard %q, want %q", i, w.requests, want)
 	}
 	switch {
 	case s.want == 0 && len(w.status) > 0, s.want != 0 && (len(w.status) != 1 || w.status[0] != s.want):
 		w.t.Errorf("step %d: statuses %v, want %d", i, w.status, s.want)
 	}
-	w.model(i, s)
+	w.checkPool(i, s)
 }
 
 // model keeps what the pool must hold: at most one connection, as one step follows another.
-func (w *world) model(i int, s step) {
+func (w *harness) checkPool(i int, s step) {
 	now := w.c.Now() - 2*time.Second + time.Millisecond
-	if !w.kept && s.breaks { // new ones break as well
-		w.doubtTill, w.doubtFor = 0, 0
+	if !w.hasIdle && s.breaks { // new ones break as well
+		w.noReuseUntil, w.noReuseFor = 0, 0
 	}
-	if w.kept && s.breaks {
-		w.doubtFor = min(2*w.doubtFor, longestDoubt)
-		if now-w.doubtTill > longestDoubt {
-			w.doubtFor = firstDoubt
+	if w.hasIdle && s.breaks {
+		w.noReuseFor = min(2*w.noReuseFor, maxNoReuse)
+		if now-w.noReuseUntil > maxNoReuse {
+			w.noReuseFor = minNoReuse
 		}
-		w.doubtTill = now + w.doubtFor
+		w.noReuseUntil = now + w.noReuseFor
 	}
-	if s.gives { // on a connection of its own
+	if s.withdraws { // on a connection of its own
 		now += s.after
 	}
 	switch {
 	case s.pass > 0 || s.dial != "":
-		w.idle += s.pass + 2*time.Second
+		w.idleFor += s.pass + 2*time.Second
 	default:
-		w.kept, w.idle = s.keeps && now >= w.doubtTill, 2*time.Second
+		w.hasIdle, w.idleFor = s.reusable && now >= w.noReuseUntil, 2*time.Second
 	}
-	if w.idle >= keepalive*3/4 {
-		w.kept = false
+	if w.idleFor >= keepalive*3/4 {
+		w.hasIdle = false
 	}
 	want := 0
-	if w.kept {
+	if w.hasIdle {
 		want = 1
 	}
-	if w.lives != want || w.c.pool.count() != want {
-		w.t.Errorf("step %d: %d connections, %d counted, want %d", i, w.lives, w.c.pool.count(), want)
+	if w.open != want || w.c.pool.count() != want {
+		w.t.Errorf("step %d: %d connections, %d counted, want %d", i, w.open, w.c.pool.count(), want)
 	}
 }
 
@@ -325,10 +325,10 @@
 	f.Add([]byte{0, 12, 0, 25, 25, 25, 0, 12, 0, 25, 25, 25, 25, 25, 0, 4, 0, 10, 0})
 	f.Add([]byte{0, 1, 25, 0, 24, 27, 28, 29, 30, 0, 13, 0, 14, 0, 26, 26, 26, 26, 26, 15})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		within(t, 8, func(w *world) {
+		runInBubble(t, 8, func(w *harness) {
 			for _, b := range in[:min(len(in), 60)] {
 				i := int(b) % len(steps)
-				w.play(i, steps[i])
+				w.playStep(i, steps[i])
 			}
 		})
 	})
@@ -336,7 +336,7 @@
 
 // TestLoads: what a host reports of its load comes with what it answers, to a job and to a probe, in its body or beside it.
 func TestLoads(t *testing.T) {
-	within(t, 8, func(w *world) {
+	runInBubble(t, 8, func(w *harness) {
 		w.c.Loads = load.New([]string{"util", "x0"}, w.c.Log)
 		const told = "Srv-Load: x0=3,util=0.5\r\n"
 		body := func(text string) string {
@@ -357,7 +357,7 @@
 			{true, body(strings.Repeat(" ", 60000) + "x0=3,util=0.5"), false},
 			{true, body(""), false},
 		} {
-			w.note(func() { w.act, w.heard, w.loads = step{answer: c.answer}, nil, nil })
+			w.note(func() { w.next, w.requests, w.loads = step{answer: c.answer}, nil, nil })
 			if c.probe {
 				w.c.Probe(w.to)
 			} else {
@@ -369,8 +369,8 @@
 				if len(w.loads) != 1 || (len(w.loads[0]) == 2 && w.loads[0][0] == 0.5 && w.loads[0][1] == 3) != c.want || !c.want && w.loads[0] != nil {
 					t.Errorf("%.80q: %v", c.answer, w.loads)
 				}
-				if c.probe && w.heard[0] != "GET /-/load" {
-					t.Errorf("asked %q", w.heard)
+				if c.probe && w.requests[0] != "GET /-/load" {
+					t.Errorf("asked %q", w.requests)
 				}
 			})
 		}
@@ -379,11 +379,11 @@
 
 // TestNoRoom: a shortage of connections here is no fault of the host, and an idle one makes room.
 func TestNoRoom(t *testing.T) {
-	within(t, 1, func(w *world) {
-		w.play(0, steps[0])
-		w.to.Name, w.kept = "s-2", false
-		w.play(0, steps[0])
-		w.note(func() { w.act = step{} })
+	runInBubble(t, 1, func(w *harness) {
+		w.playStep(0, steps[0])
+		w.to.Name, w.hasIdle = "s-2", false
+		w.playStep(0, steps[0])
+		w.note(func() { w.next = step{} })
 		ctx, stop := context.WithCancelCause(w.t.Context())
 		w.c.Send(ctx, w.attempt(false))
 		synctest.Wait()
@@ -401,14 +401,14 @@
 // TestSilentHost guards against sends on the idle connections of a host that was cut off: each would be silent until
 // its client's patience ends, and could not be sent elsewhere.
 func TestSilentHost(t *testing.T) {
-	within(t, 8, func(w *world) {
-		w.note(func() { w.act = step{answer: taken, thinks: soon} })
+	runInBubble(t, 8, func(w *harness) {
+		w.note(func() { w.next = step{answer: taken, delay: soon} })
 		ctx, stop := context.WithCancelCause(w.t.Context())
 		for range 3 {
 			w.c.Send(ctx, w.attempt(false))
 		}
 		time.Sleep(time.Second)
-		w.note(func() { w.act = step{dial: "silent"} }) // and no answer on the connections that there are
+		w.note(func() { w.next = step{dial: "silent"} }) // and no answer on the connections that there are
 		w.c.Send(ctx, w.attempt(false))
 		time.Sleep(connect / 2)
 		if n := w.c.pool.count(); n != 3 {
@@ -433,10 +433,10 @@
 // TestStaleConnections guards against kept connections that something drops without a word: after the first that breaks
 // no other is tried for a while, at no host, and then they are kept again.
 func TestStaleConnections(t *testing.T) {
-	within(t, 8, func(w *world) {
+	runInBubble(t, 8, func(w *harness) {
 		for _, name := range []string{"s-1", "s-2"} {
 			w.to.Name = name
-			w.note(func() { w.act = step{answer: taken} })
+			w.note(func() { w.next = step{answer: taken} })
 			ctx, stop := context.WithCancelCause(w.t.Context())
 			defer stop(engine.ErrOutcomeKnown)
 			w.c.Send(ctx, w.attempt(false))
@@ -445,7 +445,7 @@
 		if n := w.c.pool.count(); n != 2 {
 			t.Fatalf("%d connections kept", n)
 		}
-		w.note(func() { w.act = step{answer: "close"} })
+		w.note(func() { w.next = step{answer: "close"} })
 		w.c.Send(w.t.Context(), w.attempt(false))
 		time.Sleep(soon)
 		w.note(func() {
@@ -454,21 +454,21 @@
 			}
 		})
 		for _, want := range []int{0, 1} {
-			w.note(func() { w.act = step{answer: "HTTP/1.1 200 OK\r\n" + empty} })
+			w.note(func() { w.next = step{answer: "HTTP/1.1 200 OK\r\n" + empty} })
 			w.c.Probe(w.to)
 			time.Sleep(soon)
 			if n := w.c.pool.count(); n != want {
 				t.Errorf("%d connections kept, want %d", n, want)
 			}
-			time.Sleep(firstDoubt)
+			time.Sleep(minNoReuse)
 		}
 		// One that is new breaks as well: it is not their age.
-		w.note(func() { w.act = step{answer: "close"} })
+		w.note(func() { w.next = step{answer: "close"} })
 		for range 2 {
 			w.c.Send(w.t.Context(), w.attempt(false))
 			time.Sleep(soon)
 		}
-		w.note(func() { w.act = step{answer: "HTTP/1.1 200 OK\r\n" + empty} })
+		w.note(func() { w.next = step{answer: "HTTP/1.1 200 OK\r\n" + empty} })
 		w.c.Probe(w.to)
 		time.Sleep(soon)
 		if n := w.c.pool.count(); n != 1 {
--- a/internal/serve/backend/races_test.go
+++ b/internal/serve/backend/races_test.go
@@ -22,7 +22,7 @@
 func (o outcomes) ProbeEnded(engine.Host, balance.Status, []float32) {}
 
 // peer plays a host on loopback, one function for each connection in the order in which they come.
-func peer(t *testing.T, conns ...func(net.Conn, *http1.Reader)) engine.Host {
+func startHost(t *testing.T, conns ...func(net.Conn, *http1.Reader)) engine.Host {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +45,7 @@
 }
 
 // client runs a Client over real connections.
-func client(t *testing.T) (*Client, outcomes) {
+func startClient(t *testing.T) (*Client, outcomes) {
 	t.Helper()
 	o := outcomes{make(chan balance.Status, 16), make(chan balance.Status, 16)}
 	c := New(Config{Sink: o, ConnectTimeout: time.Minute, HostIdleTimeout: time.Hour, MaxConns: 8,
@@ -77,10 +77,10 @@
 // TestLateSecondAnswer: a host turns a job away twice, the second time when the next job is on its way already. That word is of
 // the first: were it taken for the next one's, that one would be sent again while it runs.
 func TestLateSecondAnswer(t *testing.T) {
-	c, o := client(t)
+	c, o := startClient(t)
 	refuse := func(conn net.Conn) { fmt.Fprint(conn, "HTTP/1.1 503 No\r\n"+declined) }
 	took := make(chan struct{}, 1)
-	to := peer(t, func(conn net.Conn, r *http1.Reader) {
+	to := startHost(t, func(conn net.Conn, r *http1.Reader) {
 		request(r)
 		refuse(conn)
 		if request(r) != "" { // the next job has come on this connection
@@ -116,8 +116,8 @@
 // TestSlowHostAndTheWindow: a host takes the request so slowly that the time for another attempt ends before the last byte. The write is
 // cut short, which proves that nothing ran, and the connection is gone.
 func TestSlowHostAndTheWindow(t *testing.T) {
-	within(t, 8, func(w *world) {
-		w.note(func() { w.act = step{reads: 1 << 20} })
+	runInBubble(t, 8, func(w *harness) {
+		w.note(func() { w.next = step{reads: 1 << 20} })
 		w.c.pool.Dial = func(context.Context, string) (net.Conn, error) { // nobody reads at the other end
 			near, far := net.Pipe()
 			go func() {
@@ -144,11 +144,11 @@
 // over nor given up: where no copy is allowed it is said again, and else the outcome says that the job may run there yet.
 func TestUnheardWithdrawal(t *testing.T) {
 	for _, copies := range []bool{false, true} {
-		c, o := client(t)
+		c, o := startClient(t)
 		c.ConcurrentAttempts = copies
 		calls := make(chan string, 8)
 		lose := func(_ net.Conn, r *http1.Reader) { calls <- request(r) }
-		to := peer(t, func(conn net.Conn, r *http1.Reader) {
+		to := startHost(t, func(conn net.Conn, r *http1.Reader) {
 			calls <- request(r)
 			fmt.Fprint(conn, "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		}, lose, lose, func(conn net.Conn, r *http1.Reader) {
@@ -181,9 +181,9 @@
 // TestWithdrawalCrossesThe202: the attempt is withdrawn while the host's 202 is on the way. To close the connection gives it up only
 // before the 202, so the host is told as well.
 func TestWithdrawalCrossesThe202(t *testing.T) {
-	c, o := client(t)
+	c, o := startClient(t)
 	calls := make(chan string, 8)
-	to := peer(t, func(_ net.Conn, r *http1.Reader) {
+	to := startHost(t, func(_ net.Conn, r *http1.Reader) {
 		calls <- request(r)
 		request(r) // till the other side closes: its 202 would come now
 	}, func(conn net.Conn, r *http1.Reader) {
@@ -219,8 +219,8 @@
 			}
 		})
 	}
-	to := peer(t, conns...)
-	c, o := client(t) // its end is waited for, while the host goes on
+	to := startHost(t, conns...)
+	c, o := startClient(t) // its end is waited for, while the host goes on
 	ctx, stop := context.WithCancelCause(context.Background())
 	c.Send(ctx, attempt(c, to, "1"))
 	<-o.written
--- a/internal/serve/clientlistener/handover.go
+++ b/internal/serve/clientlistener/handover.go
@@ -30,23 +30,23 @@
 }
 
 // caller is the payload of a message that came over HTTP.
-type caller interface{ HTTP() *http1.Call }
+type httpPayload interface{ HTTP() *http1.Call }
 
 // callOf is a message as its client sent it.
 func callOf(m *engine.Message) *http1.Call {
 	switch p := m.Payload.(type) {
 	case *http1.Call:
 		return p
-	case caller:
+	case httpPayload:
 		return p.HTTP()
 	}
 	return nil
 }
 
 // left says whether the listener is left to another process.
-func (s *Server) left() bool {
+func (s *Server) isListenerReleased() bool {
 	select {
-	case <-s.handed:
+	case <-s.listenerReleased:
 		return true
 	default:
 		return false
@@ -54,20 +54,22 @@
 }
 
 // passes says whether what is open goes over to that process.
-func (s *Server) passes() bool { return s.left() && s.Peer != nil && s.Peer.Connected() }
+func (s *Server) canHandOver() bool {
+	return s.isListenerReleased() && s.Peer != nil && s.Peer.Connected()
+}
 
 // Pass asks for all messages that wait for answers to go over to the successor. It does not wait for them, and those that cannot go now
 // stay: it is to be called again.
 func (s *Server) HandOverConnections() {
-	if !s.passes() {
+	if !s.canHandOver() {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if !c.idle && !c.closed {
+		if !c.idle && !c.isShutDown {
 			select {
-			case c.pass <- struct{}{}:
+			case c.handOverRequested <- struct{}{}:
 			default:
 			}
 		}
@@ -76,25 +78,25 @@
 
 // handOn passes the connection and its message on to a successor. The read that is under way must end first: what it took the
 // successor would never see. True: the message is another's now.
-func (c *conn) handOn(m *engine.Message, gone <-chan error, last bool) bool {
+func (c *conn) handOver(m *engine.Message, clientGone <-chan error, last bool) bool {
 	call := callOf(m)
 	if call == nil {
 		return false
 	}
 	c.SetReadDeadline(time.Now())
-	err := <-gone
-	c.peeked = nil
+	err := <-clientGone
+	c.pendingRead = nil
 	c.SetReadDeadline(time.Time{})
-	var late net.Error
-	if !errors.As(err, &late) || !late.Timeout() {
-		c.peeked = make(chan error, 1) // it has left, or more has come: whoever waits sees to that
-		c.peeked <- err
+	var timeout net.Error
+	if !errors.As(err, &timeout) || !timeout.Timeout() {
+		c.pendingRead = make(chan error, 1) // it has left, or more has come: whoever waits sees to that
+		c.pendingRead <- err
 		return false
 	}
 	var past engine.Past
 	released := false
-	taken, err := c.s.Peer.PassConnection(c.Conn, func() ([]byte, bool) {
-		if past, released = c.s.Engine.Release(c.s.run, m); !released {
+	taken, err := c.server.Peer.PassConnection(c.Conn, func() ([]byte, bool) {
+		if past, released = c.server.Engine.Release(c.server.runCtx, m); !released {
 			return nil, false
 		}
 		body, err := cbor.Marshal(&record{Key: m.Key, Method: call.Method, Target: call.Target, Fields: call.Fields, Body: call.Body,
@@ -104,16 +106,16 @@
 	if !released {
 		return false
 	}
-	c.s.Engine.CompleteRelease(m, past, taken)
+	c.server.Engine.CompleteRelease(m, past, taken)
 	if !taken {
-		c.s.Log.Debug("message not handed over", "message", m.Key, "err", err)
+		c.server.Log.Debug("message not handed over", "message", m.Key, "err", err)
 		return false
 	}
-	c.s.Check.Check(c.s.taken.Add(-1) >= 0, "more messages ended than were taken")
+	c.server.Check.Check(c.server.unfinished.Add(-1) >= 0, "more messages ended than were taken")
 	return true
 }
 
-var errNoPlace = errors.New("no place for a message of another process")
+var errNoCapacity = errors.New("no place for a message of another process")
 
 // Adopt takes over a message of another process and the connection on which its client waits. The connection is closed if it does not.
 func (s *Server) Adopt(text []byte, raw net.Conn) (taken bool) {
@@ -125,9 +127,9 @@
 }
 
 func (s *Server) adopt(text []byte, raw net.Conn) (err error) {
-	joined := false // the connection's goroutine closes it
+	started := false // the connection's goroutine closes it
 	defer func() {
-		if !joined {
+		if !started {
 			raw.Close()
 		}
 	}()
@@ -139,9 +141,9 @@
 	if !validID(r.Key) || class < 0 || class >= len(s.Classes) || len(r.Body) > http1.MaxBody {
 		return errors.New("record: no message of these settings")
 	}
-	hold := s.Budget.Take(len(r.Body), budget.Message+s.result.Load())
+	hold := s.Budget.Take(len(r.Body), budget.Message+s.resultSize.Load())
 	if hold == nil {
-		return errNoPlace
+		return errNoCapacity
 	}
 	defer hold.Drop()
 	call := &http1.Call{ID: r.Key, Method: r.Method, Target: r.Target, Fields: r.Fields, Body: hold.Buffer()[:copy(hold.Buffer(), r.Body)], Hold: hold}
@@ -152,48 +154,48 @@
 	select {
 	case s.slots <- struct{}{}:
 	default:
-		return errNoPlace
+		return errNoCapacity
 	}
 	c := newConn(s, raw)
 	c.idle = false
-	reply := c.expect(m, hold)
+	reply := c.prepareReply(m, hold)
 	adopted := make(chan bool, 1)
-	if joined = s.join(func() {
+	if started = s.startConn(func() {
 		defer s.reserve()
 		defer func() { <-s.slots }()
 		defer s.remove(c)
 		if !<-adopted {
 			return
 		}
-		again := c.wait(m, reply, r.Last)
-		s.open.Add(-1)
-		if again && c.mark(true) {
+		keepAlive := c.awaitReply(m, reply, r.Last)
+		s.unanswered.Add(-1)
+		if keepAlive && c.setIdle(true) {
 			c.serve(false)
 		}
-	}, c); !joined {
+	}, c); !started {
 		hold.Drop()
 		<-s.slots
 		return net.ErrClosed
 	}
-	s.open.Add(1)
-	s.taken.Add(1)
-	ok := s.Engine.Adopt(s.run, m, r.Past)
+	s.unanswered.Add(1)
+	s.unfinished.Add(1)
+	ok := s.Engine.Adopt(s.runCtx, m, r.Past)
 	if !ok {
 		hold.Drop()
-		s.open.Add(-1)
-		s.taken.Add(-1)
-		err = errNoPlace
+		s.unanswered.Add(-1)
+		s.unfinished.Add(-1)
+		err = errNoCapacity
 	}
 	adopted <- ok
 	return err
 }
 
 // join has a connection's goroutine run beside those of the listener. False: the server has ended.
-func (s *Server) join(serve func(), c *conn) bool {
+func (s *Server) startConn(serve func(), c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.ended:
+	case <-s.done:
 		return false
 	default:
 	}
--- a/internal/serve/clientlistener/message.go
+++ b/internal/serve/clientlistener/message.go
@@ -14,10 +14,10 @@
 	"liftgauge/internal/serve/engine"
 )
 
-const maxID = 128
+const maxIDLength = 128
 
 // message makes a message of the head of a client's request. What it refuses has not reached the module.
-func (s *Server) message(head *http1.Request) (*engine.Message, *http1.Call, error) {
+func (s *Server) parseMessage(head *http1.Request) (*engine.Message, *http1.Call, error) {
 	first, _, _ := strings.Cut(head.Path[1:], "/")
 	class, ok := s.classes[first]
 	if !ok {
@@ -59,13 +59,13 @@
 		job.Again = text == "1"
 	}
 	if text, n := head.Fields.Get("Req-Extra"); n > 0 {
-		if !extras(text, &job) {
+		if !parseExtras(text, &job) {
 			return refuse("bad Req-Extra")
 		}
 	}
 	call := &http1.Call{ID: id, Method: head.Method, Target: head.Target, Fields: make(http1.Fields, 0, len(head.Fields))}
 	for _, f := range head.Fields {
-		if passes(f.Name) {
+		if isForwardedField(f.Name) {
 			call.Fields = append(call.Fields, f)
 		}
 	}
@@ -81,20 +81,20 @@
 }
 
 // arrive notes that all of a message has come.
-func (s *Server) arrive(m *engine.Message) {
+func (s *Server) markArrived(m *engine.Message) {
 	m.Arrived = s.Now()
-	if s.ShuttingDown() && !s.passes() { // the program may be killed soon after: what it has not answered by then would be lost
-		m.Job.Left = min(m.Job.Left, max(0, time.Duration(s.last.Load())-m.Arrived))
+	if s.ShuttingDown() && !s.canHandOver() { // the program may be killed soon after: what it has not answered by then would be lost
+		m.Job.Left = min(m.Job.Left, max(0, time.Duration(s.answerBy.Load())-m.Arrived))
 	}
-	m.Job.Left = s.drain.left(m.Arrived, m.Job.Left)
+	m.Job.Left = s.drain.limitTimeLeft(m.Arrived, m.Job.Left)
 }
 
 // resulted learns the size of results, of which every message sets room aside, and returns by how much one is over it.
-func (s *Server) resulted(n int) (over int64) {
+func (s *Server) recordResultSize(n int) (over int64) {
 	for {
-		old := s.result.Load()
+		old := s.resultSize.Load()
 		next := max(int64(n), old-old/64-1, 0)
-		if next == old || s.result.CompareAndSwap(old, next) {
+		if next == old || s.resultSize.CompareAndSwap(old, next) {
 			return int64(n) - old
 		}
 	}
@@ -108,11 +108,11 @@
 			return false
 		}
 	}
-	return id != "" && len(id) <= maxID
+	return id != "" && len(id) <= maxIDLength
 }
 
 // passes: fields that go on to the host as they came. The deadline is written anew, as time passes here.
-func passes(name string) bool {
+func isForwardedField(name string) bool {
 	switch strings.ToLower(name) {
 	case "req-id", "idempotency-key", "req-kind", "req-key", "req-cost", "req-extra", "req-retry", "content-type":
 		return true
@@ -121,7 +121,7 @@
 }
 
 // extras reads the further figures of a job. Those that the module has no use for are skipped.
-func extras(text string, job *balance.Job) bool {
+func parseExtras(text string, job *balance.Job) bool {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(value, 64)
@@ -144,15 +144,15 @@
 }
 
 // callback deals with a host's call. While another process serves at the same address the message may be that one's.
-func (s *Server) callback(body []byte, hold *budget.Hold) (status int, reason []byte) {
-	other := s.Peer != nil && s.Peer.Connected()
-	status, known, reason := s.report(body, other, hold)
-	if status != 204 || known || !other {
+func (s *Server) handleCallback(body []byte, hold *budget.Hold) (status int, reason []byte) {
+	peerConnected := s.Peer != nil && s.Peer.Connected()
+	status, known, reason := s.deliverReport(body, peerConnected, hold)
+	if status != 204 || known || !peerConnected {
 		return status, reason
 	}
-	switch status, there, err := s.Peer.Callback(body); {
-	case err == nil && status == 204 && !there: // the message may have come here while the other looked
-		status, _, reason = s.report(body, false, hold)
+	switch status, knownByPeer, err := s.Peer.Callback(body); {
+	case err == nil && status == 204 && !knownByPeer: // the message may have come here while the other looked
+		status, _, reason = s.deliverReport(body, false, hold)
 		return status, reason
 	case err == nil:
 		return status, nil
@@ -166,13 +166,13 @@
 
 // Callback deals with a host's call that came to another process at the same address.
 func (s *Server) Callback(body []byte) (status int, known bool) {
-	status, known, _ = s.report(body, true, nil)
+	status, known, _ = s.deliverReport(body, true, nil)
 	return status, known
 }
 
 // report hands a call-back to the owner, who has a share in what it holds until the word is dealt with. Where it waits, known
 // says whether the message is open here.
-func (s *Server) report(body []byte, wait bool, hold *budget.Hold) (status int, known bool, reason []byte) {
+func (s *Server) deliverReport(body []byte, wait bool, hold *budget.Hold) (status int, known bool, reason []byte) {
 	parser, _ := s.parsers.Get().(*jsonval.Parser)
 	if parser == nil {
 		parser = &jsonval.Parser{}
@@ -183,15 +183,15 @@
 		s.Log.Warn("malformed call-back", "err", err)
 		return 400, false, []byte(err.Error() + "\n")
 	}
-	wait = wait || s.left()
-	var told chan engine.MessageLocation
-	var tell func(engine.MessageLocation)
+	wait = wait || s.isListenerReleased()
+	var location chan engine.MessageLocation
+	var onLocation func(engine.MessageLocation)
 	if wait {
-		told = make(chan engine.MessageLocation, 1)
-		tell = func(standing engine.MessageLocation) { told <- standing }
+		location = make(chan engine.MessageLocation, 1)
+		onLocation = func(found engine.MessageLocation) { location <- found }
 	}
 	hold.Share()
-	if !s.Engine.HandleReport(report, tell, hold.Drop) {
+	if !s.Engine.HandleReport(report, onLocation, hold.Drop) {
 		hold.Drop()
 		return 503, false, nil // the host says it again
 	}
@@ -199,12 +199,12 @@
 		return 204, false, nil
 	}
 	select {
-	case standing := <-told:
-		if standing == engine.LocationMoving { // the host says it again, to whoever has the message then
+	case found := <-location:
+		if found == engine.LocationMoving { // the host says it again, to whoever has the message then
 			return 503, false, nil
 		}
-		return 204, standing == engine.LocationLocal, nil
-	case <-s.ended:
+		return 204, found == engine.LocationLocal, nil
+	case <-s.done:
 		return 503, false, nil
 	}
 }
--- a/internal/serve/clientlistener/races_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -17,21 +17,23 @@
 )
 
 // inbox is a desk that leaves all to the test.
-type inbox struct{ taken, gone chan *engine.Message }
+type manualEngine struct{ taken, gone chan *engine.Message }
 
-func (b inbox) Submit(m *engine.Message) bool                                         { b.taken <- m; return true }
-func (b inbox) Disconnected(m *engine.Message)                                        { b.gone <- m }
-func (b inbox) HandleReport(engine.Report, func(engine.MessageLocation), func()) bool { return true }
-func (b inbox) Release(context.Context, *engine.Message) (engine.Past, bool) {
+func (b manualEngine) Submit(m *engine.Message) bool  { b.taken <- m; return true }
+func (b manualEngine) Disconnected(m *engine.Message) { b.gone <- m }
+func (b manualEngine) HandleReport(engine.Report, func(engine.MessageLocation), func()) bool {
+	return true
+}
+func (b manualEngine) Release(context.Context, *engine.Message) (engine.Past, bool) {
 	return engine.Past{}, false
 }
-func (b inbox) CompleteRelease(*engine.Message, engine.Past, bool)       {}
-func (b inbox) Adopt(context.Context, *engine.Message, engine.Past) bool { return false }
+func (b manualEngine) CompleteRelease(*engine.Message, engine.Past, bool)       {}
+func (b manualEngine) Adopt(context.Context, *engine.Message, engine.Past) bool { return false }
 
 // listening runs a server on loopback.
-func listening(t *testing.T) (*Server, inbox, string) {
+func startServer(t *testing.T) (*Server, manualEngine, string) {
 	t.Helper()
-	b := inbox{make(chan *engine.Message, 8), make(chan *engine.Message, 8)}
+	b := manualEngine{make(chan *engine.Message, 8), make(chan *engine.Message, 8)}
 	s := New(Config{Engine: b, Classes: []string{"a"}, Limits: []balance.Class{{Limit: time.Hour}}, MaxConns: 16, ShutdownAnswerTimeout: time.Hour,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +54,7 @@
 // TestAnswerBeforeUnreadBytes: a client sends on after a request that closes the connection. To close over what it sent would reset the
 // connection, and could take the answer with it.
 func TestAnswerBeforeUnreadBytes(t *testing.T) {
-	_, b, address := listening(t)
+	_, b, address := startServer(t)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +74,7 @@
 // TestLeavingBehindAnEarlyRequest: a client whose next request has begun leaves, with that whole or in part. It is noticed while the first
 // one waits.
 func TestLeavingBehindAnEarlyRequest(t *testing.T) {
-	_, b, address := listening(t)
+	_, b, address := startServer(t)
 	for i, more := range []string{"P", request(99, ""), request(98, "") + "POST /a"} {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -89,7 +91,7 @@
 
 // TestEarlyRequestIsServed: a client that sends its next request before the answer to this one, whole or in pieces, gets both.
 func TestEarlyRequestIsServed(t *testing.T) {
-	_, b, address := listening(t)
+	_, b, address := startServer(t)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +112,7 @@
 // TestShutCrossesARequest: the server shuts a resting connection while a request has come that is read already, or not yet. It is
 // answered, as the last on the connection.
 func TestShutCrossesARequest(t *testing.T) {
-	s, b, _ := listening(t)
+	s, b, _ := startServer(t)
 	for _, read := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -129,14 +131,14 @@
 		s.add(c)
 		fmt.Fprint(client, request(7, ""))
 		if read {
-			c.r.Peek(1)
+			c.reader.Peek(1)
 		} else { // it is there
 			raw.(*net.TCPConn).SetReadDeadline(time.Time{})
 			sys, _ := raw.(*net.TCPConn).SyscallConn()
 			sys.Read(func(uintptr) bool { return !sock.Quiet(raw) })
 		}
 		s.mu.Lock()
-		c.shut()
+		c.shutDown()
 		s.mu.Unlock()
 		go func() {
 			defer s.remove(c)
@@ -162,7 +164,7 @@
 
 // TestShutRestingConnections: connections that rest until the end are closed, and are gone when the server has waited for them.
 func TestShutRestingConnections(t *testing.T) {
-	s, _, address := listening(t)
+	s, _, address := startServer(t)
 	var all []net.Conn
 	for range 8 {
 		c, err := net.Dial("tcp", address)
@@ -196,7 +198,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shutting != 0 {
-		t.Errorf("%d are shut and not gone", s.shutting)
+	if s.shutDown != 0 {
+		t.Errorf("%d are shut and not gone", s.shutDown)
 	}
 }
--- a/internal/serve/clientlistener/server.go
+++ b/internal/serve/clientlistener/server.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	idleLimit  = 90 * time.Second        // of a connection between requests
-	firstLimit = 2500 * time.Millisecond // of a new one before its first request: clients connect to send
-	readLimit  = 2500 * time.Millisecond // of a request, from its first byte
+	idleTimeout         = 90 * time.Second        // of a connection between requests
+	firstRequestTimeout = 2500 * time.Millisecond // of a new one before its first request: clients connect to send
+	readTimeout         = 2500 * time.Millisecond // of a request, from its first byte
 	// Of a connection that is closing, for what is still on the way: a large body must not cost its sender the answer.
-	lingerLimit = 500 * time.Millisecond
-	lingerMost  = 1 << 20
-	writeLimit  = 5 * time.Second // of an answer: a client that reads nothing holds nothing for longer
+	lingerTimeout = 500 * time.Millisecond
+	lingerBytes   = 1 << 20
+	writeTimeout  = 5 * time.Second // of an answer: a client that reads nothing holds nothing for longer
 )
 
 // Desk takes messages and call-backs.
@@ -93,31 +93,31 @@
 // Server serves one listener.
 type Server struct {
 	Config
-	classes map[string]int
-	phase   atomic.Int32
-	last    atomic.Int64 // the time by which what is taken in a planned end must be answered
-	open    atomic.Int64 // messages taken and not answered
-	slots   chan struct{}
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
+	classes    map[string]int
+	phase      atomic.Int32
+	answerBy   atomic.Int64 // the time by which what is taken in a planned end must be answered
+	unanswered atomic.Int64 // messages taken and not answered
+	slots      chan struct{}
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
 	// shutting counts those of them that are shut and whose goroutines have yet to close them; guarded by the lock.
-	shutting int
-	ended    chan struct{}
-	run      context.Context // ends with Run
-	stop     context.CancelFunc
-
-	limit    atomic.Int64  // of connections; at most MaxConns
-	reserved int           // slots taken for what the limit leaves out; guarded by the lock
-	handed   chan struct{} // closed when the listener is left to another process
-	group    errgroup.Group
-	listener net.Listener // guarded by the lock
-
-	parsers sync.Pool    // of call-backs
-	result  atomic.Int64 // the size that results have had lately, rather more
-
-	taken   atomic.Int64 // messages without an end
-	results [][ends]atomic.Int64
-	drain   drain
+	shutDown  int
+	done      chan struct{}
+	runCtx    context.Context // ends with Run
+	cancelRun context.CancelFunc
+
+	connLimit        atomic.Int64  // of connections; at most MaxConns
+	reserved         int           // slots taken for what the limit leaves out; guarded by the lock
+	listenerReleased chan struct{} // closed when the listener is left to another process
+	group            errgroup.Group
+	listener         net.Listener // guarded by the lock
+
+	parsers    sync.Pool    // of call-backs
+	resultSize atomic.Int64 // the size that results have had lately, rather more
+
+	unfinished atomic.Int64 // messages without an end
+	results    [][outcomeCount]atomic.Int64
+	drain      drain
 }
 
 // How messages end; each in exactly one way.
@@ -125,7 +125,7 @@
 	succeeded = iota
 	declined
 	aborted
-	ends
+	outcomeCount
 )
 
 // Results are how many messages of a class have ended, by how.
@@ -138,29 +138,29 @@
 }
 
 // Outstanding is how many messages are taken and have not ended.
-func (s *Server) Outstanding() int64 { return s.taken.Load() }
+func (s *Server) Outstanding() int64 { return s.unfinished.Load() }
 
 // end counts the end of a message.
-func (s *Server) end(class, how int) {
+func (s *Server) countEnd(class, how int) {
 	s.results[class][how].Add(1)
-	s.Check.Check(s.taken.Add(-1) >= 0, "more messages ended than were taken")
+	s.Check.Check(s.unfinished.Add(-1) >= 0, "more messages ended than were taken")
 }
 
 // spare connections are taken over the limit, only to be told so: waiting in the kernel their requests would count as
 // taken, and nobody would answer.
-func spare(limit int) int { return max(4, limit/16) }
+func spareConns(limit int) int { return max(4, limit/16) }
 
 // New returns a Server.
 func New(c Config) *Server {
-	s := &Server{Config: c, classes: map[string]int{}, conns: map[*conn]struct{}{}, ended: make(chan struct{})}
+	s := &Server{Config: c, classes: map[string]int{}, conns: map[*conn]struct{}{}, done: make(chan struct{})}
 	if s.Budget == nil {
 		s.Budget = budget.New(48<<20, 16<<20)
 	}
-	s.run, s.stop = context.WithCancel(context.Background())
+	s.runCtx, s.cancelRun = context.WithCancel(context.Background())
 	s.slots = make(chan struct{}, c.MaxConns)
-	s.results = make([][ends]atomic.Int64, len(c.Classes))
-	s.handed = make(chan struct{})
-	s.limit.Store(int64(c.MaxConns))
+	s.results = make([][outcomeCount]atomic.Int64, len(c.Classes))
+	s.listenerReleased = make(chan struct{})
+	s.connLimit.Store(int64(c.MaxConns))
 	for i, name := range c.Classes {
 		s.classes[name] = i
 	}
@@ -168,50 +168,52 @@
 }
 
 // Open is how many messages are taken and not answered.
-func (s *Server) Open() int64 { return s.open.Load() }
+func (s *Server) Open() int64 { return s.unanswered.Load() }
 
 // Enter begins a phase.
 func (s *Server) SetPhase(p Phase) {
 	if p == Leaving {
-		s.last.Store(int64(s.Now() + s.ShutdownAnswerTimeout))
+		s.answerBy.Store(int64(s.Now() + s.ShutdownAnswerTimeout))
 	}
 	s.phase.Store(int32(p))
 	if p >= Ending {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.shutIdle()
+		s.shutDownIdle()
 	}
 }
 
 // shutIdle closes the idle connections, under the lock.
-func (s *Server) shutIdle() {
+func (s *Server) shutDownIdle() {
 	for c := range s.conns {
-		if c.idle && !c.closed && sock.Quiet(c.Conn) { // else a request has come
-			c.shut()
+		if c.idle && !c.isShutDown && sock.Quiet(c.Conn) { // else a request has come
+			c.shutDown()
 		}
 	}
 }
 
 // at is how far a planned end or a drain has come, whichever is further.
-func (s *Server) at() Phase { return max(Phase(s.phase.Load()), s.drain.at(s.Now())) }
+func (s *Server) currentPhase() Phase { return max(Phase(s.phase.Load()), s.drain.phase(s.Now())) }
 
 // Ending says whether a planned end is under way.
 func (s *Server) ShuttingDown() bool { return Phase(s.phase.Load()) != Serving }
 
 // Ready says whether clients are welcome.
-func (s *Server) Ready() bool { return s.at() == Serving && (s.HasHostList == nil || s.HasHostList()) }
+func (s *Server) Ready() bool {
+	return s.currentPhase() == Serving && (s.HasHostList == nil || s.HasHostList())
+}
 
 // Run accepts connections until the context ends, then closes all that are left.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	conns := &s.group
 	conns.Go(func() error { // so that a connection may join for as long as the server runs
-		<-s.ended
+		<-s.done
 		return nil
 	})
 	defer context.AfterFunc(ctx, func() {
 		s.mu.Lock()
-		close(s.ended)
-		s.stop()
+		close(s.done)
+		s.cancelRun()
 		for c := range s.conns {
 			c.Close()
 		}
@@ -221,7 +223,7 @@
 	s.mu.Lock()
 	s.listener = l
 	select {
-	case <-s.handed: // before there was anything to leave
+	case <-s.listenerReleased: // before there was anything to leave
 		l.Close()
 	default:
 	}
@@ -236,7 +238,7 @@
 	for {
 		select {
 		case s.slots <- struct{}{}:
-		case <-s.handed:
+		case <-s.listenerReleased:
 			return
 		case <-ctx.Done():
 			return
@@ -244,19 +246,19 @@
 		raw, err := l.Accept()
 		if err != nil {
 			<-s.slots
-			if s.left() || ctx.Err() != nil {
+			if s.isListenerReleased() || ctx.Err() != nil {
 				return
 			}
-			var out *conn
+			var evicted *conn
 			if !errors.Is(err, net.ErrClosed) { // out of descriptors, or a client that left at once
-				out = s.evict()
+				evicted = s.evict()
 			}
-			if out == nil {
+			if evicted == nil {
 				s.Log.Warn("accept", "err", err)
-				out = &conn{} // never gone
+				evicted = &conn{} // never gone
 			}
 			select {
-			case <-out.gone:
+			case <-evicted.done:
 			case <-time.After(10 * time.Millisecond):
 			case <-ctx.Done():
 			}
@@ -264,7 +266,7 @@
 		}
 		c := newConn(s, raw)
 		full := s.add(c)
-		if !s.join(func() {
+		if !s.startConn(func() {
 			defer s.reserve()
 			defer func() { <-s.slots }()
 			defer s.remove(c)
@@ -281,7 +283,7 @@
 func (s *Server) ReleaseListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.handed)
+	close(s.listenerReleased)
 	if s.listener != nil {
 		go s.listener.Close() // waits for that accept: nothing that is open may
 	}
@@ -291,16 +293,16 @@
 func (s *Server) CloseIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shutIdle()
+	s.shutDownIdle()
 	return len(s.conns)
 }
 
 // SetLimit changes how many connections there may be, to a number of at most MaxConns. Idle ones over it are closed, and
 // while others are over it no new one is accepted in place of one that ends.
 func (s *Server) SetLimit(n int) {
-	s.limit.Store(int64(n))
+	s.connLimit.Store(int64(n))
 	s.mu.Lock()
-	over := len(s.conns) - s.shutting - n
+	over := len(s.conns) - s.shutDown - n
 	s.mu.Unlock()
 	for ; over > 0 && s.evict() != nil; over-- {
 	}
@@ -312,7 +314,7 @@
 func (s *Server) reserve() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	want := s.MaxConns - int(s.limit.Load())
+	want := s.MaxConns - int(s.connLimit.Load())
 	for ; s.reserved > want; s.reserved-- {
 		<-s.slots
 	}
@@ -331,10 +333,10 @@
 func (s *Server) add(c *conn) (full bool) {
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
-	n := len(s.conns) - s.shutting
+	n := len(s.conns) - s.shutDown
 	s.mu.Unlock()
-	limit := int(s.limit.Load())
-	return n > limit-spare(limit) && s.evict() == nil
+	limit := int(s.connLimit.Load())
+	return n > limit-spareConns(limit) && s.evict() == nil
 }
 
 func (s *Server) remove(c *conn) {
@@ -342,16 +344,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	if c.closed {
-		s.shutting--
+	if c.isShutDown {
+		s.shutDown--
 	}
-	close(c.gone)
+	close(c.done)
 }
 
 // over says that the server has ended: nothing that comes now is taken.
-func (s *Server) over() bool {
+func (s *Server) isDone() bool {
 	select {
-	case <-s.ended:
+	case <-s.done:
 		return true
 	default:
 		return false
@@ -364,13 +366,13 @@
 	defer s.mu.Unlock()
 	var oldest *conn
 	for c := range s.conns {
-		fresh := c.used == 0 && s.Now()-c.since < time.Second // its request is on the way
-		if c.idle && !c.closed && !fresh && (oldest == nil || c.since < oldest.since) && sock.Quiet(c.Conn) {
+		fresh := c.requests == 0 && s.Now()-c.idleSince < time.Second // its request is on the way
+		if c.idle && !c.isShutDown && !fresh && (oldest == nil || c.idleSince < oldest.idleSince) && sock.Quiet(c.Conn) {
 			oldest = c
 		}
 	}
 	if oldest != nil {
-		oldest.shut()
+		oldest.shutDown()
 	}
 	return oldest
 }
--- a/internal/serve/clientlistener/server_test.go
+++ b/internal/serve/clientlistener/server_test.go
@@ -23,35 +23,35 @@
 )
 
 // desk says how the owner is to act, and holds what reached it.
-type desk struct {
-	full    bool
-	answer  engine.Answer
-	silent  bool // gives no answer
-	foreign bool // knows no message of a call-back
-	taken   []*engine.Message
-	gone    int
-	reports []engine.Report
+type engineState struct {
+	full           bool
+	answer         engine.Answer
+	neverAnswers   bool // gives no answer
+	unknownMessage bool // knows no message of a call-back
+	submitted      []*engine.Message
+	disconnected   int
+	reports        []engine.Report
 
 	moving           bool // what a call-back names is on its way
 	releases, adopts bool // messages between processes
-	moved            []bool
+	completed        []bool
 }
 
 // pipes is a listener whose connections are pipes. While something is in busy to close it waits, as for an accept in the kernel.
-type pipes struct {
+type pipeListener struct {
 	calls chan net.Conn
 	busy  chan struct{}
 }
 
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
-func (p pipes) Close() error {
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error {
 	defer func() { recover() }() // closed before
 	p.busy <- struct{}{}
 	defer func() { <-p.busy }()
 	close(p.calls)
 	return nil
 }
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	if c, ok := <-p.calls; ok {
 		return c, nil
 	}
@@ -59,12 +59,12 @@
 }
 
 // shared is a connection that another process may have too: it ends when both have closed it.
-type shared struct {
+type sharedConn struct {
 	net.Conn
 	more atomic.Int32
 }
 
-func (s *shared) Close() error {
+func (s *sharedConn) Close() error {
 	if s.more.Add(-1) >= 0 {
 		return nil
 	}
@@ -82,23 +82,23 @@
 }
 
 // world holds a server, the desk that it reports to, and the client whose turn it is.
-type world struct {
+type harness struct {
 	t  *testing.T
 	mu sync.Mutex
-	desk
-	s *Server
-	l pipes
+	engineState
+	server   *Server
+	listener pipeListener
 	*client
 }
 
-func (w *world) Submit(m *engine.Message) bool {
+func (w *harness) Submit(m *engine.Message) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.full {
 		return false
 	}
-	w.taken = append(w.taken, m)
-	if !w.silent {
+	w.submitted = append(w.submitted, m)
+	if !w.neverAnswers {
 		answer := w.answer
 		go func() {
 			time.Sleep(10 * time.Millisecond)
@@ -108,13 +108,13 @@
 	return true
 }
 
-func (w *world) Disconnected(*engine.Message) {
+func (w *harness) Disconnected(*engine.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.gone++
+	w.disconnected++
 }
 
-func (w *world) HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool {
+func (w *harness) HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.full {
@@ -128,7 +128,7 @@
 		case w.moving:
 			known(engine.LocationMoving)
 			return true
-		case w.foreign:
+		case w.unknownMessage:
 			known(engine.LocationUnknown)
 		default:
 			known(engine.LocationLocal)
@@ -138,21 +138,21 @@
 	return true
 }
 
-func (w *world) Release(_ context.Context, m *engine.Message) (engine.Past, bool) {
+func (w *harness) Release(_ context.Context, m *engine.Message) (engine.Past, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return engine.Past{Job: m.Job, Ago: time.Second}, w.releases
 }
 
-func (w *world) CompleteRelease(m *engine.Message, _ engine.Past, taken bool) {
+func (w *harness) CompleteRelease(m *engine.Message, _ engine.Past, taken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.moved = append(w.moved, taken); taken {
+	if w.completed = append(w.completed, taken); taken {
 		m.OnClosed()
 	}
 }
 
-func (w *world) Adopt(_ context.Context, m *engine.Message, past engine.Past) bool {
+func (w *harness) Adopt(_ context.Context, m *engine.Message, past engine.Past) bool {
 	m.Job = past.Job
 	w.mu.Lock()
 	adopts := w.adopts
@@ -160,10 +160,10 @@
 	return adopts && w.Submit(m)
 }
 
-func (w *world) dial() *client {
+func (w *harness) dial() *client {
 	near, far := net.Pipe()
 	c := &client{Conn: near, served: far}
-	w.l.calls <- &shared{Conn: far}
+	w.listener.calls <- &sharedConn{Conn: far}
 	go func() {
 		r := http1.NewReader(near)
 		for {
@@ -186,7 +186,7 @@
 }
 
 // wait lets time pass. The lock orders what others note by themselves after what the test has read.
-func (w *world) wait(d time.Duration) {
+func (w *harness) wait(d time.Duration) {
 	w.mu.Lock()
 	//lint:ignore SA2001 the lock orders what others noted before what the test reads next
 	w.mu.Unlock()
@@ -194,24 +194,24 @@
 	synctest.Wait()
 }
 
-func (w *world) send(text string) {
+func (w *harness) send(text string) {
 	fmt.Fprint(w.client, text)
 	synctest.Wait()
 }
 
-func within(t *testing.T, conns int, test func(*world)) {
+func runInBubble(t *testing.T, conns int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) { serve(t, conns, test) })
 }
 
 // serve runs a test with a server inside a bubble.
-func serve(t *testing.T, conns int, test func(*world)) {
-	w := &world{t: t, l: pipes{make(chan net.Conn), make(chan struct{}, 1)}}
+func serve(t *testing.T, conns int, test func(*harness)) {
+	w := &harness{t: t, listener: pipeListener{make(chan net.Conn), make(chan struct{}, 1)}}
 	limit := []balance.Class{{Limit: 5 * time.Second}, {Limit: 5 * time.Second}}
-	w.s = New(Config{Engine: w, Classes: []string{"gauge-reading", "send-warning"}, Limits: limit, MaxConns: conns, ShutdownAnswerTimeout: 3 * time.Second,
+	w.server = New(Config{Engine: w, Classes: []string{"gauge-reading", "send-warning"}, Limits: limit, MaxConns: conns, ShutdownAnswerTimeout: 3 * time.Second,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { w.s.Run(ctx, w.l); close(done) }()
+	go func() { w.server.Run(ctx, w.listener); close(done) }()
 	w.client = w.dial()
 	test(w)
 	stopped := time.Now()
@@ -232,28 +232,28 @@
 
 // step is one thing that happens on a connection, and what must come of it.
 type step struct {
-	send   string
-	set    desk
-	wait   time.Duration
-	want   string // answers, with commas between
-	ends   bool   // the connection
-	taken  int    // messages that reach the owner
-	leaves bool   // the client goes
-	open   int64  // messages that still wait elsewhere
+	send         string
+	set          engineState
+	wait         time.Duration
+	want         string // answers, with commas between
+	closes       bool   // the connection
+	submitted    int    // messages that reach the owner
+	clientCloses bool   // the client goes
+	unanswered   int64  // messages that still wait elsewhere
 }
 
 var steps = []step{
-	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served, Result: []byte("sent")}}, want: "200 sent", taken: 1},
-	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.BackOff, RetryAfter: 1500 * time.Millisecond}}, want: "503 1.500", taken: 1},
-	{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.BackOff}}, want: "503", taken: 1},
-	{send: job + "\r\nhigh", set: desk{}, want: "502", taken: 1},
-	{send: job + "\r\nhigh", set: desk{full: true}, want: "503"},
-	{send: job + "Connection: close\r\n\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", ends: true, taken: 1},
-	{send: job + "\r\nhigh" + job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200,200", taken: 2},
-	{send: job + "\r\nhigh", set: desk{silent: true}, leaves: true, ends: true, taken: 1},
-	{send: job + "Expect: 100-continue\r\n\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "100,200", taken: 1},
+	{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served, Result: []byte("sent")}}, want: "200 sent", submitted: 1},
+	{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.BackOff, RetryAfter: 1500 * time.Millisecond}}, want: "503 1.500", submitted: 1},
+	{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.BackOff}}, want: "503", submitted: 1},
+	{send: job + "\r\nhigh", set: engineState{}, want: "502", submitted: 1},
+	{send: job + "\r\nhigh", set: engineState{full: true}, want: "503"},
+	{send: job + "Connection: close\r\n\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "200", closes: true, submitted: 1},
+	{send: job + "\r\nhigh" + job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "200,200", submitted: 2},
+	{send: job + "\r\nhigh", set: engineState{neverAnswers: true}, clientCloses: true, closes: true, submitted: 1},
+	{send: job + "Expect: 100-continue\r\n\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "100,200", submitted: 1},
 	{send: callback(report), want: "204"},
-	{send: callback(report), set: desk{full: true}, want: "503"},
+	{send: callback(report), set: engineState{full: true}, want: "503"},
 	{send: callback(`{"id":"9b1f","from":"s","state":"resting"}`), want: "400 state: want a known state"},
 	{send: callback(`{"id":"9b1f","state":"done"}`), want: "400 from: want a name"},
 	{send: callback(`{`), want: "400"},
@@ -263,17 +263,17 @@
 	{send: "GET /send-warning HTTP/1.1\r\n\r\n", want: "405 jobs come by POST"},
 	{send: "POST /other HTTP/1.1\r\nReq-Id: 1\r\n\r\n", want: "404 unknown path"},
 	{send: "POST /send-warning HTTP/1.1\r\nReq-Kind: other\r\nReq-Id: 1\r\n\r\n", want: "404 unknown class"},
-	{send: "POST /send-warning HTTP/1.1\r\nReq-Kind: gauge-reading\r\nReq-Id: 1\r\n\r\n", want: "400 Req-Kind and path differ", ends: true},
-	{send: "POST /send-warning HTTP/1.1\r\n\r\n", want: "400 want one Req-Id", ends: true},
-	{send: "POST /send-warning HTTP/1.1\r\nReq-Id: ../x\r\n\r\n", want: "400 want one Req-Id", ends: true},
-	{send: "POST /send-warning HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: -1\r\n\r\n", want: "400 bad Req-Deadline-Ms", ends: true},
-	{send: "POST /send-warning HTTP/1.1\r\nReq-Id: 1\r\nReq-Extra: slots=NaN\r\n\r\n", want: "400 bad Req-Extra", ends: true},
-	{send: "no request\r\n\r\n", want: "400 malformed request line", ends: true},
-	{send: "POST /send-warning HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", want: "413 body too large", ends: true},
-	{send: job + "\r\nhi", wait: readLimit, want: "408", ends: true},
-	{send: "", wait: idleLimit},
+	{send: "POST /send-warning HTTP/1.1\r\nReq-Kind: gauge-reading\r\nReq-Id: 1\r\n\r\n", want: "400 Req-Kind and path differ", closes: true},
+	{send: "POST /send-warning HTTP/1.1\r\n\r\n", want: "400 want one Req-Id", closes: true},
+	{send: "POST /send-warning HTTP/1.1\r\nReq-Id: ../x\r\n\r\n", want: "400 want one Req-Id", closes: true},
+	{send: "POST /send-warning HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: -1\r\n\r\n", want: "400 bad Req-Deadline-Ms", closes: true},
+	{send: "POST /send-warning HTTP/1.1\r\nReq-Id: 1\r\nReq-Extra: slots=NaN\r\n\r\n", want: "400 bad Req-Extra", closes: true},
+	{send: "no request\r\n\r\n", want: "400 malformed request line", closes: true},
+	{send: "POST /send-warning HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", want: "413 body too large", closes: true},
+	{send: job + "\r\nhi", wait: readTimeout, want: "408", closes: true},
+	{send: "", wait: idleTimeout},
 	{send: "", wait: time.Second},
-	{send: "", wait: idleLimit / 2},
+	{send: "", wait: idleTimeout / 2},
 }
 
 // FuzzConn takes random steps on connections, in random pieces, and checks each against what the table says.
@@ -285,25 +285,25 @@
 	f.Add(all)
 	f.Add([]byte{0, 1, 6, 9, 0, 200, 9, 3, 2, 2, 7, 0, 0, 0, 27, 4, 1, 1})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		within(t, 64, func(w *world) {
+		runInBubble(t, 64, func(w *harness) {
 			for i := 0; i+1 < min(len(in), 80); i += 2 {
-				w.play(steps[int(in[i])%len(steps)], int(in[i+1]))
+				w.playStep(steps[int(in[i])%len(steps)], int(in[i+1]))
 			}
 		})
 	})
 }
 
-func (w *world) play(s step, cut int) {
+func (w *harness) playStep(s step, cut int) {
 	if w.closed {
 		w.client = w.dial()
 	}
-	w.desk, w.answers = s.set, nil
-	limit := firstLimit
+	w.engineState, w.answers = s.set, nil
+	limit := firstRequestTimeout
 	if w.used {
-		limit = idleLimit
+		limit = idleTimeout
 	}
 	if w.idle += s.wait + time.Second/2; s.send == "" {
-		s.ends = w.idle >= limit
+		s.closes = w.idle >= limit
 	} else {
 		w.idle, w.used = time.Second/2, true
 	}
@@ -314,7 +314,7 @@
 	if cut < len(s.send) {
 		w.send(s.send[cut:])
 	}
-	if s.leaves {
+	if s.clientCloses {
 		w.Close()
 	}
 	w.wait(s.wait + time.Second/2) // also the time for which a closing connection lingers
@@ -322,18 +322,18 @@
 	if s.want == "400" && strings.HasPrefix(got, "400") || s.want == "405" && strings.HasPrefix(got, "405") {
 		got = s.want
 	}
-	if got != s.want || w.closed != s.ends || len(w.taken) != s.taken || w.gone > 0 != s.leaves || w.s.Open() != s.open {
-		w.t.Errorf("%q cut at %d: answers %q, closed %v, %d taken, %d gone, %d open", s.send, cut, got, w.closed, len(w.taken), w.gone, w.s.Open())
+	if got != s.want || w.closed != s.closes || len(w.submitted) != s.submitted || w.disconnected > 0 != s.clientCloses || w.server.Open() != s.unanswered {
+		w.t.Errorf("%q cut at %d: answers %q, closed %v, %d taken, %d gone, %d open", s.send, cut, got, w.closed, len(w.submitted), w.disconnected, w.server.Open())
 	}
 }
 
 // TestPassedOn: what must reach the host byte for byte does.
 func TestPassedOn(t *testing.T) {
-	within(t, 64, func(w *world) {
-		w.desk = desk{answer: engine.Answer{Kind: engine.Served}}
+	runInBubble(t, 64, func(w *harness) {
+		w.engineState = engineState{answer: engine.Answer{Kind: engine.Served}}
 		w.send("POST /gauge-reading/a%2Fb?c=d HTTP/1.1\r\nreq-id: 9b1f03aa5c7e2d41\r\nIdempotency-Key: \"k, 1\"\r\nReq-Deadline-Ms: 480\r\n" +
 			"Req-Cost: 250000\r\nReq-Extra: slots=2, memory=1.5,mood=good\r\nReq-Retry: 1\r\nCookie: x\r\nContent-Length: 3\r\n\r\n\x00\xff\n")
-		m := w.taken[0]
+		m := w.submitted[0]
 		c := m.Payload.(*http1.Call)
 		key, _ := c.Fields.Get("Idempotency-Key")
 		id, _ := c.Fields.Get("Req-Id")
@@ -342,7 +342,7 @@
 			t.Errorf("call %+v", c)
 		}
 		want := balance.Job{Class: 0, Left: 480 * time.Millisecond, Hint: 250 * time.Millisecond, Slots: 2, Memory: 1.5, Again: true}
-		if m.Job != want || m.Arrived != w.s.Now() {
+		if m.Job != want || m.Arrived != w.server.Now() {
 			t.Errorf("job %+v, want %+v", m.Job, want)
 		}
 	})
@@ -350,40 +350,40 @@
 
 // TestPlannedEnd follows a connection through the phases: nothing taken is lost and call-backs come through to the end.
 func TestPlannedEnd(t *testing.T) {
-	within(t, 64, func(w *world) {
-		w.desk = desk{silent: true}
+	runInBubble(t, 64, func(w *harness) {
+		w.engineState = engineState{neverAnswers: true}
 		w.send(job + "\r\nhigh")
-		waiting, m := w.client, w.taken[0]
+		waiting, m := w.client, w.submitted[0]
 		idle, other := w.dial(), w.dial()
 		w.client = other
-		w.play(step{send: callback(report), want: "204", open: 1}, 0)
-		w.s.SetPhase(Leaving)
+		w.playStep(step{send: callback(report), want: "204", unanswered: 1}, 0)
+		w.server.SetPhase(Leaving)
 		w.client = idle
-		w.play(step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", open: 1}, 0)
-		w.play(step{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", taken: 1, open: 1}, 0)
+		w.playStep(step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", unanswered: 1}, 0)
+		w.playStep(step{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "200", submitted: 1, unanswered: 1}, 0)
 		if idle.closed {
 			t.Error("an idle connection is closed before the front has noticed")
 		}
-		w.s.SetPhase(Closing)
+		w.server.SetPhase(Closing)
 		synctest.Wait()
 		if idle.closed || other.closed {
 			t.Errorf("idle closed %v, %v: their clients may have nobody else", idle.closed, other.closed)
 		}
-		w.play(step{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", ends: true, taken: 1, open: 1}, 0)
+		w.playStep(step{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "200", closes: true, submitted: 1, unanswered: 1}, 0)
 		// A second of the three is over, and the client would wait for five.
-		if left := w.taken[0].Job.Left; left != 2*time.Second {
+		if left := w.submitted[0].Job.Left; left != 2*time.Second {
 			t.Errorf("patience %v with two seconds to the last answer", left)
 		}
-		w.play(step{send: callback(report), want: "204", ends: true, open: 1}, 0)
-		w.s.SetPhase(Ending)
+		w.playStep(step{send: callback(report), want: "204", closes: true, unanswered: 1}, 0)
+		w.server.SetPhase(Ending)
 		synctest.Wait()
 		if !other.closed || waiting.closed {
 			t.Errorf("idle closed %v, waiting closed %v", other.closed, waiting.closed)
 		}
-		w.play(step{send: job + "\r\nhigh", want: "503", ends: true, open: 1}, 0)
+		w.playStep(step{send: job + "\r\nhigh", want: "503", closes: true, unanswered: 1}, 0)
 		m.Reply(engine.Answer{Kind: engine.Served, Result: []byte("late")})
 		w.wait(time.Second)
-		if strings.Join(waiting.answers, ",") != "200 late" || !waiting.closed || w.s.Open() != 0 {
+		if strings.Join(waiting.answers, ",") != "200 late" || !waiting.closed || w.server.Open() != 0 {
 			t.Errorf("answers %q, closed %v", waiting.answers, waiting.closed)
 		}
 	})
@@ -391,47 +391,47 @@
 
 // TestDrain follows a drain to its end, then one that is called back in the middle: nothing of it may come later.
 func TestDrain(t *testing.T) {
-	served := desk{answer: engine.Answer{Kind: engine.Served}}
-	ready := step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", ends: true}
-	within(t, 64, func(w *world) {
+	served := engineState{answer: engine.Answer{Kind: engine.Served}}
+	ready := step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", closes: true}
+	runInBubble(t, 64, func(w *harness) {
 		idle := w.client
-		w.play(step{send: callback(report), want: "204"}, 0)
-		w.s.Drain(true)
+		w.playStep(step{send: callback(report), want: "204"}, 0)
+		w.server.Drain(true)
 		w.client = w.dial()
-		w.play(ready, 0)
-		w.play(step{send: job + "\r\nhigh", set: served, want: "200", ends: true, taken: 1}, 0)
-		w.s.Drain(true)     // a repeat does not begin it anew
-		w.wait(time.Second) // 2 s are over: what comes now must end inside the limit, at 3.85 s
-		w.play(step{send: job + "\r\nhigh", set: served, want: "200", ends: true, taken: 1}, 0)
-		if left := w.taken[0].Job.Left; left != 1850*time.Millisecond {
+		w.playStep(ready, 0)
+		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
+		w.server.Drain(true) // a repeat does not begin it anew
+		w.wait(time.Second)  // 2 s are over: what comes now must end inside the limit, at 3.85 s
+		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
+		if left := w.submitted[0].Job.Left; left != 1850*time.Millisecond {
 			t.Errorf("patience %v", left)
 		}
 		w.wait(200 * time.Millisecond)
-		w.play(step{send: job + "\r\nhigh", set: served, want: "503", ends: true}, 0)
+		w.playStep(step{send: job + "\r\nhigh", set: served, want: "503", closes: true}, 0)
 		if idle.closed {
 			t.Error("an idle connection closed early: it may be all that its client has")
 		}
 		w.wait(300 * time.Millisecond)
 		silent := w.dial()
-		w.wait(endLimit)
+		w.wait(refusingIdleTimeout)
 		if !idle.closed || !silent.closed {
 			t.Errorf("closed: idle %v, silent %v", idle.closed, silent.closed)
 		}
-		w.play(ready, 0)
-		w.play(step{send: callback(report), want: "204", ends: true}, 0)
-		if r := w.s.Results(1); r != (Results{2, 1, 0}) || w.s.Outstanding() != 0 {
-			t.Errorf("results %+v, %d outstanding", r, w.s.Outstanding())
+		w.playStep(ready, 0)
+		w.playStep(step{send: callback(report), want: "204", closes: true}, 0)
+		if r := w.server.Results(1); r != (Results{2, 1, 0}) || w.server.Outstanding() != 0 {
+			t.Errorf("results %+v, %d outstanding", r, w.server.Outstanding())
 		}
 
-		w.s.Drain(false)
+		w.server.Drain(false)
 		w.client = w.dial()
-		w.play(step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "200"}, 0)
-		w.s.Drain(true)
+		w.playStep(step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "200"}, 0)
+		w.server.Drain(true)
 		w.wait(time.Second)
-		w.s.Drain(false)
-		w.s.Drain(false)
+		w.server.Drain(false)
+		w.server.Drain(false)
 		w.wait(drainLimit)
-		w.play(step{send: job + "\r\nhigh", set: served, want: "200", taken: 1}, 0)
+		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", submitted: 1}, 0)
 	})
 }
 
@@ -441,28 +441,28 @@
 	f.Add([]byte{0, 3, 4, 4, 4, 4, 3, 1, 3, 4})
 	f.Add([]byte{0, 10, 4, 10, 1, 4, 0, 0, 30, 4, 30, 4, 3, 1, 1, 3, 40, 4})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		within(t, 64, func(w *world) {
+		runInBubble(t, 64, func(w *harness) {
 			idle, since := w.client, time.Duration(-1) // no drain
 			for _, op := range in[:min(len(in), 60)] {
 				if idle.closed || idle.used {
 					idle = w.dial()
 				}
 				w.client = idle
-				w.play(step{send: callback(report), want: "204", ends: since >= 0}, 0)
+				w.playStep(step{send: callback(report), want: "204", closes: since >= 0}, 0)
 				if w.client = w.dial(); since >= 0 {
 					since += time.Second / 2
 				}
-				s := step{send: job + "\r\nhigh", set: desk{answer: engine.Answer{Kind: engine.Served}}, want: "200", taken: 1, ends: since >= 0}
+				s := step{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "200", submitted: 1, closes: since >= 0}
 				switch {
 				case op == 0 && since < 0:
-					w.s.Drain(true)
+					w.server.Drain(true)
 					since = 0
 					continue
 				case op == 0:
-					w.s.Drain(true) // a repeat
+					w.server.Drain(true) // a repeat
 					continue
 				case op == 1:
-					w.s.Drain(false)
+					w.server.Drain(false)
 					since = -1
 					continue
 				case op > 4:
@@ -472,13 +472,13 @@
 					}
 					continue
 				case op == 3 && since >= 0:
-					s = step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", ends: true}
+					s = step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", closes: true}
 				case op == 3:
 					s = step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "200"}
-				case since >= drainOver:
-					s.want, s.taken = "503", 0
+				case since >= drainRefuseAfter:
+					s.want, s.submitted = "503", 0
 				}
-				if w.play(s, 0); since >= 0 {
+				if w.playStep(s, 0); since >= 0 {
 					since += time.Second / 2
 				}
 			}
@@ -491,10 +491,10 @@
 	want := map[string]Results{"200": {Succeeded: 1}, "200 sent": {Succeeded: 1}, "503": {Declined: 1}, "503 1.500": {Declined: 1}, "502": {Aborted: 1}, "": {Aborted: 1}}
 	for _, s := range steps {
 		if strings.HasPrefix(s.send, job+"\r\nhigh") && strings.Count(s.send, job) == 1 || strings.HasPrefix(s.want, "40") {
-			within(t, 64, func(w *world) {
-				w.play(s, 0)
-				if got := w.s.Results(1); got != want[s.want] || w.s.Outstanding() != 0 {
-					t.Errorf("%q: %+v, %d outstanding", s.want, got, w.s.Outstanding())
+			runInBubble(t, 64, func(w *harness) {
+				w.playStep(s, 0)
+				if got := w.server.Results(1); got != want[s.want] || w.server.Outstanding() != 0 {
+					t.Errorf("%q: %+v, %d outstanding", s.want, got, w.server.Outstanding())
 				}
 			})
 		}
@@ -503,13 +503,13 @@
 
 // TestLongResult: a result that is longer than a body may be, as other protocols allow, is no answer here. It fails, once.
 func TestLongResult(t *testing.T) {
-	within(t, 64, func(w *world) {
-		w.desk = desk{answer: engine.Answer{Kind: engine.Served, Result: make([]byte, http1.MaxBody+1)}}
+	runInBubble(t, 64, func(w *harness) {
+		w.engineState = engineState{answer: engine.Answer{Kind: engine.Served, Result: make([]byte, http1.MaxBody+1)}}
 		w.client = w.dial()
 		w.send(job + "\r\nhigh")
 		w.wait(time.Second)
-		if len(w.client.answers) != 1 || w.client.answers[0] != "502" || w.s.Results(1).Aborted != 1 {
-			t.Errorf("%q, %+v", w.client.answers, w.s.Results(1))
+		if len(w.client.answers) != 1 || w.client.answers[0] != "502" || w.server.Results(1).Aborted != 1 {
+			t.Errorf("%q, %+v", w.client.answers, w.server.Results(1))
 		}
 	})
 }
@@ -517,29 +517,29 @@
 // TestNoRoom: without room for its body a message gets a back-off answer and the connection goes on; a call-back has room
 // all the same. What was held is given back.
 func TestNoRoom(t *testing.T) {
-	within(t, 64, func(w *world) {
-		w.s.Budget.SetLimit(0)
+	runInBubble(t, 64, func(w *harness) {
+		w.server.Budget.SetLimit(0)
 		w.client = w.dial()
 		w.send(job + "\r\nhigh")
 		w.wait(time.Second)
 		w.send("POST /callback HTTP/1.1\r\nContent-Length: 41\r\n\r\n" + `{"id":"a","from":"s-1","state":"started"}`)
 		w.wait(time.Second)
-		w.s.Budget.SetLimit(1 << 20)
-		w.desk.answer = engine.Answer{Kind: engine.Served, Result: []byte("ok")}
+		w.server.Budget.SetLimit(1 << 20)
+		w.engineState.answer = engine.Answer{Kind: engine.Served, Result: []byte("ok")}
 		w.send(job + "\r\nhigh")
 		w.wait(time.Second)
-		if fmt.Sprint(w.client.answers) != "[503 204 200 ok]" || len(w.reports) != 1 || len(w.taken) != 1 {
-			t.Errorf("%q, %d reports, %d taken", w.client.answers, len(w.reports), len(w.taken))
+		if fmt.Sprint(w.client.answers) != "[503 204 200 ok]" || len(w.reports) != 1 || len(w.submitted) != 1 {
+			t.Errorf("%q, %d reports, %d taken", w.client.answers, len(w.reports), len(w.submitted))
 		}
-		w.taken[0].OnClosed()
-		if held := w.s.Budget.Held(); held != 0 {
+		w.submitted[0].OnClosed()
+		if held := w.server.Budget.Held(); held != 0 {
 			t.Errorf("%d bytes held", held)
 		}
 	})
 }
 
 // other is another process at the same address.
-type other struct {
+type fakePeer struct {
 	live   bool
 	status int
 	known  bool
@@ -549,16 +549,16 @@
 	asked  int
 }
 
-func (o *other) Connected() bool { return o.live }
-func (o *other) PassConnection(client net.Conn, record func() ([]byte, bool)) (bool, error) {
+func (o *fakePeer) Connected() bool { return o.live }
+func (o *fakePeer) PassConnection(client net.Conn, record func() ([]byte, bool)) (bool, error) {
 	o.asked++
 	if text, ok := record(); ok && o.next != nil {
-		client.(*shared).more.Add(1)
+		client.(*sharedConn).more.Add(1)
 		return o.next.Adopt(text, client), nil
 	}
 	return false, nil
 }
-func (o *other) Callback(body []byte) (int, bool, error) {
+func (o *fakePeer) Callback(body []byte) (int, bool, error) {
 	o.bodies = append(o.bodies, string(body))
 	return o.status, o.known, o.err
 }
@@ -567,26 +567,26 @@
 // answered before that one has dealt with it; what is known here goes nowhere.
 func TestCallbackElsewhere(t *testing.T) {
 	for _, c := range []struct {
-		other   other
+		other   fakePeer
 		foreign bool
 		want    string
 		asked   int
 	}{
-		{other{live: true, status: 204}, true, "204", 1},
-		{other{live: true, status: 204}, false, "204", 0},
-		{other{live: true, status: 503}, true, "503", 1},
-		{other{live: true, err: errors.New("silent")}, true, "503", 1},
-		{other{live: true, err: engine.ErrNoPeer}, true, "204", 1},
-		{other{live: false, status: 503}, true, "204", 0},
+		{fakePeer{live: true, status: 204}, true, "204", 1},
+		{fakePeer{live: true, status: 204}, false, "204", 0},
+		{fakePeer{live: true, status: 503}, true, "503", 1},
+		{fakePeer{live: true, err: errors.New("silent")}, true, "503", 1},
+		{fakePeer{live: true, err: engine.ErrNoPeer}, true, "204", 1},
+		{fakePeer{live: false, status: 503}, true, "204", 0},
 	} {
-		within(t, 64, func(w *world) {
-			w.s.Peer = &c.other
-			w.play(step{send: callback(report), set: desk{foreign: c.foreign}, want: c.want}, 0)
+		runInBubble(t, 64, func(w *harness) {
+			w.server.Peer = &c.other
+			w.playStep(step{send: callback(report), set: engineState{unknownMessage: c.foreign}, want: c.want}, 0)
 			if len(c.other.bodies) != c.asked || c.asked > 0 && c.other.bodies[0] != report {
 				t.Errorf("%+v: asked %q", c, c.other.bodies)
 			}
-			w.play(step{send: callback("{}"), want: "400 id: want a name"}, 0)
-			if status, _ := w.s.Callback([]byte(report)); status != 204 || len(c.other.bodies) != c.asked {
+			w.playStep(step{send: callback("{}"), want: "400 id: want a name"}, 0)
+			if status, _ := w.server.Callback([]byte(report)); status != 204 || len(c.other.bodies) != c.asked {
 				t.Errorf("from the other: %d, asked %q", status, c.other.bodies)
 			}
 		})
@@ -595,27 +595,27 @@
 
 // TestHandOver: a listener that is left takes nobody, while those who are there are served and leave one by one.
 func TestHandOver(t *testing.T) {
-	served := desk{answer: engine.Answer{Kind: engine.Served}}
-	within(t, 64, func(w *world) {
+	served := engineState{answer: engine.Answer{Kind: engine.Served}}
+	runInBubble(t, 64, func(w *harness) {
 		idle := w.client
 		w.client = w.dial()
-		w.play(step{send: callback(report), want: "204"}, 0)
-		w.s.SetPhase(Leaving)
-		w.s.ReleaseListener()
-		w.s.SetPhase(Closing)
+		w.playStep(step{send: callback(report), want: "204"}, 0)
+		w.server.SetPhase(Leaving)
+		w.server.ReleaseListener()
+		w.server.SetPhase(Closing)
 		synctest.Wait()
-		if _, open := <-w.l.calls; open {
+		if _, open := <-w.listener.calls; open {
 			t.Error("the listener is still open")
 		}
-		w.play(step{send: job + "\r\nhigh", set: served, want: "200", ends: true, taken: 1}, 0)
+		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
 		if idle.closed {
 			t.Error("idle closed early")
 		}
-		if left := w.s.CloseIdle(); left > 1 {
+		if left := w.server.CloseIdle(); left > 1 {
 			t.Errorf("%d left", left)
 		}
 		synctest.Wait()
-		if left := w.s.CloseIdle(); !idle.closed || left != 0 {
+		if left := w.server.CloseIdle(); !idle.closed || left != 0 {
 			t.Errorf("idle closed %v, %d left", idle.closed, left)
 		}
 	})
@@ -624,27 +624,27 @@
 // TestHandOverBlocked: an accept that the kernel holds on to keeps nothing from going on: neither what is open, nor the connection that it
 // takes in the end, nor the end of the program.
 func TestHandOverBlocked(t *testing.T) {
-	served := desk{answer: engine.Answer{Kind: engine.Served}}
-	within(t, 64, func(w *world) {
-		w.l.busy <- struct{}{}
-		w.s.SetPhase(Leaving)
-		w.s.ReleaseListener()
-		w.s.SetPhase(Closing)
-		w.play(step{send: job + "\r\nhigh", set: served, want: "200", ends: true, taken: 1}, 0)
+	served := engineState{answer: engine.Answer{Kind: engine.Served}}
+	runInBubble(t, 64, func(w *harness) {
+		w.listener.busy <- struct{}{}
+		w.server.SetPhase(Leaving)
+		w.server.ReleaseListener()
+		w.server.SetPhase(Closing)
+		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
 		w.client = w.dial()
-		w.play(step{send: job + "\r\nhigh", set: served, want: "200", ends: true, taken: 1}, 0)
-		if left := w.s.CloseIdle(); left != 0 {
+		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
+		if left := w.server.CloseIdle(); left != 0 {
 			t.Errorf("%d left", left)
 		}
-		time.AfterFunc(time.Minute, func() { <-w.l.busy })
+		time.AfterFunc(time.Minute, func() { <-w.listener.busy })
 	})
 }
 
 // TestLimit: while two processes share, each keeps to its part; idle connections go, those in use stay until they end.
 func TestLimit(t *testing.T) {
 	const conns = 16
-	within(t, conns, func(w *world) {
-		w.desk = desk{silent: true}
+	runInBubble(t, conns, func(w *harness) {
+		w.engineState = engineState{neverAnswers: true}
 		busy := []*client{}
 		for range 6 {
 			w.client = w.dial()
@@ -656,19 +656,19 @@
 			w.dial()
 		}
 		w.wait(time.Second)
-		w.s.SetLimit(conns / 2)
+		w.server.SetLimit(conns / 2)
 		synctest.Wait()
-		if n := len(w.s.conns); n != conns/2 || len(w.s.slots) != conns {
-			t.Errorf("%d connections, %d of %d places taken", n, len(w.s.slots), conns)
+		if n := len(w.server.conns); n != conns/2 || len(w.server.slots) != conns {
+			t.Errorf("%d connections, %d of %d places taken", n, len(w.server.slots), conns)
 		}
 		for _, c := range busy {
 			c.Close()
 		}
 		w.wait(time.Second)
-		w.s.SetLimit(conns)
-		w.wait(firstLimit)
-		if n := len(w.s.slots); n > 1 || w.s.reserved != 0 { // the place of the next one to be accepted
-			t.Errorf("%d places taken, %d reserved", n, w.s.reserved)
+		w.server.SetLimit(conns)
+		w.wait(firstRequestTimeout)
+		if n := len(w.server.slots); n > 1 || w.server.reserved != 0 { // the place of the next one to be accepted
+			t.Errorf("%d places taken, %d reserved", n, w.server.reserved)
 		}
 	})
 }
@@ -677,23 +677,23 @@
 // is told at once, and a silent one does not keep its place.
 func TestManyClients(t *testing.T) {
 	const conns = 12
-	within(t, conns, func(w *world) {
-		w.desk = desk{silent: true}
+	runInBubble(t, conns, func(w *harness) {
+		w.engineState = engineState{neverAnswers: true}
 		first := w.client
 		w.wait(2 * time.Second)
 		all := []*client{}
-		for range conns - spare(conns) {
+		for range conns - spareConns(conns) {
 			w.client = w.dial()
 			w.send(job + "\r\nhigh")
 			all = append(all, w.client)
 		}
-		if !first.closed || len(w.taken) != len(all) {
-			t.Errorf("idle closed %v, %d taken", first.closed, len(w.taken))
+		if !first.closed || len(w.submitted) != len(all) {
+			t.Errorf("idle closed %v, %d taken", first.closed, len(w.submitted))
 		}
 		silent := w.dial()
 		w.client = w.dial()
-		w.play(step{send: job + "\r\nhigh", want: "503", ends: true, open: int64(len(all))}, 0)
-		w.wait(readLimit)
+		w.playStep(step{send: job + "\r\nhigh", want: "503", closes: true, unanswered: int64(len(all))}, 0)
+		w.wait(readTimeout)
 		if !silent.closed || all[0].closed {
 			t.Errorf("silent closed %v, busy closed %v", silent.closed, all[0].closed)
 		}
--- a/internal/serve/control/control.go
+++ b/internal/serve/control/control.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	callWithin   = 2 * time.Second        // a caller's whole call, from its connect: who says nothing holds no place for longer
-	applyWithin  = 900 * time.Millisecond // what a call asks for: callers wait 1 s
-	answerWithin = time.Second
-	lingerFor    = 200 * time.Millisecond
-	lingerMost   = 64 << 10
-	acceptPause  = 10 * time.Millisecond
+	callTimeout   = 2 * time.Second        // a caller's whole call, from its connect: who says nothing holds no place for longer
+	applyTimeout  = 900 * time.Millisecond // what a call asks for: callers wait 1 s
+	writeTimeout  = time.Second
+	lingerTimeout = 200 * time.Millisecond
+	lingerBytes   = 64 << 10
+	acceptPause   = 10 * time.Millisecond
 )
 
 // Config is what a Server needs. The functions may be called by several callers at once.
@@ -47,13 +47,13 @@
 // Server answers the operators' calls.
 type Server struct {
 	Config
-	mu      sync.Mutex
-	callers map[*caller]struct{}
-	room    chan struct{}
+	mu    sync.Mutex
+	conns map[*conn]struct{}
+	slots chan struct{}
 }
 
 // caller is one connection.
-type caller struct {
+type conn struct {
 	net.Conn
 	since time.Time
 	busy  bool // its call is being carried out: it may not be sent away. Guarded by the server's lock.
@@ -61,7 +61,7 @@
 
 // New returns a Server.
 func New(c Config) *Server {
-	return &Server{Config: c, callers: map[*caller]struct{}{}, room: make(chan struct{}, max(c.MaxConns, 1))}
+	return &Server{Config: c, conns: map[*conn]struct{}{}, slots: make(chan struct{}, max(c.MaxConns, 1))}
 }
 
 // Run answers calls until the context ends.
@@ -71,7 +71,7 @@
 		l.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for c := range s.callers {
+		for c := range s.conns {
 			c.Close()
 		}
 	})()
@@ -89,20 +89,20 @@
 			continue
 		}
 		select {
-		case s.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 		default:
 			// Callers who say nothing must not keep out those who do.
-			s.sendAway()
+			s.evict()
 			select {
-			case s.room <- struct{}{}:
+			case s.slots <- struct{}{}:
 			case <-ctx.Done():
 				raw.Close()
 				return calls.Wait()
 			}
 		}
-		c := &caller{Conn: raw, since: time.Now()}
+		c := &conn{Conn: raw, since: time.Now()}
 		s.mu.Lock()
-		s.callers[c] = struct{}{}
+		s.conns[c] = struct{}{}
 		if ctx.Err() != nil {
 			c.Close()
 		}
@@ -112,8 +112,8 @@
 				c.Close()
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				delete(s.callers, c)
-				<-s.room
+				delete(s.conns, c)
+				<-s.slots
 			}()
 			s.serve(ctx, c)
 			return nil
@@ -122,11 +122,11 @@
 }
 
 // sendAway closes the connection of the caller who has been silent longest.
-func (s *Server) sendAway() {
+func (s *Server) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var oldest *caller
-	for c := range s.callers {
+	var oldest *conn
+	for c := range s.conns {
 		if !c.busy && (oldest == nil || c.since.Before(oldest.since)) {
 			oldest = c
 		}
@@ -136,15 +136,15 @@
 	}
 }
 
-func (s *Server) mark(c *caller, busy bool) {
+func (s *Server) setBusy(c *conn, busy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.busy = busy
 }
 
 // serve reads one call and answers it.
-func (s *Server) serve(ctx context.Context, c *caller) {
-	c.SetDeadline(c.since.Add(callWithin))
+func (s *Server) serve(ctx context.Context, c *conn) {
+	c.SetDeadline(c.since.Add(callTimeout))
 	r := http1.NewReader(c)
 	status, fields, body := 0, http1.Fields(nil), []byte(nil)
 	call, err := r.ReadRequest()
@@ -155,9 +155,9 @@
 	var timeout net.Error
 	switch {
 	case err == nil:
-		s.mark(c, true)
-		status, fields, body = s.call(ctx, call)
-		s.mark(c, false)
+		s.setBusy(c, true)
+		status, fields, body = s.handle(ctx, call)
+		s.setBusy(c, false)
 	case errors.As(err, &e):
 		status, body = e.Status, []byte(e.Reason+"\n")
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -165,20 +165,20 @@
 	default:
 		return // it left
 	}
-	c.SetDeadline(time.Now().Add(answerWithin))
+	c.SetDeadline(time.Now().Add(writeTimeout))
 	fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	if _, err := c.Write(http1.AppendResponse(nil, status, fields, body)); err != nil {
 		return
 	}
 	// To close with bytes unread would reset the answer away.
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.SetReadDeadline(time.Now().Add(lingerFor))
-		io.CopyN(io.Discard, c, lingerMost)
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, c, lingerBytes)
 	}
 }
 
 // call carries out one call.
-func (s *Server) call(ctx context.Context, call *http1.Request) (status int, fields http1.Fields, body []byte) {
+func (s *Server) handle(ctx context.Context, call *http1.Request) (status int, fields http1.Fields, body []byte) {
 	method := "POST"
 	var act func()
 	status = 204
@@ -199,7 +199,7 @@
 			return 404, nil, []byte("membership is off\n")
 		}
 		method, act = "GET", func() {
-			within, stop := context.WithTimeout(ctx, applyWithin)
+			within, stop := context.WithTimeout(ctx, applyTimeout)
 			defer stop()
 			var err error
 			status, fields = 200, http1.Fields{{Name: "Content-Type", Value: "application/json"}}
@@ -212,11 +212,11 @@
 	case "/control/in-service":
 		act = func() { s.Drain(false) }
 	default:
-		id, out, ok := hostCall(call.Path)
+		id, out, ok := parseHostPath(call.Path)
 		if !ok || s.SetOffline == nil {
 			return 404, nil, []byte("unknown path\n")
 		}
-		act = func() { status, body = s.host(ctx, id, out) }
+		act = func() { status, body = s.setHostOffline(ctx, id, out) }
 	}
 	if call.Method != method {
 		return 405, http1.Fields{{Name: "Allow", Value: method}}, nil
@@ -226,7 +226,7 @@
 }
 
 // hostCall takes a path of the form /control/workers/ID/offline or online apart.
-func hostCall(path string) (id string, out, ok bool) {
+func parseHostPath(path string) (id string, out, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/control/workers/")
 	if !ok {
 		return "", false, false
@@ -236,8 +236,8 @@
 	return id, verb == "offline", err == nil && id != "" && (verb == "offline" || verb == "online")
 }
 
-func (s *Server) host(ctx context.Context, id string, out bool) (status int, body []byte) {
-	ctx, stop := context.WithTimeout(ctx, applyWithin)
+func (s *Server) setHostOffline(ctx context.Context, id string, out bool) (status int, body []byte) {
+	ctx, stop := context.WithTimeout(ctx, applyTimeout)
 	defer stop()
 	switch known, err := s.SetOffline(ctx, id, out); {
 	case err != nil:
--- a/internal/serve/control/control_test.go
+++ b/internal/serve/control/control_test.go
@@ -17,11 +17,11 @@
 )
 
 // pipes is a listener whose connections are pipes.
-type pipes struct{ calls chan net.Conn }
+type pipeListener struct{ calls chan net.Conn }
 
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
-func (p pipes) Close() error   { close(p.calls); return nil }
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p.calls); return nil }
+func (p pipeListener) Accept() (net.Conn, error) {
 	if c, ok := <-p.calls; ok {
 		return c, nil
 	}
@@ -29,16 +29,16 @@
 }
 
 // world is a server in a synctest bubble, and what its calls have brought about.
-type world struct {
+type harness struct {
 	t       *testing.T
-	l       pipes
+	l       pipeListener
 	drained bool
 	out     map[string]bool
 }
 
-func within(t *testing.T, callers int, test func(*world)) {
+func runInBubble(t *testing.T, callers int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, l: pipes{make(chan net.Conn)}, out: map[string]bool{"s-1": false}}
+		w := &harness{t: t, l: pipeListener{make(chan net.Conn)}, out: map[string]bool{"s-1": false}}
 		s := New(Config{MaxConns: callers, Ready: func() bool { return !w.drained }, Drain: func(on bool) { w.drained = on },
 			Metrics: func() Metrics {
 				return Metrics{Classes: []ClassMetrics{{"a", 1, 2, 3}}, Forwards: 4, Outstanding: 5, Discovered: 6, Ejected: 7}
@@ -63,7 +63,7 @@
 	})
 }
 
-func (w *world) dial() net.Conn {
+func (w *harness) dial() net.Conn {
 	near, far := net.Pipe()
 	w.l.calls <- far
 	synctest.Wait()
@@ -71,7 +71,7 @@
 }
 
 // call sends a text in two pieces and returns the answer, or "" for a close without one.
-func (w *world) call(c net.Conn, text string, cut int) string {
+func (w *harness) call(c net.Conn, text string, cut int) string {
 	defer c.Close()
 	defer time.Sleep(time.Millisecond) // an answer may come before the second piece
 	go func() {
@@ -133,7 +133,7 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		within(t, 4, func(w *world) {
+		runInBubble(t, 4, func(w *harness) {
 			drained, out := false, false
 			for range 40 {
 				if rng.IntN(3) == 0 {
@@ -161,7 +161,7 @@
 
 // TestUnreadable: what cannot be read keeps its answers here too, and who says nothing is told so.
 func TestUnreadable(t *testing.T) {
-	within(t, 4, func(w *world) {
+	runInBubble(t, 4, func(w *harness) {
 		for text, want := range map[string]string{
 			"GET / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n":                "413 body too large",
 			"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 9000) + "\r\n\r\n": "431 head too large",
--- a/internal/serve/engine/engine.go
+++ b/internal/serve/engine/engine.go
@@ -217,7 +217,7 @@
 
 // Gone says that the client of a message no longer waits.
 func (e *Engine) Disconnected(m *Message) {
-	m.clientLeft.Store(true)
+	m.clientGone.Store(true)
 	e.enqueue(func(now time.Duration) {
 		msg := e.byKey[m.Key]
 		if msg == nil || msg.Message != m || msg.answered {
--- a/internal/serve/engine/engine_test.go
+++ b/internal/serve/engine/engine_test.go
@@ -40,19 +40,19 @@
 }
 
 // bench holds an Owner with sides that only note what is asked of them.
-type bench struct {
+type harness struct {
 	t        *testing.T
-	o        *Engine    // that takes messages
-	both     [2]*Engine // and the one that they may move to, or come from
+	current  *Engine    // that takes messages
+	engines  [2]*Engine // and the one that they may move to, or come from
 	sends    []*sent
 	watches  int
-	messages []*message
+	messages []*testMessage
 	stop     context.CancelFunc
 	mu       sync.Mutex // orders what the owner notes here by itself after what the test read before
 }
 
 // wait lets time pass.
-func (b *bench) wait(d time.Duration) {
+func (b *harness) wait(d time.Duration) {
 	b.mu.Lock()
 	//lint:ignore SA2001 the lock orders what the owner noted before what the test reads next
 	b.mu.Unlock()
@@ -60,7 +60,7 @@
 	synctest.Wait()
 }
 
-func (b *bench) note(f func()) {
+func (b *harness) note(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
@@ -76,7 +76,7 @@
 }
 
 // subject is the attempt that a host's word is about: ids of message and host are all that it names.
-func (b *bench) subject(s *sent) (of *sent, again bool) {
+func (b *harness) subject(s *sent) (of *sent, again bool) {
 	for _, x := range b.sends {
 		if x.a.Message == s.a.Message && x.a.Host.Name == s.a.Host.Name {
 			again = again || x.back
@@ -88,7 +88,7 @@
 	return of, again
 }
 
-type message struct {
+type testMessage struct {
 	m       *Message
 	answers []Answer
 	at      time.Duration // of the last answer
@@ -96,32 +96,32 @@
 }
 
 // side is the south side of one of the two.
-type side struct {
-	*bench
+type recordingBackend struct {
+	*harness
 	n int
 }
 
-func (b side) Send(ctx context.Context, a *Attempt) {
-	b.note(func() { b.sends = append(b.sends, &sent{a: a, ctx: ctx, o: b.both[b.n]}) })
+func (b recordingBackend) Send(ctx context.Context, a *Attempt) {
+	b.note(func() { b.sends = append(b.sends, &sent{a: a, ctx: ctx, o: b.engines[b.n]}) })
 }
 
-func (b side) Resume(ctx context.Context, a *Attempt) {
+func (b recordingBackend) Resume(ctx context.Context, a *Attempt) {
 	b.note(func() {
 		for _, s := range b.sends {
 			if s.a.Message == a.Message && s.a.Host.Name == a.Host.Name && !s.end {
-				s.a, s.ctx, s.o = a, ctx, b.both[b.n]
+				s.a, s.ctx, s.o = a, ctx, b.engines[b.n]
 			}
 		}
 	})
 }
 
-func (b *bench) Probe(Host)  {}
-func (b *bench) Forget(Host) {}
-func (b *bench) Watch()      { b.note(func() { b.watches++ }) }
+func (b *harness) Probe(Host)  {}
+func (b *harness) Forget(Host) {}
+func (b *harness) Watch()      { b.note(func() { b.watches++ }) }
 
 // newBench starts an Owner with four hosts inside a synctest bubble, where time is the test's.
-func newBench(t *testing.T, settings balance.Settings) *bench {
-	b := &bench{t: t}
+func newHarness(t *testing.T, settings balance.Settings) *harness {
+	b := &harness{t: t}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	var known []Host
 	for i := range 4 {
@@ -129,50 +129,50 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	b.stop = stop
-	for i := range b.both {
-		b.both[i] = New(Config{Settings: settings, Seed: 7, InitialHosts: known, Backend: side{b, i}, Inventory: b, QueueSize: 64, Log: log,
+	for i := range b.engines {
+		b.engines[i] = New(Config{Settings: settings, Seed: 7, InitialHosts: known, Backend: recordingBackend{b, i}, Inventory: b, QueueSize: 64, Log: log,
 			Check: &invariant.Checker{}, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})
-		go b.both[i].Run(ctx)
+		go b.engines[i].Run(ctx)
 	}
-	b.o = b.both[0]
+	b.current = b.engines[0]
 	synctest.Wait()
 	return b
 }
 
-func (b *bench) submit(class int, left time.Duration) *message {
-	m := &message{m: &Message{Key: fmt.Sprintf("%016x", len(b.messages)), Arrived: b.o.Now(),
+func (b *harness) submit(class int, left time.Duration) *testMessage {
+	m := &testMessage{m: &Message{Key: fmt.Sprintf("%016x", len(b.messages)), Arrived: b.current.Now(),
 		Job: balance.Job{Class: class, Left: left, Hint: 100 * time.Millisecond}}}
 	m.m.Reply = func(a Answer) {
-		b.note(func() { m.answers, m.at = append(m.answers, a), b.o.Now() })
+		b.note(func() { m.answers, m.at = append(m.answers, a), b.current.Now() })
 	}
 	b.messages = append(b.messages, m)
-	if !b.o.Submit(m.m) {
+	if !b.current.Submit(m.m) {
 		b.t.Fatal("queue is full")
 	}
 	synctest.Wait()
 	return m
 }
 
-func (b *bench) report(s *sent, state JobState, result string) {
-	for _, o := range b.both { // one of the two knows the message, if it is open
+func (b *harness) report(s *sent, state JobState, result string) {
+	for _, o := range b.engines { // one of the two knows the message, if it is open
 		o.HandleReport(Report{Key: s.a.Message.Key, From: s.a.Host.Name, State: state, Result: []byte(result)}, nil, nil)
 	}
 	synctest.Wait()
 }
 
-func (b *bench) ended(s *sent, status balance.Status) {
+func (b *harness) ended(s *sent, status balance.Status) {
 	s.o.AttemptEnded(s.a, status)
 	synctest.Wait()
 }
 
 // move has the other one take over a message, or say that it does not.
-func (b *bench) move(m *message, takes bool) (moved bool) {
-	for i, o := range b.both {
+func (b *harness) move(m *testMessage, takes bool) (moved bool) {
+	for i, o := range b.engines {
 		past, ok := o.Release(b.t.Context(), m.m)
 		if !ok {
 			continue
 		}
-		moved = takes && b.both[1-i].Adopt(b.t.Context(), m.m, past)
+		moved = takes && b.engines[1-i].Adopt(b.t.Context(), m.m, past)
 		o.CompleteRelease(m.m, past, moved)
 		synctest.Wait()
 		return moved
@@ -180,15 +180,15 @@
 	return false
 }
 
-func within(t *testing.T, test func(*testing.T, *bench)) {
+func runInBubble(t *testing.T, test func(*testing.T, *harness)) {
 	t.Helper()
-	withSettings(t, testSettings(), test)
+	runWithSettings(t, testSettings(), test)
 }
 
-func withSettings(t *testing.T, settings balance.Settings, test func(*testing.T, *bench)) {
+func runWithSettings(t *testing.T, settings balance.Settings, test func(*testing.T, *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, settings)
+		b := newHarness(t, settings)
 		test(t, b)
 		b.stop()
 		synctest.Wait()
@@ -196,10 +196,10 @@
 }
 
 func TestServedOnce(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
 		s := b.sends[0]
-		b.o.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Done, Result: []byte("forged")}, nil, nil)
+		b.current.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Done, Result: []byte("forged")}, nil, nil)
 		b.report(s, Started, "") // before the host's answer to the send
 		b.report(s, Done, "level 3")
 		b.report(s, Done, "again")
@@ -207,16 +207,16 @@
 		if len(m.answers) != 1 || m.answers[0].Kind != Served || string(m.answers[0].Result) != "level 3" {
 			t.Errorf("answers %+v", m.answers)
 		}
-		if !errors.Is(context.Cause(s.ctx), ErrOutcomeKnown) || len(b.sends) != 1 || len(b.o.jobs) != 0 || len(b.o.byKey) != 0 {
-			t.Errorf("cause %v, %d sends, %d jobs kept", context.Cause(s.ctx), len(b.sends), len(b.o.jobs))
+		if !errors.Is(context.Cause(s.ctx), ErrOutcomeKnown) || len(b.sends) != 1 || len(b.current.jobs) != 0 || len(b.current.byKey) != 0 {
+			t.Errorf("cause %v, %d sends, %d jobs kept", context.Cause(s.ctx), len(b.sends), len(b.current.jobs))
 		}
 	})
 }
 
 func TestClientGoneWithdraws(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
-		b.o.Disconnected(m.m)
+		b.current.Disconnected(m.m)
 		synctest.Wait()
 		s := b.sends[0]
 		if !errors.Is(context.Cause(s.ctx), ErrWithdrawn) || s.a.MaySend() {
@@ -224,8 +224,8 @@
 		}
 		b.report(s, Done, "too late")
 		b.ended(s, balance.Cancelled)
-		if len(m.answers) != 0 || len(b.o.jobs) != 0 {
-			t.Errorf("answers %v, %d jobs kept", m.answers, len(b.o.jobs))
+		if len(m.answers) != 0 || len(b.current.jobs) != 0 {
+			t.Errorf("answers %v, %d jobs kept", m.answers, len(b.current.jobs))
 		}
 	})
 }
@@ -235,7 +235,7 @@
 func TestWindowEndsOnTheWay(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[reading].Window = time.Second
-	withSettings(t, settings, func(t *testing.T, b *bench) {
+	runWithSettings(t, settings, func(t *testing.T, b *harness) {
 		m := b.submit(reading, 5*time.Second)
 		first := b.sends[0].a
 		b.wait(900 * time.Millisecond)
@@ -244,7 +244,7 @@
 			t.Fatalf("%d attempts", len(b.sends))
 		}
 		s := b.sends[1]
-		if want := first.SentAt() + time.Second - 2*b.o.Settings.Tick; !s.a.MaySend() || s.a.SendDeadline != want || first.SendDeadline != 0 {
+		if want := first.SentAt() + time.Second - 2*b.current.Settings.Tick; !s.a.MaySend() || s.a.SendDeadline != want || first.SendDeadline != 0 {
 			t.Errorf("clear %v, until %v, want %v; the first one until %v", s.a.MaySend(), s.a.SendDeadline, want, first.SendDeadline)
 		}
 		b.wait(60 * time.Millisecond) // the connection is up
@@ -262,16 +262,16 @@
 // TestGoneBarsAtOnce: the client leaves while the owner is busy. An attempt whose connection comes up in that moment does not begin,
 // though the owner has yet to hear of it.
 func TestGoneBarsAtOnce(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
 		s := b.sends[0]
 		busy := make(chan struct{})
-		b.o.AfterQueued(func() { <-busy })
+		b.current.AfterQueued(func() { <-busy })
 		synctest.Wait()
 		if !s.a.MaySend() {
 			t.Error("not clear while the client waits")
 		}
-		b.o.Disconnected(m.m)
+		b.current.Disconnected(m.m)
 		if s.a.MaySend() || context.Cause(s.ctx) != nil {
 			t.Errorf("clear %v, cause %v", s.a.MaySend(), context.Cause(s.ctx))
 		}
@@ -287,7 +287,7 @@
 // TestRejected: a host says that the request itself is wrong. The client gets its answer at once, nothing is sent again, and no host is
 // avoided for what a client sent.
 func TestRejected(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		for i := range 12 {
 			m := b.submit(reading, 5*time.Second)
 			b.ended(b.sends[i], balance.Rejected)
@@ -295,8 +295,8 @@
 				t.Fatalf("%d attempts, answers %+v", len(b.sends), m.answers)
 			}
 		}
-		if _, avoided := b.o.dispatcher.Fleet(b.o.Now()); avoided != 0 || len(b.o.jobs) != 0 {
-			t.Errorf("%d hosts avoided, %d messages kept", avoided, len(b.o.jobs))
+		if _, avoided := b.current.dispatcher.Fleet(b.current.Now()); avoided != 0 || len(b.current.jobs) != 0 {
+			t.Errorf("%d hosts avoided, %d messages kept", avoided, len(b.current.jobs))
 		}
 	})
 }
@@ -307,12 +307,12 @@
 	settings := testSettings()
 	c := &settings.Classes[reading]
 	c.Effect, c.LateValue = balance.Safe, 0
-	withSettings(t, settings, func(t *testing.T, b *bench) {
+	runWithSettings(t, settings, func(t *testing.T, b *harness) {
 		m := b.submit(reading, 5*time.Second)
-		b.o.AttemptWritten(b.sends[0].a, false)
+		b.current.AttemptWritten(b.sends[0].a, false)
 		b.wait(2 * time.Second)
-		if len(m.answers) != 1 || m.answers[0].Kind != BackOff || b.o.Check.Breaches() != 0 {
-			t.Errorf("answers %+v, %d breaches", m.answers, b.o.Check.Breaches())
+		if len(m.answers) != 1 || m.answers[0].Kind != BackOff || b.current.Check.Breaches() != 0 {
+			t.Errorf("answers %+v, %d breaches", m.answers, b.current.Check.Breaches())
 		}
 		if s := b.sends[0]; !errors.Is(context.Cause(s.ctx), ErrWithdrawn) {
 			t.Errorf("cause %v", context.Cause(s.ctx))
@@ -324,16 +324,16 @@
 // TestConclude: what is open when the program may be killed soon is answered then, once: with a back-off answer where nothing can have
 // run, and what is out is withdrawn. A class that waits longer than a planned end lasts got no answer at all.
 func TestConclude(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		out := b.submit(warning, 20*time.Second)
 		for i := range 4 { // nothing may be sent any more
-			if _, err := b.o.SetOffline(t.Context(), testHost(i, balance.Ready).Name, true, false); err != nil {
+			if _, err := b.current.SetOffline(t.Context(), testHost(i, balance.Ready).Name, true, false); err != nil {
 				t.Fatal(err)
 			}
 		}
 		held := b.submit(reading, 20*time.Second)
-		b.o.AnswerOpenMessages()
-		b.o.AnswerOpenMessages()
+		b.current.AnswerOpenMessages()
+		b.current.AnswerOpenMessages()
 		synctest.Wait()
 		if len(out.answers) != 1 || out.answers[0].Kind != Failed || len(held.answers) != 1 || held.answers[0].Kind != BackOff {
 			t.Errorf("answers %v to what was out, %v to what was held", out.answers, held.answers)
@@ -342,8 +342,8 @@
 			t.Errorf("%d sends, cause %v", len(b.sends), context.Cause(b.sends[0].ctx))
 		}
 		b.ended(b.sends[0], balance.Cancelled)
-		if len(b.o.jobs) != 0 || len(out.answers) != 1 {
-			t.Errorf("%d jobs kept, answers %v", len(b.o.jobs), out.answers)
+		if len(b.current.jobs) != 0 || len(out.answers) != 1 {
+			t.Errorf("%d jobs kept, answers %v", len(b.current.jobs), out.answers)
 		}
 	})
 }
@@ -351,10 +351,10 @@
 // TestOfflineByHand: the check before a send's first byte sees an operator's word, which passes a queue that is full and
 // which no list lifts; an id that was never listed is not known.
 func TestOfflineByHand(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		set := func(name string, out, want bool) {
 			t.Helper()
-			if known, err := b.o.SetOffline(t.Context(), name, out, false); err != nil || known != want {
+			if known, err := b.current.SetOffline(t.Context(), name, out, false); err != nil || known != want {
 				t.Errorf("%s: known %v, error %v", name, known, err)
 			}
 		}
@@ -362,8 +362,8 @@
 		s := b.sends[0]
 		set("s-never", true, false)
 		hold := make(chan struct{})
-		b.o.enqueue(func(time.Duration) { <-hold }) // the owner is busy, and more waits than the queue holds
-		for b.o.tryEnqueue(func(time.Duration) {}) {
+		b.current.enqueue(func(time.Duration) { <-hold }) // the owner is busy, and more waits than the queue holds
+		for b.current.tryEnqueue(func(time.Duration) {}) {
 		}
 		done := make(chan struct{})
 		go func() { set(s.a.Host.Name, true, true); close(done) }()
@@ -374,16 +374,16 @@
 			t.Error("clear to send to a host that is out")
 		}
 		hosts := []Host{testHost(0, balance.Ready), testHost(1, balance.Ready), testHost(2, balance.Ready), testHost(3, balance.Ready)}
-		b.o.UpdateHosts(balance.ListFull, hosts)
+		b.current.UpdateHosts(balance.ListFull, hosts)
 		synctest.Wait()
-		if listed, avoided := b.o.HostCounts(); s.a.MaySend() || listed != 4 || avoided != 1 {
+		if listed, avoided := b.current.HostCounts(); s.a.MaySend() || listed != 4 || avoided != 1 {
 			t.Errorf("clear %v, %d listed, %d avoided", s.a.MaySend(), listed, avoided)
 		}
-		b.o.UpdateHosts(balance.ListFull, hosts[:0]) // ever listed outlives leaving the list
+		b.current.UpdateHosts(balance.ListFull, hosts[:0]) // ever listed outlives leaving the list
 		synctest.Wait()
 		set(s.a.Host.Name, true, true)
 		set(s.a.Host.Name, false, true)
-		b.o.UpdateHosts(balance.ListFull, hosts)
+		b.current.UpdateHosts(balance.ListFull, hosts)
 		synctest.Wait()
 		if !s.a.MaySend() {
 			t.Error("back online and not clear to send to")
@@ -394,14 +394,14 @@
 // TestOfflineFromBefore: a word given to an earlier process holds from the start.
 func TestOfflineFromBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{t: t}
+		b := &harness{t: t}
 		var listed []string
-		b.o = New(Config{Settings: testSettings(), Seed: 7, InitialHosts: []Host{testHost(0, balance.Ready), testHost(1, balance.Ready)},
-			Backend: side{b, 0}, Inventory: b, QueueSize: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{},
+		b.current = New(Config{Settings: testSettings(), Seed: 7, InitialHosts: []Host{testHost(0, balance.Ready), testHost(1, balance.Ready)},
+			Backend: recordingBackend{b, 0}, Inventory: b, QueueSize: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{},
 			EverListed: []string{"s-old"}, InitialOffline: []string{testHost(0, balance.Ready).Name}, OnNewHosts: func(names []string) { listed = append(listed, names...) },
 			Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})
 		ctx, stop := context.WithCancel(t.Context())
-		go b.o.Run(ctx)
+		go b.current.Run(ctx)
 		synctest.Wait()
 		for range 4 {
 			b.submit(warning, 5*time.Second)
@@ -411,7 +411,7 @@
 				t.Errorf("sent to %s", s.a.Host.Name)
 			}
 		}
-		if known, _ := b.o.SetOffline(ctx, "s-old", true, false); !known || len(listed) != 1 || len(b.sends) == 0 {
+		if known, _ := b.current.SetOffline(ctx, "s-old", true, false); !known || len(listed) != 1 || len(b.sends) == 0 {
 			t.Errorf("old name known %v, new names %v, %d sends", known, listed, len(b.sends))
 		}
 		stop()
@@ -424,13 +424,13 @@
 func TestFollows(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := &bench{t: t}
+			b := &harness{t: t}
 			settings := testSettings()
 			settings.Dispatchers = 48
-			b.o = New(Config{Settings: settings, Seed: 7, HostsInherited: follows, Backend: side{b, 0}, Inventory: b, QueueSize: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			b.current = New(Config{Settings: settings, Seed: 7, HostsInherited: follows, Backend: recordingBackend{b, 0}, Inventory: b, QueueSize: 64, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 				Check: &invariant.Checker{}, Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }})
 			ctx, stop := context.WithCancel(t.Context())
-			go b.o.Run(ctx)
+			go b.current.Run(ctx)
 			b.wait(20 * time.Millisecond)
 			if b.watches != map[bool]int{true: 1}[follows] {
 				t.Errorf("follows %v: %d watches at once", follows, b.watches)
@@ -446,12 +446,12 @@
 
 // TestSameIDTwice guards the first message of two with one id: its table entry must not be replaced.
 func TestSameIDTwice(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
-		twin := &message{m: &Message{Key: m.m.Key, Arrived: b.o.Now(), Job: m.m.Job}}
+		twin := &testMessage{m: &Message{Key: m.m.Key, Arrived: b.current.Now(), Job: m.m.Job}}
 		twin.m.Reply = func(a Answer) { twin.answers = append(twin.answers, a) }
-		b.o.Submit(twin.m)
-		b.o.Disconnected(twin.m)
+		b.current.Submit(twin.m)
+		b.current.Disconnected(twin.m)
 		b.report(b.sends[0], Done, "once")
 		if len(twin.answers) != 1 || twin.answers[0].Kind != Failed || len(m.answers) != 1 || m.answers[0].Kind != Served {
 			t.Errorf("answers %+v and %+v", m.answers, twin.answers)
@@ -461,7 +461,7 @@
 
 // TestDrainBarsTheSend guards the moment between a decision and the first byte.
 func TestDrainBarsTheSend(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		b.submit(warning, 5*time.Second)
 		s := b.sends[0]
 		if !s.a.MaySend() {
@@ -469,7 +469,7 @@
 		}
 		h := s.a.Host
 		h.Worker.State = balance.Draining
-		b.o.UpdateHosts(balance.ListChanges, []Host{h})
+		b.current.UpdateHosts(balance.ListChanges, []Host{h})
 		synctest.Wait()
 		if s.a.MaySend() {
 			t.Error("clear though the host drains")
@@ -490,9 +490,9 @@
 
 // TestReturnedAgain guards an attempt that runs against the repeated word on an earlier one at the same host.
 func TestReturnedAgain(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		for i := 1; i < 4; i++ { // one host is left
-			b.o.UpdateHosts(balance.ListChanges, []Host{testHost(i, balance.Draining)})
+			b.current.UpdateHosts(balance.ListChanges, []Host{testHost(i, balance.Draining)})
 		}
 		m := b.submit(warning, 5*time.Second)
 		b.report(b.sends[0], Returned, "")
@@ -546,17 +546,17 @@
 // FuzzOwner plays random steps of clients, hosts, the inventory and time, and checks the rules against a model of its
 // own, over two owners between which messages move: one answer for each message, in time; a back-off answer and a further unsafe send only where nothing may have
 // run; one attempt of a message at a host; nothing to a host that drains.
-func FuzzOwner(f *testing.F) {
+func FuzzEngine(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
 	f.Add([]byte("0000warning boxes and gauges0000\xff\xfe\xfd7777"))
 	f.Add([]byte{0, 8, 16, 24, 2, 10, 18, 7 + 8, 3, 11, 15, 6 + 8*9, 0, 8, 7 + 24, 2, 10, 7 + 56, 1, 9, 4, 12, 7 + 8, 6 + 8*20, 4, 7 + 24})
 	f.Add([]byte{0, 16, 0, 24, 8, 2, 2, 10, 18, 3, 3, 5, 13, 21, 6, 14, 4, 12, 20, 28, 7, 15, 23, 31})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		within(t, func(t *testing.T, b *bench) { play(t, b, steps[:min(len(steps), 200)]) })
+		runInBubble(t, func(t *testing.T, b *harness) { playSteps(t, b, steps[:min(len(steps), 200)]) })
 	})
 }
 
-func play(t *testing.T, b *bench, steps []byte) {
+func playSteps(t *testing.T, b *harness, steps []byte) {
 	draining := map[string]bool{}
 	checked := 0
 	for _, step := range steps {
@@ -588,14 +588,14 @@
 		case op == 4 && len(b.messages) > 0:
 			m := b.messages[len(b.messages)-1-n%len(b.messages)]
 			m.gone = true
-			for _, o := range b.both {
+			for _, o := range b.engines {
 				o.Disconnected(m.m)
 			}
 			synctest.Wait()
 		case op == 5:
 			h := testHost(n%4, balance.State(n/4%2))
 			draining[h.Name] = h.Worker.State == balance.Draining
-			for _, o := range b.both {
+			for _, o := range b.engines {
 				o.UpdateHosts(balance.ListChanges, []Host{h})
 			}
 			synctest.Wait()
@@ -605,9 +605,9 @@
 			for i, m := range b.messages {
 				b.move(m, n/2%4 != i%4)
 			}
-			b.o = b.both[n/2%2]
+			b.current = b.engines[n/2%2]
 		case op == 7:
-			b.o.UpdateHosts(balance.ListFailed, nil)
+			b.current.UpdateHosts(balance.ListFailed, nil)
 			synctest.Wait()
 		}
 		for _, s := range b.sends {
@@ -624,11 +624,11 @@
 	for i, m := range b.messages {
 		if n := len(m.answers); n > 1 || n == 0 && !m.gone {
 			t.Errorf("message %d has %d answers, gone %v", i, n, m.gone)
-		} else if late := m.at - m.m.Arrived - m.m.Job.Left; n > 0 && late > DeadlineGrace+b.o.Settings.Tick {
+		} else if late := m.at - m.m.Arrived - m.m.Job.Left; n > 0 && late > DeadlineGrace+b.current.Settings.Tick {
 			t.Errorf("message %d is answered %v after its deadline", i, late)
 		}
 	}
-	for _, o := range b.both {
+	for _, o := range b.engines {
 		if n := o.Check.Breaches(); n > 0 || len(o.jobs)+len(o.byKey)+len(o.moving) > 0 {
 			t.Errorf("%d breaches; kept: %d jobs, %d keys, %d that move", n, len(o.jobs), len(o.byKey), len(o.moving))
 		}
@@ -636,7 +636,7 @@
 }
 
 // checkSend checks a send when it is first seen, against all before it.
-func (b *bench) checkSend(i int, draining map[string]bool) {
+func (b *harness) checkSend(i int, draining map[string]bool) {
 	s := b.sends[i]
 	for _, old := range b.sends[:i] {
 		if old.a.Message != s.a.Message {
@@ -660,8 +660,8 @@
 // TestNothingLeftOnTheWheel guards against timers that outlive what they time: a served message that stays on the wheel
 // until its deadline is held with its payload, and 5 s of load are more than the memory there is.
 func TestNothingLeftOnTheWheel(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
-		idle := b.o.wheel.Len()
+	runInBubble(t, func(t *testing.T, b *harness) {
+		idle := b.current.wheel.Len()
 		for i := range 20 {
 			m := b.submit(warning, 5*time.Second)
 			s := b.sends[len(b.sends)-1]
@@ -672,13 +672,13 @@
 				b.ended(s, balance.Errored)
 				b.wait(time.Second)
 			default:
-				b.o.Disconnected(m.m)
+				b.current.Disconnected(m.m)
 				synctest.Wait()
 				b.ended(s, balance.Cancelled)
 			}
 		}
-		if len(b.o.jobs) != 0 || b.o.wheel.Len() > idle+1 { // the module's own tick may be on it
-			t.Errorf("%d jobs, %d timers, at first %d", len(b.o.jobs), b.o.wheel.Len(), idle)
+		if len(b.current.jobs) != 0 || b.current.wheel.Len() > idle+1 { // the module's own tick may be on it
+			t.Errorf("%d jobs, %d timers, at first %d", len(b.current.jobs), b.current.wheel.Len(), idle)
 		}
 	})
 }
--- a/internal/serve/engine/handover_test.go
+++ b/internal/serve/engine/handover_test.go
@@ -11,7 +11,7 @@
 )
 
 // standing is where an owner says that a message is.
-func standing(o *Engine, m *message) (at MessageLocation) {
+func standing(o *Engine, m *testMessage) (at MessageLocation) {
 	o.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Progress}, func(s MessageLocation) { at = s }, nil)
 	synctest.Wait()
 	return at
@@ -20,8 +20,8 @@
 // TestMove: a message goes over once its host has taken it, and not before; meanwhile hosts are told to say it again; the result
 // reaches the process that has it, and a client that leaves there withdraws the attempt there.
 func TestMove(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
-		old, next := b.both[0], b.both[1]
+	runInBubble(t, func(t *testing.T, b *harness) {
+		old, next := b.engines[0], b.engines[1]
 		m, left := b.submit(warning, 20*time.Second), b.submit(reading, 20*time.Second)
 		s := b.sends[0]
 		if b.move(m, true) {
@@ -63,7 +63,7 @@
 			t.Errorf("cause %v", context.Cause(s.ctx))
 		}
 		b.ended(b.sends[1], balance.Cancelled)
-		for i, o := range b.both {
+		for i, o := range b.engines {
 			if len(o.jobs)+len(o.byKey)+len(o.moving) != 0 {
 				t.Errorf("%d keeps %d jobs, %d keys, %d that move", i, len(o.jobs), len(o.byKey), len(o.moving))
 			}
@@ -74,11 +74,11 @@
 // TestMoveRefused: what the successor does not take goes on here, with its patience and its past: an unsafe job that may have run is
 // not sent again, neither here nor there.
 func TestMoveRefused(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 20*time.Second)
 		b.sends[0].a.MarkAccepted()
-		if b.move(m, false) || standing(b.both[0], m) != LocationLocal || standing(b.both[1], m) != LocationUnknown {
-			t.Fatalf("at %v and %v", standing(b.both[0], m), standing(b.both[1], m))
+		if b.move(m, false) || standing(b.engines[0], m) != LocationLocal || standing(b.engines[1], m) != LocationUnknown {
+			t.Fatalf("at %v and %v", standing(b.engines[0], m), standing(b.engines[1], m))
 		}
 		if !b.move(m, true) {
 			t.Fatal("not moved at the second try")
@@ -89,9 +89,9 @@
 		}
 		// One that waits for room goes over too, and is sent from there.
 		for i := range 4 {
-			b.both[0].SetOffline(t.Context(), testHost(i, balance.Ready).Name, true, false)
+			b.engines[0].SetOffline(t.Context(), testHost(i, balance.Ready).Name, true, false)
 		}
-		if held := b.submit(reading, 20*time.Second); len(b.sends) != 1 || !b.move(held, true) || len(b.sends) != 2 || b.sends[1].o != b.both[1] {
+		if held := b.submit(reading, 20*time.Second); len(b.sends) != 1 || !b.move(held, true) || len(b.sends) != 2 || b.sends[1].o != b.engines[1] {
 			t.Errorf("%d sends", len(b.sends))
 		}
 	})
@@ -99,16 +99,16 @@
 
 // TestMoveLate: one whose patience ends on the way is answered by whoever has it.
 func TestMoveLate(t *testing.T) {
-	within(t, func(t *testing.T, b *bench) {
+	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, time.Second)
 		b.sends[0].a.MarkAccepted()
-		past, ok := b.both[0].Release(t.Context(), m.m)
+		past, ok := b.engines[0].Release(t.Context(), m.m)
 		b.wait(2 * time.Second)
 		past.Ago += 2 * time.Second
-		if !ok || !b.both[1].Adopt(t.Context(), m.m, past) {
+		if !ok || !b.engines[1].Adopt(t.Context(), m.m, past) {
 			t.Fatal("not taken over")
 		}
-		b.both[0].CompleteRelease(m.m, past, true)
+		b.engines[0].CompleteRelease(m.m, past, true)
 		b.wait(10 * time.Millisecond)
 		if len(m.answers) != 1 || m.answers[0].Kind != Failed {
 			t.Errorf("answers %v", m.answers)
--- a/internal/serve/engine/types.go
+++ b/internal/serve/engine/types.go
@@ -44,7 +44,7 @@
 	OnClosed func()
 	Subject  uint64 // a keyed hash of what it is about, for records only; 0: none
 
-	clientLeft atomic.Bool // its client has gone: known at once, whatever waits in the queue
+	clientGone atomic.Bool // its client has gone: known at once, whatever waits in the queue
 }
 
 // Begun is an event of a message: it runs.
@@ -108,7 +108,7 @@
 func (a *Attempt) Status() balance.Status { return a.status }
 
 func (a *Attempt) maySend(now time.Duration) bool {
-	return !a.withdrawn.Load() && !a.Message.clientLeft.Load() && !a.host.notReady.Load() && !a.host.offline.Load() && (a.SendDeadline == 0 || now < a.SendDeadline)
+	return !a.withdrawn.Load() && !a.Message.clientGone.Load() && !a.host.notReady.Load() && !a.host.offline.Load() && (a.SendDeadline == 0 || now < a.SendDeadline)
 }
 
 // Causes of the end of an attempt's context.
--- a/internal/serve/handover/fdpassing.go
+++ b/internal/serve/handover/fdpassing.go
@@ -8,12 +8,12 @@
 
 // descriptors is a connection of the other process, and the descriptors that came with what was read of it: one at most is wanted,
 // and all others are closed.
-type descriptors struct {
+type fdConn struct {
 	net.Conn
-	came []int
+	fds []int
 }
 
-func (d *descriptors) Read(b []byte) (int, error) {
+func (d *fdConn) Read(b []byte) (int, error) {
 	c, ok := d.Conn.(*net.UnixConn)
 	if !ok {
 		return d.Conn.Read(b)
@@ -24,19 +24,19 @@
 		messages, _ := syscall.ParseSocketControlMessage(control[:oob])
 		for _, m := range messages {
 			fds, _ := syscall.ParseUnixRights(&m)
-			d.came = append(d.came, fds...)
+			d.fds = append(d.fds, fds...)
 		}
 	}
 	return n, err
 }
 
 // take returns the connection that came, if just one did.
-func (d *descriptors) take() net.Conn {
-	if len(d.came) != 1 {
+func (d *fdConn) take() net.Conn {
+	if len(d.fds) != 1 {
 		return nil
 	}
-	f := os.NewFile(uintptr(d.came[0]), "client")
-	d.came = nil
+	f := os.NewFile(uintptr(d.fds[0]), "client")
+	d.fds = nil
 	defer f.Close() // FileConn has one of its own
 	c, err := net.FileConn(f)
 	if err != nil {
@@ -49,9 +49,9 @@
 	return c
 }
 
-func (d *descriptors) close() {
-	for _, fd := range d.came {
+func (d *fdConn) close() {
+	for _, fd := range d.fds {
 		syscall.Close(fd)
 	}
-	d.came = nil
+	d.fds = nil
 }
--- a/internal/serve/handover/fdpassing_test.go
+++ b/internal/serve/handover/fdpassing_test.go
@@ -12,7 +12,7 @@
 )
 
 // pair is a client's connection as both ends have it.
-func pair(t *testing.T) (client, served net.Conn) {
+func connPair(t *testing.T) (client, served net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,25 +33,25 @@
 // where the successor does not take it, or is gone, it stays what it was.
 func TestPass(t *testing.T) {
 	dir := t.TempDir()
-	old := start(t, dir)
+	old := startProcess(t, dir)
 	record := []byte("\x00\xff\"\n}" + strings.Repeat("level 3 at Caroni ", 1<<12))
 	give := func() ([]byte, bool) { return record, true }
-	client, served := pair(t)
+	client, served := connPair(t)
 	if taken, err := old.PassConnection(served, give); taken || !errors.Is(err, engine.ErrNoPeer) {
 		t.Errorf("passed to nobody: %v, %v", taken, err)
 	}
-	next := start(t, dir)
+	next := startProcess(t, dir)
 	if taken, err := old.PassConnection(served, give); taken || err != nil {
 		t.Errorf("not taken there: %v, %v", taken, err)
 	}
-	if taken, err := old.PassConnection(served, func() ([]byte, bool) { return nil, false }); taken || !errors.Is(err, errNotNow) {
+	if taken, err := old.PassConnection(served, func() ([]byte, bool) { return nil, false }); taken || !errors.Is(err, errNotReleasable) {
 		t.Errorf("no record: %v, %v", taken, err)
 	}
 	if taken, err := old.PassConnection(struct{ net.Conn }{served}, give); taken || err == nil {
 		t.Errorf("no descriptor: %v, %v", taken, err)
 	}
 	got := make(chan net.Conn, 1)
-	next.adopts(func(r []byte, c net.Conn) bool {
+	next.setAdopt(func(r []byte, c net.Conn) bool {
 		if string(r) != string(record) {
 			t.Errorf("%d bytes of record came, %d were sent", len(r), len(record))
 		}
@@ -70,7 +70,7 @@
 		t.Errorf("the client read %q, %v", text, err)
 	}
 	// A successor that ends with the message in hand has not taken it: it would have said so.
-	next.adopts(func(_ []byte, c net.Conn) bool {
+	next.setAdopt(func(_ []byte, c net.Conn) bool {
 		c.Close()
 		next.Peer.mu.Lock()
 		for c := range next.conns {
@@ -79,7 +79,7 @@
 		next.Peer.mu.Unlock()
 		return true
 	})
-	_, served = pair(t)
+	_, served = connPair(t)
 	if taken, err := old.PassConnection(served, give); taken || err == nil {
 		t.Errorf("passed to one that died: %v, %v", taken, err)
 	}
@@ -89,9 +89,9 @@
 
 // TestUnasked: descriptors that come with anything but a message, or two with one, are closed, and nothing else happens.
 func TestUnasked(t *testing.T) {
-	old := start(t, t.TempDir())
+	old := startProcess(t, t.TempDir())
 	defer old.end()
-	old.adopts(func([]byte, net.Conn) bool {
+	old.setAdopt(func([]byte, net.Conn) bool {
 		t.Error("adopted")
 		return true
 	})
@@ -99,10 +99,10 @@
 		line string
 		fds  int
 	}{{`{"op":"ready"}`, 1}, {`{"op":"message","record":"x"}`, 0}, {`{"op":"message","record":"x"}`, 2}, {`nothing`, 1}, {`{"op":"message"`, 1}} {
-		client, served := pair(t)
+		client, served := connPair(t)
 		fd := dup(t, served)
 		served.Close()
-		raw, err := net.Dial("unix", old.folder.address(old.socket))
+		raw, err := net.Dial("unix", old.dir.address(old.socket))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/serve/handover/listen.go
+++ b/internal/serve/handover/listen.go
@@ -45,18 +45,18 @@
 		l.Close()
 		return nil, fmt.Errorf("LB_INHERITED_FD: %w", err)
 	}
-	return &shared{tcp, raw}, nil
+	return &sharedListener{tcp, raw}, nil
 }
 
 // shared is a listener on a socket that other processes have too. Whether it blocks is one flag for all of them, and whoever hands it to
 // a new process may set that (os/exec does). An accept then waits in the kernel, where neither the runtime's poller nor Close reaches it.
-type shared struct {
+type sharedListener struct {
 	*net.TCPListener
 	raw syscall.RawConn
 }
 
 // Accept takes the flag back first. It may still be set between that and the accept itself, so Close may have to wait all the same.
-func (l *shared) Accept() (net.Conn, error) {
+func (l *sharedListener) Accept() (net.Conn, error) {
 	var err error
 	if held := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) }); held != nil {
 		return nil, held
@@ -68,20 +68,20 @@
 }
 
 // folder is where the processes of a dispatcher find each other's sockets.
-type folder struct {
+type socketDir struct {
 	path   string
 	prefix string
 	open   *os.File // where the path is too long to be bound to
 }
 
 const (
-	socketEnd  = ".sock"
-	longestSun = 100 // the kernel takes 107 bytes of a path
+	socketSuffix  = ".sock"
+	maxSocketPath = 100 // the kernel takes 107 bytes of a path
 )
 
-func openFolder(path, dispatcher string) (*folder, error) {
-	f := &folder{path: path, prefix: FileName(dispatcher, "")}
-	if len(path)+1+len(f.prefix)+8+len(socketEnd) > longestSun {
+func openSocketDir(path, dispatcher string) (*socketDir, error) {
+	f := &socketDir{path: path, prefix: FileName(dispatcher, "")}
+	if len(path)+1+len(f.prefix)+8+len(socketSuffix) > maxSocketPath {
 		open, err := os.Open(path)
 		if err != nil {
 			return nil, err
@@ -92,7 +92,7 @@
 }
 
 // address is a name by which a socket there can be bound to and called, however long the folder's is.
-func (f *folder) address(socket string) string {
+func (f *socketDir) address(socket string) string {
 	if f.open != nil {
 		return fmt.Sprintf("/proc/self/fd/%d/%s", f.open.Fd(), socket)
 	}
@@ -100,18 +100,18 @@
 }
 
 // sockets lists those of this dispatcher's processes.
-func (f *folder) sockets() ([]string, error) {
+func (f *socketDir) sockets() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	var all []string
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), f.prefix) && strings.HasSuffix(e.Name(), socketEnd) {
+		if strings.HasPrefix(e.Name(), f.prefix) && strings.HasSuffix(e.Name(), socketSuffix) {
 			all = append(all, e.Name())
 		}
 	}
 	return all, err
 }
 
-func (f *folder) close() {
+func (f *socketDir) close() {
 	if f.open != nil {
 		f.open.Close()
 	}
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	askWithin   = 500 * time.Millisecond  // to reach the other process and have its answer: operators wait 1 s for theirs
-	helloWithin = 1500 * time.Millisecond // for a snapshot: a process that hangs must not keep the new one from serving
-	readyWithin = 8 * time.Second         // for a successor to take clients: the platform waits 6 s
-	maxLine     = 4 << 20
-	acceptPause = 10 * time.Millisecond
+	requestTimeout  = 500 * time.Millisecond  // to reach the other process and have its answer: operators wait 1 s for theirs
+	snapshotTimeout = 1500 * time.Millisecond // for a snapshot: a process that hangs must not keep the new one from serving
+	readyTimeout    = 8 * time.Second         // for a successor to take clients: the platform waits 6 s
+	maxLine         = 4 << 20
+	acceptPause     = 10 * time.Millisecond
 )
 
 // Snapshot is what a process tells its successor.
@@ -56,12 +56,12 @@
 	Log         *slog.Logger
 	MaxRequests int // how many questions may be open each way
 
-	askWithin, helloWithin, readyWithin time.Duration
+	requestTimeout, snapshotTimeout, readyTimeout time.Duration
 
-	folder *folder
-	socket string
-	l      net.Listener
-	asks   chan struct{}
+	dir          *socketDir
+	socket       string
+	listener     net.Listener
+	requestSlots chan struct{}
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{} // all that are open here, to be closed at the end
@@ -72,27 +72,27 @@
 // link is the connection that stands for as long as both processes live.
 type link struct {
 	net.Conn
-	r      *bufio.Reader
-	socket string // where to ask the other
-	elder  bool   // the other was there first
+	reader      *bufio.Reader
+	socket      string // where to ask the other
+	predecessor bool   // the other was there first
 
 	// Guarded by the peer's lock; of a successor.
-	ready bool // it takes clients
-	late  bool // it has not come to that in time, and this process has taken back what it shared
+	ready   bool // it takes clients
+	overdue bool // it has not come to that in time, and this process has taken back what it shared
 }
 
 // NewPeer binds this process's socket in the folder that all processes of the dispatcher share.
-func NewPeer(dir, dispatcher string, asks int, log *slog.Logger) (*Peer, error) {
-	f, err := openFolder(dir, dispatcher)
+func NewPeer(dir, dispatcher string, maxRequests int, log *slog.Logger) (*Peer, error) {
+	f, err := openSocketDir(dir, dispatcher)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	var id [4]byte
 	rand.Read(id[:])
-	p := &Peer{Log: log, MaxRequests: max(asks, 1), folder: f, socket: f.prefix + hex.EncodeToString(id[:]) + socketEnd,
-		conns: map[net.Conn]struct{}{}, askWithin: askWithin, helloWithin: helloWithin, readyWithin: readyWithin}
-	p.asks = make(chan struct{}, p.MaxRequests)
-	if p.l, err = net.Listen("unix", f.address(p.socket)); err != nil {
+	p := &Peer{Log: log, MaxRequests: max(maxRequests, 1), dir: f, socket: f.prefix + hex.EncodeToString(id[:]) + socketSuffix,
+		conns: map[net.Conn]struct{}{}, requestTimeout: requestTimeout, snapshotTimeout: snapshotTimeout, readyTimeout: readyTimeout}
+	p.requestSlots = make(chan struct{}, p.MaxRequests)
+	if p.listener, err = net.Listen("unix", f.address(p.socket)); err != nil {
 		f.close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -100,7 +100,7 @@
 }
 
 // keep notes an open connection; false says that the end has come.
-func (p *Peer) keep(c net.Conn) bool {
+func (p *Peer) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.ended {
@@ -109,7 +109,7 @@
 	return !p.ended
 }
 
-func (p *Peer) drop(c net.Conn) {
+func (p *Peer) closeConn(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,11 +119,11 @@
 // Join calls the process that serves, if there is one, and returns what it tells. From then on it has this one for a
 // successor. It comes before Run, which must follow soon, and leaves it to the caller to begin the sharing.
 func (p *Peer) Join(ctx context.Context) (*Snapshot, error) {
-	sockets, err := p.folder.sockets()
+	sockets, err := p.dir.sockets()
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ctx, stop := context.WithTimeout(ctx, p.helloWithin)
+	ctx, stop := context.WithTimeout(ctx, p.snapshotTimeout)
 	defer stop()
 	for _, socket := range sockets {
 		if socket == p.socket {
@@ -131,16 +131,16 @@
 		}
 		c, err := p.dial(ctx, socket)
 		if errors.Is(err, syscall.ECONNREFUSED) { // its process is dead
-			os.Remove(p.folder.address(socket))
+			os.Remove(p.dir.address(socket))
 			continue
 		}
 		if err != nil {
 			p.Log.Warn("handover: call", "socket", socket, "err", err)
 			continue
 		}
-		l := &link{Conn: c, r: bufio.NewReader(c), socket: socket, elder: true}
+		l := &link{Conn: c, reader: bufio.NewReader(c), socket: socket, predecessor: true}
 		s, err := p.hello(ctx, l)
-		if err != nil || !s.Ready || !p.keep(c) {
+		if err != nil || !s.Ready || !p.track(c) {
 			p.Log.Warn("handover: not joined", "socket", socket, "err", err)
 			c.Close()
 			continue
@@ -155,7 +155,7 @@
 
 func (p *Peer) dial(ctx context.Context, socket string) (net.Conn, error) {
 	var d net.Dialer
-	return d.DialContext(ctx, "unix", p.folder.address(socket))
+	return d.DialContext(ctx, "unix", p.dir.address(socket))
 }
 
 // hello asks the elder for its snapshot.
@@ -167,7 +167,7 @@
 	if err := writeLine(l, jsonval.Is("op", "hello"), jsonval.Is("socket", p.socket)); err != nil {
 		return nil, err
 	}
-	o, err := readLine(l.r)
+	o, err := readLine(l.reader)
 	if err != nil {
 		return nil, err
 	}
@@ -181,10 +181,10 @@
 	p.mu.Lock()
 	l := p.other
 	p.mu.Unlock()
-	if l == nil || !l.elder {
+	if l == nil || !l.predecessor {
 		return nil
 	}
-	_, err := p.ask(jsonval.Is("op", "ready"), jsonval.Is("socket", p.socket))
+	_, err := p.request(jsonval.Is("op", "ready"), jsonval.Is("socket", p.socket))
 	return err
 }
 
@@ -199,12 +199,12 @@
 func (p *Peer) SuccessorReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.other != nil && !p.other.elder && p.other.ready
+	return p.other != nil && !p.other.predecessor && p.other.ready
 }
 
 // Callback hands a host's call to the other process.
 func (p *Peer) Callback(body []byte) (status int, known bool, err error) {
-	o, err := p.ask(jsonval.Is("op", "callback"), jsonval.Is("body", string(body)))
+	o, err := p.request(jsonval.Is("op", "callback"), jsonval.Is("body", string(body)))
 	if err != nil {
 		return 0, false, err
 	}
@@ -223,16 +223,16 @@
 	if err != nil {
 		return false, fmt.Errorf("handover: %w", err)
 	}
-	c, done, err := p.call()
+	c, done, err := p.dialOther()
 	if err != nil {
 		return false, err
 	}
 	defer done()
 	body, ok := record()
 	if !ok {
-		return false, errNotNow
+		return false, errNotReleasable
 	}
-	c.SetDeadline(time.Now().Add(p.helloWithin)) // from here on it must be known how it ends
+	c.SetDeadline(time.Now().Add(p.snapshotTimeout)) // from here on it must be known how it ends
 	line := append(jsonval.AppendObject(nil, jsonval.Is("op", "message"), jsonval.Is("record", string(body))), '\n')
 	var sent int
 	if held := rights.Control(func(fd uintptr) {
@@ -256,11 +256,11 @@
 }
 
 // errNotNow says that a message could not be let go of at this moment.
-var errNotNow = errors.New("handover: not now")
+var errNotReleasable = errors.New("handover: not now")
 
 // Offline has the other process carry out an operators' call.
 func (p *Peer) SetOffline(id string, out, sure bool) (known bool, err error) {
-	o, err := p.ask(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", out), jsonval.Is("sure", sure))
+	o, err := p.request(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", out), jsonval.Is("sure", sure))
 	if err != nil {
 		return false, err
 	}
@@ -271,23 +271,23 @@
 }
 
 // call connects to the other process for one question, within askWithin for all of it.
-func (p *Peer) call() (c net.Conn, done func(), err error) {
+func (p *Peer) dialOther() (c net.Conn, done func(), err error) {
 	p.mu.Lock()
 	l := p.other
 	p.mu.Unlock()
 	if l == nil {
 		return nil, nil, engine.ErrNoPeer
 	}
-	ctx, stop := context.WithTimeout(context.Background(), p.askWithin)
+	ctx, stop := context.WithTimeout(context.Background(), p.requestTimeout)
 	defer stop()
 	select {
-	case p.asks <- struct{}{}:
+	case p.requestSlots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, nil, fmt.Errorf("handover: %w", ctx.Err())
 	}
 	c, err = p.dial(ctx, l.socket)
 	if err != nil {
-		<-p.asks
+		<-p.requestSlots
 		if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) {
 			return nil, nil, engine.ErrNoPeer
 		}
@@ -297,13 +297,13 @@
 	c.SetDeadline(at)
 	return c, func() {
 		c.Close()
-		<-p.asks
+		<-p.requestSlots
 	}, nil
 }
 
 // ask puts one question on a connection of its own.
-func (p *Peer) ask(question ...jsonval.Member) (jsonval.Object, error) {
-	c, done, err := p.call()
+func (p *Peer) request(question ...jsonval.Member) (jsonval.Object, error) {
+	c, done, err := p.dialOther()
 	if err != nil {
 		return jsonval.Object{}, err
 	}
@@ -331,10 +331,10 @@
 
 // overdue takes back what is shared with a successor that does not get ready: a version that cannot serve must not cost the
 // one that does. It may still come to it, and the link stays.
-func (p *Peer) overdue(l *link) {
+func (p *Peer) handleOverdue(l *link) {
 	p.mu.Lock()
-	l.late = p.other == l && !l.ready
-	late := l.late
+	l.overdue = p.other == l && !l.ready
+	late := l.overdue
 	p.mu.Unlock()
 	if late {
 		p.Log.Error("handover: the new process does not get ready")
@@ -343,15 +343,15 @@
 }
 
 // taken notes that the successor of that socket takes clients.
-func (p *Peer) taken(socket string) bool {
+func (p *Peer) markReady(socket string) bool {
 	p.mu.Lock()
 	l := p.other
-	if l == nil || l.elder || l.socket != socket {
+	if l == nil || l.predecessor || l.socket != socket {
 		p.mu.Unlock()
 		return false
 	}
-	again := l.late
-	l.ready, l.late = true, false
+	again := l.overdue
+	l.ready, l.overdue = true, false
 	p.mu.Unlock()
 	if again {
 		p.Handler.SetSharing(true)
@@ -361,8 +361,8 @@
 
 // watch waits for the end of a link, which is the end of the other process.
 func (p *Peer) watch(l *link) {
-	io.Copy(io.Discard, l.r)
-	p.drop(l)
+	io.Copy(io.Discard, l.reader)
+	p.closeConn(l)
 	p.mu.Lock()
 	current := p.other == l
 	p.mu.Unlock()
@@ -374,13 +374,13 @@
 // Run answers the other process until the context ends.
 func (p *Peer) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
-	defer p.folder.close()
+	defer p.dir.close()
 	defer calls.Wait()
 	if l := p.other; l != nil {
 		calls.Go(func() { p.watch(l) })
 	}
 	defer context.AfterFunc(ctx, func() {
-		p.l.Close() // and unlinks the socket
+		p.listener.Close() // and unlinks the socket
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.ended = true
@@ -388,9 +388,9 @@
 			c.Close()
 		}
 	})()
-	room := make(chan struct{}, p.MaxRequests+1) // and the link
+	slots := make(chan struct{}, p.MaxRequests+1) // and the link
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -402,40 +402,40 @@
 			}
 			continue
 		}
-		if !p.keep(c) {
+		if !p.track(c) {
 			c.Close()
 			return nil
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		calls.Go(func() {
-			defer func() { <-room }()
-			p.answer(ctx, c)
+			defer func() { <-slots }()
+			p.serveConn(ctx, c)
 		})
 	}
 }
 
 // answer reads one question and answers it. One that is a successor's first becomes the link.
-func (p *Peer) answer(ctx context.Context, c net.Conn) {
-	c.SetDeadline(time.Now().Add(p.helloWithin))
-	came := &descriptors{Conn: c}
-	defer came.close()
-	r := bufio.NewReader(came)
+func (p *Peer) serveConn(ctx context.Context, c net.Conn) {
+	c.SetDeadline(time.Now().Add(p.snapshotTimeout))
+	received := &fdConn{Conn: c}
+	defer received.close()
+	r := bufio.NewReader(received)
 	o, err := readLine(r)
 	if err != nil {
-		p.drop(c)
+		p.closeConn(c)
 		return
 	}
-	asking, stop := context.WithTimeout(ctx, p.askWithin)
+	requestCtx, stop := context.WithTimeout(ctx, p.requestTimeout)
 	defer stop()
 	var reply []jsonval.Member
 	switch o.Text("op") {
 	case "hello":
-		l := &link{Conn: c, r: r, socket: o.Text("socket")}
+		l := &link{Conn: c, reader: r, socket: o.Text("socket")}
 		if o.Err() != nil || l.socket == "" {
 			break
 		}
 		p.setOther(l) // before the snapshot is taken: what changes from here on is asked of the successor as well
-		s, err := p.Handler.Snapshot(asking)
+		s, err := p.Handler.Snapshot(requestCtx)
 		if err != nil || !s.Ready { // nothing to take over here
 			c.Close()
 			p.watch(l)
@@ -445,11 +445,11 @@
 			jsonval.Is("offline", s.Offline), jsonval.Is("listed", s.Listed)); err == nil {
 			c.SetDeadline(time.Time{})
 		}
-		defer time.AfterFunc(p.readyWithin, func() { p.overdue(l) }).Stop()
+		defer time.AfterFunc(p.readyTimeout, func() { p.handleOverdue(l) }).Stop()
 		p.watch(l) // where it was not told the deadline ends the link
 		return
 	case "ready":
-		if p.taken(o.Text("socket")) {
+		if p.markReady(o.Text("socket")) {
 			reply = append(reply, jsonval.Is("done", true))
 		}
 	case "callback":
@@ -457,16 +457,16 @@
 		reply = append(reply, jsonval.Is("status", status), jsonval.Is("known", known))
 	case "message":
 		taken := false
-		if client := came.take(); client != nil {
+		if client := received.take(); client != nil {
 			taken = p.Handler.Adopt([]byte(o.Text("record")), client)
 		}
 		reply = append(reply, jsonval.Is("taken", taken))
 	case "offline":
-		known, err := p.Handler.SetOffline(asking, o.Text("id"), o.Flag("out"), o.Flag("sure"))
+		known, err := p.Handler.SetOffline(requestCtx, o.Text("id"), o.Flag("out"), o.Flag("sure"))
 		reply = append(reply, jsonval.Is("known", known), jsonval.Is("done", err == nil))
 	}
 	writeLine(c, reply...)
-	p.drop(c)
+	p.closeConn(c)
 }
 
 // writeLine writes an object as one line.
--- a/internal/serve/handover/peer_test.go
+++ b/internal/serve/handover/peer_test.go
@@ -19,16 +19,16 @@
 // process is one process of a dispatcher, as far as the other meets it.
 type process struct {
 	*Peer
-	t      *testing.T
-	ready  bool
-	known  map[string]bool // hosts, and whether they are out
-	bodies []string
-	adopt  func(record []byte, client net.Conn) bool
-	mu     sync.Mutex
-	shares chan bool
-	stop   context.CancelFunc
-	done   chan struct{}
-	told   *Snapshot
+	t        *testing.T
+	ready    bool
+	known    map[string]bool // hosts, and whether they are out
+	bodies   []string
+	adopt    func(record []byte, client net.Conn) bool
+	mu       sync.Mutex
+	shares   chan bool
+	stop     context.CancelFunc
+	done     chan struct{}
+	snapshot *Snapshot
 }
 
 func (p *process) Snapshot(context.Context) (Snapshot, error) {
@@ -49,7 +49,7 @@
 }
 
 // heard is all call-backs that came, and isOut whether a host is.
-func (p *process) heard() string {
+func (p *process) receivedCallbacks() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.bodies, "|")
@@ -62,7 +62,7 @@
 }
 
 // adopts sets what the process does with a message that is passed to it.
-func (p *process) adopts(f func(record []byte, client net.Conn) bool) {
+func (p *process) setAdopt(f func(record []byte, client net.Conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.adopt = f
@@ -91,10 +91,12 @@
 func (p *process) SetSharing(on bool) { p.shares <- on }
 
 // start starts a process that meets others in the folder.
-func start(t *testing.T, dir string) *process { return startWithin(t, dir, time.Minute) }
+func startProcess(t *testing.T, dir string) *process {
+	return startProcessWithTimeout(t, dir, time.Minute)
+}
 
 // startWithin starts one that gives a successor so long to get ready.
-func startWithin(t *testing.T, dir string, ready time.Duration) *process {
+func startProcessWithTimeout(t *testing.T, dir string, ready time.Duration) *process {
 	t.Helper()
 	p := &process{t: t, known: map[string]bool{"s-1": false}, shares: make(chan bool, 8), done: make(chan struct{}), ready: true}
 	var err error
@@ -102,8 +104,8 @@
 		t.Fatal(err)
 	}
 	p.Handler = p
-	p.askWithin, p.helloWithin, p.readyWithin = time.Minute, time.Minute, ready // a busy machine changes no verdict
-	if p.told, err = p.Join(t.Context()); err != nil {
+	p.requestTimeout, p.snapshotTimeout, p.readyTimeout = time.Minute, time.Minute, ready // a busy machine changes no verdict
+	if p.snapshot, err = p.Join(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -126,7 +128,7 @@
 			t.Fatal(err)
 		}
 		// A process that was killed has left its socket.
-		f, err := openFolder(dir, "n0")
+		f, err := openSocketDir(dir, "n0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -137,9 +139,9 @@
 		stale.(*net.UnixListener).SetUnlinkOnClose(false)
 		stale.Close()
 
-		old := start(t, dir)
-		if old.told != nil || old.Connected() {
-			t.Fatalf("joined nobody and was told %+v", old.told)
+		old := startProcess(t, dir)
+		if old.snapshot != nil || old.Connected() {
+			t.Fatalf("joined nobody and was told %+v", old.snapshot)
 		}
 		if all, _ := f.sockets(); len(all) != 1 {
 			t.Errorf("sockets %v: the stale one is still there", all)
@@ -147,10 +149,10 @@
 		if _, _, err := old.Peer.Callback(nil); !errors.Is(err, engine.ErrNoPeer) {
 			t.Errorf("asked nobody: %v", err)
 		}
-		next := start(t, dir)
-		if s := next.told; s == nil || s.Discovery != "127.0.0.1:1" || !strings.Contains(string(s.List), `"revision":7`) ||
+		next := startProcess(t, dir)
+		if s := next.snapshot; s == nil || s.Discovery != "127.0.0.1:1" || !strings.Contains(string(s.List), `"revision":7`) ||
 			strings.Join(s.Offline, ",")+" "+strings.Join(s.Listed, ",") != "s-1 s-1,s-2" {
-			t.Fatalf("told %+v", next.told)
+			t.Fatalf("told %+v", next.snapshot)
 		}
 		if !<-old.shares || !next.Connected() {
 			t.Error("no sharing")
@@ -163,8 +165,8 @@
 		}
 		for _, way := range []struct{ from, to *process }{{old, next}, {next, old}} {
 			body := "{\"id\":\"\\u0000\xff\n\"}"
-			if status, known, err := way.from.Peer.Callback([]byte(body)); status != 204 || !known || err != nil || way.to.heard() != body {
-				t.Errorf("call-back: %d, %v, %q", status, err, way.to.heard())
+			if status, known, err := way.from.Peer.Callback([]byte(body)); status != 204 || !known || err != nil || way.to.receivedCallbacks() != body {
+				t.Errorf("call-back: %d, %v, %q", status, err, way.to.receivedCallbacks())
 			}
 			for _, c := range []struct {
 				id   string
@@ -182,8 +184,8 @@
 		if <-old.shares || old.Connected() || old.SuccessorReady() { // a successor that dies leaves the old one whole
 			t.Error("the end of the successor is not seen")
 		}
-		third := start(t, dir)
-		if third.told == nil || !<-old.shares {
+		third := startProcess(t, dir)
+		if third.snapshot == nil || !<-old.shares {
 			t.Fatal("a second upgrade finds nobody")
 		}
 		old.end()
@@ -209,12 +211,12 @@
 	if err := os.WriteFile(other, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	old := start(t, dir)
+	old := startProcess(t, dir)
 	old.mu.Lock()
 	old.ready = false
 	old.mu.Unlock()
-	if next := start(t, dir); next.told != nil || next.Connected() {
-		t.Errorf("told %+v", next.told)
+	if next := startProcess(t, dir); next.snapshot != nil || next.Connected() {
+		t.Errorf("told %+v", next.snapshot)
 	}
 	if !<-old.shares || <-old.shares {
 		t.Error("sharing with nobody")
@@ -227,8 +229,8 @@
 // TestNeverReady: a successor that does not get ready in time costs the old process nothing, and may still come to it.
 func TestNeverReady(t *testing.T) {
 	dir := t.TempDir()
-	old := startWithin(t, dir, time.Millisecond)
-	next := start(t, dir)
+	old := startProcessWithTimeout(t, dir, time.Millisecond)
+	next := startProcess(t, dir)
 	if !<-old.shares || <-old.shares || old.SuccessorReady() {
 		t.Error("still shares with one that is not ready")
 	}
@@ -249,9 +251,9 @@
 	f.Add([]byte("[]\n{"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		dir := t.TempDir()
-		old := start(t, dir)
-		next := start(t, dir)
-		c, err := net.Dial("unix", old.folder.address(old.socket))
+		old := startProcess(t, dir)
+		next := startProcess(t, dir)
+		c, err := net.Dial("unix", old.dir.address(old.socket))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/serve/handover/store.go
+++ b/internal/serve/handover/store.go
@@ -32,14 +32,14 @@
 
 	mu              sync.Mutex // of the state
 	offline, listed map[string]bool
-	writing         sync.Mutex // of the file; taken before the other
-	changed         chan struct{}
+	fileMu          sync.Mutex // of the file; taken before the other
+	saveRequested   chan struct{}
 }
 
 // Open reads the state that a process before this one has left. A file that cannot be read is logged and done without:
 // to serve goes first.
 func Open(path string, log *slog.Logger) *Store {
-	s := &Store{path: path, log: log, offline: map[string]bool{}, listed: map[string]bool{}, changed: make(chan struct{}, 1)}
+	s := &Store{path: path, log: log, offline: map[string]bool{}, listed: map[string]bool{}, saveRequested: make(chan struct{}, 1)}
 	if path == "" {
 		return s
 	}
@@ -104,7 +104,7 @@
 func (s *Store) AddListed(names []string) {
 	s.Merge(State{Listed: names})
 	select {
-	case s.changed <- struct{}{}:
+	case s.saveRequested <- struct{}{}:
 	default: // to be saved already
 	}
 }
@@ -113,7 +113,7 @@
 func (s *Store) Run(ctx context.Context) error {
 	for {
 		select {
-		case <-s.changed:
+		case <-s.saveRequested:
 			if err := s.Save(); err != nil {
 				s.log.Error("names of hosts not saved", "err", err)
 			}
@@ -166,8 +166,8 @@
 	if s.path == "" {
 		return nil
 	}
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.fileMu.Lock()
+	defer s.fileMu.Unlock()
 	state := s.State()
 	text := jsonval.AppendObject(nil, jsonval.Is("offline", state.Offline), jsonval.Is("listed", state.Listed))
 	return replace(s.path, text)
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -26,18 +26,18 @@
 }
 
 // service plays discovery on a pipe for each connection and notes what comes of it.
-type service struct {
-	t     *testing.T
-	calls chan net.Conn // the service's ends
-	asked []string      // targets
-	lists []string
-	dials int
-	at    []string // addresses dialled
-	down  atomic.Bool
+type fakeDiscovery struct {
+	t         *testing.T
+	calls     chan net.Conn // the service's ends
+	targets   []string      // targets
+	lists     []string
+	dials     int
+	addresses []string // addresses dialled
+	down      atomic.Bool
 }
 
-func (s *service) dial(_ context.Context, address string) (net.Conn, error) {
-	s.at = append(s.at, address)
+func (s *fakeDiscovery) dial(_ context.Context, address string) (net.Conn, error) {
+	s.addresses = append(s.addresses, address)
 	if s.dials++; s.down.Load() {
 		return nil, errors.New("refused")
 	}
@@ -46,7 +46,7 @@
 	return near, nil
 }
 
-func (s *service) UpdateHosts(kind balance.ListKind, hosts []engine.Host) {
+func (s *fakeDiscovery) UpdateHosts(kind balance.ListKind, hosts []engine.Host) {
 	text := fmt.Sprint("kind ", kind)
 	for _, h := range hosts {
 		text += fmt.Sprintf(" %s state %d zone %d kind %d up %v", h.Name, h.Worker.State, h.Worker.Zone, h.Worker.Kind, h.Worker.Up)
@@ -55,13 +55,13 @@
 }
 
 // accept takes the next call and answers its head.
-func (s *service) accept() net.Conn {
+func (s *fakeDiscovery) accept() net.Conn {
 	conn := <-s.calls
 	q, err := http1.NewReader(conn).ReadRequest()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.asked = append(s.asked, q.Target)
+	s.targets = append(s.targets, q.Target)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	return conn
 }
@@ -71,15 +71,15 @@
 	synctest.Wait()
 }
 
-func within(t *testing.T, test func(*service, *Client)) {
+func runInBubble(t *testing.T, test func(*fakeDiscovery, *Client)) {
 	t.Helper()
-	watched(t, false, test)
+	runClient(t, false, test)
 }
 
 // watched plays a Client whose watch the module asks for, or one of an agent that nobody asks for.
-func watched(t *testing.T, pushed bool, test func(*service, *Client)) {
+func runClient(t *testing.T, pushed bool, test func(*fakeDiscovery, *Client)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &service{t: t, calls: make(chan net.Conn, 8)}
+		s := &fakeDiscovery{t: t, calls: make(chan net.Conn, 8)}
 		c := New("discovery:1", 41, []string{"a", "b"}, []string{"m1", "m2"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		c.Random = func() float64 { return 0.5 }
 		c.Sink, c.Dial, c.Pushed = s, s.dial, pushed
@@ -96,7 +96,7 @@
 
 // TestIndented: a list may come on many lines, also with empty ones among them. One that never ends is no watch that stands, though beats come.
 func TestIndented(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		text := strings.ReplaceAll(line(43, true, "SERVING"), ",", ",\n\n  ")
 		text = strings.ReplaceAll(strings.ReplaceAll(text, "[", "[\n"), "}", "\n}")
@@ -114,7 +114,7 @@
 			chunk(conn, "\n")
 		}
 		again := s.accept() // after 2.6 s, from what is held
-		if got := s.asked[len(s.asked)-1]; got != "/api/targets?follow=1&since=44" {
+		if got := s.targets[len(s.targets)-1]; got != "/api/targets?follow=1&since=44" {
 			t.Errorf("asked %s", got)
 		}
 		again.Close()
@@ -122,7 +122,7 @@
 }
 
 func TestFollow(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		text := line(44, false, "DRAINING")
@@ -143,11 +143,11 @@
 
 // TestBrokenWatch guards against a watch whose network has gone silent: it stays open and tells nothing for ever.
 func TestBrokenWatch(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		s.down.Store(true)
-		time.Sleep(silence + time.Millisecond)
+		time.Sleep(silenceTimeout + time.Millisecond)
 		synctest.Wait()
 		if s.dials != 2 || len(s.lists) != 2 || s.lists[1] != "kind 3" {
 			t.Fatalf("%d dials, lists %q", s.dials, s.lists)
@@ -155,8 +155,8 @@
 		s.down.Store(false)
 		c.Watch() // the module asks again
 		s.accept()
-		if s.asked[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("asked %q", s.asked)
+		if s.targets[1] != "/api/targets?follow=1&since=43" {
+			t.Errorf("asked %q", s.targets)
 		}
 	})
 }
@@ -164,14 +164,14 @@
 // TestBadLine guards the last good list: a line that cannot be read changes nothing and ends the watch.
 func TestBadLine(t *testing.T) {
 	for _, bad := range []string{"{\n", "[]\n", `{"revision":9}` + "\n", line(44, true, "HAPPY"), strings.Replace(line(44, true, "SERVING"), "18:8443", "18", 1)} {
-		within(t, func(s *service, c *Client) {
+		runInBubble(t, func(s *fakeDiscovery, c *Client) {
 			conn := s.accept()
 			chunk(conn, line(43, true, "SERVING"))
-			time.Sleep(lasting)
+			time.Sleep(stableAfter)
 			chunk(conn, bad)
 			s.accept()
-			if len(s.lists) != 1 || c.BadLines() != 1 || s.asked[1] != "/api/targets?follow=1&since=43" {
-				t.Errorf("%q: lists %q, %d bad lines, asked %q", bad, s.lists, c.BadLines(), s.asked)
+			if len(s.lists) != 1 || c.BadLines() != 1 || s.targets[1] != "/api/targets?follow=1&since=43" {
+				t.Errorf("%q: lists %q, %d bad lines, asked %q", bad, s.lists, c.BadLines(), s.targets)
 			}
 		})
 	}
@@ -179,7 +179,7 @@
 
 // TestShortWatch guards against a loop of watches that break as soon as they are made.
 func TestShortWatch(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		conn.Close()
@@ -187,18 +187,18 @@
 		for range 10 {
 			fmt.Fprint(s.accept(), "3\r\n{\"r\r\n0\r\n\r\n") // a list that stops short
 		}
-		if took := time.Since(began); took < 5*longerPause || took > 8*longerPause {
+		if took := time.Since(began); took < 5*maxRetryPause || took > 8*maxRetryPause {
 			t.Errorf("ten tries in %v", took)
 		}
 		conn = s.accept() // this one lasts
 		chunk(conn, line(44, false, "DRAINING"))
-		time.Sleep(lasting)
+		time.Sleep(stableAfter)
 		conn.Close()
 		began = time.Now()
 		conn = s.accept()
 		conn.Close() // and its successor does not: a drain that it had to tell must not wait for seconds
 		s.accept()
-		if took := time.Since(began); took > firstPause || len(s.lists) != 2 {
+		if took := time.Since(began); took > minRetryPause || len(s.lists) != 2 {
 			t.Errorf("two tries in %v, lists %q", took, s.lists)
 		}
 	})
@@ -206,15 +206,15 @@
 
 // TestSpread: a watch that had lasted is made anew after a drawn time. Before, all dispatchers remade theirs at once.
 func TestSpread(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		c.ReconnectSpread = 700 * time.Millisecond
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
-		time.Sleep(lasting)
+		time.Sleep(stableAfter)
 		conn.Close()
 		began := time.Now()
-		if s.accept(); time.Since(began) != c.ReconnectSpread/2 || s.asked[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("made anew after %v, asked %q", time.Since(began), s.asked)
+		if s.accept(); time.Since(began) != c.ReconnectSpread/2 || s.targets[1] != "/api/targets?follow=1&since=43" {
+			t.Errorf("made anew after %v, asked %q", time.Since(began), s.targets)
 		}
 	})
 }
@@ -223,7 +223,7 @@
 // stands though the module never asks, is made anew whatever ends it, and an agent that takes a call and says nothing,
 // repeats itself or goes back in revision does no harm.
 func TestPushed(t *testing.T) {
-	watched(t, true, func(s *service, c *Client) {
+	runClient(t, true, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		chunk(conn, line(44, false, "DRAINING"))
@@ -235,14 +235,14 @@
 		}
 		began := time.Now()
 		s.down.Store(true)
-		time.Sleep(silence) // discovery is down: the agent says nothing, then nobody is there
+		time.Sleep(silenceTimeout) // discovery is down: the agent says nothing, then nobody is there
 		s.down.Store(false)
 		for range 8 {
 			defer (<-s.calls).Close() // takes the call and says nothing
 		}
 		conn = s.accept()
-		if took := time.Since(began); took > silence+10*2*agentWithin || s.asked[1] != "/api/targets?follow=1&since=44" {
-			t.Errorf("stands again after %v, asked %q", took, s.asked)
+		if took := time.Since(began); took > silenceTimeout+10*2*agentTimeout || s.targets[1] != "/api/targets?follow=1&since=44" {
+			t.Errorf("stands again after %v, asked %q", took, s.targets)
 		}
 		chunk(conn, line(45, false, "DELETED"))
 		for _, l := range s.lists {
@@ -258,7 +258,7 @@
 
 // TestRefusedCall: a call that fails is told, and not made again before the module asks.
 func TestRefusedCall(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := <-s.calls
 		http1.NewReader(conn).ReadRequest()
 		fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -269,7 +269,7 @@
 		}
 		c.Watch()
 		<-s.calls // and says nothing
-		time.Sleep(answerWithin + time.Millisecond)
+		time.Sleep(discoveryTimeout + time.Millisecond)
 		synctest.Wait()
 		if s.dials != 2 || len(s.lists) != 2 {
 			t.Errorf("%d dials, lists %q", s.dials, s.lists)
@@ -279,16 +279,16 @@
 
 // TestMove: a new address is tried until it works, and until then the old watch is followed and nothing is lost.
 func TestMove(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
 		chunk(old, line(43, true, "SERVING"))
 		s.down.Store(true)
 		began := time.Now()
 		c.SetAddress("discovery:2")
-		time.Sleep(firstPause / 2)
+		time.Sleep(minRetryPause / 2)
 		c.SetAddress("discovery:3") // SIGHUP again while the first move is under way
 		c.SetAddress("discovery:3")
-		time.Sleep(firstPause * 2)
+		time.Sleep(minRetryPause * 2)
 		chunk(old, line(45, false, "DRAINING"))
 		c.Watch()           // the module asks, too
 		old.Close()         // as the old address does before long
@@ -303,18 +303,18 @@
 		chunk(conn, line(46, false, "DELETED"))
 		want := "kind 0 s-5be2a07c state 0 zone 1 kind 1 up 1s, kind 1 s-5be2a07c state 1 zone 1 kind 1 up 1s, " +
 			"kind 1 s-5be2a07c state 2 zone 1 kind 1 up 1s"
-		if got := strings.Join(s.lists, ", "); got != want || s.asked[1] != "/api/targets?follow=1&since=45" {
-			t.Errorf("asked %q, lists %s", s.asked, got)
+		if got := strings.Join(s.lists, ", "); got != want || s.targets[1] != "/api/targets?follow=1&since=45" {
+			t.Errorf("asked %q, lists %s", s.targets, got)
 		}
-		if last := len(s.at) - 1; s.at[0] != "discovery:1" || s.at[1] != "discovery:2" || s.at[2] != "discovery:3" || s.at[last] != "discovery:3" {
-			t.Errorf("dialled %q", s.at)
+		if last := len(s.addresses) - 1; s.addresses[0] != "discovery:1" || s.addresses[1] != "discovery:2" || s.addresses[2] != "discovery:3" || s.addresses[last] != "discovery:3" {
+			t.Errorf("dialled %q", s.addresses)
 		}
 	})
 }
 
 // TestMoveByBeat: where nothing has changed a beat shows that the new address stands, and the old watch ends.
 func TestMoveByBeat(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
 		chunk(old, line(43, true, "SERVING"))
 		c.SetAddress("discovery:2")
@@ -368,7 +368,7 @@
 // TestLargeList: thousands of entries are taken, repeated ones and all; a line past the bound changes nothing, costs no more
 // than the bound, and the watch is made anew from the version held.
 func TestLargeList(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		entries := make([]string, 0, 6000)
 		for i := range 6000 {
@@ -379,15 +379,15 @@
 		if len(s.lists) != 1 || strings.Count(s.lists[0], " s-") != 6000 {
 			t.Fatalf("%d lists", len(s.lists))
 		}
-		time.Sleep(lasting)
+		time.Sleep(stableAfter)
 		go func() {
 			for range maxLine/len(text) + 2 { // no end of line
 				fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text)-1, text[:len(text)-1])
 			}
 		}()
 		s.accept()
-		if len(s.lists) != 1 || s.asked[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("%d lists, asked %q", len(s.lists), s.asked)
+		if len(s.lists) != 1 || s.targets[1] != "/api/targets?follow=1&since=43" {
+			t.Errorf("%d lists, asked %q", len(s.lists), s.targets)
 		}
 		conn.Close()
 	})
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	slots = 1 << 12
-	words = slots / 64
-	spare = 1 << 12 // entries kept for the next timers: a busy program allocates none
+	slotCount   = 1 << 12
+	bitmapWords = slotCount / 64
+	maxFree     = 1 << 12 // entries kept for the next timers: a busy program allocates none
 )
 
 // entry is a timer in a list: that of its slot, or that of the tick which is being run.
 type entry[T any] struct {
 	tick       int64
 	value      T
-	in         *list[T] // nil: run or stopped
+	list       *list[T] // nil: run or stopped
 	prev, next *entry[T]
-	uses       uint64 // of this entry, by one timer after another
+	generation uint64 // of this entry, by one timer after another
 }
 
 // list is in the order of the calls of Add.
 type list[T any] struct{ first, last *entry[T] }
 
 func (l *list[T]) push(e *entry[T]) {
-	e.in, e.prev, e.next = l, l.last, nil
+	e.list, e.prev, e.next = l, l.last, nil
 	if l.last == nil {
 		l.first = e
 	} else {
@@ -47,30 +47,30 @@
 	} else {
 		e.next.prev = e.prev
 	}
-	e.in, e.prev, e.next = nil, nil, nil
+	e.list, e.prev, e.next = nil, nil, nil
 }
 
 // Timer names a value on a wheel. The zero value names none.
 type Timer[T any] struct {
-	e    *entry[T]
-	uses uint64
+	entry      *entry[T]
+	generation uint64
 }
 
 // Wheel holds values until their time. Times are those of the caller's clock.
 type Wheel[T any] struct {
-	step    time.Duration
-	done    int64 // the last tick that was run
-	count   int
-	slot    [slots]list[T]
-	used    [words]uint64
-	running list[T] // what is due in the tick that is being run
-	free    []*entry[T]
+	step     time.Duration
+	lastTick int64 // the last tick that was run
+	count    int
+	slots    [slotCount]list[T]
+	used     [bitmapWords]uint64
+	running  list[T] // what is due in the tick that is being run
+	free     []*entry[T]
 }
 
 // New returns a wheel of ticks of the given length that starts at a time.
 func New[T any](step, now time.Duration) *Wheel[T] {
 	step = max(step, time.Millisecond)
-	return &Wheel[T]{step: step, done: int64(now / step)}
+	return &Wheel[T]{step: step, lastTick: int64(now / step)}
 }
 
 // Len is the number of values held.
@@ -84,35 +84,35 @@
 	} else {
 		e = &entry[T]{}
 	}
-	e.tick, e.value = max(int64((at+w.step-1)/w.step), w.done+1), value
-	e.uses++
-	i := e.tick & (slots - 1)
-	w.slot[i].push(e)
+	e.tick, e.value = max(int64((at+w.step-1)/w.step), w.lastTick+1), value
+	e.generation++
+	i := e.tick & (slotCount - 1)
+	w.slots[i].push(e)
 	w.used[i/64] |= 1 << (i % 64)
 	w.count++
-	return Timer[T]{e, e.uses}
+	return Timer[T]{e, e.generation}
 }
 
 // Stop takes a value off before its time, and lets go of it. False: it has run, or was stopped.
 func (w *Wheel[T]) Stop(t Timer[T]) bool {
-	if t.e == nil || t.e.uses != t.uses || t.e.in == nil {
+	if t.entry == nil || t.entry.generation != t.generation || t.entry.list == nil {
 		return false
 	}
-	w.take(t.e)
+	w.remove(t.entry)
 	return true
 }
 
 // take removes an entry and returns its value. The wheel keeps nothing of the value: it may hold much.
-func (w *Wheel[T]) take(e *entry[T]) T {
-	in, i := e.in, e.tick&(slots-1)
+func (w *Wheel[T]) remove(e *entry[T]) T {
+	in, i := e.list, e.tick&(slotCount-1)
 	in.remove(e)
-	if in == &w.slot[i] && in.first == nil {
+	if in == &w.slots[i] && in.first == nil {
 		w.used[i/64] &^= 1 << (i % 64)
 	}
 	w.count--
 	value := e.value
 	var none T
-	if e.value = none; len(w.free) < spare {
+	if e.value = none; len(w.free) < maxFree {
 		w.free = append(w.free, e)
 	}
 	return value
@@ -123,35 +123,35 @@
 	if w.count == 0 {
 		return 0, false
 	}
-	from := w.done + 1
-	for n := int64(0); n < slots; {
-		i := (from + n) & (slots - 1)
+	from := w.lastTick + 1
+	for n := int64(0); n < slotCount; {
+		i := (from + n) & (slotCount - 1)
 		if word := w.used[i/64] >> (i % 64); word != 0 {
 			return time.Duration(from+n+int64(bits.TrailingZeros64(word))) * w.step, true
 		}
 		n += 64 - i%64
 	}
-	return time.Duration(from+slots) * w.step, true
+	return time.Duration(from+slotCount) * w.step, true
 }
 
 // Advance runs what has fallen due, in the order of ticks, and within one in the order of the calls of Add. What is
 // stopped meanwhile does not run.
 func (w *Wheel[T]) Advance(now time.Duration, run func(T)) {
 	last := int64(now / w.step)
-	for w.done < last {
+	for w.lastTick < last {
 		at, any := w.Next()
 		if !any || int64(at/w.step) > last {
-			w.done = last
+			w.lastTick = last
 			return
 		}
-		w.done = int64(at / w.step)
-		w.turn(w.done, run)
+		w.lastTick = int64(at / w.step)
+		w.runTick(w.lastTick, run)
 	}
 }
 
-func (w *Wheel[T]) turn(tick int64, run func(T)) {
-	i := tick & (slots - 1)
-	all := &w.slot[i]
+func (w *Wheel[T]) runTick(tick int64, run func(T)) {
+	i := tick & (slotCount - 1)
+	all := &w.slots[i]
 	for e := all.first; e != nil; {
 		next := e.next
 		if e.tick <= tick { // else it is for a later turn of the wheel
@@ -164,6 +164,6 @@
 		w.used[i/64] &^= 1 << (i % 64)
 	}
 	for w.running.first != nil {
-		run(w.take(w.running.first))
+		run(w.remove(w.running.first))
 	}
 }
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -80,7 +80,7 @@
 	stopped, ran := w.Add(time.Second, new(int)), w.Add(2*time.Millisecond, new(int))
 	w.Stop(stopped)
 	w.Advance(2*time.Millisecond, func(*int) {})
-	if stopped.e.value != nil || ran.e.value != nil || w.Len() != 0 {
+	if stopped.entry.value != nil || ran.entry.value != nil || w.Len() != 0 {
 		t.Error("the value is still held")
 	}
 }
