--- a/internal/serve/clientlistener/conn.go
+++ b/internal/serve/clientlistener/conn.go
@@ -16,42 +16,42 @@
 	"liftgauge/internal/sock"
 )
 
-// conn is one connection. Between requests it is idle and may be closed by the server; from a request's first byte on
-// it is busy until the answer is written.
+// conn is a client's connection. Between requests it is idle and may be closed by the server; from a request's first byte
+// until the answer is written it is busy.
 type conn struct {
 	net.Conn
 	server      *Server
 	reader      *http1.Reader
-	pendingRead chan error // the one read that is under way, if any: of the first byte of the next request, or of what follows it
-	nextBegun   bool       // the next request has begun before the answer to this one
-	lastRequest bool       // the server has shut it: what had come is answered, as the last
+	pendingRead chan error // result of the read in progress, if any: of the next request's first byte, or of the bytes after it
+	nextBegun   bool       // the next request began before this one was answered
+	lastRequest bool       // the server has shut it down: the request that had arrived is answered, as the last
 	buf         []byte
-	done        chan struct{} // closed when it is
+	done        chan struct{} // closed when the connection is
 
-	handOverRequested chan struct{} // asks the goroutine to pass the connection on to a successor, if it waits for an answer
+	handOverRequested chan struct{} // requests handover to a successor, if an answer is awaited
 
-	// Guarded by the server's lock.
+	// Guarded by the server's mu.
 	idle, isShutDown bool
-	idleSince        time.Duration // when it became idle
-	requests         int           // requests so far
+	idleSince        time.Duration
+	requests         int           // started so far
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
 	return &conn{Conn: raw, server: s, reader: http1.NewReader(raw), handOverRequested: make(chan struct{}, 1), done: make(chan struct{}), idle: true, idleSince: s.Now()}
 }
 
-// shut ends an idle connection from outside its goroutine, under the server's lock. The goroutine closes it, which alone knows what it has
-// read: a request whose bytes have come by then is answered.
+// shutDown ends an idle connection from another goroutine, which holds the server's mu. The connection's own goroutine closes it, since
+// only that knows what it has read: a request whose bytes have arrived by then is answered.
 func (c *conn) shutDown() {
 	c.isShutDown = true
 	c.server.shutDown++
 	c.interruptRead()
 }
 
-// endRead ends a read that is under way, or the next one.
+// interruptRead ends the read in progress, or the next one.
 func (c *conn) interruptRead() { c.SetReadDeadline(time.Unix(1, 0)) }
 
-// rest gives a connection so long until the next request, unless it has been shut.
+// setIdleDeadline limits the time until the next request, unless the connection has been shut down.
 func (c *conn) setIdleDeadline(limit time.Duration) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// mark moves between idle and busy. False: the server has closed the connection.
+// setIdle switches between idle and busy. False: the server has shut the connection down.
 func (c *conn) setIdle(idle bool) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -72,7 +72,7 @@
 	return !c.isShutDown
 }
 
-// peek begins to wait for the first byte of the next request, or the client's leaving, unless that is under way.
+// peek starts to wait for the next request's first byte or the client's disconnecting, unless a read is in progress.
 func (c *conn) peek() <-chan error {
 	if c.pendingRead == nil {
 		c.read(func() error {
@@ -83,7 +83,7 @@
 	return c.pendingRead
 }
 
-// more waits for the client's leaving where the next request has begun: it reads on as far as the buffer has room.
+// readAhead detects the client's disconnecting when the next request has begun: it reads as far as the buffer has room.
 func (c *conn) readAhead() <-chan error {
 	c.nextBegun = true
 	c.read(func() (err error) {
@@ -101,10 +101,10 @@
 	go func() { done <- f() }()
 }
 
-// first waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request.
 func (c *conn) awaitRequest() (err error) {
 	switch {
-	case c.nextBegun: // it is here: only the client's leaving was waited for
+	case c.nextBegun: // already buffered: the read in progress only detects disconnecting
 		c.nextBegun = false
 		if c.pendingRead != nil {
 			c.interruptRead()
@@ -118,14 +118,14 @@
 	default:
 		_, err = c.reader.Peek(1)
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) && !sock.Quiet(c.Conn) { // it came as the read ended
+	if errors.Is(err, os.ErrDeadlineExceeded) && !sock.Quiet(c.Conn) { // it arrived as the deadline passed
 		c.SetReadDeadline(time.Now().Add(readTimeout))
 		_, err = c.reader.Peek(1)
 	}
 	return err
 }
 
-// serve answers requests until either side ends the connection. One that is over the limit gets one answer.
+// serve answers requests until either side ends the connection. A connection over the limit gets one answer.
 func (c *conn) serve(full bool) {
 	for limit := firstRequestTimeout; ; limit = idleTimeout {
 		if c.server.currentPhase() >= Ending {
@@ -159,14 +159,14 @@
 	}
 }
 
-// skip reads a body that nobody needs.
+// discardBody reads and discards a body.
 func (c *conn) discardBody(head *http1.Request) error {
 	err := c.reader.SkipBody(&head.Head, http1.MaxBody)
 	c.SetReadDeadline(time.Time{})
 	return err
 }
 
-// reject answers what cannot be read, where there is an answer; the connection ends.
+// reject answers a request that cannot be read, if the error has a status; the connection ends.
 func (c *conn) reject(err error) {
 	var e *http1.Error
 	var timeout net.Error
@@ -178,13 +178,13 @@
 	}
 }
 
-// finish writes an answer. False says that the connection ends.
+// respond writes an answer. False means that the connection ends.
 func (c *conn) respond(status int, last bool, fields http1.Fields, body []byte) bool {
 	if last {
 		fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	}
 	if !c.write(status, fields, body) || last {
-		if last { // let the answer arrive: to close with bytes unread would reset it away
+		if last { // closing with unread bytes would reset the connection, and the answer could be lost
 			c.linger()
 		}
 		return false
@@ -198,21 +198,22 @@
 	var err error
 	if len(body) == 0 {
 		_, err = c.Write(c.buf)
-	} else { // the result is not copied
+	} else { // avoids copying the result
 		answer := net.Buffers{c.buf, body}
 		_, err = answer.WriteTo(c.Conn)
 	}
 	return err == nil
 }
 
-// linger ends the sending side and reads on for a little, so that an answer is not lost to bytes still on the way.
+// linger closes the sending side and keeps reading briefly, so that bytes still in flight do not reset the connection before
+// the answer is received.
 func (c *conn) linger() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	if c.pendingRead != nil { // that read goes before
+	if c.pendingRead != nil { // that read must end first
 		err := <-c.pendingRead
 		if c.pendingRead = nil; err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			return
@@ -221,16 +222,16 @@
 	io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
-// handle reads the rest of a request and answers it. Again says that the connection goes on; an error is one of reading.
+// handle reads the rest of a request and answers it. It returns whether to keep the connection, and errors of reading.
 //
-// Nothing of a body is kept for which the budget has no room: a message is read past and gets a back-off answer, and a
-// call-back is not read on until others are dealt with.
+// A body for which the budget has no room is not kept: a message's is discarded and gets a back-off answer, and a
+// call-back's is not read until others are processed.
 func (c *conn) handle(head *http1.Request, full bool) (keepAlive bool, err error) {
 	size, err := head.BodySize(http1.MaxBody)
 	if err != nil {
 		return false, err
 	}
-	// An answer to HEAD would have no body, which no answer here knows of: such a connection ends.
+	// An answer to HEAD must not have a body, which is not handled here: the connection ends.
 	closeAfter := head.Close || full || c.lastRequest || head.Method == "HEAD"
 	last := closeAfter || c.server.currentPhase() >= Closing
 	if head.Path == "/-/ready" || head.Path == "/callback" {
@@ -283,16 +284,16 @@
 	if c.server.WrapPayload != nil {
 		m.Payload = c.server.WrapPayload(m.Job.Class, call)
 	}
-	c.server.markArrived(m) // a request counts from its last byte
+	c.server.markArrived(m) // the deadline counts from the last byte
 	return c.submit(m, hold, closeAfter, full), nil
 }
 
-// callback reads a host's call and deals with it.
+// serveCallback reads and handles a host's call-back.
 func (c *conn) serveCallback(head *http1.Request, size int, last bool) (keepAlive bool, err error) {
 	within, stop := context.WithTimeout(c.server.runCtx, readTimeout)
 	hold, err := c.server.Budget.Call(within, size)
 	stop()
-	if err != nil { // the host says it again
+	if err != nil { // the host repeats it
 		if err := c.discardBody(head); err != nil {
 			return false, err
 		}
@@ -309,13 +310,13 @@
 	return c.respond(status, last, nil, reason), nil
 }
 
-// await hands in a message and answers it.
+// submit submits a message and answers it.
 func (c *conn) submit(m *engine.Message, hold *budget.Hold, last, full bool) bool {
 	c.server.unanswered.Add(1)
 	defer c.server.unanswered.Add(-1)
 	c.server.unfinished.Add(1)
 	reply := c.prepareReply(m, hold)
-	// What is turned away here has reached no host: trying again is harmless.
+	// A message that is rejected here has reached no host: a retry is safe.
 	if full || c.server.currentPhase() >= Ending || !c.server.Engine.Submit(m) {
 		hold.Drop()
 		c.server.countEnd(m.Job.Class, declined)
@@ -324,7 +325,7 @@
 	return c.awaitReply(m, reply, last)
 }
 
-// expect has the answer of a message come by a channel.
+// prepareReply makes a message's answer arrive on a channel.
 func (c *conn) prepareReply(m *engine.Message, hold *budget.Hold) <-chan engine.Answer {
 	reply := make(chan engine.Answer, 1)
 	m.Reply = func(a engine.Answer) {
@@ -336,10 +337,10 @@
 	return reply
 }
 
-// wait answers a message that is handed in, or hands its connection on.
+// awaitReply answers a submitted message, or hands its connection over.
 func (c *conn) awaitReply(m *engine.Message, reply <-chan engine.Answer, last bool) bool {
 	class := m.Job.Class
-	select { // of a message before
+	select { // discard a request from an earlier message
 	case <-c.handOverRequested:
 	default:
 	}
@@ -347,17 +348,17 @@
 	for {
 		select {
 		case a := <-reply:
-			if len(a.Result) > http1.MaxBody { // of a worker that speaks something else: no answer here may be so long
+			if len(a.Result) > http1.MaxBody { // from a worker of another protocol: too long for an HTTP answer
 				c.server.Log.Warn("result too long for HTTP", "message", m.Key, "bytes", len(a.Result))
 				a = engine.Answer{Kind: engine.Failed}
 			}
 			c.server.countEnd(class, [...]int{engine.Failed: aborted, engine.Served: succeeded, engine.BackOff: declined}[a.Kind])
 			return c.writeAnswer(a, last || c.server.currentPhase() >= Closing)
-		case <-c.server.done: // the program ends without waiting for answers
+		case <-c.server.done: // the process ends without waiting for answers
 			c.server.countEnd(class, aborted)
 			return false
 		case <-c.handOverRequested:
-			if c.nextBegun { // more has come already and is read here: the successor would not see it
+			if c.nextBegun { // the next request is partly read: the successor would not see those bytes
 				continue
 			}
 			if c.handOver(m, clientGone, last) {
@@ -366,20 +367,20 @@
 			clientGone = c.peek()
 		case err := <-clientGone:
 			switch c.pendingRead = nil; {
-			case errors.Is(err, bufio.ErrBufferFull): // of a client that sends so much ahead no leaving is seen
+			case errors.Is(err, bufio.ErrBufferFull): // with a full buffer, the client's disconnecting cannot be detected
 				clientGone = nil
 			case err != nil:
 				c.server.Engine.Disconnected(m)
 				c.server.countEnd(class, aborted)
 				return false
-			default: // the next request has come early, and waits in the buffer
+			default: // the next request has begun and is buffered
 				clientGone = c.readAhead()
 			}
 		}
 	}
 }
 
-// give writes a final answer.
+// writeAnswer writes a final answer.
 func (c *conn) writeAnswer(a engine.Answer, last bool) bool {
 	switch a.Kind {
 	case engine.Served:
--- a/internal/serve/clientlistener/drain.go
+++ b/internal/serve/clientlistener/drain.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// How a drain goes, counted from the call. Clients are sent elsewhere by the front, and until they have gone they use
-// the connections that they have. drainLimit is when none may be idle, nor carry a message that came in the last 2 s;
-// the other times keep a distance from it.
+// The stages of a drain, from its start. The front end sends clients elsewhere, and until then they use their open
+// connections. At drainLimit no connection may be idle, or carry a message that arrived in the last 2 s; the other times keep
+// a margin from it.
 const (
 	drainLimit          = 4 * time.Second
-	drainShortenAfter   = drainLimit - 2*time.Second - 50*time.Millisecond // what comes from here on must end by
+	drainShortenAfter   = drainLimit - 2*time.Second - 50*time.Millisecond // messages that arrive after this must be answered by drainAnswerBy
 	drainAnswerBy       = drainLimit - 150*time.Millisecond
-	drainRefuseAfter    = 2600 * time.Millisecond // from here on that is too short for a message: a back-off answer sends it elsewhere
-	drainCloseIdleAfter = 3500 * time.Millisecond // idle connections close; late, as one may be all that a client has
+	drainRefuseAfter    = 2600 * time.Millisecond // after this the time left is too short for a message: a back-off answer sends it elsewhere
+	drainCloseIdleAfter = 3500 * time.Millisecond // idle connections close; late, since one may be the client's only connection
 
-	refusingIdleTimeout = 200 * time.Millisecond // of a connection without a request where idle ones are closed
+	refusingIdleTimeout = 200 * time.Millisecond // of a connection without a request, in phase Ending
 )
 
-// drain is when the drain that lasts was called for; its stages follow from that. To end it undoes them all.
+// drain holds the start of the current drain; its stages follow from that. Ending the drain reverts them all.
 type drain struct {
 	since atomic.Int64 // on the server's clock; 0: none
-	timer *time.Timer  // closes the idle connections; guarded by the server's lock
+	timer *time.Timer  // closes the idle connections; guarded by the server's mu
 }
 
-// Drain sends clients away, or ends that. To say either again changes nothing.
+// Drain starts or ends a drain. It is idempotent.
 func (s *Server) Drain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,14 +43,14 @@
 	d.timer = time.AfterFunc(drainCloseIdleAfter, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if d.since.Load() == since { // else it ended while this waited for the lock
+		if d.since.Load() == since { // else the drain ended while this waited for the lock
 			s.shutDownIdle()
 		}
 	})
 	s.Log.Info("out of service", "open", s.Open())
 }
 
-// at is the phase that the drain amounts to.
+// phase returns the phase that corresponds to the drain's stage.
 func (d *drain) phase(now time.Duration) Phase {
 	switch since := time.Duration(d.since.Load()); {
 	case since == 0:
@@ -61,7 +61,7 @@
 	return Ending
 }
 
-// left bounds the time of a message that comes late in a drain.
+// limitTimeLeft limits the time of a message that arrives late in a drain.
 func (d *drain) limitTimeLeft(now, left time.Duration) time.Duration {
 	if since := time.Duration(d.since.Load()); since != 0 && now-since >= drainShortenAfter {
 		return min(left, max(0, since+drainAnswerBy-now))
--- a/internal/serve/clientlistener/handover.go
+++ b/internal/serve/clientlistener/handover.go
@@ -13,11 +13,11 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// In an upgrade the messages that wait for their answers go over to the successor, each with its connection: a class may be far more
-// patient than a planned end, and what is open when this process is killed fails. The record of a message is all that the successor
-// needs to go on with it; the client notices nothing.
+// In an upgrade, messages that wait for their answers are handed over to the successor, each with its connection: a class may have
+// a far longer limit than a planned shutdown, and messages that are open when this process is killed fail. The record of a message
+// is all that the successor needs to continue; the client does not notice.
 
-// record is a message and its past between two processes. Numbers name its members, which are never used for anything else again.
+// record is the encoding of a message and its past between two processes. Its fields are encoded by number; numbers are never reused.
 type record struct {
 	Key     string       `cbor:"1,keyasint"`
 	Method  string       `cbor:"2,keyasint"`
@@ -26,13 +26,13 @@
 	Body    []byte       `cbor:"5,keyasint"`
 	Subject uint64       `cbor:"6,keyasint"`
 	Past    engine.Past  `cbor:"7,keyasint"`
-	Last    bool         `cbor:"8,keyasint"` // the connection ends with the answer
+	Last    bool         `cbor:"8,keyasint"` // the connection closes after the answer
 }
 
-// caller is the payload of a message that came over HTTP.
+// httpPayload is a payload that can be expressed as an HTTP call.
 type httpPayload interface{ HTTP() *http1.Call }
 
-// callOf is a message as its client sent it.
+// callOf returns a message's HTTP call, or nil.
 func callOf(m *engine.Message) *http1.Call {
 	switch p := m.Payload.(type) {
 	case *http1.Call:
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// left says whether the listener is left to another process.
+// isListenerReleased reports whether the listener is released to another process.
 func (s *Server) isListenerReleased() bool {
 	select {
 	case <-s.listenerReleased:
@@ -53,13 +53,13 @@
 	}
 }
 
-// passes says whether what is open goes over to that process.
+// canHandOver reports whether open messages can be handed over to that process.
 func (s *Server) canHandOver() bool {
 	return s.isListenerReleased() && s.Peer != nil && s.Peer.Connected()
 }
 
-// Pass asks for all messages that wait for answers to go over to the successor. It does not wait for them, and those that cannot go now
-// stay: it is to be called again.
+// HandOverConnections requests the handover of all messages that wait for answers. It does not wait for them, and those that cannot be
+// handed over now stay: it must be called repeatedly.
 func (s *Server) HandOverConnections() {
 	if !s.canHandOver() {
 		return
@@ -76,8 +76,8 @@
 	}
 }
 
-// handOn passes the connection and its message on to a successor. The read that is under way must end first: what it took the
-// successor would never see. True: the message is another's now.
+// handOver passes the connection and its message to a successor. The read in progress must end first: the successor would not see
+// the bytes that it takes. True: the message belongs to another process now.
 func (c *conn) handOver(m *engine.Message, clientGone <-chan error, last bool) bool {
 	call := callOf(m)
 	if call == nil {
@@ -89,7 +89,7 @@
 	c.SetReadDeadline(time.Time{})
 	var timeout net.Error
 	if !errors.As(err, &timeout) || !timeout.Timeout() {
-		c.pendingRead = make(chan error, 1) // it has left, or more has come: whoever waits sees to that
+		c.pendingRead = make(chan error, 1) // the client has disconnected, or sent more: awaitReply handles that
 		c.pendingRead <- err
 		return false
 	}
@@ -115,19 +115,19 @@
 	return true
 }
 
-var errNoCapacity = errors.New("no place for a message of another process")
+var errNoCapacity = errors.New("no capacity for a message of another process")
 
-// Adopt takes over a message of another process and the connection on which its client waits. The connection is closed if it does not.
+// Adopt takes over a message of another process and the connection on which its client waits. On failure the connection is closed.
 func (s *Server) Adopt(text []byte, raw net.Conn) (taken bool) {
 	err := s.adopt(text, raw)
 	if err != nil {
-		s.Log.Warn("message of the process before not taken over", "err", err)
+		s.Log.Warn("message of the previous process not taken over", "err", err)
 	}
 	return err == nil
 }
 
 func (s *Server) adopt(text []byte, raw net.Conn) (err error) {
-	started := false // the connection's goroutine closes it
+	started := false // then the connection's goroutine closes it
 	defer func() {
 		if !started {
 			raw.Close()
@@ -190,7 +190,7 @@
 	return err
 }
 
-// join has a connection's goroutine run beside those of the listener. False: the server has ended.
+// startConn registers a connection and starts its goroutine. False: the server has ended.
 func (s *Server) startConn(serve func(), c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serve/clientlistener/message.go
+++ b/internal/serve/clientlistener/message.go
@@ -16,7 +16,7 @@
 
 const maxIDLength = 128
 
-// message makes a message of the head of a client's request. What it refuses has not reached the module.
+// parseMessage makes a message from the head of a client's request. A rejected one has not reached the scheduler.
 func (s *Server) parseMessage(head *http1.Request) (*engine.Message, *http1.Call, error) {
 	first, _, _ := strings.Cut(head.Path[1:], "/")
 	class, ok := s.classes[first]
@@ -80,16 +80,17 @@
 	return m, call, nil
 }
 
-// arrive notes that all of a message has come.
+// markArrived sets the arrival time of a message that is completely received.
 func (s *Server) markArrived(m *engine.Message) {
 	m.Arrived = s.Now()
-	if s.ShuttingDown() && !s.canHandOver() { // the program may be killed soon after: what it has not answered by then would be lost
+	if s.ShuttingDown() && !s.canHandOver() { // the process may be killed soon after that time, and an open message would be lost
 		m.Job.Left = min(m.Job.Left, max(0, time.Duration(s.answerBy.Load())-m.Arrived))
 	}
 	m.Job.Left = s.drain.limitTimeLeft(m.Arrived, m.Job.Left)
 }
 
-// resulted learns the size of results, of which every message sets room aside, and returns by how much one is over it.
+// recordResultSize updates the estimated size of results, which is reserved for every message, and returns by how much this one
+// exceeds it.
 func (s *Server) recordResultSize(n int) (over int64) {
 	for {
 		old := s.resultSize.Load()
@@ -100,7 +101,7 @@
 	}
 }
 
-// validID: an id is passed on in a path, too.
+// validID reports whether an id is valid, also as part of a path.
 func validID(id string) bool {
 	for i := range len(id) {
 		c := id[i]
@@ -111,7 +112,7 @@
 	return id != "" && len(id) <= maxIDLength
 }
 
-// passes: fields that go on to the host as they came. The deadline is written anew, as time passes here.
+// isForwardedField reports whether a field is forwarded to the host unchanged. The deadline is not: it is written anew with the time left.
 func isForwardedField(name string) bool {
 	switch strings.ToLower(name) {
 	case "req-id", "idempotency-key", "req-kind", "req-key", "req-cost", "req-extra", "req-retry", "content-type":
@@ -120,7 +121,7 @@
 	return false
 }
 
-// extras reads the further figures of a job. Those that the module has no use for are skipped.
+// parseExtras reads further properties of a job. Those that the scheduler does not use are skipped.
 func parseExtras(text string, job *balance.Job) bool {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -143,7 +144,7 @@
 	return true
 }
 
-// callback deals with a host's call. While another process serves at the same address the message may be that one's.
+// handleCallback handles a host's call-back. While another process serves at the same address, the message may be there.
 func (s *Server) handleCallback(body []byte, hold *budget.Hold) (status int, reason []byte) {
 	peerConnected := s.Peer != nil && s.Peer.Connected()
 	status, known, reason := s.deliverReport(body, peerConnected, hold)
@@ -151,27 +152,27 @@
 		return status, reason
 	}
 	switch status, knownByPeer, err := s.Peer.Callback(body); {
-	case err == nil && status == 204 && !knownByPeer: // the message may have come here while the other looked
+	case err == nil && status == 204 && !knownByPeer: // the message may have moved here while the other process checked
 		status, _, reason = s.deliverReport(body, false, hold)
 		return status, reason
 	case err == nil:
 		return status, nil
-	case errors.Is(err, engine.ErrNoPeer): // it has ended, and with it its messages: a late word, for nobody
+	case errors.Is(err, engine.ErrNoPeer): // that process has ended, with its messages: the report is too late
 		return 204, nil
 	default:
-		s.Log.Warn("call-back not handed on", "err", err)
-		return 503, nil // the host says it again
+		s.Log.Warn("call-back not forwarded", "err", err)
+		return 503, nil // the host repeats it
 	}
 }
 
-// Callback deals with a host's call that came to another process at the same address.
+// Callback handles a host's call-back that another process at the same address has received.
 func (s *Server) Callback(body []byte) (status int, known bool) {
 	status, known, _ = s.deliverReport(body, true, nil)
 	return status, known
 }
 
-// report hands a call-back to the owner, who has a share in what it holds until the word is dealt with. Where it waits, known
-// says whether the message is open here.
+// deliverReport passes a call-back to the engine, which shares its hold on the memory budget until the report is processed. With
+// wait, known is whether the message is open here.
 func (s *Server) deliverReport(body []byte, wait bool, hold *budget.Hold) (status int, known bool, reason []byte) {
 	parser, _ := s.parsers.Get().(*jsonval.Parser)
 	if parser == nil {
@@ -193,14 +194,14 @@
 	hold.Share()
 	if !s.Engine.HandleReport(report, onLocation, hold.Drop) {
 		hold.Drop()
-		return 503, false, nil // the host says it again
+		return 503, false, nil // the host repeats it
 	}
 	if !wait {
 		return 204, false, nil
 	}
 	select {
 	case found := <-location:
-		if found == engine.LocationMoving { // the host says it again, to whoever has the message then
+		if found == engine.LocationMoving { // the host repeats it, to the process that has the message then
 			return 503, false, nil
 		}
 		return 204, found == engine.LocationLocal, nil
@@ -209,7 +210,7 @@
 	}
 }
 
-// parseReport reads a call-back.
+// parseReport parses a call-back.
 func (s *Server) parseReport(p *jsonval.Parser, body []byte) (engine.Report, error) {
 	o, err := p.Parse(body)
 	if err != nil {
--- a/internal/serve/clientlistener/server.go
+++ b/internal/serve/clientlistener/server.go
@@ -1,5 +1,5 @@
-// Package north is the side of the clients: the listener, their connections, and what shares the address with them,
-// the hosts' call-backs and the readiness check.
+// Package clientlistener accepts the clients' connections and their messages. Hosts' call-backs and the readiness check use the
+// same address.
 package clientlistener
 
 import (
@@ -24,33 +24,33 @@
 
 const (
 	idleTimeout         = 90 * time.Second        // of a connection between requests
-	firstRequestTimeout = 2500 * time.Millisecond // of a new one before its first request: clients connect to send
+	firstRequestTimeout = 2500 * time.Millisecond // of a new one before its first request: clients connect when they have one to send
 	readTimeout         = 2500 * time.Millisecond // of a request, from its first byte
-	// Of a connection that is closing, for what is still on the way: a large body must not cost its sender the answer.
+	// Of a closing connection, for bytes still in flight: the sender of a large body must still get its answer.
 	lingerTimeout = 500 * time.Millisecond
 	lingerBytes   = 1 << 20
-	writeTimeout  = 5 * time.Second // of an answer: a client that reads nothing holds nothing for longer
+	writeTimeout  = 5 * time.Second // of an answer: a client that reads nothing holds no resources for longer
 )
 
-// Desk takes messages and call-backs.
+// Engine takes messages and call-backs.
 type Engine interface {
 	Submit(m *engine.Message) bool
 	Disconnected(m *engine.Message)
 	HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool
 
-	// Between two processes, as Owner has them.
+	// Handover between two processes; see engine.Engine.
 	Release(ctx context.Context, m *engine.Message) (past engine.Past, ok bool)
 	CompleteRelease(m *engine.Message, past engine.Past, taken bool)
 	Adopt(ctx context.Context, m *engine.Message, past engine.Past) bool
 }
 
-// Other is another process at the same address: a call-back may come to either.
+// Peer is another process at the same address: a call-back may arrive at either.
 type Peer interface {
 	Connected() bool
-	// Callback has the other deal with a call-back, and returns the status that answers it and whether its message was open there.
+	// Callback forwards a call-back to the other process, and returns the status to answer with and whether its message was open there.
 	Callback(body []byte) (status int, known bool, err error)
-	// Pass hands a client's connection and the record of the message that waits there to a successor. The record is asked for once;
-	// false says that it cannot be made now.
+	// PassConnection hands a client's connection and the record of its waiting message to a successor. The record is requested once;
+	// false means that it cannot be made now.
 	PassConnection(client net.Conn, record func() ([]byte, bool)) (taken bool, err error)
 }
 
@@ -58,32 +58,32 @@
 type Config struct {
 	Engine      Engine
 	Peer        Peer            // may be nil
-	HasHostList func() bool     // whether the list of hosts may be gone by; nil: always
-	Classes     []string        // names, by the module's number
-	Limits      []balance.Class // of the same
+	HasHostList func() bool     // whether there is a list of hosts to send messages by; nil: always
+	Classes     []string        // names, by the scheduler's number
+	Limits      []balance.Class // by the same number
 	MaxConns    int
-	Loads       *load.Reader // of hosts' load reports; nil where they have none
-	// Subject hashes what a message is about, for records; nil where none are kept.
+	Loads       *load.Reader // of hosts' load reports; nil: there are none
+	// HashSubject hashes a message's key for records; nil: no records are kept.
 	HashSubject func(key string) uint64
-	// Wrap makes the payload that other sides understand; nil where there are only hosts that speak HTTP.
+	// WrapPayload makes a payload that other backends understand; nil: all hosts use HTTP.
 	WrapPayload func(class int, call *http1.Call) any
-	Budget      *budget.Budget // of what messages and call-backs hold; nil for one of 48 MB and 16 MB
-	// LastAnswer is how long after the beginning of a planned end what is taken in it must be answered.
+	Budget      *budget.Budget // memory of messages and call-backs; nil for 48 MB and 16 MB
+	// ShutdownAnswerTimeout is the time from the start of a planned shutdown in which messages accepted during it must be answered.
 	ShutdownAnswerTimeout time.Duration
 	Now                   func() time.Duration
 	Log                   *slog.Logger
 	Check                 *invariant.Checker
 }
 
-// Phase is how far a planned end has come.
+// Phase is a phase of a planned shutdown.
 type Phase int32
 
 // The phases.
 const (
 	Serving Phase = iota
-	Leaving       // not ready any more, but serving as before: the front has yet to notice
-	Closing       // connections close after their next answer; new ones are still taken, for call-backs above all
-	Ending        // idle connections are closed, and new messages get a back-off answer: they could not be finished
+	Leaving       // no longer ready, but serving as before: the front end has yet to notice
+	Closing       // connections close after their next answer; new ones are still accepted, mainly for call-backs
+	Ending        // idle connections are closed, and new messages get a back-off answer: there is no time left to finish them
 )
 
 func (p Phase) String() string {
@@ -95,32 +95,32 @@
 	Config
 	classes    map[string]int
 	phase      atomic.Int32
-	answerBy   atomic.Int64 // the time by which what is taken in a planned end must be answered
-	unanswered atomic.Int64 // messages taken and not answered
+	answerBy   atomic.Int64 // when messages accepted in a planned shutdown must be answered
+	unanswered atomic.Int64 // messages accepted and not answered
 	slots      chan struct{}
 	mu         sync.Mutex
 	conns      map[*conn]struct{}
-	// shutting counts those of them that are shut and whose goroutines have yet to close them; guarded by the lock.
+	// shutDown counts connections that are shut down and that their goroutines have yet to close; guarded by mu.
 	shutDown  int
 	done      chan struct{}
-	runCtx    context.Context // ends with Run
+	runCtx    context.Context // cancelled when Run ends
 	cancelRun context.CancelFunc
 
 	connLimit        atomic.Int64  // of connections; at most MaxConns
-	reserved         int           // slots taken for what the limit leaves out; guarded by the lock
-	listenerReleased chan struct{} // closed when the listener is left to another process
+	reserved         int           // slots held because the limit is below MaxConns; guarded by mu
+	listenerReleased chan struct{} // closed when the listener is released to another process
 	group            errgroup.Group
 	listener         net.Listener // guarded by the lock
 
-	parsers    sync.Pool    // of call-backs
-	resultSize atomic.Int64 // the size that results have had lately, rather more
+	parsers    sync.Pool    // for call-backs
+	resultSize atomic.Int64 // upper estimate of the size of recent results
 
-	unfinished atomic.Int64 // messages without an end
+	unfinished atomic.Int64 // messages accepted and not ended
 	results    [][outcomeCount]atomic.Int64
 	drain      drain
 }
 
-// How messages end; each in exactly one way.
+// Outcomes of messages; each has exactly one.
 const (
 	succeeded = iota
 	declined
@@ -128,7 +128,7 @@
 	outcomeCount
 )
 
-// Results are how many messages of a class have ended, by how.
+// Results counts the ended messages of a class by outcome.
 type Results struct{ Succeeded, Declined, Aborted int64 }
 
 // Results returns the counts of a class.
@@ -137,17 +137,17 @@
 	return Results{r[succeeded].Load(), r[declined].Load(), r[aborted].Load()}
 }
 
-// Outstanding is how many messages are taken and have not ended.
+// Outstanding returns how many messages are accepted and have not ended.
 func (s *Server) Outstanding() int64 { return s.unfinished.Load() }
 
-// end counts the end of a message.
+// countEnd counts the end of a message.
 func (s *Server) countEnd(class, how int) {
 	s.results[class][how].Add(1)
 	s.Check.Check(s.unfinished.Add(-1) >= 0, "more messages ended than were taken")
 }
 
-// spare connections are taken over the limit, only to be told so: waiting in the kernel their requests would count as
-// taken, and nobody would answer.
+// spareConns is how many connections are accepted over the limit, only to get a back-off answer: left in the kernel's queue
+// their requests would be acknowledged by TCP and never answered.
 func spareConns(limit int) int { return max(4, limit/16) }
 
 // New returns a Server.
@@ -167,10 +167,10 @@
 	return s
 }
 
-// Open is how many messages are taken and not answered.
+// Open returns how many messages are accepted and not answered.
 func (s *Server) Open() int64 { return s.unanswered.Load() }
 
-// Enter begins a phase.
+// SetPhase begins a phase.
 func (s *Server) SetPhase(p Phase) {
 	if p == Leaving {
 		s.answerBy.Store(int64(s.Now() + s.ShutdownAnswerTimeout))
@@ -183,30 +183,30 @@
 	}
 }
 
-// shutIdle closes the idle connections, under the lock.
+// shutDownIdle shuts down the idle connections. The caller holds mu.
 func (s *Server) shutDownIdle() {
 	for c := range s.conns {
-		if c.idle && !c.isShutDown && sock.Quiet(c.Conn) { // else a request has come
+		if c.idle && !c.isShutDown && sock.Quiet(c.Conn) { // else a request has arrived
 			c.shutDown()
 		}
 	}
 }
 
-// at is how far a planned end or a drain has come, whichever is further.
+// currentPhase is the later of the phases of a planned shutdown and of a drain.
 func (s *Server) currentPhase() Phase { return max(Phase(s.phase.Load()), s.drain.phase(s.Now())) }
 
-// Ending says whether a planned end is under way.
+// ShuttingDown reports whether a planned shutdown is in progress.
 func (s *Server) ShuttingDown() bool { return Phase(s.phase.Load()) != Serving }
 
-// Ready says whether clients are welcome.
+// Ready reports whether clients should connect.
 func (s *Server) Ready() bool {
 	return s.currentPhase() == Serving && (s.HasHostList == nil || s.HasHostList())
 }
 
-// Run accepts connections until the context ends, then closes all that are left.
+// Run accepts connections until the context ends, then closes the remaining ones.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	conns := &s.group
-	conns.Go(func() error { // so that a connection may join for as long as the server runs
+	conns.Go(func() error { // keeps the group open, so that connections can be added while the server runs
 		<-s.done
 		return nil
 	})
@@ -218,22 +218,22 @@
 			c.Close()
 		}
 		s.mu.Unlock()
-		l.Close() // may wait for an accept, which nothing here does
+		l.Close() // may wait for an accept in the kernel; nothing waits for this
 	})()
 	s.mu.Lock()
 	s.listener = l
 	select {
-	case <-s.listenerReleased: // before there was anything to leave
+	case <-s.listenerReleased: // released before Run
 		l.Close()
 	default:
 	}
 	s.mu.Unlock()
-	go s.accept(ctx, l) // where the listener is another process's too nothing may be able to end it but that process
+	go s.accept(ctx, l) // if another process has the listener too, an accept may be impossible to interrupt from here
 	<-ctx.Done()
 	return conns.Wait()
 }
 
-// accept takes connections until the context ends or the listener is left.
+// accept takes connections until the context ends or the listener is released.
 func (s *Server) accept(ctx context.Context, l net.Listener) {
 	for {
 		select {
@@ -250,12 +250,12 @@
 				return
 			}
 			var evicted *conn
-			if !errors.Is(err, net.ErrClosed) { // out of descriptors, or a client that left at once
+			if !errors.Is(err, net.ErrClosed) { // out of descriptors, or the client has already disconnected
 				evicted = s.evict()
 			}
 			if evicted == nil {
 				s.Log.Warn("accept", "err", err)
-				evicted = &conn{} // never gone
+				evicted = &conn{} // its channel never closes
 			}
 			select {
 			case <-evicted.done:
@@ -278,18 +278,18 @@
 	}
 }
 
-// HandOver leaves the listener to another process that has it too: it is closed, not shut down. The connections that are
-// open go on, and one that an accept still under way takes is served. It is called once at most.
+// ReleaseListener leaves the listener to another process that has it too: it is closed, not shut down. Open connections
+// stay, and one from an accept still in progress is served. It is called at most once.
 func (s *Server) ReleaseListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.listenerReleased)
 	if s.listener != nil {
-		go s.listener.Close() // waits for that accept: nothing that is open may
+		go s.listener.Close() // waits for that accept: open connections must not
 	}
 }
 
-// Rest closes the connections that are idle and reports how many are left.
+// CloseIdle shuts down the idle connections and returns how many are open.
 func (s *Server) CloseIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -297,8 +297,8 @@
 	return len(s.conns)
 }
 
-// SetLimit changes how many connections there may be, to a number of at most MaxConns. Idle ones over it are closed, and
-// while others are over it no new one is accepted in place of one that ends.
+// SetLimit sets the limit of connections, at most MaxConns. Idle ones over it are closed; while busy ones are over it, those that
+// end are not replaced.
 func (s *Server) SetLimit(n int) {
 	s.connLimit.Store(int64(n))
 	s.mu.Lock()
@@ -309,8 +309,8 @@
 	s.reserve()
 }
 
-// reserve takes slots for what the limit leaves out, or gives them back, as far as it can at once; the rest is taken
-// from the connections that end.
+// reserve takes or returns the slots between the limit and MaxConns, as far as it can without waiting; it is called again
+// when a connection ends.
 func (s *Server) reserve() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -328,8 +328,8 @@
 	}
 }
 
-// add keeps a connection. Where there are many, the one that stood idle longest makes room: its client opens another
-// when it needs one. If none is idle, the connection is over the limit.
+// add registers a connection. Near the limit the one that has been idle longest is closed: its client opens another when it
+// needs one. If none is idle, full is true: the connection is over the limit.
 func (s *Server) add(c *conn) (full bool) {
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
@@ -350,7 +350,7 @@
 	close(c.done)
 }
 
-// over says that the server has ended: nothing that comes now is taken.
+// isDone reports whether the server has ended: requests are no longer accepted.
 func (s *Server) isDone() bool {
 	select {
 	case <-s.done:
@@ -360,13 +360,13 @@
 	}
 }
 
-// evict shuts the connection that stood idle longest, if any is idle.
+// evict shuts down the connection that has been idle longest, if any is idle.
 func (s *Server) evict() *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var oldest *conn
 	for c := range s.conns {
-		fresh := c.requests == 0 && s.Now()-c.idleSince < time.Second // its request is on the way
+		fresh := c.requests == 0 && s.Now()-c.idleSince < time.Second // its request is in flight
 		if c.idle && !c.isShutDown && !fresh && (oldest == nil || c.idleSince < oldest.idleSince) && sock.Quiet(c.Conn) {
 			oldest = c
 		}
--- a/internal/serve/engine/actions.go
+++ b/internal/serve/engine/actions.go
@@ -8,8 +8,8 @@
 	"liftgauge/balance"
 )
 
-// actions carries out what the module decides. Its methods are called from within the module, so what answers it goes
-// to later.
+// actions carries out the scheduler's decisions. Its methods are called from within the scheduler, so they defer the events
+// that call it back.
 type actions struct{ engine *Engine }
 
 var _ balance.Actions = actions{}
@@ -43,7 +43,7 @@
 	if e.Log.Enabled(e.ctx, slog.LevelDebug) {
 		w := a.Host.Worker
 		fields := []any{"message", msg.Key, "host", a.Host.Name, "kind", w.Kind, "zone", w.Zone, "cell", w.Cell, "waited", a.sentAt - msg.Arrived}
-		if w.Up > 0 { // how long ago it started, where the list tells
+		if w.Up > 0 { // how long ago the host started, if listed
 			fields = append(fields, "age", a.sentAt-w.Up)
 		}
 		e.Log.Debug("attempt", fields...)
@@ -51,8 +51,8 @@
 	e.backendFor(a.Host).Send(ctx, a)
 }
 
-// until is when nothing more of a message may be sent: the window of a keyed one counts from its first attempt that may have run. The
-// module decides by the same; but from its decision to the first byte a connection may have to come up.
+// sendDeadline is when nothing more of a message may be sent: the window of a keyed one starts at its first attempt that may have run.
+// The scheduler applies the same rule, but a connection may have to be opened between its decision and the first byte.
 func (e *Engine) sendDeadline(msg *openMessage) time.Duration {
 	class := msg.Job.Class
 	if class < 0 || class >= len(e.Settings.Classes) || e.Settings.Classes[class].Effect != balance.Keyed {
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// busy: one host gets one attempt of a message at a time.
+// hasAttemptAt reports whether a host has another outstanding attempt of the message: there may be one at a time.
 func (c actions) hasAttemptAt(msg *openMessage, h *host, but *Attempt) bool {
 	for _, a := range msg.attempts {
 		if a != but && !a.done && a.host == h {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Cancel withdraws an attempt. Its outcome is what comes first: the host's word or the end of the withdrawal.
+// Cancel withdraws an attempt. Its outcome is what comes first: the host's report or the end of the withdrawal.
 func (c actions) Cancel(job balance.JobID, attempt int) {
 	msg := c.engine.jobs[job]
 	if msg == nil || !c.engine.Check.Check(attempt >= 0 && attempt < len(msg.attempts), "withdrawal of an unknown attempt") {
@@ -102,14 +102,14 @@
 	}
 }
 
-// Probe asks a host for its health.
+// Probe checks a host's health.
 func (c actions) Probe(worker balance.WorkerID) {
 	if h := c.engine.hosts[worker]; c.engine.Check.Check(h != nil, "probe of an unknown host", "worker", worker) {
 		c.engine.backendFor(h.Host).Probe(h.Host)
 	}
 }
 
-// Timer keeps a token on the wheel.
+// Timer adds a token to the wheel.
 func (c actions) Timer(after time.Duration, token uint64) {
 	t := c.engine.wheel.Add(c.engine.Now()+after, timer{token: token})
 	if id, ok := balance.JobOf(token); ok {
@@ -119,8 +119,8 @@
 	}
 }
 
-// Watch asks for the inventory's changes.
+// Watch requests the inventory's changes.
 func (c actions) Watch() { c.engine.Inventory.Watch() }
 
-// Log reports a line of the module.
+// Log logs a line of the scheduler.
 func (c actions) Log(line string) { c.engine.Log.Info("module", "line", line) }
--- a/internal/serve/engine/engine.go
+++ b/internal/serve/engine/engine.go
@@ -1,7 +1,7 @@
-// Package owner holds the one goroutine that owns the decision module, with the table of messages and attempts.
+// Package engine runs the event loop that owns the scheduler (balance.Dispatcher) and the table of messages and attempts.
 //
-// It speaks no protocol. The north side (clients), the south side (hosts that run jobs) and the inventory (the list of
-// hosts) reach it by a bounded queue only; it reaches them by the interfaces below, whose methods must not block.
+// It is independent of protocols. The client listener, the backend (connections to hosts that run jobs) and the inventory
+// (the list of hosts) reach it only through a bounded queue; it calls them through the interfaces below, whose methods must not block.
 package engine
 
 import (
@@ -14,97 +14,99 @@
 	"liftgauge/internal/timerwheel"
 )
 
-// Grace is how long after a message's deadline the owner answers by itself. The module answers before the deadline;
-// this only guards against its timer coming late or not at all.
+// DeadlineGrace is how long after a message's deadline the engine answers without the scheduler. The scheduler answers
+// before the deadline; this only guards against its timer firing late or not at all.
 const DeadlineGrace = 4 * time.Millisecond
 
 const (
-	countsLogInterval  = time.Minute            // a line of counts in the log
-	hostCountsInterval = 100 * time.Millisecond // what others may see of the fleet
+	countsLogInterval  = time.Minute            // between log lines with counts
+	hostCountsInterval = 100 * time.Millisecond // between updates of the published host counts
 )
 
+// event is a piece of work for the event loop.
 type event func(now time.Duration)
 
+// timer is a value on the wheel; exactly one of its fields is set.
 type timer struct {
-	token        uint64       // of the module,
-	open         *openMessage // or the deadline of a message,
-	attempt      *Attempt     // or the time-out of an attempt,
-	logCounts    bool         // or the next line of counts
-	publishHosts bool         // or the next look at the fleet
+	token        uint64       // of a timer that the scheduler requested
+	open         *openMessage // a message whose deadline has passed
+	attempt      *Attempt     // an attempt that has timed out
+	logCounts    bool         // the counts are due in the log
+	publishHosts bool         // the host counts are to be published
 }
 
-// open is a message without a final answer, or with attempts that are out.
+// openMessage is a message without a final answer, or with outstanding attempts.
 type openMessage struct {
 	*Message
 	jobID        balance.JobID
 	deadline     time.Duration
 	answered     bool
-	disconnected bool // told to the module
+	disconnected bool // the scheduler was notified that the client is gone
 	mayHaveRun   bool // an attempt may have run
 	outstanding  int
 	attempts     []*Attempt
-	timers       []timerwheel.Timer[timer] // its deadline, and what the module asked for: they end with it
-	answerKind   AnswerKind                // of its answer
-	answeredAt   time.Duration             // of its answer, or of its client's leaving
-	clientLeft   bool                      // the client was first
+	timers       []timerwheel.Timer[timer] // for its deadline and those that the scheduler requested; stopped when it is closed
+	answerKind   AnswerKind
+	answeredAt   time.Duration // when it was answered or its client left
+	clientLeft   bool                      // before there was an answer
 }
 
 type host struct {
 	Host
-	notReady atomic.Bool // nothing new may be sent there
-	offline  atomic.Bool // by an operator's word, which no list changes
+	notReady atomic.Bool // draining, removed or not on the list: nothing new may be sent there
+	offline  atomic.Bool // set by an operator, whatever the list contains
 	listed   bool
 }
 
-// Owner owns the module.
+// Engine owns the scheduler. All of its unsynchronized state belongs to the goroutine in Run.
 type Engine struct {
 	Config
 	queue      chan event
-	priority   chan event // goes before the queue: for the few calls of operators, which no load may hold up
+	priority   chan event // served before queue: operators' requests, which must not wait under load
 	stopped    chan struct{}
 	dispatcher *balance.Dispatcher
 	wheel      *timerwheel.Wheel[timer]
-	deferred   []event // what the module's own calls bring about: it must not be called from within itself
+	deferred   []event // events caused by the scheduler's own calls: it is not reentrant
 	jobs       map[balance.JobID]*openMessage
 	byKey      map[string]*openMessage
 	hosts      map[balance.WorkerID]*host
-	moving     map[string]*openMessage // released, and not yet another process's
+	moving     map[string]*openMessage // released, and not yet taken over by another process
 	workerIDs  workerNames
-	everListed map[string]bool // the names that were listed at any time
+	everListed map[string]bool // names of hosts that have ever been listed
 	lastJobID  balance.JobID
 	ctx        context.Context
 	counts     Counts
-	queueFull  atomic.Int64 // events that found the queue full
+	queueFull  atomic.Int64 // events rejected because the queue was full
 
-	// Published for those who must not wait for the owner.
+	// Published for readers that must not wait for the event loop.
 	forwards, listed, avoided atomic.Int64
 	hasHostList               atomic.Bool
 }
 
-// Forwards is how many attempts were written whole.
+// Forwards is how many attempts were written completely.
 func (e *Engine) Forwards() int64 { return e.forwards.Load() }
 
-// Fleet is how many hosts the inventory lists, and how many of these are avoided, as of a moment ago.
+// HostCounts returns how many hosts are listed and how many of these are avoided, as last published.
 func (e *Engine) HostCounts() (listed, avoided int64) { return e.listed.Load(), e.avoided.Load() }
 
-// show publishes how the fleet stands.
+// publishHostCounts publishes how many hosts are listed and avoided.
 func (e *Engine) publishHostCounts(now time.Duration) {
 	listed, avoided := e.dispatcher.Fleet(now)
 	e.listed.Store(int64(listed))
 	e.avoided.Store(int64(avoided))
 }
 
-// Counts are what the owner has seen since its start.
+// Counts holds the engine's counters since its start.
 type Counts struct{ Messages, Served, BackOffs, Failures, Attempts, LateReports int64 }
 
-// New returns an Owner; Run starts the module.
+// New returns an Engine; Run starts the scheduler.
 func New(c Config) *Engine {
 	return &Engine{Config: c, queue: make(chan event, max(c.QueueSize, 1)), priority: make(chan event), stopped: make(chan struct{}),
 		jobs: map[balance.JobID]*openMessage{}, byKey: map[string]*openMessage{}, moving: map[string]*openMessage{}, hosts: map[balance.WorkerID]*host{},
 		workerIDs: workerNames{}, everListed: map[string]bool{}}
 }
 
-// Run owns the module until the context ends.
+// Run executes events and timers until the context ends.
 func (e *Engine) Run(ctx context.Context) error {
 	defer close(e.stopped)
 	e.ctx = ctx
@@ -117,7 +119,7 @@
 	for _, name := range e.EverListed {
 		e.everListed[name] = true
 	}
-	for _, name := range e.Config.InitialOffline { // before any list: nothing may be sent there
+	for _, name := range e.Config.InitialOffline { // before any list, so that nothing is sent there
 		e.everListed[name] = true
 		e.setOffline(now, name, true)
 	}
@@ -146,7 +148,7 @@
 			e.runEvent(ev)
 		case <-wakeup.C:
 		}
-		for range len(e.queue) { // what waits goes before timers: an outcome may be among it
+		for range len(e.queue) { // queued events run before timers: an outcome may be among them
 			select {
 			case ev := <-e.priority:
 				e.runEvent(ev)
@@ -158,7 +160,7 @@
 	}
 }
 
-// tell logs what the owner has seen.
+// logCounts logs the counters.
 func (e *Engine) logCounts() {
 	c := &e.counts
 	e.Log.Info("counts", "messages", c.Messages, "served", c.Served, "back_offs", c.BackOffs, "failures", c.Failures,
@@ -166,8 +168,8 @@
 		"breaches", e.Check.Breaches())
 }
 
-// run carries out an event and what it brings about. A panic in the module would take all messages with it; counted, it
-// costs at most those that it touched, which their deadlines answer.
+// runEvent executes an event and the events that it defers. A panic in the scheduler would fail all messages; recovered and
+// counted, it affects at most those that it touched, which are answered at their deadlines.
 func (e *Engine) runEvent(ev event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -183,7 +185,7 @@
 	e.hasHostList.Store(e.dispatcher.HasList())
 }
 
-// offer queues an event if there is room.
+// tryEnqueue queues an event if there is room.
 func (e *Engine) tryEnqueue(ev event) bool {
 	select {
 	case <-e.stopped:
@@ -199,7 +201,7 @@
 	}
 }
 
-// post queues an event that must not be lost. It waits for room; the owner never waits for those who post.
+// enqueue queues an event that must not be lost. It waits for room; the event loop never waits for its callers.
 func (e *Engine) enqueue(ev event) (done bool) {
 	select {
 	case e.queue <- ev:
@@ -209,19 +211,19 @@
 	}
 }
 
-// Submit hands in a message. False says that the queue is full: the message has not reached the module, has not run
-// and will not, so the north side sends a back-off answer.
+// Submit queues a message. False means that the queue is full: the message has not reached the scheduler and will not run,
+// so the client listener sends a back-off answer.
 func (e *Engine) Submit(m *Message) bool {
 	return e.tryEnqueue(func(now time.Duration) { e.accept(now, m) })
 }
 
-// Gone says that the client of a message no longer waits.
+// Disconnected reports that the client of a message has disconnected.
 func (e *Engine) Disconnected(m *Message) {
 	m.clientGone.Store(true)
 	e.enqueue(func(now time.Duration) {
 		msg := e.byKey[m.Key]
 		if msg == nil || msg.Message != m || msg.answered {
-			return // the final answer and the client's leaving crossed: the answer was first
+			return // raced with the final answer, which came first
 		}
 		msg.answered, msg.disconnected, msg.clientLeft, msg.answeredAt = true, true, true, now
 		e.dispatcher.Disconnected(now, msg.jobID)
--- a/internal/serve/engine/handover.go
+++ b/internal/serve/engine/handover.go
@@ -8,35 +8,35 @@
 	"liftgauge/internal/timerwheel"
 )
 
-// Past is what has become of a message so far, as one process of the dispatcher tells it another that takes it over. Times are ages:
-// no two processes have one clock.
+// Past is the history of a message, which one process of the dispatcher sends to another that takes the message over. Times are
+// ages: the processes have no common clock.
 type Past struct {
-	Job      balance.Job // without an id; Left as it was when the message came
+	Job      balance.Job // without an id; Left as on the message's arrival
 	Ago      time.Duration
 	Attempts []PastAttempt
 }
 
-// PastAttempt is one attempt of such a message. One that is out was taken by its host, whose word on it is yet to come.
+// PastAttempt is one attempt of such a message. An outstanding one was accepted by its host, which has yet to report its outcome.
 type PastAttempt struct {
 	Host   string
 	Try    balance.AttemptRecord
-	Status balance.Status // of one that is over
-	Back   bool           // the host handed it back by a report
-	Ended  time.Duration  // ago, of one that is over
+	Status balance.Status // of an ended one
+	Back   bool           // the host returned it unstarted by a report
+	Ended  time.Duration  // ago, of an ended one
 }
 
-// Resumer is a South that can go on with an attempt that its host had taken from another process.
+// Resumer is a Backend that can continue an attempt that its host has accepted from another process.
 type Resumer interface {
-	// Resume does what Send does once the host has taken the attempt.
+	// Resume does what Send does once the host has accepted the attempt.
 	Resume(ctx context.Context, a *Attempt)
 }
 
-// Taken says that the host has answered that it took the attempt: what is to come of it comes by a report, to whichever process.
+// MarkAccepted notes that the host has accepted the attempt: its outcome comes by a report, to any process of the dispatcher.
 func (a *Attempt) MarkAccepted() { a.accepted.Store(true) }
 
-// Release lets go of a message for another process to take over, and returns its past. From here on until Moved says how that went
-// hosts are told to say again what they have to say of it. False: it has its answer, or an attempt is at a point at which only this
-// process can go on: on its way to the host, being withdrawn, or carried by a side that has its own connections to its hosts.
+// Release removes a message for another process to take over, and returns its past. Until CompleteRelease hosts are asked to repeat
+// their reports on it. False: it is answered, or it has an attempt that only this process can continue: on its way to the host, being
+// withdrawn, or carried by a backend with connections of its own.
 func (e *Engine) Release(ctx context.Context, m *Message) (past Past, ok bool) {
 	err := e.runPriority(ctx, func(now time.Duration) {
 		msg := e.byKey[m.Key]
@@ -49,7 +49,7 @@
 			}
 		}
 		records, released := e.dispatcher.Release(now, msg.jobID)
-		if !e.Check.Check(!released || len(records) == len(msg.attempts), "module and owner differ in attempts", "message", m.Key) || !released {
+		if !e.Check.Check(!released || len(records) == len(msg.attempts), "scheduler and engine differ in attempts", "message", m.Key) || !released {
 			return
 		}
 		past = Past{Job: m.Job, Ago: now - m.Arrived}
@@ -75,7 +75,7 @@
 	return past, ok && err == nil
 }
 
-// Moved says how a release went on: whether the other process has taken the message over. If it has not this one goes on with it.
+// CompleteRelease reports whether the other process has taken a released message over. If it has not, this one continues with it.
 func (e *Engine) CompleteRelease(m *Message, past Past, taken bool) {
 	e.enqueue(func(now time.Duration) {
 		if e.moving[m.Key] == nil {
@@ -91,8 +91,8 @@
 	})
 }
 
-// Adopt takes over a message with its past from another process. False: it is open here already, or its hosts could not be spoken to;
-// nothing has changed then.
+// Adopt takes over a message with its past from another process. False: it is open here already, or the backend cannot resume
+// attempts; nothing has changed then.
 func (e *Engine) Adopt(ctx context.Context, m *Message, past Past) (ok bool) {
 	err := e.runPriority(ctx, func(now time.Duration) {
 		if _, can := e.Backend.(Resumer); can && e.byKey[m.Key] == nil && e.moving[m.Key] == nil && len(past.Attempts) <= e.Settings.MaxAttempts {
@@ -105,7 +105,7 @@
 	return ok && err == nil
 }
 
-// adopt makes a message with a past one of this owner's.
+// adopt opens a message that has a past.
 func (e *Engine) adopt(now time.Duration, m *Message, past Past) {
 	e.lastJobID++
 	msg := &openMessage{Message: m, jobID: e.lastJobID, deadline: m.Arrived + past.Job.Left}
@@ -115,13 +115,13 @@
 	for i, t := range past.Attempts {
 		t.Try.Worker.ID = e.workerIDs.id(t.Host)
 		h := e.hosts[t.Try.Worker.ID]
-		if h == nil { // not on this process's list: there for this attempt alone
+		if h == nil { // not on this process's list: used for this attempt only
 			h = &host{Host: Host{Name: t.Host, Worker: t.Try.Worker}}
 			h.notReady.Store(true)
 		}
 		a := &Attempt{Message: m, Host: h.Host, Deadline: msg.deadline, open: msg, index: i, sentAt: now - t.Try.Sent, done: !t.Try.Out, returned: t.Back,
 			host: h, status: t.Status}
-		a.MaySend = func() bool { return false } // it was sent
+		a.MaySend = func() bool { return false } // it was sent already
 		if t.Try.Started {
 			a.startedAt = now - t.Try.Began
 		}
@@ -145,13 +145,14 @@
 	e.Log.Debug("adopted", "message", m.Key, "attempts", len(records), "out", msg.outstanding, "age", now-m.Arrived)
 }
 
-// Learned returns what the module has learnt.
+// Learned returns the scheduler's learned estimates.
 func (e *Engine) Learned(ctx context.Context) (l *balance.Learned, err error) {
 	err = e.runPriority(ctx, func(now time.Duration) { l = e.dispatcher.Learned(now) })
 	return l, err
 }
 
-// Among says which of how many dispatchers this one is, and how many of them are in its zone, from now on; 0 of 0: as the settings say.
+// SetDispatchers sets this dispatcher's number, how many dispatchers there are, and how many of them are in its zone; 0 of 0: as in
+// the settings.
 func (e *Engine) SetDispatchers(number, dispatchers, inZone int) {
 	e.enqueue(func(now time.Duration) {
 		if dispatchers <= 0 {
--- a/internal/serve/engine/host_list.go
+++ b/internal/serve/engine/host_list.go
@@ -9,7 +9,7 @@
 
 // The list of hosts.
 
-// Reroute says that Config.HostRuns says something else from now on.
+// SetHostClasses replaces Config.HostClasses.
 func (e *Engine) SetHostClasses(hostRuns func(kind int) []bool) {
 	e.enqueue(func(now time.Duration) {
 		e.HostClasses = hostRuns
@@ -23,7 +23,7 @@
 	})
 }
 
-// List hands in the inventory, or changes to it. Hosts that came by themselves say nothing of what discovery has.
+// UpdateHosts applies the inventory, or changes to it. Hosts that registered themselves do not make the list complete.
 func (e *Engine) UpdateHosts(kind balance.ListKind, hosts []Host) {
 	e.enqueue(func(now time.Duration) {
 		e.updateHosts(now, kind, hosts)
@@ -33,7 +33,7 @@
 	})
 }
 
-// Sees says whether messages are sent by the list that is held: see balance.Dispatcher.Heard.
+// HasHostList reports whether the scheduler has a list of hosts to send messages by: see balance.Dispatcher.HasList.
 func (e *Engine) HasHostList() bool { return e.hasHostList.Load() }
 
 func (e *Engine) updateHosts(now time.Duration, kind balance.ListKind, hosts []Host) {
@@ -61,7 +61,7 @@
 		} else if old.Worker.Up != w.Up || old.Address != h.Address || w.State == balance.Removed {
 			e.backendFor(old.Host).Forget(old.Host)
 		}
-		if w.State == balance.Removed { // a change may carry the id alone
+		if w.State == balance.Removed { // a change may contain the id only
 			h.Address = old.Address
 		}
 		old.Host, old.listed = h, w.State != balance.Removed
@@ -69,7 +69,7 @@
 	}
 	if kind == balance.ListFull || kind == balance.ListCached {
 		for id, h := range e.hosts {
-			if h.Backend != nil { // the inventory's lists say nothing of it, and to the module this one is all there is
+			if h.Backend != nil { // not in the inventory's lists, but the scheduler takes the list as complete
 				if h.listed && !listed[id] {
 					entries = append(entries, h.Worker)
 				}
@@ -94,18 +94,18 @@
 	e.publishHostCounts(now)
 }
 
-// forget drops all that is known of a host that came by itself and has gone: there may be any number of names. An
-// operator's word stays.
+// removeHost drops the state of a removed host that had registered itself: there may be any number of names. One that an
+// operator has set offline stays.
 func (e *Engine) removeHost(name string) {
 	id := e.workerIDs.id(name)
-	if h := e.hosts[id]; h != nil && h.Worker.State == balance.Removed && !h.offline.Load() { // else it is back already
+	if h := e.hosts[id]; h != nil && h.Worker.State == balance.Removed && !h.offline.Load() { // else it has registered again
 		delete(e.hosts, id)
 		delete(e.everListed, name)
 		delete(e.workerIDs, id)
 	}
 }
 
-// south is the side that carries attempts to a host.
+// backendFor returns the backend that carries attempts to a host.
 func (e *Engine) backendFor(h Host) Backend {
 	if h.Backend != nil {
 		return h.Backend
--- a/internal/serve/engine/message.go
+++ b/internal/serve/engine/message.go
@@ -7,11 +7,11 @@
 	"liftgauge/internal/timerwheel"
 )
 
-// The life of a message from its arrival to its answer.
+// The lifecycle of a message from its arrival to its answer.
 
 func (e *Engine) accept(now time.Duration, m *Message) {
 	if e.byKey[m.Key] != nil || e.moving[m.Key] != nil {
-		// The same id twice at once: the first may be running, so this one is neither run nor called harmless.
+		// A duplicate id: the first message may be running, so this one is not run, and a retry is not said to be safe.
 		m.Reply(Answer{Kind: Failed})
 		if m.OnClosed != nil {
 			m.OnClosed()
@@ -28,13 +28,13 @@
 	e.dispatcher.Job(now, job)
 }
 
-// answer gives the final answer, once.
+// answer gives the final answer, at most once.
 func (e *Engine) answer(msg *openMessage, a Answer) {
 	if msg.answered {
 		return
 	}
-	// A back-off answer says that trying again is harmless: never where an attempt may have run, or still may, but for a class that may be
-	// repeated at will.
+	// A back-off answer means that a retry is safe. It is never given if an attempt has run or may still run, except for a class whose
+	// jobs may be repeated freely.
 	if a.Kind == BackOff && !e.Check.Check(!msg.mayHaveRun && msg.outstanding == 0 || e.isRepeatable(msg), "back-off answer for what may have run", "message", msg.Key) {
 		a = Answer{Kind: Failed}
 	}
@@ -52,14 +52,14 @@
 	e.closeIfDone(msg)
 }
 
-// repeats: its class may be repeated at will.
+// isRepeatable reports whether jobs of the message's class may be repeated freely.
 func (e *Engine) isRepeatable(msg *openMessage) bool {
 	class := msg.Job.Class
 	return class >= 0 && class < len(e.Settings.Classes) && e.Settings.Classes[class].Effect == balance.Safe
 }
 
-// settle forgets a message that is answered and has no attempt out. Its timers go with it: left on the wheel they would
-// hold it, with all that the client sent, until its patience is over.
+// closeIfDone drops a message that is answered and has no outstanding attempt. Its timers are stopped: left on the wheel they
+// would keep it in memory, with its payload, until its deadline.
 func (e *Engine) closeIfDone(msg *openMessage) {
 	if msg.answered && msg.outstanding == 0 && e.jobs[msg.jobID] == msg {
 		delete(e.jobs, msg.jobID)
@@ -98,7 +98,7 @@
 		e.timeOutAttempt(now, a)
 	}
 	if !msg.answered {
-		e.Log.Warn("no final answer from the module by the deadline", "message", msg.Key)
+		e.Log.Warn("no final answer from the scheduler by the deadline", "message", msg.Key)
 		msg.disconnected = true
 		e.answer(msg, Answer{Kind: Failed})
 		e.dispatcher.Disconnected(now, msg.jobID)
--- a/internal/serve/engine/operators.go
+++ b/internal/serve/engine/operators.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// What operators ask of the owner: hosts out by hand, the hosts as they stand, the end of the work.
+// Operators' requests: hosts set offline manually, the list of hosts, shutdown.
 
-// Conclude answers all that is open: the program may be killed soon, and what it has not answered by then nobody ever answers. A message
-// of which nothing can have run gets a back-off answer, any other fails. The module hears that the client is done with.
+// AnswerOpenMessages answers all open messages: the process may be killed soon, and nobody else would answer them. A message
+// that cannot have run gets a back-off answer, any other fails. For the scheduler the clients have disconnected.
 func (e *Engine) AnswerOpenMessages() {
 	e.enqueue(func(now time.Duration) {
 		n := 0
-		for _, id := range slices.Sorted(maps.Keys(e.jobs)) { // in the order in which they came
+		for _, id := range slices.Sorted(maps.Keys(e.jobs)) { // in order of arrival
 			msg := e.jobs[id]
 			if msg == nil || msg.answered {
 				continue
@@ -30,13 +30,13 @@
 			e.dispatcher.Disconnected(now, msg.jobID)
 		}
 		if n > 0 {
-			e.Log.Info("concluded", "messages", n)
+			e.Log.Info("answered open messages before shutdown", "messages", n)
 		}
 	})
 }
 
-// SetOffline leaves a host out, or lets it serve again, at an operator's word. It returns once that holds. Known says
-// whether the host was ever listed; one that was not is left as it is, unless it is sure that it was.
+// SetOffline sets a host offline, or online again, on an operator's request. It returns once that is applied. Known reports
+// whether the host was ever listed; one that was not is left as it is, unless sure says that another process has listed it.
 func (e *Engine) SetOffline(ctx context.Context, name string, out, sure bool) (known bool, err error) {
 	err = e.runPriority(ctx, func(now time.Duration) {
 		if sure {
@@ -49,8 +49,8 @@
 	return known, err
 }
 
-// Hosts returns what the inventory lists, without hosts that came by themselves: a successor that took those for its own
-// would call them.
+// Hosts returns the hosts of the inventory, without hosts that registered themselves: a successor that received those would
+// try to connect to them.
 func (e *Engine) Hosts(ctx context.Context) (all []Host, err error) {
 	err = e.runPriority(ctx, func(time.Duration) {
 		for _, h := range e.hosts {
@@ -62,30 +62,30 @@
 	return all, err
 }
 
-// ask has the owner do something before all that waits in the queue, and returns when it is done.
+// runPriority has the event loop run an event ahead of the queue, and returns when it is done.
 func (e *Engine) runPriority(ctx context.Context, do event) error {
 	done := make(chan struct{})
 	select {
 	case e.priority <- func(now time.Duration) { defer close(done); do(now) }:
-		<-done // it runs
+		<-done
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-e.stopped:
-		return errors.New("the program ends")
+		return errors.New("engine stopped")
 	}
 }
 
 func (e *Engine) setOffline(now time.Duration, name string, out bool) {
 	id := e.workerIDs.id(name)
 	h := e.hosts[id]
-	if h == nil { // not on the list now; what is kept of it waits for the day
+	if h == nil { // not listed now: the setting is kept for when it is
 		h = &host{Host: Host{Name: name}}
 		h.notReady.Store(true)
 		e.hosts[id] = h
 	}
 	if h.offline.Swap(out) != out {
-		e.backendFor(h.Host).Forget(h.Host) // a process started anew must not be taken for the one before
+		e.backendFor(h.Host).Forget(h.Host) // its connections may belong to a process that is restarted meanwhile
 	}
 	e.dispatcher.SetOffline(now, id, out)
 	e.publishHostCounts(now)
--- a/internal/serve/engine/reports.go
+++ b/internal/serve/engine/reports.go
@@ -6,22 +6,22 @@
 	"liftgauge/balance"
 )
 
-// What the sides report of attempts, and how it reaches the messages.
+// Reports on attempts by backends and hosts, and their effect on messages.
 
-// State is what a host says of a job.
+// JobState is the state of a job in a host's report.
 type JobState uint8
 
-// The states that hosts tell.
+// The states that hosts report.
 const (
 	Started  JobState = iota // it runs
-	Progress                 // how far it has come
+	Progress                 // completed fraction
 	Done                     // served
 	Errored                  // failed: it may have run
-	Returned                 // handed back unstarted
+	Returned                 // returned unstarted
 	Lost                     // killed: it may have run
 )
 
-// Report is a host's word on a job, by the ids that both sides know.
+// Report is a host's report on a job, identified by the message's key and the host's name.
 type Report struct {
 	Key, From string
 	State     JobState
@@ -30,18 +30,18 @@
 	Load      []float32 // of the host, in the settings' order; nil: it reported none
 }
 
-// Standing is where a message is that a host speaks of.
+// MessageLocation is where a message in a host's report is.
 type MessageLocation int
 
-// Where it is.
+// The locations of a message.
 const (
 	LocationUnknown MessageLocation = iota // not open here
 	LocationLocal
-	LocationMoving // on its way to another process: the host has to say it again
+	LocationMoving // in transfer to another process: the host must repeat its report
 )
 
-// Reported takes a host's word. False says that the queue is full; the host will say it again. Else known, if it is
-// set, is told where the message is, and settled, if it is set, once the word is dealt with; neither may block.
+// HandleReport queues a host's report. False means that the queue is full; the host will repeat the report. Otherwise known, if
+// set, is called with the message's location, and settled, if set, once the report is processed; neither may block.
 func (e *Engine) HandleReport(r Report, known func(MessageLocation), settled func()) bool {
 	return e.tryEnqueue(func(now time.Duration) {
 		if settled != nil {
@@ -62,7 +62,7 @@
 	})
 }
 
-// Assigned says that an attempt was written whole and runs, for sides that know both at once.
+// AttemptStarted reports that an attempt was written completely and runs, for backends that learn both at once.
 func (e *Engine) AttemptStarted(a *Attempt) {
 	e.forwards.Add(1)
 	e.enqueue(func(now time.Duration) {
@@ -76,8 +76,8 @@
 	})
 }
 
-// Passed hands on what an attempt brings forth before its end, to the message's Event. Settled, if it is set, is called
-// once that is done. Where there is no Event, or the attempt is over, it is dropped.
+// AttemptEvent passes an event of an attempt to the message's OnEvent. Settled, if set, is called once that is done. Without
+// an OnEvent, or after the attempt's end, the event is dropped.
 func (e *Engine) AttemptEvent(a *Attempt, what any, settled func()) {
 	if !e.enqueue(func(time.Duration) {
 		if settled != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Served says that an attempt ended with a result. Settled is as in Passed.
+// AttemptServed reports that an attempt ended with a result. Settled is as in AttemptEvent.
 func (e *Engine) AttemptServed(a *Attempt, result []byte, settled func()) {
 	if !e.enqueue(func(now time.Duration) {
 		if settled != nil {
@@ -101,18 +101,18 @@
 	}
 }
 
-// After calls a function once all that was reported before is dealt with, and what the module decided upon it done. It
-// must not block.
+// AfterQueued calls a function once everything reported before is processed, and the scheduler's decisions on it are carried
+// out. It must not block.
 func (e *Engine) AfterQueued(f func()) { e.enqueue(func(time.Duration) { f() }) }
 
-// event tells a message of what becomes of an attempt.
+// notifyMessage passes an event of an attempt to its message.
 func (e *Engine) notifyMessage(a *Attempt, what any) {
 	if msg := a.open; !a.done && !msg.answered && msg.OnEvent != nil {
 		msg.OnEvent(what)
 	}
 }
 
-// Written says that the last byte of an attempt is on its way, on a fresh connection or on one that had been used.
+// AttemptWritten reports that the last byte of an attempt is written, on a fresh or a reused connection.
 func (e *Engine) AttemptWritten(a *Attempt, fresh bool) {
 	e.forwards.Add(1)
 	e.enqueue(func(now time.Duration) {
@@ -122,17 +122,17 @@
 	})
 }
 
-// Ended says how an attempt ended on the way, or that its withdrawal is done.
+// AttemptEnded reports how an attempt ended before its host accepted it, or that its withdrawal is done.
 func (e *Engine) AttemptEnded(a *Attempt, status balance.Status) {
 	e.enqueue(func(now time.Duration) { e.endAttempt(now, a, status, nil) })
 }
 
-// Probed says how a probe ended, and what the host reported of its load with the answer.
+// ProbeEnded reports the outcome of a probe, and the load that the host reported with it.
 func (e *Engine) ProbeEnded(h Host, status balance.Status, load []float32) {
 	e.enqueue(func(now time.Duration) { e.dispatcher.Probed(now, h.Worker.ID, status, load) })
 }
 
-// timeOut stops waiting for an attempt, and tells the host.
+// timeOutAttempt stops waiting for an attempt and withdraws it.
 func (e *Engine) timeOutAttempt(now time.Duration, a *Attempt) {
 	if !a.done {
 		a.withdrawn.Store(true)
@@ -141,14 +141,14 @@
 	}
 }
 
-// reported matches a host's word to the attempt that is out there. What comes late, twice or from a host that has no
-// attempt of the message changes nothing.
+// applyReport matches a host's report to its outstanding attempt. Late and repeated reports, and those from a host without an
+// attempt of the message, have no effect.
 func (e *Engine) applyReport(now time.Duration, r Report) {
 	msg := e.byKey[r.Key]
 	var a *Attempt
 	if msg != nil {
 		for _, b := range msg.attempts {
-			if !b.done && b.Host.Name == r.From && b.Host.Backend == nil { // others report by their own side
+			if !b.done && b.Host.Name == r.From && b.Host.Backend == nil { // others report by their own backend
 				a = b
 			}
 		}
@@ -175,8 +175,8 @@
 	case Errored:
 		e.endAttempt(now, a, balance.Errored, nil)
 	case Returned:
-		// A host repeats a report whose answer it missed. Where it has handed back an earlier attempt of this message,
-		// this may be that word again while the new attempt runs: it proves nothing of the new one.
+		// A host repeats a report whose answer it missed. If it has returned an earlier attempt of this message, this may be
+		// that report again while the new attempt runs: it does not prove that the new one has not run.
 		status := balance.Full
 		for _, b := range msg.attempts {
 			if b != a && b.returned && b.host == a.host {
@@ -190,8 +190,8 @@
 	}
 }
 
-// ended takes an attempt's one outcome: the first that comes. Deadline, withdrawal, the client's leaving and a host's
-// word may race; the order in which they reach this goroutine decides.
+// endAttempt applies an attempt's outcome: the first one counts. Deadline, withdrawal, the client's disconnecting and a host's
+// report may race; the order in which they reach this goroutine decides.
 func (e *Engine) endAttempt(now time.Duration, a *Attempt, status balance.Status, result []byte) {
 	if a.done {
 		return
--- a/internal/serve/engine/types.go
+++ b/internal/serve/engine/types.go
@@ -15,90 +15,90 @@
 // Answer is the final answer of a message.
 type Answer struct {
 	Kind       AnswerKind
-	Result     []byte        // what a host made, where it was served
-	RetryAfter time.Duration // of a back-off answer: how long to stay away; 0 for no advice
+	Result     []byte        // from the host, if Served
+	RetryAfter time.Duration // of a back-off answer; 0: not specified
 }
 
-// Kind tells the final answers apart.
+// AnswerKind distinguishes the final answers.
 type AnswerKind uint8
 
 // The final answers.
 const (
-	Failed  AnswerKind = iota // promises nothing
-	Served                    // a host's result
-	BackOff                   // the job was not done, trying again is harmless
+	Failed  AnswerKind = iota // the job may have run
+	Served                    // with a host's result
+	BackOff                   // the job did not run, retrying is safe
 )
 
-// Message is a client's job as the north side took it.
+// Message is a client's job as the client listener received it.
 type Message struct {
-	Key     string        // the client's id of it, unique while it is open
-	Job     balance.Job   // without an id, which the owner gives
-	Arrived time.Duration // on the owner's clock
-	Payload any           // what the south side passes on
-	Reply   func(Answer)  // called once, from the owner's goroutine; must not block
-	// Event, if it is set, is told what becomes of the attempt that is out before there is an answer: Begun, Share, or
-	// what a side passed on by Owner.Passed. It is called from the owner's goroutine and must not block.
+	Key     string        // the client's id, unique while the message is open
+	Job     balance.Job   // without an id, which the engine assigns
+	Arrived time.Duration // on the engine's clock
+	Payload any           // what the backend forwards
+	Reply   func(Answer)  // called once, from the engine's goroutine; must not block
+	// OnEvent, if set, is called with events of the outstanding attempt before there is an answer: RunningEvent, WaitingEvent,
+	// ProgressEvent, or a value passed to Engine.AttemptEvent. It is called from the engine's goroutine and must not block.
 	OnEvent func(any)
-	// Settled, if it is set, is called once when the owner has let go of the message: it is answered, or its client has
-	// gone, and no attempt is out. It must not block. A message that Submit turned away was never the owner's.
+	// OnClosed, if set, is called once when the engine has dropped the message: it is answered or its client has
+	// disconnected, and no attempt is outstanding. It must not block. It is not called for a message that Submit rejected.
 	OnClosed func()
-	Subject  uint64 // a keyed hash of what it is about, for records only; 0: none
+	Subject  uint64 // a keyed hash of the message's key, for records only; 0: none
 
-	clientGone atomic.Bool // its client has gone: known at once, whatever waits in the queue
+	clientGone atomic.Bool // the client has disconnected: set at once, ahead of queued events
 }
 
-// Begun is an event of a message: it runs.
+// RunningEvent reports that a message runs at a host.
 type RunningEvent struct{}
 
-// Waits is an event of a message: it runs no more and has no answer yet.
+// WaitingEvent reports that a message no longer runs and has no answer yet.
 type WaitingEvent struct{}
 
-// Share is an event of a message: so much of it is done.
+// ProgressEvent reports the completed fraction of a message.
 type ProgressEvent float64
 
-// Host is a south side host as the inventory lists it, or one that has come by itself.
+// Host is a host from the inventory, or one that registered itself by connecting.
 type Host struct {
-	Name    string // its id in the inventory
+	Name    string // id in the inventory
 	Address string
-	Worker  balance.Worker // without an id, which the owner derives from the name
-	// Via is the side that carries attempts to it; nil for Config.South. Only hosts without one are the inventory's: its
-	// lists say nothing of others, and these are forgotten when they have gone.
+	Worker  balance.Worker // without an id, which the engine derives from the name
+	// Backend carries attempts to the host; nil for Config.Backend. Only hosts without one belong to the inventory: its
+	// lists do not cover the others, which are dropped when they are removed.
 	Backend Backend
 }
 
-// Attempt is one send of a message to a host. The south side reports how it ended.
+// Attempt is one delivery of a message to a host. The backend reports how it ended.
 type Attempt struct {
 	Message  *Message
 	Host     Host
-	Deadline time.Duration // on the owner's clock
-	// Clear reports whether the attempt may still be sent. It is to be asked right before the first byte: between the
+	Deadline time.Duration // on the engine's clock
+	// MaySend reports whether the attempt may still be sent. It must be checked right before the first byte: between the
 	// decision and the send the host may have begun to drain or the attempt may have been withdrawn.
 	MaySend func() bool
-	// Load is what the host reported of its load with the answer that ended the attempt, in the settings' order; nil: nothing. The side sets
-	// it before it says Ended.
+	// Load is the load that the host reported with the answer that ended the attempt, in the settings' order; nil: none. The backend
+	// sets it before it calls AttemptEnded.
 	Load []float32
 
-	// Until is when it may no longer be begun, and its last byte no longer go out, on the owner's clock; 0: no such time but the
-	// deadline. A keyed message may run again only for so long after the first attempt that may have run.
+	// SendDeadline is the time by which the last byte must be sent, on the engine's clock; 0: only the deadline applies. A keyed message
+	// may run again only within a window after the first attempt that may have run.
 	SendDeadline time.Duration
 
 	open      *openMessage
 	index     int
 	sentAt    time.Duration
 	done      bool
-	returned  bool        // the host handed it back by a report
-	accepted  atomic.Bool // see Taken
+	returned  bool        // the host returned it unstarted by a report
+	accepted  atomic.Bool // see MarkAccepted
 	cancel    context.CancelCauseFunc
 	host      *host
 	withdrawn atomic.Bool
-	timer     timerwheel.Timer[timer] // its time-out, where it has one of its own
+	timer     timerwheel.Timer[timer] // for a timeout earlier than the message's deadline
 
 	startedAt, endedAt time.Duration // 0: not known
 	status             balance.Status
 }
 
-// Sent, Began and Ended are on the owner's clock, 0 where not known; Status is how it ended. They may be asked for once the
-// message has settled.
+// SentAt, StartedAt and EndedAt are on the engine's clock, 0 if unknown; Status is how it ended. They may be called only once
+// the message is closed.
 func (a *Attempt) SentAt() time.Duration { return a.sentAt }
 
 func (a *Attempt) StartedAt() time.Duration { return a.startedAt }
@@ -113,53 +113,53 @@
 
 // Causes of the end of an attempt's context.
 var (
-	ErrWithdrawn    = errors.New("withdrawn")        // the host is to be told to give it up
+	ErrWithdrawn    = errors.New("withdrawn")        // the backend must cancel it at the host
 	ErrOutcomeKnown = errors.New("outcome is known") // nothing is left to do
-	ErrHandedOver   = errors.New("another's now")    // the same: another process of the dispatcher has taken the message over
+	ErrHandedOver   = errors.New("message released to another process")    // nothing is left to do here
 )
 
-// South carries attempts to the hosts.
+// Backend carries attempts to the hosts.
 type Backend interface {
-	// Send carries out an attempt until its context ends, and reports by Owner.Written and Owner.Ended. ErrWithdrawn asks it to give the
-	// attempt up at the host and then report Cancelled, unless another outcome comes first.
+	// Send carries out an attempt until its context ends, and reports to Engine.AttemptWritten and Engine.AttemptEnded. On ErrWithdrawn it
+	// cancels the attempt at the host and then reports Cancelled, unless another outcome comes first.
 	Send(ctx context.Context, a *Attempt)
-	// Probe asks for a host's health and reports by Owner.Probed.
+	// Probe checks a host's health and reports to Engine.ProbeEnded.
 	Probe(h Host)
-	// Forget drops what is kept for a host that restarted or is gone.
+	// Forget drops what is kept for a host that restarted or was removed.
 	Forget(h Host)
 }
 
-// Inventory lists the hosts and reports by Owner.List.
+// Inventory lists the hosts and reports to Engine.UpdateHosts.
 type Inventory interface {
-	// Watch asks for the changes from here on; where a watch is open it is made anew.
+	// Watch requests a watch for changes; one that is open is replaced.
 	Watch()
 }
 
-// ErrNobody says that no other process is there that could own a message.
+// ErrNoPeer means that there is no other process that could have a message.
 var ErrNoPeer = errors.New("no other process")
 
-// Config is what an Owner needs.
+// Config configures an Engine.
 type Config struct {
 	Settings     balance.Settings
 	Seed         uint64
 	InitialHosts []Host
 	Backend      Backend
 	Inventory    Inventory
-	Now          func() time.Duration // the module's clock: monotonic, counted from the Unix epoch
+	Now          func() time.Duration // the scheduler's clock: monotonic, counted from the Unix epoch
 	QueueSize    int
 	Log          *slog.Logger
 	Check        *invariant.Checker
 
-	// Seen, if it is set, is told of every message that has settled: what its answer was, if it got one, and when, and all
+	// OnMessageClosed, if set, is called for every closed message with its answer, if any, the time of that, and all
 	// attempts. It must not block.
 	OnMessageClosed func(m *Message, answer AnswerKind, answered bool, at time.Duration, attempts []*Attempt)
 
-	// HostRuns says which classes an inventory's host of a kind runs, as balance.Worker.Runs has it; nil: all.
+	// HostClasses returns which classes an inventory host of a kind runs, as in balance.Worker.Runs; nil: all.
 	HostClasses func(kind int) []bool
 
-	HostsInherited bool                // Known is fresh: a process that this one takes over from had it
-	InitialLearned *balance.Learned    // what that process had learnt; may be nil
-	EverListed     []string            // names that were listed before, in earlier processes too
-	InitialOffline []string            // of these, hosts that operators have left out
-	OnNewHosts     func(name []string) // if set, told of names that were never listed before; must not block
+	HostsInherited bool                // InitialHosts come from the process that this one takes over from, so they are current
+	InitialLearned *balance.Learned    // from that process; may be nil
+	EverListed     []string            // names of hosts listed before, in earlier processes too
+	InitialOffline []string            // those of them that operators have set offline
+	OnNewHosts     func(name []string) // if set, called with names never listed before; must not block
 }
--- a/internal/serve/engine/worker_id.go
+++ b/internal/serve/engine/worker_id.go
@@ -7,12 +7,12 @@
 	"liftgauge/balance"
 )
 
-// names maps the inventory's ids to the module's.
+// workerNames holds the host name that each worker id is assigned to.
 type workerNames map[balance.WorkerID]string
 
-// id derives the number of a host from its name alone, so that every dispatcher, and one that starts anew, has the
-// same: the module's fixed order of hosts rests on it. Names that end in eight hex digits have their number there;
-// others are hashed. Where two names meet in one number, the later one moves on to the next free hash.
+// id derives a host's id from its name alone, so that every dispatcher has the same one, also after a restart: the
+// scheduler's fixed order of hosts depends on it. Names that end in eight hex digits have that number; others are hashed. On a
+// collision the later name takes the next free salted hash.
 func (n workerNames) id(name string) balance.WorkerID {
 	var id balance.WorkerID
 	if v, err := strconv.ParseUint(name[max(0, len(name)-8):], 16, 32); err == nil && len(name) >= 8 {
