--- a/internal/serve/backend/client.go
+++ b/internal/serve/backend/client.go
@@ -1,5 +1,5 @@
-// Package south carries attempts to the south side hosts over HTTP/1.1: sends, withdrawals and probes, on pools of
-// connections. It never sends anything twice and reports "never ran" only where that is proven.
+// Package backend carries attempts to the hosts over HTTP/1.1: sends, withdrawals and probes, on pooled connections.
+// It never sends a job twice, and reports that an attempt never ran only if that is proven.
 package backend
 
 import (
@@ -22,16 +22,16 @@
 const (
 	probeTimeout        = 500 * time.Millisecond
 	withdrawTimeout     = time.Second
-	lateResponseTimeout = time.Second // how long an answer is awaited whose outcome is known, to keep the connection
+	lateResponseTimeout = time.Second // for the rest of a response whose outcome is known, to reuse the connection
 	maxResponseBody     = http1.MaxBody
-	maxInterimResponses = 16 // answers that only announce another
+	maxInterimResponses = 16 // responses with a 1xx status before the final one
 
-	minWithdrawPause = 50 * time.Millisecond // until a withdrawal that was not heard is said again; twice as long each time
+	minWithdrawPause = 50 * time.Millisecond // before an unconfirmed withdrawal is repeated; doubles each time
 
-	statusRefused = balance.Status(255) // of a call without a job: nobody listens there
+	statusRefused = balance.Status(255) // of a call without a job: the host refused the connection
 )
 
-// Sink takes what became of attempts and probes.
+// Sink receives the outcomes of attempts and probes.
 type Sink interface {
 	AttemptWritten(a *engine.Attempt, fresh bool)
 	AttemptEnded(a *engine.Attempt, status balance.Status)
@@ -42,24 +42,24 @@
 type Config struct {
 	Sink            Sink
 	ConnectTimeout  time.Duration
-	HostIdleTimeout time.Duration // hosts close what stood idle so long
+	HostIdleTimeout time.Duration // after which hosts close idle connections
 	MaxConns        int
-	// Copies says that a message may be with two hosts at once: whether a host has heard that an attempt is given up is then asked once.
+	// ConcurrentAttempts allows a message to be at two hosts at once: an unconfirmed withdrawal is then not repeated.
 	ConcurrentAttempts bool
-	Loads              *load.Reader // of hosts' load reports; nil where they have none
+	Loads              *load.Reader // of hosts' load reports; nil: there are none
 	Now                func() time.Duration
 	Log                *slog.Logger
 	Dial               func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Client is the south side. It implements engine.South.
+// Client sends attempts to hosts. It implements engine.Backend and engine.Resumer.
 type Client struct {
 	Config
 	pool     *pool
 	tasks    errgroup.Group
 	ctx      context.Context
 	stop     context.CancelFunc
-	stopping chan struct{} // closed when Run's context has ended: what is not heard by then is not said again
+	stopping chan struct{} // closed when Run's context has ended: unconfirmed withdrawals are then no longer repeated
 }
 
 var _ interface {
@@ -79,8 +79,8 @@
 	return s
 }
 
-// Run closes connections before the hosts do. It returns when the context has ended and all tasks are over, which are
-// at most withdrawals and probes by then, and short; nobody may call Send or Probe any more.
+// Run closes idle connections before the hosts do. It returns when the context has ended and all tasks are done: by then only
+// withdrawals and probes, which are short. Send and Probe must not be called after that.
 func (c *Client) Run(ctx context.Context) error {
 	ticks := time.NewTicker(c.pool.maxIdle / 8)
 	defer ticks.Stop()
@@ -102,11 +102,11 @@
 	c.tasks.Go(func() error { task(); return nil })
 }
 
-// Send carries out an attempt for as long as its context lasts.
+// Send carries out an attempt until its context ends.
 func (c *Client) Send(ctx context.Context, a *engine.Attempt) {
 	call := callOf(a.Message)
 	if call != nil {
-		call.Hold.Share() // the owner, which calls this, has one until the attempt is over; a write may end later
+		call.Hold.Share() // the engine's share lasts until the attempt's end; a write may end later
 	}
 	c.spawn(func() {
 		defer func() {
@@ -122,7 +122,7 @@
 	})
 }
 
-// settle waits for the end of an attempt that its host has taken, and withdraws it there if that is asked for.
+// awaitOutcome waits for the end of an attempt that its host has accepted, and withdraws it there on request.
 func (c *Client) awaitOutcome(ctx context.Context, a *engine.Attempt) {
 	<-ctx.Done()
 	if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) {
@@ -130,9 +130,9 @@
 	}
 }
 
-// withdraw gives an attempt up at its host. It returns the outcome that follows from that, or TimedOut where the host has not heard: the
-// attempt may run there yet, and it is neither over nor given up. Where no copy is allowed it goes on until the host has heard, or the
-// deadline makes an end of all: nothing else may be done with the message meanwhile.
+// withdraw cancels an attempt at its host. It returns the given outcome if the host confirms, else TimedOut: the attempt may still run
+// there. If concurrent attempts are not allowed, it repeats the withdrawal until the host confirms or the deadline is near: the
+// message must not be sent elsewhere meanwhile.
 func (c *Client) withdraw(a *engine.Attempt, confirmed balance.Status) balance.Status {
 	for pause := minWithdrawPause; ; pause = min(2*pause, withdrawTimeout) {
 		switch {
@@ -149,15 +149,15 @@
 	}
 }
 
-// Resume goes on with an attempt that its host has taken from another process of this dispatcher.
+// Resume continues an attempt that its host has accepted from another process of this dispatcher.
 func (c *Client) Resume(ctx context.Context, a *engine.Attempt) {
 	c.spawn(func() { c.awaitOutcome(ctx, a) })
 }
 
-// Caller is a payload that can be passed on as a call, whatever its client spoke.
+// HTTPPayload is a payload that can be sent as an HTTP call, whatever protocol its client uses.
 type HTTPPayload interface{ HTTP() *http1.Call }
 
-// callOf is a message as it is passed on, or nil.
+// callOf returns a message's HTTP call, or nil.
 func callOf(m *engine.Message) *http1.Call {
 	switch p := m.Payload.(type) {
 	case *http1.Call:
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// Probe asks for a host's health.
+// Probe checks a host's health.
 func (c *Client) Probe(h engine.Host) {
 	c.spawn(func() {
 		began := c.Now()
@@ -178,15 +178,15 @@
 	})
 }
 
-// Forget closes the idle connections to a host; those in use end with what they carry.
+// Forget closes the idle connections to a host; those in use are closed after their request.
 func (c *Client) Forget(h engine.Host) { c.pool.forget(h.Name) }
 
-// SetLimit changes how many connections there may be, to one of at most MaxConns.
+// SetLimit sets the limit of open connections, at most MaxConns.
 func (c *Client) SetLimit(n int) { c.pool.setLimit(n) }
 
-// send writes the attempt and awaits the answer. 0 says that the host has taken it.
+// send writes the attempt and awaits the response. 0 means that the host has accepted it.
 //
-// What proves that it never ran: the connection did not come up, or failed before the last byte was written. A write
+// The attempt provably never ran if the connection was not established, or failed before the last byte was written. A write
 // that took all bytes may have reached the host, even on a connection that turns out to be broken.
 func (c *Client) send(ctx context.Context, a *engine.Attempt) balance.Status {
 	call := callOf(a.Message)
@@ -198,7 +198,7 @@
 	case ctx.Err() != nil:
 		c.pool.put(conn)
 		return balance.NotSent
-	case errors.Is(err, errPoolExhausted): // the shortage is here: the host is not to blame
+	case errors.Is(err, errPoolExhausted): // a local shortage, no fault of the host
 		return balance.NotSent
 	case err != nil:
 		return balance.ConnectFailed
@@ -208,13 +208,13 @@
 	fields = append(fields, http1.Field{Name: "Req-Deadline-Ms", Value: strconv.Itoa(int(left))})
 	head := http1.AppendRequestHead(make([]byte, 0, 512), call.Method, call.Target, fields, len(call.Body))
 	whole := len(head) + len(call.Body)
-	// Since the decision the host may have begun to drain, or the attempt may have been withdrawn: a send counts from
+	// Since the decision the host may have begun to drain, or the attempt may have been withdrawn: a send takes effect with
 	// its first byte.
 	if !a.MaySend() {
 		c.pool.put(conn)
 		return balance.NotSent
 	}
-	if a.SendDeadline > 0 { // a write that a slow host holds up must not end later: cut short, it proves that nothing ran
+	if a.SendDeadline > 0 { // a write to a slow host must not end later: an incomplete one proves that nothing ran
 		conn.SetWriteDeadline(time.Now().Add(a.SendDeadline - c.Now()))
 	}
 	stop := context.AfterFunc(ctx, func() {
@@ -225,7 +225,7 @@
 		}
 	})
 	defer stop()
-	request := net.Buffers{head, call.Body} // one call of the kernel, and the body is not copied
+	request := net.Buffers{head, call.Body} // one system call, and the body is not copied
 	if n, err := request.WriteTo(conn.Conn); err != nil {
 		c.pool.drop(conn)
 		c.noteBroken(ctx, conn)
@@ -238,14 +238,14 @@
 		return balance.ConnectFailed
 	}
 	c.Sink.AttemptWritten(a, !conn.reused)
-	// A host that says nothing may be cut off, and then its idle connections are as silent as this one: what is sent on
-	// them counts as perhaps run for as long as the client waits. A new connection shows at once whether it is there.
+	// An unresponsive host may be unreachable, and then its idle connections are as dead as this one: an attempt sent on them may
+	// count as running until its deadline. A new connection shows quickly whether the host is reachable.
 	unresponsive := time.AfterFunc(c.ConnectTimeout, func() { c.pool.forget(a.Host.Name) })
 	defer unresponsive.Stop()
-	answer, err := c.readHead(conn) // before the 202, closing the connection also gives the attempt up
+	answer, err := c.readHead(conn) // until the 202, closing the connection cancels the attempt
 	var malformed *http1.Error
 	if err != nil {
-		if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) { // the 202 may be on the way
+		if errors.Is(context.Cause(ctx), engine.ErrWithdrawn) { // the 202 may be in flight
 			return c.withdraw(a, balance.Cancelled)
 		}
 		c.Log.Debug("reset", "message", call.ID, "host", a.Host.Name, "kept", conn.reused, "err", err)
@@ -261,8 +261,8 @@
 	if status == 0 {
 		a.MarkAccepted()
 	}
-	// What the head says counts now, whatever becomes of the body. Only after a 202 the connection is kept: should another
-	// answer come late, the next job on it would have it for its own, and "never ran" must not be said of a job that runs.
+	// The head decides, whatever happens to the body. The connection is reused only after a 202: a second, late response would
+	// be taken for that of the next job, which could then be reported as never run while it runs.
 	if status == 0 {
 		c.drainBody(conn, answer, stop)
 	} else {
@@ -274,8 +274,8 @@
 	return status
 }
 
-// rest reads what is left of an answer whose outcome is known, and keeps the connection if it can be used again. Where the body has
-// yet to come nobody waits for it.
+// drainBody reads the rest of a response whose outcome is known, and returns the connection to the pool if it can be reused. A body
+// that has not arrived is awaited in the background.
 func (c *Client) drainBody(conn *conn, answer *http1.Response, stop func() bool) {
 	read := func() {
 		err := conn.reader.SkipBody(&answer.Head, maxResponseBody)
@@ -289,7 +289,7 @@
 	c.spawn(read)
 }
 
-// done puts a connection back whose answer has been read, if it can be used again.
+// releaseConn returns a connection whose response has been read to the pool, if it can be reused, else closes it.
 func (c *Client) releaseConn(conn *conn, answer *http1.Response, err error, stop func() bool) {
 	if stopped := stop(); err == nil && !answer.Close && conn.reader.Buffered() == 0 && stopped {
 		c.pool.put(conn)
@@ -298,7 +298,7 @@
 	}
 }
 
-// broke notes that a connection broke, unless this side ended what it carried.
+// noteBroken notes that a connection broke, unless the request was cancelled here.
 func (c *Client) noteBroken(ctx context.Context, conn *conn) {
 	switch {
 	case ctx.Err() != nil:
@@ -309,7 +309,7 @@
 	}
 }
 
-// head reads an answer's head, past such as announce another. Without one the connection is dropped.
+// readHead reads the head of the final response, skipping 1xx ones. On an error the connection is closed.
 func (c *Client) readHead(conn *conn) (*http1.Response, error) {
 	for range maxInterimResponses {
 		answer, err := conn.reader.ReadResponse()
@@ -322,11 +322,11 @@
 		}
 	}
 	c.pool.drop(conn)
-	return nil, &http1.Error{Reason: "answers without end that announce another"}
+	return nil, &http1.Error{Reason: "too many interim responses"}
 }
 
-// answer reads an answer with its body. It keeps the connection if it can be used again; stop ends what may still set
-// its deadlines, and where that has begun already the connection is not kept. A body of up to some size is kept, if it comes whole.
+// readResponse reads a response with its body, and returns the connection to the pool if it can be reused. Stop cancels the
+// function that sets its deadlines; if that has already started, the connection is closed. A body of at most keep bytes is returned.
 func (c *Client) readResponse(conn *conn, stop func() bool, keep int64) (*http1.Response, []byte, error) {
 	answer, err := c.readHead(conn)
 	if err != nil {
@@ -338,15 +338,15 @@
 	} else {
 		err = conn.reader.SkipBody(&answer.Head, maxResponseBody)
 	}
-	if answer.Status >= 300 { // see send: what comes after it must not be another's answer
+	if answer.Status >= 300 { // see send: a late second response must not be taken for that of the next request
 		answer.Close = true
 	}
 	c.releaseConn(conn, answer, err, stop)
 	return answer, body, nil
 }
 
-// outcome is what an answer to a send says, after the protocol's table. 0: the host has taken the job. Of an answer that is not in
-// the table nothing is known: the job may have run, and may run still.
+// outcome maps the response to a send according to the protocol's table. 0: the host has accepted the job. For a response not in
+// the table known is false: the job may have run, or may still be running.
 func outcome(answer *http1.Response) (status balance.Status, known bool) {
 	declined, _ := answer.Fields.Get("Srv-Declined")
 	switch {
@@ -361,19 +361,19 @@
 	return balance.Errored, answer.Status == 500
 }
 
-// giveUp tells a host that nobody waits for a job any more, and says whether it has heard. A 202 is no answer to that, but one to a job that
-// came twice. A host that refuses the connection is gone, with all that it had.
+// requestWithdrawal cancels a job at a host and reports whether the host confirmed. A 202 is no response to that, but to a job sent
+// before. A host that refuses the connection has ended, with all its jobs.
 func (c *Client) requestWithdrawal(a *engine.Attempt) (confirmed bool) {
 	call := callOf(a.Message)
 	answer, _, status := c.call(a.Host, "DELETE", "/jobs/"+call.ID, withdrawTimeout)
 	confirmed = status == balance.OK && answer.Status != 202 && answer.Status < 500 || status == statusRefused
 	if !confirmed {
-		c.Log.Debug("withdrawal not heard", "message", call.ID, "host", a.Host.Name, "status", status)
+		c.Log.Debug("withdrawal not confirmed", "message", call.ID, "host", a.Host.Name, "status", status)
 	}
 	return confirmed
 }
 
-// probe asks for a host's load where it reports any, else whether it is well.
+// probe requests a host's load if hosts report it, else its health.
 func (c *Client) probe(h engine.Host) (balance.Status, []float32) {
 	target := "/-/healthy"
 	if c.Loads != nil {
@@ -398,7 +398,7 @@
 	return status, c.Loads.Body(h.Name, body)
 }
 
-// ask makes one call that carries no job, within a time. OK says that an answer came, whose body is given if it is short.
+// call makes a call without a job, within a timeout. OK means that a response arrived; its body is returned if it is short.
 func (c *Client) call(h engine.Host, method, target string, within time.Duration) (*http1.Response, []byte, balance.Status) {
 	ctx, stop := context.WithTimeout(c.ctx, within)
 	defer stop()
--- a/internal/serve/backend/pool.go
+++ b/internal/serve/backend/pool.go
@@ -13,50 +13,50 @@
 	"liftgauge/internal/sock"
 )
 
-var errPoolExhausted = errors.New("no room for a connection")
+var errPoolExhausted = errors.New("connection limit reached")
 
-// conn is a connection to a host. It carries one request at a time: it is in use, or idle in the pool, or closed.
+// conn is a connection to a host. It carries one request at a time: it is either in use, idle in the pool, or closed.
 type conn struct {
 	net.Conn
 	reader     *http1.Reader
 	host       string
-	generation int           // of the host's pool when it was opened
-	idleSince  time.Duration // since when
-	reused     bool          // it has stood idle before what it carries now
+	generation int           // of the host's pool when this was opened
+	idleSince  time.Duration // when it was returned to the pool
+	reused     bool          // it was taken from the pool, not newly opened
 }
 
-// hostPool holds what is idle, the oldest first.
+// hostPool holds the idle connections to a host, oldest first.
 type hostPool struct {
 	idle       []*conn
-	generation int // counts how often the host was forgotten
+	generation int // incremented by forget: connections of earlier generations are not pooled again
 }
 
-// pool holds connections by host, at most so many in all.
+// pool holds idle connections by host, and limits how many connections are open in total.
 type pool struct {
 	Config
 	maxIdle time.Duration
 	mu      sync.Mutex
 	hosts   map[string]*hostPool
 	open    int
-	limit   int // of those that are open
+	limit   int // of open connections
 	closed  bool
 
-	noReuseUntil time.Duration // no connection is kept until then,
-	noReuseFor   time.Duration // for so long
+	noReuseUntil time.Duration // no connection is pooled until then
+	noReuseFor   time.Duration // length of the last such period
 }
 
-// Where kept connections break under what they carry, none are kept for a while, twice as long each time.
+// When pooled connections break during a request, none are pooled for a period, which doubles each time.
 const (
 	minNoReuse = 5 * time.Second
 	maxNoReuse = time.Minute
 )
 
 func newPool(c Config) *pool {
-	// Well before a host's machine would close it: a request that crosses such a close may have run.
+	// Well before the host closes idle connections: a request that races with such a close may have run.
 	return &pool{Config: c, maxIdle: max(c.HostIdleTimeout*3/4, 8*time.Millisecond), hosts: map[string]*hostPool{}, limit: c.MaxConns}
 }
 
-// setLimit changes how many may be open. Idle ones over it are closed.
+// setLimit sets the limit of open connections. Idle ones over it are closed.
 func (p *pool) setLimit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +73,7 @@
 	return h
 }
 
-// get returns a connection, an idle one if there is one that is whole.
+// get returns a connection to a host: an intact idle one if there is one, else a new one.
 func (p *pool) get(ctx context.Context, to engine.Host) (*conn, error) {
 	for {
 		c, generation, err := p.takeIdle(to.Name)
@@ -83,7 +83,7 @@
 		if c == nil {
 			return p.connect(ctx, to, generation)
 		}
-		// Nothing of the request is written yet, so to pass by a broken connection repeats nothing.
+		// Nothing of the request is written yet, so skipping a broken connection does not repeat a request.
 		if p.Now()-c.idleSince < p.maxIdle && sock.Quiet(c.Conn) {
 			c.SetDeadline(time.Time{})
 			c.reused = true
@@ -93,7 +93,7 @@
 	}
 }
 
-// take takes an idle connection out, the one used last, or makes room for a new one.
+// takeIdle removes the most recently used idle connection, or makes room for a new one.
 func (p *pool) takeIdle(name string) (c *conn, generation int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +110,7 @@
 	return nil, h.generation, nil
 }
 
-// evict closes the connection that stood idle longest, of any host.
+// evict closes the connection that has been idle longest, of any host.
 func (p *pool) evict() bool {
 	var oldest *hostPool
 	for _, h := range p.hosts {
@@ -126,7 +126,7 @@
 	return true
 }
 
-// shut closes a connection that is in no list any more.
+// closeConn closes a connection that is not in the pool.
 func (p *pool) closeConn(c *conn) {
 	c.Close()
 	p.open--
@@ -145,7 +145,7 @@
 	return &conn{Conn: raw, reader: http1.NewReader(raw), host: to.Name, generation: generation}, nil
 }
 
-// put takes back a connection that can be used again.
+// put returns a connection that can be reused.
 func (p *pool) put(c *conn) {
 	if c == nil {
 		return
@@ -172,34 +172,34 @@
 	p.closeConn(c)
 }
 
-// doubt guards against kept connections that break under the next request, which then may have run: something on the
-// way, or the hosts themselves, drop them early and without a word. A new connection costs a little time instead.
+// suspendReuse guards against pooled connections that break during the next request, which may then have run: a network device
+// or the host drops them early and silently. A new connection costs only a little time.
 func (p *pool) suspendReuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
 	if now < p.noReuseUntil {
-		return // it was kept before that
+		return // the connection was pooled before the present period
 	}
 	if p.noReuseFor *= 2; now-p.noReuseUntil > maxNoReuse {
 		p.noReuseFor = minNoReuse
 	}
 	p.noReuseFor = min(max(p.noReuseFor, minNoReuse), maxNoReuse)
 	p.noReuseUntil = now + p.noReuseFor
-	p.Log.Info("kept connections break: none kept for a while", "for", p.noReuseFor)
+	p.Log.Info("pooled connections break: reuse suspended", "for", p.noReuseFor)
 	for _, h := range p.hosts {
 		p.closeIdle(h)
 	}
 }
 
-// trust ends the doubt: new connections break as well, so it is not their age that breaks kept ones.
+// resumeReuse ends the period without reuse: new connections break as well, so idling is not the cause.
 func (p *pool) resumeReuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noReuseUntil, p.noReuseFor = 0, 0
 }
 
-// empty closes what is idle to a host.
+// closeIdle closes the idle connections to a host.
 func (p *pool) closeIdle(h *hostPool) {
 	for _, c := range h.idle {
 		p.closeConn(c)
@@ -207,7 +207,7 @@
 	h.idle = nil
 }
 
-// forget closes what is idle to a host and keeps nothing that was opened before.
+// forget closes the idle connections to a host, and lets no connection opened before return to the pool.
 func (p *pool) forget(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,7 +217,7 @@
 	}
 }
 
-// sweep closes what stood idle for long.
+// sweep closes connections that have been idle for too long.
 func (p *pool) sweep(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/serve/clientlistener/conn.go
+++ b/internal/serve/clientlistener/conn.go
@@ -33,7 +33,7 @@
 	// Guarded by the server's mu.
 	idle, isShutDown bool
 	idleSince        time.Duration
-	requests         int           // started so far
+	requests         int // started so far
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
--- a/internal/serve/clientlistener/server.go
+++ b/internal/serve/clientlistener/server.go
@@ -110,7 +110,7 @@
 	reserved         int           // slots held because the limit is below MaxConns; guarded by mu
 	listenerReleased chan struct{} // closed when the listener is released to another process
 	group            errgroup.Group
-	listener         net.Listener // guarded by the lock
+	listener         net.Listener // guarded by mu
 
 	parsers    sync.Pool    // for call-backs
 	resultSize atomic.Int64 // upper estimate of the size of recent results
--- a/internal/serve/control/control.go
+++ b/internal/serve/control/control.go
@@ -1,5 +1,5 @@
-// Package control is where operators call: a second listener with its own few connections, on which a call waits for
-// nothing that clients and hosts can hold up. It speaks HTTP/1.1, one call a connection.
+// Package control serves operators' requests: a second listener with its own few connections, independent of the load from
+// clients and hosts. It uses HTTP/1.1 with one request per connection.
 package control
 
 import (
@@ -19,32 +19,32 @@
 )
 
 const (
-	callTimeout   = 2 * time.Second        // a caller's whole call, from its connect: who says nothing holds no place for longer
-	applyTimeout  = 900 * time.Millisecond // what a call asks for: callers wait 1 s
+	callTimeout   = 2 * time.Second        // for receiving a request, from its connect: an idle connection holds its slot no longer
+	applyTimeout  = 900 * time.Millisecond // for carrying out a request: clients wait 1 s
 	writeTimeout  = time.Second
 	lingerTimeout = 200 * time.Millisecond
 	lingerBytes   = 64 << 10
 	acceptPause   = 10 * time.Millisecond
 )
 
-// Config is what a Server needs. The functions may be called by several callers at once.
+// Config configures a Server. Its functions may be called concurrently.
 type Config struct {
-	MaxConns int // how many may be connected
-	// Ready says whether the process takes clients.
+	MaxConns int // of concurrent connections
+	// Ready reports whether the process accepts clients.
 	Ready func() bool
-	// Figures reads the counts. It must not wait.
+	// Metrics returns the metrics. It must not block.
 	Metrics func() Metrics
-	// Offline leaves a host out or, with false, lets it serve again; it returns once that is applied. Known says whether
-	// the host was ever listed.
+	// SetOffline sets a host offline, or online again; it returns once that is applied. Known reports whether the host was
+	// ever listed.
 	SetOffline func(ctx context.Context, id string, out bool) (known bool, err error)
-	// Members tells in JSON what membership knows; nil where it is off.
+	// Members returns the state of membership as JSON; nil if membership is off.
 	Members func(ctx context.Context) ([]byte, error)
-	// Drain sends clients away or, with false, takes them again.
+	// Drain starts or ends a drain of the clients.
 	Drain func(on bool)
 	Log   *slog.Logger
 }
 
-// Server answers the operators' calls.
+// Server answers operators' requests.
 type Server struct {
 	Config
 	mu    sync.Mutex
@@ -52,11 +52,11 @@
 	slots chan struct{}
 }
 
-// caller is one connection.
+// conn is an operator's connection.
 type conn struct {
 	net.Conn
 	since time.Time
-	busy  bool // its call is being carried out: it may not be sent away. Guarded by the server's lock.
+	busy  bool // its request is being carried out, so it must not be evicted; guarded by the server's mu
 }
 
 // New returns a Server.
@@ -64,7 +64,7 @@
 	return &Server{Config: c, conns: map[*conn]struct{}{}, slots: make(chan struct{}, max(c.MaxConns, 1))}
 }
 
-// Run answers calls until the context ends.
+// Run answers requests until the context ends.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	var calls errgroup.Group
 	defer context.AfterFunc(ctx, func() {
@@ -91,7 +91,7 @@
 		select {
 		case s.slots <- struct{}{}:
 		default:
-			// Callers who say nothing must not keep out those who do.
+			// Idle connections must not keep out new ones.
 			s.evict()
 			select {
 			case s.slots <- struct{}{}:
@@ -121,7 +121,7 @@
 	}
 }
 
-// sendAway closes the connection of the caller who has been silent longest.
+// evict closes the oldest connection whose request is not being carried out.
 func (s *Server) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	c.busy = busy
 }
 
-// serve reads one call and answers it.
+// serve reads and answers one request.
 func (s *Server) serve(ctx context.Context, c *conn) {
 	c.SetDeadline(c.since.Add(callTimeout))
 	r := http1.NewReader(c)
@@ -163,21 +163,21 @@
 	case errors.As(err, &timeout) && timeout.Timeout():
 		status = 408
 	default:
-		return // it left
+		return // the client has disconnected
 	}
 	c.SetDeadline(time.Now().Add(writeTimeout))
 	fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	if _, err := c.Write(http1.AppendResponse(nil, status, fields, body)); err != nil {
 		return
 	}
-	// To close with bytes unread would reset the answer away.
+	// Closing with unread bytes would reset the connection, and the answer could be lost.
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, c, lingerBytes)
 	}
 }
 
-// call carries out one call.
+// handle carries out a request.
 func (s *Server) handle(ctx context.Context, call *http1.Request) (status int, fields http1.Fields, body []byte) {
 	method := "POST"
 	var act func()
@@ -225,7 +225,7 @@
 	return status, fields, body
 }
 
-// hostCall takes a path of the form /control/workers/ID/offline or online apart.
+// parseHostPath parses a path of the form /control/workers/ID/offline or /control/workers/ID/online.
 func parseHostPath(path string) (id string, out, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/control/workers/")
 	if !ok {
@@ -241,7 +241,7 @@
 	defer stop()
 	switch known, err := s.SetOffline(ctx, id, out); {
 	case err != nil:
-		s.Log.Error("control: call not applied", "host", id, "offline", out, "err", err)
+		s.Log.Error("control: request not applied", "host", id, "offline", out, "err", err)
 		return 503, []byte("not applied\n")
 	case !known:
 		return 404, []byte("no host of that id was ever listed\n")
--- a/internal/serve/control/metrics.go
+++ b/internal/serve/control/metrics.go
@@ -2,23 +2,23 @@
 
 import "strconv"
 
-// Figures are what the dispatcher has counted since its start, and how it stands now.
+// Metrics holds the dispatcher's counters since its start, and gauges.
 type Metrics struct {
 	Classes     []ClassMetrics
-	Forwards    int64 // attempts written whole to hosts
-	Outstanding int64 // messages taken and not ended
+	Forwards    int64 // attempts completely written to hosts
+	Outstanding int64 // messages accepted and not ended
 	Discovered  int64 // hosts in the inventory
-	Ejected     int64 // of these, those avoided now
+	Ejected     int64 // those of them that are avoided now
 	Extra       []Metric
 }
 
-// Figure is one more number with a name of its own.
+// Metric is a further metric.
 type Metric struct {
 	Name  string
 	Value int64
 }
 
-// Class counts the messages of one class by how they ended. Every message ends in exactly one way.
+// ClassMetrics counts the messages of one class by outcome. Every message has exactly one.
 type ClassMetrics struct {
 	Name                         string
 	Succeeded, Declined, Aborted int64
@@ -26,7 +26,7 @@
 
 const prefix = "edge_lb_"
 
-// Append writes the figures as text, one to a line.
+// Append appends the metrics as text, one per line.
 func (f Metrics) Append(b []byte) []byte {
 	for _, c := range f.Classes {
 		for _, d := range []struct {
@@ -53,7 +53,7 @@
 	return b
 }
 
-// label escapes a label's value: a class may be named with a quote.
+// label escapes a label's value: a class name may contain a quote.
 func label(s string) string {
 	var b []byte
 	for i := range len(s) {
--- a/internal/serve/engine/engine.go
+++ b/internal/serve/engine/engine.go
@@ -48,7 +48,7 @@
 	timers       []timerwheel.Timer[timer] // for its deadline and those that the scheduler requested; stopped when it is closed
 	answerKind   AnswerKind
 	answeredAt   time.Duration // when it was answered or its client left
-	clientLeft   bool                      // before there was an answer
+	clientLeft   bool          // before there was an answer
 }
 
 type host struct {
--- a/internal/serve/engine/types.go
+++ b/internal/serve/engine/types.go
@@ -113,9 +113,9 @@
 
 // Causes of the end of an attempt's context.
 var (
-	ErrWithdrawn    = errors.New("withdrawn")        // the backend must cancel it at the host
-	ErrOutcomeKnown = errors.New("outcome is known") // nothing is left to do
-	ErrHandedOver   = errors.New("message released to another process")    // nothing is left to do here
+	ErrWithdrawn    = errors.New("withdrawn")                           // the backend must cancel it at the host
+	ErrOutcomeKnown = errors.New("outcome is known")                    // nothing is left to do
+	ErrHandedOver   = errors.New("message released to another process") // nothing is left to do here
 )
 
 // Backend carries attempts to the hosts.
--- a/internal/serve/handover/fdpassing.go
+++ b/internal/serve/handover/fdpassing.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// descriptors is a connection of the other process, and the descriptors that came with what was read of it: one at most is wanted,
-// and all others are closed.
+// fdConn is a connection from the other process, with the file descriptors received on it: at most one is expected, and any
+// others are closed.
 type fdConn struct {
 	net.Conn
 	fds []int
@@ -18,7 +18,7 @@
 	if !ok {
 		return d.Conn.Read(b)
 	}
-	var control [64]byte // of two descriptors
+	var control [64]byte // for two descriptors
 	n, oob, _, _, err := c.ReadMsgUnix(b, control[:])
 	if oob > 0 {
 		messages, _ := syscall.ParseSocketControlMessage(control[:oob])
@@ -30,14 +30,14 @@
 	return n, err
 }
 
-// take returns the connection that came, if just one did.
+// take returns the received connection, if exactly one was received.
 func (d *fdConn) take() net.Conn {
 	if len(d.fds) != 1 {
 		return nil
 	}
 	f := os.NewFile(uintptr(d.fds[0]), "client")
 	d.fds = nil
-	defer f.Close() // FileConn has one of its own
+	defer f.Close() // FileConn duplicates it
 	c, err := net.FileConn(f)
 	if err != nil {
 		return nil
--- a/internal/serve/handover/listen.go
+++ b/internal/serve/handover/listen.go
@@ -12,12 +12,12 @@
 	"syscall"
 )
 
-// Listen returns the clients' listener: the socket that the platform holds and hands to every process, where descriptor
-// names it, else one of its own at the address. A socket that is handed down is the other processes' too: it is closed
-// here when it is done with, and never shut down.
+// Listen returns the clients' listener: the socket that the platform passes to every process if descriptor names it, else a
+// new one at the address. An inherited socket is shared with other processes: it is closed here when no longer needed, and
+// never shut down.
 func Listen(ctx context.Context, address, descriptor string) (net.Listener, error) {
 	var c net.ListenConfig
-	c.SetMultipathTCP(false) // plain TCP is all that the platform has
+	c.SetMultipathTCP(false) // the platform supports plain TCP only
 	if descriptor == "" {
 		l, err := c.Listen(ctx, "tcp", address)
 		if err != nil {
@@ -30,7 +30,7 @@
 		return nil, fmt.Errorf("LB_INHERITED_FD: want a descriptor, have %q", descriptor)
 	}
 	f := os.NewFile(uintptr(fd), "listener")
-	defer f.Close() // FileListener works on a copy
+	defer f.Close() // FileListener duplicates it
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("LB_INHERITED_FD: %w", err)
@@ -48,14 +48,14 @@
 	return &sharedListener{tcp, raw}, nil
 }
 
-// shared is a listener on a socket that other processes have too. Whether it blocks is one flag for all of them, and whoever hands it to
-// a new process may set that (os/exec does). An accept then waits in the kernel, where neither the runtime's poller nor Close reaches it.
+// sharedListener is a listener on a socket that other processes have too. They share its blocking flag, which the parent of a new
+// process may set (os/exec does). An accept then blocks in the kernel, where neither the runtime's poller nor Close can end it.
 type sharedListener struct {
 	*net.TCPListener
 	raw syscall.RawConn
 }
 
-// Accept takes the flag back first. It may still be set between that and the accept itself, so Close may have to wait all the same.
+// Accept clears the blocking flag first. It may be set again before the accept itself, so Close may still have to wait.
 func (l *sharedListener) Accept() (net.Conn, error) {
 	var err error
 	if held := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) }); held != nil {
@@ -67,16 +67,16 @@
 	return l.TCPListener.Accept()
 }
 
-// folder is where the processes of a dispatcher find each other's sockets.
+// socketDir is the directory in which the processes of a dispatcher find each other's sockets.
 type socketDir struct {
 	path   string
 	prefix string
-	open   *os.File // where the path is too long to be bound to
+	open   *os.File // set if the path is too long for a socket address
 }
 
 const (
 	socketSuffix  = ".sock"
-	maxSocketPath = 100 // the kernel takes 107 bytes of a path
+	maxSocketPath = 100 // the kernel allows 107 bytes
 )
 
 func openSocketDir(path, dispatcher string) (*socketDir, error) {
@@ -91,7 +91,7 @@
 	return f, nil
 }
 
-// address is a name by which a socket there can be bound to and called, however long the folder's is.
+// address returns a path by which a socket can be bound and dialled, however long the directory's path is.
 func (f *socketDir) address(socket string) string {
 	if f.open != nil {
 		return fmt.Sprintf("/proc/self/fd/%d/%s", f.open.Fd(), socket)
@@ -99,7 +99,7 @@
 	return filepath.Join(f.path, socket)
 }
 
-// sockets lists those of this dispatcher's processes.
+// sockets lists the sockets of this dispatcher's processes.
 func (f *socketDir) sockets() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	var all []string
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	requestTimeout  = 500 * time.Millisecond  // to reach the other process and have its answer: operators wait 1 s for theirs
+	requestTimeout  = 500 * time.Millisecond  // to reach the other process and receive its reply: operators wait 1 s for theirs
 	snapshotTimeout = 1500 * time.Millisecond // for a snapshot: a process that hangs must not keep the new one from serving
-	readyTimeout    = 8 * time.Second         // for a successor to take clients: the platform waits 6 s
+	readyTimeout    = 8 * time.Second         // for a successor to accept clients: the platform waits 6 s
 	maxLine         = 4 << 20
 	acceptPause     = 10 * time.Millisecond
 )
 
-// Snapshot is what a process tells its successor.
+// Snapshot is the state that a process sends to its successor.
 type Snapshot struct {
-	Ready     bool   // it takes clients
-	Discovery string // the address that counts
-	List      []byte // the inventory in discovery's form
-	Learned   []byte // what the module has learnt, as package node encodes it; may be empty
+	Ready     bool   // it accepts clients
+	Discovery string // the current address
+	List      []byte // the inventory in discovery's format
+	Learned   []byte // the scheduler's learned estimates, encoded by the caller; may be empty
 	State
 }
 
-// Handler does for the other process what it asks.
+// Handler carries out the other process's requests.
 type Handler interface {
-	// Snapshot is told to a successor.
+	// Snapshot returns the state for a successor.
 	Snapshot(ctx context.Context) (Snapshot, error)
-	// Known says whether its message is open here.
+	// Callback handles a host's call-back. Known reports whether its message is open here.
 	Callback(body []byte) (status int, known bool)
-	// Adopt takes over a message and the connection on which its client waits, which is closed if it does not.
+	// Adopt takes over a message and the connection on which its client waits; on failure it closes the connection.
 	Adopt(record []byte, client net.Conn) (taken bool)
-	// Offline carries out an operators' call. Sure says that the other knows the host.
+	// SetOffline carries out an operator's request. Sure means that the other process has listed the host.
 	SetOffline(ctx context.Context, id string, out, sure bool) (known bool, err error)
-	// Share begins or ends the time in which two processes have what one may use.
+	// SetSharing begins or ends the period in which two processes share the resources of one.
 	SetSharing(on bool)
 }
 
-// Peer is this process as the other process of its dispatcher meets it. The one that is called stays the elder.
+// Peer connects this process to the other process of its dispatcher. The one that accepts the connection is the predecessor.
 type Peer struct {
 	Handler     Handler
 	Log         *slog.Logger
-	MaxRequests int // how many questions may be open each way
+	MaxRequests int // of concurrent requests in each direction
 
 	requestTimeout, snapshotTimeout, readyTimeout time.Duration
 
@@ -64,24 +64,24 @@
 	requestSlots chan struct{}
 
 	mu    sync.Mutex
-	conns map[net.Conn]struct{} // all that are open here, to be closed at the end
+	conns map[net.Conn]struct{} // open connections, closed when Run ends
 	ended bool
 	other *link
 }
 
-// link is the connection that stands for as long as both processes live.
+// link is the connection that stays open while both processes live.
 type link struct {
 	net.Conn
 	reader      *bufio.Reader
-	socket      string // where to ask the other
-	predecessor bool   // the other was there first
+	socket      string // the other process's, for requests
+	predecessor bool   // the other process is the predecessor
 
-	// Guarded by the peer's lock; of a successor.
-	ready   bool // it takes clients
-	overdue bool // it has not come to that in time, and this process has taken back what it shared
+	// Of a successor; guarded by the peer's mu.
+	ready   bool // it accepts clients
+	overdue bool // it did not become ready in time, and this process has stopped sharing
 }
 
-// NewPeer binds this process's socket in the folder that all processes of the dispatcher share.
+// NewPeer binds this process's socket in the directory that all processes of the dispatcher share.
 func NewPeer(dir, dispatcher string, maxRequests int, log *slog.Logger) (*Peer, error) {
 	f, err := openSocketDir(dir, dispatcher)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return p, nil
 }
 
-// keep notes an open connection; false says that the end has come.
+// track registers an open connection. False: the peer has ended.
 func (p *Peer) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,8 +116,8 @@
 	delete(p.conns, c)
 }
 
-// Join calls the process that serves, if there is one, and returns what it tells. From then on it has this one for a
-// successor. It comes before Run, which must follow soon, and leaves it to the caller to begin the sharing.
+// Join connects to the serving process, if there is one, and returns its snapshot. From then on this process is its
+// successor. Join is called before Run, which must follow soon, and leaves it to the caller to begin sharing.
 func (p *Peer) Join(ctx context.Context) (*Snapshot, error) {
 	sockets, err := p.dir.sockets()
 	if err != nil {
@@ -130,12 +130,12 @@
 			continue
 		}
 		c, err := p.dial(ctx, socket)
-		if errors.Is(err, syscall.ECONNREFUSED) { // its process is dead
+		if errors.Is(err, syscall.ECONNREFUSED) { // its process has ended
 			os.Remove(p.dir.address(socket))
 			continue
 		}
 		if err != nil {
-			p.Log.Warn("handover: call", "socket", socket, "err", err)
+			p.Log.Warn("handover: dial", "socket", socket, "err", err)
 			continue
 		}
 		l := &link{Conn: c, reader: bufio.NewReader(c), socket: socket, predecessor: true}
@@ -146,7 +146,7 @@
 			continue
 		}
 		p.mu.Lock()
-		p.other = l // Run watches it; nobody else is at work yet
+		p.other = l // Run watches it
 		p.mu.Unlock()
 		return s, nil
 	}
@@ -158,7 +158,7 @@
 	return d.DialContext(ctx, "unix", p.dir.address(socket))
 }
 
-// hello asks the elder for its snapshot.
+// hello requests the predecessor's snapshot.
 func (p *Peer) hello(ctx context.Context, l *link) (*Snapshot, error) {
 	if at, ok := ctx.Deadline(); ok {
 		l.SetDeadline(at)
@@ -176,7 +176,7 @@
 	return s, o.Err()
 }
 
-// Announce tells the elder, if there is one, that this process takes clients. It returns once the elder knows.
+// Announce notifies the predecessor, if there is one, that this process accepts clients. It returns once that is acknowledged.
 func (p *Peer) Announce() error {
 	p.mu.Lock()
 	l := p.other
@@ -188,21 +188,21 @@
 	return err
 }
 
-// Live says whether another process is there.
+// Connected reports whether there is another process.
 func (p *Peer) Connected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.other != nil
 }
 
-// Succeeded says whether a successor takes clients.
+// SuccessorReady reports whether a successor accepts clients.
 func (p *Peer) SuccessorReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.other != nil && !p.other.predecessor && p.other.ready
 }
 
-// Callback hands a host's call to the other process.
+// Callback forwards a host's call-back to the other process.
 func (p *Peer) Callback(body []byte) (status int, known bool, err error) {
 	o, err := p.request(jsonval.Is("op", "callback"), jsonval.Is("body", string(body)))
 	if err != nil {
@@ -211,13 +211,13 @@
 	return int(o.Whole("status")), o.Flag("known"), o.Err()
 }
 
-// Pass hands a client's connection to the successor, with the record of the message that waits there. The record is made once the
-// successor listens: until then nothing has changed. Taken says that the message is the successor's. Where it took the record and said
-// nothing, it may be: then nobody here may answer, and the error is nil.
+// PassConnection hands a client's connection to the successor, with the record of its waiting message. The record is made once the
+// successor is connected: until then nothing has changed. Taken means that the message belongs to the successor. If the successor
+// received the record and did not reply, it may have the message: then nobody here may answer, so taken is true.
 func (p *Peer) PassConnection(client net.Conn, record func() ([]byte, bool)) (taken bool, err error) {
 	raw, ok := client.(syscall.Conn)
 	if !ok {
-		return false, errors.New("handover: no connection that can be passed on")
+		return false, errors.New("handover: connection has no file descriptor")
 	}
 	rights, err := raw.SyscallConn()
 	if err != nil {
@@ -232,7 +232,7 @@
 	if !ok {
 		return false, errNotReleasable
 	}
-	c.SetDeadline(time.Now().Add(p.snapshotTimeout)) // from here on it must be known how it ends
+	c.SetDeadline(time.Now().Add(p.snapshotTimeout)) // the outcome of what follows must be known
 	line := append(jsonval.AppendObject(nil, jsonval.Is("op", "message"), jsonval.Is("record", string(body))), '\n')
 	var sent int
 	if held := rights.Control(func(fd uintptr) {
@@ -240,25 +240,25 @@
 	}); held != nil {
 		return false, fmt.Errorf("handover: %w", held)
 	}
-	for err == nil && sent < len(line) { // the descriptor went with the first bytes
+	for err == nil && sent < len(line) { // the descriptor was sent with the first bytes
 		var n int
 		n, err = c.Write(line[sent:])
 		sent += n
 	}
-	if err != nil { // without its end nobody reads the line
+	if err != nil { // an incomplete line is not processed
 		return false, fmt.Errorf("handover: %w", err)
 	}
 	o, err := readLine(bufio.NewReader(c))
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		return false, fmt.Errorf("handover: %w", err) // it answers while it lives
+		return false, fmt.Errorf("handover: %w", err) // the successor has ended: while it lives it replies
 	}
 	return err != nil || o.Flag("taken"), nil
 }
 
-// errNotNow says that a message could not be let go of at this moment.
-var errNotReleasable = errors.New("handover: not now")
+// errNotReleasable means that a message cannot be released at present.
+var errNotReleasable = errors.New("handover: message cannot be released now")
 
-// Offline has the other process carry out an operators' call.
+// SetOffline has the other process carry out an operator's request.
 func (p *Peer) SetOffline(id string, out, sure bool) (known bool, err error) {
 	o, err := p.request(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", out), jsonval.Is("sure", sure))
 	if err != nil {
@@ -270,7 +270,7 @@
 	return o.Flag("known"), o.Err()
 }
 
-// call connects to the other process for one question, within askWithin for all of it.
+// dialOther connects to the other process for one request, which must complete within requestTimeout.
 func (p *Peer) dialOther() (c net.Conn, done func(), err error) {
 	p.mu.Lock()
 	l := p.other
@@ -301,7 +301,7 @@
 	}, nil
 }
 
-// ask puts one question on a connection of its own.
+// request sends one request on a connection of its own.
 func (p *Peer) request(question ...jsonval.Member) (jsonval.Object, error) {
 	c, done, err := p.dialOther()
 	if err != nil {
@@ -314,14 +314,14 @@
 	return readLine(bufio.NewReader(c))
 }
 
-// setOther begins or ends the sharing.
+// setOther sets the link to the other process, and begins or ends sharing.
 func (p *Peer) setOther(l *link) {
 	p.mu.Lock()
 	old := p.other
 	p.other = l
 	p.mu.Unlock()
 	if old != nil && l != nil {
-		old.Close() // a later successor takes the place of one that may hang
+		old.Close() // a new successor replaces one that may hang
 	}
 	if (old == nil) != (l == nil) {
 		p.Log.Info("handover: sharing", "on", l != nil)
@@ -329,20 +329,20 @@
 	}
 }
 
-// overdue takes back what is shared with a successor that does not get ready: a version that cannot serve must not cost the
-// one that does. It may still come to it, and the link stays.
+// handleOverdue ends sharing with a successor that does not become ready: a version that cannot serve must not take resources
+// from the one that does. It may still become ready, and the link stays.
 func (p *Peer) handleOverdue(l *link) {
 	p.mu.Lock()
 	l.overdue = p.other == l && !l.ready
 	late := l.overdue
 	p.mu.Unlock()
 	if late {
-		p.Log.Error("handover: the new process does not get ready")
+		p.Log.Error("handover: the new process is not ready in time")
 		p.Handler.SetSharing(false)
 	}
 }
 
-// taken notes that the successor of that socket takes clients.
+// markReady notes that the successor with a socket accepts clients.
 func (p *Peer) markReady(socket string) bool {
 	p.mu.Lock()
 	l := p.other
@@ -359,7 +359,7 @@
 	return true
 }
 
-// watch waits for the end of a link, which is the end of the other process.
+// watch waits for the end of a link, which means the end of the other process.
 func (p *Peer) watch(l *link) {
 	io.Copy(io.Discard, l.reader)
 	p.closeConn(l)
@@ -371,7 +371,7 @@
 	}
 }
 
-// Run answers the other process until the context ends.
+// Run serves the other process until the context ends.
 func (p *Peer) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer p.dir.close()
@@ -388,7 +388,7 @@
 			c.Close()
 		}
 	})()
-	slots := make(chan struct{}, p.MaxRequests+1) // and the link
+	slots := make(chan struct{}, p.MaxRequests+1) // plus the link
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
@@ -414,7 +414,7 @@
 	}
 }
 
-// answer reads one question and answers it. One that is a successor's first becomes the link.
+// serveConn reads a request and replies to it. A successor's hello turns the connection into the link.
 func (p *Peer) serveConn(ctx context.Context, c net.Conn) {
 	c.SetDeadline(time.Now().Add(p.snapshotTimeout))
 	received := &fdConn{Conn: c}
@@ -434,9 +434,9 @@
 		if o.Err() != nil || l.socket == "" {
 			break
 		}
-		p.setOther(l) // before the snapshot is taken: what changes from here on is asked of the successor as well
+		p.setOther(l) // before the snapshot is taken: later changes are sent to the successor as well
 		s, err := p.Handler.Snapshot(requestCtx)
-		if err != nil || !s.Ready { // nothing to take over here
+		if err != nil || !s.Ready { // nothing to take over
 			c.Close()
 			p.watch(l)
 			return
@@ -446,7 +446,7 @@
 			c.SetDeadline(time.Time{})
 		}
 		defer time.AfterFunc(p.readyTimeout, func() { p.handleOverdue(l) }).Stop()
-		p.watch(l) // where it was not told the deadline ends the link
+		p.watch(l) // if the snapshot was not sent, the deadline ends the link
 		return
 	case "ready":
 		if p.markReady(o.Text("socket")) {
--- a/internal/serve/handover/store.go
+++ b/internal/serve/handover/store.go
@@ -1,4 +1,4 @@
-// Package handover keeps what must outlive a process, and lets the old and the new process of an upgrade work as one.
+// Package handover stores the state that must outlive a process, and lets the old and the new process cooperate during an upgrade.
 package handover
 
 import (
@@ -16,28 +16,28 @@
 	"liftgauge/internal/jsonval"
 )
 
-// State is what outlives a process.
+// State is the state that outlives a process.
 type State struct {
-	Offline []string // hosts that operators have left out
-	Listed  []string // hosts that were ever listed, these among them
+	Offline []string // hosts that operators have set offline
+	Listed  []string // hosts that were ever listed, including these
 }
 
-// maxState bounds what is read of a file.
+// maxState is the maximum size of a state file.
 const maxState = 16 << 20
 
-// Store keeps a State in a file, which is only ever replaced whole. It is safe for concurrent use.
+// Store keeps a State in a file, which is always replaced atomically. It is safe for concurrent use.
 type Store struct {
-	path string // empty: kept in memory alone
+	path string // empty: kept in memory only
 	log  *slog.Logger
 
-	mu              sync.Mutex // of the state
+	mu              sync.Mutex // guards offline and listed
 	offline, listed map[string]bool
-	fileMu          sync.Mutex // of the file; taken before the other
+	fileMu          sync.Mutex // guards the file; locked before mu
 	saveRequested   chan struct{}
 }
 
-// Open reads the state that a process before this one has left. A file that cannot be read is logged and done without:
-// to serve goes first.
+// Open reads the state that an earlier process has saved. A file that cannot be read is logged and ignored: serving has
+// priority.
 func Open(path string, log *slog.Logger) *Store {
 	s := &Store{path: path, log: log, offline: map[string]bool{}, listed: map[string]bool{}, saveRequested: make(chan struct{}, 1)}
 	if path == "" {
@@ -80,7 +80,7 @@
 	return s, o.Err()
 }
 
-// Add takes in what another process knows, and saves nothing.
+// Merge adds the state of another process, without saving it.
 func (s *Store) Merge(more State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Adopt takes the word of a process that serves: what is out there is out here, and nothing else.
+// Replace takes over the state of a serving process: exactly the hosts that are offline there are offline here.
 func (s *Store) Replace(state State) {
 	s.mu.Lock()
 	clear(s.offline)
@@ -100,16 +100,16 @@
 	s.Merge(state)
 }
 
-// Listed notes names that the inventory has listed. It does not wait for the file: Run saves them.
+// AddListed adds names that the inventory has listed. It does not wait for the file: Run saves them.
 func (s *Store) AddListed(names []string) {
 	s.Merge(State{Listed: names})
 	select {
 	case s.saveRequested <- struct{}{}:
-	default: // to be saved already
+	default: // already requested
 	}
 }
 
-// Run saves what was listed until the context ends.
+// Run saves listed names until the context ends.
 func (s *Store) Run(ctx context.Context) error {
 	for {
 		select {
@@ -123,7 +123,7 @@
 	}
 }
 
-// State returns what is kept, in order.
+// State returns the state, sorted.
 func (s *Store) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,8 +138,8 @@
 	return State{Offline: keys(s.offline), Listed: keys(s.listed)}
 }
 
-// Name is the name of a dispatcher's file of a kind. It holds for every process of that dispatcher, and whatever the
-// dispatcher is called it stays inside its folder.
+// FileName returns the name of a dispatcher's file of a kind. It is the same for every process of that dispatcher, and
+// is a plain file name whatever the dispatcher's name contains.
 func FileName(dispatcher, kind string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
@@ -150,7 +150,7 @@
 	return "liftgauge-" + safe[:min(len(safe), 40)] + "." + kind
 }
 
-// SetOffline notes whether operators have left a host out, and returns once that is saved.
+// SetOffline records whether operators have set a host offline, and returns once that is saved.
 func (s *Store) SetOffline(name string, out bool) error {
 	s.mu.Lock()
 	if delete(s.offline, name); out {
@@ -161,7 +161,7 @@
 	return s.Save()
 }
 
-// Save replaces the file by one with the present state.
+// Save replaces the file by one with the current state.
 func (s *Store) Save() error {
 	if s.path == "" {
 		return nil
@@ -173,7 +173,7 @@
 	return replace(s.path, text)
 }
 
-// replace puts a file in the place of another at once: whoever reads sees the one or the other.
+// replace replaces a file atomically: readers see either the old or the new one.
 func replace(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/serve/inventory/inventory.go
+++ b/internal/serve/inventory/inventory.go
@@ -1,8 +1,9 @@
-// Package inventory follows the list of south side hosts: it watches discovery and hands every list to the owner. A
-// watch that had worked for a while and broke is made anew at a drawn moment soon after, and one that broke sooner after a
-// short pause: whatever breaks one watch may have broken those of all dispatchers, which share one discovery. Where
-// discovery does not take the call the module hears of it and asks again when it sees fit. Where discovery moves to another address, the watch there is tried until it works, and the one
-// that stands is kept until then.
+// Package inventory follows the list of hosts: it watches discovery and passes every list to the engine.
+//
+// A watch that was stable and broke is reopened after a short random delay, and one that broke sooner after a pause:
+// whatever breaks one watch may have broken those of all dispatchers, which share one discovery service. If discovery does not
+// accept the request, the scheduler is notified and decides when to retry. When discovery moves to another address, the watch there
+// is retried until it works, and the present one is kept until then.
 package inventory
 
 import (
@@ -26,55 +27,54 @@
 )
 
 const (
-	discoveryTimeout = 2500 * time.Millisecond // discovery handles calls in turn: one may wait
-	// A watch sends something every 2 s: with a beat missed by 0.6 s it is broken. What it misses counts as told 6 s after
-	// it fell silent: that leaves 0.5 s at most to spread the calls of all dispatchers over, 2 s that one may wait for
-	// its turn, and what its answer takes.
+	discoveryTimeout = 2500 * time.Millisecond // discovery handles requests one after another, so one may have to wait
+	// A watch sends a list or a heartbeat every 2 s: if that is 0.6 s late the watch is broken. Changes must be received within 6 s
+	// after it stopped sending: that leaves at most 0.5 s to spread the requests of all dispatchers, 2 s that a request may wait for
+	// its turn, and the time of the response.
 	silenceTimeout = 2600 * time.Millisecond
-	stableAfter    = time.Second // what broke sooner is not made anew at once: it may break again and again
+	stableAfter    = time.Second // a watch that broke sooner is not reopened at once: it may break repeatedly
 	maxLine        = 4 << 20
 
-	// Of what is tried again: all that discovery has to tell counts as told 4 s after a move, and 6 s after it has changed
-	// even if the watch was silent then. The first tries are close together, and one that gets no answer makes room for
-	// the next.
+	// Of retries: changes must be received within 4 s after a move, and within 6 s of the change even if the watch was broken then.
+	// The first retries follow each other closely, and one without a response is abandoned for the next.
 	moveTimeout   = 1200 * time.Millisecond
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 2 * time.Second
 
-	// An agent is on the own machine: to call it costs nobody else anything, and what it has counts as told at once.
+	// An agent is on the same machine: a request to it burdens no one else, and what it has must be received at once.
 	agentTimeout = 500 * time.Millisecond
 )
 
-// Sink takes the lists.
+// Sink receives the lists.
 type Sink interface {
 	UpdateHosts(kind balance.ListKind, hosts []engine.Host)
 }
 
 // Client watches discovery.
 type Client struct {
-	Zones, Kinds    []string // names, by the module's number
+	Zones, Kinds    []string // names, by the scheduler's number
 	Sink            Sink
 	Log             *slog.Logger
 	Dial            func(ctx context.Context, address string) (net.Conn, error)
-	ReconnectSpread time.Duration  // a watch that broke is made anew within it
+	ReconnectSpread time.Duration  // the interval over which broken watches are reopened
 	Random          func() float64 // from 0 to 1
-	Pushed          bool           // lists are pushed, to an agent: a watch of it stands whether the module asks or not
+	Pushed          bool           // lists are pushed to an agent: it is watched without a request from the scheduler
 
 	watchRequests    chan struct{}
 	addressChanges   chan string
 	address          string
-	revision         int64 // the version of the list held
+	revision         int64 // of the list held
 	badLines         atomic.Int64
-	synced           bool                     // discovery has told what it has
-	regressionLogged bool                     // a list that went back in revision has been logged
-	published        atomic.Pointer[position] // address and since, for other goroutines
+	synced           bool                     // discovery's present state was received
+	regressionLogged bool                     // a list with an older revision has been logged
+	published        atomic.Pointer[position] // address and revision, for other goroutines
 
-	current      *watch // the one that is followed
-	replacement  *watch // the one that is to take its place after a move
-	moving       bool   // no watch at the new address has worked yet
+	current      *watch // the one whose lists are used
+	replacement  *watch // the one that is to replace it after a move
+	moving       bool   // no watch at the new address is established yet
 	pause        time.Duration
 	retry        *time.Timer
-	retryTimeout time.Duration // for the answer to the next try
+	retryTimeout time.Duration // for the response to the next retry
 	events       chan event
 	watches      sync.WaitGroup
 }
@@ -83,25 +83,26 @@
 type watch struct {
 	address         string
 	revision        int64
-	responseTimeout time.Duration // for its answer
+	responseTimeout time.Duration
 	startedAt       time.Time
-	established     bool // a list or a beat came
+	established     bool // a list or a heartbeat was received
 	stop            context.CancelFunc
 }
 
-// event is what a watch tells: a list, its end, or by a beat just that it stands.
+// event is an event of a watch: a list, its end, or, with neither, a heartbeat.
 type event struct {
 	watch *watch
 	list  *List
 	err   error
 }
 
+// position is an address of discovery and the revision of the list held.
 type position struct {
 	address  string
 	revision int64
 }
 
-// Where returns the address that counts, and the version of the list that has been handed on.
+// Position returns the current address, and the revision of the list that was last delivered.
 func (c *Client) Position() (address string, since int64) {
 	p := c.published.Load()
 	return p.address, p.revision
@@ -109,7 +110,7 @@
 
 func (c *Client) publishPosition() { c.published.Store(&position{c.address, c.revision}) }
 
-// New returns a Client that holds a list of the given version.
+// New returns a Client that holds a list of the given revision.
 func New(address string, since int64, zones, kinds []string, log *slog.Logger) *Client {
 	var dialer net.Dialer
 	c := &Client{address: address, revision: since, Zones: zones, Kinds: kinds, Log: log, pause: minRetryPause,
@@ -121,28 +122,27 @@
 	return c
 }
 
-// Watch asks for a watch; one that is open is made anew. It does not block.
+// Watch requests a watch; one that is open is replaced. It does not block.
 func (c *Client) Watch() {
 	select {
 	case c.watchRequests <- struct{}{}:
-	default: // asked for already
+	default: // already requested
 	}
 }
 
-// Move says that discovery has another address from here on. Of several calls the last one counts. It is not to be
-// called by two goroutines at once.
+// SetAddress changes the address of discovery. Of several calls the last one counts. It must not be called concurrently.
 func (c *Client) SetAddress(address string) {
 	select {
-	case <-c.addressChanges: // overtaken
+	case <-c.addressChanges: // superseded
 	default:
 	}
 	c.addressChanges <- address
 }
 
-// BadLines is how many lines could not be read.
+// BadLines returns how many lines could not be parsed.
 func (c *Client) BadLines() int64 { return c.badLines.Load() }
 
-// Run watches whenever it is asked to, until the context ends.
+// Run opens watches on request, until the context ends.
 func (c *Client) Run(ctx context.Context) error {
 	defer c.watches.Wait()
 	ctx, stop := context.WithCancel(ctx)
@@ -158,7 +158,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-c.watchRequests:
-			if !c.moving { // else the new address is being tried already
+			if !c.moving { // else the new address is already being tried
 				c.retry.Stop()
 				c.stopWatch(c.current)
 				c.current = c.startWatch(ctx, c.responseTimeout())
@@ -180,7 +180,7 @@
 			}
 		case e := <-c.events:
 			switch {
-			case e.watch != c.current && e.watch != c.replacement: // ended by this side
+			case e.watch != c.current && e.watch != c.replacement: // stopped here
 			case e.err != nil:
 				c.handleWatchEnd(ctx, e)
 			default:
@@ -196,7 +196,7 @@
 	}
 }
 
-// take hands on a list. The first sign of the watch at a new address ends the one before.
+// handleEvent delivers a list. The first event of the watch at a new address ends the previous watch.
 func (c *Client) handleEvent(e event) {
 	w := e.watch
 	if w == c.replacement {
@@ -207,20 +207,20 @@
 	first := !w.established
 	w.established = true
 	if first {
-		c.Log.Debug("watch stands", "address", w.address, "after", time.Since(w.startedAt), "revision", c.revision)
+		c.Log.Debug("watch established", "address", w.address, "after", time.Since(w.startedAt), "revision", c.revision)
 	}
 	switch {
 	case e.list == nil:
 		c.reportSynced()
 		return
-	case e.list.Complete && (first || e.list.Revision >= c.revision): // only a service that began anew may know less
+	case e.list.Complete && (first || e.list.Revision >= c.revision): // only a restarted service may have an older one
 		c.Sink.UpdateHosts(balance.ListFull, e.list.Hosts)
 	case e.list.Revision < c.revision:
-		// The watch that stood before had told more than the service at the new address knows yet: to take its older word
-		// would bring back hosts that drain.
+		// The previous watch had delivered a newer list than the service at the new address has: applying the older one would
+		// make draining hosts ready again.
 		if !c.regressionLogged {
 			c.regressionLogged = true
-			c.Log.Warn("list goes back, left aside", "revision", e.list.Revision, "held", c.revision)
+			c.Log.Warn("list is older than the one held, ignored", "revision", e.list.Revision, "held", c.revision)
 		}
 		c.reportSynced()
 		return
@@ -232,7 +232,7 @@
 	c.publishPosition()
 }
 
-// hear hands on that discovery has nothing newer than the list held, if it is the first that is heard of it.
+// reportSynced reports once that discovery has nothing newer than the list held.
 func (c *Client) reportSynced() {
 	if !c.synced {
 		c.synced = true
@@ -240,7 +240,7 @@
 	}
 }
 
-// ended sees to what follows the end of a watch.
+// handleWatchEnd decides how to continue after the end of a watch.
 func (c *Client) handleWatchEnd(ctx context.Context, e event) {
 	w := e.watch
 	c.Log.Warn("watch ended", "err", e.err, "address", w.address, "worked", w.established, "revision", c.revision)
@@ -251,16 +251,16 @@
 	case w == c.replacement:
 		c.replacement = nil
 		c.scheduleRetry()
-	case c.moving: // the old address is done with
+	case c.moving: // the old address is not used again
 		c.current = nil
 	case w.established && time.Since(w.startedAt) >= stableAfter:
-		// While it was silent changes may have been missed that count as told some seconds later: little time to lose.
+		// Changes may have been missed before the end was noticed, and must be received within seconds.
 		c.pause = minRetryPause
 		c.current, c.retryTimeout = nil, c.responseTimeout()
 		c.retry.Reset(time.Duration(c.Random() * float64(c.ReconnectSpread)))
 	case c.Pushed, errors.Is(e.err, errBroken):
-		// Discovery is there, but its lists break off. To leave the next try to the module, which takes a failed call for a
-		// busy service and waits for seconds, let hosts that drained in the meantime get messages.
+		// Discovery responds, but its lists break off. The scheduler takes a failed request for a busy service and waits for
+		// seconds before it retries; meanwhile hosts that began to drain would still get messages.
 		c.current = nil
 		c.scheduleRetry()
 	default:
@@ -269,8 +269,8 @@
 	}
 }
 
-// again asks for a try after a pause, which grows and is drawn from around its length. An agent that takes a call and says
-// nothing is called again soon: no call of it waits for others'.
+// scheduleRetry schedules a retry with exponential backoff and jitter. An agent that accepts a connection and does not respond is
+// retried soon: its requests do not wait for those of others.
 func (c *Client) scheduleRetry() {
 	c.retryTimeout = min(moveTimeout, c.responseTimeout())
 	c.retry.Reset(time.Duration(float64(c.pause) * (0.75 + c.Random()/2)))
@@ -279,7 +279,7 @@
 	}
 }
 
-// patience is how long an answer may take.
+// responseTimeout is how long a response may take.
 func (c *Client) responseTimeout() time.Duration {
 	if c.Pushed {
 		return agentTimeout
@@ -287,7 +287,7 @@
 	return discoveryTimeout
 }
 
-// start begins a watch at the present address from the version held.
+// startWatch starts a watch at the current address from the revision held.
 func (c *Client) startWatch(ctx context.Context, timeout time.Duration) *watch {
 	ctx, stop := context.WithCancel(ctx)
 	w := &watch{address: c.address, revision: c.revision, responseTimeout: timeout, startedAt: time.Now(), stop: stop}
@@ -308,10 +308,10 @@
 
 var (
 	errBadLine = errors.New("bad line")
-	errBroken  = errors.New("broke off") // after discovery had taken the call
+	errBroken  = errors.New("broke off") // after discovery had accepted the request
 )
 
-// follow makes a watch and hands on what it tells until it ends.
+// follow opens a watch and delivers its lists and, as nil, heartbeats until it ends.
 func (c *Client) follow(ctx context.Context, w *watch, deliver func(*List) bool) error {
 	dialing, stop := context.WithTimeout(ctx, w.responseTimeout)
 	conn, err := c.Dial(dialing, w.address)
@@ -325,15 +325,15 @@
 	request := http1.AppendRequest(nil, "GET", target, http1.Fields{{Name: "Host", Value: w.address}}, nil)
 	conn.SetDeadline(time.Now().Add(w.responseTimeout))
 	if _, err := conn.Write(request); err != nil {
-		return fmt.Errorf("ask: %w", err)
+		return fmt.Errorf("request: %w", err)
 	}
 	r := http1.NewReader(conn)
 	answer, err := r.ReadResponse()
 	if err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("response: %w", err)
 	}
 	if answer.Status != 200 {
-		return fmt.Errorf("answer: status %d", answer.Status)
+		return fmt.Errorf("response: status %d", answer.Status)
 	}
 	decoder := Decoder{Zones: c.Zones, Kinds: c.Kinds}
 	lines := bufio.NewReaderSize(r.Body(&answer.Head), 16<<10)
@@ -353,9 +353,9 @@
 			if !deliver(nil) {
 				return ctx.Err()
 			}
-			continue // a beat
+			continue // a heartbeat
 		}
-		if !o.partial() { // but what only goes on is no sign of life: it may never end, whatever beats come with it
+		if !o.partial() { // the rest of an unfinished list does not count: it may never end, though heartbeats come with it
 			extendDeadline()
 		}
 		text, whole, err := o.add(line)
@@ -366,7 +366,7 @@
 			continue
 		}
 		list, err := decoder.Decode(text)
-		if err != nil { // the last good list holds on, and the next watch starts from its version
+		if err != nil { // the last good list stays, and the next watch starts from its revision
 			return fmt.Errorf("%w: %w: %w", errBroken, errBadLine, err)
 		}
 		if !deliver(&list) {
@@ -377,7 +377,7 @@
 
 var errLongLine = errors.New("line too long")
 
-// object puts the lines of a list together: it may come on one, or indented on many.
+// listAssembler joins the lines of a list, which may be on one line, or indented on many.
 type listAssembler struct {
 	text            []byte
 	depth           int
@@ -386,7 +386,7 @@
 
 func (o *listAssembler) partial() bool { return len(o.text) > 0 }
 
-// add takes a line and returns the object that it ends, if it does. What is no object is one line.
+// add adds a line and returns the object that it completes, if any. A line that does not begin an object is returned by itself.
 func (o *listAssembler) add(line []byte) (text []byte, whole bool, err error) {
 	for _, b := range line {
 		switch {
--- a/internal/serve/inventory/list.go
+++ b/internal/serve/inventory/list.go
@@ -19,11 +19,11 @@
 
 // Decoder reads lists. It is not safe for concurrent use.
 type Decoder struct {
-	Zones, Kinds []string // names, by the module's number
+	Zones, Kinds []string // names, by the scheduler's number
 	parser       jsonval.Parser
 }
 
-// Decode reads one list. A list with a mistake is refused whole: half a list would say that hosts are gone.
+// Decode reads a list. A list with an error is rejected as a whole: in an incomplete list hosts would seem to be removed.
 func (d *Decoder) Decode(text []byte) (List, error) {
 	o, err := d.parser.Parse(text)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return ""
 }
 
-// index is the module's number of a name. One that the settings lack gets the next number after theirs.
+// index returns the scheduler's number of a name. A name that is not in the settings gets the number after theirs.
 func index(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
@@ -90,7 +90,7 @@
 	return len(names)
 }
 
-// up turns Unix milliseconds into the module's clock, which counts from the same origin; 0 stays 0: long ago.
+// up converts Unix milliseconds to the scheduler's clock, which has the same origin; 0 stays 0: long ago.
 func up(ms int64) time.Duration {
 	return time.Duration(min(max(ms, 0), int64(1<<62/time.Millisecond))) * time.Millisecond
 }
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,6 +1,5 @@
-// Package wheel keeps timers as coarse ticks on a hashed wheel. Adding one and stopping one is constant work, and so is
-// finding when the next tick with a timer is due, so an idle program need not wake at every tick. It is not safe for
-// concurrent use.
+// Package timerwheel implements a hashed timer wheel with coarse ticks. Adding and stopping a timer takes constant time, and so
+// does finding the next tick with a timer, so an idle program need not wake at every tick. It is not safe for concurrent use.
 package timerwheel
 
 import (
@@ -11,19 +10,19 @@
 const (
 	slotCount   = 1 << 12
 	bitmapWords = slotCount / 64
-	maxFree     = 1 << 12 // entries kept for the next timers: a busy program allocates none
+	maxFree     = 1 << 12 // entries kept for reuse, so that a busy program does not allocate
 )
 
-// entry is a timer in a list: that of its slot, or that of the tick which is being run.
+// entry is a timer in a list: its slot's, or that of the tick being run.
 type entry[T any] struct {
 	tick       int64
 	value      T
-	list       *list[T] // nil: run or stopped
+	list       *list[T] // nil: has run or was stopped
 	prev, next *entry[T]
-	generation uint64 // of this entry, by one timer after another
+	generation uint64 // incremented for each timer that uses this entry
 }
 
-// list is in the order of the calls of Add.
+// list is a linked list in the order of the calls to Add.
 type list[T any] struct{ first, last *entry[T] }
 
 func (l *list[T]) push(e *entry[T]) {
@@ -50,33 +49,33 @@
 	e.list, e.prev, e.next = nil, nil, nil
 }
 
-// Timer names a value on a wheel. The zero value names none.
+// Timer identifies a value on a wheel. The zero Timer identifies none.
 type Timer[T any] struct {
 	entry      *entry[T]
 	generation uint64
 }
 
-// Wheel holds values until their time. Times are those of the caller's clock.
+// Wheel holds values until their time, which is on the caller's clock.
 type Wheel[T any] struct {
 	step     time.Duration
-	lastTick int64 // the last tick that was run
+	lastTick int64 // the last tick that has run
 	count    int
 	slots    [slotCount]list[T]
 	used     [bitmapWords]uint64
-	running  list[T] // what is due in the tick that is being run
+	running  list[T] // due in the tick being run
 	free     []*entry[T]
 }
 
-// New returns a wheel of ticks of the given length that starts at a time.
+// New returns a wheel with ticks of length step that starts at time now.
 func New[T any](step, now time.Duration) *Wheel[T] {
 	step = max(step, time.Millisecond)
 	return &Wheel[T]{step: step, lastTick: int64(now / step)}
 }
 
-// Len is the number of values held.
+// Len returns the number of values on the wheel.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Add keeps a value until the first tick at or after the time, and never for the tick that is being run.
+// Add schedules a value for the first tick at or after a time, but never for the tick being run.
 func (w *Wheel[T]) Add(at time.Duration, value T) Timer[T] {
 	var e *entry[T]
 	if n := len(w.free); n > 0 {
@@ -93,7 +92,7 @@
 	return Timer[T]{e, e.generation}
 }
 
-// Stop takes a value off before its time, and lets go of it. False: it has run, or was stopped.
+// Stop removes a value before its time. False: it has run or was stopped.
 func (w *Wheel[T]) Stop(t Timer[T]) bool {
 	if t.entry == nil || t.entry.generation != t.generation || t.entry.list == nil {
 		return false
@@ -102,7 +101,7 @@
 	return true
 }
 
-// take removes an entry and returns its value. The wheel keeps nothing of the value: it may hold much.
+// remove removes an entry and returns its value. The wheel keeps no reference to the value, which may hold much memory.
 func (w *Wheel[T]) remove(e *entry[T]) T {
 	in, i := e.list, e.tick&(slotCount-1)
 	in.remove(e)
@@ -118,7 +117,7 @@
 	return value
 }
 
-// Next returns a time by which Advance should be called, at the latest one turn of the wheel from now.
+// Next returns the time by which Advance should be called, at most one turn of the wheel from now.
 func (w *Wheel[T]) Next() (at time.Duration, any bool) {
 	if w.count == 0 {
 		return 0, false
@@ -134,8 +133,8 @@
 	return time.Duration(from+slotCount) * w.step, true
 }
 
-// Advance runs what has fallen due, in the order of ticks, and within one in the order of the calls of Add. What is
-// stopped meanwhile does not run.
+// Advance runs the timers that are due, in the order of ticks, and within a tick in the order of the calls to Add. A timer
+// that is stopped meanwhile does not run.
 func (w *Wheel[T]) Advance(now time.Duration, run func(T)) {
 	last := int64(now / w.step)
 	for w.lastTick < last {
@@ -154,7 +153,7 @@
 	all := &w.slots[i]
 	for e := all.first; e != nil; {
 		next := e.next
-		if e.tick <= tick { // else it is for a later turn of the wheel
+		if e.tick <= tick { // else it is due in a later turn of the wheel
 			all.remove(e)
 			w.running.push(e)
 		}
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -1,5 +1,5 @@
-// Package work is a job as it is passed from any front to any back: each front fills in what it has, each back takes what
-// it needs. It is all that fronts and backs know of each other.
+// Package work defines the payload of a job between the listeners and the backends of all protocols: a listener fills in what it
+// has, a backend uses what it needs.
 package work
 
 import (
@@ -14,39 +14,39 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// MaxHTTP is the most bytes that a job's data or result may have where one side speaks HTTP.
+// MaxHTTPBytes is the maximum size of a job's data or result if the client or the host uses HTTP.
 const MaxHTTPBytes = http1.MaxBody
 
-// Work is the payload of an engine.Message. Nothing of it changes once it is handed in.
+// Work is the payload of an engine.Message. It must not change once the message is submitted.
 type Work struct {
 	ID       string // of the message; valid as a Req-Id
-	Handle   string // by which workers know it
+	Handle   string // identifies the job to workers
 	Class    string
-	Function string // by which workers know it
+	Function string // name that workers register
 	Unique   string // may be empty
 	Reducer  string // may be empty
-	Keyed    bool   // hosts want a key by which repeats are dropped
+	Keyed    bool   // hosts need a key to discard duplicates
 	Hint     time.Duration
 	Data     []byte
-	Hold     *budget.Hold // what Data is in
-	Streams  bool         // its client takes data and warnings as they come
+	Hold     *budget.Hold // holds the memory of Data
+	Streams  bool         // its client receives data and warnings as they arrive
 
-	call *http1.Call // as it came over HTTP
+	call *http1.Call // the original call, if it arrived over HTTP
 }
 
-// FromHTTP makes a Work of an HTTP client's call.
+// FromHTTP makes a Work from an HTTP client's call.
 func FromHTTP(call *http1.Call, class, function string) *Work {
 	unique, _ := call.Fields.Get("Idempotency-Key")
 	return &Work{ID: call.ID, Handle: "H:" + call.ID, Class: class, Function: function, Unique: unique, call: call}
 }
 
-// Of is a message's Work, or nil.
+// FromMessage returns a message's Work, or nil.
 func FromMessage(m *engine.Message) *Work {
 	w, _ := m.Payload.(*Work)
 	return w
 }
 
-// Bytes are the data, and Held what they are in: a call's body comes after its head.
+// Bytes returns the data. A call's body is set only after its head is parsed, so it is read from the call.
 func (w *Work) Bytes() []byte {
 	if w.call != nil {
 		return w.call.Body
@@ -54,7 +54,7 @@
 	return w.Data
 }
 
-// Held is what the data are in.
+// Held returns the hold on the memory of the data.
 func (w *Work) Held() *budget.Hold {
 	if w.call != nil {
 		return w.call.Hold
@@ -62,7 +62,7 @@
 	return w.Hold
 }
 
-// HTTP is the work as a call to a host: the one that came, or one that says the same.
+// HTTP returns the work as a call to a host: the original one, or an equivalent one.
 func (w *Work) HTTP() *http1.Call {
 	if w.call != nil {
 		return w.call
@@ -81,7 +81,8 @@
 	return &http1.Call{ID: w.ID, Method: "POST", Target: target, Fields: fields, Body: w.Data, Hold: w.Hold}
 }
 
-// Key is by what hosts drop repeats: 32 hex digits of the function and the unique id, or of the id where there is none.
+// Key returns the key by which hosts discard duplicates: 32 hex digits derived from the function and the unique id, or from the
+// message's id if there is no unique id.
 func (w *Work) Key() string {
 	of := w.Function + "\x00" + w.Unique
 	if w.Unique == "" {
