--- a/internal/serve/backend/client_test.go
+++ b/internal/serve/backend/client_test.go
@@ -378,7 +378,7 @@
 }
 
 // TestNoRoom: a shortage of connections here is no fault of the host, and an idle one makes room.
-func TestNoRoom(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	runInBubble(t, 1, func(w *harness) {
 		w.playStep(0, steps[0])
 		w.to.Name, w.hasIdle = "s-2", false
@@ -400,7 +400,7 @@
 
 // TestSilentHost guards against sends on the idle connections of a host that was cut off: each would be silent until
 // its client's patience ends, and could not be sent elsewhere.
-func TestSilentHost(t *testing.T) {
+func TestUnresponsiveHost(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
 		w.note(func() { w.next = step{answer: taken, delay: soon} })
 		ctx, stop := context.WithCancelCause(w.t.Context())
--- a/internal/serve/backend/races_test.go
+++ b/internal/serve/backend/races_test.go
@@ -76,7 +76,7 @@
 
 // TestLateSecondAnswer: a host turns a job away twice, the second time when the next job is on its way already. That word is of
 // the first: were it taken for the next one's, that one would be sent again while it runs.
-func TestLateSecondAnswer(t *testing.T) {
+func TestLateSecondResponse(t *testing.T) {
 	c, o := startClient(t)
 	refuse := func(conn net.Conn) { fmt.Fprint(conn, "HTTP/1.1 503 No\r\n"+declined) }
 	took := make(chan struct{}, 1)
@@ -115,7 +115,7 @@
 
 // TestSlowHostAndTheWindow: a host takes the request so slowly that the time for another attempt ends before the last byte. The write is
 // cut short, which proves that nothing ran, and the connection is gone.
-func TestSlowHostAndTheWindow(t *testing.T) {
+func TestWriteToSlowHostEndsAtSendDeadline(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
 		w.note(func() { w.next = step{reads: 1 << 20} })
 		w.c.pool.Dial = func(context.Context, string) (net.Conn, error) { // nobody reads at the other end
@@ -142,7 +142,7 @@
 
 // TestUnheardWithdrawal: a host has taken a job, and the call that gives it up is lost twice. Until it is heard the attempt is neither
 // over nor given up: where no copy is allowed it is said again, and else the outcome says that the job may run there yet.
-func TestUnheardWithdrawal(t *testing.T) {
+func TestUnconfirmedWithdrawal(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		c, o := startClient(t)
 		c.ConcurrentAttempts = copies
@@ -180,7 +180,7 @@
 
 // TestWithdrawalCrossesThe202: the attempt is withdrawn while the host's 202 is on the way. To close the connection gives it up only
 // before the 202, so the host is told as well.
-func TestWithdrawalCrossesThe202(t *testing.T) {
+func TestWithdrawalRacesWith202(t *testing.T) {
 	c, o := startClient(t)
 	calls := make(chan string, 8)
 	to := startHost(t, func(_ net.Conn, r *http1.Reader) {
@@ -205,7 +205,7 @@
 
 // TestEndBehindAnUnheardWithdrawal: the program ends while a withdrawal is said again and again to a host that loses it. It does not wait
 // for the message's deadline.
-func TestEndBehindAnUnheardWithdrawal(t *testing.T) {
+func TestShutdownDuringUnconfirmedWithdrawal(t *testing.T) {
 	calls := make(chan string, 1)
 	conns := []func(net.Conn, *http1.Reader){func(conn net.Conn, r *http1.Reader) {
 		request(r)
--- a/internal/serve/clientlistener/handover_test.go
+++ b/internal/serve/clientlistener/handover_test.go
@@ -15,11 +15,11 @@
 )
 
 // upgrade is a world whose process leaves, and the one of its successor.
-func upgrade(t *testing.T, test func(old, next *harness, o *fakePeer)) {
+func runUpgrade(t *testing.T, test func(old, next *harness, o *fakePeer)) {
 	runInBubble(t, 64, func(next *harness) {
 		next.answer = engine.Answer{Kind: engine.Served, Result: []byte("next")}
 		next.adopts = true
-		serve(next.t, 64, func(old *harness) {
+		runServer(next.t, 64, func(old *harness) {
 			o := &fakePeer{live: true, status: 204, known: true, next: next.server}
 			old.releases, old.neverAnswers, old.server.Peer = true, true, o
 			old.server.SetPhase(Leaving)
@@ -32,8 +32,8 @@
 
 // TestPass: a message that waits goes over with its connection. The client gets its answer from the successor, on the connection that
 // it has, and the connection goes on there.
-func TestPass(t *testing.T) {
-	upgrade(t, func(old, next *harness, o *fakePeer) {
+func TestHandOverConnection(t *testing.T) {
+	runUpgrade(t, func(old, next *harness, o *fakePeer) {
 		old.send(job + "\r\nhigh")
 		old.server.HandOverConnections()
 		old.wait(time.Second)
@@ -63,7 +63,7 @@
 }
 
 // TestPassNot: what cannot go over is answered here, and a client that leaves on the way is noticed by whoever has it.
-func TestPassNot(t *testing.T) {
+func TestHandOverNotPossible(t *testing.T) {
 	for name, c := range map[string]struct {
 		set   func(old, next *harness, o *fakePeer)
 		send  string // after the message
@@ -77,7 +77,7 @@
 		"the next request is here": {func(old, next *harness, o *fakePeer) {}, "P", 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			upgrade(t, func(old, next *harness, o *fakePeer) {
+			runUpgrade(t, func(old, next *harness, o *fakePeer) {
 				old.send(job + "\r\nhigh" + c.send)
 				c.set(old, next, o)
 				old.server.HandOverConnections()
@@ -94,7 +94,7 @@
 			})
 		})
 	}
-	upgrade(t, func(old, next *harness, _ *fakePeer) {
+	runUpgrade(t, func(old, next *harness, _ *fakePeer) {
 		next.neverAnswers = true
 		old.send(job + "\r\nhigh")
 		old.server.HandOverConnections()
@@ -110,7 +110,7 @@
 
 // TestCallbackCrossing: a call-back that finds its message nowhere, as it moved from the one looked at last to the one looked at
 // first, is dealt with where it is now; one for a message on its way is to be said again.
-func TestCallbackCrossing(t *testing.T) {
+func TestCallbackDuringHandover(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.server.Peer = &fakePeer{live: true, status: 204}
 		w.playStep(step{send: callback(report), set: engineState{unknownMessage: true}, want: "204"}, 0)
--- a/internal/serve/clientlistener/races_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -73,7 +73,7 @@
 
 // TestLeavingBehindAnEarlyRequest: a client whose next request has begun leaves, with that whole or in part. It is noticed while the first
 // one waits.
-func TestLeavingBehindAnEarlyRequest(t *testing.T) {
+func TestDisconnectAfterPipelinedRequest(t *testing.T) {
 	_, b, address := startServer(t)
 	for i, more := range []string{"P", request(99, ""), request(98, "") + "POST /a"} {
 		c, err := net.Dial("tcp", address)
@@ -90,7 +90,7 @@
 }
 
 // TestEarlyRequestIsServed: a client that sends its next request before the answer to this one, whole or in pieces, gets both.
-func TestEarlyRequestIsServed(t *testing.T) {
+func TestPipelinedRequestIsServed(t *testing.T) {
 	_, b, address := startServer(t)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -111,7 +111,7 @@
 
 // TestShutCrossesARequest: the server shuts a resting connection while a request has come that is read already, or not yet. It is
 // answered, as the last on the connection.
-func TestShutCrossesARequest(t *testing.T) {
+func TestShutDownRacesWithRequest(t *testing.T) {
 	s, b, _ := startServer(t)
 	for _, read := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -163,7 +163,7 @@
 }
 
 // TestShutRestingConnections: connections that rest until the end are closed, and are gone when the server has waited for them.
-func TestShutRestingConnections(t *testing.T) {
+func TestShutDownIdleConnections(t *testing.T) {
 	s, _, address := startServer(t)
 	var all []net.Conn
 	for range 8 {
--- a/internal/serve/clientlistener/server_test.go
+++ b/internal/serve/clientlistener/server_test.go
@@ -200,11 +200,11 @@
 }
 
 func runInBubble(t *testing.T, conns int, test func(*harness)) {
-	synctest.Test(t, func(t *testing.T) { serve(t, conns, test) })
+	synctest.Test(t, func(t *testing.T) { runServer(t, conns, test) })
 }
 
 // serve runs a test with a server inside a bubble.
-func serve(t *testing.T, conns int, test func(*harness)) {
+func runServer(t *testing.T, conns int, test func(*harness)) {
 	w := &harness{t: t, listener: pipeListener{make(chan net.Conn), make(chan struct{}, 1)}}
 	limit := []balance.Class{{Limit: 5 * time.Second}, {Limit: 5 * time.Second}}
 	w.server = New(Config{Engine: w, Classes: []string{"gauge-reading", "send-warning"}, Limits: limit, MaxConns: conns, ShutdownAnswerTimeout: 3 * time.Second,
@@ -328,7 +328,7 @@
 }
 
 // TestPassedOn: what must reach the host byte for byte does.
-func TestPassedOn(t *testing.T) {
+func TestForwardedRequest(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.engineState = engineState{answer: engine.Answer{Kind: engine.Served}}
 		w.send("POST /gauge-reading/a%2Fb?c=d HTTP/1.1\r\nreq-id: 9b1f03aa5c7e2d41\r\nIdempotency-Key: \"k, 1\"\r\nReq-Deadline-Ms: 480\r\n" +
@@ -349,7 +349,7 @@
 }
 
 // TestPlannedEnd follows a connection through the phases: nothing taken is lost and call-backs come through to the end.
-func TestPlannedEnd(t *testing.T) {
+func TestPlannedShutdown(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.engineState = engineState{neverAnswers: true}
 		w.send(job + "\r\nhigh")
@@ -487,7 +487,7 @@
 }
 
 // TestResults: every message ends in exactly one count; what is no message in none.
-func TestResults(t *testing.T) {
+func TestResultCounts(t *testing.T) {
 	want := map[string]Results{"200": {Succeeded: 1}, "200 sent": {Succeeded: 1}, "503": {Declined: 1}, "503 1.500": {Declined: 1}, "502": {Aborted: 1}, "": {Aborted: 1}}
 	for _, s := range steps {
 		if strings.HasPrefix(s.send, job+"\r\nhigh") && strings.Count(s.send, job) == 1 || strings.HasPrefix(s.want, "40") {
@@ -502,7 +502,7 @@
 }
 
 // TestLongResult: a result that is longer than a body may be, as other protocols allow, is no answer here. It fails, once.
-func TestLongResult(t *testing.T) {
+func TestResultTooLong(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.engineState = engineState{answer: engine.Answer{Kind: engine.Served, Result: make([]byte, http1.MaxBody+1)}}
 		w.client = w.dial()
@@ -516,7 +516,7 @@
 
 // TestNoRoom: without room for its body a message gets a back-off answer and the connection goes on; a call-back has room
 // all the same. What was held is given back.
-func TestNoRoom(t *testing.T) {
+func TestMemoryBudgetExhausted(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.server.Budget.SetLimit(0)
 		w.client = w.dial()
@@ -565,7 +565,7 @@
 
 // TestCallbackElsewhere: a call-back for an unknown message goes to the other process while there is one, and is not
 // answered before that one has dealt with it; what is known here goes nowhere.
-func TestCallbackElsewhere(t *testing.T) {
+func TestCallbackForwardedToPeer(t *testing.T) {
 	for _, c := range []struct {
 		other   fakePeer
 		foreign bool
@@ -594,7 +594,7 @@
 }
 
 // TestHandOver: a listener that is left takes nobody, while those who are there are served and leave one by one.
-func TestHandOver(t *testing.T) {
+func TestReleaseListener(t *testing.T) {
 	served := engineState{answer: engine.Answer{Kind: engine.Served}}
 	runInBubble(t, 64, func(w *harness) {
 		idle := w.client
@@ -623,7 +623,7 @@
 
 // TestHandOverBlocked: an accept that the kernel holds on to keeps nothing from going on: neither what is open, nor the connection that it
 // takes in the end, nor the end of the program.
-func TestHandOverBlocked(t *testing.T) {
+func TestReleaseListenerDuringBlockedAccept(t *testing.T) {
 	served := engineState{answer: engine.Answer{Kind: engine.Served}}
 	runInBubble(t, 64, func(w *harness) {
 		w.listener.busy <- struct{}{}
@@ -641,7 +641,7 @@
 }
 
 // TestLimit: while two processes share, each keeps to its part; idle connections go, those in use stay until they end.
-func TestLimit(t *testing.T) {
+func TestSetLimit(t *testing.T) {
 	const conns = 16
 	runInBubble(t, conns, func(w *harness) {
 		w.engineState = engineState{neverAnswers: true}
@@ -675,7 +675,7 @@
 
 // TestManyClients guards the bound of descriptors: an idle connection makes room; where none is idle one over the limit
 // is told at once, and a silent one does not keep its place.
-func TestManyClients(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	const conns = 12
 	runInBubble(t, conns, func(w *harness) {
 		w.engineState = engineState{neverAnswers: true}
--- a/internal/serve/control/control_test.go
+++ b/internal/serve/control/control_test.go
@@ -127,7 +127,7 @@
 }
 
 // FuzzCalls makes calls in random order and pieces, among callers who say nothing.
-func FuzzCalls(f *testing.F) {
+func FuzzRequests(f *testing.F) {
 	for seed := range uint64(3) {
 		f.Add(seed)
 	}
@@ -160,7 +160,7 @@
 }
 
 // TestUnreadable: what cannot be read keeps its answers here too, and who says nothing is told so.
-func TestUnreadable(t *testing.T) {
+func TestUnreadableRequests(t *testing.T) {
 	runInBubble(t, 4, func(w *harness) {
 		for text, want := range map[string]string{
 			"GET / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n":                "413 body too large",
--- a/internal/serve/engine/engine_test.go
+++ b/internal/serve/engine/engine_test.go
@@ -44,7 +44,7 @@
 	t        *testing.T
 	current  *Engine    // that takes messages
 	engines  [2]*Engine // and the one that they may move to, or come from
-	sends    []*sent
+	sends    []*sentAttempt
 	watches  int
 	messages []*testMessage
 	stop     context.CancelFunc
@@ -60,27 +60,27 @@
 	synctest.Wait()
 }
 
-func (b *harness) note(f func()) {
+func (b *harness) locked(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
 }
 
-type sent struct {
-	a    *Attempt
-	o    *Engine // whose it is now
-	ctx  context.Context
-	end  bool
-	may  bool // it may have run
-	back bool // handed back by a report
+type sentAttempt struct {
+	a          *Attempt
+	o          *Engine // whose it is now
+	ctx        context.Context
+	ended      bool
+	mayHaveRun bool // it may have run
+	returned   bool // handed back by a report
 }
 
 // subject is the attempt that a host's word is about: ids of message and host are all that it names.
-func (b *harness) subject(s *sent) (of *sent, again bool) {
+func (b *harness) reportedAttempt(s *sentAttempt) (of *sentAttempt, again bool) {
 	for _, x := range b.sends {
 		if x.a.Message == s.a.Message && x.a.Host.Name == s.a.Host.Name {
-			again = again || x.back
-			if !x.end {
+			again = again || x.returned
+			if !x.ended {
 				of = x
 			}
 		}
@@ -89,10 +89,10 @@
 }
 
 type testMessage struct {
-	m       *Message
-	answers []Answer
-	at      time.Duration // of the last answer
-	gone    bool
+	m            *Message
+	answers      []Answer
+	answeredAt   time.Duration // of the last answer
+	disconnected bool
 }
 
 // side is the south side of one of the two.
@@ -102,13 +102,13 @@
 }
 
 func (b recordingBackend) Send(ctx context.Context, a *Attempt) {
-	b.note(func() { b.sends = append(b.sends, &sent{a: a, ctx: ctx, o: b.engines[b.n]}) })
+	b.locked(func() { b.sends = append(b.sends, &sentAttempt{a: a, ctx: ctx, o: b.engines[b.n]}) })
 }
 
 func (b recordingBackend) Resume(ctx context.Context, a *Attempt) {
-	b.note(func() {
+	b.locked(func() {
 		for _, s := range b.sends {
-			if s.a.Message == a.Message && s.a.Host.Name == a.Host.Name && !s.end {
+			if s.a.Message == a.Message && s.a.Host.Name == a.Host.Name && !s.ended {
 				s.a, s.ctx, s.o = a, ctx, b.engines[b.n]
 			}
 		}
@@ -117,7 +117,7 @@
 
 func (b *harness) Probe(Host)  {}
 func (b *harness) Forget(Host) {}
-func (b *harness) Watch()      { b.note(func() { b.watches++ }) }
+func (b *harness) Watch()      { b.locked(func() { b.watches++ }) }
 
 // newBench starts an Owner with four hosts inside a synctest bubble, where time is the test's.
 func newHarness(t *testing.T, settings balance.Settings) *harness {
@@ -143,7 +143,7 @@
 	m := &testMessage{m: &Message{Key: fmt.Sprintf("%016x", len(b.messages)), Arrived: b.current.Now(),
 		Job: balance.Job{Class: class, Left: left, Hint: 100 * time.Millisecond}}}
 	m.m.Reply = func(a Answer) {
-		b.note(func() { m.answers, m.at = append(m.answers, a), b.current.Now() })
+		b.locked(func() { m.answers, m.answeredAt = append(m.answers, a), b.current.Now() })
 	}
 	b.messages = append(b.messages, m)
 	if !b.current.Submit(m.m) {
@@ -153,20 +153,20 @@
 	return m
 }
 
-func (b *harness) report(s *sent, state JobState, result string) {
+func (b *harness) report(s *sentAttempt, state JobState, result string) {
 	for _, o := range b.engines { // one of the two knows the message, if it is open
 		o.HandleReport(Report{Key: s.a.Message.Key, From: s.a.Host.Name, State: state, Result: []byte(result)}, nil, nil)
 	}
 	synctest.Wait()
 }
 
-func (b *harness) ended(s *sent, status balance.Status) {
+func (b *harness) ended(s *sentAttempt, status balance.Status) {
 	s.o.AttemptEnded(s.a, status)
 	synctest.Wait()
 }
 
 // move has the other one take over a message, or say that it does not.
-func (b *harness) move(m *testMessage, takes bool) (moved bool) {
+func (b *harness) handOver(m *testMessage, takes bool) (moved bool) {
 	for i, o := range b.engines {
 		past, ok := o.Release(b.t.Context(), m.m)
 		if !ok {
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestServedOnce(t *testing.T) {
+func TestFirstReportIsAnsweredOnce(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
 		s := b.sends[0]
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestClientGoneWithdraws(t *testing.T) {
+func TestDisconnectWithdrawsAttempt(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
 		b.current.Disconnected(m.m)
@@ -232,7 +232,7 @@
 
 // TestWindowEndsOnTheWay: a keyed message may run again only for so long after its first attempt that may have run. A second one is
 // decided on in time, but its connection comes up late: nothing goes out, and the message gets its answer.
-func TestWindowEndsOnTheWay(t *testing.T) {
+func TestAttemptIsNotSentAfterItsWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[reading].Window = time.Second
 	runWithSettings(t, settings, func(t *testing.T, b *harness) {
@@ -261,7 +261,7 @@
 
 // TestGoneBarsAtOnce: the client leaves while the owner is busy. An attempt whose connection comes up in that moment does not begin,
 // though the owner has yet to hear of it.
-func TestGoneBarsAtOnce(t *testing.T) {
+func TestDisconnectPreventsSendAtOnce(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
 		s := b.sends[0]
@@ -286,7 +286,7 @@
 
 // TestRejected: a host says that the request itself is wrong. The client gets its answer at once, nothing is sent again, and no host is
 // avoided for what a client sent.
-func TestRejected(t *testing.T) {
+func TestRejectedRequestIsNotRetried(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		for i := range 12 {
 			m := b.submit(reading, 5*time.Second)
@@ -303,7 +303,7 @@
 
 // TestSafeIsRefusedThoughItMayRun: a job that may be repeated at will waits at its host until its answer would be worth nothing. It is
 // refused, which breaks no invariant, and its attempt withdrawn.
-func TestSafeIsRefusedThoughItMayRun(t *testing.T) {
+func TestBackOffForSafeClassThatMayHaveRun(t *testing.T) {
 	settings := testSettings()
 	c := &settings.Classes[reading]
 	c.Effect, c.LateValue = balance.Safe, 0
@@ -323,7 +323,7 @@
 
 // TestConclude: what is open when the program may be killed soon is answered then, once: with a back-off answer where nothing can have
 // run, and what is out is withdrawn. A class that waits longer than a planned end lasts got no answer at all.
-func TestConclude(t *testing.T) {
+func TestAnswerOpenMessages(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		out := b.submit(warning, 20*time.Second)
 		for i := range 4 { // nothing may be sent any more
@@ -350,7 +350,7 @@
 
 // TestOfflineByHand: the check before a send's first byte sees an operator's word, which passes a queue that is full and
 // which no list lifts; an id that was never listed is not known.
-func TestOfflineByHand(t *testing.T) {
+func TestSetOffline(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		set := func(name string, out, want bool) {
 			t.Helper()
@@ -392,7 +392,7 @@
 }
 
 // TestOfflineFromBefore: a word given to an earlier process holds from the start.
-func TestOfflineFromBefore(t *testing.T) {
+func TestInitialOffline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &harness{t: t}
 		var listed []string
@@ -421,7 +421,7 @@
 
 // TestFollows: where many dispatchers share discovery the first watch waits for its turn, but not in a process that takes
 // over: what changes soon after counts as told 2 s after it has said that it is ready.
-func TestFollows(t *testing.T) {
+func TestInheritedHostsAreWatchedAtOnce(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			b := &harness{t: t}
@@ -445,7 +445,7 @@
 }
 
 // TestSameIDTwice guards the first message of two with one id: its table entry must not be replaced.
-func TestSameIDTwice(t *testing.T) {
+func TestDuplicateIDFails(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
 		twin := &testMessage{m: &Message{Key: m.m.Key, Arrived: b.current.Now(), Job: m.m.Job}}
@@ -460,7 +460,7 @@
 }
 
 // TestDrainBarsTheSend guards the moment between a decision and the first byte.
-func TestDrainBarsTheSend(t *testing.T) {
+func TestDrainPreventsSend(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		b.submit(warning, 5*time.Second)
 		s := b.sends[0]
@@ -489,7 +489,7 @@
 }
 
 // TestReturnedAgain guards an attempt that runs against the repeated word on an earlier one at the same host.
-func TestReturnedAgain(t *testing.T) {
+func TestRepeatedReturnReport(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		for i := 1; i < 4; i++ { // one host is left
 			b.current.UpdateHosts(balance.ListChanges, []Host{testHost(i, balance.Draining)})
@@ -508,7 +508,7 @@
 	})
 }
 
-func TestNames(t *testing.T) {
+func TestWorkerNames(t *testing.T) {
 	a, b := workerNames{}, workerNames{}
 	once, again := a.id("box one"), a.id("box one")
 	if a.id("s-5be2a07c") != 0x5be2a07c || once != b.id("box one") || once != again {
@@ -519,7 +519,7 @@
 	}
 }
 
-func TestDebugBackOffAfterARun(t *testing.T) {
+func TestDebugBackOffAfterPossibleRun(t *testing.T) {
 	check := &invariant.Checker{}
 	o := New(Config{Check: check, QueueSize: 1})
 	var got []Answer
@@ -533,7 +533,7 @@
 }
 
 // TestPanic: one message's trouble is not everybody's.
-func TestPanic(t *testing.T) {
+func TestPanicIsRecovered(t *testing.T) {
 	o := New(Config{Check: &invariant.Checker{}, QueueSize: 1})
 	defer func() {
 		if recover() == nil && o.Check.Breaches() != 1 {
@@ -561,7 +561,7 @@
 	checked := 0
 	for _, step := range steps {
 		n := int(step >> 3)
-		var s *sent
+		var s *sentAttempt
 		if len(b.sends) > 0 {
 			s = b.sends[len(b.sends)-1-n%len(b.sends)]
 		}
@@ -573,21 +573,21 @@
 			if !s.a.MaySend() {
 				status = balance.NotSent
 			}
-			s.may = s.may || !s.end && !status.NotRun()
-			s.end = true
+			s.mayHaveRun = s.mayHaveRun || !s.ended && !status.NotRun()
+			s.ended = true
 			b.ended(s, status)
 		case op == 2 && s != nil:
 			s.a.MarkAccepted()
 			b.report(s, Started, "")
 		case op == 3 && s != nil:
 			state := []JobState{Done, Errored, Returned, Lost, Progress}[n%5]
-			if x, again := b.subject(s); x != nil && state != Progress {
-				x.end, x.may, x.back = true, state != Returned || again, state == Returned
+			if x, again := b.reportedAttempt(s); x != nil && state != Progress {
+				x.ended, x.mayHaveRun, x.returned = true, state != Returned || again, state == Returned
 			}
 			b.report(s, state, "result")
 		case op == 4 && len(b.messages) > 0:
 			m := b.messages[len(b.messages)-1-n%len(b.messages)]
-			m.gone = true
+			m.disconnected = true
 			for _, o := range b.engines {
 				o.Disconnected(m.m)
 			}
@@ -603,7 +603,7 @@
 			b.wait(time.Duration(n) * 40 * time.Millisecond)
 		case op == 7 && n%2 == 1: // an upgrade: all that can goes over, but for what is not taken there
 			for i, m := range b.messages {
-				b.move(m, n/2%4 != i%4)
+				b.handOver(m, n/2%4 != i%4)
 			}
 			b.current = b.engines[n/2%2]
 		case op == 7:
@@ -611,8 +611,8 @@
 			synctest.Wait()
 		}
 		for _, s := range b.sends {
-			if errors.Is(context.Cause(s.ctx), ErrWithdrawn) && !s.end { // the south side gives it up
-				s.end, s.may = true, true
+			if errors.Is(context.Cause(s.ctx), ErrWithdrawn) && !s.ended { // the south side gives it up
+				s.ended, s.mayHaveRun = true, true
 				b.ended(s, balance.Cancelled)
 			}
 		}
@@ -622,9 +622,9 @@
 	}
 	b.wait(6 * time.Second)
 	for i, m := range b.messages {
-		if n := len(m.answers); n > 1 || n == 0 && !m.gone {
-			t.Errorf("message %d has %d answers, gone %v", i, n, m.gone)
-		} else if late := m.at - m.m.Arrived - m.m.Job.Left; n > 0 && late > DeadlineGrace+b.current.Settings.Tick {
+		if n := len(m.answers); n > 1 || n == 0 && !m.disconnected {
+			t.Errorf("message %d has %d answers, gone %v", i, n, m.disconnected)
+		} else if late := m.answeredAt - m.m.Arrived - m.m.Job.Left; n > 0 && late > DeadlineGrace+b.current.Settings.Tick {
 			t.Errorf("message %d is answered %v after its deadline", i, late)
 		}
 	}
@@ -642,13 +642,13 @@
 		if old.a.Message != s.a.Message {
 			continue
 		}
-		if !old.end && old.a.Host.Name == s.a.Host.Name {
+		if !old.ended && old.a.Host.Name == s.a.Host.Name {
 			b.t.Errorf("two attempts at %s at once", s.a.Host.Name)
 		}
-		if (old.may || !old.end) && s.a.Message.Job.Class == warning {
+		if (old.mayHaveRun || !old.ended) && s.a.Message.Job.Class == warning {
 			b.t.Error("an unsafe message is sent again though it may have run")
 		}
-		if old.may && old.a.Host.Worker.Cell != s.a.Host.Worker.Cell {
+		if old.mayHaveRun && old.a.Host.Worker.Cell != s.a.Host.Worker.Cell {
 			b.t.Error("a keyed message leaves its cell")
 		}
 	}
@@ -659,7 +659,7 @@
 
 // TestNothingLeftOnTheWheel guards against timers that outlive what they time: a served message that stays on the wheel
 // until its deadline is held with its payload, and 5 s of load are more than the memory there is.
-func TestNothingLeftOnTheWheel(t *testing.T) {
+func TestClosedMessagesLeaveNoTimers(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		idle := b.current.wheel.Len()
 		for i := range 20 {
--- a/internal/serve/engine/handover_test.go
+++ b/internal/serve/engine/handover_test.go
@@ -11,7 +11,7 @@
 )
 
 // standing is where an owner says that a message is.
-func standing(o *Engine, m *testMessage) (at MessageLocation) {
+func locationOf(o *Engine, m *testMessage) (at MessageLocation) {
 	o.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Progress}, func(s MessageLocation) { at = s }, nil)
 	synctest.Wait()
 	return at
@@ -19,12 +19,12 @@
 
 // TestMove: a message goes over once its host has taken it, and not before; meanwhile hosts are told to say it again; the result
 // reaches the process that has it, and a client that leaves there withdraws the attempt there.
-func TestMove(t *testing.T) {
+func TestHandover(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		old, next := b.engines[0], b.engines[1]
 		m, left := b.submit(warning, 20*time.Second), b.submit(reading, 20*time.Second)
 		s := b.sends[0]
-		if b.move(m, true) {
+		if b.handOver(m, true) {
 			t.Fatal("moved on its way to the host")
 		}
 		s.a.MarkAccepted()
@@ -35,8 +35,8 @@
 		if !ok || past.Ago != 4*time.Second || len(past.Attempts) != 1 || past.Attempts[0].Try.Sent != 4*time.Second || !past.Attempts[0].Try.Out {
 			t.Fatalf("%v, past %+v", ok, past)
 		}
-		if standing(old, m) != LocationMoving || standing(next, m) != LocationUnknown || !errors.Is(context.Cause(first), ErrHandedOver) {
-			t.Errorf("at %v and %v, cause %v", standing(old, m), standing(next, m), context.Cause(first))
+		if locationOf(old, m) != LocationMoving || locationOf(next, m) != LocationUnknown || !errors.Is(context.Cause(first), ErrHandedOver) {
+			t.Errorf("at %v and %v, cause %v", locationOf(old, m), locationOf(next, m), context.Cause(first))
 		}
 		b.report(s, Done, "while it moves: nobody takes it")
 		if _, again := old.Release(t.Context(), m.m); again {
@@ -47,14 +47,14 @@
 		}
 		old.CompleteRelease(m.m, past, true)
 		synctest.Wait()
-		if standing(old, m) != LocationUnknown || standing(next, m) != LocationLocal || len(m.answers) != 0 {
-			t.Errorf("at %v and %v, answers %v", standing(old, m), standing(next, m), m.answers)
+		if locationOf(old, m) != LocationUnknown || locationOf(next, m) != LocationLocal || len(m.answers) != 0 {
+			t.Errorf("at %v and %v, answers %v", locationOf(old, m), locationOf(next, m), m.answers)
 		}
 		b.report(s, Done, "level 3")
 		if len(m.answers) != 1 || string(m.answers[0].Result) != "level 3" || len(b.sends) != 2 {
 			t.Errorf("answers %v, %d sends", m.answers, len(b.sends))
 		}
-		if !b.move(left, true) {
+		if !b.handOver(left, true) {
 			t.Fatal("the second is not taken over")
 		}
 		next.Disconnected(left.m)
@@ -73,14 +73,14 @@
 
 // TestMoveRefused: what the successor does not take goes on here, with its patience and its past: an unsafe job that may have run is
 // not sent again, neither here nor there.
-func TestMoveRefused(t *testing.T) {
+func TestRefusedHandoverContinues(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 20*time.Second)
 		b.sends[0].a.MarkAccepted()
-		if b.move(m, false) || standing(b.engines[0], m) != LocationLocal || standing(b.engines[1], m) != LocationUnknown {
-			t.Fatalf("at %v and %v", standing(b.engines[0], m), standing(b.engines[1], m))
+		if b.handOver(m, false) || locationOf(b.engines[0], m) != LocationLocal || locationOf(b.engines[1], m) != LocationUnknown {
+			t.Fatalf("at %v and %v", locationOf(b.engines[0], m), locationOf(b.engines[1], m))
 		}
-		if !b.move(m, true) {
+		if !b.handOver(m, true) {
 			t.Fatal("not moved at the second try")
 		}
 		b.report(b.sends[0], Lost, "")
@@ -91,14 +91,14 @@
 		for i := range 4 {
 			b.engines[0].SetOffline(t.Context(), testHost(i, balance.Ready).Name, true, false)
 		}
-		if held := b.submit(reading, 20*time.Second); len(b.sends) != 1 || !b.move(held, true) || len(b.sends) != 2 || b.sends[1].o != b.engines[1] {
+		if held := b.submit(reading, 20*time.Second); len(b.sends) != 1 || !b.handOver(held, true) || len(b.sends) != 2 || b.sends[1].o != b.engines[1] {
 			t.Errorf("%d sends", len(b.sends))
 		}
 	})
 }
 
 // TestMoveLate: one whose patience ends on the way is answered by whoever has it.
-func TestMoveLate(t *testing.T) {
+func TestDeadlineDuringHandover(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, time.Second)
 		b.sends[0].a.MarkAccepted()
--- a/internal/serve/handover/fdpassing_test.go
+++ b/internal/serve/handover/fdpassing_test.go
@@ -31,7 +31,7 @@
 
 // TestPass: a connection goes over with a record of any bytes and of any size, and lives on when this process closes its own end of it;
 // where the successor does not take it, or is gone, it stays what it was.
-func TestPass(t *testing.T) {
+func TestPassConnection(t *testing.T) {
 	dir := t.TempDir()
 	old := startProcess(t, dir)
 	record := []byte("\x00\xff\"\n}" + strings.Repeat("level 3 at Caroni ", 1<<12))
@@ -88,7 +88,7 @@
 }
 
 // TestUnasked: descriptors that come with anything but a message, or two with one, are closed, and nothing else happens.
-func TestUnasked(t *testing.T) {
+func TestUnexpectedDescriptors(t *testing.T) {
 	old := startProcess(t, t.TempDir())
 	defer old.end()
 	old.setAdopt(func([]byte, net.Conn) bool {
--- a/internal/serve/handover/peer_test.go
+++ b/internal/serve/handover/peer_test.go
@@ -205,7 +205,7 @@
 
 // TestNotReady: a process that does not serve yet is not followed, and what another dispatcher's processes keep in the
 // same folder is left alone.
-func TestNotReady(t *testing.T) {
+func TestServerNotReady(t *testing.T) {
 	dir := t.TempDir()
 	other := filepath.Join(dir, "liftgauge-n00.00000000.sock")
 	if err := os.WriteFile(other, nil, 0o600); err != nil {
@@ -227,7 +227,7 @@
 }
 
 // TestNeverReady: a successor that does not get ready in time costs the old process nothing, and may still come to it.
-func TestNeverReady(t *testing.T) {
+func TestSuccessorNotReadyInTime(t *testing.T) {
 	dir := t.TempDir()
 	old := startProcessWithTimeout(t, dir, time.Millisecond)
 	next := startProcess(t, dir)
@@ -244,7 +244,7 @@
 }
 
 // FuzzAsked: whatever comes on the socket, nothing panics and a good question is answered after it.
-func FuzzAsked(f *testing.F) {
+func FuzzRequests(f *testing.F) {
 	f.Add([]byte(`{"op":"hello"}` + "\n"))
 	f.Add([]byte(`{"op":"ready","socket":3}` + "\n"))
 	f.Add([]byte(`{"op":"offline","id":{}}` + "\n"))
@@ -268,7 +268,7 @@
 
 // TestListenBlocking: whoever hands the socket to the next process may make it block, for this process too. It does not while this one
 // accepts, or an accept without a connection would be out of reach of all that ends one.
-func TestListenBlocking(t *testing.T) {
+func TestAcceptOnBlockingSocket(t *testing.T) {
 	platform, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -95,7 +95,7 @@
 }
 
 // TestIndented: a list may come on many lines, also with empty ones among them. One that never ends is no watch that stands, though beats come.
-func TestIndented(t *testing.T) {
+func TestIndentedList(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		text := strings.ReplaceAll(line(43, true, "SERVING"), ",", ",\n\n  ")
@@ -205,7 +205,7 @@
 }
 
 // TestSpread: a watch that had lasted is made anew after a drawn time. Before, all dispatchers remade theirs at once.
-func TestSpread(t *testing.T) {
+func TestReconnectSpread(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		c.ReconnectSpread = 700 * time.Millisecond
 		conn := s.accept()
@@ -222,7 +222,7 @@
 // TestPushed guards against lists that are pushed to an agent and that nobody fetches there: no drain was ever heard. A watch
 // stands though the module never asks, is made anew whatever ends it, and an agent that takes a call and says nothing,
 // repeats itself or goes back in revision does no harm.
-func TestPushed(t *testing.T) {
+func TestPushedLists(t *testing.T) {
 	runClient(t, true, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
@@ -257,7 +257,7 @@
 }
 
 // TestRefusedCall: a call that fails is told, and not made again before the module asks.
-func TestRefusedCall(t *testing.T) {
+func TestRejectedRequest(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := <-s.calls
 		http1.NewReader(conn).ReadRequest()
@@ -278,7 +278,7 @@
 }
 
 // TestMove: a new address is tried until it works, and until then the old watch is followed and nothing is lost.
-func TestMove(t *testing.T) {
+func TestAddressChange(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
 		chunk(old, line(43, true, "SERVING"))
@@ -313,7 +313,7 @@
 }
 
 // TestMoveByBeat: where nothing has changed a beat shows that the new address stands, and the old watch ends.
-func TestMoveByBeat(t *testing.T) {
+func TestHeartbeatCompletesAddressChange(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
 		chunk(old, line(43, true, "SERVING"))
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -75,7 +75,7 @@
 
 // TestStopLetsGo guards against a stopped or run timer that keeps what it held: at 9,000 messages a second that was more
 // than the program may use.
-func TestStopLetsGo(t *testing.T) {
+func TestStopReleasesValue(t *testing.T) {
 	w := New[*int](time.Millisecond, 0)
 	stopped, ran := w.Add(time.Second, new(int)), w.Add(2*time.Millisecond, new(int))
 	w.Stop(stopped)
