--- a/internal/serve/backend/client_test.go
+++ b/internal/serve/backend/client_test.go
@@ -24,13 +24,13 @@
 	connect   = 250 * time.Millisecond
 )
 
-// host plays one south side host, on a pipe for each connection.
+// host is a fake host, with a pipe for each connection.
 type host struct {
 	mu       sync.Mutex
 	next     step
-	requests []string         // whole requests
-	open     int              // connections that are open
-	written  []bool           // on fresh connections
+	requests []string         // complete requests
+	open     int              // open connections
+	written  []bool           // whether on a fresh connection
 	status   []balance.Status // what the client reported
 	loads    [][]float32
 }
@@ -68,7 +68,7 @@
 	return near, nil
 }
 
-// end is the host's end of a connection. It can close before it has read a request, or in the middle of one.
+// end is the host's end of a connection. It can close before or while it reads a request.
 type end struct {
 	net.Conn
 	h    *host
@@ -83,7 +83,7 @@
 		e.Close()
 		return 0, io.EOF
 	}
-	n, err := e.Conn.Read(p[:1]) // one by one, as the limit may change while it waits
+	n, err := e.Conn.Read(p[:1]) // byte by byte, since the limit may change during the read
 	e.read += n
 	return n, err
 }
@@ -121,23 +121,23 @@
 	}
 }
 
-// step is one attempt or probe, how the host acts, and what must come of it.
+// step is an attempt or probe, the host's behaviour, and the expected result.
 type step struct {
-	dial        string // refused or silent; otherwise it comes up
+	dial        string // refused or silent; else it succeeds
 	reads       int    // bytes before the host closes; 0: all
-	answer      string // or close; "" for none
+	answer      string // or close; "": none
 	delay       time.Duration
-	barred      bool          // the host drains or the attempt is withdrawn, right before the first byte
+	barred      bool          // the host begins to drain or the attempt is withdrawn right before the first byte
 	stop        error         // the cause that ends the attempt,
 	after       time.Duration // when
 	probe       bool
 	forget      bool          // and nothing else
 	pass        time.Duration // and nothing else
 	want        balance.Status
-	notReceived bool // the host gets no whole request
-	withdraws   bool // the host is told to give up
-	reusable    bool // the connection is used again
-	breaks      bool // it breaks under what it carries
+	notReceived bool // the host does not receive a complete request
+	withdraws   bool // the host receives a withdrawal
+	reusable    bool // the connection returns to the pool
+	breaks      bool // it breaks during the request
 }
 
 const (
@@ -148,8 +148,8 @@
 	soon     = 10 * time.Millisecond
 )
 
-// steps follow the protocol's table of outcomes. Where the host is reached by an idle connection, dial has no effect:
-// that is for such a step the same as if it came up.
+// steps follow the protocol's table of outcomes. With an idle connection to the host there is no dial: steps with a dial
+// outcome are then skipped.
 var steps = []step{
 	{answer: taken, stop: engine.ErrOutcomeKnown, after: soon, reusable: true},
 	{answer: taken, stop: engine.ErrWithdrawn, after: soon, withdraws: true, want: balance.Cancelled, reusable: true},
@@ -157,7 +157,7 @@
 	{answer: "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", stop: engine.ErrOutcomeKnown, after: soon},
 	{answer: "HTTP/1.1 503 No\r\n" + declined, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\n" + declined, want: balance.Full},
-	{answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Errored, withdraws: true, reusable: true}, // that of the withdrawal
+	{answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Errored, withdraws: true, reusable: true}, // the withdrawal's connection
 	{answer: "HTTP/1.1 500 No\r\n" + declined, want: balance.Errored},
 	{answer: "HTTP/1.1 400 No\r\n" + empty, want: balance.Rejected},
 	{answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.Errored, withdraws: true, reusable: true},
@@ -168,8 +168,8 @@
 	{reads: 120, want: balance.ConnectFailed, notReceived: true, breaks: true},
 	{barred: true, want: balance.NotSent, notReceived: true, reusable: true},
 	{answer: "", stop: engine.ErrWithdrawn, after: time.Second, want: balance.Cancelled, withdraws: true, reusable: true},
-	{answer: taken, delay: 2 * soon, stop: engine.ErrOutcomeKnown, after: soon},  // the host's word came first
-	{answer: "", stop: engine.ErrOutcomeKnown, after: soon, want: balance.Reset}, // too late to count, but it ends
+	{answer: taken, delay: 2 * soon, stop: engine.ErrOutcomeKnown, after: soon},  // the host's report came first
+	{answer: "", stop: engine.ErrOutcomeKnown, after: soon, want: balance.Reset}, // too late to count, but the send ends
 	{probe: true, answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.OK, reusable: true},
 	{probe: true, answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Full},
 	{probe: true, answer: "HTTP/1.1 404 No\r\n" + empty, want: balance.Errored},
@@ -182,7 +182,7 @@
 	{dial: "silent", want: balance.ConnectFailed, notReceived: true},
 	{dial: "silent", stop: engine.ErrWithdrawn, after: soon, want: balance.NotSent, notReceived: true},
 	{dial: "silent", probe: true, want: balance.ConnectFailed, notReceived: true},
-	// What the head says counts though the body never ends.
+	// The head decides though the body never ends.
 	{answer: "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\n" + endless, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nx", want: balance.Full},
 	{answer: "HTTP/1.1 500 No\r\n" + endless, want: balance.Errored},
@@ -202,9 +202,9 @@
 	*host
 	c       *Client
 	to      engine.Host
-	hasIdle bool          // the model's pool: whether there is an idle connection,
+	hasIdle bool          // the model of the pool: whether there is an idle connection,
 	idleFor time.Duration // and since when, at the end of a step
-	// Kept connections have broken: none is kept until then, for so long.
+	// A pooled connection has broken: none is pooled until then, for this long.
 	noReuseUntil, noReuseFor time.Duration
 }
 
@@ -221,7 +221,7 @@
 		<-done
 		synctest.Wait()
 		if w.open != 0 || w.c.pool.count() != 0 {
-			t.Errorf("%d connections are left, %d counted", w.open, w.c.pool.count())
+			t.Errorf("%d connections open, %d counted", w.open, w.c.pool.count())
 		}
 	})
 }
@@ -258,7 +258,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if sent := s.pass == 0 && !s.forget && !s.probe && !s.notReceived; sent != (len(w.written) == 1) || sent && w.written[0] == w.hasIdle {
-		w.t.Errorf("step %d: written on fresh connections %v, one was kept: %v", i, w.written, w.hasIdle)
+		w.t.Errorf("step %d: written on fresh connections %v, one was idle: %v", i, w.written, w.hasIdle)
 	}
 	var want []string
 	switch {
@@ -272,7 +272,7 @@
 		want = append(want, "DELETE /jobs/9b1f")
 	}
 	if strings.Join(w.requests, ",") != strings.Join(want, ",") {
-		w.t.Errorf("step %d: the host heard %q, want %q", i, w.requests, want)
+		w.t.Errorf("step %d: the host received %q, want %q", i, w.requests, want)
 	}
 	switch {
 	case s.want == 0 && len(w.status) > 0, s.want != 0 && (len(w.status) != 1 || w.status[0] != s.want):
@@ -281,7 +281,7 @@
 	w.checkPool(i, s)
 }
 
-// model keeps what the pool must hold: at most one connection, as one step follows another.
+// checkPool updates the model of the pool and compares the pool with it: there is at most one connection, since steps run in turn.
 func (w *harness) checkPool(i int, s step) {
 	now := w.c.Now() - 2*time.Second + time.Millisecond
 	if !w.hasIdle && s.breaks { // new ones break as well
@@ -315,7 +315,7 @@
 	}
 }
 
-// FuzzHost takes random steps of hosts and attempts and checks each against the table and a model of the pool.
+// FuzzHost plays random steps of hosts and attempts, and checks each against the table and a model of the pool.
 func FuzzHost(f *testing.F) {
 	var all []byte
 	for i := range steps {
@@ -334,7 +334,7 @@
 	})
 }
 
-// TestLoads: what a host reports of its load comes with what it answers, to a job and to a probe, in its body or beside it.
+// TestLoads checks that a host's load report is read from responses to jobs and to probes, from the header or the body.
 func TestLoads(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
 		w.c.Loads = load.New([]string{"util", "x0"}, w.c.Log)
@@ -377,7 +377,8 @@
 	})
 }
 
-// TestNoRoom: a shortage of connections here is no fault of the host, and an idle one makes room.
+// TestConnectionLimit checks that a local shortage of connections is not attributed to the host, and that an idle connection is closed
+// to make room.
 func TestConnectionLimit(t *testing.T) {
 	runInBubble(t, 1, func(w *harness) {
 		w.playStep(0, steps[0])
@@ -398,8 +399,8 @@
 	})
 }
 
-// TestSilentHost guards against sends on the idle connections of a host that was cut off: each would be silent until
-// its client's patience ends, and could not be sent elsewhere.
+// TestUnresponsiveHost guards against sends on idle connections to a host that became unreachable: each would wait until its
+// deadline, and could not be sent elsewhere.
 func TestUnresponsiveHost(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
 		w.note(func() { w.next = step{answer: taken, delay: soon} })
@@ -408,15 +409,15 @@
 			w.c.Send(ctx, w.attempt(false))
 		}
 		time.Sleep(time.Second)
-		w.note(func() { w.next = step{dial: "silent"} }) // and no answer on the connections that there are
+		w.note(func() { w.next = step{dial: "silent"} }) // and no response on open connections
 		w.c.Send(ctx, w.attempt(false))
 		time.Sleep(connect / 2)
 		if n := w.c.pool.count(); n != 3 {
-			t.Errorf("%d connections before there is a doubt", n)
+			t.Errorf("%d connections before the timeout", n)
 		}
 		time.Sleep(connect)
 		if n := w.c.pool.count(); n != 1 {
-			t.Errorf("%d connections, want only the one that waits", n)
+			t.Errorf("%d connections, want only the waiting one", n)
 		}
 		w.c.Send(ctx, w.attempt(false))
 		time.Sleep(connect + soon)
@@ -430,8 +431,8 @@
 	})
 }
 
-// TestStaleConnections guards against kept connections that something drops without a word: after the first that breaks
-// no other is tried for a while, at no host, and then they are kept again.
+// TestStaleConnections guards against pooled connections that are dropped silently: after the first one breaks, none to any host
+// is reused for a while, and then connections are pooled again.
 func TestStaleConnections(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
 		for _, name := range []string{"s-1", "s-2"} {
@@ -443,14 +444,14 @@
 			time.Sleep(soon)
 		}
 		if n := w.c.pool.count(); n != 2 {
-			t.Fatalf("%d connections kept", n)
+			t.Fatalf("%d connections pooled", n)
 		}
 		w.note(func() { w.next = step{answer: "close"} })
 		w.c.Send(w.t.Context(), w.attempt(false))
 		time.Sleep(soon)
 		w.note(func() {
 			if n := w.c.pool.count(); n != 0 || len(w.status) != 1 || w.status[0] != balance.Reset {
-				t.Errorf("%d connections kept, statuses %v", n, w.status)
+				t.Errorf("%d connections pooled, statuses %v", n, w.status)
 			}
 		})
 		for _, want := range []int{0, 1} {
@@ -458,11 +459,11 @@
 			w.c.Probe(w.to)
 			time.Sleep(soon)
 			if n := w.c.pool.count(); n != want {
-				t.Errorf("%d connections kept, want %d", n, want)
+				t.Errorf("%d connections pooled, want %d", n, want)
 			}
 			time.Sleep(minNoReuse)
 		}
-		// One that is new breaks as well: it is not their age.
+		// New connections break as well, so idling is not the cause.
 		w.note(func() { w.next = step{answer: "close"} })
 		for range 2 {
 			w.c.Send(w.t.Context(), w.attempt(false))
@@ -472,7 +473,7 @@
 		w.c.Probe(w.to)
 		time.Sleep(soon)
 		if n := w.c.pool.count(); n != 1 {
-			t.Errorf("%d connections kept though new ones break, too", n)
+			t.Errorf("%d connections pooled, want 1, since new ones break, too", n)
 		}
 	})
 }
--- a/internal/serve/backend/races_test.go
+++ b/internal/serve/backend/races_test.go
@@ -14,14 +14,14 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// outcomes holds what a Client reports, in order.
+// outcomes records a Client's reports in order.
 type outcomes struct{ written, ended chan balance.Status }
 
 func (o outcomes) AttemptWritten(*engine.Attempt, bool)              { o.written <- 0 }
 func (o outcomes) AttemptEnded(_ *engine.Attempt, s balance.Status)  { o.ended <- s }
 func (o outcomes) ProbeEnded(engine.Host, balance.Status, []float32) {}
 
-// peer plays a host on loopback, one function for each connection in the order in which they come.
+// startHost runs a fake host on loopback, with one function per connection, in the order in which they are accepted.
 func startHost(t *testing.T, conns ...func(net.Conn, *http1.Reader)) engine.Host {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 	return engine.Host{Name: "s-1", Address: l.Addr().String()}
 }
 
-// client runs a Client over real connections.
+// startClient runs a Client over real connections.
 func startClient(t *testing.T) (*Client, outcomes) {
 	t.Helper()
 	o := outcomes{make(chan balance.Status, 16), make(chan balance.Status, 16)}
@@ -62,7 +62,7 @@
 	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: to, Deadline: c.Now() + time.Hour, MaySend: func() bool { return true }}
 }
 
-// request reads a whole request and returns its method and path.
+// request reads a complete request and returns its method and path.
 func request(r *http1.Reader) string {
 	q, err := r.ReadRequest()
 	if err != nil {
@@ -74,8 +74,8 @@
 	return q.Method + " " + q.Path
 }
 
-// TestLateSecondAnswer: a host turns a job away twice, the second time when the next job is on its way already. That word is of
-// the first: were it taken for the next one's, that one would be sent again while it runs.
+// TestLateSecondResponse guards against a host that declines a job twice, the second time after the next job was sent: if that response
+// were taken for the next job's, that job would be sent again while it runs.
 func TestLateSecondResponse(t *testing.T) {
 	c, o := startClient(t)
 	refuse := func(conn net.Conn) { fmt.Fprint(conn, "HTTP/1.1 503 No\r\n"+declined) }
@@ -83,7 +83,7 @@
 	to := startHost(t, func(conn net.Conn, r *http1.Reader) {
 		request(r)
 		refuse(conn)
-		if request(r) != "" { // the next job has come on this connection
+		if request(r) != "" { // the next job was sent on this connection
 			refuse(conn)
 			fmt.Fprint(conn, taken)
 			took <- struct{}{}
@@ -113,12 +113,12 @@
 	}
 }
 
-// TestSlowHostAndTheWindow: a host takes the request so slowly that the time for another attempt ends before the last byte. The write is
-// cut short, which proves that nothing ran, and the connection is gone.
+// TestWriteToSlowHostEndsAtSendDeadline checks that a write that a slow host has not read by the send deadline is aborted, which proves
+// that nothing ran, and that the connection is closed.
 func TestWriteToSlowHostEndsAtSendDeadline(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
 		w.note(func() { w.next = step{reads: 1 << 20} })
-		w.c.pool.Dial = func(context.Context, string) (net.Conn, error) { // nobody reads at the other end
+		w.c.pool.Dial = func(context.Context, string) (net.Conn, error) { // the other end does not read
 			near, far := net.Pipe()
 			go func() {
 				time.Sleep(time.Minute)
@@ -140,8 +140,8 @@
 	})
 }
 
-// TestUnheardWithdrawal: a host has taken a job, and the call that gives it up is lost twice. Until it is heard the attempt is neither
-// over nor given up: where no copy is allowed it is said again, and else the outcome says that the job may run there yet.
+// TestUnconfirmedWithdrawal checks a withdrawal of an accepted job that is lost twice. Without concurrent attempts it is repeated until
+// it is confirmed; with them the outcome is that the job may still run there.
 func TestUnconfirmedWithdrawal(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		c, o := startClient(t)
@@ -178,14 +178,14 @@
 	}
 }
 
-// TestWithdrawalCrossesThe202: the attempt is withdrawn while the host's 202 is on the way. To close the connection gives it up only
-// before the 202, so the host is told as well.
+// TestWithdrawalRacesWith202 checks that an attempt that is withdrawn while the host's 202 is in flight is also withdrawn by a request:
+// closing the connection cancels it only before the 202.
 func TestWithdrawalRacesWith202(t *testing.T) {
 	c, o := startClient(t)
 	calls := make(chan string, 8)
 	to := startHost(t, func(_ net.Conn, r *http1.Reader) {
 		calls <- request(r)
-		request(r) // till the other side closes: its 202 would come now
+		request(r) // until the client closes: its 202 would be sent now
 	}, func(conn net.Conn, r *http1.Reader) {
 		calls <- request(r)
 		fmt.Fprint(conn, "HTTP/1.1 204 No Content\r\n\r\n")
@@ -196,15 +196,15 @@
 	<-o.written
 	stop(engine.ErrWithdrawn)
 	if got := <-calls; got != "DELETE /jobs/1" {
-		t.Errorf("the host heard %q", got)
+		t.Errorf("the host received %q", got)
 	}
 	if s := <-o.ended; s != balance.Cancelled {
 		t.Errorf("status %d", s)
 	}
 }
 
-// TestEndBehindAnUnheardWithdrawal: the program ends while a withdrawal is said again and again to a host that loses it. It does not wait
-// for the message's deadline.
+// TestShutdownDuringUnconfirmedWithdrawal checks that the client ends while a withdrawal is being repeated to a host that does not
+// confirm it, without waiting for the message's deadline.
 func TestShutdownDuringUnconfirmedWithdrawal(t *testing.T) {
 	calls := make(chan string, 1)
 	conns := []func(net.Conn, *http1.Reader){func(conn net.Conn, r *http1.Reader) {
@@ -220,7 +220,7 @@
 		})
 	}
 	to := startHost(t, conns...)
-	c, o := startClient(t) // its end is waited for, while the host goes on
+	c, o := startClient(t) // its cleanup waits for its end while the host still runs
 	ctx, stop := context.WithCancelCause(context.Background())
 	c.Send(ctx, attempt(c, to, "1"))
 	<-o.written
--- a/internal/serve/clientlistener/handover_test.go
+++ b/internal/serve/clientlistener/handover_test.go
@@ -14,7 +14,7 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// upgrade is a world whose process leaves, and the one of its successor.
+// runUpgrade runs a test with a process that shuts down, and its successor.
 func runUpgrade(t *testing.T, test func(old, next *harness, o *fakePeer)) {
 	runInBubble(t, 64, func(next *harness) {
 		next.answer = engine.Answer{Kind: engine.Served, Result: []byte("next")}
@@ -30,8 +30,8 @@
 	})
 }
 
-// TestPass: a message that waits goes over with its connection. The client gets its answer from the successor, on the connection that
-// it has, and the connection goes on there.
+// TestHandOverConnection checks that a waiting message is handed over with its connection: the client gets its answer from the
+// successor on the same connection, and can continue to use it.
 func TestHandOverConnection(t *testing.T) {
 	runUpgrade(t, func(old, next *harness, o *fakePeer) {
 		old.send(job + "\r\nhigh")
@@ -62,7 +62,8 @@
 	})
 }
 
-// TestPassNot: what cannot go over is answered here, and a client that leaves on the way is noticed by whoever has it.
+// TestHandOverNotPossible checks that messages that cannot be handed over are answered here, and that a disconnect is detected by the
+// process that has the message.
 func TestHandOverNotPossible(t *testing.T) {
 	for name, c := range map[string]struct {
 		set   func(old, next *harness, o *fakePeer)
@@ -108,8 +109,8 @@
 	})
 }
 
-// TestCallbackCrossing: a call-back that finds its message nowhere, as it moved from the one looked at last to the one looked at
-// first, is dealt with where it is now; one for a message on its way is to be said again.
+// TestCallbackDuringHandover checks that a call-back that misses its message, since that moved from the process checked last to the
+// one checked first, is processed where the message is now, and that one for a message in transfer must be repeated.
 func TestCallbackDuringHandover(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.server.Peer = &fakePeer{live: true, status: 204}
@@ -124,7 +125,7 @@
 	})
 }
 
-// FuzzRecord: whatever comes as a message of another process, it is taken over whole or not at all, and its connection closed then.
+// FuzzRecord checks that any record from another process is either taken over completely, or rejected and its connection closed.
 func FuzzRecord(f *testing.F) {
 	good := record{Key: "9b1f", Method: "POST", Target: "/send-warning", Body: []byte("high"), Past: engine.Past{Job: balance.Job{Class: 1, Left: time.Second}}}
 	for _, change := range []func(*record){func(r *record) {}, func(r *record) { r.Key = "../x" }, func(r *record) { r.Past.Job.Class = 2 }, func(r *record) { r.Past.Job.Class = -1 },
--- a/internal/serve/clientlistener/races_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -16,7 +16,7 @@
 	"liftgauge/internal/sock"
 )
 
-// inbox is a desk that leaves all to the test.
+// manualEngine is an Engine whose messages the test answers.
 type manualEngine struct{ taken, gone chan *engine.Message }
 
 func (b manualEngine) Submit(m *engine.Message) bool  { b.taken <- m; return true }
@@ -30,7 +30,7 @@
 func (b manualEngine) CompleteRelease(*engine.Message, engine.Past, bool)       {}
 func (b manualEngine) Adopt(context.Context, *engine.Message, engine.Past) bool { return false }
 
-// listening runs a server on loopback.
+// startServer runs a server on loopback.
 func startServer(t *testing.T) (*Server, manualEngine, string) {
 	t.Helper()
 	b := manualEngine{make(chan *engine.Message, 8), make(chan *engine.Message, 8)}
@@ -51,8 +51,8 @@
 	return fmt.Sprintf("POST /a/x HTTP/1.1\r\nHost: s\r\nReq-Id: %016x\r\nReq-Kind: a\r\nReq-Deadline-Ms: 60000\r\n%sContent-Length: 4\r\n\r\nhigh", id, fields)
 }
 
-// TestAnswerBeforeUnreadBytes: a client sends on after a request that closes the connection. To close over what it sent would reset the
-// connection, and could take the answer with it.
+// TestAnswerBeforeUnreadBytes checks that a client that sends more after the last request of a connection gets its answer. Closing
+// with unread bytes would reset the connection, and the answer could be lost.
 func TestAnswerBeforeUnreadBytes(t *testing.T) {
 	_, b, address := startServer(t)
 	c, err := net.Dial("tcp", address)
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestLeavingBehindAnEarlyRequest: a client whose next request has begun leaves, with that whole or in part. It is noticed while the first
-// one waits.
+// TestDisconnectAfterPipelinedRequest checks that a disconnect is detected while the first request waits, though the client has sent
+// all or part of its next request.
 func TestDisconnectAfterPipelinedRequest(t *testing.T) {
 	_, b, address := startServer(t)
 	for i, more := range []string{"P", request(99, ""), request(98, "") + "POST /a"} {
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestEarlyRequestIsServed: a client that sends its next request before the answer to this one, whole or in pieces, gets both.
+// TestPipelinedRequestIsServed checks that a client that sends its next request, in pieces, before the first answer gets both answers.
 func TestPipelinedRequestIsServed(t *testing.T) {
 	_, b, address := startServer(t)
 	c, err := net.Dial("tcp", address)
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestShutCrossesARequest: the server shuts a resting connection while a request has come that is read already, or not yet. It is
-// answered, as the last on the connection.
+// TestShutDownRacesWithRequest checks that a request that has arrived when the server shuts down an idle connection, read already or
+// not, is answered as the last on the connection.
 func TestShutDownRacesWithRequest(t *testing.T) {
 	s, b, _ := startServer(t)
 	for _, read := range []bool{true, false} {
@@ -132,7 +132,7 @@
 		fmt.Fprint(client, request(7, ""))
 		if read {
 			c.reader.Peek(1)
-		} else { // it is there
+		} else { // wait until it has arrived
 			raw.(*net.TCPConn).SetReadDeadline(time.Time{})
 			sys, _ := raw.(*net.TCPConn).SyscallConn()
 			sys.Read(func(uintptr) bool { return !sock.Quiet(raw) })
@@ -162,7 +162,7 @@
 	}
 }
 
-// TestShutRestingConnections: connections that rest until the end are closed, and are gone when the server has waited for them.
+// TestShutDownIdleConnections checks that idle connections are closed in phase Ending, and are all removed afterwards.
 func TestShutDownIdleConnections(t *testing.T) {
 	s, _, address := startServer(t)
 	var all []net.Conn
@@ -178,7 +178,7 @@
 		}
 		all = append(all, c)
 	}
-	for resting := 0; resting < len(all); { // the answer goes out before the connection rests
+	for resting := 0; resting < len(all); { // the answer is sent before the connection is idle
 		s.mu.Lock()
 		resting = 0
 		for c := range s.conns {
@@ -199,6 +199,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.shutDown != 0 {
-		t.Errorf("%d are shut and not gone", s.shutDown)
+		t.Errorf("%d are shut down and not closed", s.shutDown)
 	}
 }
--- a/internal/serve/clientlistener/server_test.go
+++ b/internal/serve/clientlistener/server_test.go
@@ -22,22 +22,22 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// desk says how the owner is to act, and holds what reached it.
+// engineState configures the fake engine, and records its calls.
 type engineState struct {
 	full           bool
 	answer         engine.Answer
 	neverAnswers   bool // gives no answer
-	unknownMessage bool // knows no message of a call-back
+	unknownMessage bool // the messages of call-backs are unknown
 	submitted      []*engine.Message
 	disconnected   int
 	reports        []engine.Report
 
-	moving           bool // what a call-back names is on its way
-	releases, adopts bool // messages between processes
+	moving           bool // the messages of call-backs are being handed over
+	releases, adopts bool // results of Release and Adopt
 	completed        []bool
 }
 
-// pipes is a listener whose connections are pipes. While something is in busy to close it waits, as for an accept in the kernel.
+// pipeListener is a listener whose connections are pipes. While busy is full, Close blocks, as during an accept in the kernel.
 type pipeListener struct {
 	calls chan net.Conn
 	busy  chan struct{}
@@ -45,7 +45,7 @@
 
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 func (p pipeListener) Close() error {
-	defer func() { recover() }() // closed before
+	defer func() { recover() }() // closed already
 	p.busy <- struct{}{}
 	defer func() { <-p.busy }()
 	close(p.calls)
@@ -58,7 +58,7 @@
 	return nil, net.ErrClosed
 }
 
-// shared is a connection that another process may have too: it ends when both have closed it.
+// sharedConn is a connection that another process may have too: it closes when both have closed it.
 type sharedConn struct {
 	net.Conn
 	more atomic.Int32
@@ -71,7 +71,7 @@
 	return s.Conn.Close()
 }
 
-// client is one connection as its client sees it.
+// client is the client's end of a connection.
 type client struct {
 	net.Conn
 	served  net.Conn // the server's end
@@ -81,7 +81,7 @@
 	used    bool
 }
 
-// world holds a server, the desk that it reports to, and the client whose turn it is.
+// harness holds a server, the fake engine, and the current client.
 type harness struct {
 	t  *testing.T
 	mu sync.Mutex
@@ -185,10 +185,10 @@
 	return c
 }
 
-// wait lets time pass. The lock orders what others note by themselves after what the test has read.
+// wait advances the time. The lock orders other goroutines' records after what the test has read.
 func (w *harness) wait(d time.Duration) {
 	w.mu.Lock()
-	//lint:ignore SA2001 the lock orders what others noted before what the test reads next
+	//lint:ignore SA2001 the lock orders other goroutines' records before what the test reads next
 	w.mu.Unlock()
 	time.Sleep(d)
 	synctest.Wait()
@@ -203,7 +203,7 @@
 	synctest.Test(t, func(t *testing.T) { runServer(t, conns, test) })
 }
 
-// serve runs a test with a server inside a bubble.
+// runServer runs a test with a server inside a synctest bubble.
 func runServer(t *testing.T, conns int, test func(*harness)) {
 	w := &harness{t: t, listener: pipeListener{make(chan net.Conn), make(chan struct{}, 1)}}
 	limit := []balance.Class{{Limit: 5 * time.Second}, {Limit: 5 * time.Second}}
@@ -219,7 +219,7 @@
 	if <-done; time.Since(stopped) > 30*time.Second {
 		t.Errorf("ended after %v", time.Since(stopped))
 	}
-	time.Sleep(2 * time.Minute) // answers that nobody waits for any more, a listener that is closed late
+	time.Sleep(2 * time.Minute) // for late answers, and a listener that is closed late
 }
 
 const (
@@ -230,16 +230,16 @@
 
 func callback(body string) string { return fmt.Sprintf("%s%d\r\n\r\n%s", call, len(body), body) }
 
-// step is one thing that happens on a connection, and what must come of it.
+// step is an action on a connection, and its expected result.
 type step struct {
 	send         string
 	set          engineState
 	wait         time.Duration
 	want         string // answers, with commas between
-	closes       bool   // the connection
-	submitted    int    // messages that reach the owner
-	clientCloses bool   // the client goes
-	unanswered   int64  // messages that still wait elsewhere
+	closes       bool   // the connection must close
+	submitted    int    // messages that must reach the engine
+	clientCloses bool
+	unanswered   int64 // messages that wait on other connections
 }
 
 var steps = []step{
@@ -276,7 +276,7 @@
 	{send: "", wait: idleTimeout / 2},
 }
 
-// FuzzConn takes random steps on connections, in random pieces, and checks each against what the table says.
+// FuzzConn plays random steps on connections, split at random positions, and checks each against the table.
 func FuzzConn(f *testing.F) {
 	all := make([]byte, 0, 2*len(steps))
 	for i := range steps {
@@ -317,7 +317,7 @@
 	if s.clientCloses {
 		w.Close()
 	}
-	w.wait(s.wait + time.Second/2) // also the time for which a closing connection lingers
+	w.wait(s.wait + time.Second/2) // includes the time for which a closing connection lingers
 	got := strings.Join(w.answers, ",")
 	if s.want == "400" && strings.HasPrefix(got, "400") || s.want == "405" && strings.HasPrefix(got, "405") {
 		got = s.want
@@ -327,7 +327,7 @@
 	}
 }
 
-// TestPassedOn: what must reach the host byte for byte does.
+// TestForwardedRequest checks that the parts of a request that must reach the host unchanged do so.
 func TestForwardedRequest(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.engineState = engineState{answer: engine.Answer{Kind: engine.Served}}
@@ -348,7 +348,7 @@
 	})
 }
 
-// TestPlannedEnd follows a connection through the phases: nothing taken is lost and call-backs come through to the end.
+// TestPlannedShutdown follows connections through the phases: no accepted message is lost, and call-backs are accepted to the end.
 func TestPlannedShutdown(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.engineState = engineState{neverAnswers: true}
@@ -362,17 +362,17 @@
 		w.playStep(step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", unanswered: 1}, 0)
 		w.playStep(step{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "200", submitted: 1, unanswered: 1}, 0)
 		if idle.closed {
-			t.Error("an idle connection is closed before the front has noticed")
+			t.Error("an idle connection is closed before the front end has noticed")
 		}
 		w.server.SetPhase(Closing)
 		synctest.Wait()
 		if idle.closed || other.closed {
-			t.Errorf("idle closed %v, %v: their clients may have nobody else", idle.closed, other.closed)
+			t.Errorf("idle closed %v, %v: their clients may have no other connection", idle.closed, other.closed)
 		}
 		w.playStep(step{send: job + "\r\nhigh", set: engineState{answer: engine.Answer{Kind: engine.Served}}, want: "200", closes: true, submitted: 1, unanswered: 1}, 0)
-		// A second of the three is over, and the client would wait for five.
+		// One of the three seconds has passed; the message's own limit is five.
 		if left := w.submitted[0].Job.Left; left != 2*time.Second {
-			t.Errorf("patience %v with two seconds to the last answer", left)
+			t.Errorf("time left %v, want two seconds", left)
 		}
 		w.playStep(step{send: callback(report), want: "204", closes: true, unanswered: 1}, 0)
 		w.server.SetPhase(Ending)
@@ -389,7 +389,7 @@
 	})
 }
 
-// TestDrain follows a drain to its end, then one that is called back in the middle: nothing of it may come later.
+// TestDrain follows a drain to its end, then one that is ended halfway: none of its later stages may take effect.
 func TestDrain(t *testing.T) {
 	served := engineState{answer: engine.Answer{Kind: engine.Served}}
 	ready := step{send: "GET /-/ready HTTP/1.1\r\n\r\n", want: "503", closes: true}
@@ -400,16 +400,16 @@
 		w.client = w.dial()
 		w.playStep(ready, 0)
 		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
-		w.server.Drain(true) // a repeat does not begin it anew
-		w.wait(time.Second)  // 2 s are over: what comes now must end inside the limit, at 3.85 s
+		w.server.Drain(true) // a repeat does not restart it
+		w.wait(time.Second)  // after 2 s, messages must end within the limit, at 3.85 s
 		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
 		if left := w.submitted[0].Job.Left; left != 1850*time.Millisecond {
-			t.Errorf("patience %v", left)
+			t.Errorf("time left %v", left)
 		}
 		w.wait(200 * time.Millisecond)
 		w.playStep(step{send: job + "\r\nhigh", set: served, want: "503", closes: true}, 0)
 		if idle.closed {
-			t.Error("an idle connection closed early: it may be all that its client has")
+			t.Error("an idle connection closed early: it may be its client's only one")
 		}
 		w.wait(300 * time.Millisecond)
 		silent := w.dial()
@@ -435,8 +435,8 @@
 	})
 }
 
-// FuzzDrain calls for drains and back in random order, at random times, and checks requests and an idle connection
-// against what the time since the call says.
+// FuzzDrain starts and ends drains at random times, and checks requests and an idle connection against the time since the
+// start of the drain.
 func FuzzDrain(f *testing.F) {
 	f.Add([]byte{0, 3, 4, 4, 4, 4, 3, 1, 3, 4})
 	f.Add([]byte{0, 10, 4, 10, 1, 4, 0, 0, 30, 4, 30, 4, 3, 1, 1, 3, 40, 4})
@@ -486,7 +486,7 @@
 	})
 }
 
-// TestResults: every message ends in exactly one count; what is no message in none.
+// TestResultCounts checks that every message is counted exactly once, and other requests are not.
 func TestResultCounts(t *testing.T) {
 	want := map[string]Results{"200": {Succeeded: 1}, "200 sent": {Succeeded: 1}, "503": {Declined: 1}, "503 1.500": {Declined: 1}, "502": {Aborted: 1}, "": {Aborted: 1}}
 	for _, s := range steps {
@@ -501,7 +501,7 @@
 	}
 }
 
-// TestLongResult: a result that is longer than a body may be, as other protocols allow, is no answer here. It fails, once.
+// TestResultTooLong checks that a message fails, once, if its result is longer than an HTTP body may be, as other protocols allow.
 func TestResultTooLong(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.engineState = engineState{answer: engine.Answer{Kind: engine.Served, Result: make([]byte, http1.MaxBody+1)}}
@@ -514,8 +514,8 @@
 	})
 }
 
-// TestNoRoom: without room for its body a message gets a back-off answer and the connection goes on; a call-back has room
-// all the same. What was held is given back.
+// TestMemoryBudgetExhausted checks that a message whose body does not fit the budget gets a back-off answer, that the connection
+// stays open and call-backs are accepted, and that all memory is released.
 func TestMemoryBudgetExhausted(t *testing.T) {
 	runInBubble(t, 64, func(w *harness) {
 		w.server.Budget.SetLimit(0)
@@ -538,14 +538,14 @@
 	})
 }
 
-// other is another process at the same address.
+// fakePeer is another process at the same address.
 type fakePeer struct {
 	live   bool
 	status int
 	known  bool
 	err    error
 	bodies []string
-	next   *Server // where messages are passed to
+	next   *Server // that takes messages over
 	asked  int
 }
 
@@ -563,8 +563,8 @@
 	return o.status, o.known, o.err
 }
 
-// TestCallbackElsewhere: a call-back for an unknown message goes to the other process while there is one, and is not
-// answered before that one has dealt with it; what is known here goes nowhere.
+// TestCallbackForwardedToPeer checks that a call-back for an unknown message is forwarded to the other process, if there is one,
+// and answered only after that has processed it, and that one for a known message is not forwarded.
 func TestCallbackForwardedToPeer(t *testing.T) {
 	for _, c := range []struct {
 		other   fakePeer
@@ -593,7 +593,7 @@
 	}
 }
 
-// TestHandOver: a listener that is left takes nobody, while those who are there are served and leave one by one.
+// TestReleaseListener checks that a released listener accepts no connections, while open ones are served and close one by one.
 func TestReleaseListener(t *testing.T) {
 	served := engineState{answer: engine.Answer{Kind: engine.Served}}
 	runInBubble(t, 64, func(w *harness) {
@@ -609,7 +609,7 @@
 		}
 		w.playStep(step{send: job + "\r\nhigh", set: served, want: "200", closes: true, submitted: 1}, 0)
 		if idle.closed {
-			t.Error("idle closed early")
+			t.Error("idle connection closed early")
 		}
 		if left := w.server.CloseIdle(); left > 1 {
 			t.Errorf("%d left", left)
@@ -621,8 +621,8 @@
 	})
 }
 
-// TestHandOverBlocked: an accept that the kernel holds on to keeps nothing from going on: neither what is open, nor the connection that it
-// takes in the end, nor the end of the program.
+// TestReleaseListenerDuringBlockedAccept checks that an accept blocked in the kernel holds up neither open connections, nor the
+// connection that it finally returns, nor the end of the server.
 func TestReleaseListenerDuringBlockedAccept(t *testing.T) {
 	served := engineState{answer: engine.Answer{Kind: engine.Served}}
 	runInBubble(t, 64, func(w *harness) {
@@ -640,7 +640,7 @@
 	})
 }
 
-// TestLimit: while two processes share, each keeps to its part; idle connections go, those in use stay until they end.
+// TestSetLimit checks that a lower limit, as while two processes share, closes idle connections and lets busy ones finish.
 func TestSetLimit(t *testing.T) {
 	const conns = 16
 	runInBubble(t, conns, func(w *harness) {
@@ -667,14 +667,14 @@
 		w.wait(time.Second)
 		w.server.SetLimit(conns)
 		w.wait(firstRequestTimeout)
-		if n := len(w.server.slots); n > 1 || w.server.reserved != 0 { // the place of the next one to be accepted
+		if n := len(w.server.slots); n > 1 || w.server.reserved != 0 { // the slot of the next connection to be accepted
 			t.Errorf("%d places taken, %d reserved", n, w.server.reserved)
 		}
 	})
 }
 
-// TestManyClients guards the bound of descriptors: an idle connection makes room; where none is idle one over the limit
-// is told at once, and a silent one does not keep its place.
+// TestConnectionLimit checks the limit of descriptors: an idle connection is closed to make room; if none is idle, a connection over
+// the limit gets a back-off answer at once, and one without a request does not keep its slot.
 func TestConnectionLimit(t *testing.T) {
 	const conns = 12
 	runInBubble(t, conns, func(w *harness) {
@@ -704,7 +704,7 @@
 	})
 }
 
-// TestLoadInReport: a call-back's load goes on with it; one that cannot be read does not keep its job's end from counting.
+// TestLoadInReport checks that a call-back's load is passed on, and that a malformed load does not invalidate the rest.
 func TestLoadInReport(t *testing.T) {
 	s := &Server{Config: Config{Loads: load.New([]string{"util", "x0"}, slog.New(slog.DiscardHandler))}}
 	const head = `{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"done","result":"r"`
@@ -720,7 +720,7 @@
 	}
 }
 
-// FuzzReport checks that no call-back panics and that what is accepted names a message and a host.
+// FuzzReport checks that parsing never panics, and that accepted call-backs name a message and a host.
 func FuzzReport(f *testing.F) {
 	f.Add([]byte(report))
 	f.Add([]byte(`{"id":"9b1f03aa5c7e2d41","from":"s-0badcafe","state":"running","share":0.4}`))
--- a/internal/serve/control/control_test.go
+++ b/internal/serve/control/control_test.go
@@ -16,7 +16,7 @@
 	"liftgauge/internal/http1"
 )
 
-// pipes is a listener whose connections are pipes.
+// pipeListener is a listener whose connections are pipes.
 type pipeListener struct{ calls chan net.Conn }
 
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
@@ -28,7 +28,7 @@
 	return nil, net.ErrClosed
 }
 
-// world is a server in a synctest bubble, and what its calls have brought about.
+// harness holds the effects of requests to a server in a synctest bubble.
 type harness struct {
 	t       *testing.T
 	l       pipeListener
@@ -70,10 +70,10 @@
 	return near
 }
 
-// call sends a text in two pieces and returns the answer, or "" for a close without one.
+// call sends a request in two pieces and returns the answer, or "" if the connection closes without one.
 func (w *harness) call(c net.Conn, text string, cut int) string {
 	defer c.Close()
-	defer time.Sleep(time.Millisecond) // an answer may come before the second piece
+	defer time.Sleep(time.Millisecond) // an answer may arrive before the second piece
 	go func() {
 		io.WriteString(c, text[:cut])
 		time.Sleep(time.Millisecond)
@@ -104,7 +104,7 @@
 
 var calls = []struct {
 	call, want string
-	drained    bool // afterwards; as before where the call says nothing of it
+	drained    bool // afterwards; unchanged if the request does not set it
 	out        string
 }{
 	{call: "GET /control/ready", want: "200"},
@@ -126,7 +126,7 @@
 	{call: "GET", want: "400 malformed request line"},
 }
 
-// FuzzCalls makes calls in random order and pieces, among callers who say nothing.
+// FuzzRequests sends requests in random order, split at random positions, among idle connections.
 func FuzzRequests(f *testing.F) {
 	for seed := range uint64(3) {
 		f.Add(seed)
@@ -159,7 +159,7 @@
 	})
 }
 
-// TestUnreadable: what cannot be read keeps its answers here too, and who says nothing is told so.
+// TestUnreadableRequests checks the answers to malformed and oversized requests and to an incomplete one.
 func TestUnreadableRequests(t *testing.T) {
 	runInBubble(t, 4, func(w *harness) {
 		for text, want := range map[string]string{
--- a/internal/serve/engine/engine_test.go
+++ b/internal/serve/engine/engine_test.go
@@ -39,22 +39,22 @@
 		Worker: balance.Worker{Cell: i % 2, Weight: 1, State: state}}
 }
 
-// bench holds an Owner with sides that only note what is asked of them.
+// harness holds two Engines with fake backends and inventories that only record their calls.
 type harness struct {
 	t        *testing.T
-	current  *Engine    // that takes messages
-	engines  [2]*Engine // and the one that they may move to, or come from
+	current  *Engine    // that receives messages
+	engines  [2]*Engine // between which messages are handed over
 	sends    []*sentAttempt
 	watches  int
 	messages []*testMessage
 	stop     context.CancelFunc
-	mu       sync.Mutex // orders what the owner notes here by itself after what the test read before
+	mu       sync.Mutex // orders the engine's records after what the test has read before
 }
 
-// wait lets time pass.
+// wait advances the time.
 func (b *harness) wait(d time.Duration) {
 	b.mu.Lock()
-	//lint:ignore SA2001 the lock orders what the owner noted before what the test reads next
+	//lint:ignore SA2001 the lock orders the engine's records before what the test reads next
 	b.mu.Unlock()
 	time.Sleep(d)
 	synctest.Wait()
@@ -68,14 +68,15 @@
 
 type sentAttempt struct {
 	a          *Attempt
-	o          *Engine // whose it is now
+	o          *Engine // that has it now
 	ctx        context.Context
 	ended      bool
 	mayHaveRun bool // it may have run
-	returned   bool // handed back by a report
+	returned   bool // by a report
 }
 
-// subject is the attempt that a host's word is about: ids of message and host are all that it names.
+// reportedAttempt returns the attempt that a host's report is about: the report names only the message and the host. Again means
+// that the host has returned an attempt of the message before.
 func (b *harness) reportedAttempt(s *sentAttempt) (of *sentAttempt, again bool) {
 	for _, x := range b.sends {
 		if x.a.Message == s.a.Message && x.a.Host.Name == s.a.Host.Name {
@@ -95,7 +96,7 @@
 	disconnected bool
 }
 
-// side is the south side of one of the two.
+// recordingBackend is the backend of one of the two engines.
 type recordingBackend struct {
 	*harness
 	n int
@@ -119,7 +120,7 @@
 func (b *harness) Forget(Host) {}
 func (b *harness) Watch()      { b.locked(func() { b.watches++ }) }
 
-// newBench starts an Owner with four hosts inside a synctest bubble, where time is the test's.
+// newHarness starts two Engines with four hosts inside a synctest bubble, whose clock the test controls.
 func newHarness(t *testing.T, settings balance.Settings) *harness {
 	b := &harness{t: t}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -154,7 +155,7 @@
 }
 
 func (b *harness) report(s *sentAttempt, state JobState, result string) {
-	for _, o := range b.engines { // one of the two knows the message, if it is open
+	for _, o := range b.engines { // one of the two has the message, if it is open
 		o.HandleReport(Report{Key: s.a.Message.Key, From: s.a.Host.Name, State: state, Result: []byte(result)}, nil, nil)
 	}
 	synctest.Wait()
@@ -165,7 +166,7 @@
 	synctest.Wait()
 }
 
-// move has the other one take over a message, or say that it does not.
+// handOver has the other engine take over a message, or refuse it.
 func (b *harness) handOver(m *testMessage, takes bool) (moved bool) {
 	for i, o := range b.engines {
 		past, ok := o.Release(b.t.Context(), m.m)
@@ -200,7 +201,7 @@
 		m := b.submit(warning, 5*time.Second)
 		s := b.sends[0]
 		b.current.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Done, Result: []byte("forged")}, nil, nil)
-		b.report(s, Started, "") // before the host's answer to the send
+		b.report(s, Started, "") // before the host's response to the send
 		b.report(s, Done, "level 3")
 		b.report(s, Done, "again")
 		b.ended(s, balance.Reset)
@@ -230,8 +231,8 @@
 	})
 }
 
-// TestWindowEndsOnTheWay: a keyed message may run again only for so long after its first attempt that may have run. A second one is
-// decided on in time, but its connection comes up late: nothing goes out, and the message gets its answer.
+// TestAttemptIsNotSentAfterItsWindow checks that a second attempt of a keyed message, decided on within the window after the first
+// one that may have run, is not sent if its connection is established after that window. The message is answered.
 func TestAttemptIsNotSentAfterItsWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[reading].Window = time.Second
@@ -247,9 +248,9 @@
 		if want := first.SentAt() + time.Second - 2*b.current.Settings.Tick; !s.a.MaySend() || s.a.SendDeadline != want || first.SendDeadline != 0 {
 			t.Errorf("clear %v, until %v, want %v; the first one until %v", s.a.MaySend(), s.a.SendDeadline, want, first.SendDeadline)
 		}
-		b.wait(60 * time.Millisecond) // the connection is up
+		b.wait(60 * time.Millisecond) // the connection is established
 		if s.a.MaySend() {
-			t.Error("clear after the window")
+			t.Error("may send after the window")
 		}
 		b.ended(s, balance.NotSent)
 		b.wait(5 * time.Second)
@@ -259,8 +260,8 @@
 	})
 }
 
-// TestGoneBarsAtOnce: the client leaves while the owner is busy. An attempt whose connection comes up in that moment does not begin,
-// though the owner has yet to hear of it.
+// TestDisconnectPreventsSendAtOnce checks that an attempt is not sent once the client has disconnected, even while the engine is busy
+// and has not yet processed that.
 func TestDisconnectPreventsSendAtOnce(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
@@ -269,7 +270,7 @@
 		b.current.AfterQueued(func() { <-busy })
 		synctest.Wait()
 		if !s.a.MaySend() {
-			t.Error("not clear while the client waits")
+			t.Error("may not send while the client waits")
 		}
 		b.current.Disconnected(m.m)
 		if s.a.MaySend() || context.Cause(s.ctx) != nil {
@@ -284,8 +285,8 @@
 	})
 }
 
-// TestRejected: a host says that the request itself is wrong. The client gets its answer at once, nothing is sent again, and no host is
-// avoided for what a client sent.
+// TestRejectedRequestIsNotRetried checks that a request which a host rejects as invalid is answered at once and not sent again, and
+// that no host is avoided because of it.
 func TestRejectedRequestIsNotRetried(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		for i := range 12 {
@@ -301,8 +302,8 @@
 	})
 }
 
-// TestSafeIsRefusedThoughItMayRun: a job that may be repeated at will waits at its host until its answer would be worth nothing. It is
-// refused, which breaks no invariant, and its attempt withdrawn.
+// TestBackOffForSafeClassThatMayHaveRun checks that a job that may be repeated freely, and waits at its host until its result has no
+// value, gets a back-off answer without violating an invariant, and that its attempt is withdrawn.
 func TestBackOffForSafeClassThatMayHaveRun(t *testing.T) {
 	settings := testSettings()
 	c := &settings.Classes[reading]
@@ -321,8 +322,8 @@
 	})
 }
 
-// TestConclude: what is open when the program may be killed soon is answered then, once: with a back-off answer where nothing can have
-// run, and what is out is withdrawn. A class that waits longer than a planned end lasts got no answer at all.
+// TestAnswerOpenMessages checks that messages open near the end of a planned shutdown are answered once, those that cannot have run
+// with a back-off answer, and that attempts are withdrawn. Classes with a longer limit than the shutdown got no answer before.
 func TestAnswerOpenMessages(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		out := b.submit(warning, 20*time.Second)
@@ -336,7 +337,7 @@
 		b.current.AnswerOpenMessages()
 		synctest.Wait()
 		if len(out.answers) != 1 || out.answers[0].Kind != Failed || len(held.answers) != 1 || held.answers[0].Kind != BackOff {
-			t.Errorf("answers %v to what was out, %v to what was held", out.answers, held.answers)
+			t.Errorf("answers %v to the sent message, %v to the held one", out.answers, held.answers)
 		}
 		if len(b.sends) != 1 || !errors.Is(context.Cause(b.sends[0].ctx), ErrWithdrawn) {
 			t.Errorf("%d sends, cause %v", len(b.sends), context.Cause(b.sends[0].ctx))
@@ -348,8 +349,8 @@
 	})
 }
 
-// TestOfflineByHand: the check before a send's first byte sees an operator's word, which passes a queue that is full and
-// which no list lifts; an id that was never listed is not known.
+// TestSetOffline checks that an operator's setting takes effect before the first byte of a pending send, is applied though the
+// queue is full, and is not reverted by a list; an id that was never listed is unknown.
 func TestSetOffline(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		set := func(name string, out, want bool) {
@@ -362,7 +363,7 @@
 		s := b.sends[0]
 		set("s-never", true, false)
 		hold := make(chan struct{})
-		b.current.enqueue(func(time.Duration) { <-hold }) // the owner is busy, and more waits than the queue holds
+		b.current.enqueue(func(time.Duration) { <-hold }) // the engine is busy, and the queue is full
 		for b.current.tryEnqueue(func(time.Duration) {}) {
 		}
 		done := make(chan struct{})
@@ -371,7 +372,7 @@
 		close(hold)
 		<-done
 		if s.a.MaySend() {
-			t.Error("clear to send to a host that is out")
+			t.Error("may send to a host that is offline")
 		}
 		hosts := []Host{testHost(0, balance.Ready), testHost(1, balance.Ready), testHost(2, balance.Ready), testHost(3, balance.Ready)}
 		b.current.UpdateHosts(balance.ListFull, hosts)
@@ -379,19 +380,19 @@
 		if listed, avoided := b.current.HostCounts(); s.a.MaySend() || listed != 4 || avoided != 1 {
 			t.Errorf("clear %v, %d listed, %d avoided", s.a.MaySend(), listed, avoided)
 		}
-		b.current.UpdateHosts(balance.ListFull, hosts[:0]) // ever listed outlives leaving the list
+		b.current.UpdateHosts(balance.ListFull, hosts[:0]) // a host counts as listed after it is removed from the list
 		synctest.Wait()
 		set(s.a.Host.Name, true, true)
 		set(s.a.Host.Name, false, true)
 		b.current.UpdateHosts(balance.ListFull, hosts)
 		synctest.Wait()
 		if !s.a.MaySend() {
-			t.Error("back online and not clear to send to")
+			t.Error("may not send to a host that is online again")
 		}
 	})
 }
 
-// TestOfflineFromBefore: a word given to an earlier process holds from the start.
+// TestInitialOffline checks that a host set offline in an earlier process is offline from the start.
 func TestInitialOffline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &harness{t: t}
@@ -419,8 +420,8 @@
 	})
 }
 
-// TestFollows: where many dispatchers share discovery the first watch waits for its turn, but not in a process that takes
-// over: what changes soon after counts as told 2 s after it has said that it is ready.
+// TestInheritedHostsAreWatchedAtOnce checks that a process that takes over watches discovery at once, while others wait for their
+// turn among many dispatchers: a successor must receive changes within 2 s after it has reported ready.
 func TestInheritedHostsAreWatchedAtOnce(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -444,7 +445,7 @@
 	}
 }
 
-// TestSameIDTwice guards the first message of two with one id: its table entry must not be replaced.
+// TestDuplicateIDFails checks that a second message with the same id fails and does not replace the first one's table entry.
 func TestDuplicateIDFails(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 5*time.Second)
@@ -459,20 +460,20 @@
 	})
 }
 
-// TestDrainBarsTheSend guards the moment between a decision and the first byte.
+// TestDrainPreventsSend checks that an attempt is not sent if its host begins to drain between the decision and the first byte.
 func TestDrainPreventsSend(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		b.submit(warning, 5*time.Second)
 		s := b.sends[0]
 		if !s.a.MaySend() {
-			t.Fatal("not clear at first")
+			t.Fatal("may not send at first")
 		}
 		h := s.a.Host
 		h.Worker.State = balance.Draining
 		b.current.UpdateHosts(balance.ListChanges, []Host{h})
 		synctest.Wait()
 		if s.a.MaySend() {
-			t.Error("clear though the host drains")
+			t.Error("may send though the host drains")
 		}
 		b.ended(s, balance.NotSent)
 		if len(b.sends) != 2 || b.sends[1].a.Host.Name == h.Name {
@@ -488,7 +489,8 @@
 	}
 }
 
-// TestReturnedAgain guards an attempt that runs against the repeated word on an earlier one at the same host.
+// TestRepeatedReturnReport checks that a repeated report that a host returned an earlier attempt does not count as proof that a later
+// attempt at the same host has not run.
 func TestRepeatedReturnReport(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		for i := 1; i < 4; i++ { // one host is left
@@ -532,7 +534,7 @@
 	o.answer(p, Answer{Kind: BackOff})
 }
 
-// TestPanic: one message's trouble is not everybody's.
+// TestPanicIsRecovered checks that a panic in an event does not end the engine.
 func TestPanicIsRecovered(t *testing.T) {
 	o := New(Config{Check: &invariant.Checker{}, QueueSize: 1})
 	defer func() {
@@ -543,9 +545,9 @@
 	o.runEvent(func(time.Duration) { panic("as a test") })
 }
 
-// FuzzOwner plays random steps of clients, hosts, the inventory and time, and checks the rules against a model of its
-// own, over two owners between which messages move: one answer for each message, in time; a back-off answer and a further unsafe send only where nothing may have
-// run; one attempt of a message at a host; nothing to a host that drains.
+// FuzzEngine plays random steps of clients, hosts, the inventory and time on two engines between which messages are handed over,
+// and checks against a model: one answer for each message, in time; a back-off answer and a further send of an unsafe message only
+// if nothing may have run; one attempt of a message at a host at a time; nothing sent to a draining host.
 func FuzzEngine(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
 	f.Add([]byte("0000warning boxes and gauges0000\xff\xfe\xfd7777"))
@@ -601,7 +603,7 @@
 			synctest.Wait()
 		case op == 6:
 			b.wait(time.Duration(n) * 40 * time.Millisecond)
-		case op == 7 && n%2 == 1: // an upgrade: all that can goes over, but for what is not taken there
+		case op == 7 && n%2 == 1: // an upgrade: all messages are handed over, except those that are refused
 			for i, m := range b.messages {
 				b.handOver(m, n/2%4 != i%4)
 			}
@@ -611,7 +613,7 @@
 			synctest.Wait()
 		}
 		for _, s := range b.sends {
-			if errors.Is(context.Cause(s.ctx), ErrWithdrawn) && !s.ended { // the south side gives it up
+			if errors.Is(context.Cause(s.ctx), ErrWithdrawn) && !s.ended { // the backend withdraws it
 				s.ended, s.mayHaveRun = true, true
 				b.ended(s, balance.Cancelled)
 			}
@@ -630,12 +632,12 @@
 	}
 	for _, o := range b.engines {
 		if n := o.Check.Breaches(); n > 0 || len(o.jobs)+len(o.byKey)+len(o.moving) > 0 {
-			t.Errorf("%d breaches; kept: %d jobs, %d keys, %d that move", n, len(o.jobs), len(o.byKey), len(o.moving))
+			t.Errorf("%d breaches; kept: %d jobs, %d keys, %d moving", n, len(o.jobs), len(o.byKey), len(o.moving))
 		}
 	}
 }
 
-// checkSend checks a send when it is first seen, against all before it.
+// checkSend checks a send against all earlier ones.
 func (b *harness) checkSend(i int, draining map[string]bool) {
 	s := b.sends[i]
 	for _, old := range b.sends[:i] {
@@ -657,8 +659,8 @@
 	}
 }
 
-// TestNothingLeftOnTheWheel guards against timers that outlive what they time: a served message that stays on the wheel
-// until its deadline is held with its payload, and 5 s of load are more than the memory there is.
+// TestClosedMessagesLeaveNoTimers guards against timers that outlive their message: on the wheel they keep its payload in memory
+// until the deadline, and 5 s of load do not fit in memory.
 func TestClosedMessagesLeaveNoTimers(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		idle := b.current.wheel.Len()
@@ -677,7 +679,7 @@
 				b.ended(s, balance.Cancelled)
 			}
 		}
-		if len(b.current.jobs) != 0 || b.current.wheel.Len() > idle+1 { // the module's own tick may be on it
+		if len(b.current.jobs) != 0 || b.current.wheel.Len() > idle+1 { // the scheduler's own tick may be on it
 			t.Errorf("%d jobs, %d timers, at first %d", len(b.current.jobs), b.current.wheel.Len(), idle)
 		}
 	})
--- a/internal/serve/engine/handover_test.go
+++ b/internal/serve/engine/handover_test.go
@@ -10,22 +10,22 @@
 	"liftgauge/balance"
 )
 
-// standing is where an owner says that a message is.
+// locationOf returns the location that an engine reports for a message.
 func locationOf(o *Engine, m *testMessage) (at MessageLocation) {
 	o.HandleReport(Report{Key: m.m.Key, From: "s-elsewhere", State: Progress}, func(s MessageLocation) { at = s }, nil)
 	synctest.Wait()
 	return at
 }
 
-// TestMove: a message goes over once its host has taken it, and not before; meanwhile hosts are told to say it again; the result
-// reaches the process that has it, and a client that leaves there withdraws the attempt there.
+// TestHandover checks that a message is handed over once its host has accepted it, and not before; that hosts must repeat reports
+// meanwhile; that the result reaches the new process; and that a disconnect there withdraws the attempt there.
 func TestHandover(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		old, next := b.engines[0], b.engines[1]
 		m, left := b.submit(warning, 20*time.Second), b.submit(reading, 20*time.Second)
 		s := b.sends[0]
 		if b.handOver(m, true) {
-			t.Fatal("moved on its way to the host")
+			t.Fatal("handed over on its way to the host")
 		}
 		s.a.MarkAccepted()
 		b.sends[1].a.MarkAccepted()
@@ -38,7 +38,7 @@
 		if locationOf(old, m) != LocationMoving || locationOf(next, m) != LocationUnknown || !errors.Is(context.Cause(first), ErrHandedOver) {
 			t.Errorf("at %v and %v, cause %v", locationOf(old, m), locationOf(next, m), context.Cause(first))
 		}
-		b.report(s, Done, "while it moves: nobody takes it")
+		b.report(s, Done, "during the handover: not accepted")
 		if _, again := old.Release(t.Context(), m.m); again {
 			t.Error("released twice")
 		}
@@ -65,14 +65,14 @@
 		b.ended(b.sends[1], balance.Cancelled)
 		for i, o := range b.engines {
 			if len(o.jobs)+len(o.byKey)+len(o.moving) != 0 {
-				t.Errorf("%d keeps %d jobs, %d keys, %d that move", i, len(o.jobs), len(o.byKey), len(o.moving))
+				t.Errorf("%d keeps %d jobs, %d keys, %d moving", i, len(o.jobs), len(o.byKey), len(o.moving))
 			}
 		}
 	})
 }
 
-// TestMoveRefused: what the successor does not take goes on here, with its patience and its past: an unsafe job that may have run is
-// not sent again, neither here nor there.
+// TestRefusedHandoverContinues checks that a message that the successor refuses continues here with its deadline and its past: an
+// unsafe job that may have run is not sent again in either process.
 func TestRefusedHandoverContinues(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, 20*time.Second)
@@ -81,13 +81,13 @@
 			t.Fatalf("at %v and %v", locationOf(b.engines[0], m), locationOf(b.engines[1], m))
 		}
 		if !b.handOver(m, true) {
-			t.Fatal("not moved at the second try")
+			t.Fatal("not handed over at the second attempt")
 		}
 		b.report(b.sends[0], Lost, "")
 		if len(m.answers) != 1 || m.answers[0].Kind != Failed || len(b.sends) != 1 {
 			t.Errorf("answers %v, %d sends", m.answers, len(b.sends))
 		}
-		// One that waits for room goes over too, and is sent from there.
+		// A message that waits for a host is handed over too, and sent by the successor.
 		for i := range 4 {
 			b.engines[0].SetOffline(t.Context(), testHost(i, balance.Ready).Name, true, false)
 		}
@@ -97,7 +97,7 @@
 	})
 }
 
-// TestMoveLate: one whose patience ends on the way is answered by whoever has it.
+// TestDeadlineDuringHandover checks that a message whose deadline passes during the handover is answered by its new process.
 func TestDeadlineDuringHandover(t *testing.T) {
 	runInBubble(t, func(t *testing.T, b *harness) {
 		m := b.submit(warning, time.Second)
--- a/internal/serve/handover/fdpassing_test.go
+++ b/internal/serve/handover/fdpassing_test.go
@@ -11,7 +11,7 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// pair is a client's connection as both ends have it.
+// connPair returns both ends of a client's connection.
 func connPair(t *testing.T) (client, served net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,8 +29,8 @@
 	return client, served
 }
 
-// TestPass: a connection goes over with a record of any bytes and of any size, and lives on when this process closes its own end of it;
-// where the successor does not take it, or is gone, it stays what it was.
+// TestPassConnection checks that a connection is passed with a record of any bytes and size, and stays open when this process closes
+// its descriptor; if the successor refuses it or has ended, the connection is unchanged.
 func TestPassConnection(t *testing.T) {
 	dir := t.TempDir()
 	old := startProcess(t, dir)
@@ -38,11 +38,11 @@
 	give := func() ([]byte, bool) { return record, true }
 	client, served := connPair(t)
 	if taken, err := old.PassConnection(served, give); taken || !errors.Is(err, engine.ErrNoPeer) {
-		t.Errorf("passed to nobody: %v, %v", taken, err)
+		t.Errorf("passed without a successor: %v, %v", taken, err)
 	}
 	next := startProcess(t, dir)
 	if taken, err := old.PassConnection(served, give); taken || err != nil {
-		t.Errorf("not taken there: %v, %v", taken, err)
+		t.Errorf("refused: %v, %v", taken, err)
 	}
 	if taken, err := old.PassConnection(served, func() ([]byte, bool) { return nil, false }); taken || !errors.Is(err, errNotReleasable) {
 		t.Errorf("no record: %v, %v", taken, err)
@@ -53,7 +53,7 @@
 	got := make(chan net.Conn, 1)
 	next.setAdopt(func(r []byte, c net.Conn) bool {
 		if string(r) != string(record) {
-			t.Errorf("%d bytes of record came, %d were sent", len(r), len(record))
+			t.Errorf("received %d bytes of record, want %d", len(r), len(record))
 		}
 		got <- c
 		return true
@@ -69,7 +69,7 @@
 	if text, err := io.ReadAll(client); string(text) != "HTTP/1.1 200 OK" || err != nil {
 		t.Errorf("the client read %q, %v", text, err)
 	}
-	// A successor that ends with the message in hand has not taken it: it would have said so.
+	// A successor that ends before it replies has not taken the message.
 	next.setAdopt(func(_ []byte, c net.Conn) bool {
 		c.Close()
 		next.Peer.mu.Lock()
@@ -81,13 +81,14 @@
 	})
 	_, served = connPair(t)
 	if taken, err := old.PassConnection(served, give); taken || err == nil {
-		t.Errorf("passed to one that died: %v, %v", taken, err)
+		t.Errorf("passed to a successor that ended: %v, %v", taken, err)
 	}
 	next.end()
 	old.end()
 }
 
-// TestUnasked: descriptors that come with anything but a message, or two with one, are closed, and nothing else happens.
+// TestUnexpectedDescriptors checks that descriptors that are received with anything but a message, or two with one message, are
+// closed and have no other effect.
 func TestUnexpectedDescriptors(t *testing.T) {
 	old := startProcess(t, t.TempDir())
 	defer old.end()
@@ -116,7 +117,7 @@
 		raw.Close()
 		if c.fds > 0 {
 			if n, err := client.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-				t.Errorf("%s: the connection is still open there: %v", c.line, err)
+				t.Errorf("%s: the connection is still open: %v", c.line, err)
 			}
 		}
 	}
--- a/internal/serve/handover/peer_test.go
+++ b/internal/serve/handover/peer_test.go
@@ -16,12 +16,12 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// process is one process of a dispatcher, as far as the other meets it.
+// process is a process of a dispatcher with a fake Handler.
 type process struct {
 	*Peer
 	t        *testing.T
 	ready    bool
-	known    map[string]bool // hosts, and whether they are out
+	known    map[string]bool // hosts, and whether they are offline
 	bodies   []string
 	adopt    func(record []byte, client net.Conn) bool
 	mu       sync.Mutex
@@ -48,7 +48,7 @@
 	return adopt(record, client)
 }
 
-// heard is all call-backs that came, and isOut whether a host is.
+// receivedCallbacks returns all received call-backs.
 func (p *process) receivedCallbacks() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	return p.known[host]
 }
 
-// adopts sets what the process does with a message that is passed to it.
+// setAdopt sets how the process handles a message that is passed to it.
 func (p *process) setAdopt(f func(record []byte, client net.Conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,12 +90,12 @@
 
 func (p *process) SetSharing(on bool) { p.shares <- on }
 
-// start starts a process that meets others in the folder.
+// startProcess starts a process with its socket in a directory.
 func startProcess(t *testing.T, dir string) *process {
 	return startProcessWithTimeout(t, dir, time.Minute)
 }
 
-// startWithin starts one that gives a successor so long to get ready.
+// startProcessWithTimeout starts a process with a timeout for a successor to become ready.
 func startProcessWithTimeout(t *testing.T, dir string, ready time.Duration) *process {
 	t.Helper()
 	p := &process{t: t, known: map[string]bool{"s-1": false}, shares: make(chan bool, 8), done: make(chan struct{}), ready: true}
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	p.Handler = p
-	p.requestTimeout, p.snapshotTimeout, p.readyTimeout = time.Minute, time.Minute, ready // a busy machine changes no verdict
+	p.requestTimeout, p.snapshotTimeout, p.readyTimeout = time.Minute, time.Minute, ready // so that a busy machine does not affect the result
 	if p.snapshot, err = p.Join(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -120,14 +120,14 @@
 	<-p.done
 }
 
-// TestUpgrade: the new process is told what the old one knows, either does what the other asks, and the end of one is
-// seen by the other at once.
+// TestUpgrade checks that the new process receives the old one's state, that each carries out the other's requests, and that
+// each detects the other's end at once.
 func TestUpgrade(t *testing.T) {
 	for _, dir := range []string{t.TempDir(), filepath.Join(t.TempDir(), strings.Repeat("long/", 30))} {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		// A process that was killed has left its socket.
+		// The socket of a process that was killed.
 		f, err := openSocketDir(dir, "n0")
 		if err != nil {
 			t.Fatal(err)
@@ -141,24 +141,24 @@
 
 		old := startProcess(t, dir)
 		if old.snapshot != nil || old.Connected() {
-			t.Fatalf("joined nobody and was told %+v", old.snapshot)
+			t.Fatalf("received %+v without a predecessor", old.snapshot)
 		}
 		if all, _ := f.sockets(); len(all) != 1 {
-			t.Errorf("sockets %v: the stale one is still there", all)
+			t.Errorf("sockets %v: the stale one is not removed", all)
 		}
 		if _, _, err := old.Peer.Callback(nil); !errors.Is(err, engine.ErrNoPeer) {
-			t.Errorf("asked nobody: %v", err)
+			t.Errorf("request without another process: %v", err)
 		}
 		next := startProcess(t, dir)
 		if s := next.snapshot; s == nil || s.Discovery != "127.0.0.1:1" || !strings.Contains(string(s.List), `"revision":7`) ||
 			strings.Join(s.Offline, ",")+" "+strings.Join(s.Listed, ",") != "s-1 s-1,s-2" {
-			t.Fatalf("told %+v", next.snapshot)
+			t.Fatalf("received %+v", next.snapshot)
 		}
 		if !<-old.shares || !next.Connected() {
 			t.Error("no sharing")
 		}
 		if old.SuccessorReady() || next.SuccessorReady() {
-			t.Error("succeeded by one that is not ready")
+			t.Error("a successor counts as ready before it has announced that")
 		}
 		if err := next.Announce(); err != nil || !old.SuccessorReady() || next.SuccessorReady() {
 			t.Errorf("announced: %v, succeeded %v", err, old.SuccessorReady())
@@ -181,19 +181,19 @@
 			}
 		}
 		next.end()
-		if <-old.shares || old.Connected() || old.SuccessorReady() { // a successor that dies leaves the old one whole
-			t.Error("the end of the successor is not seen")
+		if <-old.shares || old.Connected() || old.SuccessorReady() { // the end of a successor does not affect the old process
+			t.Error("the end of the successor is not detected")
 		}
 		third := startProcess(t, dir)
 		if third.snapshot == nil || !<-old.shares {
-			t.Fatal("a second upgrade finds nobody")
+			t.Fatal("a second upgrade finds no process")
 		}
 		old.end()
 		if <-third.shares || third.Connected() {
-			t.Error("the end of the old process is not seen")
+			t.Error("the end of the old process is not detected")
 		}
 		if _, _, err := third.Peer.Callback(nil); !errors.Is(err, engine.ErrNoPeer) {
-			t.Errorf("asked one that has ended: %v", err)
+			t.Errorf("request to a process that has ended: %v", err)
 		}
 		third.end()
 		if all, _ := f.sockets(); len(all) != 0 {
@@ -203,8 +203,8 @@
 	}
 }
 
-// TestNotReady: a process that does not serve yet is not followed, and what another dispatcher's processes keep in the
-// same folder is left alone.
+// TestServerNotReady checks that a process that does not serve yet gets no successor, and that other dispatchers' sockets in the
+// same directory are left alone.
 func TestServerNotReady(t *testing.T) {
 	dir := t.TempDir()
 	other := filepath.Join(dir, "liftgauge-n00.00000000.sock")
@@ -216,34 +216,35 @@
 	old.ready = false
 	old.mu.Unlock()
 	if next := startProcess(t, dir); next.snapshot != nil || next.Connected() {
-		t.Errorf("told %+v", next.snapshot)
+		t.Errorf("received %+v", next.snapshot)
 	}
 	if !<-old.shares || <-old.shares {
-		t.Error("sharing with nobody")
+		t.Error("sharing without another process")
 	}
 	if _, err := os.Stat(other); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestNeverReady: a successor that does not get ready in time costs the old process nothing, and may still come to it.
+// TestSuccessorNotReadyInTime checks that the old process stops sharing with a successor that is not ready in time, and that this may
+// still become ready.
 func TestSuccessorNotReadyInTime(t *testing.T) {
 	dir := t.TempDir()
 	old := startProcessWithTimeout(t, dir, time.Millisecond)
 	next := startProcess(t, dir)
 	if !<-old.shares || <-old.shares || old.SuccessorReady() {
-		t.Error("still shares with one that is not ready")
+		t.Error("still shares with a successor that is not ready")
 	}
 	if err := next.Announce(); err != nil || !<-old.shares || !old.SuccessorReady() {
 		t.Errorf("late but ready: %v", err)
 	}
 	next.end()
 	if <-old.shares || old.SuccessorReady() {
-		t.Error("the end of the successor is not seen")
+		t.Error("the end of the successor is not detected")
 	}
 }
 
-// FuzzAsked: whatever comes on the socket, nothing panics and a good question is answered after it.
+// FuzzRequests checks that no input on the socket causes a panic, and that a valid request is answered afterwards.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte(`{"op":"hello"}` + "\n"))
 	f.Add([]byte(`{"op":"ready","socket":3}` + "\n"))
@@ -266,8 +267,8 @@
 	})
 }
 
-// TestListenBlocking: whoever hands the socket to the next process may make it block, for this process too. It does not while this one
-// accepts, or an accept without a connection would be out of reach of all that ends one.
+// TestAcceptOnBlockingSocket checks that a socket that was made blocking, as when it is passed to another process, is non-blocking
+// during an accept: else nothing could end an accept without a connection.
 func TestAcceptOnBlockingSocket(t *testing.T) {
 	platform, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -310,7 +311,7 @@
 	})
 }
 
-// TestListen: an inherited socket is used, and to close it here leaves it open to the others.
+// TestListen checks that an inherited socket is used, and that closing it here leaves it open in other processes.
 func TestListen(t *testing.T) {
 	platform, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -349,6 +350,6 @@
 		}
 	}
 	if _, err := Listen(t.Context(), platform.Addr().String(), ""); err == nil || !strings.HasPrefix(err.Error(), "listen") {
-		t.Errorf("taken address: %v", err)
+		t.Errorf("address in use: %v", err)
 	}
 }
--- a/internal/serve/handover/store_test.go
+++ b/internal/serve/handover/store_test.go
@@ -12,7 +12,7 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// TestStore: what was said holds for the next process, and the file is whole at any time.
+// TestStore checks that settings persist for the next process, and that the file is complete at any time.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), FileName("n3/../x", "state"))
 	s := Open(path, quiet)
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestStoreUnreadable: a dispatcher starts without what it cannot read, and says so.
+// TestStoreUnreadable checks that a dispatcher starts without a state file that it cannot read, and logs that.
 func TestStoreUnreadable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	for _, text := range []string{"", "{", "[]", `{"offline":1}`, `{"offline":["s-1",2]}`, `{"listed":{}}`} {
@@ -54,11 +54,11 @@
 		}
 	}
 	if err := Open(filepath.Join(path, "nowhere"), quiet).SetOffline("s-1", true); err == nil {
-		t.Error("a word that cannot be kept is taken")
+		t.Error("a setting that cannot be saved is accepted")
 	}
 }
 
-// FuzzState: no file makes the program panic.
+// FuzzState checks that no state file causes a panic.
 func FuzzState(f *testing.F) {
 	f.Add([]byte(`{"offline":["s-1"],"listed":["s-1","s-2"]}`))
 	f.Fuzz(func(t *testing.T, in []byte) { parseState(in) })
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -25,7 +25,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[`+entry+`]}`+"\n", revision, complete, phase, 1000)
 }
 
-// service plays discovery on a pipe for each connection and notes what comes of it.
+// fakeDiscovery is a fake discovery service, with a pipe for each connection, that records requests and lists.
 type fakeDiscovery struct {
 	t         *testing.T
 	calls     chan net.Conn // the service's ends
@@ -54,7 +54,7 @@
 	s.lists = append(s.lists, text)
 }
 
-// accept takes the next call and answers its head.
+// accept accepts the next request and sends the head of the response.
 func (s *fakeDiscovery) accept() net.Conn {
 	conn := <-s.calls
 	q, err := http1.NewReader(conn).ReadRequest()
@@ -76,7 +76,7 @@
 	runClient(t, false, test)
 }
 
-// watched plays a Client whose watch the module asks for, or one of an agent that nobody asks for.
+// runClient runs a Client whose watch the scheduler requests, or, if pushed, one that watches an agent without a request.
 func runClient(t *testing.T, pushed bool, test func(*fakeDiscovery, *Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeDiscovery{t: t, calls: make(chan net.Conn, 8)}
@@ -94,7 +94,8 @@
 	})
 }
 
-// TestIndented: a list may come on many lines, also with empty ones among them. One that never ends is no watch that stands, though beats come.
+// TestIndentedList checks that a list may have many lines, also empty ones, and that a watch whose list never ends is broken, though
+// heartbeats are received.
 func TestIndentedList(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
@@ -113,7 +114,7 @@
 			time.Sleep(2 * time.Second)
 			chunk(conn, "\n")
 		}
-		again := s.accept() // after 2.6 s, from what is held
+		again := s.accept() // after 2.6 s, from the revision held
 		if got := s.targets[len(s.targets)-1]; got != "/api/targets?follow=1&since=44" {
 			t.Errorf("asked %s", got)
 		}
@@ -141,7 +142,7 @@
 	})
 }
 
-// TestBrokenWatch guards against a watch whose network has gone silent: it stays open and tells nothing for ever.
+// TestBrokenWatch guards against a watch whose network connection is dead: it would stay open without receiving anything.
 func TestBrokenWatch(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
@@ -153,7 +154,7 @@
 			t.Fatalf("%d dials, lists %q", s.dials, s.lists)
 		}
 		s.down.Store(false)
-		c.Watch() // the module asks again
+		c.Watch() // the scheduler retries
 		s.accept()
 		if s.targets[1] != "/api/targets?follow=1&since=43" {
 			t.Errorf("asked %q", s.targets)
@@ -161,7 +162,7 @@
 	})
 }
 
-// TestBadLine guards the last good list: a line that cannot be read changes nothing and ends the watch.
+// TestBadLine checks that a malformed line does not change the last good list, and ends the watch.
 func TestBadLine(t *testing.T) {
 	for _, bad := range []string{"{\n", "[]\n", `{"revision":9}` + "\n", line(44, true, "HAPPY"), strings.Replace(line(44, true, "SERVING"), "18:8443", "18", 1)} {
 		runInBubble(t, func(s *fakeDiscovery, c *Client) {
@@ -177,7 +178,7 @@
 	}
 }
 
-// TestShortWatch guards against a loop of watches that break as soon as they are made.
+// TestShortWatch guards against a tight loop of watches that break as soon as they are opened.
 func TestShortWatch(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
@@ -185,18 +186,18 @@
 		conn.Close()
 		began := time.Now()
 		for range 10 {
-			fmt.Fprint(s.accept(), "3\r\n{\"r\r\n0\r\n\r\n") // a list that stops short
+			fmt.Fprint(s.accept(), "3\r\n{\"r\r\n0\r\n\r\n") // an incomplete list
 		}
 		if took := time.Since(began); took < 5*maxRetryPause || took > 8*maxRetryPause {
 			t.Errorf("ten tries in %v", took)
 		}
-		conn = s.accept() // this one lasts
+		conn = s.accept() // this one is stable
 		chunk(conn, line(44, false, "DRAINING"))
 		time.Sleep(stableAfter)
 		conn.Close()
 		began = time.Now()
 		conn = s.accept()
-		conn.Close() // and its successor does not: a drain that it had to tell must not wait for seconds
+		conn.Close() // and the next one is not: its changes must not wait for seconds
 		s.accept()
 		if took := time.Since(began); took > minRetryPause || len(s.lists) != 2 {
 			t.Errorf("two tries in %v, lists %q", took, s.lists)
@@ -204,7 +205,8 @@
 	})
 }
 
-// TestSpread: a watch that had lasted is made anew after a drawn time. Before, all dispatchers remade theirs at once.
+// TestReconnectSpread checks that a stable watch that breaks is reopened after a random delay. Without it all dispatchers reconnected
+// at once.
 func TestReconnectSpread(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		c.ReconnectSpread = 700 * time.Millisecond
@@ -214,40 +216,40 @@
 		conn.Close()
 		began := time.Now()
 		if s.accept(); time.Since(began) != c.ReconnectSpread/2 || s.targets[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("made anew after %v, asked %q", time.Since(began), s.targets)
+			t.Errorf("reopened after %v, asked %q", time.Since(began), s.targets)
 		}
 	})
 }
 
-// TestPushed guards against lists that are pushed to an agent and that nobody fetches there: no drain was ever heard. A watch
-// stands though the module never asks, is made anew whatever ends it, and an agent that takes a call and says nothing,
-// repeats itself or goes back in revision does no harm.
+// TestPushedLists guards against lists that are pushed to an agent and never fetched from it, so that no drain was received. The agent
+// is watched without a request from the scheduler, the watch is reopened whatever ends it, and an agent that does not respond, repeats
+// a list or sends an older revision does no harm.
 func TestPushedLists(t *testing.T) {
 	runClient(t, true, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		chunk(conn, line(44, false, "DRAINING"))
-		chunk(conn, line(44, false, "DRAINING")) // told twice
-		chunk(conn, line(42, false, "SERVING"))  // goes back
+		chunk(conn, line(44, false, "DRAINING")) // repeated
+		chunk(conn, line(42, false, "SERVING"))  // older revision
 		chunk(conn, line(42, true, "SERVING"))
 		if want := "kind 1 s-5be2a07c state 1 zone 1 kind 1 up 1s"; len(s.lists) != 3 || s.lists[1] != want || s.lists[2] != want {
 			t.Fatalf("lists %q", s.lists)
 		}
 		began := time.Now()
 		s.down.Store(true)
-		time.Sleep(silenceTimeout) // discovery is down: the agent says nothing, then nobody is there
+		time.Sleep(silenceTimeout) // discovery is down: the agent sends nothing, then refuses connections
 		s.down.Store(false)
 		for range 8 {
-			defer (<-s.calls).Close() // takes the call and says nothing
+			defer (<-s.calls).Close() // accepts the connection and does not respond
 		}
 		conn = s.accept()
 		if took := time.Since(began); took > silenceTimeout+10*2*agentTimeout || s.targets[1] != "/api/targets?follow=1&since=44" {
-			t.Errorf("stands again after %v, asked %q", took, s.targets)
+			t.Errorf("reopened after %v, asked %q", took, s.targets)
 		}
 		chunk(conn, line(45, false, "DELETED"))
 		for _, l := range s.lists {
 			if strings.HasPrefix(l, fmt.Sprint("kind ", balance.ListFailed)) {
-				t.Errorf("lists %q: the module cannot ask an agent", s.lists)
+				t.Errorf("lists %q: the scheduler cannot retry an agent", s.lists)
 			}
 		}
 		if len(s.lists) != 4 {
@@ -256,7 +258,7 @@
 	})
 }
 
-// TestRefusedCall: a call that fails is told, and not made again before the module asks.
+// TestRejectedRequest checks that a failed request is reported, and not repeated before the scheduler requests it.
 func TestRejectedRequest(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := <-s.calls
@@ -268,7 +270,7 @@
 			t.Errorf("%d dials, lists %q", s.dials, s.lists)
 		}
 		c.Watch()
-		<-s.calls // and says nothing
+		<-s.calls // no response
 		time.Sleep(discoveryTimeout + time.Millisecond)
 		synctest.Wait()
 		if s.dials != 2 || len(s.lists) != 2 {
@@ -277,7 +279,7 @@
 	})
 }
 
-// TestMove: a new address is tried until it works, and until then the old watch is followed and nothing is lost.
+// TestAddressChange checks that a new address is retried until it works, and that until then the old watch is used and no change lost.
 func TestAddressChange(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
@@ -290,16 +292,16 @@
 		c.SetAddress("discovery:3")
 		time.Sleep(minRetryPause * 2)
 		chunk(old, line(45, false, "DRAINING"))
-		c.Watch()           // the module asks, too
-		old.Close()         // as the old address does before long
-		s.down.Store(false) // the next call is heard,
-		call := <-s.calls   // and gets no answer: another is made
+		c.Watch()           // the scheduler requests a watch, too
+		old.Close()         // as the old address does soon
+		s.down.Store(false) // the next connection is accepted,
+		call := <-s.calls   // and gets no response: another is opened
 		conn := s.accept()
 		if took := time.Since(began); took > 2*time.Second {
 			t.Errorf("tried again only after %v", took)
 		}
 		call.Close()
-		chunk(conn, line(44, false, "SERVING")) // it lags behind what the old one told
+		chunk(conn, line(44, false, "SERVING")) // older than what the old one sent
 		chunk(conn, line(46, false, "DELETED"))
 		want := "kind 0 s-5be2a07c state 0 zone 1 kind 1 up 1s, kind 1 s-5be2a07c state 1 zone 1 kind 1 up 1s, " +
 			"kind 1 s-5be2a07c state 2 zone 1 kind 1 up 1s"
@@ -312,7 +314,8 @@
 	})
 }
 
-// TestMoveByBeat: where nothing has changed a beat shows that the new address stands, and the old watch ends.
+// TestHeartbeatCompletesAddressChange checks that without changes a heartbeat establishes the watch at the new address, and ends the
+// old watch.
 func TestHeartbeatCompletesAddressChange(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
@@ -332,7 +335,7 @@
 	})
 }
 
-// FuzzDecode checks that no line panics and that what is accepted has what the owner needs.
+// FuzzDecode checks that decoding never panics, and that accepted lists have what the engine needs.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(line(43, true, "SERVING")))
 	f.Add([]byte(`{"revision":1e3,"complete":null,"members":[{"id":"x","phase":"DELETED","up_since_ms":-5}]}`))
@@ -349,7 +352,7 @@
 	})
 }
 
-// TestEncode: a list that is written for another process reads as it was.
+// TestEncode checks that an encoded list decodes to the same list.
 func TestEncode(t *testing.T) {
 	d := Decoder{Zones: []string{"caroni", "couva"}, Kinds: []string{"full-box", "slow-box"}}
 	const text = `{"revision":43,"complete":true,"members":[` +
@@ -365,8 +368,8 @@
 	}
 }
 
-// TestLargeList: thousands of entries are taken, repeated ones and all; a line past the bound changes nothing, costs no more
-// than the bound, and the watch is made anew from the version held.
+// TestLargeList checks that a list of thousands of entries, also repeated ones, is accepted; that a line over the limit is ignored and
+// uses no more memory than the limit; and that the watch is reopened from the revision held.
 func TestLargeList(t *testing.T) {
 	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
@@ -381,7 +384,7 @@
 		}
 		time.Sleep(stableAfter)
 		go func() {
-			for range maxLine/len(text) + 2 { // no end of line
+			for range maxLine/len(text) + 2 { // without a line end
 				fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text)-1, text[:len(text)-1])
 			}
 		}()
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestAgainstModel checks the wheel against a list on random times, some more than a turn away, with timers stopped at
-// random, from within others of the same tick too, and handles of old timers used again.
+// TestAgainstModel checks the wheel against a list, with random times, some more than a turn away, with timers stopped at
+// random, also from within others of the same tick, and with handles of old timers.
 func TestAgainstModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	const step = 2 * time.Millisecond
@@ -19,7 +19,7 @@
 	}
 	w := New[item](step, now)
 	var model []item
-	var handles []Timer[item] // of all that ever were, by id
+	var handles []Timer[item] // of all timers so far, by id
 	stop := func() {
 		if len(handles) == 0 {
 			return
@@ -36,7 +36,7 @@
 	for range 5000 {
 		for range rng.IntN(4) {
 			it := item{len(handles), now + time.Duration(rng.Int64N(int64(20*time.Second)))}
-			if rng.IntN(4) == 0 { // many in few ticks
+			if rng.IntN(4) == 0 { // many in a few ticks
 				it.at = now + time.Duration(rng.Int64N(int64(100*time.Millisecond)))
 			}
 			handles, model = append(handles, w.Add(it.at, it)), append(model, it)
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestStopLetsGo guards against a stopped or run timer that keeps what it held: at 9,000 messages a second that was more
-// than the program may use.
+// TestStopReleasesValue guards against a stopped or run timer that keeps its value: at 9,000 messages a second that exceeded the
+// program's memory limit.
 func TestStopReleasesValue(t *testing.T) {
 	w := New[*int](time.Millisecond, 0)
 	stopped, ran := w.Add(time.Second, new(int)), w.Add(2*time.Millisecond, new(int))
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestAddWhileRunning guards against a timer that asks for itself at once and never lets Advance return.
+// TestAddWhileRunning guards against a timer that adds itself again at the present time, so that Advance never returns.
 func TestAddWhileRunning(t *testing.T) {
 	w := New[int](2*time.Millisecond, 0)
 	w.Add(0, 1)
