--- a/internal/serve/backend/client.go
+++ b/internal/serve/backend/client.go
@@ -207,7 +207,7 @@
 	fields := append(http1.Fields{{Name: "Host", Value: a.Host.Address}}, call.Fields...)
 	fields = append(fields, http1.Field{Name: "Req-Deadline-Ms", Value: strconv.Itoa(int(left))})
 	head := http1.AppendRequestHead(make([]byte, 0, 512), call.Method, call.Target, fields, len(call.Body))
-	whole := len(head) + len(call.Body)
+	total := len(head) + len(call.Body)
 	// Since the decision the host may have begun to drain, or the attempt may have been withdrawn: a send takes effect with
 	// its first byte.
 	if !a.MaySend() {
@@ -230,7 +230,7 @@
 		c.pool.drop(conn)
 		c.noteBroken(ctx, conn)
 		switch {
-		case n >= int64(whole):
+		case n >= int64(total):
 			return balance.Reset
 		case ctx.Err() != nil:
 			return balance.NotSent
@@ -399,8 +399,8 @@
 }
 
 // call makes a call without a job, within a timeout. OK means that a response arrived; its body is returned if it is short.
-func (c *Client) call(h engine.Host, method, target string, within time.Duration) (*http1.Response, []byte, balance.Status) {
-	ctx, stop := context.WithTimeout(c.ctx, within)
+func (c *Client) call(h engine.Host, method, target string, timeout time.Duration) (*http1.Response, []byte, balance.Status) {
+	ctx, stop := context.WithTimeout(c.ctx, timeout)
 	defer stop()
 	conn, err := c.pool.get(ctx, h)
 	switch {
--- a/internal/serve/backend/client_test.go
+++ b/internal/serve/backend/client_test.go
@@ -141,26 +141,26 @@
 }
 
 const (
-	taken    = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
-	declined = "Srv-Declined: 1\r\nContent-Length: 1\r\n\r\nx"
-	empty    = "Content-Length: 0\r\n\r\n"
-	endless  = "Transfer-Encoding: chunked\r\n\r\n5\r\nab"
-	soon     = 10 * time.Millisecond
+	acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+	declinedFields   = "Srv-Declined: 1\r\nContent-Length: 1\r\n\r\nx"
+	emptyBody        = "Content-Length: 0\r\n\r\n"
+	endlessBody      = "Transfer-Encoding: chunked\r\n\r\n5\r\nab"
+	soon             = 10 * time.Millisecond
 )
 
 // steps follow the protocol's table of outcomes. With an idle connection to the host there is no dial: steps with a dial
 // outcome are then skipped.
 var steps = []step{
-	{answer: taken, stop: engine.ErrOutcomeKnown, after: soon, reusable: true},
-	{answer: taken, stop: engine.ErrWithdrawn, after: soon, withdraws: true, want: balance.Cancelled, reusable: true},
-	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + taken, stop: engine.ErrOutcomeKnown, after: soon, reusable: true},
+	{answer: acceptedResponse, stop: engine.ErrOutcomeKnown, after: soon, reusable: true},
+	{answer: acceptedResponse, stop: engine.ErrWithdrawn, after: soon, withdraws: true, want: balance.Cancelled, reusable: true},
+	{answer: "HTTP/1.1 100 Continue\r\n\r\n" + acceptedResponse, stop: engine.ErrOutcomeKnown, after: soon, reusable: true},
 	{answer: "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", stop: engine.ErrOutcomeKnown, after: soon},
-	{answer: "HTTP/1.1 503 No\r\n" + declined, want: balance.Full},
-	{answer: "HTTP/1.1 504 No\r\n" + declined, want: balance.Full},
-	{answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Errored, withdraws: true, reusable: true}, // the withdrawal's connection
-	{answer: "HTTP/1.1 500 No\r\n" + declined, want: balance.Errored},
-	{answer: "HTTP/1.1 400 No\r\n" + empty, want: balance.Rejected},
-	{answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.Errored, withdraws: true, reusable: true},
+	{answer: "HTTP/1.1 503 No\r\n" + declinedFields, want: balance.Full},
+	{answer: "HTTP/1.1 504 No\r\n" + declinedFields, want: balance.Full},
+	{answer: "HTTP/1.1 503 No\r\n" + emptyBody, want: balance.Errored, withdraws: true, reusable: true}, // the withdrawal's connection
+	{answer: "HTTP/1.1 500 No\r\n" + declinedFields, want: balance.Errored},
+	{answer: "HTTP/1.1 400 No\r\n" + emptyBody, want: balance.Rejected},
+	{answer: "HTTP/1.1 200 OK\r\n" + emptyBody, want: balance.Errored, withdraws: true, reusable: true},
 	{answer: "what?\r\n\r\n", want: balance.Reset, breaks: true, withdraws: true, reusable: true},
 	{answer: "HTTP/1.1 202 Acc", delay: soon, stop: engine.ErrWithdrawn, after: 2 * soon, want: balance.Cancelled, withdraws: true, reusable: true},
 	{answer: "close", want: balance.Reset, breaks: true},
@@ -168,11 +168,11 @@
 	{reads: 120, want: balance.ConnectFailed, notReceived: true, breaks: true},
 	{barred: true, want: balance.NotSent, notReceived: true, reusable: true},
 	{answer: "", stop: engine.ErrWithdrawn, after: time.Second, want: balance.Cancelled, withdraws: true, reusable: true},
-	{answer: taken, delay: 2 * soon, stop: engine.ErrOutcomeKnown, after: soon},  // the host's report came first
-	{answer: "", stop: engine.ErrOutcomeKnown, after: soon, want: balance.Reset}, // too late to count, but the send ends
-	{probe: true, answer: "HTTP/1.1 200 OK\r\n" + empty, want: balance.OK, reusable: true},
-	{probe: true, answer: "HTTP/1.1 503 No\r\n" + empty, want: balance.Full},
-	{probe: true, answer: "HTTP/1.1 404 No\r\n" + empty, want: balance.Errored},
+	{answer: acceptedResponse, delay: 2 * soon, stop: engine.ErrOutcomeKnown, after: soon}, // the host's report came first
+	{answer: "", stop: engine.ErrOutcomeKnown, after: soon, want: balance.Reset},           // too late to count, but the send ends
+	{probe: true, answer: "HTTP/1.1 200 OK\r\n" + emptyBody, want: balance.OK, reusable: true},
+	{probe: true, answer: "HTTP/1.1 503 No\r\n" + emptyBody, want: balance.Full},
+	{probe: true, answer: "HTTP/1.1 404 No\r\n" + emptyBody, want: balance.Errored},
 	{probe: true, answer: "", want: balance.TimedOut},
 	{probe: true, answer: "close", want: balance.Reset, breaks: true},
 	{forget: true},
@@ -183,11 +183,11 @@
 	{dial: "silent", stop: engine.ErrWithdrawn, after: soon, want: balance.NotSent, notReceived: true},
 	{dial: "silent", probe: true, want: balance.ConnectFailed, notReceived: true},
 	// The head decides though the body never ends.
-	{answer: "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\n" + endless, want: balance.Full},
+	{answer: "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\n" + endlessBody, want: balance.Full},
 	{answer: "HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nx", want: balance.Full},
-	{answer: "HTTP/1.1 500 No\r\n" + endless, want: balance.Errored},
-	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrOutcomeKnown, after: soon},
-	{answer: "HTTP/1.1 202 Accepted\r\n" + endless, stop: engine.ErrWithdrawn, after: soon, withdraws: true, want: balance.Cancelled, reusable: true},
+	{answer: "HTTP/1.1 500 No\r\n" + endlessBody, want: balance.Errored},
+	{answer: "HTTP/1.1 202 Accepted\r\n" + endlessBody, stop: engine.ErrOutcomeKnown, after: soon},
+	{answer: "HTTP/1.1 202 Accepted\r\n" + endlessBody, stop: engine.ErrWithdrawn, after: soon, withdraws: true, want: balance.Cancelled, reusable: true},
 	{answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 40), want: balance.Reset, breaks: true, withdraws: true, reusable: true},
 }
 
@@ -338,7 +338,7 @@
 func TestLoads(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
 		w.c.Loads = load.New([]string{"util", "x0"}, w.c.Log)
-		const told = "Srv-Load: x0=3,util=0.5\r\n"
+		const loadHeader = "Srv-Load: x0=3,util=0.5\r\n"
 		body := func(text string) string {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		}
@@ -347,10 +347,10 @@
 			answer string
 			want   bool
 		}{
-			{false, "HTTP/1.1 503 No\r\n" + told + declined, true},
-			{false, "HTTP/1.1 500 No\r\n" + told + empty, true},
-			{false, "HTTP/1.1 500 No\r\nSrv-Load: x0=-3,util=0.5\r\n" + empty, false},
-			{true, "HTTP/1.1 200 OK\r\n" + told + empty, true},
+			{false, "HTTP/1.1 503 No\r\n" + loadHeader + declinedFields, true},
+			{false, "HTTP/1.1 500 No\r\n" + loadHeader + emptyBody, true},
+			{false, "HTTP/1.1 500 No\r\nSrv-Load: x0=-3,util=0.5\r\n" + emptyBody, false},
+			{true, "HTTP/1.1 200 OK\r\n" + loadHeader + emptyBody, true},
 			{true, body("x0=3,util=0.5"), true},
 			{true, body(`{"util":0.5,"x0":3,"more":{}}`), true},
 			{true, body("{"), false},
@@ -370,7 +370,7 @@
 					t.Errorf("%.80q: %v", c.answer, w.loads)
 				}
 				if c.probe && w.requests[0] != "GET /-/load" {
-					t.Errorf("asked %q", w.requests)
+					t.Errorf("requested %q", w.requests)
 				}
 			})
 		}
@@ -403,7 +403,7 @@
 // deadline, and could not be sent elsewhere.
 func TestUnresponsiveHost(t *testing.T) {
 	runInBubble(t, 8, func(w *harness) {
-		w.note(func() { w.next = step{answer: taken, delay: soon} })
+		w.note(func() { w.next = step{answer: acceptedResponse, delay: soon} })
 		ctx, stop := context.WithCancelCause(w.t.Context())
 		for range 3 {
 			w.c.Send(ctx, w.attempt(false))
@@ -437,7 +437,7 @@
 	runInBubble(t, 8, func(w *harness) {
 		for _, name := range []string{"s-1", "s-2"} {
 			w.to.Name = name
-			w.note(func() { w.next = step{answer: taken} })
+			w.note(func() { w.next = step{answer: acceptedResponse} })
 			ctx, stop := context.WithCancelCause(w.t.Context())
 			defer stop(engine.ErrOutcomeKnown)
 			w.c.Send(ctx, w.attempt(false))
@@ -455,7 +455,7 @@
 			}
 		})
 		for _, want := range []int{0, 1} {
-			w.note(func() { w.next = step{answer: "HTTP/1.1 200 OK\r\n" + empty} })
+			w.note(func() { w.next = step{answer: "HTTP/1.1 200 OK\r\n" + emptyBody} })
 			w.c.Probe(w.to)
 			time.Sleep(soon)
 			if n := w.c.pool.count(); n != want {
@@ -469,7 +469,7 @@
 			w.c.Send(w.t.Context(), w.attempt(false))
 			time.Sleep(soon)
 		}
-		w.note(func() { w.next = step{answer: "HTTP/1.1 200 OK\r\n" + empty} })
+		w.note(func() { w.next = step{answer: "HTTP/1.1 200 OK\r\n" + emptyBody} })
 		w.c.Probe(w.to)
 		time.Sleep(soon)
 		if n := w.c.pool.count(); n != 1 {
--- a/internal/serve/backend/races_test.go
+++ b/internal/serve/backend/races_test.go
@@ -78,20 +78,20 @@
 // were taken for the next job's, that job would be sent again while it runs.
 func TestLateSecondResponse(t *testing.T) {
 	c, o := startClient(t)
-	refuse := func(conn net.Conn) { fmt.Fprint(conn, "HTTP/1.1 503 No\r\n"+declined) }
+	refuse := func(conn net.Conn) { fmt.Fprint(conn, "HTTP/1.1 503 No\r\n"+declinedFields) }
 	took := make(chan struct{}, 1)
 	to := startHost(t, func(conn net.Conn, r *http1.Reader) {
 		request(r)
 		refuse(conn)
 		if request(r) != "" { // the next job was sent on this connection
 			refuse(conn)
-			fmt.Fprint(conn, taken)
+			fmt.Fprint(conn, acceptedResponse)
 			took <- struct{}{}
 			request(r)
 		}
 	}, func(conn net.Conn, r *http1.Reader) {
 		request(r)
-		fmt.Fprint(conn, taken)
+		fmt.Fprint(conn, acceptedResponse)
 		took <- struct{}{}
 		request(r)
 	})
--- a/internal/serve/clientlistener/handover_test.go
+++ b/internal/serve/clientlistener/handover_test.go
@@ -66,10 +66,10 @@
 // process that has the message.
 func TestHandOverNotPossible(t *testing.T) {
 	for name, c := range map[string]struct {
-		set   func(old, next *harness, o *fakePeer)
-		send  string // after the message
-		asked int
-		moved int
+		set    func(old, next *harness, o *fakePeer)
+		send   string // after the message
+		passes int
+		moved  int
 	}{
 		"on its way to a host":     {func(old, next *harness, o *fakePeer) { old.releases = false }, "", 1, 0},
 		"refused there":            {func(old, next *harness, o *fakePeer) { next.adopts = false }, "", 1, 1},
@@ -85,8 +85,8 @@
 				synctest.Wait()
 				old.submitted[0].Reply(engine.Answer{Kind: engine.Served, Result: []byte("old")})
 				old.wait(time.Second)
-				if got := strings.Join(old.answers, ","); got != "200 old" || len(next.submitted) != 0 || o.asked != c.asked || len(old.completed) != c.moved {
-					t.Errorf("answers %q, %d messages there, asked %d, moved %v", got, len(next.submitted), o.asked, old.completed)
+				if got := strings.Join(old.answers, ","); got != "200 old" || len(next.submitted) != 0 || o.passes != c.passes || len(old.completed) != c.moved {
+					t.Errorf("answers %q, %d messages there, passes %d, moved %v", got, len(next.submitted), o.passes, old.completed)
 				}
 				old.submitted[0].OnClosed()
 				if held := old.server.Budget.Held() + next.server.Budget.Held(); held != 0 || next.server.Outstanding() != 0 || next.server.Open() != 0 {
--- a/internal/serve/clientlistener/races_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -84,7 +84,7 @@
 		m := <-b.taken
 		c.Close()
 		if got := <-b.gone; got != m {
-			t.Errorf("gone: %v", got.Key)
+			t.Errorf("disconnected: %v", got.Key)
 		}
 	}
 }
--- a/internal/serve/clientlistener/server.go
+++ b/internal/serve/clientlistener/server.go
@@ -36,7 +36,7 @@
 type Engine interface {
 	Submit(m *engine.Message) bool
 	Disconnected(m *engine.Message)
-	HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool
+	HandleReport(r engine.Report, known func(engine.MessageLocation), processed func()) bool
 
 	// Handover between two processes; see engine.Engine.
 	Release(ctx context.Context, m *engine.Message) (past engine.Past, ok bool)
@@ -141,8 +141,8 @@
 func (s *Server) Outstanding() int64 { return s.unfinished.Load() }
 
 // countEnd counts the end of a message.
-func (s *Server) countEnd(class, how int) {
-	s.results[class][how].Add(1)
+func (s *Server) countEnd(class, outcome int) {
+	s.results[class][outcome].Add(1)
 	s.Check.Check(s.unfinished.Add(-1) >= 0, "more messages ended than were taken")
 }
 
@@ -243,7 +243,7 @@
 		case <-ctx.Done():
 			return
 		}
-		raw, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			<-s.slots
 			if s.isListenerReleased() || ctx.Err() != nil {
@@ -264,7 +264,7 @@
 			}
 			continue
 		}
-		c := newConn(s, raw)
+		c := newConn(s, accepted)
 		full := s.add(c)
 		if !s.startConn(func() {
 			defer s.reserve()
--- a/internal/serve/clientlistener/server_test.go
+++ b/internal/serve/clientlistener/server_test.go
@@ -114,14 +114,14 @@
 	w.disconnected++
 }
 
-func (w *harness) HandleReport(r engine.Report, known func(engine.MessageLocation), settled func()) bool {
+func (w *harness) HandleReport(r engine.Report, known func(engine.MessageLocation), processed func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.full {
 		return false
 	}
-	if settled != nil {
-		defer settled()
+	if processed != nil {
+		defer processed()
 	}
 	if known != nil {
 		switch {
@@ -323,7 +323,7 @@
 		got = s.want
 	}
 	if got != s.want || w.closed != s.closes || len(w.submitted) != s.submitted || w.disconnected > 0 != s.clientCloses || w.server.Open() != s.unanswered {
-		w.t.Errorf("%q cut at %d: answers %q, closed %v, %d taken, %d gone, %d open", s.send, cut, got, w.closed, len(w.submitted), w.disconnected, w.server.Open())
+		w.t.Errorf("%q cut at %d: answers %q, closed %v, %d submitted, %d disconnected, %d open", s.send, cut, got, w.closed, len(w.submitted), w.disconnected, w.server.Open())
 	}
 }
 
@@ -412,10 +412,10 @@
 			t.Error("an idle connection closed early: it may be its client's only one")
 		}
 		w.wait(300 * time.Millisecond)
-		silent := w.dial()
+		noRequest := w.dial()
 		w.wait(refusingIdleTimeout)
-		if !idle.closed || !silent.closed {
-			t.Errorf("closed: idle %v, silent %v", idle.closed, silent.closed)
+		if !idle.closed || !noRequest.closed {
+			t.Errorf("closed: idle %v, silent %v", idle.closed, noRequest.closed)
 		}
 		w.playStep(ready, 0)
 		w.playStep(step{send: callback(report), want: "204", closes: true}, 0)
@@ -546,12 +546,12 @@
 	err    error
 	bodies []string
 	next   *Server // that takes messages over
-	asked  int
+	passes int
 }
 
 func (o *fakePeer) Connected() bool { return o.live }
 func (o *fakePeer) PassConnection(client net.Conn, record func() ([]byte, bool)) (bool, error) {
-	o.asked++
+	o.passes++
 	if text, ok := record(); ok && o.next != nil {
 		client.(*sharedConn).more.Add(1)
 		return o.next.Adopt(text, client), nil
@@ -567,10 +567,10 @@
 // and answered only after that has processed it, and that one for a known message is not forwarded.
 func TestCallbackForwardedToPeer(t *testing.T) {
 	for _, c := range []struct {
-		other   fakePeer
-		foreign bool
-		want    string
-		asked   int
+		other     fakePeer
+		foreign   bool
+		want      string
+		forwarded int
 	}{
 		{fakePeer{live: true, status: 204}, true, "204", 1},
 		{fakePeer{live: true, status: 204}, false, "204", 0},
@@ -582,12 +582,12 @@
 		runInBubble(t, 64, func(w *harness) {
 			w.server.Peer = &c.other
 			w.playStep(step{send: callback(report), set: engineState{unknownMessage: c.foreign}, want: c.want}, 0)
-			if len(c.other.bodies) != c.asked || c.asked > 0 && c.other.bodies[0] != report {
-				t.Errorf("%+v: asked %q", c, c.other.bodies)
+			if len(c.other.bodies) != c.forwarded || c.forwarded > 0 && c.other.bodies[0] != report {
+				t.Errorf("%+v: forwarded %q", c, c.other.bodies)
 			}
 			w.playStep(step{send: callback("{}"), want: "400 id: want a name"}, 0)
-			if status, _ := w.server.Callback([]byte(report)); status != 204 || len(c.other.bodies) != c.asked {
-				t.Errorf("from the other: %d, asked %q", status, c.other.bodies)
+			if status, _ := w.server.Callback([]byte(report)); status != 204 || len(c.other.bodies) != c.forwarded {
+				t.Errorf("from the other: %d, requested %q", status, c.other.bodies)
 			}
 		})
 	}
@@ -690,12 +690,12 @@
 		if !first.closed || len(w.submitted) != len(all) {
 			t.Errorf("idle closed %v, %d taken", first.closed, len(w.submitted))
 		}
-		silent := w.dial()
+		noRequest := w.dial()
 		w.client = w.dial()
 		w.playStep(step{send: job + "\r\nhigh", want: "503", closes: true, unanswered: int64(len(all))}, 0)
 		w.wait(readTimeout)
-		if !silent.closed || all[0].closed {
-			t.Errorf("silent closed %v, busy closed %v", silent.closed, all[0].closed)
+		if !noRequest.closed || all[0].closed {
+			t.Errorf("silent closed %v, busy closed %v", noRequest.closed, all[0].closed)
 		}
 		for _, c := range all {
 			c.Close()
--- a/internal/serve/control/control.go
+++ b/internal/serve/control/control.go
@@ -36,7 +36,7 @@
 	Metrics func() Metrics
 	// SetOffline sets a host offline, or online again; it returns once that is applied. Known reports whether the host was
 	// ever listed.
-	SetOffline func(ctx context.Context, id string, out bool) (known bool, err error)
+	SetOffline func(ctx context.Context, id string, offline bool) (known bool, err error)
 	// Members returns the state of membership as JSON; nil if membership is off.
 	Members func(ctx context.Context) ([]byte, error)
 	// Drain starts or ends a drain of the clients.
@@ -66,7 +66,7 @@
 
 // Run answers requests until the context ends.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
-	var calls errgroup.Group
+	var group errgroup.Group
 	defer context.AfterFunc(ctx, func() {
 		l.Close()
 		s.mu.Lock()
@@ -79,7 +79,7 @@
 		raw, err := l.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
-				return calls.Wait()
+				return group.Wait()
 			}
 			s.Log.Warn("control: accept", "err", err)
 			select {
@@ -97,7 +97,7 @@
 			case s.slots <- struct{}{}:
 			case <-ctx.Done():
 				raw.Close()
-				return calls.Wait()
+				return group.Wait()
 			}
 		}
 		c := &conn{Conn: raw, since: time.Now()}
@@ -107,7 +107,7 @@
 			c.Close()
 		}
 		s.mu.Unlock()
-		calls.Go(func() error {
+		group.Go(func() error {
 			defer func() {
 				c.Close()
 				s.mu.Lock()
@@ -147,16 +147,16 @@
 	c.SetDeadline(c.since.Add(callTimeout))
 	r := http1.NewReader(c)
 	status, fields, body := 0, http1.Fields(nil), []byte(nil)
-	call, err := r.ReadRequest()
+	request, err := r.ReadRequest()
 	if err == nil {
-		_, err = r.ReadBody(&call.Head, http1.MaxBody)
+		_, err = r.ReadBody(&request.Head, http1.MaxBody)
 	}
 	var e *http1.Error
 	var timeout net.Error
 	switch {
 	case err == nil:
 		s.setBusy(c, true)
-		status, fields, body = s.handle(ctx, call)
+		status, fields, body = s.handle(ctx, request)
 		s.setBusy(c, false)
 	case errors.As(err, &e):
 		status, body = e.Status, []byte(e.Reason+"\n")
@@ -178,19 +178,19 @@
 }
 
 // handle carries out a request.
-func (s *Server) handle(ctx context.Context, call *http1.Request) (status int, fields http1.Fields, body []byte) {
+func (s *Server) handle(ctx context.Context, request *http1.Request) (status int, fields http1.Fields, body []byte) {
 	method := "POST"
-	var act func()
+	var run func()
 	status = 204
-	switch call.Path {
+	switch request.Path {
 	case "/control/ready":
-		method, act = "GET", func() {
+		method, run = "GET", func() {
 			if status = 200; !s.Ready() {
 				status = 503
 			}
 		}
 	case "/control/counters":
-		method, act = "GET", func() {
+		method, run = "GET", func() {
 			status, body = 200, s.Metrics().Append(nil)
 			fields = http1.Fields{{Name: "Content-Type", Value: "text/plain; version=0.0.4"}}
 		}
@@ -198,35 +198,35 @@
 		if s.Members == nil {
 			return 404, nil, []byte("membership is off\n")
 		}
-		method, act = "GET", func() {
-			within, stop := context.WithTimeout(ctx, applyTimeout)
+		method, run = "GET", func() {
+			timeoutCtx, stop := context.WithTimeout(ctx, applyTimeout)
 			defer stop()
 			var err error
 			status, fields = 200, http1.Fields{{Name: "Content-Type", Value: "application/json"}}
-			if body, err = s.Members(within); err != nil {
+			if body, err = s.Members(timeoutCtx); err != nil {
 				status, fields, body = 503, nil, []byte("membership does not answer\n")
 			}
 		}
 	case "/control/out-of-service":
-		act = func() { s.Drain(true) }
+		run = func() { s.Drain(true) }
 	case "/control/in-service":
-		act = func() { s.Drain(false) }
+		run = func() { s.Drain(false) }
 	default:
-		id, out, ok := parseHostPath(call.Path)
+		id, offline, ok := parseHostPath(request.Path)
 		if !ok || s.SetOffline == nil {
 			return 404, nil, []byte("unknown path\n")
 		}
-		act = func() { status, body = s.setHostOffline(ctx, id, out) }
+		run = func() { status, body = s.setHostOffline(ctx, id, offline) }
 	}
-	if call.Method != method {
+	if request.Method != method {
 		return 405, http1.Fields{{Name: "Allow", Value: method}}, nil
 	}
-	act()
+	run()
 	return status, fields, body
 }
 
 // parseHostPath parses a path of the form /control/workers/ID/offline or /control/workers/ID/online.
-func parseHostPath(path string) (id string, out, ok bool) {
+func parseHostPath(path string) (id string, offline, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/control/workers/")
 	if !ok {
 		return "", false, false
@@ -236,16 +236,16 @@
 	return id, verb == "offline", err == nil && id != "" && (verb == "offline" || verb == "online")
 }
 
-func (s *Server) setHostOffline(ctx context.Context, id string, out bool) (status int, body []byte) {
+func (s *Server) setHostOffline(ctx context.Context, id string, offline bool) (status int, body []byte) {
 	ctx, stop := context.WithTimeout(ctx, applyTimeout)
 	defer stop()
-	switch known, err := s.SetOffline(ctx, id, out); {
+	switch known, err := s.SetOffline(ctx, id, offline); {
 	case err != nil:
-		s.Log.Error("control: request not applied", "host", id, "offline", out, "err", err)
+		s.Log.Error("control: request not applied", "host", id, "offline", offline, "err", err)
 		return 503, []byte("not applied\n")
 	case !known:
 		return 404, []byte("no host of that id was ever listed\n")
 	}
-	s.Log.Info("control", "host", id, "offline", out)
+	s.Log.Info("control", "host", id, "offline", offline)
 	return 204, nil
 }
--- a/internal/serve/control/control_test.go
+++ b/internal/serve/control/control_test.go
@@ -94,7 +94,7 @@
 	return strings.TrimSpace(fmt.Sprint(p.Status, " ", string(body)))
 }
 
-const figures = `edge_lb_results_total{service="a",disposition="succeeded"} 1
+const metricsText = `edge_lb_results_total{service="a",disposition="succeeded"} 1
 edge_lb_results_total{service="a",disposition="declined"} 2
 edge_lb_results_total{service="a",disposition="aborted"} 3
 edge_lb_forwards_total 4
@@ -108,7 +108,7 @@
 	out        string
 }{
 	{call: "GET /control/ready", want: "200"},
-	{call: "GET /control/counters?x=1", want: "200 " + figures},
+	{call: "GET /control/counters?x=1", want: "200 " + metricsText},
 	{call: "POST /control/out-of-service", want: "204"},
 	{call: "POST /control/in-service", want: "204"},
 	{call: "POST /control/workers/s-1/offline", want: "204"},
--- a/internal/serve/engine/engine_test.go
+++ b/internal/serve/engine/engine_test.go
@@ -625,7 +625,7 @@
 	b.wait(6 * time.Second)
 	for i, m := range b.messages {
 		if n := len(m.answers); n > 1 || n == 0 && !m.disconnected {
-			t.Errorf("message %d has %d answers, gone %v", i, n, m.disconnected)
+			t.Errorf("message %d has %d answers, disconnected %v", i, n, m.disconnected)
 		} else if late := m.answeredAt - m.m.Arrived - m.m.Job.Left; n > 0 && late > DeadlineGrace+b.current.Settings.Tick {
 			t.Errorf("message %d is answered %v after its deadline", i, late)
 		}
--- a/internal/serve/engine/host_list.go
+++ b/internal/serve/engine/host_list.go
@@ -10,9 +10,9 @@
 // The list of hosts.
 
 // SetHostClasses replaces Config.HostClasses.
-func (e *Engine) SetHostClasses(hostRuns func(kind int) []bool) {
+func (e *Engine) SetHostClasses(hostClasses func(kind int) []bool) {
 	e.enqueue(func(now time.Duration) {
-		e.HostClasses = hostRuns
+		e.HostClasses = hostClasses
 		var all []Host
 		for _, h := range e.hosts {
 			if h.listed && h.Backend == nil {
--- a/internal/serve/engine/operators.go
+++ b/internal/serve/engine/operators.go
@@ -36,14 +36,14 @@
 }
 
 // SetOffline sets a host offline, or online again, on an operator's request. It returns once that is applied. Known reports
-// whether the host was ever listed; one that was not is left as it is, unless sure says that another process has listed it.
-func (e *Engine) SetOffline(ctx context.Context, name string, out, sure bool) (known bool, err error) {
+// whether the host was ever listed; one that was not is left as it is, unless listed says that another process has listed it.
+func (e *Engine) SetOffline(ctx context.Context, name string, offline, listed bool) (known bool, err error) {
 	err = e.runPriority(ctx, func(now time.Duration) {
-		if sure {
+		if listed {
 			e.everListed[name] = true
 		}
 		if known = e.everListed[name]; known {
-			e.setOffline(now, name, out)
+			e.setOffline(now, name, offline)
 		}
 	})
 	return known, err
@@ -63,10 +63,10 @@
 }
 
 // runPriority has the event loop run an event ahead of the queue, and returns when it is done.
-func (e *Engine) runPriority(ctx context.Context, do event) error {
+func (e *Engine) runPriority(ctx context.Context, ev event) error {
 	done := make(chan struct{})
 	select {
-	case e.priority <- func(now time.Duration) { defer close(done); do(now) }:
+	case e.priority <- func(now time.Duration) { defer close(done); ev(now) }:
 		<-done
 		return nil
 	case <-ctx.Done():
@@ -76,7 +76,7 @@
 	}
 }
 
-func (e *Engine) setOffline(now time.Duration, name string, out bool) {
+func (e *Engine) setOffline(now time.Duration, name string, offline bool) {
 	id := e.workerIDs.id(name)
 	h := e.hosts[id]
 	if h == nil { // not listed now: the setting is kept for when it is
@@ -84,9 +84,9 @@
 		h.notReady.Store(true)
 		e.hosts[id] = h
 	}
-	if h.offline.Swap(out) != out {
+	if h.offline.Swap(offline) != offline {
 		e.backendFor(h.Host).Forget(h.Host) // its connections may belong to a process that is restarted meanwhile
 	}
-	e.dispatcher.SetOffline(now, id, out)
+	e.dispatcher.SetOffline(now, id, offline)
 	e.publishHostCounts(now)
 }
--- a/internal/serve/engine/reports.go
+++ b/internal/serve/engine/reports.go
@@ -41,11 +41,11 @@
 )
 
 // HandleReport queues a host's report. False means that the queue is full; the host will repeat the report. Otherwise known, if
-// set, is called with the message's location, and settled, if set, once the report is processed; neither may block.
-func (e *Engine) HandleReport(r Report, known func(MessageLocation), settled func()) bool {
+// set, is called with the message's location, and processed, if set, once the report is processed; neither may block.
+func (e *Engine) HandleReport(r Report, known func(MessageLocation), processed func()) bool {
 	return e.tryEnqueue(func(now time.Duration) {
-		if settled != nil {
-			defer settled()
+		if processed != nil {
+			defer processed()
 		}
 		if known != nil {
 			switch {
@@ -76,28 +76,28 @@
 	})
 }
 
-// AttemptEvent passes an event of an attempt to the message's OnEvent. Settled, if set, is called once that is done. Without
+// AttemptEvent passes an event of an attempt to the message's OnEvent. Processed, if set, is called once that is done. Without
 // an OnEvent, or after the attempt's end, the event is dropped.
-func (e *Engine) AttemptEvent(a *Attempt, what any, settled func()) {
+func (e *Engine) AttemptEvent(a *Attempt, payload any, processed func()) {
 	if !e.enqueue(func(time.Duration) {
-		if settled != nil {
-			defer settled()
+		if processed != nil {
+			defer processed()
 		}
-		e.notifyMessage(a, what)
-	}) && settled != nil {
-		settled()
+		e.notifyMessage(a, payload)
+	}) && processed != nil {
+		processed()
 	}
 }
 
-// AttemptServed reports that an attempt ended with a result. Settled is as in AttemptEvent.
-func (e *Engine) AttemptServed(a *Attempt, result []byte, settled func()) {
+// AttemptServed reports that an attempt ended with a result. Processed is as in AttemptEvent.
+func (e *Engine) AttemptServed(a *Attempt, result []byte, processed func()) {
 	if !e.enqueue(func(now time.Duration) {
-		if settled != nil {
-			defer settled()
+		if processed != nil {
+			defer processed()
 		}
 		e.endAttempt(now, a, balance.OK, result)
-	}) && settled != nil {
-		settled()
+	}) && processed != nil {
+		processed()
 	}
 }
 
@@ -106,9 +106,9 @@
 func (e *Engine) AfterQueued(f func()) { e.enqueue(func(time.Duration) { f() }) }
 
 // notifyMessage passes an event of an attempt to its message.
-func (e *Engine) notifyMessage(a *Attempt, what any) {
+func (e *Engine) notifyMessage(a *Attempt, payload any) {
 	if msg := a.open; !a.done && !msg.answered && msg.OnEvent != nil {
-		msg.OnEvent(what)
+		msg.OnEvent(payload)
 	}
 }
 
--- a/internal/serve/handover/listen.go
+++ b/internal/serve/handover/listen.go
@@ -58,8 +58,8 @@
 // Accept clears the blocking flag first. It may be set again before the accept itself, so Close may still have to wait.
 func (l *sharedListener) Accept() (net.Conn, error) {
 	var err error
-	if held := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) }); held != nil {
-		return nil, held
+	if controlErr := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) }); controlErr != nil {
+		return nil, controlErr
 	}
 	if err != nil {
 		return nil, fmt.Errorf("accept: %w", err)
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -44,8 +44,8 @@
 	Callback(body []byte) (status int, known bool)
 	// Adopt takes over a message and the connection on which its client waits; on failure it closes the connection.
 	Adopt(record []byte, client net.Conn) (taken bool)
-	// SetOffline carries out an operator's request. Sure means that the other process has listed the host.
-	SetOffline(ctx context.Context, id string, out, sure bool) (known bool, err error)
+	// SetOffline carries out an operator's request. Listed means that the other process has listed the host.
+	SetOffline(ctx context.Context, id string, offline, listed bool) (known bool, err error)
 	// SetSharing begins or ends the period in which two processes share the resources of one.
 	SetSharing(on bool)
 }
@@ -139,16 +139,16 @@
 			continue
 		}
 		l := &link{Conn: c, reader: bufio.NewReader(c), socket: socket, predecessor: true}
-		s, err := p.hello(ctx, l)
-		if err != nil || !s.Ready || !p.track(c) {
+		snapshot, err := p.hello(ctx, l)
+		if err != nil || !snapshot.Ready || !p.track(c) {
 			p.Log.Warn("handover: not joined", "socket", socket, "err", err)
 			c.Close()
 			continue
 		}
 		p.mu.Lock()
-		p.other = l // Run watches it
+		p.other = l // Run watches it; no other goroutine uses it yet
 		p.mu.Unlock()
-		return s, nil
+		return snapshot, nil
 	}
 	return nil, nil
 }
@@ -171,9 +171,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Snapshot{Ready: o.Flag("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
+	snapshot := &Snapshot{Ready: o.Flag("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
 		State: State{Offline: o.Texts("offline"), Listed: o.Texts("listed")}}
-	return s, o.Err()
+	return snapshot, o.Err()
 }
 
 // Announce notifies the predecessor, if there is one, that this process accepts clients. It returns once that is acknowledged.
@@ -213,13 +213,13 @@
 
 // PassConnection hands a client's connection to the successor, with the record of its waiting message. The record is made once the
 // successor is connected: until then nothing has changed. Taken means that the message belongs to the successor. If the successor
-// received the record and did not reply, it may have the message: then nobody here may answer, so taken is true.
+// received the record and did not reply, it may have the message: then nobody here may answer, so taken is true and the error nil.
 func (p *Peer) PassConnection(client net.Conn, record func() ([]byte, bool)) (taken bool, err error) {
 	raw, ok := client.(syscall.Conn)
 	if !ok {
 		return false, errors.New("handover: connection has no file descriptor")
 	}
-	rights, err := raw.SyscallConn()
+	rawConn, err := raw.SyscallConn()
 	if err != nil {
 		return false, fmt.Errorf("handover: %w", err)
 	}
@@ -235,10 +235,10 @@
 	c.SetDeadline(time.Now().Add(p.snapshotTimeout)) // the outcome of what follows must be known
 	line := append(jsonval.AppendObject(nil, jsonval.Is("op", "message"), jsonval.Is("record", string(body))), '\n')
 	var sent int
-	if held := rights.Control(func(fd uintptr) {
+	if controlErr := rawConn.Control(func(fd uintptr) {
 		sent, _, err = c.(*net.UnixConn).WriteMsgUnix(line, syscall.UnixRights(int(fd)), nil)
-	}); held != nil {
-		return false, fmt.Errorf("handover: %w", held)
+	}); controlErr != nil {
+		return false, fmt.Errorf("handover: %w", controlErr)
 	}
 	for err == nil && sent < len(line) { // the descriptor was sent with the first bytes
 		var n int
@@ -259,8 +259,8 @@
 var errNotReleasable = errors.New("handover: message cannot be released now")
 
 // SetOffline has the other process carry out an operator's request.
-func (p *Peer) SetOffline(id string, out, sure bool) (known bool, err error) {
-	o, err := p.request(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", out), jsonval.Is("sure", sure))
+func (p *Peer) SetOffline(id string, offline, listed bool) (known bool, err error) {
+	o, err := p.request(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", offline), jsonval.Is("sure", listed))
 	if err != nil {
 		return false, err
 	}
@@ -334,9 +334,9 @@
 func (p *Peer) handleOverdue(l *link) {
 	p.mu.Lock()
 	l.overdue = p.other == l && !l.ready
-	late := l.overdue
+	overdue := l.overdue
 	p.mu.Unlock()
-	if late {
+	if overdue {
 		p.Log.Error("handover: the new process is not ready in time")
 		p.Handler.SetSharing(false)
 	}
@@ -350,10 +350,10 @@
 		p.mu.Unlock()
 		return false
 	}
-	again := l.overdue
+	wasOverdue := l.overdue
 	l.ready, l.overdue = true, false
 	p.mu.Unlock()
-	if again {
+	if wasOverdue {
 		p.Handler.SetSharing(true)
 	}
 	return true
@@ -435,14 +435,14 @@
 			break
 		}
 		p.setOther(l) // before the snapshot is taken: later changes are sent to the successor as well
-		s, err := p.Handler.Snapshot(requestCtx)
-		if err != nil || !s.Ready { // nothing to take over
+		snapshot, err := p.Handler.Snapshot(requestCtx)
+		if err != nil || !snapshot.Ready { // nothing to take over
 			c.Close()
 			p.watch(l)
 			return
 		}
-		if err := writeLine(c, jsonval.Is("ready", true), jsonval.Is("discovery", s.Discovery), jsonval.Is("list", s.List), jsonval.Is("learned", string(s.Learned)),
-			jsonval.Is("offline", s.Offline), jsonval.Is("listed", s.Listed)); err == nil {
+		if err := writeLine(c, jsonval.Is("ready", true), jsonval.Is("discovery", snapshot.Discovery), jsonval.Is("list", snapshot.List), jsonval.Is("learned", string(snapshot.Learned)),
+			jsonval.Is("offline", snapshot.Offline), jsonval.Is("listed", snapshot.Listed)); err == nil {
 			c.SetDeadline(time.Time{})
 		}
 		defer time.AfterFunc(p.readyTimeout, func() { p.handleOverdue(l) }).Stop()
--- a/internal/serve/handover/peer_test.go
+++ b/internal/serve/handover/peer_test.go
@@ -100,7 +100,7 @@
 	t.Helper()
 	p := &process{t: t, known: map[string]bool{"s-1": false}, shares: make(chan bool, 8), done: make(chan struct{}), ready: true}
 	var err error
-	if p.Peer, err = NewPeer(dir, "n0", 2, quiet); err != nil {
+	if p.Peer, err = NewPeer(dir, "n0", 2, discardLog); err != nil {
 		t.Fatal(err)
 	}
 	p.Handler = p
--- a/internal/serve/handover/store.go
+++ b/internal/serve/handover/store.go
@@ -81,13 +81,13 @@
 }
 
 // Merge adds the state of another process, without saving it.
-func (s *Store) Merge(more State) {
+func (s *Store) Merge(other State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, name := range more.Offline {
+	for _, name := range other.Offline {
 		s.offline[name], s.listed[name] = true, true
 	}
-	for _, name := range more.Listed {
+	for _, name := range other.Listed {
 		s.listed[name] = true
 	}
 }
@@ -151,9 +151,9 @@
 }
 
 // SetOffline records whether operators have set a host offline, and returns once that is saved.
-func (s *Store) SetOffline(name string, out bool) error {
+func (s *Store) SetOffline(name string, offline bool) error {
 	s.mu.Lock()
-	if delete(s.offline, name); out {
+	if delete(s.offline, name); offline {
 		s.offline[name] = true
 	}
 	s.listed[name] = true
--- a/internal/serve/handover/store_test.go
+++ b/internal/serve/handover/store_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // TestStore checks that settings persist for the next process, and that the file is complete at any time.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), FileName("n3/../x", "state"))
-	s := Open(path, quiet)
+	s := Open(path, discardLog)
 	s.AddListed([]string{"s-1", "s-2", `s-"3`})
 	for _, step := range []struct {
 		name string
@@ -25,7 +25,7 @@
 		if err := s.SetOffline(step.name, step.out); err != nil {
 			t.Fatal(err)
 		}
-		if got := Open(path, quiet).State(); !slices.Equal(got.Offline, step.want) || len(got.Listed) != 3 {
+		if got := Open(path, discardLog).State(); !slices.Equal(got.Offline, step.want) || len(got.Listed) != 3 {
 			t.Errorf("after %v: %+v", step, got)
 		}
 	}
@@ -49,11 +49,11 @@
 		if err := s.SetOffline("s-1", true); err != nil {
 			t.Error(err)
 		}
-		if got := Open(path, quiet).State(); !slices.Equal(got.Offline, []string{"s-1"}) {
+		if got := Open(path, discardLog).State(); !slices.Equal(got.Offline, []string{"s-1"}) {
 			t.Errorf("after %q: %+v", text, got)
 		}
 	}
-	if err := Open(filepath.Join(path, "nowhere"), quiet).SetOffline("s-1", true); err == nil {
+	if err := Open(filepath.Join(path, "nowhere"), discardLog).SetOffline("s-1", true); err == nil {
 		t.Error("a setting that cannot be saved is accepted")
 	}
 }
--- a/internal/serve/inventory/inventory.go
+++ b/internal/serve/inventory/inventory.go
@@ -337,32 +337,32 @@
 	}
 	decoder := Decoder{Zones: c.Zones, Kinds: c.Kinds}
 	lines := bufio.NewReaderSize(r.Body(&answer.Head), 16<<10)
-	var o listAssembler
+	var assembler listAssembler
 	extendDeadline := func() { conn.SetReadDeadline(time.Now().Add(silenceTimeout)) }
 	extendDeadline()
 	for {
 		line, err := readLine(lines)
-		if err != nil && o.partial() {
+		if err != nil && assembler.partial() {
 			return fmt.Errorf("%w: %w: %w", errBroken, errBadLine, err)
 		}
 		if err != nil {
 			return fmt.Errorf("%w: %w", errBroken, err)
 		}
-		if line = bytes.TrimSpace(line); len(line) == 0 && !o.partial() {
+		if line = bytes.TrimSpace(line); len(line) == 0 && !assembler.partial() {
 			extendDeadline()
 			if !deliver(nil) {
 				return ctx.Err()
 			}
 			continue // a heartbeat
 		}
-		if !o.partial() { // the rest of an unfinished list does not count: it may never end, though heartbeats come with it
+		if !assembler.partial() { // the rest of an unfinished list does not count: it may never end, though heartbeats come with it
 			extendDeadline()
 		}
-		text, whole, err := o.add(line)
+		text, complete, err := assembler.add(line)
 		if err != nil {
 			return fmt.Errorf("%w: %w", errBroken, err)
 		}
-		if !whole {
+		if !complete {
 			continue
 		}
 		list, err := decoder.Decode(text)
@@ -379,42 +379,42 @@
 
 // listAssembler joins the lines of a list, which may be on one line, or indented on many.
 type listAssembler struct {
-	text            []byte
-	depth           int
-	quoted, escaped bool
+	text              []byte
+	depth             int
+	inString, escaped bool
 }
 
-func (o *listAssembler) partial() bool { return len(o.text) > 0 }
+func (a *listAssembler) partial() bool { return len(a.text) > 0 }
 
 // add adds a line and returns the object that it completes, if any. A line that does not begin an object is returned by itself.
-func (o *listAssembler) add(line []byte) (text []byte, whole bool, err error) {
+func (a *listAssembler) add(line []byte) (text []byte, complete bool, err error) {
 	for _, b := range line {
 		switch {
-		case o.escaped:
-			o.escaped = false
-		case o.quoted:
-			o.quoted, o.escaped = b != '"', b == '\\'
+		case a.escaped:
+			a.escaped = false
+		case a.inString:
+			a.inString, a.escaped = b != '"', b == '\\'
 		case b == '"':
-			o.quoted = true
+			a.inString = true
 		case b == '{' || b == '[':
-			o.depth++
+			a.depth++
 		case b == '}' || b == ']':
-			o.depth--
+			a.depth--
 		}
 	}
-	if o.depth <= 0 && !o.partial() {
-		*o = listAssembler{}
+	if a.depth <= 0 && !a.partial() {
+		*a = listAssembler{}
 		return line, true, nil
 	}
-	if len(o.text)+len(line) > maxLine {
+	if len(a.text)+len(line) > maxLine {
 		return nil, false, errLongLine
 	}
-	o.text = append(append(o.text, line...), '\n')
-	if o.depth > 0 {
+	a.text = append(append(a.text, line...), '\n')
+	if a.depth > 0 {
 		return nil, false, nil
 	}
-	text = o.text
-	*o = listAssembler{}
+	text = a.text
+	*a = listAssembler{}
 	return text, true, nil
 }
 
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -116,7 +116,7 @@
 		}
 		again := s.accept() // after 2.6 s, from the revision held
 		if got := s.targets[len(s.targets)-1]; got != "/api/targets?follow=1&since=44" {
-			t.Errorf("asked %s", got)
+			t.Errorf("requested %s", got)
 		}
 		again.Close()
 	})
@@ -157,7 +157,7 @@
 		c.Watch() // the scheduler retries
 		s.accept()
 		if s.targets[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("asked %q", s.targets)
+			t.Errorf("requested %q", s.targets)
 		}
 	})
 }
@@ -172,7 +172,7 @@
 			chunk(conn, bad)
 			s.accept()
 			if len(s.lists) != 1 || c.BadLines() != 1 || s.targets[1] != "/api/targets?follow=1&since=43" {
-				t.Errorf("%q: lists %q, %d bad lines, asked %q", bad, s.lists, c.BadLines(), s.targets)
+				t.Errorf("%q: lists %q, %d bad lines, requested %q", bad, s.lists, c.BadLines(), s.targets)
 			}
 		})
 	}
@@ -216,7 +216,7 @@
 		conn.Close()
 		began := time.Now()
 		if s.accept(); time.Since(began) != c.ReconnectSpread/2 || s.targets[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("reopened after %v, asked %q", time.Since(began), s.targets)
+			t.Errorf("reopened after %v, requested %q", time.Since(began), s.targets)
 		}
 	})
 }
@@ -244,7 +244,7 @@
 		}
 		conn = s.accept()
 		if took := time.Since(began); took > silenceTimeout+10*2*agentTimeout || s.targets[1] != "/api/targets?follow=1&since=44" {
-			t.Errorf("reopened after %v, asked %q", took, s.targets)
+			t.Errorf("reopened after %v, requested %q", took, s.targets)
 		}
 		chunk(conn, line(45, false, "DELETED"))
 		for _, l := range s.lists {
@@ -306,7 +306,7 @@
 		want := "kind 0 s-5be2a07c state 0 zone 1 kind 1 up 1s, kind 1 s-5be2a07c state 1 zone 1 kind 1 up 1s, " +
 			"kind 1 s-5be2a07c state 2 zone 1 kind 1 up 1s"
 		if got := strings.Join(s.lists, ", "); got != want || s.targets[1] != "/api/targets?follow=1&since=45" {
-			t.Errorf("asked %q, lists %s", s.targets, got)
+			t.Errorf("requested %q, lists %s", s.targets, got)
 		}
 		if last := len(s.addresses) - 1; s.addresses[0] != "discovery:1" || s.addresses[1] != "discovery:2" || s.addresses[2] != "discovery:3" || s.addresses[last] != "discovery:3" {
 			t.Errorf("dialled %q", s.addresses)
@@ -390,7 +390,7 @@
 		}()
 		s.accept()
 		if len(s.lists) != 1 || s.targets[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("%d lists, asked %q", len(s.lists), s.targets)
+			t.Errorf("%d lists, requested %q", len(s.lists), s.targets)
 		}
 		conn.Close()
 	})
