--- a/cmd/liftgauge/members.go
+++ b/cmd/liftgauge/members.go
@@ -18,7 +18,7 @@
 	"liftgauge/internal/config"
 	"liftgauge/internal/gossip"
 	"liftgauge/internal/serve/control"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/member"
 )
 
@@ -27,7 +27,7 @@
 
 // openMembership opens the socket that the settings ask for. What membership finds out reaches the module as this dispatcher's number, how
 // many there are, and how many in its zone; where it is not in touch with most of the fleet the settings' figures hold.
-func openMembership(ctx context.Context, c *config.Config, own *own, o *owner.Owner, now func() time.Duration, log *slog.Logger) (*fellows, error) {
+func openMembership(ctx context.Context, c *config.Config, own *own, o *engine.Engine, now func() time.Duration, log *slog.Logger) (*fellows, error) {
 	s := own.Membership
 	if s == nil {
 		return nil, nil
@@ -45,11 +45,11 @@
 		Self: member.Peer{ID: member.ID{Name: c.Name, Incarnation: uint64(now() / time.Millisecond)}, Address: cmp.Or(s.Advertise, udp.Address()), Zone: c.Settings.Zone, Number: c.Settings.Number}}
 	log.Info("membership", "listen", udp.Address(), "cluster", s.Cluster, "seeds", len(s.Seeds))
 	return &fellows{gossip.New(gossip.Config{Member: conf.WithDefaults(time.Duration(s.RoundTrip)), Codec: codec, Transport: udp, Seed: c.Seed, Now: now, Log: log,
-		OnPositionChange: func(p gossip.FleetPosition) { o.Among(p.Rank, p.Members, p.InZone) }})}, nil
+		OnPositionChange: func(p gossip.FleetPosition) { o.SetDispatchers(p.Rank, p.Members, p.InZone) }})}, nil
 }
 
 // figures are its counts; none where membership is off.
-func (f *fellows) figures() []control.Figure {
+func (f *fellows) figures() []control.Metric {
 	if f == nil {
 		return nil
 	}
@@ -58,9 +58,9 @@
 	if p.Known {
 		known = 1
 	}
-	return []control.Figure{{Name: "membership_in_touch", N: known}, {Name: "membership_members", N: int64(p.Members)}, {Name: "membership_sent_total", N: c.Sent},
-		{Name: "membership_received_total", N: c.Received}, {Name: "membership_refused_total", N: c.Refused},
-		{Name: "membership_dropped_total", N: c.Foreign + c.Newer + c.Malformed}}
+	return []control.Metric{{Name: "membership_in_touch", Value: known}, {Name: "membership_members", Value: int64(p.Members)}, {Name: "membership_sent_total", Value: c.Sent},
+		{Name: "membership_received_total", Value: c.Received}, {Name: "membership_refused_total", Value: c.Refused},
+		{Name: "membership_dropped_total", Value: c.Foreign + c.Newer + c.Malformed}}
 }
 
 // status is what operators are told; nil where membership is off.
--- a/internal/serve/south/crossings_test.go
+++ b/internal/serve/backend/races_test.go
@@ -1,4 +1,4 @@
-package south
+package backend
 
 import (
 	"context"
@@ -11,18 +11,18 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
-// outcomes holds what a Client reports, in order.
+// outcomes records a Client's reports in order.
 type outcomes struct{ written, ended chan balance.Status }
 
-func (o outcomes) Written(*owner.Attempt, bool)                 { o.written <- 0 }
-func (o outcomes) Ended(_ *owner.Attempt, s balance.Status)     { o.ended <- s }
-func (o outcomes) Probed(owner.Host, balance.Status, []float32) {}
+func (o outcomes) AttemptWritten(*engine.Attempt, bool)              { o.written <- 0 }
+func (o outcomes) AttemptEnded(_ *engine.Attempt, s balance.Status)  { o.ended <- s }
+func (o outcomes) ProbeEnded(engine.Host, balance.Status, []float32) {}
 
-// peer plays a host on loopback, one function for each connection in the order in which they come.
-func peer(t *testing.T, conns ...func(net.Conn, *http1.Reader)) owner.Host {
+// startHost runs a fake host on loopback, with one function per connection, in the order in which they are accepted.
+func startHost(t *testing.T, conns ...func(net.Conn, *http1.Reader)) engine.Host {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,14 +41,14 @@
 			}()
 		}
 	}()
-	return owner.Host{Name: "s-1", Address: l.Addr().String()}
+	return engine.Host{Name: "s-1", Address: l.Addr().String()}
 }
 
-// client runs a Client over real connections.
-func client(t *testing.T) (*Client, outcomes) {
+// startClient runs a Client over real connections.
+func startClient(t *testing.T) (*Client, outcomes) {
 	t.Helper()
 	o := outcomes{make(chan balance.Status, 16), make(chan balance.Status, 16)}
-	c := New(Config{Sink: o, ConnectTimeout: time.Minute, Keepalive: time.Hour, MaxConns: 8,
+	c := New(Config{Sink: o, ConnectTimeout: time.Minute, HostIdleTimeout: time.Hour, MaxConns: 8,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -57,12 +57,12 @@
 	return c, o
 }
 
-func attempt(c *Client, to owner.Host, id string) *owner.Attempt {
+func attempt(c *Client, to engine.Host, id string) *engine.Attempt {
 	call := &http1.Call{ID: id, Method: "POST", Target: "/a/x", Body: []byte("high"), Fields: http1.Fields{{Name: "Req-Id", Value: id}}}
-	return &owner.Attempt{Message: &owner.Message{Payload: call}, Host: to, Deadline: c.Now() + time.Hour, Clear: func() bool { return true }}
+	return &engine.Attempt{Message: &engine.Message{Payload: call}, Host: to, Deadline: c.Now() + time.Hour, MaySend: func() bool { return true }}
 }
 
-// request reads a whole request and returns its method and path.
+// request reads a complete request and returns its method and path.
 func request(r *http1.Reader) string {
 	q, err := r.ReadRequest()
 	if err != nil {
@@ -74,24 +74,24 @@
 	return q.Method + " " + q.Path
 }
 
-// TestLateSecondAnswer: a host turns a job away twice, the second time when the next job is on its way already. That word is of
-// the first: were it taken for the next one's, that one would be sent again while it runs.
-func TestLateSecondAnswer(t *testing.T) {
-	c, o := client(t)
-	refuse := func(conn net.Conn) { fmt.Fprint(conn, "HTTP/1.1 503 No\r\n"+declined) }
+// TestLateSecondResponse guards against a host that declines a job twice, the second time after the next job was sent: if that response
+// were taken for the next job's, that job would be sent again while it runs.
+func TestLateSecondResponse(t *testing.T) {
+	c, o := startClient(t)
+	refuse := func(conn net.Conn) { fmt.Fprint(conn, "HTTP/1.1 503 No\r\n"+declinedFields) }
 	took := make(chan struct{}, 1)
-	to := peer(t, func(conn net.Conn, r *http1.Reader) {
+	to := startHost(t, func(conn net.Conn, r *http1.Reader) {
 		request(r)
 		refuse(conn)
-		if request(r) != "" { // the next job has come on this connection
+		if request(r) != "" { // the next job was sent on this connection
 			refuse(conn)
-			fmt.Fprint(conn, taken)
+			fmt.Fprint(conn, acceptedResponse)
 			took <- struct{}{}
 			request(r)
 		}
 	}, func(conn net.Conn, r *http1.Reader) {
 		request(r)
-		fmt.Fprint(conn, taken)
+		fmt.Fprint(conn, acceptedResponse)
 		took <- struct{}{}
 		request(r)
 	})
@@ -100,11 +100,11 @@
 		t.Errorf("the first job: status %d", s)
 	}
 	ctx, stop := context.WithCancelCause(t.Context())
-	defer stop(owner.ErrSettled)
+	defer stop(engine.ErrOutcomeKnown)
 	a := attempt(c, to, "2")
 	c.Send(ctx, a)
 	<-took
-	stop(owner.ErrSettled)
+	stop(engine.ErrOutcomeKnown)
 	c.tasks.Wait()
 	select {
 	case s := <-o.ended:
@@ -113,12 +113,12 @@
 	}
 }
 
-// TestSlowHostAndTheWindow: a host takes the request so slowly that the time for another attempt ends before the last byte. The write is
-// cut short, which proves that nothing ran, and the connection is gone.
-func TestSlowHostAndTheWindow(t *testing.T) {
-	within(t, 8, func(w *world) {
-		w.note(func() { w.act = step{reads: 1 << 20} })
-		w.c.pool.Dial = func(context.Context, string) (net.Conn, error) { // nobody reads at the other end
+// TestWriteToSlowHostEndsAtSendDeadline checks that a write that a slow host has not read by the send deadline is aborted, which proves
+// that nothing ran, and that the connection is closed.
+func TestWriteToSlowHostEndsAtSendDeadline(t *testing.T) {
+	runInBubble(t, 8, func(w *harness) {
+		w.note(func() { w.next = step{reads: 1 << 20} })
+		w.c.pool.Dial = func(context.Context, string) (net.Conn, error) { // the other end does not read
 			near, far := net.Pipe()
 			go func() {
 				time.Sleep(time.Minute)
@@ -127,9 +127,9 @@
 			return near, nil
 		}
 		a := w.attempt(false)
-		a.Until = w.c.Now() + time.Second
+		a.SendDeadline = w.c.Now() + time.Second
 		ctx, stop := context.WithCancelCause(w.t.Context())
-		defer stop(owner.ErrSettled)
+		defer stop(engine.ErrOutcomeKnown)
 		began := time.Now()
 		w.c.Send(ctx, a)
 		w.c.tasks.Wait()
@@ -140,15 +140,15 @@
 	})
 }
 
-// TestUnheardWithdrawal: a host has taken a job, and the call that gives it up is lost twice. Until it is heard the attempt is neither
-// over nor given up: where no copy is allowed it is said again, and else the outcome says that the job may run there yet.
-func TestUnheardWithdrawal(t *testing.T) {
+// TestUnconfirmedWithdrawal checks a withdrawal of an accepted job that is lost twice. Without concurrent attempts it is repeated until
+// it is confirmed; with them the outcome is that the job may still run there.
+func TestUnconfirmedWithdrawal(t *testing.T) {
 	for _, copies := range []bool{false, true} {
-		c, o := client(t)
-		c.Copies = copies
+		c, o := startClient(t)
+		c.ConcurrentAttempts = copies
 		calls := make(chan string, 8)
 		lose := func(_ net.Conn, r *http1.Reader) { calls <- request(r) }
-		to := peer(t, func(conn net.Conn, r *http1.Reader) {
+		to := startHost(t, func(conn net.Conn, r *http1.Reader) {
 			calls <- request(r)
 			fmt.Fprint(conn, "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		}, lose, lose, func(conn net.Conn, r *http1.Reader) {
@@ -156,7 +156,7 @@
 			fmt.Fprint(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 		})
 		ctx, stop := context.WithCancelCause(t.Context())
-		defer stop(owner.ErrSettled)
+		defer stop(engine.ErrOutcomeKnown)
 		c.Send(ctx, attempt(c, to, "1"))
 		want := []string{"POST /a/x", "DELETE /jobs/1", "DELETE /jobs/1", "DELETE /jobs/1"}
 		status := balance.Cancelled
@@ -169,7 +169,7 @@
 				t.Errorf("copies %v: call %d is %q, want %q", copies, i, got, w)
 			}
 			if i == 0 {
-				stop(owner.ErrWithdrawn)
+				stop(engine.ErrWithdrawn)
 			}
 		}
 		if s := <-o.ended; s != status {
@@ -178,14 +178,14 @@
 	}
 }
 
-// TestWithdrawalCrossesThe202: the attempt is withdrawn while the host's 202 is on the way. To close the connection gives it up only
-// before the 202, so the host is told as well.
-func TestWithdrawalCrossesThe202(t *testing.T) {
-	c, o := client(t)
+// TestWithdrawalRacesWith202 checks that an attempt that is withdrawn while the host's 202 is in flight is also withdrawn by a request:
+// closing the connection cancels it only before the 202.
+func TestWithdrawalRacesWith202(t *testing.T) {
+	c, o := startClient(t)
 	calls := make(chan string, 8)
-	to := peer(t, func(_ net.Conn, r *http1.Reader) {
+	to := startHost(t, func(_ net.Conn, r *http1.Reader) {
 		calls <- request(r)
-		request(r) // till the other side closes: its 202 would come now
+		request(r) // until the client closes: its 202 would be sent now
 	}, func(conn net.Conn, r *http1.Reader) {
 		calls <- request(r)
 		fmt.Fprint(conn, "HTTP/1.1 204 No Content\r\n\r\n")
@@ -194,18 +194,18 @@
 	c.Send(ctx, attempt(c, to, "1"))
 	<-calls
 	<-o.written
-	stop(owner.ErrWithdrawn)
+	stop(engine.ErrWithdrawn)
 	if got := <-calls; got != "DELETE /jobs/1" {
-		t.Errorf("the host heard %q", got)
+		t.Errorf("the host received %q", got)
 	}
 	if s := <-o.ended; s != balance.Cancelled {
 		t.Errorf("status %d", s)
 	}
 }
 
-// TestEndBehindAnUnheardWithdrawal: the program ends while a withdrawal is said again and again to a host that loses it. It does not wait
-// for the message's deadline.
-func TestEndBehindAnUnheardWithdrawal(t *testing.T) {
+// TestShutdownDuringUnconfirmedWithdrawal checks that the client ends while a withdrawal is being repeated to a host that does not
+// confirm it, without waiting for the message's deadline.
+func TestShutdownDuringUnconfirmedWithdrawal(t *testing.T) {
 	calls := make(chan string, 1)
 	conns := []func(net.Conn, *http1.Reader){func(conn net.Conn, r *http1.Reader) {
 		request(r)
@@ -219,11 +219,11 @@
 			}
 		})
 	}
-	to := peer(t, conns...)
-	c, o := client(t) // its end is waited for, while the host goes on
+	to := startHost(t, conns...)
+	c, o := startClient(t) // its cleanup waits for its end while the host still runs
 	ctx, stop := context.WithCancelCause(context.Background())
 	c.Send(ctx, attempt(c, to, "1"))
 	<-o.written
-	stop(owner.ErrWithdrawn)
+	stop(engine.ErrWithdrawn)
 	<-calls
 }
--- a/internal/serve/north/message.go
+++ b/internal/serve/clientlistener/message.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"errors"
@@ -11,13 +11,13 @@
 	"liftgauge/internal/budget"
 	"liftgauge/internal/http1"
 	"liftgauge/internal/jsonval"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
-const maxID = 128
+const maxIDLength = 128
 
-// message makes a message of the head of a client's request. What it refuses has not reached the module.
-func (s *Server) message(head *http1.Request) (*owner.Message, *http1.Call, error) {
+// parseMessage makes a message from the head of a client's request. A rejected one has not reached the scheduler.
+func (s *Server) parseMessage(head *http1.Request) (*engine.Message, *http1.Call, error) {
 	first, _, _ := strings.Cut(head.Path[1:], "/")
 	class, ok := s.classes[first]
 	if !ok {
@@ -26,7 +26,7 @@
 	if head.Method != "POST" {
 		return nil, nil, &http1.Error{Status: 405, Reason: "jobs come by POST"}
 	}
-	refuse := func(reason string) (*owner.Message, *http1.Call, error) {
+	refuse := func(reason string) (*engine.Message, *http1.Call, error) {
 		return nil, nil, &http1.Error{Status: 400, Reason: reason}
 	}
 	if kind, n := head.Fields.Get("Req-Kind"); n > 0 {
@@ -59,48 +59,49 @@
 		job.Again = text == "1"
 	}
 	if text, n := head.Fields.Get("Req-Extra"); n > 0 {
-		if !extras(text, &job) {
+		if !parseExtras(text, &job) {
 			return refuse("bad Req-Extra")
 		}
 	}
 	call := &http1.Call{ID: id, Method: head.Method, Target: head.Target, Fields: make(http1.Fields, 0, len(head.Fields))}
 	for _, f := range head.Fields {
-		if passes(f.Name) {
+		if isForwardedField(f.Name) {
 			call.Fields = append(call.Fields, f)
 		}
 	}
-	m := &owner.Message{Key: id, Job: job, Payload: call}
-	if s.Subject != nil {
+	m := &engine.Message{Key: id, Job: job, Payload: call}
+	if s.HashSubject != nil {
 		key, _ := head.Fields.Get("Req-Key")
 		if key == "" {
 			key, _ = head.Fields.Get("Idempotency-Key")
 		}
-		m.Subject = s.Subject(key)
+		m.Subject = s.HashSubject(key)
 	}
 	return m, call, nil
 }
 
-// arrive notes that all of a message has come.
-func (s *Server) arrive(m *owner.Message) {
+// markArrived sets the arrival time of a message that is completely received.
+func (s *Server) markArrived(m *engine.Message) {
 	m.Arrived = s.Now()
-	if s.Ending() && !s.passes() { // the program may be killed soon after: what it has not answered by then would be lost
-		m.Job.Left = min(m.Job.Left, max(0, time.Duration(s.last.Load())-m.Arrived))
+	if s.ShuttingDown() && !s.canHandOver() { // the process may be killed soon after that time, and an open message would be lost
+		m.Job.Left = min(m.Job.Left, max(0, time.Duration(s.answerBy.Load())-m.Arrived))
 	}
-	m.Job.Left = s.drain.left(m.Arrived, m.Job.Left)
+	m.Job.Left = s.drain.limitTimeLeft(m.Arrived, m.Job.Left)
 }
 
-// resulted learns the size of results, of which every message sets room aside, and returns by how much one is over it.
-func (s *Server) resulted(n int) (over int64) {
+// recordResultSize updates the estimated size of results, which is reserved for every message, and returns by how much this one
+// exceeds it.
+func (s *Server) recordResultSize(n int) (over int64) {
 	for {
-		old := s.result.Load()
+		old := s.resultSize.Load()
 		next := max(int64(n), old-old/64-1, 0)
-		if next == old || s.result.CompareAndSwap(old, next) {
+		if next == old || s.resultSize.CompareAndSwap(old, next) {
 			return int64(n) - old
 		}
 	}
 }
 
-// validID: an id is passed on in a path, too.
+// validID reports whether an id is valid, also as part of a path.
 func validID(id string) bool {
 	for i := range len(id) {
 		c := id[i]
@@ -108,11 +109,11 @@
 			return false
 		}
 	}
-	return id != "" && len(id) <= maxID
+	return id != "" && len(id) <= maxIDLength
 }
 
-// passes: fields that go on to the host as they came. The deadline is written anew, as time passes here.
-func passes(name string) bool {
+// isForwardedField reports whether a field is forwarded to the host unchanged. The deadline is not: it is written anew with the time left.
+func isForwardedField(name string) bool {
 	switch strings.ToLower(name) {
 	case "req-id", "idempotency-key", "req-kind", "req-key", "req-cost", "req-extra", "req-retry", "content-type":
 		return true
@@ -120,8 +121,8 @@
 	return false
 }
 
-// extras reads the further figures of a job. Those that the module has no use for are skipped.
-func extras(text string, job *balance.Job) bool {
+// parseExtras reads further properties of a job. Those that the scheduler does not use are skipped.
+func parseExtras(text string, job *balance.Job) bool {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(value, 64)
@@ -143,36 +144,36 @@
 	return true
 }
 
-// callback deals with a host's call. While another process serves at the same address the message may be that one's.
-func (s *Server) callback(body []byte, hold *budget.Reservation) (status int, reason []byte) {
-	other := s.Other != nil && s.Other.Live()
-	status, known, reason := s.report(body, other, hold)
-	if status != 204 || known || !other {
+// handleCallback handles a host's call-back. While another process serves at the same address, the message may be there.
+func (s *Server) handleCallback(body []byte, hold *budget.Reservation) (status int, reason []byte) {
+	peerConnected := s.Peer != nil && s.Peer.Connected()
+	status, known, reason := s.deliverReport(body, peerConnected, hold)
+	if status != 204 || known || !peerConnected {
 		return status, reason
 	}
-	switch status, there, err := s.Other.Callback(body); {
-	case err == nil && status == 204 && !there: // the message may have come here while the other looked
-		status, _, reason = s.report(body, false, hold)
+	switch status, knownByPeer, err := s.Peer.Callback(body); {
+	case err == nil && status == 204 && !knownByPeer: // the message may have moved here while the other process checked
+		status, _, reason = s.deliverReport(body, false, hold)
 		return status, reason
 	case err == nil:
 		return status, nil
-	case errors.Is(err, owner.ErrNobody): // it has ended, and with it its messages: a late word, for nobody
+	case errors.Is(err, engine.ErrNoPeer): // that process has ended, with its messages: the report is too late
 		return 204, nil
 	default:
-		s.Log.Warn("call-back not handed on", "err", err)
-		return 503, nil // the host says it again
+		s.Log.Warn("call-back not forwarded", "err", err)
+		return 503, nil // the host repeats it
 	}
 }
 
-// Callback deals with a host's call that came to another process at the same address.
+// Callback handles a host's call-back that another process at the same address has received.
 func (s *Server) Callback(body []byte) (status int, known bool) {
-	status, known, _ = s.report(body, true, nil)
+	status, known, _ = s.deliverReport(body, true, nil)
 	return status, known
 }
 
-// report hands a call-back to the owner, who has a share in what it holds until the word is dealt with. Where it waits, known
-// says whether the message is open here.
-func (s *Server) report(body []byte, wait bool, hold *budget.Reservation) (status int, known bool, reason []byte) {
+// deliverReport passes a call-back to the engine, which shares its hold on the memory budget until the report is processed. With
+// wait, known is whether the message is open here.
+func (s *Server) deliverReport(body []byte, wait bool, hold *budget.Reservation) (status int, known bool, reason []byte) {
 	parser, _ := s.parsers.Get().(*jsonval.Parser)
 	if parser == nil {
 		parser = &jsonval.Parser{}
@@ -183,39 +184,39 @@
 		s.Log.Warn("malformed call-back", "err", err)
 		return 400, false, []byte(err.Error() + "\n")
 	}
-	wait = wait || s.left()
-	var told chan owner.Standing
-	var tell func(owner.Standing)
+	wait = wait || s.isListenerReleased()
+	var location chan engine.MessageLocation
+	var onLocation func(engine.MessageLocation)
 	if wait {
-		told = make(chan owner.Standing, 1)
-		tell = func(standing owner.Standing) { told <- standing }
+		location = make(chan engine.MessageLocation, 1)
+		onLocation = func(found engine.MessageLocation) { location <- found }
 	}
 	hold.Retain()
-	if !s.Desk.Reported(report, tell, hold.Release) {
+	if !s.Engine.HandleReport(report, onLocation, hold.Release) {
 		hold.Release()
-		return 503, false, nil // the host says it again
+		return 503, false, nil // the host repeats it
 	}
 	if !wait {
 		return 204, false, nil
 	}
 	select {
-	case standing := <-told:
-		if standing == owner.Moving { // the host says it again, to whoever has the message then
+	case found := <-location:
+		if found == engine.LocationMoving { // the host repeats it, to the process that has the message then
 			return 503, false, nil
 		}
-		return 204, standing == owner.Here, nil
-	case <-s.ended:
+		return 204, found == engine.LocationLocal, nil
+	case <-s.done:
 		return 503, false, nil
 	}
 }
 
-// parseReport reads a call-back.
-func (s *Server) parseReport(p *jsonval.Parser, body []byte) (owner.Report, error) {
+// parseReport parses a call-back.
+func (s *Server) parseReport(p *jsonval.Parser, body []byte) (engine.Report, error) {
 	o, err := p.Parse(body)
 	if err != nil {
-		return owner.Report{}, err
+		return engine.Report{}, err
 	}
-	r := owner.Report{Key: o.Text("id"), From: o.Text("from"), Share: o.Float("share")}
+	r := engine.Report{Key: o.Text("id"), From: o.Text("from"), Progress: o.Float("share")}
 	for _, key := range []string{"id", "from"} {
 		if o.Text(key) == "" {
 			o.Fail(key, "a name")
@@ -223,17 +224,17 @@
 	}
 	switch o.Text("state") {
 	case "started":
-		r.State = owner.Started
+		r.State = engine.Started
 	case "running":
-		r.State = owner.Progress
+		r.State = engine.Progress
 	case "done":
-		r.State, r.Result = owner.Done, []byte(o.Text("result"))
+		r.State, r.Result = engine.Done, []byte(o.Text("result"))
 	case "failed":
-		r.State = owner.Broken
+		r.State = engine.Errored
 	case "returned":
-		r.State = owner.Returned
+		r.State = engine.Returned
 	case "lost":
-		r.State = owner.Lost
+		r.State = engine.Lost
 	default:
 		o.Fail("state", "a known state")
 	}
--- a/internal/serve/north/crossings_test.go
+++ b/internal/serve/clientlistener/races_test.go
@@ -1,4 +1,4 @@
-package north
+package clientlistener
 
 import (
 	"context"
@@ -12,27 +12,29 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/invariant"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 	"liftgauge/internal/sock"
 )
 
-// inbox is a desk that leaves all to the test.
-type inbox struct{ taken, gone chan *owner.Message }
+// manualEngine is an Engine whose messages the test answers.
+type manualEngine struct{ taken, gone chan *engine.Message }
 
-func (b inbox) Submit(m *owner.Message) bool                             { b.taken <- m; return true }
-func (b inbox) Gone(m *owner.Message)                                    { b.gone <- m }
-func (b inbox) Reported(owner.Report, func(owner.Standing), func()) bool { return true }
-func (b inbox) Release(context.Context, *owner.Message) (owner.Past, bool) {
-	return owner.Past{}, false
+func (b manualEngine) Submit(m *engine.Message) bool  { b.taken <- m; return true }
+func (b manualEngine) Disconnected(m *engine.Message) { b.gone <- m }
+func (b manualEngine) HandleReport(engine.Report, func(engine.MessageLocation), func()) bool {
+	return true
 }
-func (b inbox) Moved(*owner.Message, owner.Past, bool)                 {}
-func (b inbox) Adopt(context.Context, *owner.Message, owner.Past) bool { return false }
+func (b manualEngine) Release(context.Context, *engine.Message) (engine.Past, bool) {
+	return engine.Past{}, false
+}
+func (b manualEngine) CompleteRelease(*engine.Message, engine.Past, bool)       {}
+func (b manualEngine) Adopt(context.Context, *engine.Message, engine.Past) bool { return false }
 
-// listening runs a server on loopback.
-func listening(t *testing.T) (*Server, inbox, string) {
+// startServer runs a server on loopback.
+func startServer(t *testing.T) (*Server, manualEngine, string) {
 	t.Helper()
-	b := inbox{make(chan *owner.Message, 8), make(chan *owner.Message, 8)}
-	s := New(Config{Desk: b, Classes: []string{"a"}, Limits: []balance.Class{{Limit: time.Hour}}, MaxConns: 16, LastAnswer: time.Hour,
+	b := manualEngine{make(chan *engine.Message, 8), make(chan *engine.Message, 8)}
+	s := New(Config{Engine: b, Classes: []string{"a"}, Limits: []balance.Class{{Limit: time.Hour}}, MaxConns: 16, ShutdownAnswerTimeout: time.Hour,
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Check: &invariant.Checker{}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,10 +51,10 @@
 	return fmt.Sprintf("POST /a/x HTTP/1.1\r\nHost: s\r\nReq-Id: %016x\r\nReq-Kind: a\r\nReq-Deadline-Ms: 60000\r\n%sContent-Length: 4\r\n\r\nhigh", id, fields)
 }
 
-// TestAnswerBeforeUnreadBytes: a client sends on after a request that closes the connection. To close over what it sent would reset the
-// connection, and could take the answer with it.
+// TestAnswerBeforeUnreadBytes checks that a client that sends more after the last request of a connection gets its answer. Closing
+// with unread bytes would reset the connection, and the answer could be lost.
 func TestAnswerBeforeUnreadBytes(t *testing.T) {
-	_, b, address := listening(t)
+	_, b, address := startServer(t)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -63,16 +65,16 @@
 	if _, err := io.WriteString(c, strings.Repeat("x", 64<<10)); err != nil { // more than the reader has room for
 		t.Fatal(err)
 	}
-	m.Reply(owner.Answer{Kind: owner.Served, Result: []byte("level 3")})
+	m.Reply(engine.Answer{Kind: engine.Served, Result: []byte("level 3")})
 	if answer, err := io.ReadAll(c); err != nil || !strings.HasSuffix(string(answer), "level 3") {
 		t.Errorf("answer %q, %v", answer, err)
 	}
 }
 
-// TestLeavingBehindAnEarlyRequest: a client whose next request has begun leaves, with that whole or in part. It is noticed while the first
-// one waits.
-func TestLeavingBehindAnEarlyRequest(t *testing.T) {
-	_, b, address := listening(t)
+// TestDisconnectAfterPipelinedRequest checks that a disconnect is detected while the first request waits, though the client has sent
+// all or part of its next request.
+func TestDisconnectAfterPipelinedRequest(t *testing.T) {
+	_, b, address := startServer(t)
 	for i, more := range []string{"P", request(99, ""), request(98, "") + "POST /a"} {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -82,14 +84,14 @@
 		m := <-b.taken
 		c.Close()
 		if got := <-b.gone; got != m {
-			t.Errorf("gone: %v", got.Key)
+			t.Errorf("disconnected: %v", got.Key)
 		}
 	}
 }
 
-// TestEarlyRequestIsServed: a client that sends its next request before the answer to this one, whole or in pieces, gets both.
-func TestEarlyRequestIsServed(t *testing.T) {
-	_, b, address := listening(t)
+// TestPipelinedRequestIsServed checks that a client that sends its next request, in pieces, before the first answer gets both answers.
+func TestPipelinedRequestIsServed(t *testing.T) {
+	_, b, address := startServer(t)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -99,18 +101,18 @@
 	fmt.Fprint(c, request(1, "")+second[:20])
 	first := <-b.taken
 	fmt.Fprint(c, second[20:60])
-	first.Reply(owner.Answer{Kind: owner.Served, Result: []byte("one")})
+	first.Reply(engine.Answer{Kind: engine.Served, Result: []byte("one")})
 	fmt.Fprint(c, second[60:])
-	(<-b.taken).Reply(owner.Answer{Kind: owner.Served, Result: []byte("two")})
+	(<-b.taken).Reply(engine.Answer{Kind: engine.Served, Result: []byte("two")})
 	if answer, err := io.ReadAll(c); err != nil || strings.Count(string(answer), "200 OK") != 2 || !strings.HasSuffix(string(answer), "two") {
 		t.Errorf("answers %q, %v", answer, err)
 	}
 }
 
-// TestShutCrossesARequest: the server shuts a resting connection while a request has come that is read already, or not yet. It is
-// answered, as the last on the connection.
-func TestShutCrossesARequest(t *testing.T) {
-	s, b, _ := listening(t)
+// TestShutDownRacesWithRequest checks that a request that has arrived when the server shuts down an idle connection, read already or
+// not, is answered as the last on the connection.
+func TestShutDownRacesWithRequest(t *testing.T) {
+	s, b, _ := startServer(t)
 	for _, read := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -129,14 +131,14 @@
 		s.add(c)
 		fmt.Fprint(client, request(7, ""))
 		if read {
-			c.r.Peek(1)
-		} else { // it is there
+			c.reader.Peek(1)
+		} else { // wait until it has arrived
 			raw.(*net.TCPConn).SetReadDeadline(time.Time{})
 			sys, _ := raw.(*net.TCPConn).SyscallConn()
 			sys.Read(func(uintptr) bool { return !sock.Idle(raw) })
 		}
 		s.mu.Lock()
-		c.shut()
+		c.shutDown()
 		s.mu.Unlock()
 		go func() {
 			defer s.remove(c)
@@ -149,7 +151,7 @@
 		}()
 		select {
 		case m := <-b.taken:
-			m.Reply(owner.Answer{Kind: owner.Served, Result: []byte("level 3")})
+			m.Reply(engine.Answer{Kind: engine.Served, Result: []byte("level 3")})
 			if got := <-answered; !strings.Contains(got, "Connection: close") || !strings.HasSuffix(got, "level 3 <nil>") {
 				t.Errorf("read %v: answer %q", read, got)
 			}
@@ -160,9 +162,9 @@
 	}
 }
 
-// TestShutRestingConnections: connections that rest until the end are closed, and are gone when the server has waited for them.
-func TestShutRestingConnections(t *testing.T) {
-	s, _, address := listening(t)
+// TestShutDownIdleConnections checks that idle connections are closed in phase Ending, and are all removed afterwards.
+func TestShutDownIdleConnections(t *testing.T) {
+	s, _, address := startServer(t)
 	var all []net.Conn
 	for range 8 {
 		c, err := net.Dial("tcp", address)
@@ -176,7 +178,7 @@
 		}
 		all = append(all, c)
 	}
-	for resting := 0; resting < len(all); { // the answer goes out before the connection rests
+	for resting := 0; resting < len(all); { // the answer is sent before the connection is idle
 		s.mu.Lock()
 		resting = 0
 		for c := range s.conns {
@@ -186,17 +188,17 @@
 		}
 		s.mu.Unlock()
 	}
-	s.Enter(Ending)
+	s.SetPhase(Ending)
 	for _, c := range all {
 		if n, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("%d bytes, %v", n, err)
 		}
 	}
-	for s.Rest() > 0 {
+	for s.CloseIdle() > 0 {
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shutting != 0 {
-		t.Errorf("%d are shut and not gone", s.shutting)
+	if s.shutDown != 0 {
+		t.Errorf("%d are shut down and not closed", s.shutDown)
 	}
 }
--- a/internal/serve/control/control.go
+++ b/internal/serve/control/control.go
@@ -1,5 +1,5 @@
-// Package control is where operators call: a second listener with its own few connections, on which a call waits for
-// nothing that clients and hosts can hold up. It speaks HTTP/1.1, one call a connection.
+// Package control serves operators' requests: a second listener with its own few connections, independent of the load from
+// clients and hosts. It uses HTTP/1.1 with one request per connection.
 package control
 
 import (
@@ -19,59 +19,59 @@
 )
 
 const (
-	callWithin   = 2 * time.Second        // a caller's whole call, from its connect: who says nothing holds no place for longer
-	applyWithin  = 900 * time.Millisecond // what a call asks for: callers wait 1 s
-	answerWithin = time.Second
-	lingerFor    = 200 * time.Millisecond
-	lingerMost   = 64 << 10
-	acceptPause  = 10 * time.Millisecond
+	callTimeout   = 2 * time.Second        // for receiving a request, from its connect: an idle connection holds its slot no longer
+	applyTimeout  = 900 * time.Millisecond // for carrying out a request: clients wait 1 s
+	writeTimeout  = time.Second
+	lingerTimeout = 200 * time.Millisecond
+	lingerBytes   = 64 << 10
+	acceptPause   = 10 * time.Millisecond
 )
 
-// Config is what a Server needs. The functions may be called by several callers at once.
+// Config configures a Server. Its functions may be called concurrently.
 type Config struct {
-	Callers int // how many may be connected
-	// Ready says whether the process takes clients.
+	MaxConns int // of concurrent connections
+	// Ready reports whether the process accepts clients.
 	Ready func() bool
-	// Figures reads the counts. It must not wait.
-	Figures func() Figures
-	// Offline leaves a host out or, with false, lets it serve again; it returns once that is applied. Known says whether
-	// the host was ever listed.
-	Offline func(ctx context.Context, id string, out bool) (known bool, err error)
-	// Members tells in JSON what membership knows; nil where it is off.
+	// Metrics returns the metrics. It must not block.
+	Metrics func() Metrics
+	// SetOffline sets a host offline, or online again; it returns once that is applied. Known reports whether the host was
+	// ever listed.
+	SetOffline func(ctx context.Context, id string, offline bool) (known bool, err error)
+	// Members returns the state of membership as JSON; nil if membership is off.
 	Members func(ctx context.Context) ([]byte, error)
-	// Drain sends clients away or, with false, takes them again.
+	// Drain starts or ends a drain of the clients.
 	Drain func(on bool)
 	Log   *slog.Logger
 }
 
-// Server answers the operators' calls.
+// Server answers operators' requests.
 type Server struct {
 	Config
-	mu      sync.Mutex
-	callers map[*caller]struct{}
-	room    chan struct{}
+	mu    sync.Mutex
+	conns map[*conn]struct{}
+	slots chan struct{}
 }
 
-// caller is one connection.
-type caller struct {
+// conn is an operator's connection.
+type conn struct {
 	net.Conn
 	since time.Time
-	busy  bool // its call is being carried out: it may not be sent away. Guarded by the server's lock.
+	busy  bool // its request is being carried out, so it must not be evicted; guarded by the server's mu
 }
 
 // New returns a Server.
 func New(c Config) *Server {
-	return &Server{Config: c, callers: map[*caller]struct{}{}, room: make(chan struct{}, max(c.Callers, 1))}
+	return &Server{Config: c, conns: map[*conn]struct{}{}, slots: make(chan struct{}, max(c.MaxConns, 1))}
 }
 
-// Run answers calls until the context ends.
+// Run answers requests until the context ends.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
-	var calls errgroup.Group
+	var group errgroup.Group
 	defer context.AfterFunc(ctx, func() {
 		l.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for c := range s.callers {
+		for c := range s.conns {
 			c.Close()
 		}
 	})()
@@ -79,7 +79,7 @@
 		raw, err := l.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
-				return calls.Wait()
+				return group.Wait()
 			}
 			s.Log.Warn("control: accept", "err", err)
 			select {
@@ -89,31 +89,31 @@
 			continue
 		}
 		select {
-		case s.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 		default:
-			// Callers who say nothing must not keep out those who do.
-			s.sendAway()
+			// Idle connections must not keep out new ones.
+			s.evict()
 			select {
-			case s.room <- struct{}{}:
+			case s.slots <- struct{}{}:
 			case <-ctx.Done():
 				raw.Close()
-				return calls.Wait()
+				return group.Wait()
 			}
 		}
-		c := &caller{Conn: raw, since: time.Now()}
+		c := &conn{Conn: raw, since: time.Now()}
 		s.mu.Lock()
-		s.callers[c] = struct{}{}
+		s.conns[c] = struct{}{}
 		if ctx.Err() != nil {
 			c.Close()
 		}
 		s.mu.Unlock()
-		calls.Go(func() error {
+		group.Go(func() error {
 			defer func() {
 				c.Close()
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				delete(s.callers, c)
-				<-s.room
+				delete(s.conns, c)
+				<-s.slots
 			}()
 			s.serve(ctx, c)
 			return nil
@@ -121,12 +121,12 @@
 	}
 }
 
-// sendAway closes the connection of the caller who has been silent longest.
-func (s *Server) sendAway() {
+// evict closes the oldest connection whose request is not being carried out.
+func (s *Server) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var oldest *caller
-	for c := range s.callers {
+	var oldest *conn
+	for c := range s.conns {
 		if !c.busy && (oldest == nil || c.since.Before(oldest.since)) {
 			oldest = c
 		}
@@ -136,97 +136,97 @@
 	}
 }
 
-func (s *Server) mark(c *caller, busy bool) {
+func (s *Server) setBusy(c *conn, busy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.busy = busy
 }
 
-// serve reads one call and answers it.
-func (s *Server) serve(ctx context.Context, c *caller) {
-	c.SetDeadline(c.since.Add(callWithin))
+// serve reads and answers one request.
+func (s *Server) serve(ctx context.Context, c *conn) {
+	c.SetDeadline(c.since.Add(callTimeout))
 	r := http1.NewReader(c)
 	status, fields, body := 0, http1.Fields(nil), []byte(nil)
-	call, err := r.ReadRequest()
+	request, err := r.ReadRequest()
 	if err == nil {
-		_, err = r.ReadBody(&call.Head, http1.MaxBody)
+		_, err = r.ReadBody(&request.Head, http1.MaxBody)
 	}
 	var e *http1.Error
 	var timeout net.Error
 	switch {
 	case err == nil:
-		s.mark(c, true)
-		status, fields, body = s.call(ctx, call)
-		s.mark(c, false)
+		s.setBusy(c, true)
+		status, fields, body = s.handle(ctx, request)
+		s.setBusy(c, false)
 	case errors.As(err, &e):
 		status, body = e.Status, []byte(e.Reason+"\n")
 	case errors.As(err, &timeout) && timeout.Timeout():
 		status = 408
 	default:
-		return // it left
+		return // the client has disconnected
 	}
-	c.SetDeadline(time.Now().Add(answerWithin))
+	c.SetDeadline(time.Now().Add(writeTimeout))
 	fields = append(fields, http1.Field{Name: "Connection", Value: "close"})
 	if _, err := c.Write(http1.AppendResponse(nil, status, fields, body)); err != nil {
 		return
 	}
-	// To close with bytes unread would reset the answer away.
+	// Closing with unread bytes would reset the connection, and the answer could be lost.
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.SetReadDeadline(time.Now().Add(lingerFor))
-		io.CopyN(io.Discard, c, lingerMost)
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, c, lingerBytes)
 	}
 }
 
-// call carries out one call.
-func (s *Server) call(ctx context.Context, call *http1.Request) (status int, fields http1.Fields, body []byte) {
+// handle carries out a request.
+func (s *Server) handle(ctx context.Context, request *http1.Request) (status int, fields http1.Fields, body []byte) {
 	method := "POST"
-	var act func()
+	var run func()
 	status = 204
-	switch call.Path {
+	switch request.Path {
 	case "/control/ready":
-		method, act = "GET", func() {
+		method, run = "GET", func() {
 			if status = 200; !s.Ready() {
 				status = 503
 			}
 		}
 	case "/control/counters":
-		method, act = "GET", func() {
-			status, body = 200, s.Figures().Append(nil)
+		method, run = "GET", func() {
+			status, body = 200, s.Metrics().Append(nil)
 			fields = http1.Fields{{Name: "Content-Type", Value: "text/plain; version=0.0.4"}}
 		}
 	case "/control/members":
 		if s.Members == nil {
 			return 404, nil, []byte("membership is off\n")
 		}
-		method, act = "GET", func() {
-			within, stop := context.WithTimeout(ctx, applyWithin)
+		method, run = "GET", func() {
+			timeoutCtx, stop := context.WithTimeout(ctx, applyTimeout)
 			defer stop()
 			var err error
 			status, fields = 200, http1.Fields{{Name: "Content-Type", Value: "application/json"}}
-			if body, err = s.Members(within); err != nil {
+			if body, err = s.Members(timeoutCtx); err != nil {
 				status, fields, body = 503, nil, []byte("membership does not answer\n")
 			}
 		}
 	case "/control/out-of-service":
-		act = func() { s.Drain(true) }
+		run = func() { s.Drain(true) }
 	case "/control/in-service":
-		act = func() { s.Drain(false) }
+		run = func() { s.Drain(false) }
 	default:
-		id, out, ok := hostCall(call.Path)
-		if !ok || s.Offline == nil {
+		id, offline, ok := parseHostPath(request.Path)
+		if !ok || s.SetOffline == nil {
 			return 404, nil, []byte("unknown path\n")
 		}
-		act = func() { status, body = s.host(ctx, id, out) }
+		run = func() { status, body = s.setHostOffline(ctx, id, offline) }
 	}
-	if call.Method != method {
+	if request.Method != method {
 		return 405, http1.Fields{{Name: "Allow", Value: method}}, nil
 	}
-	act()
+	run()
 	return status, fields, body
 }
 
-// hostCall takes a path of the form /control/workers/ID/offline or online apart.
-func hostCall(path string) (id string, out, ok bool) {
+// parseHostPath parses a path of the form /control/workers/ID/offline or /control/workers/ID/online.
+func parseHostPath(path string) (id string, offline, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/control/workers/")
 	if !ok {
 		return "", false, false
@@ -236,16 +236,16 @@
 	return id, verb == "offline", err == nil && id != "" && (verb == "offline" || verb == "online")
 }
 
-func (s *Server) host(ctx context.Context, id string, out bool) (status int, body []byte) {
-	ctx, stop := context.WithTimeout(ctx, applyWithin)
+func (s *Server) setHostOffline(ctx context.Context, id string, offline bool) (status int, body []byte) {
+	ctx, stop := context.WithTimeout(ctx, applyTimeout)
 	defer stop()
-	switch known, err := s.Offline(ctx, id, out); {
+	switch known, err := s.SetOffline(ctx, id, offline); {
 	case err != nil:
-		s.Log.Error("control: call not applied", "host", id, "offline", out, "err", err)
+		s.Log.Error("control: request not applied", "host", id, "offline", offline, "err", err)
 		return 503, []byte("not applied\n")
 	case !known:
 		return 404, []byte("no host of that id was ever listed\n")
 	}
-	s.Log.Info("control", "host", id, "offline", out)
+	s.Log.Info("control", "host", id, "offline", offline)
 	return 204, nil
 }
--- a/internal/serve/control/control_test.go
+++ b/internal/serve/control/control_test.go
@@ -16,34 +16,34 @@
 	"liftgauge/internal/http1"
 )
 
-// pipes is a listener whose connections are pipes.
-type pipes struct{ calls chan net.Conn }
+// pipeListener is a listener whose connections are pipes.
+type pipeListener struct{ calls chan net.Conn }
 
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
-func (p pipes) Close() error   { close(p.calls); return nil }
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p.calls); return nil }
+func (p pipeListener) Accept() (net.Conn, error) {
 	if c, ok := <-p.calls; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-// world is a server in a synctest bubble, and what its calls have brought about.
-type world struct {
+// harness holds the effects of requests to a server in a synctest bubble.
+type harness struct {
 	t       *testing.T
-	l       pipes
+	l       pipeListener
 	drained bool
 	out     map[string]bool
 }
 
-func within(t *testing.T, callers int, test func(*world)) {
+func runInBubble(t *testing.T, callers int, test func(*harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, l: pipes{make(chan net.Conn)}, out: map[string]bool{"s-1": false}}
-		s := New(Config{Callers: callers, Ready: func() bool { return !w.drained }, Drain: func(on bool) { w.drained = on },
-			Figures: func() Figures {
-				return Figures{Classes: []Class{{"a", 1, 2, 3}}, Forwards: 4, Outstanding: 5, Discovered: 6, Ejected: 7}
+		w := &harness{t: t, l: pipeListener{make(chan net.Conn)}, out: map[string]bool{"s-1": false}}
+		s := New(Config{MaxConns: callers, Ready: func() bool { return !w.drained }, Drain: func(on bool) { w.drained = on },
+			Metrics: func() Metrics {
+				return Metrics{Classes: []ClassMetrics{{"a", 1, 2, 3}}, Forwards: 4, Outstanding: 5, Discovered: 6, Ejected: 7}
 			},
-			Offline: func(ctx context.Context, id string, out bool) (bool, error) {
+			SetOffline: func(ctx context.Context, id string, out bool) (bool, error) {
 				if id == "s-stuck" {
 					<-ctx.Done()
 					return true, errors.New("not applied")
@@ -63,17 +63,17 @@
 	})
 }
 
-func (w *world) dial() net.Conn {
+func (w *harness) dial() net.Conn {
 	near, far := net.Pipe()
 	w.l.calls <- far
 	synctest.Wait()
 	return near
 }
 
-// call sends a text in two pieces and returns the answer, or "" for a close without one.
-func (w *world) call(c net.Conn, text string, cut int) string {
+// call sends a request in two pieces and returns the answer, or "" if the connection closes without one.
+func (w *harness) call(c net.Conn, text string, cut int) string {
 	defer c.Close()
-	defer time.Sleep(time.Millisecond) // an answer may come before the second piece
+	defer time.Sleep(time.Millisecond) // an answer may arrive before the second piece
 	go func() {
 		io.WriteString(c, text[:cut])
 		time.Sleep(time.Millisecond)
@@ -94,7 +94,7 @@
 	return strings.TrimSpace(fmt.Sprint(p.Status, " ", string(body)))
 }
 
-const figures = `edge_lb_results_total{service="a",disposition="succeeded"} 1
+const metricsText = `edge_lb_results_total{service="a",disposition="succeeded"} 1
 edge_lb_results_total{service="a",disposition="declined"} 2
 edge_lb_results_total{service="a",disposition="aborted"} 3
 edge_lb_forwards_total 4
@@ -104,11 +104,11 @@
 
 var calls = []struct {
 	call, want string
-	drained    bool // afterwards; as before where the call says nothing of it
+	drained    bool // afterwards; unchanged if the request does not set it
 	out        string
 }{
 	{call: "GET /control/ready", want: "200"},
-	{call: "GET /control/counters?x=1", want: "200 " + figures},
+	{call: "GET /control/counters?x=1", want: "200 " + metricsText},
 	{call: "POST /control/out-of-service", want: "204"},
 	{call: "POST /control/in-service", want: "204"},
 	{call: "POST /control/workers/s-1/offline", want: "204"},
@@ -126,14 +126,14 @@
 	{call: "GET", want: "400 malformed request line"},
 }
 
-// FuzzCalls makes calls in random order and pieces, among callers who say nothing.
-func FuzzCalls(f *testing.F) {
+// FuzzRequests sends requests in random order, split at random positions, among idle connections.
+func FuzzRequests(f *testing.F) {
 	for seed := range uint64(3) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		within(t, 4, func(w *world) {
+		runInBubble(t, 4, func(w *harness) {
 			drained, out := false, false
 			for range 40 {
 				if rng.IntN(3) == 0 {
@@ -159,9 +159,9 @@
 	})
 }
 
-// TestUnreadable: what cannot be read keeps its answers here too, and who says nothing is told so.
-func TestUnreadable(t *testing.T) {
-	within(t, 4, func(w *world) {
+// TestUnreadableRequests checks the answers to malformed and oversized requests and to an incomplete one.
+func TestUnreadableRequests(t *testing.T) {
+	runInBubble(t, 4, func(w *harness) {
 		for text, want := range map[string]string{
 			"GET / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n":                "413 body too large",
 			"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 9000) + "\r\n\r\n": "431 head too large",
--- a/internal/serve/handover/rights_test.go
+++ b/internal/serve/handover/fdpassing_test.go
@@ -8,11 +8,11 @@
 	"syscall"
 	"testing"
 
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
-// pair is a client's connection as both ends have it.
-func pair(t *testing.T) (client, served net.Conn) {
+// connPair returns both ends of a client's connection.
+func connPair(t *testing.T) (client, served net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,36 +29,36 @@
 	return client, served
 }
 
-// TestPass: a connection goes over with a record of any bytes and of any size, and lives on when this process closes its own end of it;
-// where the successor does not take it, or is gone, it stays what it was.
-func TestPass(t *testing.T) {
+// TestPassConnection checks that a connection is passed with a record of any bytes and size, and stays open when this process closes
+// its descriptor; if the successor refuses it or has ended, the connection is unchanged.
+func TestPassConnection(t *testing.T) {
 	dir := t.TempDir()
-	old := start(t, dir)
+	old := startProcess(t, dir)
 	record := []byte("\x00\xff\"\n}" + strings.Repeat("level 3 at Caroni ", 1<<12))
 	give := func() ([]byte, bool) { return record, true }
-	client, served := pair(t)
-	if taken, err := old.Pass(served, give); taken || !errors.Is(err, owner.ErrNobody) {
-		t.Errorf("passed to nobody: %v, %v", taken, err)
+	client, served := connPair(t)
+	if taken, err := old.PassConnection(served, give); taken || !errors.Is(err, engine.ErrNoPeer) {
+		t.Errorf("passed without a successor: %v, %v", taken, err)
 	}
-	next := start(t, dir)
-	if taken, err := old.Pass(served, give); taken || err != nil {
-		t.Errorf("not taken there: %v, %v", taken, err)
+	next := startProcess(t, dir)
+	if taken, err := old.PassConnection(served, give); taken || err != nil {
+		t.Errorf("refused: %v, %v", taken, err)
 	}
-	if taken, err := old.Pass(served, func() ([]byte, bool) { return nil, false }); taken || !errors.Is(err, errNotNow) {
+	if taken, err := old.PassConnection(served, func() ([]byte, bool) { return nil, false }); taken || !errors.Is(err, errNotReleasable) {
 		t.Errorf("no record: %v, %v", taken, err)
 	}
-	if taken, err := old.Pass(struct{ net.Conn }{served}, give); taken || err == nil {
+	if taken, err := old.PassConnection(struct{ net.Conn }{served}, give); taken || err == nil {
 		t.Errorf("no descriptor: %v, %v", taken, err)
 	}
 	got := make(chan net.Conn, 1)
-	next.adopts(func(r []byte, c net.Conn) bool {
+	next.setAdopt(func(r []byte, c net.Conn) bool {
 		if string(r) != string(record) {
-			t.Errorf("%d bytes of record came, %d were sent", len(r), len(record))
+			t.Errorf("received %d bytes of record, want %d", len(r), len(record))
 		}
 		got <- c
 		return true
 	})
-	if taken, err := old.Pass(served, give); !taken || err != nil {
+	if taken, err := old.PassConnection(served, give); !taken || err != nil {
 		t.Fatalf("not passed: %v, %v", taken, err)
 	}
 	served.Close()
@@ -69,8 +69,8 @@
 	if text, err := io.ReadAll(client); string(text) != "HTTP/1.1 200 OK" || err != nil {
 		t.Errorf("the client read %q, %v", text, err)
 	}
-	// A successor that ends with the message in hand has not taken it: it would have said so.
-	next.adopts(func(_ []byte, c net.Conn) bool {
+	// A successor that ends before it replies has not taken the message.
+	next.setAdopt(func(_ []byte, c net.Conn) bool {
 		c.Close()
 		next.Peer.mu.Lock()
 		for c := range next.conns {
@@ -79,19 +79,20 @@
 		next.Peer.mu.Unlock()
 		return true
 	})
-	_, served = pair(t)
-	if taken, err := old.Pass(served, give); taken || err == nil {
-		t.Errorf("passed to one that died: %v, %v", taken, err)
+	_, served = connPair(t)
+	if taken, err := old.PassConnection(served, give); taken || err == nil {
+		t.Errorf("passed to a successor that ended: %v, %v", taken, err)
 	}
 	next.end()
 	old.end()
 }
 
-// TestUnasked: descriptors that come with anything but a message, or two with one, are closed, and nothing else happens.
-func TestUnasked(t *testing.T) {
-	old := start(t, t.TempDir())
+// TestUnexpectedDescriptors checks that descriptors that are received with anything but a message, or two with one message, are
+// closed and have no other effect.
+func TestUnexpectedDescriptors(t *testing.T) {
+	old := startProcess(t, t.TempDir())
 	defer old.end()
-	old.adopts(func([]byte, net.Conn) bool {
+	old.setAdopt(func([]byte, net.Conn) bool {
 		t.Error("adopted")
 		return true
 	})
@@ -99,10 +100,10 @@
 		line string
 		fds  int
 	}{{`{"op":"ready"}`, 1}, {`{"op":"message","record":"x"}`, 0}, {`{"op":"message","record":"x"}`, 2}, {`nothing`, 1}, {`{"op":"message"`, 1}} {
-		client, served := pair(t)
+		client, served := connPair(t)
 		fd := dup(t, served)
 		served.Close()
-		raw, err := net.Dial("unix", old.folder.address(old.socket))
+		raw, err := net.Dial("unix", old.dir.address(old.socket))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +117,7 @@
 		raw.Close()
 		if c.fds > 0 {
 			if n, err := client.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-				t.Errorf("%s: the connection is still open there: %v", c.line, err)
+				t.Errorf("%s: the connection is still open: %v", c.line, err)
 			}
 		}
 	}
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -16,91 +16,91 @@
 	"time"
 
 	"liftgauge/internal/jsonval"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 const (
-	askWithin   = 500 * time.Millisecond  // to reach the other process and have its answer: operators wait 1 s for theirs
-	helloWithin = 1500 * time.Millisecond // for a snapshot: a process that hangs must not keep the new one from serving
-	readyWithin = 8 * time.Second         // for a successor to take clients: the platform waits 6 s
-	maxLine     = 4 << 20
-	acceptPause = 10 * time.Millisecond
+	requestTimeout  = 500 * time.Millisecond  // to reach the other process and receive its reply: operators wait 1 s for theirs
+	snapshotTimeout = 1500 * time.Millisecond // for a snapshot: a process that hangs must not keep the new one from serving
+	readyTimeout    = 8 * time.Second         // for a successor to accept clients: the platform waits 6 s
+	maxLine         = 4 << 20
+	acceptPause     = 10 * time.Millisecond
 )
 
-// Snapshot is what a process tells its successor.
+// Snapshot is the state that a process sends to its successor.
 type Snapshot struct {
-	Ready     bool   // it takes clients
-	Discovery string // the address that counts
-	List      []byte // the inventory in discovery's form
-	Learned   []byte // what the module has learnt, as package node encodes it; may be empty
+	Ready     bool   // it accepts clients
+	Discovery string // the current address
+	List      []byte // the inventory in discovery's format
+	Learned   []byte // the scheduler's learned estimates, encoded by the caller; may be empty
 	State
 }
 
-// Handler does for the other process what it asks.
+// Handler carries out the other process's requests.
 type Handler interface {
-	// Snapshot is told to a successor.
+	// Snapshot returns the state for a successor.
 	Snapshot(ctx context.Context) (Snapshot, error)
-	// Known says whether its message is open here.
+	// Callback handles a host's call-back. Known reports whether its message is open here.
 	Callback(body []byte) (status int, known bool)
-	// Adopt takes over a message and the connection on which its client waits, which is closed if it does not.
+	// Adopt takes over a message and the connection on which its client waits; on failure it closes the connection.
 	Adopt(record []byte, client net.Conn) (taken bool)
-	// Offline carries out an operators' call. Sure says that the other knows the host.
-	Offline(ctx context.Context, id string, out, sure bool) (known bool, err error)
-	// Share begins or ends the time in which two processes have what one may use.
-	Share(on bool)
+	// SetOffline carries out an operator's request. Listed means that the other process has listed the host.
+	SetOffline(ctx context.Context, id string, offline, listed bool) (known bool, err error)
+	// SetSharing begins or ends the period in which two processes share the resources of one.
+	SetSharing(on bool)
 }
 
-// Peer is this process as the other process of its dispatcher meets it. The one that is called stays the elder.
+// Peer connects this process to the other process of its dispatcher. The one that accepts the connection is the predecessor.
 type Peer struct {
-	Handler Handler
-	Log     *slog.Logger
-	Asks    int // how many questions may be open each way
+	Handler     Handler
+	Log         *slog.Logger
+	MaxRequests int // of concurrent requests in each direction
 
-	askWithin, helloWithin, readyWithin time.Duration
+	requestTimeout, snapshotTimeout, readyTimeout time.Duration
 
-	folder *folder
-	socket string
-	l      net.Listener
-	asks   chan struct{}
+	dir          *socketDir
+	socket       string
+	listener     net.Listener
+	requestSlots chan struct{}
 
 	mu    sync.Mutex
-	conns map[net.Conn]struct{} // all that are open here, to be closed at the end
+	conns map[net.Conn]struct{} // open connections, closed when Run ends
 	ended bool
 	other *link
 }
 
-// link is the connection that stands for as long as both processes live.
+// link is the connection that stays open while both processes live.
 type link struct {
 	net.Conn
-	r      *bufio.Reader
-	socket string // where to ask the other
-	elder  bool   // the other was there first
+	reader      *bufio.Reader
+	socket      string // the other process's, for requests
+	predecessor bool   // the other process is the predecessor
 
-	// Guarded by the peer's lock; of a successor.
-	ready bool // it takes clients
-	late  bool // it has not come to that in time, and this process has taken back what it shared
+	// Of a successor; guarded by the peer's mu.
+	ready   bool // it accepts clients
+	overdue bool // it did not become ready in time, and this process has stopped sharing
 }
 
-// NewPeer binds this process's socket in the folder that all processes of the dispatcher share.
-func NewPeer(dir, dispatcher string, asks int, log *slog.Logger) (*Peer, error) {
-	f, err := openFolder(dir, dispatcher)
+// NewPeer binds this process's socket in the directory that all processes of the dispatcher share.
+func NewPeer(dir, dispatcher string, maxRequests int, log *slog.Logger) (*Peer, error) {
+	f, err := openSocketDir(dir, dispatcher)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	var id [4]byte
 	rand.Read(id[:])
-	p := &Peer{Log: log, Asks: max(asks, 1), folder: f, socket: f.prefix + hex.EncodeToString(id[:]) + socketEnd,
-		conns: map[net.Conn]struct{}{}, askWithin: askWithin, helloWithin: helloWithin, readyWithin: readyWithin}
-	p.asks = make(chan struct{}, p.Asks)
-	if p.l, err = net.Listen("unix", f.address(p.socket)); err != nil {
+	p := &Peer{Log: log, MaxRequests: max(maxRequests, 1), dir: f, socket: f.prefix + hex.EncodeToString(id[:]) + socketSuffix,
+		conns: map[net.Conn]struct{}{}, requestTimeout: requestTimeout, snapshotTimeout: snapshotTimeout, readyTimeout: readyTimeout}
+	p.requestSlots = make(chan struct{}, p.MaxRequests)
+	if p.listener, err = net.Listen("unix", f.address(p.socket)); err != nil {
 		f.close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return p, nil
 }
 
-// keep notes an open connection; false says that the end has come.
-func (p *Peer) keep(c net.Conn) bool {
+// track registers an open connection. False: the peer has ended.
+func (p *Peer) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.ended {
@@ -109,56 +109,56 @@
 	return !p.ended
 }
 
-func (p *Peer) drop(c net.Conn) {
+func (p *Peer) closeConn(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// Join calls the process that serves, if there is one, and returns what it tells. From then on it has this one for a
-// successor. It comes before Run, which must follow soon, and leaves it to the caller to begin the sharing.
+// Join connects to the serving process, if there is one, and returns its snapshot. From then on this process is its
+// successor. Join is called before Run, which must follow soon, and leaves it to the caller to begin sharing.
 func (p *Peer) Join(ctx context.Context) (*Snapshot, error) {
-	sockets, err := p.folder.sockets()
+	sockets, err := p.dir.sockets()
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ctx, stop := context.WithTimeout(ctx, p.helloWithin)
+	ctx, stop := context.WithTimeout(ctx, p.snapshotTimeout)
 	defer stop()
 	for _, socket := range sockets {
 		if socket == p.socket {
 			continue
 		}
 		c, err := p.dial(ctx, socket)
-		if errors.Is(err, syscall.ECONNREFUSED) { // its process is dead
-			os.Remove(p.folder.address(socket))
+		if errors.Is(err, syscall.ECONNREFUSED) { // its process has ended
+			os.Remove(p.dir.address(socket))
 			continue
 		}
 		if err != nil {
-			p.Log.Warn("handover: call", "socket", socket, "err", err)
+			p.Log.Warn("handover: dial", "socket", socket, "err", err)
 			continue
 		}
-		l := &link{Conn: c, r: bufio.NewReader(c), socket: socket, elder: true}
-		s, err := p.hello(ctx, l)
-		if err != nil || !s.Ready || !p.keep(c) {
+		l := &link{Conn: c, reader: bufio.NewReader(c), socket: socket, predecessor: true}
+		snapshot, err := p.hello(ctx, l)
+		if err != nil || !snapshot.Ready || !p.track(c) {
 			p.Log.Warn("handover: not joined", "socket", socket, "err", err)
 			c.Close()
 			continue
 		}
 		p.mu.Lock()
-		p.other = l // Run watches it; nobody else is at work yet
+		p.other = l // Run watches it; no other goroutine uses it yet
 		p.mu.Unlock()
-		return s, nil
+		return snapshot, nil
 	}
 	return nil, nil
 }
 
 func (p *Peer) dial(ctx context.Context, socket string) (net.Conn, error) {
 	var d net.Dialer
-	return d.DialContext(ctx, "unix", p.folder.address(socket))
+	return d.DialContext(ctx, "unix", p.dir.address(socket))
 }
 
-// hello asks the elder for its snapshot.
+// hello requests the predecessor's snapshot.
 func (p *Peer) hello(ctx context.Context, l *link) (*Snapshot, error) {
 	if at, ok := ctx.Deadline(); ok {
 		l.SetDeadline(at)
@@ -167,100 +167,100 @@
 	if err := writeLine(l, jsonval.Is("op", "hello"), jsonval.Is("socket", p.socket)); err != nil {
 		return nil, err
 	}
-	o, err := readLine(l.r)
+	o, err := readLine(l.reader)
 	if err != nil {
 		return nil, err
 	}
-	s := &Snapshot{Ready: o.Flag("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
+	snapshot := &Snapshot{Ready: o.Flag("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
 		State: State{Offline: o.Texts("offline"), Listed: o.Texts("listed")}}
-	return s, o.Err()
+	return snapshot, o.Err()
 }
 
-// Announce tells the elder, if there is one, that this process takes clients. It returns once the elder knows.
+// Announce notifies the predecessor, if there is one, that this process accepts clients. It returns once that is acknowledged.
 func (p *Peer) Announce() error {
 	p.mu.Lock()
 	l := p.other
 	p.mu.Unlock()
-	if l == nil || !l.elder {
+	if l == nil || !l.predecessor {
 		return nil
 	}
-	_, err := p.ask(jsonval.Is("op", "ready"), jsonval.Is("socket", p.socket))
+	_, err := p.request(jsonval.Is("op", "ready"), jsonval.Is("socket", p.socket))
 	return err
 }
 
-// Live says whether another process is there.
-func (p *Peer) Live() bool {
+// Connected reports whether there is another process.
+func (p *Peer) Connected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.other != nil
 }
 
-// Succeeded says whether a successor takes clients.
-func (p *Peer) Succeeded() bool {
+// SuccessorReady reports whether a successor accepts clients.
+func (p *Peer) SuccessorReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.other != nil && !p.other.elder && p.other.ready
+	return p.other != nil && !p.other.predecessor && p.other.ready
 }
 
-// Callback hands a host's call to the other process.
+// Callback forwards a host's call-back to the other process.
 func (p *Peer) Callback(body []byte) (status int, known bool, err error) {
-	o, err := p.ask(jsonval.Is("op", "callback"), jsonval.Is("body", string(body)))
+	o, err := p.request(jsonval.Is("op", "callback"), jsonval.Is("body", string(body)))
 	if err != nil {
 		return 0, false, err
 	}
 	return int(o.Whole("status")), o.Flag("known"), o.Err()
 }
 
-// Pass hands a client's connection to the successor, with the record of the message that waits there. The record is made once the
-// successor listens: until then nothing has changed. Taken says that the message is the successor's. Where it took the record and said
-// nothing, it may be: then nobody here may answer, and the error is nil.
-func (p *Peer) Pass(client net.Conn, record func() ([]byte, bool)) (taken bool, err error) {
+// PassConnection hands a client's connection to the successor, with the record of its waiting message. The record is made once the
+// successor is connected: until then nothing has changed. Taken means that the message belongs to the successor. If the successor
+// received the record and did not reply, it may have the message: then nobody here may answer, so taken is true and the error nil.
+func (p *Peer) PassConnection(client net.Conn, record func() ([]byte, bool)) (taken bool, err error) {
 	raw, ok := client.(syscall.Conn)
 	if !ok {
-		return false, errors.New("handover: no connection that can be passed on")
+		return false, errors.New("handover: connection has no file descriptor")
 	}
-	rights, err := raw.SyscallConn()
+	rawConn, err := raw.SyscallConn()
 	if err != nil {
 		return false, fmt.Errorf("handover: %w", err)
 	}
-	c, done, err := p.call()
+	c, done, err := p.dialOther()
 	if err != nil {
 		return false, err
 	}
 	defer done()
 	body, ok := record()
 	if !ok {
-		return false, errNotNow
+		return false, errNotReleasable
 	}
-	c.SetDeadline(time.Now().Add(p.helloWithin)) // from here on it must be known how it ends
+	c.SetDeadline(time.Now().Add(p.snapshotTimeout)) // the outcome of what follows must be known
 	line := append(jsonval.AppendObject(nil, jsonval.Is("op", "message"), jsonval.Is("record", string(body))), '\n')
 	var sent int
-	if held := rights.Control(func(fd uintptr) {
+	if controlErr := rawConn.Control(func(fd uintptr) {
 		sent, _, err = c.(*net.UnixConn).WriteMsgUnix(line, syscall.UnixRights(int(fd)), nil)
-	}); held != nil {
-		return false, fmt.Errorf("handover: %w", held)
+	}); controlErr != nil {
+		return false, fmt.Errorf("handover: %w", controlErr)
 	}
-	for err == nil && sent < len(line) { // the descriptor went with the first bytes
+	for err == nil && sent < len(line) { // the descriptor was sent with the first bytes
 		var n int
 		n, err = c.Write(line[sent:])
 		sent += n
 	}
-	if err != nil { // without its end nobody reads the line
+	if err != nil { // an incomplete line is not processed
 		return false, fmt.Errorf("handover: %w", err)
 	}
 	o, err := readLine(bufio.NewReader(c))
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		return false, fmt.Errorf("handover: %w", err) // it answers while it lives
+		return false, fmt.Errorf("handover: %w", err) // the successor has ended: while it lives it replies
 	}
 	return err != nil || o.Flag("taken"), nil
 }
 
-// errNotNow says that a message could not be let go of at this moment.
-var errNotNow = errors.New("handover: not now")
+// errNotReleasable means that a message cannot be released at present.
+var errNotReleasable = errors.New("handover: message cannot be released now")
 
-// Offline has the other process carry out an operators' call.
-func (p *Peer) Offline(id string, out, sure bool) (known bool, err error) {
-	o, err := p.ask(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", out), jsonval.Is("sure", sure))
+// SetOffline has the other process carry out an operator's request.
+func (p *Peer) SetOffline(id string, offline, listed bool) (known bool, err error) {
+	o, err := p.request(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", offline), jsonval.Is("sure", listed))
 	if err != nil {
 		return false, err
 	}
@@ -270,26 +270,26 @@
 	return o.Flag("known"), o.Err()
 }
 
-// call connects to the other process for one question, within askWithin for all of it.
-func (p *Peer) call() (c net.Conn, done func(), err error) {
+// dialOther connects to the other process for one request, which must complete within requestTimeout.
+func (p *Peer) dialOther() (c net.Conn, done func(), err error) {
 	p.mu.Lock()
 	l := p.other
 	p.mu.Unlock()
 	if l == nil {
-		return nil, nil, owner.ErrNobody
+		return nil, nil, engine.ErrNoPeer
 	}
-	ctx, stop := context.WithTimeout(context.Background(), p.askWithin)
+	ctx, stop := context.WithTimeout(context.Background(), p.requestTimeout)
 	defer stop()
 	select {
-	case p.asks <- struct{}{}:
+	case p.requestSlots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, nil, fmt.Errorf("handover: %w", ctx.Err())
 	}
 	c, err = p.dial(ctx, l.socket)
 	if err != nil {
-		<-p.asks
+		<-p.requestSlots
 		if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) {
-			return nil, nil, owner.ErrNobody
+			return nil, nil, engine.ErrNoPeer
 		}
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
@@ -297,13 +297,13 @@
 	c.SetDeadline(at)
 	return c, func() {
 		c.Close()
-		<-p.asks
+		<-p.requestSlots
 	}, nil
 }
 
-// ask puts one question on a connection of its own.
-func (p *Peer) ask(question ...jsonval.Member) (jsonval.Object, error) {
-	c, done, err := p.call()
+// request sends one request on a connection of its own.
+func (p *Peer) request(question ...jsonval.Member) (jsonval.Object, error) {
+	c, done, err := p.dialOther()
 	if err != nil {
 		return jsonval.Object{}, err
 	}
@@ -314,55 +314,55 @@
 	return readLine(bufio.NewReader(c))
 }
 
-// setOther begins or ends the sharing.
+// setOther sets the link to the other process, and begins or ends sharing.
 func (p *Peer) setOther(l *link) {
 	p.mu.Lock()
 	old := p.other
 	p.other = l
 	p.mu.Unlock()
 	if old != nil && l != nil {
-		old.Close() // a later successor takes the place of one that may hang
+		old.Close() // a new successor replaces one that may hang
 	}
 	if (old == nil) != (l == nil) {
 		p.Log.Info("handover: sharing", "on", l != nil)
-		p.Handler.Share(l != nil)
+		p.Handler.SetSharing(l != nil)
 	}
 }
 
-// overdue takes back what is shared with a successor that does not get ready: a version that cannot serve must not cost the
-// one that does. It may still come to it, and the link stays.
-func (p *Peer) overdue(l *link) {
+// handleOverdue ends sharing with a successor that does not become ready: a version that cannot serve must not take resources
+// from the one that does. It may still become ready, and the link stays.
+func (p *Peer) handleOverdue(l *link) {
 	p.mu.Lock()
-	l.late = p.other == l && !l.ready
-	late := l.late
+	l.overdue = p.other == l && !l.ready
+	overdue := l.overdue
 	p.mu.Unlock()
-	if late {
-		p.Log.Error("handover: the new process does not get ready")
-		p.Handler.Share(false)
+	if overdue {
+		p.Log.Error("handover: the new process is not ready in time")
+		p.Handler.SetSharing(false)
 	}
 }
 
-// taken notes that the successor of that socket takes clients.
-func (p *Peer) taken(socket string) bool {
+// markReady notes that the successor with a socket accepts clients.
+func (p *Peer) markReady(socket string) bool {
 	p.mu.Lock()
 	l := p.other
-	if l == nil || l.elder || l.socket != socket {
+	if l == nil || l.predecessor || l.socket != socket {
 		p.mu.Unlock()
 		return false
 	}
-	again := l.late
-	l.ready, l.late = true, false
+	wasOverdue := l.overdue
+	l.ready, l.overdue = true, false
 	p.mu.Unlock()
-	if again {
-		p.Handler.Share(true)
+	if wasOverdue {
+		p.Handler.SetSharing(true)
 	}
 	return true
 }
 
-// watch waits for the end of a link, which is the end of the other process.
+// watch waits for the end of a link, which means the end of the other process.
 func (p *Peer) watch(l *link) {
-	io.Copy(io.Discard, l.r)
-	p.drop(l)
+	io.Copy(io.Discard, l.reader)
+	p.closeConn(l)
 	p.mu.Lock()
 	current := p.other == l
 	p.mu.Unlock()
@@ -371,16 +371,16 @@
 	}
 }
 
-// Run answers the other process until the context ends.
+// Run serves the other process until the context ends.
 func (p *Peer) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
-	defer p.folder.close()
+	defer p.dir.close()
 	defer calls.Wait()
 	if l := p.other; l != nil {
 		calls.Go(func() { p.watch(l) })
 	}
 	defer context.AfterFunc(ctx, func() {
-		p.l.Close() // and unlinks the socket
+		p.listener.Close() // and unlinks the socket
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.ended = true
@@ -388,9 +388,9 @@
 			c.Close()
 		}
 	})()
-	room := make(chan struct{}, p.Asks+1) // and the link
+	slots := make(chan struct{}, p.MaxRequests+1) // plus the link
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -402,54 +402,54 @@
 			}
 			continue
 		}
-		if !p.keep(c) {
+		if !p.track(c) {
 			c.Close()
 			return nil
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		calls.Go(func() {
-			defer func() { <-room }()
-			p.answer(ctx, c)
+			defer func() { <-slots }()
+			p.serveConn(ctx, c)
 		})
 	}
 }
 
-// answer reads one question and answers it. One that is a successor's first becomes the link.
-func (p *Peer) answer(ctx context.Context, c net.Conn) {
-	c.SetDeadline(time.Now().Add(p.helloWithin))
-	came := &descriptors{Conn: c}
-	defer came.close()
-	r := bufio.NewReader(came)
+// serveConn reads a request and replies to it. A successor's hello turns the connection into the link.
+func (p *Peer) serveConn(ctx context.Context, c net.Conn) {
+	c.SetDeadline(time.Now().Add(p.snapshotTimeout))
+	received := &fdConn{Conn: c}
+	defer received.close()
+	r := bufio.NewReader(received)
 	o, err := readLine(r)
 	if err != nil {
-		p.drop(c)
+		p.closeConn(c)
 		return
 	}
-	asking, stop := context.WithTimeout(ctx, p.askWithin)
+	requestCtx, stop := context.WithTimeout(ctx, p.requestTimeout)
 	defer stop()
 	var reply []jsonval.Member
 	switch o.Text("op") {
 	case "hello":
-		l := &link{Conn: c, r: r, socket: o.Text("socket")}
+		l := &link{Conn: c, reader: r, socket: o.Text("socket")}
 		if o.Err() != nil || l.socket == "" {
 			break
 		}
-		p.setOther(l) // before the snapshot is taken: what changes from here on is asked of the successor as well
-		s, err := p.Handler.Snapshot(asking)
-		if err != nil || !s.Ready { // nothing to take over here
+		p.setOther(l) // before the snapshot is taken: later changes are sent to the successor as well
+		snapshot, err := p.Handler.Snapshot(requestCtx)
+		if err != nil || !snapshot.Ready { // nothing to take over
 			c.Close()
 			p.watch(l)
 			return
 		}
-		if err := writeLine(c, jsonval.Is("ready", true), jsonval.Is("discovery", s.Discovery), jsonval.Is("list", s.List), jsonval.Is("learned", string(s.Learned)),
-			jsonval.Is("offline", s.Offline), jsonval.Is("listed", s.Listed)); err == nil {
+		if err := writeLine(c, jsonval.Is("ready", true), jsonval.Is("discovery", snapshot.Discovery), jsonval.Is("list", snapshot.List), jsonval.Is("learned", string(snapshot.Learned)),
+			jsonval.Is("offline", snapshot.Offline), jsonval.Is("listed", snapshot.Listed)); err == nil {
 			c.SetDeadline(time.Time{})
 		}
-		defer time.AfterFunc(p.readyWithin, func() { p.overdue(l) }).Stop()
-		p.watch(l) // where it was not told the deadline ends the link
+		defer time.AfterFunc(p.readyTimeout, func() { p.handleOverdue(l) }).Stop()
+		p.watch(l) // if the snapshot was not sent, the deadline ends the link
 		return
 	case "ready":
-		if p.taken(o.Text("socket")) {
+		if p.markReady(o.Text("socket")) {
 			reply = append(reply, jsonval.Is("done", true))
 		}
 	case "callback":
@@ -457,16 +457,16 @@
 		reply = append(reply, jsonval.Is("status", status), jsonval.Is("known", known))
 	case "message":
 		taken := false
-		if client := came.take(); client != nil {
+		if client := received.take(); client != nil {
 			taken = p.Handler.Adopt([]byte(o.Text("record")), client)
 		}
 		reply = append(reply, jsonval.Is("taken", taken))
 	case "offline":
-		known, err := p.Handler.Offline(asking, o.Text("id"), o.Flag("out"), o.Flag("sure"))
+		known, err := p.Handler.SetOffline(requestCtx, o.Text("id"), o.Flag("out"), o.Flag("sure"))
 		reply = append(reply, jsonval.Is("known", known), jsonval.Is("done", err == nil))
 	}
 	writeLine(c, reply...)
-	p.drop(c)
+	p.closeConn(c)
 }
 
 // writeLine writes an object as one line.
--- a/internal/serve/handover/store.go
+++ b/internal/serve/handover/store.go
@@ -1,4 +1,4 @@
-// Package handover keeps what must outlive a process, and lets the old and the new process of an upgrade work as one.
+// Package handover stores the state that must outlive a process, and lets the old and the new process cooperate during an upgrade.
 package handover
 
 import (
@@ -16,30 +16,30 @@
 	"liftgauge/internal/jsonval"
 )
 
-// State is what outlives a process.
+// State is the state that outlives a process.
 type State struct {
-	Offline []string // hosts that operators have left out
-	Listed  []string // hosts that were ever listed, these among them
+	Offline []string // hosts that operators have set offline
+	Listed  []string // hosts that were ever listed, including these
 }
 
-// maxState bounds what is read of a file.
+// maxState is the maximum size of a state file.
 const maxState = 16 << 20
 
-// Store keeps a State in a file, which is only ever replaced whole. It is safe for concurrent use.
+// Store keeps a State in a file, which is always replaced atomically. It is safe for concurrent use.
 type Store struct {
-	path string // empty: kept in memory alone
+	path string // empty: kept in memory only
 	log  *slog.Logger
 
-	mu              sync.Mutex // of the state
+	mu              sync.Mutex // guards offline and listed
 	offline, listed map[string]bool
-	writing         sync.Mutex // of the file; taken before the other
-	changed         chan struct{}
+	fileMu          sync.Mutex // guards the file; locked before mu
+	saveRequested   chan struct{}
 }
 
-// Open reads the state that a process before this one has left. A file that cannot be read is logged and done without:
-// to serve goes first.
+// Open reads the state that an earlier process has saved. A file that cannot be read is logged and ignored: serving has
+// priority.
 func Open(path string, log *slog.Logger) *Store {
-	s := &Store{path: path, log: log, offline: map[string]bool{}, listed: map[string]bool{}, changed: make(chan struct{}, 1)}
+	s := &Store{path: path, log: log, offline: map[string]bool{}, listed: map[string]bool{}, saveRequested: make(chan struct{}, 1)}
 	if path == "" {
 		return s
 	}
@@ -51,7 +51,7 @@
 		log.Error("state not read: starting without", "file", path, "err", err)
 		return s
 	}
-	s.Add(state)
+	s.Merge(state)
 	return s
 }
 
@@ -80,40 +80,40 @@
 	return s, o.Err()
 }
 
-// Add takes in what another process knows, and saves nothing.
-func (s *Store) Add(more State) {
+// Merge adds the state of another process, without saving it.
+func (s *Store) Merge(other State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, name := range more.Offline {
+	for _, name := range other.Offline {
 		s.offline[name], s.listed[name] = true, true
 	}
-	for _, name := range more.Listed {
+	for _, name := range other.Listed {
 		s.listed[name] = true
 	}
 }
 
-// Adopt takes the word of a process that serves: what is out there is out here, and nothing else.
-func (s *Store) Adopt(state State) {
+// Replace takes over the state of a serving process: exactly the hosts that are offline there are offline here.
+func (s *Store) Replace(state State) {
 	s.mu.Lock()
 	clear(s.offline)
 	s.mu.Unlock()
-	s.Add(state)
+	s.Merge(state)
 }
 
-// Listed notes names that the inventory has listed. It does not wait for the file: Run saves them.
-func (s *Store) Listed(names []string) {
-	s.Add(State{Listed: names})
+// AddListed adds names that the inventory has listed. It does not wait for the file: Run saves them.
+func (s *Store) AddListed(names []string) {
+	s.Merge(State{Listed: names})
 	select {
-	case s.changed <- struct{}{}:
-	default: // to be saved already
+	case s.saveRequested <- struct{}{}:
+	default: // already requested
 	}
 }
 
-// Run saves what was listed until the context ends.
+// Run saves listed names until the context ends.
 func (s *Store) Run(ctx context.Context) error {
 	for {
 		select {
-		case <-s.changed:
+		case <-s.saveRequested:
 			if err := s.Save(); err != nil {
 				s.log.Error("names of hosts not saved", "err", err)
 			}
@@ -123,7 +123,7 @@
 	}
 }
 
-// State returns what is kept, in order.
+// State returns the state, sorted.
 func (s *Store) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,9 +138,9 @@
 	return State{Offline: keys(s.offline), Listed: keys(s.listed)}
 }
 
-// Name is the name of a dispatcher's file of a kind. It holds for every process of that dispatcher, and whatever the
-// dispatcher is called it stays inside its folder.
-func Name(dispatcher, kind string) string {
+// FileName returns the name of a dispatcher's file of a kind. It is the same for every process of that dispatcher, and
+// is a plain file name whatever the dispatcher's name contains.
+func FileName(dispatcher, kind string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
 			return r
@@ -150,10 +150,10 @@
 	return "liftgauge-" + safe[:min(len(safe), 40)] + "." + kind
 }
 
-// SetOffline notes whether operators have left a host out, and returns once that is saved.
-func (s *Store) SetOffline(name string, out bool) error {
+// SetOffline records whether operators have set a host offline, and returns once that is saved.
+func (s *Store) SetOffline(name string, offline bool) error {
 	s.mu.Lock()
-	if delete(s.offline, name); out {
+	if delete(s.offline, name); offline {
 		s.offline[name] = true
 	}
 	s.listed[name] = true
@@ -161,19 +161,19 @@
 	return s.Save()
 }
 
-// Save replaces the file by one with the present state.
+// Save replaces the file by one with the current state.
 func (s *Store) Save() error {
 	if s.path == "" {
 		return nil
 	}
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.fileMu.Lock()
+	defer s.fileMu.Unlock()
 	state := s.State()
 	text := jsonval.AppendObject(nil, jsonval.Is("offline", state.Offline), jsonval.Is("listed", state.Listed))
 	return replace(s.path, text)
 }
 
-// replace puts a file in the place of another at once: whoever reads sees the one or the other.
+// replace replaces a file atomically: readers see either the old or the new one.
 func replace(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/serve/handover/store_test.go
+++ b/internal/serve/handover/store_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// TestStore: what was said holds for the next process, and the file is whole at any time.
+// TestStore checks that settings persist for the next process, and that the file is complete at any time.
 func TestStore(t *testing.T) {
-	path := filepath.Join(t.TempDir(), Name("n3/../x", "state"))
-	s := Open(path, quiet)
-	s.Listed([]string{"s-1", "s-2", `s-"3`})
+	path := filepath.Join(t.TempDir(), FileName("n3/../x", "state"))
+	s := Open(path, discardLog)
+	s.AddListed([]string{"s-1", "s-2", `s-"3`})
 	for _, step := range []struct {
 		name string
 		out  bool
@@ -25,7 +25,7 @@
 		if err := s.SetOffline(step.name, step.out); err != nil {
 			t.Fatal(err)
 		}
-		if got := Open(path, quiet).State(); !slices.Equal(got.Offline, step.want) || len(got.Listed) != 3 {
+		if got := Open(path, discardLog).State(); !slices.Equal(got.Offline, step.want) || len(got.Listed) != 3 {
 			t.Errorf("after %v: %+v", step, got)
 		}
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestStoreUnreadable: a dispatcher starts without what it cannot read, and says so.
+// TestStoreUnreadable checks that a dispatcher starts without a state file that it cannot read, and logs that.
 func TestStoreUnreadable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	for _, text := range []string{"", "{", "[]", `{"offline":1}`, `{"offline":["s-1",2]}`, `{"listed":{}}`} {
@@ -49,16 +49,16 @@
 		if err := s.SetOffline("s-1", true); err != nil {
 			t.Error(err)
 		}
-		if got := Open(path, quiet).State(); !slices.Equal(got.Offline, []string{"s-1"}) {
+		if got := Open(path, discardLog).State(); !slices.Equal(got.Offline, []string{"s-1"}) {
 			t.Errorf("after %q: %+v", text, got)
 		}
 	}
-	if err := Open(filepath.Join(path, "nowhere"), quiet).SetOffline("s-1", true); err == nil {
-		t.Error("a word that cannot be kept is taken")
+	if err := Open(filepath.Join(path, "nowhere"), discardLog).SetOffline("s-1", true); err == nil {
+		t.Error("a setting that cannot be saved is accepted")
 	}
 }
 
-// FuzzState: no file makes the program panic.
+// FuzzState checks that no state file causes a panic.
 func FuzzState(f *testing.F) {
 	f.Add([]byte(`{"offline":["s-1"],"listed":["s-1","s-2"]}`))
 	f.Fuzz(func(t *testing.T, in []byte) { parseState(in) })
--- a/internal/serve/inventory/inventory_test.go
+++ b/internal/serve/inventory/inventory_test.go
@@ -16,7 +16,7 @@
 
 	"liftgauge/balance"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
 const entry = `{"id":"s-5be2a07c","host_port":"10.1.0.18:8443","locality":"b","flavor":"m2","cell":3,"phase":"%s","size":1.5,"up_since_ms":%d,"new":{}}`
@@ -25,19 +25,19 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[`+entry+`]}`+"\n", revision, complete, phase, 1000)
 }
 
-// service plays discovery on a pipe for each connection and notes what comes of it.
-type service struct {
-	t     *testing.T
-	calls chan net.Conn // the service's ends
-	asked []string      // targets
-	lists []string
-	dials int
-	at    []string // addresses dialled
-	down  atomic.Bool
+// fakeDiscovery is a fake discovery service, with a pipe for each connection, that records requests and lists.
+type fakeDiscovery struct {
+	t         *testing.T
+	calls     chan net.Conn // the service's ends
+	targets   []string      // targets
+	lists     []string
+	dials     int
+	addresses []string // addresses dialled
+	down      atomic.Bool
 }
 
-func (s *service) dial(_ context.Context, address string) (net.Conn, error) {
-	s.at = append(s.at, address)
+func (s *fakeDiscovery) dial(_ context.Context, address string) (net.Conn, error) {
+	s.addresses = append(s.addresses, address)
 	if s.dials++; s.down.Load() {
 		return nil, errors.New("refused")
 	}
@@ -46,7 +46,7 @@
 	return near, nil
 }
 
-func (s *service) List(kind balance.ListKind, hosts []owner.Host) {
+func (s *fakeDiscovery) UpdateHosts(kind balance.ListKind, hosts []engine.Host) {
 	text := fmt.Sprint("kind ", kind)
 	for _, h := range hosts {
 		text += fmt.Sprintf(" %s state %d zone %d kind %d up %v", h.Name, h.Worker.State, h.Worker.Zone, h.Worker.Kind, h.Worker.Up)
@@ -54,14 +54,14 @@
 	s.lists = append(s.lists, text)
 }
 
-// accept takes the next call and answers its head.
-func (s *service) accept() net.Conn {
+// accept accepts the next request and sends the head of the response.
+func (s *fakeDiscovery) accept() net.Conn {
 	conn := <-s.calls
 	q, err := http1.NewReader(conn).ReadRequest()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.asked = append(s.asked, q.Target)
+	s.targets = append(s.targets, q.Target)
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	return conn
 }
@@ -71,17 +71,17 @@
 	synctest.Wait()
 }
 
-func within(t *testing.T, test func(*service, *Client)) {
+func runInBubble(t *testing.T, test func(*fakeDiscovery, *Client)) {
 	t.Helper()
-	watched(t, false, test)
+	runClient(t, false, test)
 }
 
-// watched plays a Client whose watch the module asks for, or one of an agent that nobody asks for.
-func watched(t *testing.T, pushed bool, test func(*service, *Client)) {
+// runClient runs a Client whose watch the scheduler requests, or, if pushed, one that watches an agent without a request.
+func runClient(t *testing.T, pushed bool, test func(*fakeDiscovery, *Client)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &service{t: t, calls: make(chan net.Conn, 8)}
+		s := &fakeDiscovery{t: t, calls: make(chan net.Conn, 8)}
 		c := New("discovery:1", 41, []string{"a", "b"}, []string{"m1", "m2"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.Draw = func() float64 { return 0.5 }
+		c.Random = func() float64 { return 0.5 }
 		c.Sink, c.Dial, c.Pushed = s, s.dial, pushed
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
@@ -94,9 +94,10 @@
 	})
 }
 
-// TestIndented: a list may come on many lines, also with empty ones among them. One that never ends is no watch that stands, though beats come.
-func TestIndented(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+// TestIndentedList checks that a list may have many lines, also empty ones, and that a watch whose list never ends is broken, though
+// heartbeats are received.
+func TestIndentedList(t *testing.T) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		text := strings.ReplaceAll(line(43, true, "SERVING"), ",", ",\n\n  ")
 		text = strings.ReplaceAll(strings.ReplaceAll(text, "[", "[\n"), "}", "\n}")
@@ -113,16 +114,16 @@
 			time.Sleep(2 * time.Second)
 			chunk(conn, "\n")
 		}
-		again := s.accept() // after 2.6 s, from what is held
-		if got := s.asked[len(s.asked)-1]; got != "/api/targets?follow=1&since=44" {
-			t.Errorf("asked %s", got)
+		again := s.accept() // after 2.6 s, from the revision held
+		if got := s.targets[len(s.targets)-1]; got != "/api/targets?follow=1&since=44" {
+			t.Errorf("requested %s", got)
 		}
 		again.Close()
 	})
 }
 
 func TestFollow(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		text := line(44, false, "DRAINING")
@@ -141,113 +142,114 @@
 	})
 }
 
-// TestBrokenWatch guards against a watch whose network has gone silent: it stays open and tells nothing for ever.
+// TestBrokenWatch guards against a watch whose network connection is dead: it would stay open without receiving anything.
 func TestBrokenWatch(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		s.down.Store(true)
-		time.Sleep(silence + time.Millisecond)
+		time.Sleep(silenceTimeout + time.Millisecond)
 		synctest.Wait()
 		if s.dials != 2 || len(s.lists) != 2 || s.lists[1] != "kind 3" {
 			t.Fatalf("%d dials, lists %q", s.dials, s.lists)
 		}
 		s.down.Store(false)
-		c.Watch() // the module asks again
+		c.Watch() // the scheduler retries
 		s.accept()
-		if s.asked[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("asked %q", s.asked)
+		if s.targets[1] != "/api/targets?follow=1&since=43" {
+			t.Errorf("requested %q", s.targets)
 		}
 	})
 }
 
-// TestBadLine guards the last good list: a line that cannot be read changes nothing and ends the watch.
+// TestBadLine checks that a malformed line does not change the last good list, and ends the watch.
 func TestBadLine(t *testing.T) {
 	for _, bad := range []string{"{\n", "[]\n", `{"revision":9}` + "\n", line(44, true, "HAPPY"), strings.Replace(line(44, true, "SERVING"), "18:8443", "18", 1)} {
-		within(t, func(s *service, c *Client) {
+		runInBubble(t, func(s *fakeDiscovery, c *Client) {
 			conn := s.accept()
 			chunk(conn, line(43, true, "SERVING"))
-			time.Sleep(lasting)
+			time.Sleep(stableAfter)
 			chunk(conn, bad)
 			s.accept()
-			if len(s.lists) != 1 || c.BadLines() != 1 || s.asked[1] != "/api/targets?follow=1&since=43" {
-				t.Errorf("%q: lists %q, %d bad lines, asked %q", bad, s.lists, c.BadLines(), s.asked)
+			if len(s.lists) != 1 || c.BadLines() != 1 || s.targets[1] != "/api/targets?follow=1&since=43" {
+				t.Errorf("%q: lists %q, %d bad lines, requested %q", bad, s.lists, c.BadLines(), s.targets)
 			}
 		})
 	}
 }
 
-// TestShortWatch guards against a loop of watches that break as soon as they are made.
+// TestShortWatch guards against a tight loop of watches that break as soon as they are opened.
 func TestShortWatch(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		conn.Close()
 		began := time.Now()
 		for range 10 {
-			fmt.Fprint(s.accept(), "3\r\n{\"r\r\n0\r\n\r\n") // a list that stops short
+			fmt.Fprint(s.accept(), "3\r\n{\"r\r\n0\r\n\r\n") // an incomplete list
 		}
-		if took := time.Since(began); took < 5*longerPause || took > 8*longerPause {
+		if took := time.Since(began); took < 5*maxRetryPause || took > 8*maxRetryPause {
 			t.Errorf("ten tries in %v", took)
 		}
-		conn = s.accept() // this one lasts
+		conn = s.accept() // this one is stable
 		chunk(conn, line(44, false, "DRAINING"))
-		time.Sleep(lasting)
+		time.Sleep(stableAfter)
 		conn.Close()
 		began = time.Now()
 		conn = s.accept()
-		conn.Close() // and its successor does not: a drain that it had to tell must not wait for seconds
+		conn.Close() // and the next one is not: its changes must not wait for seconds
 		s.accept()
-		if took := time.Since(began); took > firstPause || len(s.lists) != 2 {
+		if took := time.Since(began); took > minRetryPause || len(s.lists) != 2 {
 			t.Errorf("two tries in %v, lists %q", took, s.lists)
 		}
 	})
 }
 
-// TestSpread: a watch that had lasted is made anew after a drawn time. Before, all dispatchers remade theirs at once.
-func TestSpread(t *testing.T) {
-	within(t, func(s *service, c *Client) {
-		c.Spread = 700 * time.Millisecond
+// TestReconnectSpread checks that a stable watch that breaks is reopened after a random delay. Without it all dispatchers reconnected
+// at once.
+func TestReconnectSpread(t *testing.T) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
+		c.ReconnectSpread = 700 * time.Millisecond
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
-		time.Sleep(lasting)
+		time.Sleep(stableAfter)
 		conn.Close()
 		began := time.Now()
-		if s.accept(); time.Since(began) != c.Spread/2 || s.asked[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("made anew after %v, asked %q", time.Since(began), s.asked)
+		if s.accept(); time.Since(began) != c.ReconnectSpread/2 || s.targets[1] != "/api/targets?follow=1&since=43" {
+			t.Errorf("reopened after %v, requested %q", time.Since(began), s.targets)
 		}
 	})
 }
 
-// TestPushed guards against lists that are pushed to an agent and that nobody fetches there: no drain was ever heard. A watch
-// stands though the module never asks, is made anew whatever ends it, and an agent that takes a call and says nothing,
-// repeats itself or goes back in revision does no harm.
-func TestPushed(t *testing.T) {
-	watched(t, true, func(s *service, c *Client) {
+// TestPushedLists guards against lists that are pushed to an agent and never fetched from it, so that no drain was received. The agent
+// is watched without a request from the scheduler, the watch is reopened whatever ends it, and an agent that does not respond, repeats
+// a list or sends an older revision does no harm.
+func TestPushedLists(t *testing.T) {
+	runClient(t, true, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		chunk(conn, line(43, true, "SERVING"))
 		chunk(conn, line(44, false, "DRAINING"))
-		chunk(conn, line(44, false, "DRAINING")) // told twice
-		chunk(conn, line(42, false, "SERVING"))  // goes back
+		chunk(conn, line(44, false, "DRAINING")) // repeated
+		chunk(conn, line(42, false, "SERVING"))  // older revision
 		chunk(conn, line(42, true, "SERVING"))
 		if want := "kind 1 s-5be2a07c state 1 zone 1 kind 1 up 1s"; len(s.lists) != 3 || s.lists[1] != want || s.lists[2] != want {
 			t.Fatalf("lists %q", s.lists)
 		}
 		began := time.Now()
 		s.down.Store(true)
-		time.Sleep(silence) // discovery is down: the agent says nothing, then nobody is there
+		time.Sleep(silenceTimeout) // discovery is down: the agent sends nothing, then refuses connections
 		s.down.Store(false)
 		for range 8 {
-			defer (<-s.calls).Close() // takes the call and says nothing
+			defer (<-s.calls).Close() // accepts the connection and does not respond
 		}
 		conn = s.accept()
-		if took := time.Since(began); took > silence+10*2*agentWithin || s.asked[1] != "/api/targets?follow=1&since=44" {
-			t.Errorf("stands again after %v, asked %q", took, s.asked)
+		if took := time.Since(began); took > silenceTimeout+10*2*agentTimeout || s.targets[1] != "/api/targets?follow=1&since=44" {
+			t.Errorf("reopened after %v, requested %q", took, s.targets)
 		}
 		chunk(conn, line(45, false, "DELETED"))
 		for _, l := range s.lists {
 			if strings.HasPrefix(l, fmt.Sprint("kind ", balance.ListFailed)) {
-				t.Errorf("lists %q: the module cannot ask an agent", s.lists)
+				t.Errorf("lists %q: the scheduler cannot retry an agent", s.lists)
 			}
 		}
 		if len(s.lists) != 4 {
@@ -256,9 +258,9 @@
 	})
 }
 
-// TestRefusedCall: a call that fails is told, and not made again before the module asks.
-func TestRefusedCall(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+// TestRejectedRequest checks that a failed request is reported, and not repeated before the scheduler requests it.
+func TestRejectedRequest(t *testing.T) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := <-s.calls
 		http1.NewReader(conn).ReadRequest()
 		fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -268,8 +270,8 @@
 			t.Errorf("%d dials, lists %q", s.dials, s.lists)
 		}
 		c.Watch()
-		<-s.calls // and says nothing
-		time.Sleep(answerWithin + time.Millisecond)
+		<-s.calls // no response
+		time.Sleep(discoveryTimeout + time.Millisecond)
 		synctest.Wait()
 		if s.dials != 2 || len(s.lists) != 2 {
 			t.Errorf("%d dials, lists %q", s.dials, s.lists)
@@ -277,47 +279,48 @@
 	})
 }
 
-// TestMove: a new address is tried until it works, and until then the old watch is followed and nothing is lost.
-func TestMove(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+// TestAddressChange checks that a new address is retried until it works, and that until then the old watch is used and no change lost.
+func TestAddressChange(t *testing.T) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
 		chunk(old, line(43, true, "SERVING"))
 		s.down.Store(true)
 		began := time.Now()
-		c.Move("discovery:2")
-		time.Sleep(firstPause / 2)
-		c.Move("discovery:3") // SIGHUP again while the first move is under way
-		c.Move("discovery:3")
-		time.Sleep(firstPause * 2)
+		c.SetAddress("discovery:2")
+		time.Sleep(minRetryPause / 2)
+		c.SetAddress("discovery:3") // SIGHUP again while the first move is under way
+		c.SetAddress("discovery:3")
+		time.Sleep(minRetryPause * 2)
 		chunk(old, line(45, false, "DRAINING"))
-		c.Watch()           // the module asks, too
-		old.Close()         // as the old address does before long
-		s.down.Store(false) // the next call is heard,
-		call := <-s.calls   // and gets no answer: another is made
+		c.Watch()           // the scheduler requests a watch, too
+		old.Close()         // as the old address does soon
+		s.down.Store(false) // the next connection is accepted,
+		call := <-s.calls   // and gets no response: another is opened
 		conn := s.accept()
 		if took := time.Since(began); took > 2*time.Second {
 			t.Errorf("tried again only after %v", took)
 		}
 		call.Close()
-		chunk(conn, line(44, false, "SERVING")) // it lags behind what the old one told
+		chunk(conn, line(44, false, "SERVING")) // older than what the old one sent
 		chunk(conn, line(46, false, "DELETED"))
 		want := "kind 0 s-5be2a07c state 0 zone 1 kind 1 up 1s, kind 1 s-5be2a07c state 1 zone 1 kind 1 up 1s, " +
 			"kind 1 s-5be2a07c state 2 zone 1 kind 1 up 1s"
-		if got := strings.Join(s.lists, ", "); got != want || s.asked[1] != "/api/targets?follow=1&since=45" {
-			t.Errorf("asked %q, lists %s", s.asked, got)
+		if got := strings.Join(s.lists, ", "); got != want || s.targets[1] != "/api/targets?follow=1&since=45" {
+			t.Errorf("requested %q, lists %s", s.targets, got)
 		}
-		if last := len(s.at) - 1; s.at[0] != "discovery:1" || s.at[1] != "discovery:2" || s.at[2] != "discovery:3" || s.at[last] != "discovery:3" {
-			t.Errorf("dialled %q", s.at)
+		if last := len(s.addresses) - 1; s.addresses[0] != "discovery:1" || s.addresses[1] != "discovery:2" || s.addresses[2] != "discovery:3" || s.addresses[last] != "discovery:3" {
+			t.Errorf("dialled %q", s.addresses)
 		}
 	})
 }
 
-// TestMoveByBeat: where nothing has changed a beat shows that the new address stands, and the old watch ends.
-func TestMoveByBeat(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+// TestHeartbeatCompletesAddressChange checks that without changes a heartbeat establishes the watch at the new address, and ends the
+// old watch.
+func TestHeartbeatCompletesAddressChange(t *testing.T) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		old := s.accept()
 		chunk(old, line(43, true, "SERVING"))
-		c.Move("discovery:2")
+		c.SetAddress("discovery:2")
 		conn := s.accept()
 		synctest.Wait()
 		chunk(old, line(44, false, "DRAINING"))
@@ -332,7 +335,7 @@
 	})
 }
 
-// FuzzDecode checks that no line panics and that what is accepted has what the owner needs.
+// FuzzDecode checks that decoding never panics, and that accepted lists have what the engine needs.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(line(43, true, "SERVING")))
 	f.Add([]byte(`{"revision":1e3,"complete":null,"members":[{"id":"x","phase":"DELETED","up_since_ms":-5}]}`))
@@ -349,7 +352,7 @@
 	})
 }
 
-// TestEncode: a list that is written for another process reads as it was.
+// TestEncode checks that an encoded list decodes to the same list.
 func TestEncode(t *testing.T) {
 	d := Decoder{Zones: []string{"caroni", "couva"}, Kinds: []string{"full-box", "slow-box"}}
 	const text = `{"revision":43,"complete":true,"members":[` +
@@ -365,10 +368,10 @@
 	}
 }
 
-// TestLargeList: thousands of entries are taken, repeated ones and all; a line past the bound changes nothing, costs no more
-// than the bound, and the watch is made anew from the version held.
+// TestLargeList checks that a list of thousands of entries, also repeated ones, is accepted; that a line over the limit is ignored and
+// uses no more memory than the limit; and that the watch is reopened from the revision held.
 func TestLargeList(t *testing.T) {
-	within(t, func(s *service, c *Client) {
+	runInBubble(t, func(s *fakeDiscovery, c *Client) {
 		conn := s.accept()
 		entries := make([]string, 0, 6000)
 		for i := range 6000 {
@@ -379,15 +382,15 @@
 		if len(s.lists) != 1 || strings.Count(s.lists[0], " s-") != 6000 {
 			t.Fatalf("%d lists", len(s.lists))
 		}
-		time.Sleep(lasting)
+		time.Sleep(stableAfter)
 		go func() {
-			for range maxLine/len(text) + 2 { // no end of line
+			for range maxLine/len(text) + 2 { // without a line end
 				fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text)-1, text[:len(text)-1])
 			}
 		}()
 		s.accept()
-		if len(s.lists) != 1 || s.asked[1] != "/api/targets?follow=1&since=43" {
-			t.Errorf("%d lists, asked %q", len(s.lists), s.asked)
+		if len(s.lists) != 1 || s.targets[1] != "/api/targets?follow=1&since=43" {
+			t.Errorf("%d lists, requested %q", len(s.lists), s.targets)
 		}
 		conn.Close()
 	})
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -11,13 +11,13 @@
 
 	"liftgauge/internal/budget"
 	"liftgauge/internal/http1"
-	"liftgauge/internal/serve/owner"
+	"liftgauge/internal/serve/engine"
 )
 
-// MaxHTTP is the maximum size in bytes of the data or result of a job where one side speaks HTTP.
-const MaxHTTP = http1.MaxBody
+// MaxHTTPBytes is the maximum size in bytes of the data or result of a job where one side speaks HTTP.
+const MaxHTTPBytes = http1.MaxBody
 
-// Work is the payload of an owner.Message. It is immutable once it is submitted.
+// Work is the payload of an engine.Message. It is immutable once it is submitted.
 type Work struct {
 	ID          string // id of the message; valid as a Req-Id
 	Handle      string // handle under which workers know the job
@@ -41,7 +41,7 @@
 }
 
 // FromMessage returns the Work of a message, or nil if its payload is not a Work.
-func FromMessage(m *owner.Message) *Work {
+func FromMessage(m *engine.Message) *Work {
 	w, _ := m.Payload.(*Work)
 	return w
 }
