--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -62,10 +62,10 @@
 		}
 	}()
 	switch ev.Code {
-	case wire.EvList:
+	case wire.EventList:
 		h.sheets[ev.Sheet] = ev.Entries
 		return nil
-	case wire.EvUp:
+	case wire.EventStart:
 		settings, err := config.ParseSettings(ev.Data)
 		if err != nil {
 			return err
@@ -74,7 +74,7 @@
 		h.dispatchers[ev.Instance] = d
 		d.Start(b.Now)
 		return nil
-	case wire.EvStop:
+	case wire.EventStop:
 		delete(h.dispatchers, ev.Instance)
 		return nil
 	}
@@ -84,25 +84,25 @@
 	}
 	o := &ev.Outcome
 	switch ev.Code {
-	case wire.EvTimer:
+	case wire.EventTimer:
 		d.Timer(b.Now, ev.Seed)
-	case wire.EvRegistry:
+	case wire.EventRegistry:
 		d.List(b.Now, ev.Form, h.sheets[ev.Sheet])
-	case wire.EvNote:
+	case wire.EventNote:
 		if ev.Note == 1 {
 			d.Started(b.Now, o.Job, o.Attempt)
 		} else {
 			d.Progress(b.Now, o.Job, o.Attempt, ev.Amount)
 		}
-	case wire.EvProbed:
+	case wire.EventProbeResult:
 		d.Probed(b.Now, o.Worker, o.Status, o.Report)
-	case wire.EvOutcome:
+	case wire.EventOutcome:
 		d.Outcome(b.Now, *o)
-	case wire.EvJob:
+	case wire.EventJob:
 		d.Job(b.Now, ev.Job)
-	case wire.EvLeft:
+	case wire.EventClientLeft:
 		d.Disconnected(b.Now, o.Job)
-	case wire.EvAccepted:
+	case wire.EventAccepted:
 		d.Accepted(b.Now, o.Job, o.Attempt)
 	}
 	return nil
--- a/cmd/liftgauge/capture.go
+++ b/cmd/liftgauge/capture.go
@@ -36,8 +36,8 @@
 	for _, f := range own.table.Functions() { // the module's numbers, in their order
 		classes = append(classes, f.Name, f.Name+" (background)")
 	}
-	return &records{zone: c.Settings.Zone, secret: []byte(s.Secret), Writer: capture.NewWriter(capture.Config{Folder: s.Folder, MaxFile: s.File,
-		Files: s.Files, Queue: s.Queue, Interval: time.Duration(s.Interval), Log: log,
+	return &records{zone: c.Settings.Zone, secret: []byte(s.Secret), Writer: capture.NewWriter(capture.Config{Folder: s.Folder, MaxFileSize: s.File,
+		MaxFiles: s.Files, QueueSize: s.Queue, Interval: time.Duration(s.Interval), Log: log,
 		Header: capture.Header{Name: c.Name, Boot: boot, Zone: c.Settings.Zone, Classes: classes, Zones: c.Zones, Kinds: c.Kinds,
 			Started: time.Now().UnixNano()}})}, nil
 }
@@ -64,10 +64,10 @@
 	}
 	return func(m *owner.Message, answer owner.Kind, answered bool, at time.Duration, attempts []*owner.Attempt) {
 		rec := capture.Record{Arrived: int64(m.Arrived), Class: m.Job.Class, Key: m.Subject, Hint: int64(m.Job.Hint), Slots: m.Job.Slots,
-			Zone: r.zone, Tenant: m.Job.Tenant, Patience: int64(m.Job.Left), Again: m.Job.Again, Took: int64(at - m.Arrived),
-			End: [...]uint8{owner.Failed: capture.Failed, owner.Served: capture.Served, owner.BackOff: capture.BackOff}[answer]}
+			Zone: r.zone, Tenant: m.Job.Tenant, Timeout: int64(m.Job.Left), Retry: m.Job.Again, Duration: int64(at - m.Arrived),
+			Outcome: [...]uint8{owner.Failed: capture.Failed, owner.Served: capture.Served, owner.BackOff: capture.BackOff}[answer]}
 		if !answered {
-			rec.End = capture.Left
+			rec.Outcome = capture.ClientLeft
 		}
 		since := func(t time.Duration) int64 {
 			if t == 0 {
--- a/cmd/liftgauge/pulls.go
+++ b/cmd/liftgauge/pulls.go
@@ -117,9 +117,9 @@
 	for _, f := range []control.Figure{
 		{Name: "submitted_total", N: c.Submitted}, {Name: "attached_total", N: c.Attached}, {Name: "served_total", N: c.Served},
 		{Name: "failed_total", N: c.Failed}, {Name: "refused_total", N: c.BackOffs}, {Name: "abandoned_total", N: c.Abandoned},
-		{Name: "turned_total", N: c.Turned}, {Name: "assigned_total", N: c.Assigned}, {Name: "no_jobs_total", N: c.NoJobs},
-		{Name: "late_words_total", N: c.Late}, {Name: "silent_total", N: c.Silent}, {Name: "overdue_total", N: c.Overdue},
-		{Name: "slow_readers_total", N: c.Slow}, {Name: "malformed_total", N: c.Malformed}, {Name: "background_cut_total", N: c.BackgroundLost},
+		{Name: "turned_total", N: c.Rejected}, {Name: "assigned_total", N: c.Assigned}, {Name: "no_jobs_total", N: c.NoJobs},
+		{Name: "late_words_total", N: c.LateReports}, {Name: "silent_total", N: c.UnclaimedPicks}, {Name: "overdue_total", N: c.Overdue},
+		{Name: "slow_readers_total", N: c.SlowReaders}, {Name: "malformed_total", N: c.Malformed}, {Name: "background_cut_total", N: c.BackgroundCut},
 		{Name: "connections", N: c.Connections}, {Name: "workers", N: c.Workers}, {Name: "waiting", N: c.Waiting}, {Name: "running", N: c.Running},
 	} {
 		all = append(all, control.Figure{Name: "gearman_" + f.Name, N: f.N})
--- a/cmd/liftgauge/serve.go
+++ b/cmd/liftgauge/serve.go
@@ -86,11 +86,11 @@
 }
 
 func knownList(c *config.Config) (inventory.List, error) {
-	if c.Known == nil {
+	if c.LastInventory == nil {
 		return inventory.List{}, nil
 	}
 	decoder := inventory.Decoder{Zones: c.Zones, Kinds: c.Kinds}
-	list, err := decoder.Decode(c.Known)
+	list, err := decoder.Decode(c.LastInventory)
 	if err != nil {
 		return list, fmt.Errorf("known: %w", err)
 	}
@@ -102,7 +102,7 @@
 
 func serve(ctx context.Context, c *config.Config, own *own, o options, log *slog.Logger) error {
 	if own.Sockets > 0 {
-		c.Sockets = min(own.Sockets, c.Offered)
+		c.Sockets = min(own.Sockets, c.AvailableSockets)
 	}
 	// Never stopped: without a handler SIGHUP ends the program, and one may come at any moment, past SIGTERM too.
 	hup := make(chan os.Signal, 1)
@@ -137,7 +137,7 @@
 	bytes.Check = check
 	sink := &lateSink{}
 	n.pulls = pulls
-	loads := load.New(c.Loads, log)
+	loads := load.New(c.LoadColumns, log)
 	northConns, southConns, pullConns := n.room(c.Sockets, c.Memory)
 	hosts := south.New(south.Config{Sink: sink, ConnectTimeout: c.Settings.ConnectTimeout, Keepalive: c.Keepalive,
 		MaxConns: southConns, Copies: c.Settings.SecondCopies, Loads: loads, Now: now, Log: log})
@@ -162,8 +162,8 @@
 	}
 	var wrap func(int, *http1.Call) any
 	if pulls != nil {
-		pulls.start(gearman.Config{Desk: sink.Owner, Routes: own.table, Settings: own.Gearman, Classes: module.Classes, Zone: c.Settings.Zone,
-			Kinds: len(c.Kinds), Name: c.Name, Boot: id, Subject: records.subject(), MaxConns: pullConns, Budget: bytes, LastAnswer: lastAnswer,
+		pulls.start(gearman.Config{Engine: sink.Owner, Routes: own.table, Settings: own.Gearman, Classes: module.Classes, Zone: c.Settings.Zone,
+			HostKinds: len(c.Kinds), Name: c.Name, Boot: id, Subject: records.subject(), MaxConns: pullConns, Budget: bytes, ShutdownTimeout: lastAnswer,
 			Shutdown: cancel, Now: now, Log: log, Check: check})
 		wrap = pulls.wrap(c.Classes)
 	}
@@ -267,7 +267,7 @@
 			log.Error("configuration not reloaded: the one before serves on", "err", err)
 			continue
 		}
-		if fields := c.Fixed(next); len(fields) > 0 {
+		if fields := c.RestartOnlyChanges(next); len(fields) > 0 {
 			log.Warn("configuration reloaded: these fields take a restart", "fields", fields)
 		}
 		log.Info("configuration reloaded", "discovery", next.Discovery)
--- a/cmd/liftlab/capture.go
+++ b/cmd/liftlab/capture.go
@@ -59,7 +59,7 @@
 	if r.Damaged > 0 {
 		all = append(all, fmt.Sprint(r.Damaged, " damaged blocks passed by"))
 	}
-	if r.Cut {
+	if r.Truncated {
 		all = append(all, "it is cut off inside a block")
 	}
 	if len(all) == 0 {
@@ -68,7 +68,7 @@
 	return path + ": " + strings.Join(all, "; ")
 }
 
-var ends = [...]string{capture.Failed: "failed", capture.Served: "served", capture.BackOff: "back-off", capture.Left: "left"}
+var ends = [...]string{capture.Failed: "failed", capture.Served: "served", capture.BackOff: "back-off", capture.ClientLeft: "left"}
 
 func endOf(e uint8) string {
 	if int(e) < len(ends) {
@@ -91,8 +91,8 @@
 					class = r.Header.Classes[rec.Class]
 				}
 				text, err := json.Marshal(map[string]any{"arrived": time.Unix(0, rec.Arrived).UTC(), "class": class, "key": fmt.Sprintf("%016x", rec.Key),
-					"hint_ms": float64(rec.Hint) / 1e6, "slots": rec.Slots, "zone": rec.Zone, "tenant": rec.Tenant, "patience_ms": float64(rec.Patience) / 1e6,
-					"again": rec.Again, "end": endOf(rec.End), "took_ms": float64(rec.Took) / 1e6, "attempts": rec.Attempts})
+					"hint_ms": float64(rec.Hint) / 1e6, "slots": rec.Slots, "zone": rec.Zone, "tenant": rec.Tenant, "patience_ms": float64(rec.Timeout) / 1e6,
+					"again": rec.Retry, "end": endOf(rec.Outcome), "took_ms": float64(rec.Duration) / 1e6, "attempts": rec.Attempts})
 				if err != nil {
 					return err
 				}
@@ -154,9 +154,9 @@
 					s.Records++
 					first, last = min(first, rec.Arrived), max(last, rec.Arrived)
 					s.attempts += int64(len(rec.Attempts))
-					if rec.End == capture.Served {
+					if rec.Outcome == capture.Served {
 						s.Served++
-						s.took.RecordValue(max(1, rec.Took/1000))
+						s.took.RecordValue(max(1, rec.Duration/1000))
 					}
 					for _, a := range rec.Attempts {
 						if a.Status == uint8(balance.OK) && a.Began >= 0 && a.Ended >= a.Began {
@@ -172,7 +172,7 @@
 					fmt.Fprintln(cmd.ErrOrStderr(), text)
 				}
 				dropped, damaged = dropped+r.Dropped, damaged+r.Damaged
-				if r.Cut {
+				if r.Truncated {
 					cut++
 				}
 			}
--- a/cmd/liftlab/main_test.go
+++ b/cmd/liftlab/main_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	var all []capture.Record
 	for i := range n {
-		all = append(all, capture.Record{Arrived: 1e18 + int64(i)*1e8 + off, Class: i % 2, Patience: 5e9, End: capture.Served, Took: 2e8,
+		all = append(all, capture.Record{Arrived: 1e18 + int64(i)*1e8 + off, Class: i % 2, Timeout: 5e9, Outcome: capture.Served, Duration: 2e8,
 			Attempts: []capture.Attempt{{Host: "s-1", Began: 1e7, Ended: 1e8, Status: 1, Age: -1}}})
 	}
 	h.Name = name
@@ -35,7 +35,7 @@
 	if err := capture.Create(&b, h, all); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, name+capture.Ending)
+	path := filepath.Join(dir, name+capture.Extension)
 	if err := os.WriteFile(path, b.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -54,7 +54,7 @@
 	Failed = iota
 	Served
 	BackOff
-	Left // its client left first
+	ClientLeft // its client left first
 )
 
 // Record is one message.
@@ -67,10 +67,10 @@
 	Slots    float64
 	Zone     int // of the dispatcher
 	Tenant   int
-	Patience int64
-	Again    bool // marked as a client's retry
-	End      uint8
-	Took     int64 // until the answer
+	Timeout  int64
+	Retry    bool // marked as a client's retry
+	Outcome  uint8
+	Duration int64 // until the answer
 	Attempts []Attempt
 }
 
@@ -87,8 +87,8 @@
 // ErrVersion is a file of another version.
 var ErrVersion = errors.New("another version of the format")
 
-// ErrNoCapture is a file that is none of this kind.
-var ErrNoCapture = errors.New("not a capture file")
+// ErrNotCapture is a file that is none of this kind.
+var ErrNotCapture = errors.New("not a capture file")
 
 // appendHeader writes a file's header.
 func appendHeader(b []byte, h Header) ([]byte, error) {
@@ -131,11 +131,11 @@
 
 // Reader reads a file. It never changes it.
 type Reader struct {
-	Header  Header
-	Records int64
-	Dropped int64 // by the writer, as the file says
-	Damaged int   // blocks, or stretches between blocks, that were passed by
-	Cut     bool  // the file ends inside a block
+	Header    Header
+	Records   int64
+	Dropped   int64 // by the writer, as the file says
+	Damaged   int   // blocks, or stretches between blocks, that were passed by
+	Truncated bool  // the file ends inside a block
 
 	r     *bufio.Reader
 	z     *zstd.Decoder
@@ -149,25 +149,25 @@
 	b := bufio.NewReaderSize(r, 64<<10)
 	head := make([]byte, len(fileMagic)+12)
 	if _, err := io.ReadFull(b, head); err != nil || !bytes.Equal(head[:5], fileMagic[:5]) {
-		return nil, ErrNoCapture
+		return nil, ErrNotCapture
 	}
 	if !bytes.Equal(head[:len(fileMagic)], fileMagic) {
 		return nil, ErrVersion
 	}
 	size := binary.LittleEndian.Uint32(head[len(fileMagic):])
 	if size > mostBlock {
-		return nil, fmt.Errorf("%w: header of %d bytes", ErrNoCapture, size)
+		return nil, fmt.Errorf("%w: header of %d bytes", ErrNotCapture, size)
 	}
 	text := make([]byte, size)
 	if _, err := io.ReadFull(b, text); err != nil {
-		return nil, fmt.Errorf("%w: cut off in its header", ErrNoCapture)
+		return nil, fmt.Errorf("%w: cut off in its header", ErrNotCapture)
 	}
 	if xxhash.Sum64(text) != binary.LittleEndian.Uint64(head[len(fileMagic)+4:]) {
-		return nil, fmt.Errorf("%w: damaged header", ErrNoCapture)
+		return nil, fmt.Errorf("%w: damaged header", ErrNotCapture)
 	}
 	c := &Reader{r: b}
 	if err := cbor.Unmarshal(text, &c.Header); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrNoCapture, err)
+		return nil, fmt.Errorf("%w: %v", ErrNotCapture, err)
 	}
 	if c.Header.Version != Version {
 		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, c.Header.Version, Version)
@@ -208,7 +208,7 @@
 			return eof(err)
 		}
 		if err != nil { // not even a head
-			c.Cut = true
+			c.Truncated = true
 			return eof(err)
 		}
 		if bytes.Equal(head[:4], blockMagic) {
@@ -263,7 +263,7 @@
 		return false, false
 	}
 	if err != nil {
-		c.Cut = true
+		c.Truncated = true
 		return false, true
 	}
 	c.Damaged++
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -20,7 +20,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := make([]Record, n)
 	for i := range all {
-		all[i] = Record{Arrived: int64(i) * 1e6, Class: i % 2, Key: rng.Uint64(), Hint: rng.Int64N(1e9), Patience: 5e9, End: uint8(i % 4), Took: rng.Int64N(1e9),
+		all[i] = Record{Arrived: int64(i) * 1e6, Class: i % 2, Key: rng.Uint64(), Hint: rng.Int64N(1e9), Timeout: 5e9, Outcome: uint8(i % 4), Duration: rng.Int64N(1e9),
 			Attempts: []Attempt{{Host: "s-1", Sent: 10, Began: -1, Ended: rng.Int64N(1e9), Status: 1}}}
 	}
 	return all
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	r, got := readAll(t, b.Bytes())
-	if h.Version = Version; !reflect.DeepEqual(got, want) || !reflect.DeepEqual(r.Header, h) || r.Cut || r.Damaged != 0 {
+	if h.Version = Version; !reflect.DeepEqual(got, want) || !reflect.DeepEqual(r.Header, h) || r.Truncated || r.Damaged != 0 {
 		t.Errorf("%d records of %d, %+v", len(got), len(want), r)
 	}
 	t.Logf("%d bytes a record", b.Len()/len(want))
@@ -102,15 +102,15 @@
 		bad := bytes.Clone(whole)
 		bad[at] ^= byte(1 + rng.IntN(255))
 		r, got = readAll(t, bad)
-		if !inOrder(got) || len(got) == len(want) || r.Damaged == 0 && !r.Cut || len(got) < len(want)/3 {
-			t.Fatalf("damaged at %d: %d of %d records, %d damaged, cut %v", at, len(got), len(want), r.Damaged, r.Cut)
+		if !inOrder(got) || len(got) == len(want) || r.Damaged == 0 && !r.Truncated || len(got) < len(want)/3 {
+			t.Fatalf("damaged at %d: %d of %d records, %d damaged, cut %v", at, len(got), len(want), r.Damaged, r.Truncated)
 		}
 	}
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-	}{"another kind": {[]byte("#!/bin/sh\n and so on, for some more"), ErrNoCapture}, "empty": {nil, ErrNoCapture},
-		"another version": {append([]byte("LGCAP\x02\r\n"), whole[8:]...), ErrVersion}, "cut in its header": {whole[:len(head)-1], ErrNoCapture}} {
+	}{"another kind": {[]byte("#!/bin/sh\n and so on, for some more"), ErrNotCapture}, "empty": {nil, ErrNotCapture},
+		"another version": {append([]byte("LGCAP\x02\r\n"), whole[8:]...), ErrVersion}, "cut in its header": {whole[:len(head)-1], ErrNotCapture}} {
 		if _, err := NewReader(bytes.NewReader(c.b)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -150,7 +150,7 @@
 func (d *disk) Close() error { return nil }
 
 func writer(d *disk, queue int) *Writer {
-	return NewWriter(Config{Header: Header{Name: "n0"}, MaxFile: 1 << 30, Queue: queue, Interval: time.Second,
+	return NewWriter(Config{Header: Header{Name: "n0"}, MaxFileSize: 1 << 30, QueueSize: queue, Interval: time.Second,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Create: func(string) (File, error) { return d, nil }})
 }
 
@@ -177,8 +177,8 @@
 		stop()
 		synctest.Wait()
 		r, got := readAll(t, d.b)
-		if r.Cut || r.Damaged != 0 || int64(len(got)) != w.Written() || r.Dropped != w.Dropped() || w.Written()+w.Dropped() != 2001 {
-			t.Errorf("%d read, %d written, %d dropped, %d said to be; cut %v, %d damaged", len(got), w.Written(), w.Dropped(), r.Dropped, r.Cut, r.Damaged)
+		if r.Truncated || r.Damaged != 0 || int64(len(got)) != w.Written() || r.Dropped != w.Dropped() || w.Written()+w.Dropped() != 2001 {
+			t.Errorf("%d read, %d written, %d dropped, %d said to be; cut %v, %d damaged", len(got), w.Written(), w.Dropped(), r.Dropped, r.Truncated, r.Damaged)
 		}
 	})
 }
@@ -211,7 +211,7 @@
 // TestFiles: a file that is full is followed by the next, and only so many are kept.
 func TestFiles(t *testing.T) {
 	dir := t.TempDir()
-	w := NewWriter(Config{Folder: dir, Header: Header{Name: "n0", Boot: "b"}, MaxFile: 20 << 10, Files: 3, Queue: 1 << 16, Interval: time.Second,
+	w := NewWriter(Config{Folder: dir, Header: Header{Name: "n0", Boot: "b"}, MaxFileSize: 20 << 10, MaxFiles: 3, QueueSize: 1 << 16, Interval: time.Second,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	for range 10 {
 		for _, r := range records(2000) {
@@ -223,7 +223,7 @@
 	if err := w.Run(ctx); err != nil {
 		t.Fatal(err)
 	}
-	files, _ := filepath.Glob(filepath.Join(dir, "n0-b-*"+Ending))
+	files, _ := filepath.Glob(filepath.Join(dir, "n0-b-*"+Extension))
 	if len(files) != 3 || w.Dropped() != 0 {
 		t.Errorf("%d files, %d dropped", len(files), w.Dropped())
 	}
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -18,8 +18,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Ending is what the names of capture files end with.
-const Ending = ".lgcap"
+// Extension is what the names of capture files end with.
+const Extension = ".lgcap"
 
 // File is what a Writer writes to.
 type File interface {
@@ -30,13 +30,13 @@
 
 // Config is what a Writer needs.
 type Config struct {
-	Folder   string
-	Header   Header
-	MaxFile  int64 // bytes, after which the next file is begun
-	Files    int   // how many of this dispatcher's are kept
-	Queue    int   // records that may wait for the disk; more are dropped
-	Interval time.Duration
-	Log      *slog.Logger
+	Folder      string
+	Header      Header
+	MaxFileSize int64 // bytes, after which the next file is begun
+	MaxFiles    int   // how many of this dispatcher's are kept
+	QueueSize   int   // records that may wait for the disk; more are dropped
+	Interval    time.Duration
+	Log         *slog.Logger
 	// Create opens a new file; nil for one on disk. Remove and List are its companions.
 	Create func(path string) (File, error)
 }
@@ -58,7 +58,7 @@
 	if c.Create == nil {
 		c.Create = func(path string) (File, error) { return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640) }
 	}
-	return &Writer{Config: c, queue: make(chan Record, max(c.Queue, 1))}
+	return &Writer{Config: c, queue: make(chan Record, max(c.QueueSize, 1))}
 }
 
 // Put hands in a record. Where too many wait already it is dropped, and counted.
@@ -170,7 +170,7 @@
 // write appends to the file, or begins one. What was written in part is taken back, so that a later block follows a whole
 // one; a file that cannot even be cut is left, and another begun.
 func (o *out) write(b []byte) error {
-	if o.f != nil && o.size+int64(len(b)) > o.w.MaxFile {
+	if o.f != nil && o.size+int64(len(b)) > o.w.MaxFileSize {
 		o.close()
 	}
 	if o.f == nil {
@@ -198,7 +198,7 @@
 	o.prune()
 	for range 1000 {
 		o.number++
-		f, err := o.w.Create(filepath.Join(o.w.Folder, fmt.Sprintf("%s-%s-%04d%s", o.w.Header.Name, o.w.Header.Boot, o.number, Ending)))
+		f, err := o.w.Create(filepath.Join(o.w.Folder, fmt.Sprintf("%s-%s-%04d%s", o.w.Header.Name, o.w.Header.Boot, o.number, Extension)))
 		if errors.Is(err, os.ErrExist) {
 			continue
 		}
@@ -218,7 +218,7 @@
 // prune removes the oldest files of this dispatcher that are too many.
 func (o *out) prune() {
 	entries, err := os.ReadDir(o.w.Folder)
-	if err != nil || o.w.Files <= 0 {
+	if err != nil || o.w.MaxFiles <= 0 {
 		return
 	}
 	type old struct {
@@ -227,7 +227,7 @@
 	}
 	var all []old
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), o.w.Header.Name+"-") && strings.HasSuffix(e.Name(), Ending) {
+		if strings.HasPrefix(e.Name(), o.w.Header.Name+"-") && strings.HasSuffix(e.Name(), Extension) {
 			if info, err := e.Info(); err == nil {
 				all = append(all, old{e.Name(), info.ModTime()})
 			}
@@ -239,7 +239,7 @@
 		}
 		return strings.Compare(a.name, b.name)
 	})
-	for len(all) >= o.w.Files {
+	for len(all) >= o.w.MaxFiles {
 		if err := os.Remove(filepath.Join(o.w.Folder, all[0].name)); err != nil {
 			o.w.Log.Warn("capture: old file not removed", "err", err)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,21 +19,21 @@
 
 // Config is all that the program is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Control   string // where operators call; empty for nowhere
-	Seed      uint64
-	Memory    int64 // bytes
-	Sockets   int
-	Offered   int // descriptors that there are, of which the program takes Sockets unless it is told otherwise
-	Settings  balance.Settings
-	Classes   []string // names, by the module's number
-	Zones     []string
-	Kinds     []string
-	Keepalive time.Duration // a host's machine closes a connection that stood idle for so long
-	Loads     []string      // names of the values in hosts' load reports, in the module's order; none: they report nothing
-	Known     []byte        // the inventory as this dispatcher last had it, in the inventory's own form
+	Name             string
+	Listen           string
+	Discovery        string
+	Control          string // where operators call; empty for nowhere
+	Seed             uint64
+	Memory           int64 // bytes
+	Sockets          int
+	AvailableSockets int // descriptors that there are, of which the program takes Sockets unless it is told otherwise
+	Settings         balance.Settings
+	Classes          []string // names, by the module's number
+	Zones            []string
+	Kinds            []string
+	Keepalive        time.Duration // a host's machine closes a connection that stood idle for so long
+	LoadColumns      []string      // names of the values in hosts' load reports, in the module's order; none: they report nothing
+	LastInventory    []byte        // the inventory as this dispatcher last had it, in the inventory's own form
 
 	listed string // discovery as the file has it
 }
@@ -70,9 +70,9 @@
 	return c, c.check()
 }
 
-// Fixed names the fields in which a new configuration differs from the one in use and that only a restart changes: the
+// RestartOnlyChanges names the fields in which a new configuration differs from the one in use and that only a restart changes: the
 // socket, the module and the bounds are made from them once.
-func (c *Config) Fixed(next *Config) []string {
+func (c *Config) RestartOnlyChanges(next *Config) []string {
 	var fields []string
 	for _, f := range []struct {
 		name string
@@ -83,7 +83,7 @@
 		{"control", c.Control == next.Control},
 		{"seed", c.Seed == next.Seed},
 		{"limits", c.Memory == next.Memory && c.Sockets == next.Sockets},
-		{"settings", c.Keepalive == next.Keepalive && slices.Equal(c.Loads, next.Loads) && slices.Equal(c.Classes, next.Classes) &&
+		{"settings", c.Keepalive == next.Keepalive && slices.Equal(c.LoadColumns, next.LoadColumns) && slices.Equal(c.Classes, next.Classes) &&
 			slices.Equal(c.Zones, next.Zones) && slices.Equal(c.Kinds, next.Kinds) && reflect.DeepEqual(c.Settings, next.Settings)},
 	} {
 		if !f.same {
@@ -102,15 +102,15 @@
 		return nil, fmt.Errorf("LB_CONFIG: %w", err)
 	}
 	c := &Config{
-		Name:      cmp.Or(getenv("LB_NAME"), root.Text("name")),
-		Listen:    cmp.Or(getenv("LB_LISTEN"), root.Text("listen")),
-		Discovery: cmp.Or(getenv("LB_DISCOVERY"), root.Text("discovery")),
-		Control:   cmp.Or(getenv("LB_CONTROL"), root.Text("control")),
-		listed:    root.Text("discovery"),
-		Known:     root.Raw("known"),
+		Name:          cmp.Or(getenv("LB_NAME"), root.Text("name")),
+		Listen:        cmp.Or(getenv("LB_LISTEN"), root.Text("listen")),
+		Discovery:     cmp.Or(getenv("LB_DISCOVERY"), root.Text("discovery")),
+		Control:       cmp.Or(getenv("LB_CONTROL"), root.Text("control")),
+		listed:        root.Text("discovery"),
+		LastInventory: root.Raw("known"),
 	}
 	limits := root.Object("limits")
-	mb, sockets := limits.Whole("memory_mb"), limits.Whole("sockets")
+	mb, sockets := limits.Int64("memory_mb"), limits.Int64("sockets")
 	if limits.Has("memory_mb") && mb < minMemoryMB {
 		limits.Fail("memory_mb", fmt.Sprint(minMemoryMB, " or more"))
 	}
@@ -118,8 +118,8 @@
 		limits.Fail("sockets", fmt.Sprint(minSockets, " or more"))
 	}
 	c.Memory = min(cmp.Or(mb, maxMemoryMB), maxMemoryMB) << 20
-	c.Offered = int(min(cmp.Or(sockets, maxSockets), 1<<20))
-	c.Sockets = min(c.Offered, maxSockets)
+	c.AvailableSockets = int(min(cmp.Or(sockets, maxSockets), 1<<20))
+	c.Sockets = min(c.AvailableSockets, maxSockets)
 	if seed := root.Text("seed"); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 			root.Fail("seed", "at most 16 hex digits")
@@ -131,9 +131,9 @@
 	f := root.Object("settings")
 	c.Settings, c.Classes = settings(f)
 	c.Zones, c.Kinds = f.Texts("dcs"), f.Texts("kinds")
-	c.Keepalive = f.Object("limits").Span("keepaliveNs")
+	c.Keepalive = f.Object("limits").Duration("keepaliveNs")
 	if reports := f.Object("loadReport"); reports.Text("how") != "none" {
-		c.Loads = reports.Texts("columns")
+		c.LoadColumns = reports.Texts("columns")
 	}
 	if err := root.Err(); err != nil {
 		return nil, err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 	k := c.Settings.Classes[0]
 	if c.Name != "n3" || c.Listen != "127.0.0.9:1" || c.Seed != 0x8c1f30d27a5be964 || c.Memory != 192<<20 || c.Sockets != 512 ||
 		c.Keepalive != time.Minute || c.Settings.ConnectTimeout != 250*time.Millisecond || !c.Settings.ListOnRequest ||
-		k.Limit != 5*time.Second || k.RuntimeFactor != 2.5 || k.Kind != -1 || len(c.Zones) != 2 || !strings.Contains(string(c.Known), "41") {
+		k.Limit != 5*time.Second || k.RuntimeFactor != 2.5 || k.Kind != -1 || len(c.Zones) != 2 || !strings.Contains(string(c.LastInventory), "41") {
 		t.Errorf("config %+v", c)
 	}
 }
@@ -109,8 +109,8 @@
 			}
 			continue
 		}
-		if err != nil || next.Discovery != f.discovery || strings.Join(c.Fixed(next), " ") != f.fixed {
-			t.Errorf("%s: %v, %+v, error %v", f.new, c.Fixed(next), next, err)
+		if err != nil || next.Discovery != f.discovery || strings.Join(c.RestartOnlyChanges(next), " ") != f.fixed {
+			t.Errorf("%s: %v, %+v, error %v", f.new, c.RestartOnlyChanges(next), next, err)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -25,28 +25,28 @@
 	rules, limits, fees, family := f.Object("rules"), f.Object("limits"), f.Object("fees"), f.Object("familyInfo")
 	loads := f.Object("loadReport")
 	s = balance.Settings{
-		Number: int(f.Whole("slotNo")), Dispatchers: int(f.Whole("replicasOfMe")), Zone: int(f.Whole("locality")), Zones: len(f.Texts("dcs")),
-		Tick: f.Span("stepNs"), ListOnRequest: f.Text("membershipMode") == "on_request", AskWithin: rules.Span("askWithinNs"),
+		Number: int(f.Int64("slotNo")), Dispatchers: int(f.Int64("replicasOfMe")), Zone: int(f.Int64("locality")), Zones: len(f.Texts("dcs")),
+		Tick: f.Duration("stepNs"), ListOnRequest: f.Text("membershipMode") == "on_request", AskWithin: rules.Duration("askWithinNs"),
 		RoughWeights: f.Text("weightKind") == "rough",
-		ReportsStart: family.Flag("tellsStart"),
+		ReportsStart: family.Bool("tellsStart"),
 		ValuePerWork: f.Text("worthBy") == "work", FreeSlots: -1, FreeMemory: -1,
-		MaxAttempts: int(limits.Whole("maxAttempts")), ConnectTimeout: limits.Span("connectTimeoutNs"),
-		CanCancel: limits.Flag("cancel"), CanProbe: limits.Flag("probes"),
-		SecondCopies: limits.Flag("secondCopies"), DrainGrace: rules.Span("drainGraceNs"),
-		StartCapacity: rules.Float("startCapacity"), WarmWithin: rules.Span("warmWithinNs"),
-		OverloadFactor: rules.Float("overloadFactor"), OverloadTime: rules.Span("fallNs"),
+		MaxAttempts: int(limits.Int64("maxAttempts")), ConnectTimeout: limits.Duration("connectTimeoutNs"),
+		CanCancel: limits.Bool("cancel"), CanProbe: limits.Bool("probes"),
+		SecondCopies: limits.Bool("secondCopies"), DrainGrace: rules.Duration("drainGraceNs"),
+		StartCapacity: rules.Float("startCapacity"), WarmWithin: rules.Duration("warmWithinNs"),
+		OverloadFactor: rules.Float("overloadFactor"), OverloadTime: rules.Duration("fallNs"),
 		CrossZoneFee: fees.Float("crossZone"), WasteFee: fees.Float("waste"), ProbeFee: fees.Float("probe"),
 		LateFee: fees.Float("lateFail"), HandshakeFee: fees.Float("handshake"),
-		MarksRetry: f.Object("clients").Flag("marksRetry"),
+		MarksRetry: f.Object("clients").Bool("marksRetry"),
 	}
-	if limits.Flag("retryAfter") {
-		s.MaxRetryAfter = limits.Span("maxRetryAfterNs")
+	if limits.Bool("retryAfter") {
+		s.MaxRetryAfter = limits.Duration("maxRetryAfterNs")
 	}
 	stretches, kinds := family.Floats("classStretch"), family.Floats("classKind")
 	for i, c := range f.Objects("classes") {
-		k := balance.Class{TargetLatency: c.Span("aimNs"), RuntimeFactor: c.Float("aimStretch"), Value: c.Float("credit"),
-			LateValue: c.Float("lateValue"), Limit: c.Span("hardLimitNs"), Window: c.Span("windowNs"), Kind: -1,
-			Streamed: c.Flag("streaming")}
+		k := balance.Class{TargetLatency: c.Duration("aimNs"), RuntimeFactor: c.Float("aimStretch"), Value: c.Float("credit"),
+			LateValue: c.Float("lateValue"), Limit: c.Duration("hardLimitNs"), Window: c.Duration("windowNs"), Kind: -1,
+			Streamed: c.Bool("streaming")}
 		if i < len(stretches) {
 			k.RuntimeFactor = stretches[i]
 		}
--- a/internal/gearman/admin.go
+++ b/internal/gearman/admin.go
@@ -14,10 +14,10 @@
 
 // line reads a line of the administrative protocol and answers it. An error ends the connection.
 func (c *conn) line() error {
-	done := c.limit(packet.MaxLine)
+	done := c.limit(packet.MaxLineLength)
 	text, err := c.r.Line()
 	done()
-	if errors.Is(err, packet.ErrLine) {
+	if errors.Is(err, packet.ErrLineTooLong) {
 		c.malformed()
 		c.send([]byte("ERR line_too_long a+line+may+have+1024+bytes\n"), true)
 		return err
@@ -108,7 +108,7 @@
 			client = plain(c.client)
 		}
 		if c.worker != nil {
-			for _, f := range c.worker.Names() {
+			for _, f := range c.worker.FunctionNames() {
 				functions += " " + plain(f)
 			}
 		}
--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -28,7 +28,7 @@
 // turn refuses a submission: the job was not taken, has not run and will not.
 func (c *conn) turn(code, text string) {
 	c.s.mu.Lock()
-	c.s.counts.Turned++
+	c.s.counts.Rejected++
 	c.s.mu.Unlock()
 	c.err(code, text)
 }
@@ -88,7 +88,7 @@
 	case f.RunsOnHosts() && len(data) > work.MaxHTTP:
 		c.turn("data_too_large", "this function's jobs may run on hosts that take "+itoa(work.MaxHTTP)+" bytes")
 		return hold
-	case s.at() >= Ending:
+	case s.at() >= RejectingJobs:
 		c.turn("shutting_down", "the server ends: try another")
 		return hold
 	case at-now > maxAhead:
@@ -171,7 +171,7 @@
 	if s.until > 0 {
 		d.message.Job.Left = min(d.message.Job.Left, max(0, s.until-d.message.Arrived))
 	}
-	d.handed = s.Desk.Submit(d.message)
+	d.handed = s.Engine.Submit(d.message)
 	return d.handed
 }
 
@@ -198,10 +198,10 @@
 	switch e := what.(type) {
 	case owner.Begun:
 		j.Data.(*job).begun = true
-		s.jobs.Begin(j, true)
+		s.jobs.SetRunning(j, true)
 		return
 	case owner.Waits:
-		s.jobs.Begin(j, false)
+		s.jobs.SetRunning(j, false)
 		return
 	case owner.Share: // of a host that speaks HTTP
 		num := strconv.Itoa(int(max(0, min(float64(e), 1))*100 + 0.5))
@@ -259,7 +259,7 @@
 	}
 	if j.Background {
 		if cut {
-			s.counts.BackgroundLost++
+			s.counts.BackgroundCut++
 		} else {
 			s.Log.Info("gearman: background job ended", "handle", j.Handle, "function", j.Function, "unique", j.Unique,
 				"end", [...]string{owner.Failed: "failed", owner.Served: "served", owner.BackOff: "refused"}[a.Kind],
@@ -277,12 +277,12 @@
 	if t == packet.GetStatus {
 		st := s.jobs.Status(s.Now(), name)
 		s.mu.Unlock()
-		c.send(packet.Append(nil, packet.StatusRes, name, bit[st.Known], bit[st.Running], st.Num, st.Den), true)
+		c.send(packet.Append(nil, packet.StatusRes, name, bit[st.Known], bit[st.Running], st.Numerator, st.Denominator), true)
 		return
 	}
 	st := s.jobs.StatusUnique(s.Now(), name)
 	s.mu.Unlock()
-	c.send(packet.Append(nil, packet.StatusResUnique, name, bit[st.Known], bit[st.Running], st.Num, st.Den, itoa(st.Clients)), true)
+	c.send(packet.Append(nil, packet.StatusResUnique, name, bit[st.Known], bit[st.Running], st.Numerator, st.Denominator, itoa(st.Clients)), true)
 }
 
 // schedule is the next time that fits minute, hour, day of month, month and day of week (0 is Sunday), each a number or
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -89,7 +89,7 @@
 		c.s.Log.Info("gearman: connection reads too slowly", "peer", c.RemoteAddr())
 		c.s.tasks.Go(func() error {
 			c.s.mu.Lock()
-			c.s.counts.Slow++
+			c.s.counts.SlowReaders++
 			c.s.mu.Unlock()
 			return nil
 		})
@@ -149,7 +149,7 @@
 			c.marks = append(c.marks[:0], c.marks[done:]...)
 			c.out.Unlock()
 			for _, m := range out {
-				c.s.Desk.Assigned(m.a)
+				c.s.Engine.Assigned(m.a)
 			}
 			c.out.Lock()
 		}
@@ -180,7 +180,7 @@
 func (c *conn) serve() {
 	defer c.s.remove(c)
 	for {
-		text, err := c.r.Text()
+		text, err := c.r.IsText()
 		if err != nil {
 			return
 		}
@@ -197,7 +197,7 @@
 
 // limit bounds the time until the rest of a packet is there, if it isn't.
 func (c *conn) limit(bytes int) (done func()) {
-	if c.r.Whole(bytes) {
+	if c.r.HasBuffered(bytes) {
 		return func() {}
 	}
 	c.SetReadDeadline(time.Now().Add(time.Duration(c.s.settings.Load().Timeouts.Packet)))
@@ -219,7 +219,7 @@
 	h, err := c.r.Header()
 	done()
 	if err != nil {
-		if errors.Is(err, packet.ErrMagic) {
+		if errors.Is(err, packet.ErrBadMagic) {
 			c.malformed()
 			c.err("bad_magic", "want \\0REQ or a line of text")
 		}
@@ -231,7 +231,7 @@
 		return errEnd
 	}
 	size := int(h.Size)
-	if !h.Type.Request() {
+	if !h.Type.IsRequest() {
 		c.malformed()
 		done := c.limit(size)
 		_, err := c.r.Discard(size)
@@ -341,7 +341,7 @@
 			c.client = text
 		}
 	case packet.CanDo, packet.CanDoTimeout:
-		if many = !c.worker.Can(text) && c.worker.Functions() >= g.Limits.FunctionsPerWorker; !many {
+		if many = !c.worker.Can(text) && c.worker.FunctionCount() >= g.Limits.FunctionsPerWorker; !many {
 			c.worker.CanDo(text, within)
 		}
 	case packet.CantDo:
@@ -349,7 +349,7 @@
 	case packet.ResetAbilities:
 		never = c.worker.CantDo("")
 	case packet.PreSleep:
-		wake, failed = c.worker.Sleep(s.Now())
+		wake, failed = c.worker.PreSleep(s.Now())
 		c.ready()
 	}
 	s.retire(c, never)
@@ -372,7 +372,7 @@
 
 // ready gives a worker that has said that it is there its name. The lock is held.
 func (c *conn) ready() {
-	if c.name == "" && c.worker.Functions() > 0 {
+	if c.name == "" && c.worker.FunctionCount() > 0 {
 		c.s.christen(c)
 		c.s.touch(c)
 	}
@@ -418,7 +418,7 @@
 	c.told = false
 	s.mu.Unlock()
 	if told {
-		s.Desk.After(func() { c.answer(false) })
+		s.Engine.After(func() { c.answer(false) })
 		return
 	}
 	c.quiet() // else the job would wait here after it was clear to be sent
@@ -436,11 +436,11 @@
 	}
 	c.asking = false
 	now := s.Now()
-	a, ok, failed := c.worker.Asks(now)
+	a, ok, failed := c.worker.Grab(now)
 	// Right before the first byte: since the decision the worker may have been left out, or the attempt withdrawn.
 	for ok && !a.Clear() {
 		moot = append(moot, a)
-		a, ok, _ = c.worker.Asks(now)
+		a, ok, _ = c.worker.Grab(now)
 	}
 	s.retire(c, moot)
 	if !ok {
@@ -449,7 +449,7 @@
 		c.send(packet.Append[string](nil, packet.NoJob), inline)
 	} else {
 		w := work.Of(a.Message)
-		c.worker.Assigned(now, a, w.Handle, w.Function)
+		c.worker.Assign(now, a, w.Handle, w.Function)
 		s.counts.Assigned++
 		handle, function, unique, data := []byte(w.Handle), []byte(w.Function), []byte(w.Unique), w.Bytes()
 		b := make([]byte, 0, packet.HeaderSize+len(handle)+len(function)+len(unique)+len(w.Reducer)+len(data)+4)
@@ -486,7 +486,7 @@
 
 // touchIfLate has a worker listed that was silent and speaks again. The lock is held.
 func (s *Server) touchIfLate(c *conn) {
-	if c.listed != c.worker.Open() {
+	if c.listed != c.worker.Available() {
 		s.touch(c)
 	}
 }
@@ -516,7 +516,7 @@
 		r = c.worker.Run(handle)
 	}
 	if r == nil { // it never had it, or has ended it
-		s.counts.Late++
+		s.counts.LateReports++
 		s.mu.Unlock()
 		s.Log.Debug("gearman: late word", "packet", t, "handle", handle, "worker", c.name)
 		return hold
@@ -525,11 +525,11 @@
 	parts := c.parts[handle]
 	switch t {
 	case packet.WorkComplete, packet.WorkFail:
-		c.worker.Ended(s.Now(), handle)
+		c.worker.End(s.Now(), handle)
 		c.end(r)
 		c.told = true
 	case packet.WorkException:
-		r.Excepted = true
+		r.ExceptionReported = true
 	case packet.WorkData:
 		if !w.Streams && len(parts) <= work.MaxHTTP { // more than that no client of this kind can be given
 			c.parts[handle] = append(parts, args[1]...)
@@ -544,7 +544,7 @@
 		if !w.Streams || hold == nil { // else it is copied again before the hold ends
 			result = append(parts, result...)
 		}
-		s.Desk.Served(a, result, hold.Drop)
+		s.Engine.Served(a, result, hold.Drop)
 		w.Held().Drop()
 		return nil
 	case w.Streams:
@@ -554,7 +554,7 @@
 				p.args[i] = append([]byte(nil), args[i]...)
 			}
 		}
-		s.Desk.Passed(a, p, hold.Drop)
+		s.Engine.Passed(a, p, hold.Drop)
 		return nil
 	}
 	return hold
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -109,8 +109,8 @@
 			FreeMemory: -1, DrainGrace: 500 * time.Millisecond, StartCapacity: 0.3, WarmWithin: 8 * time.Second,
 			OverloadFactor: 2.5, OverloadTime: 2 * time.Second}, Seed: 7, Known: known, South: w, Inventory: w, Queue: 512, Log: log, Check: check,
 			HostRuns: table.HostClasses, Now: now})
-		w.s = New(Config{Desk: w.o, Routes: table, Settings: g, Classes: table.Classes(), Name: "n0", Boot: "b", MaxConns: 64,
-			Budget: budget.New(16<<20, 4<<20), LastAnswer: 3200 * time.Millisecond, Shutdown: func() { w.shut++ }, Now: now, Log: log, Check: check})
+		w.s = New(Config{Engine: w.o, Routes: table, Settings: g, Classes: table.Classes(), Name: "n0", Boot: "b", MaxConns: 64,
+			Budget: budget.New(16<<20, 4<<20), ShutdownTimeout: 3200 * time.Millisecond, Shutdown: func() { w.shut++ }, Now: now, Log: log, Check: check})
 		ctx, stop := context.WithCancel(t.Context())
 		w.stop = stop
 		go w.o.Run(ctx)
@@ -142,7 +142,7 @@
 
 // peer is a scripted client or worker. It keeps what it was sent.
 type peer struct {
-	*standin.Wire
+	*standin.GearmanConn
 	w      *world
 	got    []string
 	closed bool
@@ -151,7 +151,7 @@
 func (w *world) dial() *peer {
 	near, far := net.Pipe()
 	w.l.calls <- far
-	p := &peer{Wire: &standin.Wire{Conn: near}, w: w}
+	p := &peer{GearmanConn: &standin.GearmanConn{Conn: near}, w: w}
 	go p.read()
 	return p
 }
@@ -303,7 +303,7 @@
 		{"a warning between NOOP and GRAB_JOB", warning, false, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			within(t, func(g *settings.Gearman) { g.Cells = []settings.Group{{Name: "k", Clients: "k-*"}} }, 0, func(w *world) {
+			within(t, func(g *settings.Gearman) { g.Cells = []settings.ClientGroup{{Name: "k", Clients: "k-*"}} }, 0, func(w *world) {
 				first := w.worker("k-1", c.function)
 				client := w.dial()
 				client.say(packet.SubmitJob, c.function, "u", "d")
@@ -355,7 +355,7 @@
 	within(t, nil, 0, func(w *world) {
 		near, far := net.Pipe()
 		w.l.calls <- &half{Conn: far, after: 1, bytes: 20} // NOOP goes whole
-		p := &peer{Wire: &standin.Wire{Conn: near}, w: w}
+		p := &peer{GearmanConn: &standin.GearmanConn{Conn: near}, w: w}
 		go p.read()
 		p.say(packet.CanDo, warning)
 		p.say(packet.PreSleep)
@@ -459,7 +459,7 @@
 		p.say(packet.WorkComplete, "H:n0:b-1", "after all")
 		p.say(packet.WorkFail, "H:n0:b-1")
 		c.want("WORK_FAIL H:n0:b-1")
-		if n := w.s.Counts(); n.Late != 4 || n.Failed != 1 || n.Served != 0 {
+		if n := w.s.Counts(); n.LateReports != 4 || n.Failed != 1 || n.Served != 0 {
 			t.Errorf("%+v", n)
 		}
 	})
@@ -507,7 +507,7 @@
 		w.wait(5 * time.Second) // silent: its client's patience ends
 		c.want("JOB_CREATED H:n0:b-2", "WORK_FAIL H:n0:b-2")
 		q.Close()
-		if n := w.s.Counts(); n.Overdue != 1 || n.Silent != 1 || n.Assigned != 2 {
+		if n := w.s.Counts(); n.Overdue != 1 || n.UnclaimedPicks != 1 || n.Assigned != 2 {
 			t.Errorf("%+v", n)
 		}
 	})
@@ -699,7 +699,7 @@
 	within(t, nil, 0, func(w *world) {
 		near, far := net.Pipe()
 		w.l.calls <- far
-		deaf := &standin.Wire{Conn: near}
+		deaf := &standin.GearmanConn{Conn: near}
 		deaf.Send(int(packet.SubmitJob), warning, "u", "1")
 		c, p := w.dial(), w.worker("x", warning)
 		c.say(packet.SubmitJob, warning, "u", "1")
@@ -715,7 +715,7 @@
 		if _, err := near.Write([]byte("x")); err == nil {
 			t.Error("still open")
 		}
-		if n := w.s.Counts(); n.Slow != 1 {
+		if n := w.s.Counts(); n.SlowReaders != 1 {
 			t.Errorf("%+v", n)
 		}
 	})
@@ -734,7 +734,7 @@
 			c.say(kind, warning, "", "x")
 		}
 		created := len(c.got)
-		w.s.Enter(Leaving)
+		w.s.Enter(Draining)
 		p.picked()
 		p.say(packet.GrabJob)
 		served := 0
@@ -747,7 +747,7 @@
 			p.say(packet.GrabJob)
 		}
 		w.wait(2 * time.Second)
-		w.s.Enter(Ending)
+		w.s.Enter(RejectingJobs)
 		c.say(packet.SubmitJob, warning, "", "x")
 		w.wait(1500 * time.Millisecond)
 		if n := w.s.Open(); n != 0 {
@@ -761,7 +761,7 @@
 			t.Errorf("%d created, ends %v", created, ends)
 		}
 		p.Close()
-		if n := strings.Count(w.log.String(), "cut off by the planned end"); n == 0 || int64(n) != w.s.Counts().BackgroundLost || n+served < 20 {
+		if n := strings.Count(w.log.String(), "cut off by the planned end"); n == 0 || int64(n) != w.s.Counts().BackgroundCut || n+served < 20 {
 			t.Errorf("%d background jobs logged as cut off", n)
 		}
 	})
--- a/internal/gearman/packet/packet.go
+++ b/internal/gearman/packet/packet.go
@@ -91,8 +91,8 @@
 	0: -1, 5: -1, Noop: -1, JobCreated: -1, NoJob: -1, JobAssign: -1, EchoRes: -1, Error: -1, StatusRes: -1, OptionRes: -1,
 	JobAssignUniq: -1, JobAssignAll: -1, StatusResUnique: -1}
 
-// Request says whether packets of the type come from clients or workers.
-func (t Type) Request() bool { return t < last && requests[t] >= 0 }
+// IsRequest says whether packets of the type come from clients or workers.
+func (t Type) IsRequest() bool { return t < last && requests[t] >= 0 }
 
 // HeaderSize is how long a header is, in bytes.
 const HeaderSize = 12
@@ -103,16 +103,16 @@
 	Size uint32 // of the body
 }
 
-// ErrMagic says that what came is no packet of a client's or worker's: where it ends is not known.
-var ErrMagic = errors.New("unknown magic")
+// ErrBadMagic says that what came is no packet of a client's or worker's: where it ends is not known.
+var ErrBadMagic = errors.New("unknown magic")
 
 var reqMagic, resMagic = []byte("\x00REQ"), []byte("\x00RES")
 
-// MaxLine is the most bytes of a line of the text protocol.
-const MaxLine = 1 << 10
+// MaxLineLength is the most bytes of a line of the text protocol.
+const MaxLineLength = 1 << 10
 
-// ErrLine is a line of the text protocol that is too long.
-var ErrLine = errors.New("line too long")
+// ErrLineTooLong is a line of the text protocol that is too long.
+var ErrLineTooLong = errors.New("line too long")
 
 // Reader reads from one connection. Binary packets and lines of text may come in any order.
 type Reader struct {
@@ -122,9 +122,9 @@
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{bufio.NewReaderSize(r, 4<<10)} }
 
-// Text says whether what comes next is a line of text; it waits for the first byte. No line begins with a NUL, and every
+// IsText says whether what comes next is a line of text; it waits for the first byte. No line begins with a NUL, and every
 // packet does.
-func (r *Reader) Text() (bool, error) {
+func (r *Reader) IsText() (bool, error) {
 	b, err := r.Peek(1)
 	return err == nil && b[0] != 0, err
 }
@@ -133,7 +133,7 @@
 func (r *Reader) Header() (Header, error) {
 	b, err := r.Peek(HeaderSize)
 	if len(b) >= 4 && !bytes.Equal(b[:4], reqMagic) {
-		return Header{}, ErrMagic
+		return Header{}, ErrBadMagic
 	}
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
@@ -146,14 +146,14 @@
 	return h, nil
 }
 
-// Whole says whether so many bytes are here already: to read them does not wait.
-func (r *Reader) Whole(n int) bool { return r.Buffered() >= n }
+// HasBuffered says whether so many bytes are here already: to read them does not wait.
+func (r *Reader) HasBuffered(n int) bool { return r.Buffered() >= n }
 
 // Line reads a line of text without its end.
 func (r *Reader) Line() (string, error) {
 	line, err := r.ReadSlice('\n')
-	if err == bufio.ErrBufferFull || len(line) > MaxLine {
-		return "", ErrLine
+	if err == bufio.ErrBufferFull || len(line) > MaxLineLength {
+		return "", ErrLineTooLong
 	}
 	if err != nil {
 		if err == io.EOF && len(line) > 0 {
@@ -164,8 +164,8 @@
 	return string(bytes.TrimRight(line, "\r\n")), nil
 }
 
-// ErrArguments says that a body has too few arguments: NUL bytes are missing.
-var ErrArguments = errors.New("too few arguments")
+// ErrTooFewArguments says that a body has too few arguments: NUL bytes are missing.
+var ErrTooFewArguments = errors.New("too few arguments")
 
 // MaxArguments is the most arguments that a packet has.
 const MaxArguments = 8
@@ -173,7 +173,7 @@
 // Split takes the arguments of a client's or worker's packet apart; they share the body's memory. Where a type has no
 // arguments, what came all the same is passed by.
 func (t Type) Split(body []byte) (args [MaxArguments][]byte, err error) {
-	if !t.Request() {
+	if !t.IsRequest() {
 		return args, errors.New("not a request")
 	}
 	n := int(requests[t])
@@ -184,7 +184,7 @@
 		}
 		at := bytes.IndexByte(body, 0)
 		if at < 0 {
-			return args, ErrArguments
+			return args, ErrTooFewArguments
 		}
 		args[i], body = body[:at], body[at+1:]
 	}
--- a/internal/gearman/packet/packet_test.go
+++ b/internal/gearman/packet/packet_test.go
@@ -12,7 +12,7 @@
 // read takes all that a peer sends apart, as a server does.
 func read(r *Reader) (got []string, err error) {
 	for {
-		text, err := r.Text()
+		text, err := r.IsText()
 		if err != nil {
 			return got, err
 		}
@@ -50,7 +50,7 @@
 	var in []byte
 	var want []string
 	for typ := Type(0); typ < last; typ++ {
-		if !typ.Request() {
+		if !typ.IsRequest() {
 			continue
 		}
 		args := []string{"a", "b", "c", "d", "e", "f", "g", "data"}[MaxArguments-requests[typ]:]
@@ -74,8 +74,8 @@
 		in, want string
 		err      error
 	}{
-		{"\x00RES\x00\x00\x00\x04\x00\x00\x00\x00", "", ErrMagic},
-		{"\x00FOO", "", ErrMagic},
+		{"\x00RES\x00\x00\x00\x04\x00\x00\x00\x00", "", ErrBadMagic},
+		{"\x00FOO", "", ErrBadMagic},
 		{"\x00REQ\x00\x00", "", io.ErrUnexpectedEOF},
 		{"\x00REQ\x00\x00\x00\x04\x00\x00\x00\x00", "PRE_SLEEP ", io.EOF},
 		{"\x00REQ\x00\x00\x00\x07\x00\x00\x00\x00", "SUBMIT_JOB too few arguments", io.EOF},
@@ -86,8 +86,8 @@
 		{"\x00REQ\x00\x00\x00\x63\x00\x00\x00\x01x", "type 99 not a request", io.EOF},
 		{"\x00REQ\x00\x00\x00\x06\x00\x00\x00\x00", "NOOP not a request", io.EOF},
 		{"\x00REQ\xff\xff\xff\xff\xff\xff\xff\xff", "", errors.New("too large")},
-		{strings.Repeat("x", MaxLine) + "\n", "", ErrLine},
-		{strings.Repeat("x", 1<<16), "", ErrLine},
+		{strings.Repeat("x", MaxLineLength) + "\n", "", ErrLineTooLong},
+		{strings.Repeat("x", 1<<16), "", ErrLineTooLong},
 		{"half a line", "", io.ErrUnexpectedEOF},
 	} {
 		got, err := read(NewReader(strings.NewReader(c.in)))
@@ -121,7 +121,7 @@
 		r := NewReader(bytes.NewReader(in))
 		for {
 			h, err := r.Header()
-			if err != nil || h.Size > 1<<16 || !r.Whole(int(h.Size)) {
+			if err != nil || h.Size > 1<<16 || !r.HasBuffered(int(h.Size)) {
 				return
 			}
 			body := make([]byte, h.Size)
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -30,8 +30,8 @@
 	"liftgauge/route"
 )
 
-// Desk is what the Gearman side asks of the owner.
-type Desk interface {
+// Engine is what the Gearman side asks of the owner.
+type Engine interface {
 	Submit(m *owner.Message) bool
 	Gone(m *owner.Message)
 	List(kind balance.ListKind, hosts []owner.Host)
@@ -45,23 +45,23 @@
 
 // Config is what a Server needs.
 type Config struct {
-	Desk     Desk
-	Routes   *route.Table
-	Settings *settings.Gearman
-	Classes  []balance.Class // by the module's number
-	Zone     int             // of this dispatcher, and so of its workers
-	Kinds    int             // how many kinds of hosts there are: the workers' come after
-	Name     string          // of this dispatcher
-	Boot     string          // of this process: no two processes have the same
-	MaxConns int
-	Budget   *budget.Budget
-	Subject  func(key string) uint64 // as the north side's
-	// LastAnswer is how long after the beginning of a planned end every job must have ended.
-	LastAnswer time.Duration
-	Shutdown   func() // begins the planned end, where an admin may ask for it
-	Now        func() time.Duration
-	Log        *slog.Logger
-	Check      *invariant.Checker
+	Engine    Engine
+	Routes    *route.Table
+	Settings  *settings.Gearman
+	Classes   []balance.Class // by the module's number
+	Zone      int             // of this dispatcher, and so of its workers
+	HostKinds int             // how many kinds of hosts there are: the workers' come after
+	Name      string          // of this dispatcher
+	Boot      string          // of this process: no two processes have the same
+	MaxConns  int
+	Budget    *budget.Budget
+	Subject   func(key string) uint64 // as the north side's
+	// ShutdownTimeout is how long after the beginning of a planned end every job must have ended.
+	ShutdownTimeout time.Duration
+	Shutdown        func() // begins the planned end, where an admin may ask for it
+	Now             func() time.Duration
+	Log             *slog.Logger
+	Check           *invariant.Checker
 }
 
 // Phase is how far a planned end has come.
@@ -69,10 +69,10 @@
 
 // The phases.
 const (
-	Serving Phase = iota
-	Leaving       // serving as before
-	Closing       // no new connections
-	Ending        // no new jobs
+	Serving         Phase = iota
+	Draining              // serving as before
+	ListenersClosed       // no new connections
+	RejectingJobs         // no new jobs
 )
 
 // Counts are what has been seen since the start.
@@ -80,14 +80,14 @@
 	Submitted, Attached       int64 // jobs taken, and submissions that joined one that was open
 	Served, Failed, BackOffs  int64 // ends of jobs
 	Abandoned                 int64 // jobs whose clients have all left
-	Turned                    int64 // submissions that got an ERROR
+	Rejected                  int64 // submissions that got an ERROR
 	Assigned, NoJobs          int64
-	Late                      int64 // words on jobs that the worker is not at
-	Silent                    int64 // picks that a free worker did not ask for in time
+	LateReports               int64 // words on jobs that the worker is not at
+	UnclaimedPicks            int64 // picks that a free worker did not ask for in time
 	Overdue                   int64 // jobs past their CAN_DO_TIMEOUT
-	Slow                      int64 // connections closed as they read too slowly
+	SlowReaders               int64 // connections closed as they read too slowly
 	Malformed                 int64 // packets and lines that could not be read
-	BackgroundLost            int64 // background jobs that the planned end cut off
+	BackgroundCut             int64 // background jobs that the planned end cut off
 	Connections, Workers      int64 // now
 	Waiting, Running, Clients int64 // now
 }
@@ -141,8 +141,8 @@
 		kick: make(chan struct{}, 1), relist: make(chan struct{}, 1), slots: make(chan struct{}, max(c.MaxConns, 1))}
 	l := c.Settings.Limits
 	s.Name = plain(strings.ReplaceAll(s.Name, ":", "_"))
-	s.jobs = state.NewJobs(state.Bounds{Open: l.OpenJobs, PerConn: l.JobsPerConnection, Ended: c.Settings.Timeouts.KeepEnded,
-		EndedOf: time.Duration(c.Settings.Timeouts.Ended)})
+	s.jobs = state.NewJobs(state.Limits{MaxOpen: l.OpenJobs, MaxPerConn: l.JobsPerConnection, MaxEnded: c.Settings.Timeouts.KeepEnded,
+		EndedRetention: time.Duration(c.Settings.Timeouts.Ended)})
 	s.table.Store(c.Routes)
 	s.settings.Store(c.Settings)
 	s.ctx, s.stop = context.WithCancel(context.Background())
@@ -155,10 +155,10 @@
 	s.settings.Store(g)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.jobs.Open, s.jobs.PerConn = g.Limits.OpenJobs, g.Limits.JobsPerConnection
-	s.jobs.Ended, s.jobs.EndedOf = g.Timeouts.KeepEnded, time.Duration(g.Timeouts.Ended)
+	s.jobs.MaxOpen, s.jobs.MaxPerConn = g.Limits.OpenJobs, g.Limits.JobsPerConnection
+	s.jobs.MaxEnded, s.jobs.EndedRetention = g.Timeouts.KeepEnded, time.Duration(g.Timeouts.Ended)
 	for _, c := range s.workers {
-		c.worker.Grab = time.Duration(g.Timeouts.Grab)
+		c.worker.GrabTimeout = time.Duration(g.Timeouts.Grab)
 		s.touch(c)
 	}
 }
@@ -200,12 +200,12 @@
 		return
 	}
 	s.mu.Lock()
-	if p >= Leaving && s.until == 0 {
-		s.until = s.Now() + s.LastAnswer
+	if p >= Draining && s.until == 0 {
+		s.until = s.Now() + s.ShutdownTimeout
 	}
 	s.mu.Unlock()
 	s.wake()
-	if p >= Closing {
+	if p >= ListenersClosed {
 		s.unlisten()
 	}
 }
@@ -329,7 +329,7 @@
 	c.out.Unlock()
 	s.mu.Lock()
 	delete(s.conns, c.id)
-	abandoned := s.jobs.Leave(c.id)
+	abandoned := s.jobs.Disconnect(c.id)
 	s.counts.Abandoned += int64(len(abandoned))
 	var never, lost []*owner.Attempt
 	if c.worker != nil {
@@ -378,7 +378,7 @@
 	handed := d.handed
 	s.mu.Unlock()
 	if handed {
-		s.Desk.Gone(d.message)
+		s.Engine.Gone(d.message)
 	} else { // it was to run later
 		d.work.Hold.Drop()
 	}
@@ -386,7 +386,7 @@
 
 // ended reports an attempt's end. The hold on its data goes with it.
 func (s *Server) ended(a *owner.Attempt, status balance.Status) {
-	s.Desk.Ended(a, status)
+	s.Engine.Ended(a, status)
 	work.Of(a.Message).Held().Drop()
 }
 
@@ -434,15 +434,15 @@
 	clear(s.dirty)
 	s.mu.Unlock()
 	if len(hosts) > 0 {
-		s.Desk.List(balance.ListChanges, hosts)
+		s.Engine.List(balance.ListChanges, hosts)
 	}
 }
 
 // listing is how a worker is to be listed now, and whether that is something new. The lock is held.
 func (s *Server) listing(c *conn) (h owner.Host, changed bool) {
 	t := s.table.Load()
-	open := c.worker.Open()
-	h = owner.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.Kinds + 1 + t.Kind(c.client),
+	open := c.worker.Available()
+	h = owner.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.HostKinds + 1 + t.Kind(c.client),
 		Cell: t.Cell(c.client, uint64(c.id)), Weight: 1, Up: c.since, Slots: 1, Pulls: true, Runs: t.WorkerClasses(c.client, c.worker.Can)}}
 	if !open {
 		h.Worker.State = balance.Removed
@@ -489,7 +489,7 @@
 func (s *Server) Send(ctx context.Context, a *owner.Attempt) {
 	w := work.Of(a.Message)
 	if w == nil {
-		s.tasks.Go(func() error { s.Desk.Ended(a, balance.NotSent); return nil })
+		s.tasks.Go(func() error { s.Engine.Ended(a, balance.NotSent); return nil })
 		return
 	}
 	w.Held().Share() // until it is assigned or has ended
@@ -525,11 +525,11 @@
 func (s *Server) withdrawn(c *conn, a *owner.Attempt) {
 	s.mu.Lock()
 	delete(c.stops, a)
-	dropped := c.worker.Drop(a)
+	dropped := c.worker.Unpick(a)
 	if dropped {
 		s.active--
 	} else if r := c.worker.Run(work.Of(a.Message).Handle); r != nil && r.Attempt == a {
-		r.Over = true
+		r.Abandoned = true
 		s.touch(c)
 	}
 	s.mu.Unlock()
@@ -542,13 +542,13 @@
 func (s *Server) Probe(h owner.Host) {
 	s.mu.Lock()
 	c := s.workers[h.Name]
-	there := c != nil && c.worker.Open()
+	there := c != nil && c.worker.Available()
 	s.mu.Unlock()
 	status := balance.OK
 	if !there {
 		status = balance.ConnectFailed
 	}
-	s.tasks.Go(func() error { s.Desk.Probed(h, status, nil); return nil })
+	s.tasks.Go(func() error { s.Engine.Probed(h, status, nil); return nil })
 }
 
 // Forget has nothing to drop: a worker's connection is its own.
@@ -600,7 +600,7 @@
 			s.touch(c)
 		}
 		s.active -= len(picks)
-		s.counts.Silent += int64(len(picks))
+		s.counts.UnclaimedPicks += int64(len(picks))
 		late = append(late, picks...)
 		for _, r := range runs {
 			s.counts.Overdue++
@@ -634,7 +634,7 @@
 		s.ended(a, balance.ConnectFailed)
 	}
 	for _, a := range overdue { // the hold ends with the run
-		s.Desk.Ended(a, balance.TimedOut)
+		s.Engine.Ended(a, balance.TimedOut)
 	}
 	for _, j := range due {
 		s.due(j)
--- a/internal/gearman/state/jobs.go
+++ b/internal/gearman/state/jobs.go
@@ -19,7 +19,7 @@
 	Background               bool
 	Priority                 int // 0 normal, 1 high, 2 low
 	Running                  bool
-	Num, Den                 string // of the last WORK_STATUS
+	Numerator, Denominator   string // of the last WORK_STATUS
 	Data                     any    // the caller's own
 
 	number  uint64
@@ -29,27 +29,27 @@
 // Clients are who waits for the job, one for each submission.
 func (j *Job) Clients() []Conn { return j.clients }
 
-// Ending is a background job that has ended.
-type Ending struct {
+// EndedJob is a background job that has ended.
+type EndedJob struct {
 	Handle, Function, Unique string
 	Served                   bool
-	Num, Den                 string
+	Numerator, Denominator   string
 	At                       time.Duration
 }
 
-// Bounds are how much is kept.
-type Bounds struct {
-	Open    int // jobs
-	PerConn int // submissions that one connection waits for
-	Ended   int // ends of background jobs
-	EndedOf time.Duration
+// Limits are how much is kept.
+type Limits struct {
+	MaxOpen        int // jobs
+	MaxPerConn     int // submissions that one connection waits for
+	MaxEnded       int // ends of background jobs
+	EndedRetention time.Duration
 }
 
 // Why a job is not taken.
 var (
-	ErrOpen    = errors.New("too many open jobs")
-	ErrPerConn = errors.New("too many open jobs on this connection")
-	ErrQueue   = errors.New("too many jobs wait for this function")
+	ErrTooManyOpen    = errors.New("too many open jobs")
+	ErrTooManyPerConn = errors.New("too many open jobs on this connection")
+	ErrQueueFull      = errors.New("too many jobs wait for this function")
 )
 
 // Count is how many jobs of a function there are.
@@ -62,18 +62,18 @@
 
 // Jobs are all open jobs, and the ends of background jobs for a while.
 type Jobs struct {
-	Bounds
+	Limits
 	byHandle map[string]*Job
 	byUnique map[key]*Job
 	counts   map[string]*Count
 	waits    map[Conn]int
 	last     uint64
-	ended    []Ending // the oldest first
+	ended    []EndedJob // the oldest first
 }
 
 // NewJobs returns an empty table.
-func NewJobs(b Bounds) *Jobs {
-	return &Jobs{Bounds: b, byHandle: map[string]*Job{}, byUnique: map[key]*Job{}, counts: map[string]*Count{}, waits: map[Conn]int{}}
+func NewJobs(b Limits) *Jobs {
+	return &Jobs{Limits: b, byHandle: map[string]*Job{}, byUnique: map[key]*Job{}, counts: map[string]*Count{}, waits: map[Conn]int{}}
 }
 
 // Len is how many jobs are open.
@@ -83,8 +83,8 @@
 // false and nothing else of the new one counts; a unique id of "" is like no other. A handle is asked for only if the job is
 // fresh. A background job has no client that waits.
 func (s *Jobs) Submit(c Conn, j Job, most int, handle func(number uint64) string) (job *Job, fresh bool, err error) {
-	if !j.Background && s.waits[c] >= s.PerConn {
-		return nil, false, ErrPerConn
+	if !j.Background && s.waits[c] >= s.MaxPerConn {
+		return nil, false, ErrTooManyPerConn
 	}
 	if j.Unique != "" {
 		if old := s.byUnique[key{j.Function, j.Unique}]; old != nil {
@@ -97,14 +97,14 @@
 	}
 	count := s.count(j.Function)
 	switch {
-	case len(s.byHandle) >= s.Open:
-		return nil, false, ErrOpen
+	case len(s.byHandle) >= s.MaxOpen:
+		return nil, false, ErrTooManyOpen
 	case most > 0 && count.Waiting[0]+count.Waiting[1]+count.Waiting[2] >= most:
-		return nil, false, ErrQueue
+		return nil, false, ErrQueueFull
 	}
 	s.last++
 	job = &j
-	job.number, job.clients, job.Running, job.Num, job.Den = s.last, nil, false, "", ""
+	job.number, job.clients, job.Running, job.Numerator, job.Denominator = s.last, nil, false, "", ""
 	job.Handle = handle(s.last)
 	if !j.Background {
 		job.clients = append(job.clients, c)
@@ -141,8 +141,8 @@
 // open says whether a job is still in the table.
 func (s *Jobs) open(j *Job) bool { return s.byHandle[j.Handle] == j }
 
-// Begin notes that a job runs, or runs no more though it has not ended: it may begin again.
-func (s *Jobs) Begin(j *Job, runs bool) {
+// SetRunning notes that a job runs, or runs no more though it has not ended: it may begin again.
+func (s *Jobs) SetRunning(j *Job, runs bool) {
 	if !s.open(j) || j.Running == runs {
 		return
 	}
@@ -167,9 +167,9 @@
 	}
 	clients, j.clients = j.clients, nil
 	if j.Background {
-		e := Ending{j.Handle, j.Function, j.Unique, served, j.Num, j.Den, now}
-		if served && e.Den == "" {
-			e.Num, e.Den = "1", "1"
+		e := EndedJob{j.Handle, j.Function, j.Unique, served, j.Numerator, j.Denominator, now}
+		if served && e.Denominator == "" {
+			e.Numerator, e.Denominator = "1", "1"
 		}
 		s.ended = append(s.ended, e)
 		s.Expire(now)
@@ -178,7 +178,7 @@
 }
 
 func (s *Jobs) remove(j *Job) {
-	s.Begin(j, false)
+	s.SetRunning(j, false)
 	c := s.count(j.Function)
 	if c.Waiting[j.Priority%3]--; *c == (Count{}) {
 		delete(s.counts, j.Function)
@@ -197,8 +197,8 @@
 
 // Expire forgets ends that are old or too many.
 func (s *Jobs) Expire(now time.Duration) {
-	n := max(0, len(s.ended)-s.Ended)
-	for n < len(s.ended) && now-s.ended[n].At > s.EndedOf {
+	n := max(0, len(s.ended)-s.MaxEnded)
+	for n < len(s.ended) && now-s.ended[n].At > s.EndedRetention {
 		n++
 	}
 	if n > 0 {
@@ -206,9 +206,9 @@
 	}
 }
 
-// Leave notes that a connection has ended. Jobs for which nobody waits any more are taken out and returned; background jobs
+// Disconnect notes that a connection has ended. Jobs for which nobody waits any more are taken out and returned; background jobs
 // and those that others wait for go on.
-func (s *Jobs) Leave(c Conn) (abandoned []*Job) {
+func (s *Jobs) Disconnect(c Conn) (abandoned []*Job) {
 	if s.waits[c] == 0 {
 		return nil
 	}
@@ -231,9 +231,9 @@
 
 // Status is what can be said of a job.
 type Status struct {
-	Known, Running bool
-	Num, Den       string
-	Clients        int
+	Known, Running         bool
+	Numerator, Denominator string
+	Clients                int
 }
 
 // Status tells of a job by its handle, open or ended.
@@ -242,7 +242,7 @@
 		return status(j)
 	}
 	s.Expire(now)
-	return s.endOf(func(e *Ending) bool { return e.Handle == handle })
+	return s.endOf(func(e *EndedJob) bool { return e.Handle == handle })
 }
 
 // StatusUnique tells of a job by its unique id, which is that of one function's as a rule; the newest if there are more.
@@ -257,20 +257,20 @@
 		return status(found)
 	}
 	s.Expire(now)
-	return s.endOf(func(e *Ending) bool { return unique != "" && e.Unique == unique })
+	return s.endOf(func(e *EndedJob) bool { return unique != "" && e.Unique == unique })
 }
 
 func status(j *Job) Status {
-	return Status{Known: true, Running: j.Running, Num: orZero(j.Num), Den: orZero(j.Den), Clients: len(j.clients)}
+	return Status{Known: true, Running: j.Running, Numerator: orZero(j.Numerator), Denominator: orZero(j.Denominator), Clients: len(j.clients)}
 }
 
-func (s *Jobs) endOf(is func(*Ending) bool) Status {
+func (s *Jobs) endOf(is func(*EndedJob) bool) Status {
 	for i := len(s.ended) - 1; i >= 0; i-- {
 		if e := &s.ended[i]; is(e) {
-			return Status{Known: true, Num: orZero(e.Num), Den: orZero(e.Den)}
+			return Status{Known: true, Numerator: orZero(e.Numerator), Denominator: orZero(e.Denominator)}
 		}
 	}
-	return Status{Num: "0", Den: "0"}
+	return Status{Numerator: "0", Denominator: "0"}
 }
 
 func orZero(s string) string {
@@ -288,7 +288,7 @@
 		}
 		return t
 	}
-	j.Num, j.Den = number(num), number(den)
+	j.Numerator, j.Denominator = number(num), number(den)
 }
 
 // All are the open jobs, the oldest first.
--- a/internal/gearman/state/state_test.go
+++ b/internal/gearman/state/state_test.go
@@ -13,7 +13,7 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const open, perConn, kept = 30, 8, 5
-		s := NewJobs(Bounds{Open: open, PerConn: perConn, Ended: kept, EndedOf: time.Minute})
+		s := NewJobs(Limits{MaxOpen: open, MaxPerConn: perConn, MaxEnded: kept, EndedRetention: time.Minute})
 		type model struct {
 			job     *Job
 			clients []Conn
@@ -66,7 +66,7 @@
 			case len(all) == 0:
 			case k < 7:
 				m := all[rng.IntN(len(all))]
-				s.Begin(m.job, rng.IntN(2) == 0)
+				s.SetRunning(m.job, rng.IntN(2) == 0)
 			case k < 9:
 				i := rng.IntN(len(all))
 				m := all[i]
@@ -92,7 +92,7 @@
 					want = append(want, m.job)
 					return true
 				})
-				if got := s.Leave(c); !slices.Equal(got, want) {
+				if got := s.Disconnect(c); !slices.Equal(got, want) {
 					t.Fatalf("step %d: %d abandoned, want %d", step, len(got), len(want))
 				}
 			}
@@ -121,7 +121,7 @@
 				t.Fatalf("%d ends kept", len(s.ended))
 			}
 			if n := len(ended); n > 0 {
-				if st := s.Status(now, ended[n-1]); st.Known && (st.Running || st.Num != "1") {
+				if st := s.Status(now, ended[n-1]); st.Known && (st.Running || st.Numerator != "1") {
 					t.Fatalf("ended: %+v", st)
 				}
 			}
@@ -153,7 +153,7 @@
 		}
 		failed := func(runs []*Run[int]) {
 			for _, r := range runs {
-				if !r.Over {
+				if !r.Abandoned {
 					set(r.Attempt, assigned, ended)
 				}
 			}
@@ -185,14 +185,14 @@
 				if next > 0 {
 					a := rng.IntN(next) + 1
 					st, known := state[a]
-					if dropped := w.Drop(a); dropped != (known && st == picked) {
+					if dropped := w.Unpick(a); dropped != (known && st == picked) {
 						t.Fatalf("dropped %v, state %d", dropped, st)
 					} else if dropped {
 						state[a] = never
 					}
 				}
 			case 5:
-				wake, f := w.Sleep(now)
+				wake, f := w.PreSleep(now)
 				failed(f)
 				waits := false
 				for _, s := range state {
@@ -202,14 +202,14 @@
 					t.Fatalf("seed %d: woken %v, picks wait %v", seed, wake, waits)
 				}
 			case 6, 7:
-				a, ok, f := w.Asks(now)
+				a, ok, f := w.Grab(now)
 				failed(f)
 				if asleep = false; ok {
 					set(a, picked, assigned)
 					if !w.Can(function[a]) {
 						t.Fatalf("seed %d: assigned what it can't do", seed)
 					}
-					w.Assigned(now, a, handle(a), function[a])
+					w.Assign(now, a, handle(a), function[a])
 				}
 			case 8, 9:
 				if next == 0 {
@@ -224,13 +224,13 @@
 					continue // a late word
 				}
 				if rng.IntN(4) == 0 {
-					r.Excepted = true
+					r.ExceptionReported = true
 					continue
 				}
-				if !r.Over {
+				if !r.Abandoned {
 					set(a, assigned, ended)
 				}
-				w.Ended(now, handle(a))
+				w.End(now, handle(a))
 			case 10:
 				late, overdue := w.Tick(now)
 				for _, a := range late {
@@ -239,7 +239,7 @@
 				for _, r := range overdue {
 					set(r.Attempt, assigned, ended)
 				}
-				if len(late) > 0 && w.Open() {
+				if len(late) > 0 && w.Available() {
 					t.Fatal("a silent worker may be picked")
 				}
 			}
@@ -249,7 +249,7 @@
 			set(a, picked, never)
 		}
 		for _, r := range lost {
-			if r.Over {
+			if r.Abandoned {
 				continue
 			}
 			set(r.Attempt, assigned, ended)
--- a/internal/gearman/state/worker.go
+++ b/internal/gearman/state/worker.go
@@ -19,7 +19,7 @@
 // A worker that is picked while it runs something is not woken: it asks when it is done. One that is free and does not ask
 // in time is silent: nobody is to send it anything until it says a word.
 type Worker[A comparable] struct {
-	Grab time.Duration // how long a free worker may take to ask for what is picked for it
+	GrabTimeout time.Duration // how long a free worker may take to ask for what is picked for it
 
 	functions map[string]time.Duration // what it can do, and within what time; 0 for any
 	ready     bool                     // it has slept or asked
@@ -38,25 +38,25 @@
 
 // Run is a job that was assigned.
 type Run[A comparable] struct {
-	Attempt  A
-	Handle   string
-	Function string
-	Deadline time.Duration // of CAN_DO_TIMEOUT; 0: none
-	Over     bool          // nobody waits for its end any more, but the worker is still at it
-	Excepted bool          // it has told of an exception, and a WORK_FAIL is to come
+	Attempt           A
+	Handle            string
+	Function          string
+	Deadline          time.Duration // of CAN_DO_TIMEOUT; 0: none
+	Abandoned         bool          // nobody waits for its end any more, but the worker is still at it
+	ExceptionReported bool          // it has told of an exception, and a WORK_FAIL is to come
 }
 
 // NewWorker returns a worker that has said nothing yet.
 func NewWorker[A comparable](grab time.Duration) *Worker[A] {
-	return &Worker[A]{Grab: grab, functions: map[string]time.Duration{}, runs: map[string]*Run[A]{}}
+	return &Worker[A]{GrabTimeout: grab, functions: map[string]time.Duration{}, runs: map[string]*Run[A]{}}
 }
 
 // Can says whether the worker can do a function, and Functions how many it can.
 func (w *Worker[A]) Can(function string) bool { _, ok := w.functions[function]; return ok }
-func (w *Worker[A]) Functions() int           { return len(w.functions) }
+func (w *Worker[A]) FunctionCount() int       { return len(w.functions) }
 
-// Names are its functions in order.
-func (w *Worker[A]) Names() []string {
+// FunctionNames are its functions in order.
+func (w *Worker[A]) FunctionNames() []string {
 	names := make([]string, 0, len(w.functions))
 	for f := range w.functions {
 		names = append(names, f)
@@ -68,14 +68,14 @@
 // Running is how many jobs it is at.
 func (w *Worker[A]) Running() int { return len(w.runs) }
 
-// Open says whether the worker may be picked: it has said that it is there, can do something, is not silent, and is not
+// Available says whether the worker may be picked: it has said that it is there, can do something, is not silent, and is not
 // still at a job that everybody else has given up.
-func (w *Worker[A]) Open() bool {
+func (w *Worker[A]) Available() bool {
 	if !w.ready || w.silent || len(w.functions) == 0 {
 		return false
 	}
 	for _, r := range w.runs {
-		if r.Over {
+		if r.Abandoned {
 			return false
 		}
 	}
@@ -112,8 +112,8 @@
 	return wake, true
 }
 
-// Drop takes a pick back. False: it was assigned, or was never picked.
-func (w *Worker[A]) Drop(a A) bool {
+// Unpick takes a pick back. False: it was assigned, or was never picked.
+func (w *Worker[A]) Unpick(a A) bool {
 	i := slices.IndexFunc(w.picks, func(p pick[A]) bool { return p.a == a })
 	if i >= 0 {
 		w.picks = slices.Delete(w.picks, i, i+1)
@@ -121,8 +121,8 @@
 	return i >= 0
 }
 
-// Sleep is PRE_SLEEP. Wake says that it is to be woken at once, as something is picked for it.
-func (w *Worker[A]) Sleep(now time.Duration) (wake bool, failed []*Run[A]) {
+// PreSleep is PRE_SLEEP. Wake says that it is to be woken at once, as something is picked for it.
+func (w *Worker[A]) PreSleep(now time.Duration) (wake bool, failed []*Run[A]) {
 	failed = w.said(now)
 	if len(w.picks) > 0 {
 		return true, failed
@@ -131,8 +131,8 @@
 	return false, failed
 }
 
-// Asks is GRAB_JOB: it takes out the next pick. False: there is none.
-func (w *Worker[A]) Asks(now time.Duration) (a A, ok bool, failed []*Run[A]) {
+// Grab is GRAB_JOB: it takes out the next pick. False: there is none.
+func (w *Worker[A]) Grab(now time.Duration) (a A, ok bool, failed []*Run[A]) {
 	failed = w.said(now)
 	w.asleep = false
 	if len(w.picks) == 0 {
@@ -148,7 +148,7 @@
 func (w *Worker[A]) said(now time.Duration) (failed []*Run[A]) {
 	w.ready, w.silent = true, false
 	for h, r := range w.runs {
-		if r.Excepted {
+		if r.ExceptionReported {
 			failed = append(failed, r)
 			w.end(now, h)
 		}
@@ -156,8 +156,8 @@
 	return failed
 }
 
-// Assigned notes that a job is written to the worker.
-func (w *Worker[A]) Assigned(now time.Duration, a A, handle, function string) *Run[A] {
+// Assign notes that a job is written to the worker.
+func (w *Worker[A]) Assign(now time.Duration, a A, handle, function string) *Run[A] {
 	r := &Run[A]{Attempt: a, Handle: handle, Function: function}
 	if within := w.functions[function]; within > 0 {
 		r.Deadline = now + within
@@ -169,8 +169,8 @@
 // Run is the job of a handle that the worker is at, or nil: it never had it, or has ended it.
 func (w *Worker[A]) Run(handle string) *Run[A] { return w.runs[handle] }
 
-// Ended is WORK_COMPLETE or WORK_FAIL.
-func (w *Worker[A]) Ended(now time.Duration, handle string) { w.end(now, handle) }
+// End is WORK_COMPLETE or WORK_FAIL.
+func (w *Worker[A]) End(now time.Duration, handle string) { w.end(now, handle) }
 
 func (w *Worker[A]) end(now time.Duration, handle string) {
 	delete(w.runs, handle)
@@ -181,12 +181,12 @@
 // silent. Overdue are jobs that are over their time; the worker is at them still.
 func (w *Worker[A]) Tick(now time.Duration) (late []A, overdue []*Run[A]) {
 	for _, r := range w.runs {
-		if r.Deadline > 0 && now >= r.Deadline && !r.Over {
-			r.Over = true
+		if r.Deadline > 0 && now >= r.Deadline && !r.Abandoned {
+			r.Abandoned = true
 			overdue = append(overdue, r)
 		}
 	}
-	if len(w.runs) > 0 || len(w.picks) == 0 || now-max(w.picks[0].at, w.freeAt) < w.Grab {
+	if len(w.runs) > 0 || len(w.picks) == 0 || now-max(w.picks[0].at, w.freeAt) < w.GrabTimeout {
 		return nil, overdue
 	}
 	for _, p := range w.picks {
--- a/internal/gearman/upgrade_test.go
+++ b/internal/gearman/upgrade_test.go
@@ -17,9 +17,9 @@
 		for range 200 {
 			c.say(packet.SubmitJob, warning, "", "x")
 		}
-		w.s.Enter(Leaving)
+		w.s.Enter(Draining)
 		w.s.HandOver()
-		w.s.Enter(Closing)
+		w.s.Enter(ListenersClosed)
 		synctest.Wait()
 		if !w.s.closed {
 			t.Error("it still listens")
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -36,8 +36,8 @@
 
 // Errors that callers tell apart.
 var (
-	ErrTooLarge  = &Error{413, "body too large"}
-	ErrHeadLarge = &Error{431, "head too large"}
+	ErrTooLarge     = &Error{413, "body too large"}
+	ErrHeadTooLarge = &Error{431, "head too large"}
 )
 
 // Field is one line of a head.
@@ -127,7 +127,7 @@
 	for {
 		part, err := r.ReadSlice('\n')
 		if *room -= len(part); *room < 0 {
-			return nil, ErrHeadLarge
+			return nil, ErrHeadTooLarge
 		}
 		r.line = append(r.line, part...)
 		if err == bufio.ErrBufferFull {
@@ -240,7 +240,7 @@
 			return bad("malformed field")
 		}
 		if len(h.Fields) == MaxFields {
-			return ErrHeadLarge
+			return ErrHeadTooLarge
 		}
 		h.Fields = append(h.Fields, Field{string(name), string(bytes.Trim(value, " \t"))})
 	}
--- a/internal/jsonval/append.go
+++ b/internal/jsonval/append.go
@@ -26,8 +26,8 @@
 	Value any // string, bool, int, int64, float64, []string, or []byte for what is JSON already
 }
 
-// Is returns a member.
-func Is(name string, value any) Member { return Member{name, value} }
+// NewMember returns a member.
+func NewMember(name string, value any) Member { return Member{name, value} }
 
 // AppendObject writes an object.
 func AppendObject(b []byte, members ...Member) []byte {
--- a/internal/jsonval/jsonval.go
+++ b/internal/jsonval/jsonval.go
@@ -130,8 +130,8 @@
 	return string(b)
 }
 
-// Flag returns true or false.
-func (o Object) Flag(key string) bool {
+// Bool returns true or false.
+func (o Object) Bool(key string) bool {
 	v := o.get(key)
 	if v == nil {
 		return false
@@ -157,8 +157,8 @@
 	return f
 }
 
-// Whole returns a whole number.
-func (o Object) Whole(key string) int64 {
+// Int64 returns a whole number.
+func (o Object) Int64(key string) int64 {
 	v := o.get(key)
 	if v == nil {
 		return 0
@@ -173,8 +173,8 @@
 	return n
 }
 
-// Span returns a time in nanoseconds.
-func (o Object) Span(key string) time.Duration { return time.Duration(o.Whole(key)) }
+// Duration returns a time in nanoseconds.
+func (o Object) Duration(key string) time.Duration { return time.Duration(o.Int64(key)) }
 
 // Floats returns the elements of a member, which must be numbers.
 func (o Object) Floats(key string) []float64 {
--- a/internal/jsonval/jsonval_test.go
+++ b/internal/jsonval/jsonval_test.go
@@ -13,8 +13,8 @@
 		t.Fatal(err)
 	}
 	a := o.Object("a")
-	if f := a.Floats("b"); len(f) != 2 || f[1] != 2.5 || a.Text("c") != "x\ny" || a.Has("d") || o.Whole("n") != 5e9 ||
-		!o.Flag("t") || o.Objects("l")[0].Whole("i") != 1 || o.Texts("s")[0] != "p" || o.Object("none").Text("x") != "" {
+	if f := a.Floats("b"); len(f) != 2 || f[1] != 2.5 || a.Text("c") != "x\ny" || a.Has("d") || o.Int64("n") != 5e9 ||
+		!o.Bool("t") || o.Objects("l")[0].Int64("i") != 1 || o.Texts("s")[0] != "p" || o.Object("none").Text("x") != "" {
 		t.Error("a value is not what it should be")
 	}
 	if o.Err() != nil {
@@ -41,8 +41,8 @@
 			t.Fatal(err)
 		}
 		o.Float("x")
-		o.Whole("y")
-		o.Object("z").Flag("f")
+		o.Int64("y")
+		o.Object("z").Bool("f")
 		o.Objects("l")
 		if err := o.Err(); err == nil || err.Error() != want {
 			t.Errorf("%s: error %v, want %s", text, err, want)
@@ -67,14 +67,14 @@
 			x = 1.5
 		}
 		n %= 1 << 53
-		b := AppendObject(nil, Is("t", text), Is("n", n), Is("x", x), Is("f", flag), Is("l", []string{text, "y"}), Is("r", []byte(`{"z":1}`)))
+		b := AppendObject(nil, NewMember("t", text), NewMember("n", n), NewMember("x", x), NewMember("f", flag), NewMember("l", []string{text, "y"}), NewMember("r", []byte(`{"z":1}`)))
 		o, err := new(Parser).Parse(b)
 		if err != nil {
 			t.Fatalf("%s: %v", b, err)
 		}
-		if l := o.Texts("l"); o.Text("t") != text || o.Whole("n") != n || !close(o.Float("x"), x) || o.Flag("f") != flag || len(l) != 2 || l[0] != text ||
-			o.Object("r").Whole("z") != 1 || o.Err() != nil {
-			t.Errorf("%s reads as %q %d %v %v, %v", b, o.Text("t"), o.Whole("n"), o.Float("x"), o.Flag("f"), o.Err())
+		if l := o.Texts("l"); o.Text("t") != text || o.Int64("n") != n || !close(o.Float("x"), x) || o.Bool("f") != flag || len(l) != 2 || l[0] != text ||
+			o.Object("r").Int64("z") != 1 || o.Err() != nil {
+			t.Errorf("%s reads as %q %d %v %v, %v", b, o.Text("t"), o.Int64("n"), o.Float("x"), o.Bool("f"), o.Err())
 		}
 	})
 }
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -164,14 +164,14 @@
 		l.SetDeadline(at)
 	}
 	defer l.SetDeadline(time.Time{})
-	if err := writeLine(l, jsonval.Is("op", "hello"), jsonval.Is("socket", p.socket)); err != nil {
+	if err := writeLine(l, jsonval.NewMember("op", "hello"), jsonval.NewMember("socket", p.socket)); err != nil {
 		return nil, err
 	}
 	o, err := readLine(l.r)
 	if err != nil {
 		return nil, err
 	}
-	s := &Snapshot{Ready: o.Flag("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
+	s := &Snapshot{Ready: o.Bool("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
 		State: State{Offline: o.Texts("offline"), Listed: o.Texts("listed")}}
 	return s, o.Err()
 }
@@ -184,7 +184,7 @@
 	if l == nil || !l.elder {
 		return nil
 	}
-	_, err := p.ask(jsonval.Is("op", "ready"), jsonval.Is("socket", p.socket))
+	_, err := p.ask(jsonval.NewMember("op", "ready"), jsonval.NewMember("socket", p.socket))
 	return err
 }
 
@@ -204,11 +204,11 @@
 
 // Callback hands a host's call to the other process.
 func (p *Peer) Callback(body []byte) (status int, known bool, err error) {
-	o, err := p.ask(jsonval.Is("op", "callback"), jsonval.Is("body", string(body)))
+	o, err := p.ask(jsonval.NewMember("op", "callback"), jsonval.NewMember("body", string(body)))
 	if err != nil {
 		return 0, false, err
 	}
-	return int(o.Whole("status")), o.Flag("known"), o.Err()
+	return int(o.Int64("status")), o.Bool("known"), o.Err()
 }
 
 // Pass hands a client's connection to the successor, with the record of the message that waits there. The record is made once the
@@ -233,7 +233,7 @@
 		return false, errNotNow
 	}
 	c.SetDeadline(time.Now().Add(p.helloWithin)) // from here on it must be known how it ends
-	line := append(jsonval.AppendObject(nil, jsonval.Is("op", "message"), jsonval.Is("record", string(body))), '\n')
+	line := append(jsonval.AppendObject(nil, jsonval.NewMember("op", "message"), jsonval.NewMember("record", string(body))), '\n')
 	var sent int
 	if held := rights.Control(func(fd uintptr) {
 		sent, _, err = c.(*net.UnixConn).WriteMsgUnix(line, syscall.UnixRights(int(fd)), nil)
@@ -252,7 +252,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return false, fmt.Errorf("handover: %w", err) // it answers while it lives
 	}
-	return err != nil || o.Flag("taken"), nil
+	return err != nil || o.Bool("taken"), nil
 }
 
 // errNotNow says that a message could not be let go of at this moment.
@@ -260,14 +260,14 @@
 
 // Offline has the other process carry out an operators' call.
 func (p *Peer) Offline(id string, out, sure bool) (known bool, err error) {
-	o, err := p.ask(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", out), jsonval.Is("sure", sure))
+	o, err := p.ask(jsonval.NewMember("op", "offline"), jsonval.NewMember("id", id), jsonval.NewMember("out", out), jsonval.NewMember("sure", sure))
 	if err != nil {
 		return false, err
 	}
-	if !o.Flag("done") {
+	if !o.Bool("done") {
 		return false, errors.New("handover: the other process did not apply it")
 	}
-	return o.Flag("known"), o.Err()
+	return o.Bool("known"), o.Err()
 }
 
 // call connects to the other process for one question, within askWithin for all of it.
@@ -441,8 +441,8 @@
 			p.watch(l)
 			return
 		}
-		if err := writeLine(c, jsonval.Is("ready", true), jsonval.Is("discovery", s.Discovery), jsonval.Is("list", s.List), jsonval.Is("learned", string(s.Learned)),
-			jsonval.Is("offline", s.Offline), jsonval.Is("listed", s.Listed)); err == nil {
+		if err := writeLine(c, jsonval.NewMember("ready", true), jsonval.NewMember("discovery", s.Discovery), jsonval.NewMember("list", s.List), jsonval.NewMember("learned", string(s.Learned)),
+			jsonval.NewMember("offline", s.Offline), jsonval.NewMember("listed", s.Listed)); err == nil {
 			c.SetDeadline(time.Time{})
 		}
 		defer time.AfterFunc(p.readyWithin, func() { p.overdue(l) }).Stop()
@@ -450,20 +450,20 @@
 		return
 	case "ready":
 		if p.taken(o.Text("socket")) {
-			reply = append(reply, jsonval.Is("done", true))
+			reply = append(reply, jsonval.NewMember("done", true))
 		}
 	case "callback":
 		status, known := p.Handler.Callback([]byte(o.Text("body")))
-		reply = append(reply, jsonval.Is("status", status), jsonval.Is("known", known))
+		reply = append(reply, jsonval.NewMember("status", status), jsonval.NewMember("known", known))
 	case "message":
 		taken := false
 		if client := came.take(); client != nil {
 			taken = p.Handler.Adopt([]byte(o.Text("record")), client)
 		}
-		reply = append(reply, jsonval.Is("taken", taken))
+		reply = append(reply, jsonval.NewMember("taken", taken))
 	case "offline":
-		known, err := p.Handler.Offline(asking, o.Text("id"), o.Flag("out"), o.Flag("sure"))
-		reply = append(reply, jsonval.Is("known", known), jsonval.Is("done", err == nil))
+		known, err := p.Handler.Offline(asking, o.Text("id"), o.Bool("out"), o.Bool("sure"))
+		reply = append(reply, jsonval.NewMember("known", known), jsonval.NewMember("done", err == nil))
 	}
 	writeLine(c, reply...)
 	p.drop(c)
--- a/internal/serve/handover/store.go
+++ b/internal/serve/handover/store.go
@@ -169,7 +169,7 @@
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	state := s.State()
-	text := jsonval.AppendObject(nil, jsonval.Is("offline", state.Offline), jsonval.Is("listed", state.Listed))
+	text := jsonval.AppendObject(nil, jsonval.NewMember("offline", state.Offline), jsonval.NewMember("listed", state.Listed))
 	return replace(s.path, text)
 }
 
--- a/internal/serve/inventory/list.go
+++ b/internal/serve/inventory/list.go
@@ -29,14 +29,14 @@
 	if err != nil {
 		return List{}, err
 	}
-	l := List{Revision: o.Whole("revision"), Complete: o.Flag("complete")}
+	l := List{Revision: o.Int64("revision"), Complete: o.Bool("complete")}
 	if !o.Has("members") {
 		o.Fail("members", "an array")
 	}
 	for _, m := range o.Objects("members") {
 		h := owner.Host{Name: m.Text("id"), Address: m.Text("host_port")}
 		h.Worker = balance.Worker{Zone: index(d.Zones, m.Text("locality")), Kind: index(d.Kinds, m.Text("flavor")),
-			Cell: int(m.Whole("cell")), Weight: m.Float("size"), Up: up(m.Whole("up_since_ms"))}
+			Cell: int(m.Int64("cell")), Weight: m.Float("size"), Up: up(m.Int64("up_since_ms"))}
 		switch m.Text("phase") {
 		case "SERVING":
 			h.Worker.State = balance.Ready
@@ -67,11 +67,11 @@
 		}
 		w := h.Worker
 		phase := [...]string{balance.Ready: "SERVING", balance.Draining: "DRAINING", balance.Removed: "DELETED"}[w.State]
-		members = jsonval.AppendObject(members, jsonval.Is("id", h.Name), jsonval.Is("host_port", h.Address),
-			jsonval.Is("locality", name(d.Zones, w.Zone)), jsonval.Is("flavor", name(d.Kinds, w.Kind)), jsonval.Is("cell", w.Cell),
-			jsonval.Is("phase", phase), jsonval.Is("size", w.Weight), jsonval.Is("up_since_ms", w.Up.Milliseconds()))
+		members = jsonval.AppendObject(members, jsonval.NewMember("id", h.Name), jsonval.NewMember("host_port", h.Address),
+			jsonval.NewMember("locality", name(d.Zones, w.Zone)), jsonval.NewMember("flavor", name(d.Kinds, w.Kind)), jsonval.NewMember("cell", w.Cell),
+			jsonval.NewMember("phase", phase), jsonval.NewMember("size", w.Weight), jsonval.NewMember("up_since_ms", w.Up.Milliseconds()))
 	}
-	return jsonval.AppendObject(nil, jsonval.Is("revision", l.Revision), jsonval.Is("complete", l.Complete), jsonval.Is("members", append(members, ']')))
+	return jsonval.AppendObject(nil, jsonval.NewMember("revision", l.Revision), jsonval.NewMember("complete", l.Complete), jsonval.NewMember("members", append(members, ']')))
 }
 
 // name is the reverse of index.
--- a/internal/settings/cuefile/cuefile.go
+++ b/internal/settings/cuefile/cuefile.go
@@ -37,11 +37,11 @@
 
 // Compile checks a text; name stands for it in errors.
 func Compile(name string, text []byte) (json []byte, err error) {
-	return CompileBy(schema, "#Settings", name, text)
+	return CompileWith(schema, "#Settings", name, text)
 }
 
-// CompileBy checks a text against a definition of another schema.
-func CompileBy(schema, definition, name string, text []byte) (json []byte, err error) {
+// CompileWith checks a text against a definition of another schema.
+func CompileWith(schema, definition, name string, text []byte) (json []byte, err error) {
 	ctx := cuecontext.New()
 	rules := ctx.CompileString(schema, cue.Filename("schema.cue"))
 	if err := rules.Err(); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -66,8 +66,8 @@
 	Workers   string              `json:"workers"`
 	Functions map[string]Function `json:"functions"`
 	Classes   map[string]Class    `json:"classes"`
-	Pools     []Group             `json:"pools"`
-	Cells     []Group             `json:"cells"`
+	Pools     []ClientGroup       `json:"pools"`
+	Cells     []ClientGroup       `json:"cells"`
 	Limits    Limits              `json:"limits"`
 	Timeouts  Timeouts            `json:"timeouts"`
 	Shutdown  bool                `json:"shutdown"`
@@ -89,13 +89,13 @@
 
 // DefaultFunction is what the schema fills in.
 func DefaultFunction() Function {
-	return Function{Patience: Duration(5 * time.Second), Background: Duration(time.Hour), Pools: []string{Workers, Hosts}, Priority: "packet"}
+	return Function{Patience: Duration(5 * time.Second), Background: Duration(time.Hour), Pools: []string{WorkerPool, HostPool}, Priority: "packet"}
 }
 
 // The pools that need no word in the settings.
 const (
-	Hosts   = "hosts"   // of the inventory
-	Workers = "workers" // that fit no other pool
+	HostPool   = "hosts"   // of the inventory
+	WorkerPool = "workers" // that fit no other pool
 )
 
 // Class is how the jobs of a class that come over HTTP reach workers.
@@ -104,14 +104,14 @@
 	Function string   `json:"function"`
 }
 
-// Group names those whose client id fits a pattern.
-type Group struct {
+// ClientGroup names those whose client id fits a pattern.
+type ClientGroup struct {
 	Name    string `json:"name"`
 	Clients string `json:"clients"`
 }
 
-// Fits says whether a client id is in the group.
-func (g Group) Fits(client string) bool {
+// Matches says whether a client id is in the group.
+func (g ClientGroup) Matches(client string) bool {
 	ok, err := path.Match(g.Clients, client)
 	return ok && err == nil
 }
@@ -174,7 +174,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if g := s.Gearman; g != nil {
-		for _, group := range append(append([]Group{}, g.Pools...), g.Cells...) {
+		for _, group := range append(append([]ClientGroup{}, g.Pools...), g.Cells...) {
 			if _, err := path.Match(group.Clients, ""); err != nil {
 				return nil, fmt.Errorf("settings: gearman: clients %q of %s: %w", group.Clients, group.Name, err)
 			}
--- a/internal/standin/gearman.go
+++ b/internal/standin/gearman.go
@@ -31,32 +31,32 @@
 	gmHeader      = 12
 )
 
-// Frame is one packet: its type's number and its body with the NULs in it.
-type Frame struct {
+// GearmanPacket is one packet: its type's number and its body with the NULs in it.
+type GearmanPacket struct {
 	Type int
 	Body []byte
 }
 
 // Args takes a body apart into at most n arguments.
-func (f Frame) Args(n int) [][]byte { return bytes.SplitN(f.Body, []byte{0}, n) }
+func (f GearmanPacket) Args(n int) [][]byte { return bytes.SplitN(f.Body, []byte{0}, n) }
 
-// Wire is one Gearman connection. Its writes are whole packets.
-type Wire struct {
+// GearmanConn is one Gearman connection. Its writes are whole packets.
+type GearmanConn struct {
 	net.Conn
 	mu sync.Mutex
 }
 
 // DialGearman connects to a server.
-func DialGearman(address string) (*Wire, error) {
+func DialGearman(address string) (*GearmanConn, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &Wire{Conn: c}, nil
+	return &GearmanConn{Conn: c}, nil
 }
 
-// Pack makes a packet with the magic of a client or worker.
-func Pack(kind int, args ...string) []byte {
+// NewGearmanPacket makes a packet with the magic of a client or worker.
+func NewGearmanPacket(kind int, args ...string) []byte {
 	body := []byte{}
 	for i, a := range args {
 		if i > 0 {
@@ -72,41 +72,41 @@
 }
 
 // Send writes a packet.
-func (w *Wire) Send(kind int, args ...string) error {
+func (w *GearmanConn) Send(kind int, args ...string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, err := w.Write(Pack(kind, args...))
+	_, err := w.Write(NewGearmanPacket(kind, args...))
 	return err
 }
 
 // Next reads a packet of the server's.
-func (w *Wire) Next() (Frame, error) {
+func (w *GearmanConn) Next() (GearmanPacket, error) {
 	var head [gmHeader]byte
 	if _, err := io.ReadFull(w.Conn, head[:]); err != nil {
-		return Frame{}, err
+		return GearmanPacket{}, err
 	}
 	size := binary.BigEndian.Uint32(head[8:])
 	if string(head[:4]) != "\x00RES" || size > gmMostSize {
-		return Frame{}, fmt.Errorf("not a packet of a server's: %x", head)
+		return GearmanPacket{}, fmt.Errorf("not a packet of a server's: %x", head)
 	}
-	f := Frame{int(binary.BigEndian.Uint32(head[4:])), make([]byte, size)}
+	f := GearmanPacket{int(binary.BigEndian.Uint32(head[4:])), make([]byte, size)}
 	_, err := io.ReadFull(w.Conn, f.Body)
 	return f, err
 }
 
 // GearmanWorkerConfig is what a stand-in worker is like.
 type GearmanWorkerConfig struct {
-	Address   string
-	Client    string // id; may be empty
-	Functions []string
-	Job       time.Duration
-	Result    func([]byte) []byte
-	Ledger    *Ledger
+	Address     string
+	Client      string // id; may be empty
+	Functions   []string
+	JobDuration time.Duration
+	Result      func([]byte) []byte
+	Ledger      *Ledger
 	// ID finds in a job's data by what name the ledger knows it.
 	ID func(data []byte) string
-	// Drop says of each job whether the worker is to drop its connection while it is at it; may be nil.
-	Drop func(id string) bool
-	Grab int // the kind of GRAB_JOB; 0 for GRAB_JOB_UNIQ
+	// DropConnection says of each job whether the worker is to drop its connection while it is at it; may be nil.
+	DropConnection func(id string) bool
+	GrabType       int // the kind of GRAB_JOB; 0 for GRAB_JOB_UNIQ
 }
 
 // GearmanWorker runs jobs one after another, as the common libraries do: GRAB_JOB, and PRE_SLEEP where there is none. Where
@@ -114,15 +114,15 @@
 type GearmanWorker struct {
 	GearmanWorkerConfig
 	mu     sync.Mutex
-	wire   *Wire
+	wire   *GearmanConn
 	closed bool
 	done   chan struct{}
 }
 
 // StartGearmanWorker starts a worker.
 func StartGearmanWorker(c GearmanWorkerConfig) *GearmanWorker {
-	if c.Grab == 0 {
-		c.Grab = gmGrabUniq
+	if c.GrabType == 0 {
+		c.GrabType = gmGrabUniq
 	}
 	w := &GearmanWorker{GearmanWorkerConfig: c, done: make(chan struct{})}
 	go func() {
@@ -176,7 +176,7 @@
 	for _, f := range w.Functions {
 		w.wire.Send(gmCanDo, f)
 	}
-	for w.wire.Send(w.Grab) == nil {
+	for w.wire.Send(w.GrabType) == nil {
 		f, err := w.wire.Next()
 		if err != nil {
 			return
@@ -202,12 +202,12 @@
 				id = w.ID(data)
 			}
 			if w.Ledger != nil {
-				w.Ledger.Ran(id, Run{Host: w.Client, Cell: -1})
+				w.Ledger.Record(id, Run{Host: w.Client, Cell: -1})
 			}
-			if w.Job > 0 {
-				time.Sleep(w.Job)
+			if w.JobDuration > 0 {
+				time.Sleep(w.JobDuration)
 			}
-			if w.Drop != nil && w.Drop(id) {
+			if w.DropConnection != nil && w.DropConnection(id) {
 				return
 			}
 			result := data
@@ -223,7 +223,7 @@
 
 // GearmanClient hands in jobs over one connection and waits for them in any order. It is safe for concurrent use.
 type GearmanClient struct {
-	wire    *Wire
+	wire    *GearmanConn
 	mu      sync.Mutex
 	asked   []chan Outcome // that wait for JOB_CREATED, in order
 	waiting map[string][]chan Outcome
@@ -260,7 +260,7 @@
 		return Outcome{}
 	}
 	c.asked = append(c.asked, end)
-	_, err := c.wire.Write(Pack(gmSubmit, function, unique, string(data)))
+	_, err := c.wire.Write(NewGearmanPacket(gmSubmit, function, unique, string(data)))
 	c.mu.Unlock()
 	if err != nil {
 		c.wire.Close()
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -16,21 +16,21 @@
 
 // HostConfig is what a stand-in host is like.
 type HostConfig struct {
-	Name   string
-	Zone   string
-	Kind   string
-	Cell   int
-	Slots  int                             // jobs that run side by side
-	Queue  int                             // jobs that may wait for a slot; one more is turned away unseen
-	Job    time.Duration                   // how long a job runs
-	JobOf  func(body []byte) time.Duration // the same by its data, if it is set
-	Until  <-chan struct{}                 // jobs run until it is closed, if it is set
-	Size   float64                         // as discovery lists it; 0 for 1
-	Result func(body []byte) []byte
-	ID     func(body []byte) string // finds the ledger's name of a job; nil for its id
-	Starts bool                     // it tells of starts
-	Ledger *Ledger
-	Took   func() // told of each job that is handed in, if it is set; must not block
+	Name          string
+	Zone          string
+	Kind          string
+	Cell          int
+	Slots         int                             // jobs that run side by side
+	Queue         int                             // jobs that may wait for a slot; one more is turned away unseen
+	JobDuration   time.Duration                   // how long a job runs
+	JobDurationOf func(body []byte) time.Duration // the same by its data, if it is set
+	BlockUntil    <-chan struct{}                 // jobs run until it is closed, if it is set
+	Size          float64                         // as discovery lists it; 0 for 1
+	Result        func(body []byte) []byte
+	ID            func(body []byte) string // finds the ledger's name of a job; nil for its id
+	ReportsStarts bool                     // it tells of starts
+	Ledger        *Ledger
+	Accepted      func() // told of each job that is handed in, if it is set; must not block
 	// Dispatcher is where clients connect and where call-backs go.
 	Dispatcher string
 	// Callbacks carries call-backs; nil for a client of the host's own.
@@ -126,8 +126,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if h.Took != nil {
-		h.Took()
+	if h.Accepted != nil {
+		h.Accepted()
 	}
 	ctx, stop := context.WithCancel(h.ctx)
 	h.mu.Lock()
@@ -160,24 +160,24 @@
 		if h.ID != nil {
 			name = h.ID(body)
 		}
-		h.Ledger.Ran(name, Run{h.Name, h.Cell})
+		h.Ledger.Record(name, Run{h.Name, h.Cell})
 	}
-	if h.Starts {
+	if h.ReportsStarts {
 		h.jobs.Go(func() { h.tell(id, "started", nil) })
 	}
-	job := h.Job
-	if h.JobOf != nil {
-		job = h.JobOf(body)
+	job := h.JobDuration
+	if h.JobDurationOf != nil {
+		job = h.JobDurationOf(body)
 	}
 	begun := time.Now()
 	defer func() { h.busy.Add(int64(time.Since(begun))) }()
 	ends := time.After(job)
-	if h.Until != nil {
+	if h.BlockUntil != nil {
 		ends = nil
 	}
 	select {
 	case <-ends:
-	case <-h.Until:
+	case <-h.BlockUntil:
 	case <-ctx.Done():
 		h.tell(id, "lost", nil)
 		return
@@ -204,7 +204,7 @@
 		return
 	}
 	defer func() { <-h.slots }()
-	time.Sleep(h.Job)
+	time.Sleep(h.JobDuration)
 	w.Write(h.result(body))
 }
 
@@ -241,8 +241,8 @@
 	}
 }
 
-// Filled returns a maker of results of so many bytes.
-func Filled(n int) func([]byte) []byte {
+// FixedResult returns a maker of results of so many bytes.
+func FixedResult(n int) func([]byte) []byte {
 	text := []byte(strings.Repeat("0123456789abcdef", n/16+1)[:n])
 	return func([]byte) []byte { return text }
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -19,8 +19,8 @@
 	all  int
 }
 
-// Ran notes that a job was begun.
-func (l *Ledger) Ran(id string, r Run) {
+// Record notes that a job was begun.
+func (l *Ledger) Record(id string, r Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs == nil {
@@ -37,8 +37,8 @@
 	return append([]Run(nil), l.runs[id]...)
 }
 
-// All is how often any job was begun.
-func (l *Ledger) All() int {
+// Total is how often any job was begun.
+func (l *Ledger) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -58,7 +58,7 @@
 
 // Send writes TRANSMIT.
 func (p Port) Send(job balance.JobID, worker balance.WorkerID, timeout time.Duration) {
-	p.Reply.start(AcSend, p.Instance)
+	p.Reply.start(ActionSend, p.Instance)
 	p.Reply.u64(uint64(job))
 	p.Reply.u32(uint32(worker))
 	p.Reply.u64(uint64(timeout))
@@ -66,60 +66,60 @@
 
 // Refuse writes BOUNCE.
 func (p Port) Refuse(job balance.JobID, wait time.Duration) {
-	p.Reply.start(AcRefuse, p.Instance)
+	p.Reply.start(ActionRefuse, p.Instance)
 	p.Reply.u64(uint64(job))
 	p.Reply.u64(uint64(wait))
 }
 
 // Fail writes DROP_REQUEST.
 func (p Port) Fail(job balance.JobID) {
-	p.Reply.start(AcFail, p.Instance)
+	p.Reply.start(ActionFail, p.Instance)
 	p.Reply.u64(uint64(job))
 }
 
 // Cancel writes ABORT_ATTEMPT.
 func (p Port) Cancel(job balance.JobID, attempt int) {
-	p.Reply.start(AcCancel, p.Instance)
+	p.Reply.start(ActionCancel, p.Instance)
 	p.Reply.u64(uint64(job))
 	p.Reply.buf = append(p.Reply.buf, byte(attempt))
 }
 
 // Probe writes ASK_LOAD.
 func (p Port) Probe(worker balance.WorkerID) {
-	p.Reply.start(AcProbe, p.Instance)
+	p.Reply.start(ActionProbe, p.Instance)
 	p.Reply.u32(uint32(worker))
 }
 
 // Timer writes WAKE_ME.
 func (p Port) Timer(after time.Duration, token uint64) {
-	p.Reply.start(AcTimer, p.Instance)
+	p.Reply.start(ActionTimer, p.Instance)
 	p.Reply.u64(uint64(after))
 	p.Reply.u64(token)
 }
 
 // Watch writes STREAM_CHANGES, turned on.
 func (p Port) Watch() {
-	p.Reply.start(AcWatch, p.Instance)
+	p.Reply.start(ActionWatch, p.Instance)
 	p.Reply.buf = append(p.Reply.buf, 1)
 }
 
 // Unwatch writes STREAM_CHANGES, turned off.
 func (p Port) Unwatch() {
-	p.Reply.start(AcWatch, p.Instance)
+	p.Reply.start(ActionWatch, p.Instance)
 	p.Reply.buf = append(p.Reply.buf, 0)
 }
 
 // Fetch writes FETCH.
-func (p Port) Fetch() { p.Reply.start(AcFetch, p.Instance) }
+func (p Port) Fetch() { p.Reply.start(ActionFetch, p.Instance) }
 
 // CloseIdle writes DROP_CONNS.
 func (p Port) CloseIdle(worker balance.WorkerID) {
-	p.Reply.start(AcClose, p.Instance)
+	p.Reply.start(ActionCloseIdle, p.Instance)
 	p.Reply.u32(uint32(worker))
 }
 
 // Log writes SAY_LOG.
-func (p Port) Log(line string) { p.Reply.text(AcLog, p.Instance, line) }
+func (p Port) Log(line string) { p.Reply.text(ActionLog, p.Instance, line) }
 
 // Fault writes BUG.
-func (p Port) Fault(text string) { p.Reply.text(AcFault, p.Instance, text) }
+func (p Port) Fault(text string) { p.Reply.text(ActionFault, p.Instance, text) }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,33 +14,33 @@
 
 // Codes of events.
 const (
-	EvPeer     = 1000
-	EvUp       = 1010
-	EvTimer    = 1020
-	EvRegistry = 1030
-	EvNote     = 1040
-	EvProbed   = 1050
-	EvOutcome  = 1060
-	EvJob      = 1070
-	EvList     = 1080
-	EvStop     = 1090
-	EvLeft     = 1100
-	EvAccepted = 1110
+	EventPeer        = 1000
+	EventStart       = 1010
+	EventTimer       = 1020
+	EventRegistry    = 1030
+	EventNote        = 1040
+	EventProbeResult = 1050
+	EventOutcome     = 1060
+	EventJob         = 1070
+	EventList        = 1080
+	EventStop        = 1090
+	EventClientLeft  = 1100
+	EventAccepted    = 1110
 )
 
 // Codes of actions.
 const (
-	AcCancel = 1000
-	AcWatch  = 1010
-	AcFetch  = 1020
-	AcFail   = 1030
-	AcRefuse = 1040
-	AcSend   = 1050
-	AcClose  = 1060
-	AcLog    = 1070
-	AcFault  = 1080
-	AcProbe  = 1100
-	AcTimer  = 1110
+	ActionCancel    = 1000
+	ActionWatch     = 1010
+	ActionFetch     = 1020
+	ActionFail      = 1030
+	ActionRefuse    = 1040
+	ActionSend      = 1050
+	ActionCloseIdle = 1060
+	ActionLog       = 1070
+	ActionFault     = 1080
+	ActionProbe     = 1100
+	ActionTimer     = 1110
 )
 
 // Event is one decoded record; the fields used depend on its code. Slices are valid until the next batch is read.
@@ -194,20 +194,20 @@
 func (d *Reader) record(c *cursor) (Event, error) {
 	code := int(c.u16())
 	ev := Event{Code: code}
-	if code != EvList {
+	if code != EventList {
 		ev.Instance = c.u32()
 	}
 	o := &ev.Outcome
 	switch code {
-	case EvPeer:
+	case EventPeer:
 		ev.Sheet = uint32(c.u16())
 		ev.Data = c.bytes(int(c.u16()))
-	case EvUp:
+	case EventStart:
 		ev.Seed = c.u64()
 		ev.Data = c.bytes(int(c.u32()))
-	case EvTimer:
+	case EventTimer:
 		ev.Seed = c.u64()
-	case EvRegistry:
+	case EventRegistry:
 		switch form := c.u8(); form {
 		case 0:
 			ev.Form = balance.ListFull
@@ -222,16 +222,16 @@
 		}
 		c.u32()
 		ev.Sheet = c.u32()
-	case EvNote:
+	case EventNote:
 		o.Job, o.Attempt = balance.JobID(c.u64()), int(c.u8())
 		o.Worker = balance.WorkerID(c.u32())
 		ev.Note, ev.Amount = int(c.u8()), c.f32()
-	case EvProbed:
+	case EventProbeResult:
 		o.Worker = balance.WorkerID(c.u32())
 		o.Status = balance.Status(c.u16())
 		o.Took = time.Duration(c.u64())
 		o.Report = d.load(c)
-	case EvOutcome:
+	case EventOutcome:
 		o.Job, o.Attempt = balance.JobID(c.u64()), int(c.u8())
 		o.Took = time.Duration(c.u64())
 		c.u32()
@@ -239,7 +239,7 @@
 		o.Worker = balance.WorkerID(c.u32())
 		o.Closed = c.u8() != 0
 		o.Report = d.load(c)
-	case EvJob:
+	case EventJob:
 		j := &ev.Job
 		j.ID, j.Class, j.Tenant = balance.JobID(c.u64()), int(c.u8()), int(c.u16())
 		c.u64()
@@ -250,7 +250,7 @@
 			j.Hint = 0
 		}
 		j.Again = flags&2 != 0
-	case EvList:
+	case EventList:
 		ev.Sheet = c.u32()
 		n := int(c.u32())
 		if n > len(c.b)/22 {
@@ -273,10 +273,10 @@
 			w.Weight, w.Kind, w.Cell = c.f32(), int(c.u16()), int(c.u16())
 			w.Up = time.Duration(c.u64())
 		}
-	case EvStop:
-	case EvLeft:
+	case EventStop:
+	case EventClientLeft:
 		o.Job = balance.JobID(c.u64())
-	case EvAccepted:
+	case EventAccepted:
 		o.Job, o.Attempt = balance.JobID(c.u64()), int(c.u8())
 		o.Worker, o.Took = balance.WorkerID(c.u32()), time.Duration(c.u64())
 	default:
--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -71,7 +71,7 @@
 			return nil, fmt.Errorf("scenario: %w", err)
 		}
 	}
-	plain, err := cuefile.CompileBy(scenarioSchema, "#Scenario", name, text)
+	plain, err := cuefile.CompileWith(scenarioSchema, "#Scenario", name, text)
 	if err != nil {
 		return nil, err
 	}
@@ -244,7 +244,7 @@
 		if m.world, err = StartWorld(WorldConfig{Hosts: 3, Slots: slots, Queue: 8, Job: job, Links: true, Listen: k.at(i, 8443), Each: func(_ int, h *standin.HostConfig) {
 			judge := &hostJudge{rules: rulesOfClusters(slots)}
 			m.hosts = append(m.hosts, judge)
-			h.Took = func() { judge.took(time.Since(k.began), job) }
+			h.Accepted = func() { judge.took(time.Since(k.began), job) }
 		}}); err != nil {
 			return err
 		}
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -52,7 +52,7 @@
 	fmt.Fprintf(c.Out, "  bash -c 'exec 3<>/dev/tcp/%s; echo status >&3; sed /^[.]/q <&3'\n", strings.Replace(w.address, ":", "/", 1))
 	fmt.Fprintln(c.Out, "Ctrl-C ends it.")
 
-	load := StartLoad(ctx, LoadConfig{Address: w.Listen, Clients: c.Clients, Body: standin.Filled(200)(nil), Patience: 5 * time.Second,
+	load := StartLoad(ctx, LoadConfig{Address: w.Listen, Clients: c.Clients, Body: standin.FixedResult(200)(nil), Patience: 5 * time.Second,
 		Pause: 30 * time.Millisecond, Seed: 1, Done: func(id, _ string, _ int) { w.Ledger.Forget(id) }})
 	defer load.Stop()
 	var served, other atomic.Int64
--- a/lab/gearman.go
+++ b/lab/gearman.go
@@ -126,7 +126,7 @@
 }
 
 func (c GearmanConfig) world(ctx context.Context, routes string, job time.Duration, drop func(string) bool) (*gearmanWorld, error) {
-	world, err := StartWorld(WorldConfig{Hosts: c.Hosts, Slots: 4, Queue: 8, Job: job, Result: standin.Filled(16), ID: head})
+	world, err := StartWorld(WorldConfig{Hosts: c.Hosts, Slots: 4, Queue: 8, Job: job, Result: standin.FixedResult(16), ID: head})
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 	}
 	for i := range c.Workers {
 		w.workers = append(w.workers, standin.StartGearmanWorker(standin.GearmanWorkerConfig{Address: w.address, Client: fmt.Sprint("station-", i/2),
-			Functions: classNames[:], Job: job, Result: standin.Filled(16), Ledger: &world.Ledger, ID: head, Drop: drop}))
+			Functions: classNames[:], JobDuration: job, Result: standin.FixedResult(16), Ledger: &world.Ledger, ID: head, DropConnection: drop}))
 	}
 	time.Sleep(300 * time.Millisecond) // until they are listed; nothing is measured yet
 	return w, nil
@@ -309,7 +309,7 @@
 	defer w.close()
 	transport := &http.Transport{MaxIdleConnsPerHost: c.Clients}
 	defer transport.CloseIdleConnections()
-	data := standin.Filled(200)(nil)
+	data := standin.FixedResult(200)(nil)
 	for _, pair := range []struct{ name, front, class string }{
 		{"http->http", "http", "send-warning"}, {"http->gearman", "http", "gauge-reading"},
 		{"gearman->http", "gearman", "send-warning"}, {"gearman->gearman", "gearman", "gauge-reading"},
@@ -439,7 +439,7 @@
 		}
 		accepted <- n
 	}()
-	data := string(standin.Filled(1024)(nil))
+	data := string(standin.FixedResult(1024)(nil))
 	for range c.Queued { // nobody runs warnings here: all wait
 		if err := client.Send(18, "send-warning", "", data); err != nil {
 			return fmt.Errorf("submission: %w", err)
--- a/lab/overhead.go
+++ b/lab/overhead.go
@@ -96,7 +96,7 @@
 	m = Measured{Program: "liftgauge", MemoryMB: mb, Body: body}
 	result := func(b []byte) []byte { return b }
 	if c.Result >= 0 {
-		result = standin.Filled(c.Result)
+		result = standin.FixedResult(c.Result)
 	}
 	world, err := StartWorld(WorldConfig{Hosts: c.Hosts, Slots: 64, Queue: 64, Job: c.Job, Result: result})
 	if err != nil {
@@ -140,7 +140,7 @@
 	if err != nil {
 		return m, err
 	}
-	load := StartLoad(ctx, LoadConfig{Address: world.Listen, Path: path, Clients: c.Clients, Body: standin.Filled(body)(nil),
+	load := StartLoad(ctx, LoadConfig{Address: world.Listen, Path: path, Clients: c.Clients, Body: standin.FixedResult(body)(nil),
 		Patience: c.Patience, Seed: 1, Done: func(id, _ string, _ int) { world.Ledger.Forget(id) }})
 	defer load.Stop()
 	wait := func(d time.Duration) error {
--- a/lab/upgrade_test.go
+++ b/lab/upgrade_test.go
@@ -19,7 +19,7 @@
 	const jobs, hosts = 200, 16
 	release := make(chan struct{})
 	// Their queues turn nobody away: how many attempts a job has had would hang on how fast the machine is.
-	w, err := StartWorld(WorldConfig{Hosts: hosts, Slots: 3, Queue: jobs, Each: func(_ int, h *standin.HostConfig) { h.Until = release }})
+	w, err := StartWorld(WorldConfig{Hosts: hosts, Slots: 3, Queue: jobs, Each: func(_ int, h *standin.HostConfig) { h.BlockUntil = release }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/verify.go
+++ b/lab/verify.go
@@ -218,10 +218,10 @@
 
 // loopback plays the jobs with stand-in boxes and the real daemon. Times count from when a job was to be sent.
 func (c VerifyConfig) loopback(ctx context.Context, w *sim.World) (f Figures, late float64, err error) {
-	world, err := StartWorld(WorldConfig{Hosts: len(w.Boxes), Result: standin.Filled(16), ID: head, Each: func(i int, h *standin.HostConfig) {
+	world, err := StartWorld(WorldConfig{Hosts: len(w.Boxes), Result: standin.FixedResult(16), ID: head, Each: func(i int, h *standin.HostConfig) {
 		k := w.Kinds[w.Boxes[i].Kind]
 		h.Kind, h.Slots, h.Queue, h.Size, h.Cell = k.Name, k.Slots, k.Queue, k.Speed*float64(k.Cores), w.Boxes[i].Cell
-		h.JobOf = func(body []byte) time.Duration {
+		h.JobDurationOf = func(body []byte) time.Duration {
 			_, text, _ := bytes.Cut(body, []byte{' '})
 			us, _ := strconv.ParseFloat(string(text), 64)
 			return time.Duration(us / k.Speed * float64(time.Microsecond))
--- a/lab/world.go
+++ b/lab/world.go
@@ -66,7 +66,7 @@
 // Add starts one more host and lists it.
 func (w *World) Add(c WorldConfig, name string, i int) (*standin.Host, error) {
 	like := standin.HostConfig{Name: name, Zone: Zones[0], Kind: Kinds[0], Cell: i / 4, Slots: c.Slots, Queue: c.Queue,
-		Job: c.Job, Result: c.Result, Starts: true, Ledger: &w.Ledger, ID: c.ID, Dispatcher: w.Listen, Callbacks: &http.Client{Transport: w.callbacks}}
+		JobDuration: c.Job, Result: c.Result, ReportsStarts: true, Ledger: &w.Ledger, ID: c.ID, Dispatcher: w.Listen, Callbacks: &http.Client{Transport: w.callbacks}}
 	if c.Each != nil {
 		c.Each(i, &like)
 	}
--- a/plan/captured.go
+++ b/plan/captured.go
@@ -149,7 +149,7 @@
 		class := name(h.Classes, r.Class)
 		c, fit := slices.Index(classes, class), fits[class]
 		station := max(slices.Index(stations, name(h.Zones, r.Zone)), 0)
-		if c < 0 || r.Again {
+		if c < 0 || r.Retry {
 			fit.Skipped++
 			continue
 		}
@@ -164,7 +164,7 @@
 			w = time.Duration(f.Classes[class].Work.Mean).Seconds()
 		}
 		all = append(all, sim.Arrival{At: time.Duration(r.Arrived - records[0].Arrived), Class: c, Station: station, Work: w,
-			Hint: time.Duration(r.Hint), Left: time.Duration(r.Patience)})
+			Hint: time.Duration(r.Hint), Left: time.Duration(r.Timeout)})
 	}
 	if len(all) == 0 {
 		return nil, nil, fmt.Errorf("none of the %d records is of a class that the fleet has", len(records))
--- a/plan/fleet.go
+++ b/plan/fleet.go
@@ -151,7 +151,7 @@
 
 // Parse reads a fleet; name stands for its file in errors.
 func Parse(name string, text []byte, fits bool) (*Fleet, error) {
-	out, err := cuefile.CompileBy(schema, "#Fleet", name, text)
+	out, err := cuefile.CompileWith(schema, "#Fleet", name, text)
 	if err != nil {
 		return nil, err
 	}
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -222,7 +222,7 @@
 	h := capture.Header{Classes: []string{"reading", "warning", "gone"}, Zones: []string{"a", "b"}, Kinds: []string{"slow", "fast"}}
 	var records []capture.Record
 	for i := range 600 {
-		r := capture.Record{Arrived: int64(i) * 5e7, Class: i % 3, Zone: i % 2, Patience: 5e9, Again: i%60 == 1, End: capture.Served}
+		r := capture.Record{Arrived: int64(i) * 5e7, Class: i % 3, Zone: i % 2, Timeout: 5e9, Retry: i%60 == 1, Outcome: capture.Served}
 		if i%2 == 0 { // half are known to have run, on the slow kind: 0.7 of their time is their work
 			r.Attempts = []capture.Attempt{{Kind: 0, Sent: 0, Began: 1e6, Ended: 1e6 + 1e8, Status: 1, Age: -1}}
 		}
@@ -265,7 +265,7 @@
 	var whole, half []capture.Record
 	rng := sim.Stream(9, "drops")
 	for i := range 4000 {
-		r := capture.Record{Arrived: int64(i) * 1e7, Class: i % 2, Patience: 5e9, Hint: 1e8}
+		r := capture.Record{Arrived: int64(i) * 1e7, Class: i % 2, Timeout: 5e9, Hint: 1e8}
 		if whole = append(whole, r); rng.IntN(2) == 0 {
 			half = append(half, r)
 		}
@@ -319,7 +319,7 @@
 			age = 5e8
 			run /= 0.3 + 0.7*0.5/8
 		}
-		records = append(records, capture.Record{Arrived: int64(i) * 1e7, Class: i % 2, Patience: 5e9, End: capture.Served,
+		records = append(records, capture.Record{Arrived: int64(i) * 1e7, Class: i % 2, Timeout: 5e9, Outcome: capture.Served,
 			Attempts: []capture.Attempt{{Kind: kind, Began: 1, Ended: 1 + int64(run*1e9), Status: 1, Age: age}}})
 	}
 	f, err := Parse("f.cue", []byte(strings.Replace(base, ", speed: 0.7", "", 1)), true)
--- a/route/route.go
+++ b/route/route.go
@@ -96,7 +96,7 @@
 		return t, nil
 	}
 	t.gearman = *gearman
-	knownPools := map[string]bool{settings.Hosts: true, settings.Workers: true}
+	knownPools := map[string]bool{settings.HostPool: true, settings.WorkerPool: true}
 	for _, p := range gearman.Pools {
 		knownPools[p.Name] = true
 	}
@@ -117,7 +117,7 @@
 	}
 	for lane, name := range slices.Sorted(maps.Keys(functions)) {
 		s := functions[name]
-		f := &Function{Name: name, Class: s.Class, MaxQueue: s.MaxQueue, settings: s, hosts: slices.Contains(s.Pools, settings.Hosts)}
+		f := &Function{Name: name, Class: s.Class, MaxQueue: s.MaxQueue, settings: s, hosts: slices.Contains(s.Pools, settings.HostPool)}
 		if f.Class == "" {
 			f.Class = name
 		}
@@ -163,7 +163,7 @@
 			f = name
 		}
 		t.workerFunctions = append(t.workerFunctions, f)
-		if c := t.classSettings(name); slices.ContainsFunc(c.Pools, func(p string) bool { return p != settings.Hosts }) {
+		if c := t.classSettings(name); slices.ContainsFunc(c.Pools, func(p string) bool { return p != settings.HostPool }) {
 			// Jobs of this class no longer run on the same workers as those of other classes.
 			t.classes[i].Lane = len(t.ordered) + 1 + i
 		}
@@ -175,7 +175,7 @@
 func (t *Table) classSettings(name string) settings.Class {
 	c, ok := t.gearman.Classes[name]
 	if !ok || len(c.Pools) == 0 {
-		c.Pools = []string{settings.Hosts}
+		c.Pools = []string{settings.HostPool}
 	}
 	return c
 }
@@ -218,7 +218,7 @@
 	if len(t.ordered) == 0 {
 		return nil
 	}
-	return t.runnable(settings.Hosts, func(string) bool { return true }, func(class int) bool {
+	return t.runnable(settings.HostPool, func(string) bool { return true }, func(class int) bool {
 		k := t.classes[class].Kind
 		return k < 0 || k == kind
 	})
@@ -232,16 +232,16 @@
 // Pool returns the name of the pool to which a client id belongs.
 func (t *Table) Pool(client string) string {
 	for _, p := range t.gearman.Pools {
-		if p.Fits(client) {
+		if p.Matches(client) {
 			return p.Name
 		}
 	}
-	return settings.Workers
+	return settings.WorkerPool
 }
 
 // Kind returns the number of the pool to which a client id belongs: 0 for the default one.
 func (t *Table) Kind(client string) int {
-	return slices.IndexFunc(t.gearman.Pools, func(p settings.Group) bool { return p.Fits(client) }) + 1
+	return slices.IndexFunc(t.gearman.Pools, func(p settings.ClientGroup) bool { return p.Matches(client) }) + 1
 }
 
 // Cell returns the number of the cell in which a worker drops repeats, from its client id, so that it stays the same
@@ -249,7 +249,7 @@
 func (t *Table) Cell(client string, uniqueID uint64) int {
 	const cells, clients = 1 << 32, 1 << 33 // the cell numbers of the inventory are far below
 	for i, c := range t.gearman.Cells {
-		if c.Fits(client) {
+		if c.Matches(client) {
 			return cells + i
 		}
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -74,8 +74,8 @@
 			"siren": function(func(f *settings.Function) { f.Class, f.CostPerKiB, f.CostField = "send-warning", 1024, "us" }),
 		},
 		Classes: map[string]settings.Class{"gauge-reading": {Pools: []string{"hosts", "wet"}, Function: "rain"}},
-		Pools:   []settings.Group{{Name: "wet", Clients: "rain-*"}},
-		Cells:   []settings.Group{{Name: "north", Clients: "rain-n*"}},
+		Pools:   []settings.ClientGroup{{Name: "wet", Clients: "rain-*"}},
+		Cells:   []settings.ClientGroup{{Name: "north", Clients: "rain-n*"}},
 	}
 	table, err := New(names, classes, g)
 	if err != nil {
--- a/sim/site/site.go
+++ b/sim/site/site.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out, err := cuefile.CompileBy(string(schema), "#Site", name, text)
+	out, err := cuefile.CompileWith(string(schema), "#Site", name, text)
 	if err != nil {
 		return nil, err
 	}
