--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -63,7 +63,7 @@
 	}()
 	switch ev.Code {
 	case wire.EventList:
-		h.sheets[ev.Sheet] = ev.Entries
+		h.sheets[ev.ListID] = ev.Entries
 		return nil
 	case wire.EventStart:
 		settings, err := config.ParseSettings(ev.Data)
@@ -87,7 +87,7 @@
 	case wire.EventTimer:
 		d.Timer(b.Now, ev.Seed)
 	case wire.EventRegistry:
-		d.List(b.Now, ev.Form, h.sheets[ev.Sheet])
+		d.List(b.Now, ev.ListKind, h.sheets[ev.ListID])
 	case wire.EventNote:
 		if ev.Note == 1 {
 			d.Started(b.Now, o.Job, o.Attempt)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -53,8 +53,8 @@
 	Data     []byte          // settings or a peer's message
 	Note     int
 	Amount   float64
-	Form     balance.ListKind
-	Sheet    uint32 // of a list, or the sender of a message
+	ListKind balance.ListKind
+	ListID   uint32 // of a list, or the sender of a message
 	Entries  []balance.Worker
 }
 
@@ -200,7 +200,7 @@
 	o := &ev.Outcome
 	switch code {
 	case EventPeer:
-		ev.Sheet = uint32(c.u16())
+		ev.ListID = uint32(c.u16())
 		ev.Data = c.bytes(int(c.u16()))
 	case EventStart:
 		ev.Seed = c.u64()
@@ -210,18 +210,18 @@
 	case EventRegistry:
 		switch form := c.u8(); form {
 		case 0:
-			ev.Form = balance.ListFull
+			ev.ListKind = balance.ListFull
 		case 2:
-			ev.Form = balance.ListChanges
+			ev.ListKind = balance.ListChanges
 		case 3:
-			ev.Form = balance.ListFailed
+			ev.ListKind = balance.ListFailed
 		case 4:
-			ev.Form = balance.ListCached
+			ev.ListKind = balance.ListCached
 		default:
 			return ev, fmt.Errorf("unknown form of list %d", form)
 		}
 		c.u32()
-		ev.Sheet = c.u32()
+		ev.ListID = c.u32()
 	case EventNote:
 		o.Job, o.Attempt = balance.JobID(c.u64()), int(c.u8())
 		o.Worker = balance.WorkerID(c.u32())
@@ -251,7 +251,7 @@
 		}
 		j.Again = flags&2 != 0
 	case EventList:
-		ev.Sheet = c.u32()
+		ev.ListID = c.u32()
 		n := int(c.u32())
 		if n > len(c.b)/22 {
 			return ev, errShort
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,7 @@
 	if w.ID != 0x2c9011f2 || w.Zone != 1 || w.State != balance.Draining || w.Weight != 1.5 || w.Kind != 2 || w.Cell != 3 {
 		t.Errorf("worker %+v", w)
 	}
-	if b.Events[4].Form != balance.ListCached || b.Events[6].Seed != 0x4d || string(b.Events[9].Data) != "hi 7" {
+	if b.Events[4].ListKind != balance.ListCached || b.Events[6].Seed != 0x4d || string(b.Events[9].Data) != "hi 7" {
 		t.Error("list form, timer token or message")
 	}
 }
