--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -1,11 +1,12 @@
-// Package capture writes what a dispatcher saw to files, and reads them: a record for each message, without bodies and
-// without ids of people.
+// Package capture writes what a dispatcher observed to files, and reads them: one record for each message, without
+// bodies and without ids of people.
 //
-// A file is a header and blocks. A block holds some records, as a sequence of CBOR items compressed by zstd, behind a head
-// with its size and a checksum. A file that is cut off at any byte reads up to its last whole block; past a damaged block
-// reading goes on at the next one. What was dropped, because the disk was slow or full, is counted in the next block.
+// A file is a header and blocks. A block holds several records, as a sequence of CBOR items compressed with zstd, behind
+// a block header with its size and a checksum. A truncated file can be read up to its last complete block; after a
+// damaged block reading continues with the next one. Records dropped because the disk was slow or full are counted in
+// the next block.
 //
-// All integers of heads are little-endian. Times are nanoseconds.
+// Integers in headers are little-endian. Times are in nanoseconds.
 package capture
 
 import (
@@ -21,22 +22,22 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Version is that of the format. Files of another one are refused.
+// Version is the version of the file format. Files of other versions are rejected.
 const Version = 1
 
-// Header says whose records a file holds.
+// Header describes the source of the records in a file.
 type Header struct {
 	Version int      `cbor:"1,keyasint"`
 	Name    string   `cbor:"2,keyasint"` // of the dispatcher
 	Boot    string   `cbor:"3,keyasint"` // of its process
-	Zone    int      `cbor:"4,keyasint"` // its station, by number
+	Zone    int      `cbor:"4,keyasint"` // zone number of the dispatcher
 	Classes []string `cbor:"5,keyasint"`
 	Zones   []string `cbor:"6,keyasint"`
 	Kinds   []string `cbor:"7,keyasint"`
 	Started int64    `cbor:"8,keyasint"` // Unix time
 }
 
-// Attempt is one send of a message. Times count from the message's arrival; Began and Ended are -1 where they are not known.
+// Attempt is one attempt of a message. Times count from the arrival of the message; Began and Ended are -1 if unknown.
 type Attempt struct {
 	_      struct{} `cbor:",toarray"`
 	Host   string
@@ -45,30 +46,30 @@
 	Sent   int64
 	Began  int64
 	Ended  int64
-	Status uint8 // as balance.Status has it
-	Age    int64 // of the host's process when it was sent; -1: started long ago, or not known
+	Status uint8 // a balance.Status
+	Age    int64 // of the host process at the time of the send; -1: old or unknown
 }
 
-// The ends of a message.
+// The outcomes of a message.
 const (
 	Failed = iota
 	Served
 	BackOff
-	ClientLeft // its client left first
+	ClientLeft // the client disconnected before the answer
 )
 
 // Record is one message.
 type Record struct {
 	_        struct{} `cbor:",toarray"`
 	Arrived  int64    // Unix time
-	Class    int      // place in Header.Classes
-	Key      uint64   // a keyed hash of what the message is about; 0: no key
-	Hint     int64    // of the work; 0: none
+	Class    int      // index into Header.Classes
+	Key      uint64   // keyed hash of the message key; 0: no key
+	Hint     int64    // expected work; 0: none
 	Slots    float64
 	Zone     int // of the dispatcher
 	Tenant   int
 	Timeout  int64
-	Retry    bool // marked as a client's retry
+	Retry    bool // marked by the client as a retry
 	Outcome  uint8
 	Duration int64 // until the answer
 	Attempts []Attempt
@@ -80,17 +81,17 @@
 )
 
 const (
-	blockHead = 4 + 4*4 + 8 // magic; compressed size, raw size, records, dropped; checksum
-	mostBlock = 4 << 20     // bytes of a block, compressed or not; more is taken for damage
+	blockHeaderSize = 4 + 4*4 + 8 // magic; compressed size, raw size, records, dropped; checksum
+	maxBlockSize    = 4 << 20     // bytes of a block, compressed or not; a larger size is treated as damage
 )
 
-// ErrVersion is a file of another version.
+// ErrVersion is returned for a file of another format version.
 var ErrVersion = errors.New("another version of the format")
 
-// ErrNotCapture is a file that is none of this kind.
+// ErrNotCapture is returned for a file that is not a capture file.
 var ErrNotCapture = errors.New("not a capture file")
 
-// appendHeader writes a file's header.
+// appendHeader appends the header of a file.
 func appendHeader(b []byte, h Header) ([]byte, error) {
 	h.Version = Version
 	text, err := cbor.Marshal(h)
@@ -103,21 +104,21 @@
 	return append(b, text...), nil
 }
 
-// appendBlock writes a block of raw records.
+// appendBlock appends a block of encoded records.
 func appendBlock(b []byte, z *zstd.Encoder, raw []byte, records, dropped int) []byte {
 	at := len(b)
-	b = append(b, make([]byte, blockHead)...)
+	b = append(b, make([]byte, blockHeaderSize)...)
 	b = z.EncodeAll(raw, b)
-	head := b[at : at+blockHead]
+	head := b[at : at+blockHeaderSize]
 	copy(head, blockMagic)
-	for i, n := range []int{len(b) - at - blockHead, len(raw), records, dropped} {
+	for i, n := range []int{len(b) - at - blockHeaderSize, len(raw), records, dropped} {
 		binary.LittleEndian.PutUint32(head[4+4*i:], uint32(n))
 	}
-	binary.LittleEndian.PutUint64(head[20:], sum(head[:20], b[at+blockHead:]))
+	binary.LittleEndian.PutUint64(head[20:], checksum(head[:20], b[at+blockHeaderSize:]))
 	return b
 }
 
-func sum(head, body []byte) uint64 {
+func checksum(head, body []byte) uint64 {
 	d := xxhash.New()
 	d.Write(head)
 	d.Write(body)
@@ -129,22 +130,22 @@
 		zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false))
 }
 
-// Reader reads a file. It never changes it.
+// Reader reads a capture file.
 type Reader struct {
 	Header    Header
 	Records   int64
-	Dropped   int64 // by the writer, as the file says
-	Damaged   int   // blocks, or stretches between blocks, that were passed by
+	Dropped   int64 // by the writer, according to the file
+	Damaged   int   // blocks, or ranges between blocks, that were skipped
 	Truncated bool  // the file ends inside a block
 
-	r     *bufio.Reader
-	z     *zstd.Decoder
-	block *cbor.Decoder
-	left  int
-	raw   []byte
+	r         *bufio.Reader
+	z         *zstd.Decoder
+	block     *cbor.Decoder
+	remaining int
+	raw       []byte
 }
 
-// NewReader reads a file's header.
+// NewReader reads the header of a file.
 func NewReader(r io.Reader) (*Reader, error) {
 	b := bufio.NewReaderSize(r, 64<<10)
 	head := make([]byte, len(fileMagic)+12)
@@ -155,7 +156,7 @@
 		return nil, ErrVersion
 	}
 	size := binary.LittleEndian.Uint32(head[len(fileMagic):])
-	if size > mostBlock {
+	if size > maxBlockSize {
 		return nil, fmt.Errorf("%w: header of %d bytes", ErrNotCapture, size)
 	}
 	text := make([]byte, size)
@@ -173,21 +174,21 @@
 		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, c.Header.Version, Version)
 	}
 	var err error
-	c.z, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostBlock))
+	c.z, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockSize))
 	return c, err
 }
 
-// Next returns the next record, and io.EOF after the last that can be read.
+// Next returns the next record, and io.EOF after the last readable one.
 func (c *Reader) Next() (Record, error) {
 	for {
-		if c.left > 0 {
+		if c.remaining > 0 {
 			var r Record
 			if err := c.block.Decode(&r); err == nil {
-				c.left--
+				c.remaining--
 				c.Records++
 				return r, nil
 			}
-			c.left = 0 // its checksum is right, and yet: it was written so
+			c.remaining = 0 // the checksum matches, so the block was written this way
 			c.Damaged++
 		}
 		if err := c.next(); err != nil {
@@ -196,70 +197,71 @@
 	}
 }
 
-// next finds the next whole block.
+// next finds the next complete block.
 func (c *Reader) next() error {
-	passed := false
+	skipped := false
 	for {
-		head, err := c.r.Peek(blockHead)
+		head, err := c.r.Peek(blockHeaderSize)
 		if len(head) == 0 && err != nil {
-			if passed {
+			if skipped {
 				c.Damaged++
 			}
-			return eof(err)
+			return cleanEOF(err)
 		}
-		if err != nil { // not even a head
+		if err != nil { // too short for a block header
 			c.Truncated = true
-			return eof(err)
+			return cleanEOF(err)
 		}
 		if bytes.Equal(head[:4], blockMagic) {
 			size, rawSize := binary.LittleEndian.Uint32(head[4:]), binary.LittleEndian.Uint32(head[8:])
-			if size <= mostBlock && rawSize <= mostBlock {
-				if ok, cut := c.take(append([]byte(nil), head...), int(size), passed); ok {
+			if size <= maxBlockSize && rawSize <= maxBlockSize {
+				if ok, cut := c.readBlock(append([]byte(nil), head...), int(size), skipped); ok {
 					return nil
 				} else if cut {
 					return io.EOF
 				}
-				passed = false
+				skipped = false
 				continue
 			}
 		}
-		passed = true
+		skipped = true
 		if _, err := c.r.Discard(1); err != nil {
-			return eof(err)
+			return cleanEOF(err)
 		}
 	}
 }
 
-func eof(err error) error {
+func cleanEOF(err error) error {
 	if err == io.ErrUnexpectedEOF {
 		return io.EOF
 	}
 	return err
 }
 
-// take reads the block that begins here. Where it is damaged only its magic is passed by: its size may be what is wrong.
-func (c *Reader) take(head []byte, size int, passed bool) (ok, cut bool) {
-	if passed {
+// readBlock reads the block that starts here. Of a damaged block only the magic is skipped, since its size may be the
+// damaged part.
+func (c *Reader) readBlock(head []byte, size int, skipped bool) (ok, truncated bool) {
+	if skipped {
 		c.Damaged++
 	}
-	c.r.Discard(blockHead)
+	c.r.Discard(blockHeaderSize)
 	body := make([]byte, size)
 	n, err := io.ReadFull(c.r, body)
-	if err == nil && sum(head[:20], body) == binary.LittleEndian.Uint64(head[20:]) {
+	if err == nil && checksum(head[:20], body) == binary.LittleEndian.Uint64(head[20:]) {
 		raw, err := c.z.DecodeAll(body, c.raw[:0])
 		if err == nil && len(raw) == int(binary.LittleEndian.Uint32(head[8:])) {
 			c.raw = raw
-			c.left = int(binary.LittleEndian.Uint32(head[12:]))
+			c.remaining = int(binary.LittleEndian.Uint32(head[12:]))
 			c.Dropped += int64(binary.LittleEndian.Uint32(head[16:]))
 			c.block = cbor.NewDecoder(bytes.NewReader(raw))
 			return true, false
 		}
 	}
-	// What was read may hold whole blocks if the size is wrong: it is looked through again.
-	again := append(append([]byte(nil), head[4:]...), body[:n]...)
-	if i := bytes.Index(again, blockMagic); i >= 0 {
+	// If the size is wrong, what was read may contain complete blocks: it is searched again.
+	rescan := append(append([]byte(nil), head[4:]...), body[:n]...)
+	if i := bytes.Index(rescan, blockMagic); i >= 0 {
 		c.Damaged++
-		c.r = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(again[i:]), c.r), 64<<10)
+		c.r = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(rescan[i:]), c.r), 64<<10)
 		return false, false
 	}
 	if err != nil {
@@ -270,5 +272,5 @@
 	return false, false
 }
 
-// Close gives back what reading took.
+// Close releases the resources of the Reader.
 func (c *Reader) Close() { c.z.Close() }
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -26,7 +26,7 @@
 	return all
 }
 
-// readAll reads what can be read.
+// readAll returns the records that can be read.
 func readAll(t testing.TB, b []byte) (*Reader, []Record) {
 	t.Helper()
 	r, err := NewReader(bytes.NewReader(b))
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWhole(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	want := records(5000)
 	var b bytes.Buffer
 	h := Header{Name: "n0", Boot: "x", Classes: []string{"a", "b"}}
@@ -61,9 +61,9 @@
 	t.Logf("%d bytes a record", b.Len()/len(want))
 }
 
-// TestCutAndDamaged: whatever byte a file ends at or is wrong in, what comes back is what was written, in order, and all of
-// it but the blocks that are touched.
-func TestCutAndDamaged(t *testing.T) {
+// Wherever a file is truncated or damaged, the records read are records that were written, in order, and only those of
+// the affected blocks are missing.
+func TestTruncatedAndDamagedFiles(t *testing.T) {
 	want := records(4000)
 	var b bytes.Buffer
 	if err := Create(&b, Header{Name: "n0"}, want); err != nil {
@@ -121,7 +121,7 @@
 type disk struct {
 	mu     sync.Mutex
 	b      []byte
-	room   int // bytes that it still takes
+	room   int // free space in bytes
 	stuck  chan struct{}
 	writes int
 }
@@ -154,7 +154,8 @@
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Create: func(string) (File, error) { return d, nil }})
 }
 
-// TestFullDisk: what does not fit is dropped and counted, the file stays whole, and it goes on when there is room.
+// On a full disk, records that do not fit are dropped and counted, the file stays readable, and writing continues once
+// there is space.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &disk{room: 2000}
@@ -183,7 +184,7 @@
 	})
 }
 
-// TestSlowDisk: Put never waits, and holds no more than the queue.
+// On a slow disk Put does not block and holds no more records than the queue.
 func TestSlowDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &disk{room: 1 << 30, stuck: make(chan struct{})}
@@ -208,8 +209,8 @@
 	})
 }
 
-// TestFiles: a file that is full is followed by the next, and only so many are kept.
-func TestFiles(t *testing.T) {
+// A full file is followed by the next, and only the given number of files is kept.
+func TestFileRotation(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(Config{Folder: dir, Header: Header{Name: "n0", Boot: "b"}, MaxFileSize: 20 << 10, MaxFiles: 3, QueueSize: 1 << 16, Interval: time.Second,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
@@ -236,7 +237,7 @@
 	}
 }
 
-// FuzzReader: whatever a file holds, reading it ends, and neither panics nor takes memory without bound.
+// Whatever a file contains, reading it terminates without a panic and without unbounded memory.
 func FuzzReader(f *testing.F) {
 	var b bytes.Buffer
 	Create(&b, Header{Name: "n0"}, records(20))
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -18,10 +18,10 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Extension is what the names of capture files end with.
+// Extension is the file name extension of capture files.
 const Extension = ".lgcap"
 
-// File is what a Writer writes to.
+// File is the destination of a Writer.
 type File interface {
 	io.Writer
 	io.Closer
@@ -32,28 +32,28 @@
 type Config struct {
 	Folder      string
 	Header      Header
-	MaxFileSize int64 // bytes, after which the next file is begun
-	MaxFiles    int   // how many of this dispatcher's are kept
-	QueueSize   int   // records that may wait for the disk; more are dropped
+	MaxFileSize int64 // bytes, after which the next file is started
+	MaxFiles    int   // number of files of this dispatcher that are kept
+	QueueSize   int   // records that may wait to be written; more are dropped
 	Interval    time.Duration
 	Log         *slog.Logger
-	// Create opens a new file; nil for one on disk. Remove and List are its companions.
+	// Create opens a new file; by default one on disk.
 	Create func(path string) (File, error)
 }
 
-// Writer writes records by a goroutine of its own. Put never waits.
+// Writer writes records in its own goroutine. Put never blocks.
 type Writer struct {
 	Config
-	queue   chan Record
-	dropped atomic.Int64 // not yet told in a file
-	lost    atomic.Int64 // in all
-	written atomic.Int64
+	queue           chan Record
+	unreportedDrops atomic.Int64 // not yet recorded in a file
+	droppedTotal    atomic.Int64 // since the start
+	written         atomic.Int64
 }
 
-// Blocks are as long as this before compression, or as many records as come within the interval.
+// blockSize is the size of a block before compression. Blocks are smaller if fewer records arrive within the interval.
 const blockSize = 64 << 10
 
-// NewWriter returns a Writer; Run does the writing.
+// NewWriter returns a Writer, whose Run writes the files.
 func NewWriter(c Config) *Writer {
 	if c.Create == nil {
 		c.Create = func(path string) (File, error) { return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640) }
@@ -61,7 +61,7 @@
 	return &Writer{Config: c, queue: make(chan Record, max(c.QueueSize, 1))}
 }
 
-// Put hands in a record. Where too many wait already it is dropped, and counted.
+// Put queues a record. If the queue is full, the record is dropped and counted.
 func (w *Writer) Put(r Record) {
 	select {
 	case w.queue <- r:
@@ -71,20 +71,20 @@
 }
 
 func (w *Writer) drop(n int) {
-	w.dropped.Add(int64(n))
-	w.lost.Add(int64(n))
+	w.unreportedDrops.Add(int64(n))
+	w.droppedTotal.Add(int64(n))
 }
 
-// Written and Dropped are counts of records since the start.
+// Written and Dropped return numbers of records since the start.
 func (w *Writer) Written() int64 { return w.written.Load() }
-func (w *Writer) Dropped() int64 { return w.lost.Load() }
+func (w *Writer) Dropped() int64 { return w.droppedTotal.Load() }
 
-// out is the file under way.
-type out struct {
+// fileWriter writes the current file.
+type fileWriter struct {
 	w       *Writer
 	z       *zstd.Encoder
 	f       File
-	size    int64 // of what is whole
+	size    int64 // of the complete blocks written
 	number  int
 	failing bool
 	cbor    cbor.UserBufferEncMode
@@ -93,7 +93,7 @@
 	block   []byte
 }
 
-// Run writes until the context ends, and then what still waits.
+// Run writes until the context ends, and then whatever is still queued.
 func (w *Writer) Run(ctx context.Context) error {
 	z, err := newEncoder()
 	if err != nil {
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	o := &out{w: w, z: z, cbor: mode}
+	o := &fileWriter{w: w, z: z, cbor: mode}
 	defer o.close()
 	ticks := time.NewTicker(max(w.Interval, 10*time.Millisecond))
 	defer ticks.Stop()
@@ -129,11 +129,11 @@
 	}
 }
 
-// add puts a record into the block under way.
-func (o *out) add(r Record) {
-	whole := o.raw.Len()
+// add appends a record to the current block.
+func (o *fileWriter) add(r Record) {
+	size := o.raw.Len()
 	if err := o.cbor.MarshalToBuffer(&r, &o.raw); err != nil {
-		o.raw.Truncate(whole)
+		o.raw.Truncate(size)
 		o.w.drop(1)
 		return
 	}
@@ -142,24 +142,24 @@
 	}
 }
 
-// flush writes the block under way. What the disk does not take is dropped: to hold it would take memory without bound.
-func (o *out) flush() {
+// flush writes the current block. What cannot be written is dropped: keeping it would use unbounded memory.
+func (o *fileWriter) flush() {
 	if o.records == 0 {
 		return
 	}
-	dropped := int(o.w.dropped.Swap(0))
+	dropped := int(o.w.unreportedDrops.Swap(0))
 	o.block = appendBlock(o.block[:0], o.z, o.raw.Bytes(), o.records, dropped)
 	if err := o.write(o.block); err != nil {
-		o.w.dropped.Add(int64(dropped))
+		o.w.unreportedDrops.Add(int64(dropped))
 		o.w.drop(o.records)
 		if !o.failing {
-			o.w.Log.Error("capture: records are dropped", "err", err)
+			o.w.Log.Error("capture: write failed, dropping records", "err", err)
 		}
 		o.failing = true
 	} else {
 		o.w.written.Add(int64(o.records))
 		if o.failing {
-			o.w.Log.Info("capture: written again", "dropped", o.w.Dropped())
+			o.w.Log.Info("capture: writing again", "dropped", o.w.Dropped())
 		}
 		o.failing = false
 	}
@@ -167,14 +167,14 @@
 	o.records = 0
 }
 
-// write appends to the file, or begins one. What was written in part is taken back, so that a later block follows a whole
-// one; a file that cannot even be cut is left, and another begun.
-func (o *out) write(b []byte) error {
+// write appends to the current file, or creates one. A partial write is truncated, so that the next block follows a
+// complete one; if truncating fails too, the file is closed and the next block goes to a new one.
+func (o *fileWriter) write(b []byte) error {
 	if o.f != nil && o.size+int64(len(b)) > o.w.MaxFileSize {
 		o.close()
 	}
 	if o.f == nil {
-		if err := o.begin(); err != nil {
+		if err := o.createFile(); err != nil {
 			return err
 		}
 	}
@@ -183,14 +183,14 @@
 		o.size += int64(n)
 		return nil
 	}
-	if cut := o.f.Truncate(o.size); cut != nil {
-		err = errors.Join(err, cut)
+	if truncateErr := o.f.Truncate(o.size); truncateErr != nil {
+		err = errors.Join(err, truncateErr)
 		o.close()
 	}
 	return err
 }
 
-func (o *out) begin() error {
+func (o *fileWriter) createFile() error {
 	head, err := appendHeader(nil, o.w.Header)
 	if err != nil {
 		return err
@@ -212,11 +212,11 @@
 		o.f, o.size = f, int64(len(head))
 		return nil
 	}
-	return errors.New("no free name for a file")
+	return errors.New("no free name for a capture file")
 }
 
-// prune removes the oldest files of this dispatcher that are too many.
-func (o *out) prune() {
+// prune removes the oldest files of this dispatcher beyond MaxFiles.
+func (o *fileWriter) prune() {
 	entries, err := os.ReadDir(o.w.Folder)
 	if err != nil || o.w.MaxFiles <= 0 {
 		return
@@ -247,7 +247,7 @@
 	}
 }
 
-func (o *out) close() {
+func (o *fileWriter) close() {
 	if o.f != nil {
 		if err := o.f.Close(); err != nil {
 			o.w.Log.Error("capture: close", "err", err)
@@ -256,7 +256,7 @@
 	o.f = nil
 }
 
-// Create writes a whole file of records, for tools.
+// Create writes a complete file of records, for tools.
 func Create(w io.Writer, h Header, records []Record) error {
 	z, err := newEncoder()
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config decodes what a dispatcher is told before it starts, once, into the few values that the program uses.
+// Package config decodes the start-up configuration of a dispatcher.
 package config
 
 import (
@@ -17,28 +17,28 @@
 	"liftgauge/internal/jsonval"
 )
 
-// Config is all that the program is told.
+// Config is the decoded configuration.
 type Config struct {
 	Name             string
 	Listen           string
 	Discovery        string
-	Control          string // where operators call; empty for nowhere
+	Control          string // address of the operator interface; empty for none
 	Seed             uint64
 	Memory           int64 // bytes
 	Sockets          int
-	AvailableSockets int // descriptors that there are, of which the program takes Sockets unless it is told otherwise
+	AvailableSockets int // descriptors available, of which the program uses Sockets unless its settings say otherwise
 	Settings         balance.Settings
-	Classes          []string // names, by the module's number
+	Classes          []string // names, by class number
 	Zones            []string
 	Kinds            []string
-	Keepalive        time.Duration // a host's machine closes a connection that stood idle for so long
-	LoadColumns      []string      // names of the values in hosts' load reports, in the module's order; none: they report nothing
-	LastInventory    []byte        // the inventory as this dispatcher last had it, in the inventory's own form
+	Keepalive        time.Duration // after which a host closes an idle connection
+	LoadColumns      []string      // names of the values in load reports of hosts, in order; none: hosts report no load
+	LastInventory    []byte        // the inventory that this dispatcher last had, as the inventory service encodes it
 
-	listed string // discovery as the file has it
+	fileDiscovery string // discovery address in the file
 }
 
-// Upper bounds of what the program takes, whatever the machine offers, and the least with which it can serve.
+// Upper limits of what the program uses, whatever the machine offers, and the minimum that it can serve with.
 const (
 	maxMemoryMB = 192
 	minMemoryMB = 16
@@ -46,7 +46,7 @@
 	minSockets  = 32
 )
 
-// Load reads the configuration that the environment names.
+// Load reads the configuration file named by the environment.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
@@ -59,19 +59,19 @@
 	return Parse(text, getenv)
 }
 
-// Reload reads the configuration anew while the program runs. The file is what has changed, and the environment is as
-// old as the process: here the file's discovery goes before LB_DISCOVERY.
+// Reload reads the configuration again while the program runs. The environment dates from the start of the process and
+// the file is newer, so the discovery address in the file takes precedence over LB_DISCOVERY.
 func Reload(getenv func(string) string) (*Config, error) {
 	c, err := Load(getenv)
-	if err != nil || c.listed == "" {
+	if err != nil || c.fileDiscovery == "" {
 		return c, err
 	}
-	c.Discovery = c.listed
+	c.Discovery = c.fileDiscovery
 	return c, c.check()
 }
 
-// RestartOnlyChanges names the fields in which a new configuration differs from the one in use and that only a restart changes: the
-// socket, the module and the bounds are made from them once.
+// RestartOnlyChanges names the fields in which a new configuration differs from the current one and that only a restart
+// applies: the listener, the decision module and the limits are created from them once.
 func (c *Config) RestartOnlyChanges(next *Config) []string {
 	var fields []string
 	for _, f := range []struct {
@@ -93,8 +93,8 @@
 	return fields
 }
 
-// Parse decodes a configuration. The environment goes before the file for the name and the addresses. An error is one
-// line that names the field.
+// Parse decodes a configuration. The environment takes precedence over the file for the name and the addresses. An error
+// is one line that names the field.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var p jsonval.Parser
 	root, err := p.Parse(text)
@@ -106,7 +106,7 @@
 		Listen:        cmp.Or(getenv("LB_LISTEN"), root.Text("listen")),
 		Discovery:     cmp.Or(getenv("LB_DISCOVERY"), root.Text("discovery")),
 		Control:       cmp.Or(getenv("LB_CONTROL"), root.Text("control")),
-		listed:        root.Text("discovery"),
+		fileDiscovery: root.Text("discovery"),
 		LastInventory: root.Raw("known"),
 	}
 	limits := root.Object("limits")
@@ -147,7 +147,7 @@
 func (c *Config) check() error {
 	for _, a := range []struct{ field, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"control", c.Control}} {
 		if a.field == "control" && a.value == "" {
-			continue // operators need not call
+			continue // the operator interface is optional
 		}
 		host, port, err := net.SplitHostPort(a.value)
 		if _, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || host == "" {
@@ -182,7 +182,7 @@
 	case s.AskWithin < 0 || s.DrainGrace < 0 || s.WarmWithin < 0 || s.OverloadTime < 0:
 		return errors.New("settings.rules: want no negative time")
 	}
-	s.Tick = max(s.Tick, time.Millisecond) // the module's own least
+	s.Tick = max(s.Tick, time.Millisecond) // minimum of the decision module
 	s.MaxAttempts = max(s.MaxAttempts, 1)
 	s.ConnectTimeout = cmp.Or(s.ConnectTimeout, 250*time.Millisecond)
 	c.Keepalive = cmp.Or(c.Keepalive, 10*time.Second)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestBadConfig: one line that names the field.
+// An error is one line that names the field.
 func TestBadConfig(t *testing.T) {
 	for field, change := range map[string][2]string{
 		"LB_CONFIG":                         {`{"name"`, `["name"`},
@@ -74,7 +74,8 @@
 	}
 }
 
-// TestReload: while the program runs the file's discovery goes before the variable, and what needs a restart is named.
+// On a reload the discovery address in the file takes precedence over the variable, and changes that need a restart are
+// named.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.1:1", "LB_LISTEN": "127.0.0.9:1"}
@@ -98,7 +99,7 @@
 		{`"sockets":512`, `"sockets":256`, "127.0.0.1:8500", "limits", ""},
 		{`"maxAttempts":4`, `"maxAttempts":3`, "127.0.0.1:8500", "settings", ""},
 		{`"n3"`, `"n4"`, "127.0.0.1:8500", "name", ""},
-		{"127.0.0.1:8443", "127.0.0.1:8444", "127.0.0.1:8500", "", ""}, // LB_LISTEN goes before it, as at the start
+		{"127.0.0.1:8443", "127.0.0.1:8444", "127.0.0.1:8500", "", ""}, // LB_LISTEN takes precedence, as at the start
 		{`"maxAttempts":4`, `"maxAttempts":"x"`, "", "", "settings.limits.maxAttempts"},
 	} {
 		write(f.old, f.new)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 	"liftgauge/internal/jsonval"
 )
 
-// ParseSettings reads the settings of an instance, as the simulator and a real deployment give them.
+// ParseSettings parses the settings of an instance, in the form that both the simulator and a deployment use.
 func ParseSettings(text []byte) (balance.Settings, error) {
 	var p jsonval.Parser
 	f, err := p.Parse(text)
@@ -20,7 +20,7 @@
 	return balance.Settings{}, fmt.Errorf("settings.%w", f.Err())
 }
 
-// settings reads them and the names of the classes. Mistakes are kept by the object.
+// settings reads the settings and the names of the classes. Errors are kept by the object.
 func settings(f jsonval.Object) (s balance.Settings, classes []string) {
 	rules, limits, fees, family := f.Object("rules"), f.Object("limits"), f.Object("fees"), f.Object("familyInfo")
 	loads := f.Object("loadReport")
@@ -42,13 +42,13 @@
 	if limits.Bool("retryAfter") {
 		s.MaxRetryAfter = limits.Duration("maxRetryAfterNs")
 	}
-	stretches, kinds := family.Floats("classStretch"), family.Floats("classKind")
+	runtimeFactors, kinds := family.Floats("classStretch"), family.Floats("classKind")
 	for i, c := range f.Objects("classes") {
 		k := balance.Class{TargetLatency: c.Duration("aimNs"), RuntimeFactor: c.Float("aimStretch"), Value: c.Float("credit"),
 			LateValue: c.Float("lateValue"), Limit: c.Duration("hardLimitNs"), Window: c.Duration("windowNs"), Kind: -1,
 			Streamed: c.Bool("streaming")}
-		if i < len(stretches) {
-			k.RuntimeFactor = stretches[i]
+		if i < len(runtimeFactors) {
+			k.RuntimeFactor = runtimeFactors[i]
 		}
 		if i < len(kinds) {
 			k.Kind = int(kinds[i])
@@ -68,14 +68,14 @@
 		s.Classes = append(s.Classes, k)
 		classes = append(classes, c.Text("name"))
 	}
-	for i, meaning := range loads.Texts("columns") {
-		switch meaning {
+	for i, column := range loads.Texts("columns") {
+		switch column {
 		case "x0":
-			meaning = family.Text("reportX0")
+			column = family.Text("reportX0")
 		case "x1":
-			meaning = family.Text("reportX1")
+			column = family.Text("reportX1")
 		}
-		switch meaning {
+		switch column {
 		case "free slots":
 			s.FreeSlots = i
 		case "free memory":
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -11,7 +11,8 @@
 	}
 }
 
-// TestLoadColumns: the place of the free slots among the values of a report, whatever else is named, and none where nothing is reported.
+// The index of the free slots among the values of a load report, whatever the other columns are, and none where hosts
+// report no load.
 func TestLoadColumns(t *testing.T) {
 	for text, want := range map[string]int{
 		`{"loadReport":{"how":"answers","columns":["latency_ms","eps","util","x0"]},"familyInfo":{"reportX0":"free slots"}}`: 3,
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -18,9 +18,9 @@
 
 const sites = "../../deploy/sites"
 
-// TestVariants decodes the settings of the deployments in deploy/sites as the program received them in a play, and holds against them what
-// each is for: what a class may do hangs on its settings and on no name.
-func TestVariants(t *testing.T) {
+// The settings of the deployments in deploy/sites, as received in simulations, are decoded to the expected classes: what
+// a class may do depends on its settings and on no name.
+func TestSettingsOfSites(t *testing.T) {
 	type class struct {
 		effect balance.Effect
 		group  balance.DedupScope
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestNoNamesInTheCode: no class, zone, kind or tenant of a deployment in deploy/sites is a text in the program. Names of under four letters may be
-// anything.
-func TestNoNamesInTheCode(t *testing.T) {
+// No class, zone, kind or tenant of a deployment in deploy/sites occurs as a string in the program. Names of fewer than
+// four letters are not checked.
+func TestCodeContainsNoDeploymentNames(t *testing.T) {
 	names := map[string]bool{}
 	files, err := filepath.Glob(sites + "/*.settings.json")
 	if err != nil || len(files) < 2 {
--- a/internal/gearman/client.go
+++ b/internal/gearman/client.go
@@ -19,22 +19,22 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// atoi reads a whole number of at least 0 and below a bound.
-func atoi(s string, below int64) (int64, bool) {
+// atoi parses a non-negative integer below a bound.
+func atoi(s string, bound int64) (int64, bool) {
 	n, err := strconv.ParseInt(s, 10, 64)
-	return n, err == nil && n >= 0 && n < below
+	return n, err == nil && n >= 0 && n < bound
 }
 
-// turn refuses a submission: the job was not taken, has not run and will not.
-func (c *conn) turn(code, text string) {
-	c.s.mu.Lock()
-	c.s.counts.Rejected++
-	c.s.mu.Unlock()
-	c.err(code, text)
+// reject answers a submission with an error: the job was not accepted and will not run.
+func (c *conn) reject(code, text string) {
+	c.server.mu.Lock()
+	c.server.counts.Rejected++
+	c.server.mu.Unlock()
+	c.sendError(code, text)
 }
 
-// kind is what a submission's type says of its job.
-func kind(t packet.Type) (background bool, p route.Priority) {
+// submissionKind returns what the type of a submission says about its job.
+func submissionKind(t packet.Type) (background bool, p route.Priority) {
 	switch t {
 	case packet.SubmitJobBg, packet.SubmitJobSched, packet.SubmitJobEpoch, packet.SubmitReduceJobBg:
 		return true, route.Normal
@@ -50,14 +50,14 @@
 	return false, route.Normal
 }
 
-// submit takes a job, or attaches the client to the same one where that is open. It returns the hold if it is still the
-// caller's.
+// submit accepts a job, or attaches the client to an open job of the same function and unique id. It returns the hold if
+// the caller still has to release it.
 func (c *conn) submit(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Hold) *budget.Hold {
-	s := c.s
-	g, table := s.settings.Load(), s.table.Load()
+	s := c.server
+	config, table := s.settings.Load(), s.table.Load()
 	name, unique := string(args[0]), string(args[1])
-	background, priority := kind(t)
-	data, reducer, at := args[2], "", time.Duration(0)
+	background, priority := submissionKind(t)
+	data, reducer, runAt := args[2], "", time.Duration(0)
 	now := s.Now()
 	switch t {
 	case packet.SubmitReduceJob, packet.SubmitReduceJobBg:
@@ -65,53 +65,53 @@
 	case packet.SubmitJobEpoch:
 		seconds, ok := atoi(string(args[2]), 1<<33)
 		if !ok {
-			c.turn("bad_time", "want seconds since 1970")
+			c.reject("bad_time", "want seconds since 1970")
 			return hold
 		}
-		at, data = time.Duration(seconds)*time.Second, args[3]
+		runAt, data = time.Duration(seconds)*time.Second, args[3]
 	case packet.SubmitJobSched:
-		next, ok := schedule(time.Unix(0, int64(now)), args[2:7])
+		next, ok := nextScheduledTime(time.Unix(0, int64(now)), args[2:7])
 		if !ok {
-			c.turn("bad_time", "want minute, hour, day of month, month and day of week, or nothing for any")
+			c.reject("bad_time", "want minute, hour, day of month, month and day of week, or nothing for any")
 			return hold
 		}
-		at, data = time.Duration(next.UnixNano()), args[7]
+		runAt, data = time.Duration(next.UnixNano()), args[7]
 	}
 	f, ok := table.Function(name)
 	switch {
-	case !ok || len(name) > g.Limits.Function:
-		c.turn("unknown_function", "no such function here")
+	case !ok || len(name) > config.Limits.Function:
+		c.reject("unknown_function", "no such function here")
 		return hold
-	case len(unique) > g.Limits.Unique || len(reducer) > g.Limits.Function:
-		c.turn("unique_too_long", "a unique id may have "+itoa(g.Limits.Unique)+" bytes")
+	case len(unique) > config.Limits.Unique || len(reducer) > config.Limits.Function:
+		c.reject("unique_too_long", "a unique id may have "+itoa(config.Limits.Unique)+" bytes")
 		return hold
 	case f.RunsOnHosts() && len(data) > work.MaxHTTP:
-		c.turn("data_too_large", "this function's jobs may run on hosts that take "+itoa(work.MaxHTTP)+" bytes")
+		c.reject("data_too_large", "this function's jobs may run on hosts that take "+itoa(work.MaxHTTP)+" bytes")
 		return hold
-	case s.at() >= RejectingJobs:
-		c.turn("shutting_down", "the server ends: try another")
+	case s.currentPhase() >= RejectingJobs:
+		c.reject("shutting_down", "the server ends: try another")
 		return hold
-	case at-now > maxAhead:
-		c.turn("bad_time", "more than a year ahead")
+	case runAt-now > maxScheduleAhead:
+		c.reject("bad_time", "more than a year ahead")
 		return hold
 	}
-	if unique == "-" { // the data are the id
+	if unique == "-" { // the data identify the job
 		sum := sha256.Sum256(data)
 		unique = "-" + hex.EncodeToString(sum[:])
 	}
 	w := &work.Work{Class: f.Class, Function: name, Unique: unique, Reducer: reducer, Data: data, Hold: hold, Streams: true, Hint: f.Hint(data)}
-	d := &job{work: w, conn: c.id, since: now}
+	d := &job{work: w, conn: c.id, submittedAt: now}
 	p := f.Priority(priority)
 	s.mu.Lock()
-	if c.shut {
+	if c.closing {
 		s.mu.Unlock()
 		return hold
 	}
-	most, set := s.queues[name]
+	maxWaiting, set := s.queueLimits[name]
 	if !set {
-		most = f.MaxQueue
+		maxWaiting = f.MaxQueue
 	}
-	j, fresh, err := s.jobs.Submit(c.id, state.Job{Function: name, Unique: unique, Background: background, Priority: int(p), Data: d}, most,
+	j, fresh, err := s.jobs.Submit(c.id, state.Job{Function: name, Unique: unique, Background: background, Priority: int(p), Data: d}, maxWaiting,
 		func(n uint64) string {
 			w.ID = "g" + s.Boot + "-" + strconv.FormatUint(n, 10)
 			w.Handle = "H:" + s.Name + ":" + s.Boot + "-" + strconv.FormatUint(n, 10)
@@ -119,12 +119,12 @@
 		})
 	if err != nil {
 		s.mu.Unlock()
-		c.turn("queue_full", err.Error())
+		c.reject("queue_full", err.Error())
 		return hold
 	}
 	if !fresh {
 		s.counts.Attached++
-		c.created(j)
+		c.sendJobCreated(j)
 		s.mu.Unlock()
 		c.send(nil, true)
 		return hold
@@ -141,54 +141,57 @@
 	}
 	d.message.Reply = func(a owner.Answer) { s.finish(j, a, false) }
 	d.message.Event = func(what any) { s.event(j, what) }
-	if d.at = at; at > now {
-		s.later = append(s.later, d)
-		s.wake()
-	} else if !s.hand(d) {
+	if d.runAt = runAt; runAt > now {
+		s.scheduled = append(s.scheduled, d)
+		s.wakeTimer()
+	} else if !s.submitToEngine(d) {
 		s.jobs.End(now, j, false)
 		s.mu.Unlock()
-		c.turn("queue_full", "too much at once: try again later")
+		c.reject("queue_full", "too much at once: try again later")
 		return hold
 	}
 	s.counts.Submitted++
-	c.created(j)
+	c.sendJobCreated(j)
 	s.mu.Unlock()
 	c.send(nil, true)
 	return nil
 }
 
-// maxAhead is how long before its time a job may be handed in.
-const maxAhead = 366 * 24 * time.Hour
+// maxScheduleAhead is how far in the future a submitted job may be scheduled.
+const maxScheduleAhead = 366 * 24 * time.Hour
 
-// created tells of a handle. The lock is held, so that nothing else of the job is told before; it is written later.
-func (c *conn) created(j *state.Job) {
-	c.put(packet.Append(nil, packet.JobCreated, j.Handle), nil, kept)
+// sendJobCreated queues JOB_CREATED. The caller holds the lock, so that no other packet about the job precedes it; it is
+// written later.
+func (c *conn) sendJobCreated(j *state.Job) {
+	c.put(packet.Append(nil, packet.JobCreated, j.Handle), nil, writeDeferred)
 }
 
-// hand gives a job to the owner. The lock is held: an answer waits for it, and so comes after JOB_CREATED.
-func (s *Server) hand(d *job) bool {
+// submitToEngine passes a job to the engine. The caller holds the lock: an answer waits for it, and so follows
+// JOB_CREATED.
+func (s *Server) submitToEngine(d *job) bool {
 	d.message.Arrived = s.Now()
-	if s.until > 0 {
-		d.message.Job.Left = min(d.message.Job.Left, max(0, s.until-d.message.Arrived))
+	if s.shutdownDeadline > 0 {
+		d.message.Job.Left = min(d.message.Job.Left, max(0, s.shutdownDeadline-d.message.Arrived))
 	}
-	d.handed = s.Engine.Submit(d.message)
-	return d.handed
+	d.submitted = s.Engine.Submit(d.message)
+	return d.submitted
 }
 
-// due hands on a job whose time has come. Where the owner has no room it is tried again.
-func (s *Server) due(d *job) {
+// submitScheduled passes a scheduled job to the engine when its time has come. If the engine has no room, it is tried
+// again later.
+func (s *Server) submitScheduled(d *job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	j := s.jobs.Find(d.work.Handle)
 	if j == nil || j.Data != d {
 		return // cancelled
 	}
-	if !s.hand(d) {
-		s.later = append(s.later, d)
+	if !s.submitToEngine(d) {
+		s.scheduled = append(s.scheduled, d)
 	}
 }
 
-// event tells a job's clients what becomes of it. It is called from the owner's goroutine.
+// event notifies a job's clients of its progress. It is called from the engine's goroutine.
 func (s *Server) event(j *state.Job, what any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,11 +206,11 @@
 	case owner.Waits:
 		s.jobs.SetRunning(j, false)
 		return
-	case owner.Share: // of a host that speaks HTTP
+	case owner.Share: // progress reported by an HTTP host
 		num := strconv.Itoa(int(max(0, min(float64(e), 1))*100 + 0.5))
 		s.jobs.Progress(j, num, "100")
 		b = packet.Append(nil, packet.WorkStatus, handle, []byte(num), []byte("100"))
-	case passed:
+	case forwardedPacket:
 		switch e.t {
 		case packet.WorkStatus:
 			s.jobs.Progress(j, string(e.args[1]), string(e.args[2]))
@@ -221,11 +224,12 @@
 	default:
 		return
 	}
-	s.tell(j.Clients(), b, exceptions)
+	s.sendToClients(j.Clients(), b, exceptions)
 }
 
-// tell sends a packet to the clients of a job. The lock is held.
-func (s *Server) tell(clients []state.Conn, b []byte, exceptions bool) {
+// sendToClients sends a packet to the clients of a job; with exceptions set, only to those that enabled the option. The
+// caller holds the lock.
+func (s *Server) sendToClients(clients []state.Conn, b []byte, exceptions bool) {
 	for _, id := range clients {
 		if c := s.conns[id]; c != nil && (!exceptions || c.exceptions) {
 			c.send(b, false)
@@ -233,7 +237,8 @@
 	}
 }
 
-// finish gives a job its one end. False: it had it. Cut says that the planned end leaves no time for it.
+// finish ends a job and answers its clients. It returns false if the job had already ended. Cut says that the job was
+// cut off by a planned shutdown.
 func (s *Server) finish(j *state.Job, a owner.Answer, cut bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,18 +249,18 @@
 	switch a.Kind {
 	case owner.Served:
 		s.counts.Served++
-		s.tell(clients, packet.Append(nil, packet.WorkComplete, []byte(j.Handle), a.Result), false)
+		s.sendToClients(clients, packet.Append(nil, packet.WorkComplete, []byte(j.Handle), a.Result), false)
 	case owner.BackOff:
 		s.counts.BackOffs++
 		text := "refused: not done, try again later"
 		if a.Wait > 0 {
 			text = "refused: not done, try again in " + strconv.FormatFloat(a.Wait.Seconds(), 'f', 3, 64) + " s"
 		}
-		s.tell(clients, packet.Append(nil, packet.WorkException, j.Handle, text), true)
-		s.tell(clients, packet.Append(nil, packet.WorkFail, j.Handle), false)
+		s.sendToClients(clients, packet.Append(nil, packet.WorkException, j.Handle, text), true)
+		s.sendToClients(clients, packet.Append(nil, packet.WorkFail, j.Handle), false)
 	default:
 		s.counts.Failed++
-		s.tell(clients, packet.Append(nil, packet.WorkFail, j.Handle), false)
+		s.sendToClients(clients, packet.Append(nil, packet.WorkFail, j.Handle), false)
 	}
 	if j.Background {
 		if cut {
@@ -263,7 +268,7 @@
 		} else {
 			s.Log.Info("gearman: background job ended", "handle", j.Handle, "function", j.Function, "unique", j.Unique,
 				"end", [...]string{owner.Failed: "failed", owner.Served: "served", owner.BackOff: "refused"}[a.Kind],
-				"may_have_run", j.Data.(*job).begun, "took", s.Now()-j.Data.(*job).since)
+				"may_have_run", j.Data.(*job).begun, "took", s.Now()-j.Data.(*job).submittedAt)
 		}
 	}
 	return true
@@ -271,7 +276,7 @@
 
 // status answers GET_STATUS and GET_STATUS_UNIQUE.
 func (c *conn) status(t packet.Type, name string) {
-	s := c.s
+	s := c.server
 	bit := map[bool]string{true: "1", false: "0"}
 	s.mu.Lock()
 	if t == packet.GetStatus {
@@ -285,9 +290,9 @@
 	c.send(packet.Append(nil, packet.StatusResUnique, name, bit[st.Known], bit[st.Running], st.Numerator, st.Denominator, itoa(st.Clients)), true)
 }
 
-// schedule is the next time that fits minute, hour, day of month, month and day of week (0 is Sunday), each a number or
-// empty for any. The time zone is the program's.
-func schedule(from time.Time, fields [][]byte) (time.Time, bool) {
+// nextScheduledTime returns the next time that matches minute, hour, day of month, month and day of week (0 is Sunday),
+// each a number or empty for any. Times are in the time zone of the process.
+func nextScheduledTime(from time.Time, fields [][]byte) (time.Time, bool) {
 	var want [5]int64
 	bounds := [5][2]int64{{0, 60}, {0, 24}, {1, 32}, {1, 13}, {0, 8}}
 	for i, f := range fields {
@@ -312,7 +317,7 @@
 		return true
 	}
 	day := time.Date(from.Year(), from.Month(), from.Day(), 0, 0, 0, 0, from.Location())
-	for range 9 * 366 { // the 29th of February may be eight years off
+	for range 9 * 366 { // 29 February may be eight years ahead
 		if want[2] >= 0 && want[2] != int64(day.Day()) || want[3] >= 0 && want[3] != int64(day.Month()) || want[4] >= 0 && want[4] != int64(day.Weekday()) {
 			day = day.AddDate(0, 0, 1)
 			continue
@@ -328,19 +333,19 @@
 	return from, false
 }
 
-// cancel takes out a job that has not run, by an admin's word.
+// cancel removes a job that has not started, on request of an administrator. It reports whether there was one.
 func (s *Server) cancel(handle string) bool {
 	s.mu.Lock()
 	j := s.jobs.Find(handle)
 	ok := j != nil && !j.Data.(*job).begun
 	if ok {
 		d := j.Data.(*job)
-		s.later = slices.DeleteFunc(s.later, func(o *job) bool { return o == d })
+		s.scheduled = slices.DeleteFunc(s.scheduled, func(other *job) bool { return other == d })
 	}
 	s.mu.Unlock()
 	if !ok || !s.finish(j, owner.Answer{Kind: owner.Failed}, false) {
 		return false
 	}
-	s.leave(j)
+	s.abandon(j)
 	return true
 }
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -15,103 +15,105 @@
 	"liftgauge/internal/work"
 )
 
-// conn is one connection. Its goroutine reads; what is to be written waits in a buffer, and whoever finds nobody writing
-// writes. A peer that does not read fills its own buffer and is closed, and holds up nobody else.
+// conn is one connection. Its own goroutine reads from it. Output is appended to a buffer, which is written by the first
+// caller that finds no write in progress. A peer that does not read fills only its own buffer until it is closed, and
+// delays no other connection.
 type conn struct {
 	net.Conn
-	s     *Server
-	id    state.Conn
-	r     *packet.Reader
-	since time.Duration
-	small []byte // for bodies that are dealt with at once
+	server      *Server
+	id          state.Conn
+	reader      *packet.Reader
+	connectedAt time.Duration
+	scratch     []byte // for small bodies that are handled at once
 
 	// Guarded by the server's lock.
-	shut       bool   // closed from here, to send its peer elsewhere
-	client     string // id that it gave
-	exceptions bool
-	worker     *state.Worker[*owner.Attempt] // nil until it says that it can do something
-	name       string                        // as a host; empty until it is ready
-	listed     bool
-	host       owner.Host // as it was listed last
-	asks       packet.Type
-	asking     bool // GRAB_JOB waits for its answer
-	told       bool // an end was reported that the owner may not have dealt with yet
-	stops      map[*owner.Attempt]func() bool
-	ends       map[string]int64  // by handle: where in the stream its JOB_ASSIGN ends
-	parts      map[string][]byte // by handle: data that came before the end, for clients that take all at once
+	closing       bool   // closed by the server, so that the peer connects to another process
+	clientID      string // as sent in SET_CLIENT_ID
+	exceptions    bool
+	worker        *state.Worker[*owner.Attempt] // nil until the peer announces an ability
+	name          string                        // under which the worker is listed as a host; empty until it is ready
+	listed        bool
+	host          owner.Host // as last listed
+	grabType      packet.Type
+	grabPending   bool // GRAB_JOB has not been answered yet
+	endReported   bool // the worker reported the end of a job, which the engine may not have processed yet
+	withdrawStops map[*owner.Attempt]func() bool
+	assignEnds    map[string]int64  // by handle: offset in the output stream at which its JOB_ASSIGN ends
+	partialData   map[string][]byte // by handle: data received before the end, for clients that get the result in one piece
 
-	out       sync.Mutex
-	idle      sync.Cond // nobody writes
-	buf, next []byte    // what waits; what the next to wait goes into
-	queued    int64     // bytes that were ever put into the buffer
-	sent      int64     // and of these, written
-	marks     []mark
-	writing   bool
-	broken    bool
-	room      *budget.Hold // what the buffer holds
+	outMu          sync.Mutex
+	writerIdle     sync.Cond // signalled when no write is in progress
+	pending, spare []byte    // output to be written, and an empty buffer to be used next
+	queued         int64     // bytes ever appended to the buffer
+	sent           int64     // of those, bytes written
+	assignMarks    []assignMark
+	writing        bool
+	broken         bool
+	bufferHold     *budget.Hold // memory accounted for the buffer
 }
 
-// mark is an attempt whose JOB_ASSIGN ends at a place in the stream.
-type mark struct {
-	end int64
-	a   *owner.Attempt
+// assignMark is an attempt and the offset in the output stream at which its JOB_ASSIGN ends.
+type assignMark struct {
+	end     int64
+	attempt *owner.Attempt
 }
 
-// How what is put into the buffer gets out of it.
-type how int
+// writeMode says who writes output that has been appended to the buffer.
+type writeMode int
 
 const (
-	written how = iota // by the caller, who may wait, if nobody writes already
-	spawned            // by a goroutine, if nobody writes already
-	kept               // by the next who sends something
+	writeInline   writeMode = iota // by the caller, which may block, unless a write is in progress
+	writeAsync                     // by a new goroutine, unless a write is in progress
+	writeDeferred                  // by the next call that sends something
 )
 
-// send puts packets into the buffer. Inline says that the caller may wait: if nobody else does it writes them itself.
+// send appends packets to the output buffer. With inline set the caller may block: it writes them itself unless a write
+// is in progress.
 func (c *conn) send(b []byte, inline bool) {
 	if inline {
-		c.put(b, nil, written)
+		c.put(b, nil, writeInline)
 	} else {
-		c.put(b, nil, spawned)
+		c.put(b, nil, writeAsync)
 	}
 }
 
-// put puts packets into the buffer and returns where in the stream they end. An attempt is told to be assigned once they
-// are written.
-func (c *conn) put(b []byte, a *owner.Attempt, by how) (end int64) {
-	most := c.s.settings.Load().Limits
-	c.out.Lock()
-	defer c.out.Unlock()
+// put appends packets to the output buffer and returns the offset in the stream at which they end. If they assign an
+// attempt, the engine is notified of the assignment once they are written.
+func (c *conn) put(b []byte, a *owner.Attempt, mode writeMode) (end int64) {
+	limits := c.server.settings.Load().Limits
+	c.outMu.Lock()
+	defer c.outMu.Unlock()
 	if c.broken {
-		return c.queued + int64(len(b)) // never written
+		return c.queued + int64(len(b)) // beyond anything that will be written
 	}
-	if len(c.buf) > 0 && len(c.buf)+len(b) > most.Buffer+most.Packet {
+	if len(c.pending) > 0 && len(c.pending)+len(b) > limits.Buffer+limits.Packet {
 		c.broken = true
-		c.s.Log.Info("gearman: connection reads too slowly", "peer", c.RemoteAddr())
-		c.s.tasks.Go(func() error {
-			c.s.mu.Lock()
-			c.s.counts.SlowReaders++
-			c.s.mu.Unlock()
+		c.server.Log.Info("gearman: connection reads too slowly", "peer", c.RemoteAddr())
+		c.server.tasks.Go(func() error {
+			c.server.mu.Lock()
+			c.server.counts.SlowReaders++
+			c.server.mu.Unlock()
 			return nil
 		})
 		c.Close()
 		return c.queued + int64(len(b))
 	}
-	c.buf = append(c.buf, b...)
+	c.pending = append(c.pending, b...)
 	c.queued += int64(len(b))
-	c.room.Grow(int64(len(b)))
+	c.bufferHold.Grow(int64(len(b)))
 	if a != nil {
-		c.marks = append(c.marks, mark{c.queued, a})
+		c.assignMarks = append(c.assignMarks, assignMark{c.queued, a})
 	}
 	end = c.queued
 	switch {
-	case c.writing, by == kept:
-	case by == written:
+	case c.writing, mode == writeDeferred:
+	case mode == writeInline:
 		c.write()
 	default:
 		c.writing = true
-		c.s.tasks.Go(func() error {
-			c.out.Lock()
-			defer c.out.Unlock()
+		c.server.tasks.Go(func() error {
+			c.outMu.Lock()
+			defer c.outMu.Unlock()
 			c.writing = false
 			c.write()
 			return nil
@@ -120,57 +122,57 @@
 	return end
 }
 
-// write writes all that waits. The lock on the buffer is held, but not while it writes.
+// write writes all pending output. The caller holds outMu, which is released during each write.
 func (c *conn) write() {
 	c.writing = true
-	for len(c.buf) > 0 && !c.broken {
-		b := c.buf
-		c.buf, c.next = c.next[:0], nil
-		limit := time.Duration(c.s.settings.Load().Timeouts.Write)
-		c.out.Unlock()
+	for len(c.pending) > 0 && !c.broken {
+		b := c.pending
+		c.pending, c.spare = c.spare[:0], nil
+		limit := time.Duration(c.server.settings.Load().Timeouts.Write)
+		c.outMu.Unlock()
 		c.SetWriteDeadline(time.Now().Add(limit))
 		n, err := c.Conn.Write(b)
-		c.out.Lock()
+		c.outMu.Lock()
 		c.sent += int64(n)
-		c.room.Grow(-int64(len(b)))
+		c.bufferHold.Grow(-int64(len(b)))
 		if cap(b) <= 16<<10 {
-			c.next = b[:0]
+			c.spare = b[:0]
 		}
 		if err != nil {
 			c.broken = true
 			c.Close()
 		}
-		done := 0
-		for done < len(c.marks) && c.marks[done].end <= c.sent {
-			done++
+		completed := 0
+		for completed < len(c.assignMarks) && c.assignMarks[completed].end <= c.sent {
+			completed++
 		}
-		if done > 0 {
-			out := append([]mark(nil), c.marks[:done]...)
-			c.marks = append(c.marks[:0], c.marks[done:]...)
-			c.out.Unlock()
-			for _, m := range out {
-				c.s.Engine.Assigned(m.a)
+		if completed > 0 {
+			assigned := append([]assignMark(nil), c.assignMarks[:completed]...)
+			c.assignMarks = append(c.assignMarks[:0], c.assignMarks[completed:]...)
+			c.outMu.Unlock()
+			for _, m := range assigned {
+				c.server.Engine.Assigned(m.attempt)
 			}
-			c.out.Lock()
+			c.outMu.Lock()
 		}
 	}
-	c.room.Grow(-int64(len(c.buf)))
-	c.buf = c.buf[:0]
+	c.bufferHold.Grow(-int64(len(c.pending)))
+	c.pending = c.pending[:0]
 	c.writing = false
-	c.idle.Broadcast()
+	c.writerIdle.Broadcast()
 }
 
-// quiet waits until all that waits is written.
-func (c *conn) quiet() {
-	c.out.Lock()
-	defer c.out.Unlock()
+// waitWritten waits until no write is in progress.
+func (c *conn) waitWritten() {
+	c.outMu.Lock()
+	defer c.outMu.Unlock()
 	for c.writing {
-		c.idle.Wait()
+		c.writerIdle.Wait()
 	}
 }
 
-// err sends an ERROR packet.
-func (c *conn) err(code, text string) {
+// sendError sends an ERROR packet.
+func (c *conn) sendError(code, text string) {
 	c.send(packet.Append(nil, packet.Error, code, text), true)
 }
 
@@ -178,16 +180,16 @@
 
 // serve reads until the connection ends.
 func (c *conn) serve() {
-	defer c.s.remove(c)
+	defer c.server.remove(c)
 	for {
-		text, err := c.r.IsText()
+		text, err := c.reader.IsText()
 		if err != nil {
 			return
 		}
 		if text {
-			err = c.line()
+			err = c.handleLine()
 		} else {
-			err = c.packet()
+			err = c.handlePacket()
 		}
 		if err != nil {
 			return
@@ -195,107 +197,108 @@
 	}
 }
 
-// limit bounds the time until the rest of a packet is there, if it isn't.
-func (c *conn) limit(bytes int) (done func()) {
-	if c.r.HasBuffered(bytes) {
+// setReadTimeout limits the time until the given number of bytes has arrived, unless they are buffered already. The
+// returned function lifts the limit.
+func (c *conn) setReadTimeout(bytes int) (done func()) {
+	if c.reader.HasBuffered(bytes) {
 		return func() {}
 	}
-	c.SetReadDeadline(time.Now().Add(time.Duration(c.s.settings.Load().Timeouts.Packet)))
+	c.SetReadDeadline(time.Now().Add(time.Duration(c.server.settings.Load().Timeouts.Packet)))
 	return func() { c.SetReadDeadline(time.Time{}) }
 }
 
-var errEnd = errors.New("the connection ends")
+var errCloseConnection = errors.New("connection closed after a protocol error")
 
-func (c *conn) malformed() {
-	c.s.mu.Lock()
-	c.s.counts.Malformed++
-	c.s.mu.Unlock()
+func (c *conn) countMalformed() {
+	c.server.mu.Lock()
+	c.server.counts.Malformed++
+	c.server.mu.Unlock()
 }
 
-// packet reads a packet and deals with it. An error ends the connection.
-func (c *conn) packet() error {
-	limits := c.s.settings.Load().Limits
-	done := c.limit(packet.HeaderSize)
-	h, err := c.r.Header()
+// handlePacket reads one packet and processes it. An error ends the connection.
+func (c *conn) handlePacket() error {
+	limits := c.server.settings.Load().Limits
+	done := c.setReadTimeout(packet.HeaderSize)
+	h, err := c.reader.Header()
 	done()
 	if err != nil {
 		if errors.Is(err, packet.ErrBadMagic) {
-			c.malformed()
-			c.err("bad_magic", "want \\0REQ or a line of text")
+			c.countMalformed()
+			c.sendError("bad_magic", "want \\0REQ or a line of text")
 		}
 		return err
 	}
 	if h.Size > uint32(limits.Packet) {
-		c.malformed()
-		c.err("packet_too_large", "a packet may have "+itoa(limits.Packet)+" bytes")
-		return errEnd
+		c.countMalformed()
+		c.sendError("packet_too_large", "a packet may have "+itoa(limits.Packet)+" bytes")
+		return errCloseConnection
 	}
 	size := int(h.Size)
 	if !h.Type.IsRequest() {
-		c.malformed()
-		done := c.limit(size)
-		_, err := c.r.Discard(size)
+		c.countMalformed()
+		done := c.setReadTimeout(size)
+		_, err := c.reader.Discard(size)
 		done()
-		c.err("unknown_command", h.Type.String()+" is not for a server")
+		c.sendError("unknown_command", h.Type.String()+" is not for a server")
 		return err
 	}
 	var body []byte
-	var hold *budget.Hold // of data that go on; whoever takes them over sets it to nil
+	var hold *budget.Hold // of data that outlive this call; nil once another owner has taken it over
 	switch h.Type {
 	case packet.SubmitJob, packet.SubmitJobBg, packet.SubmitJobHigh, packet.SubmitJobHighBg, packet.SubmitJobLow, packet.SubmitJobLowBg,
 		packet.SubmitJobSched, packet.SubmitJobEpoch, packet.SubmitReduceJob, packet.SubmitReduceJobBg:
-		if hold = c.s.Budget.Take(size, budget.Job); hold == nil {
-			done := c.limit(size)
-			_, err := c.r.Discard(size)
+		if hold = c.server.Budget.Take(size, budget.Job); hold == nil {
+			done := c.setReadTimeout(size)
+			_, err := c.reader.Discard(size)
 			done()
-			c.turn("no_memory", "no room for the job: try again later")
+			c.reject("no_memory", "no room for the job: try again later")
 			return err
 		}
 		body = hold.Buffer()
 	default:
 		if size <= smallBody {
-			if c.small == nil {
-				c.small = make([]byte, smallBody)
+			if c.scratch == nil {
+				c.scratch = make([]byte, smallBody)
 			}
-			body = c.small[:size]
+			body = c.scratch[:size]
 			break
 		}
-		// Not read on until there is room: what workers bring has an account that messages cannot fill.
-		if hold, err = c.s.Budget.Call(c.s.ctx, size); err != nil {
+		// Blocks until there is memory: results of workers have a budget of their own, which submitted messages cannot exhaust.
+		if hold, err = c.server.Budget.Call(c.server.ctx, size); err != nil {
 			return err
 		}
 		body = hold.Buffer()
 	}
 	defer func() { hold.Drop() }()
-	done = c.limit(size)
-	_, err = io.ReadFull(c.r, body)
+	done = c.setReadTimeout(size)
+	_, err = io.ReadFull(c.reader, body)
 	done()
 	if err != nil {
 		return err
 	}
 	args, err := h.Type.Split(body)
 	if err != nil {
-		c.malformed()
-		c.err("bad_arguments", h.Type.String()+": "+err.Error())
+		c.countMalformed()
+		c.sendError("bad_arguments", h.Type.String()+": "+err.Error())
 		return nil
 	}
 	switch h.Type {
 	case packet.CanDo, packet.CanDoTimeout, packet.CantDo, packet.ResetAbilities, packet.SetClientID, packet.PreSleep, packet.AllYours:
-		c.ability(h.Type, args[0], args[1])
+		c.handleWorkerSetup(h.Type, args[0], args[1])
 	case packet.GrabJob, packet.GrabJobUniq, packet.GrabJobAll:
-		c.grab(h.Type)
+		c.handleGrab(h.Type)
 	case packet.WorkStatus, packet.WorkComplete, packet.WorkFail, packet.WorkException, packet.WorkData, packet.WorkWarning:
-		hold = c.word(h.Type, args, hold)
+		hold = c.handleWorkReport(h.Type, args, hold)
 	case packet.EchoReq:
 		c.send(packet.Append(nil, packet.EchoRes, args[0]), true)
 	case packet.OptionReq:
 		if string(args[0]) != "exceptions" {
-			c.err("unknown_option", "exceptions is the only option")
+			c.sendError("unknown_option", "exceptions is the only option")
 			return nil
 		}
-		c.s.mu.Lock()
+		c.server.mu.Lock()
 		c.exceptions = true
-		c.s.mu.Unlock()
+		c.server.mu.Unlock()
 		c.send(packet.Append(nil, packet.OptionRes, args[0]), true)
 	case packet.GetStatus, packet.GetStatusUnique:
 		c.status(h.Type, string(args[0]))
@@ -305,144 +308,145 @@
 	return nil
 }
 
-// ability is what a worker says of itself.
-func (c *conn) ability(t packet.Type, name, value []byte) {
-	s := c.s
-	g := s.settings.Load()
+// handleWorkerSetup processes the packets by which a worker announces its abilities, its id and its state.
+func (c *conn) handleWorkerSetup(t packet.Type, name, value []byte) {
+	s := c.server
+	config := s.settings.Load()
 	text := string(name)
 	switch {
-	case t == packet.SetClientID && len(text) > g.Limits.Client:
-		c.err("id_too_long", "a client id may have "+itoa(g.Limits.Client)+" bytes")
+	case t == packet.SetClientID && len(text) > config.Limits.Client:
+		c.sendError("id_too_long", "a client id may have "+itoa(config.Limits.Client)+" bytes")
 		return
-	case (t == packet.CanDo || t == packet.CanDoTimeout) && (len(text) > g.Limits.Function || text == ""):
-		c.err("bad_function", "a function's name has 1 to "+itoa(g.Limits.Function)+" bytes")
+	case (t == packet.CanDo || t == packet.CanDoTimeout) && (len(text) > config.Limits.Function || text == ""):
+		c.sendError("bad_function", "a function's name has 1 to "+itoa(config.Limits.Function)+" bytes")
 		return
 	}
-	var within time.Duration
+	var timeLimit time.Duration
 	if t == packet.CanDoTimeout {
 		seconds, ok := atoi(string(value), 1<<31)
 		if !ok {
-			c.err("bad_timeout", "want seconds")
+			c.sendError("bad_timeout", "want seconds")
 			return
 		}
-		within = time.Duration(seconds) * time.Second
+		timeLimit = time.Duration(seconds) * time.Second
 	}
-	var never []*owner.Attempt
+	var notRun []*owner.Attempt
 	var failed []*state.Run[*owner.Attempt]
-	wake, many := false, false
+	wake, tooMany := false, false
 	s.mu.Lock()
 	if c.worker == nil && t != packet.SetClientID {
-		c.worker = state.NewWorker[*owner.Attempt](time.Duration(g.Timeouts.Grab))
-		c.stops, c.ends, c.parts = map[*owner.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
+		c.worker = state.NewWorker[*owner.Attempt](time.Duration(config.Timeouts.Grab))
+		c.withdrawStops, c.assignEnds, c.partialData = map[*owner.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
 	}
 	switch t {
 	case packet.SetClientID:
-		if c.name == "" { // it is listed under its first one
-			c.client = text
+		if c.name == "" { // once listed, a worker keeps the id that it was listed under
+			c.clientID = text
 		}
 	case packet.CanDo, packet.CanDoTimeout:
-		if many = !c.worker.Can(text) && c.worker.FunctionCount() >= g.Limits.FunctionsPerWorker; !many {
-			c.worker.CanDo(text, within)
+		if tooMany = !c.worker.Can(text) && c.worker.FunctionCount() >= config.Limits.FunctionsPerWorker; !tooMany {
+			c.worker.CanDo(text, timeLimit)
 		}
 	case packet.CantDo:
-		never = c.worker.CantDo(text)
+		notRun = c.worker.CantDo(text)
 	case packet.ResetAbilities:
-		never = c.worker.CantDo("")
+		notRun = c.worker.CantDo("")
 	case packet.PreSleep:
 		wake, failed = c.worker.PreSleep(s.Now())
-		c.ready()
+		c.registerIfReady()
 	}
-	s.retire(c, never)
-	s.touch(c)
+	s.releasePicks(c, notRun)
+	s.markChanged(c)
 	s.mu.Unlock()
-	if many {
-		c.err("too_many_functions", "a worker may do "+itoa(g.Limits.FunctionsPerWorker))
+	if tooMany {
+		c.sendError("too_many_functions", "a worker may do "+itoa(config.Limits.FunctionsPerWorker))
 	}
-	if len(never) > 0 {
-		s.list()
+	if len(notRun) > 0 {
+		s.sendChanges()
 	}
-	for _, a := range never {
+	for _, a := range notRun {
 		s.ended(a, balance.NotSent)
 	}
-	c.unsaid(failed)
+	c.failExcepted(failed)
 	if wake {
 		c.send(packet.Append[string](nil, packet.Noop), true)
 	}
 }
 
-// ready gives a worker that has said that it is there its name. The lock is held.
-func (c *conn) ready() {
+// registerIfReady names and lists a worker that has abilities and is not listed yet. The caller holds the lock.
+func (c *conn) registerIfReady() {
 	if c.name == "" && c.worker.FunctionCount() > 0 {
-		c.s.christen(c)
-		c.s.touch(c)
+		c.server.assignName(c)
+		c.server.markChanged(c)
 	}
 }
 
-// retire forgets picks that have ended. The lock is held.
-func (s *Server) retire(c *conn, picks []*owner.Attempt) {
-	s.active -= len(picks)
+// releasePicks stops tracking picks that have ended. The caller holds the lock.
+func (s *Server) releasePicks(c *conn, picks []*owner.Attempt) {
+	s.timedAttempts -= len(picks)
 	for _, a := range picks {
-		c.forgetStop(a)
+		c.stopWatchingWithdrawal(a)
 	}
 }
 
-func (c *conn) forgetStop(a *owner.Attempt) {
-	if stop := c.stops[a]; stop != nil {
+func (c *conn) stopWatchingWithdrawal(a *owner.Attempt) {
+	if stop := c.withdrawStops[a]; stop != nil {
 		stop()
-		delete(c.stops, a)
+		delete(c.withdrawStops, a)
 	}
 }
 
-// unsaid ends jobs whose worker told of an exception and went on without another word.
-func (c *conn) unsaid(failed []*state.Run[*owner.Attempt]) {
+// failExcepted ends jobs for which the worker sent WORK_EXCEPTION and then requested another job without sending
+// WORK_FAIL.
+func (c *conn) failExcepted(failed []*state.Run[*owner.Attempt]) {
 	for _, r := range failed {
-		c.s.mu.Lock()
-		c.end(r)
-		c.s.mu.Unlock()
-		c.s.ended(r.Attempt, balance.Errored)
+		c.server.mu.Lock()
+		c.releaseRun(r)
+		c.server.mu.Unlock()
+		c.server.ended(r.Attempt, balance.Errored)
 	}
 }
 
-// grab answers a worker that asks for a job: with the one that the module picked for it, if there is one.
-func (c *conn) grab(t packet.Type) {
-	s := c.s
+// handleGrab answers GRAB_JOB with the job that the decision module picked for the worker, or with NO_JOB.
+func (c *conn) handleGrab(t packet.Type) {
+	s := c.server
 	s.mu.Lock()
 	if c.worker == nil {
 		c.worker = state.NewWorker[*owner.Attempt](time.Duration(s.settings.Load().Timeouts.Grab))
-		c.stops, c.ends, c.parts = map[*owner.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
+		c.withdrawStops, c.assignEnds, c.partialData = map[*owner.Attempt]func() bool{}, map[string]int64{}, map[string][]byte{}
 	}
-	c.asks, c.asking = t, true
-	c.ready()
-	// The owner may not have dealt with the end that the worker told last: the answer waits for what comes of it.
-	told := c.told
-	c.told = false
+	c.grabType, c.grabPending = t, true
+	c.registerIfReady()
+	// The engine may not have processed the end that the worker last reported: the answer waits, since a new pick may follow from it.
+	awaitEngine := c.endReported
+	c.endReported = false
 	s.mu.Unlock()
-	if told {
-		s.Engine.After(func() { c.answer(false) })
+	if awaitEngine {
+		s.Engine.After(func() { c.answerGrab(false) })
 		return
 	}
-	c.quiet() // else the job would wait here after it was clear to be sent
-	c.answer(true)
+	c.waitWritten() // otherwise the job could wait in the buffer after it passed the last check
+	c.answerGrab(true)
 }
 
-// answer is the answer to GRAB_JOB.
-func (c *conn) answer(inline bool) {
-	s := c.s
-	var moot []*owner.Attempt
+// answerGrab sends the response to GRAB_JOB.
+func (c *conn) answerGrab(inline bool) {
+	s := c.server
+	var stale []*owner.Attempt
 	s.mu.Lock()
-	if !c.asking || s.conns[c.id] != c {
+	if !c.grabPending || s.conns[c.id] != c {
 		s.mu.Unlock()
 		return
 	}
-	c.asking = false
+	c.grabPending = false
 	now := s.Now()
 	a, ok, failed := c.worker.Grab(now)
-	// Right before the first byte: since the decision the worker may have been left out, or the attempt withdrawn.
+	// Checked just before the first byte is sent: since the pick the worker may have been excluded or the attempt withdrawn.
 	for ok && !a.Clear() {
-		moot = append(moot, a)
+		stale = append(stale, a)
 		a, ok, _ = c.worker.Grab(now)
 	}
-	s.retire(c, moot)
+	s.releasePicks(c, stale)
 	if !ok {
 		s.counts.NoJobs++
 		s.mu.Unlock()
@@ -453,7 +457,7 @@
 		s.counts.Assigned++
 		handle, function, unique, data := []byte(w.Handle), []byte(w.Function), []byte(w.Unique), w.Bytes()
 		b := make([]byte, 0, packet.HeaderSize+len(handle)+len(function)+len(unique)+len(w.Reducer)+len(data)+4)
-		switch c.asks {
+		switch c.grabType {
 		case packet.GrabJobUniq:
 			b = packet.Append(b, packet.JobAssignUniq, handle, function, unique, data)
 		case packet.GrabJobAll:
@@ -461,78 +465,80 @@
 		default:
 			b = packet.Append(b, packet.JobAssign, handle, function, data)
 		}
-		// The place is noted before the lock is free again, so that an end of the connection finds it.
-		c.ends[w.Handle] = c.put(b, a, kept)
-		s.touchIfLate(c)
+		// The offset is recorded under the lock, so that remove finds it if the connection ends.
+		c.assignEnds[w.Handle] = c.put(b, a, writeDeferred)
+		s.markIfAvailabilityChanged(c)
 		s.mu.Unlock()
 		c.send(nil, inline)
 	}
-	if len(moot)+len(failed) == 0 {
+	if len(stale)+len(failed) == 0 {
 		return
 	}
-	tell := func() error {
-		for _, a := range moot {
+	report := func() error {
+		for _, a := range stale {
 			s.ended(a, balance.NotSent)
 		}
-		c.unsaid(failed)
+		c.failExcepted(failed)
 		return nil
 	}
 	if inline {
-		tell()
-	} else { // the owner must not wait for itself
-		s.tasks.Go(tell)
+		report()
+	} else { // runs in the engine's goroutine, which must not wait for itself
+		s.tasks.Go(report)
 	}
 }
 
-// touchIfLate has a worker listed that was silent and speaks again. The lock is held.
-func (s *Server) touchIfLate(c *conn) {
+// markIfAvailabilityChanged has a worker listed again after it became available or unavailable. The caller holds the
+// lock.
+func (s *Server) markIfAvailabilityChanged(c *conn) {
 	if c.listed != c.worker.Available() {
-		s.touch(c)
+		s.markChanged(c)
 	}
 }
 
-// end notes that a worker is done with a job. The lock is held.
-func (c *conn) end(r *state.Run[*owner.Attempt]) {
-	c.s.active--
-	c.forgetStop(r.Attempt)
-	delete(c.ends, r.Handle)
-	delete(c.parts, r.Handle)
-	c.s.touchIfLate(c)
+// releaseRun stops tracking a job that the worker has ended. The caller holds the lock.
+func (c *conn) releaseRun(r *state.Run[*owner.Attempt]) {
+	c.server.timedAttempts--
+	c.stopWatchingWithdrawal(r.Attempt)
+	delete(c.assignEnds, r.Handle)
+	delete(c.partialData, r.Handle)
+	c.server.markIfAvailabilityChanged(c)
 }
 
-// Passed on by owner.Owner.Passed: a packet of a worker's for the clients of a job.
-type passed struct {
+// forwardedPacket is a packet of a worker for the clients of a job, which the engine passes on with Passed.
+type forwardedPacket struct {
 	t    packet.Type
 	args [3][]byte
 }
 
-// word is what a worker says of a job that it is at. It returns the hold if it is still the caller's.
-func (c *conn) word(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Hold) *budget.Hold {
-	s := c.s
+// handleWorkReport processes a packet of a worker about a job that it runs. It returns the hold if the caller still has
+// to release it.
+func (c *conn) handleWorkReport(t packet.Type, args [packet.MaxArguments][]byte, hold *budget.Hold) *budget.Hold {
+	s := c.server
 	handle := string(args[0])
 	s.mu.Lock()
 	var r *state.Run[*owner.Attempt]
 	if c.worker != nil {
 		r = c.worker.Run(handle)
 	}
-	if r == nil { // it never had it, or has ended it
+	if r == nil { // never assigned to this worker, or already ended
 		s.counts.LateReports++
 		s.mu.Unlock()
-		s.Log.Debug("gearman: late word", "packet", t, "handle", handle, "worker", c.name)
+		s.Log.Debug("gearman: report on a job that the worker does not run", "packet", t, "handle", handle, "worker", c.name)
 		return hold
 	}
 	a, w := r.Attempt, work.Of(r.Attempt.Message)
-	parts := c.parts[handle]
+	parts := c.partialData[handle]
 	switch t {
 	case packet.WorkComplete, packet.WorkFail:
 		c.worker.End(s.Now(), handle)
-		c.end(r)
-		c.told = true
+		c.releaseRun(r)
+		c.endReported = true
 	case packet.WorkException:
 		r.ExceptionReported = true
 	case packet.WorkData:
-		if !w.Streams && len(parts) <= work.MaxHTTP { // more than that no client of this kind can be given
-			c.parts[handle] = append(parts, args[1]...)
+		if !w.Streams && len(parts) <= work.MaxHTTP { // a larger result cannot be returned to an HTTP client
+			c.partialData[handle] = append(parts, args[1]...)
 		}
 	}
 	s.mu.Unlock()
@@ -541,14 +547,14 @@
 		s.ended(a, balance.Errored)
 	case t == packet.WorkComplete:
 		result := args[1]
-		if !w.Streams || hold == nil { // else it is copied again before the hold ends
+		if !w.Streams || hold == nil { // otherwise the receiver copies it before the hold is released
 			result = append(parts, result...)
 		}
 		s.Engine.Served(a, result, hold.Drop)
 		w.Held().Drop()
 		return nil
 	case w.Streams:
-		p := passed{t: t}
+		p := forwardedPacket{t: t}
 		for i := range p.args {
 			if p.args[i] = args[i]; hold == nil {
 				p.args[i] = append([]byte(nil), args[i]...)
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	reading = "gauge-reading" // keyed, by cell
+	reading = "gauge-reading" // keyed, deduplicated by cell
 	warning = "send-warning"  // must never run twice
 )
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// pipes is a listener whose connections are pipes.
+// pipes is a listener whose connections are in-memory pipes.
 type pipes struct {
 	calls chan net.Conn
 	once  *sync.Once
@@ -63,14 +63,14 @@
 	return nil, net.ErrClosed
 }
 
-// world is a server with a real owner, in a synctest bubble.
+// world is a server with a real engine, in a synctest bubble.
 type world struct {
 	t    *testing.T
 	o    *owner.Owner
 	s    *Server
 	l    pipes
 	log  bytes.Buffer
-	http []*owner.Attempt // sends to hosts that speak HTTP
+	http []*owner.Attempt // attempts sent to HTTP hosts
 	shut int
 	mu   sync.Mutex
 	stop context.CancelFunc
@@ -118,7 +118,7 @@
 		synctest.Wait()
 		test(w)
 		if held := w.s.Budget.Held(); held != 0 && w.s.Open() == 0 {
-			w.wait(10 * time.Second) // until the end of what was withdrawn
+			w.wait(10 * time.Second) // withdrawn attempts end later
 			if held = w.s.Budget.Held(); held != 0 {
 				t.Errorf("%d bytes still held", held)
 			}
@@ -140,7 +140,7 @@
 	synctest.Wait()
 }
 
-// peer is a scripted client or worker. It keeps what it was sent.
+// peer is a scripted client or worker. It records what it is sent.
 type peer struct {
 	*standin.GearmanConn
 	w      *world
@@ -175,13 +175,13 @@
 	synctest.Wait()
 }
 
-// raw writes bytes as they are, in one write.
+// raw writes bytes unchanged, in one write.
 func (p *peer) raw(b string) {
 	p.Write([]byte(b))
 	synctest.Wait()
 }
 
-// want compares what the peer was sent since the last time.
+// want compares what the peer was sent since the last call.
 func (p *peer) want(want ...string) {
 	p.w.t.Helper()
 	p.w.mu.Lock()
@@ -198,7 +198,7 @@
 	p.got = nil
 }
 
-// worker connects one that sleeps.
+// worker connects a worker, which goes to sleep.
 func (w *world) worker(client string, functions ...string) *peer {
 	p := w.dial()
 	if client != "" {
@@ -211,14 +211,14 @@
 	return p
 }
 
-// picked waits until a worker is woken. One that has just come is thought to be slow: the first jobs wait a little.
+// picked waits until a worker is woken. A new worker is assumed to be slow, so that the first jobs wait a little.
 func (p *peer) picked() {
 	p.w.t.Helper()
 	p.w.wait(200 * time.Millisecond)
 	p.want("NOOP")
 }
 
-// take has a woken worker ask for its job.
+// take has a woken worker request its job.
 func (p *peer) take(handle, function, data string) {
 	p.w.t.Helper()
 	p.picked()
@@ -226,7 +226,7 @@
 	p.want("JOB_ASSIGN " + handle + "|" + function + "|" + data)
 }
 
-// idle has a worker ask and go to sleep.
+// idle has a worker request a job, get none and go to sleep.
 func (p *peer) idle() {
 	p.w.t.Helper()
 	p.say(packet.GrabJob)
@@ -235,10 +235,10 @@
 	p.want()
 }
 
-func TestServed(t *testing.T) {
+func TestJobIsServed(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("rain-1", reading, warning), w.dial()
-		for i, unique := range []string{"u", "", "-"} { // the last two are like no other, and like the data
+		for i, unique := range []string{"u", "", "-"} { // the last two: not shared with any other job, and identified by the data
 			h := fmt.Sprint("H:n0:b-", i+1)
 			c.say(packet.SubmitJob, warning, unique, "level 3")
 			c.want("JOB_CREATED " + h)
@@ -254,8 +254,8 @@
 	})
 }
 
-// TestGrabKinds: each kind of GRAB_JOB has its own JOB_ASSIGN.
-func TestGrabKinds(t *testing.T) {
+// Each type of GRAB_JOB is answered with its own type of JOB_ASSIGN.
+func TestEachGrabTypeGetsItsOwnAssignment(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", reading), w.dial()
 		for i, k := range []struct {
@@ -273,8 +273,8 @@
 	})
 }
 
-// TestUnasked: one that grabs without having been picked gets nothing, however many jobs wait for others.
-func TestUnasked(t *testing.T) {
+// A worker that requests a job without having been picked gets nothing, however many jobs wait for others.
+func TestUnpickedWorkerGetsNoJob(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		a, c := w.worker("a", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "1")
@@ -289,12 +289,13 @@
 	})
 }
 
-// TestDrop: a worker that drops mid-job may have run it; one that drops before it got all of JOB_ASSIGN has not.
-func TestDrop(t *testing.T) {
+// A worker that disconnects during a job may have run it; one that disconnects before it received the complete
+// JOB_ASSIGN has not.
+func TestDisconnectRetriesOnlyJobsThatHaveNotRun(t *testing.T) {
 	for _, c := range []struct {
 		name, function string
-		mid            bool // it had the job
-		cell           bool // another worker is of the same cell
+		mid            bool // the job was assigned
+		cell           bool // the other worker belongs to the same cell
 		again          bool
 	}{
 		{"a warning that may have run", warning, true, true, false},
@@ -335,7 +336,7 @@
 	}
 }
 
-// half lets so many bytes of each write through from some write on, and then breaks.
+// half passes writes through at first, then writes only the given number of bytes of one and fails.
 type half struct {
 	net.Conn
 	after, bytes int
@@ -350,11 +351,11 @@
 	return n, io.ErrClosedPipe
 }
 
-// TestHalfAssigned: JOB_ASSIGN half written has never run.
-func TestHalfAssigned(t *testing.T) {
+// A job whose JOB_ASSIGN was written only in part has not run.
+func TestPartlyWrittenAssignmentHasNotRun(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		near, far := net.Pipe()
-		w.l.calls <- &half{Conn: far, after: 1, bytes: 20} // NOOP goes whole
+		w.l.calls <- &half{Conn: far, after: 1, bytes: 20} // NOOP is written completely
 		p := &peer{GearmanConn: &standin.GearmanConn{Conn: near}, w: w}
 		go p.read()
 		p.say(packet.CanDo, warning)
@@ -372,9 +373,9 @@
 	})
 }
 
-// TestClientGone: a job that waits is dropped with its client; of one that runs the result is, and the worker gets nothing
-// else before its word; one that somebody else waits for goes on.
-func TestClientGone(t *testing.T) {
+// When its client disconnects, a waiting job is dropped; the result of a running one is dropped, and its worker gets no
+// other job before it reports the end; a job that another client waits for continues.
+func TestClientDisconnect(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "runs")
@@ -388,11 +389,11 @@
 		d := w.dial()
 		d.say(packet.SubmitJob, warning, "", "next")
 		w.wait(2 * time.Second)
-		p.want() // it is still at the first
+		p.want() // it still runs the first
 		p.say(packet.WorkComplete, "H:n0:b-1", "late")
 		p.say(packet.GrabJob)
 		w.wait(200 * time.Millisecond)
-		if len(p.got) == 1 && p.got[0] == "NO_JOB " { // it is listed anew a moment later
+		if len(p.got) == 1 && p.got[0] == "NO_JOB " { // it is listed again a moment later
 			p.got = nil
 			p.say(packet.PreSleep)
 			w.wait(200 * time.Millisecond)
@@ -405,7 +406,7 @@
 		p, c, d := w.worker("x", warning), w.dial(), w.dial()
 		c.say(packet.SubmitJob, warning, "u", "1")
 		d.say(packet.SubmitJob, warning, "u", "1")
-		c.say(packet.SubmitJob, warning, "u", "1") // twice by one: it waits twice
+		c.say(packet.SubmitJob, warning, "u", "1") // submitted twice by one client: it is answered twice
 		d.want("JOB_CREATED H:n0:b-1")
 		c.want("JOB_CREATED H:n0:b-1", "JOB_CREATED H:n0:b-1")
 		p.take("H:n0:b-1", warning, "1")
@@ -420,8 +421,8 @@
 	})
 }
 
-// TestCantDo: nothing new from that moment; what is open ends as it ends.
-func TestCantDo(t *testing.T) {
+// After CANT_DO the worker gets no new jobs; running ones end as usual.
+func TestCantDoStopsNewJobs(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "1")
@@ -442,8 +443,9 @@
 	})
 }
 
-// TestLateWords: a second end, an end after a failure, for another's handle, for an unknown one: no second answer.
-func TestLateWords(t *testing.T) {
+// A second end, an end after a failure, a report on another worker's handle and one on an unknown handle cause no second
+// answer.
+func TestLateReportsAreIgnored(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, q, c := w.worker("x", warning), w.worker("y", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "1")
@@ -465,7 +467,7 @@
 	})
 }
 
-// TestException: clients that asked for exceptions get them; the end is a WORK_FAIL, which some workers leave out.
+// Clients that enabled exceptions receive them; the job ends with WORK_FAIL, which some workers do not send.
 func TestException(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c, d := w.worker("x", warning), w.dial(), w.dial()
@@ -483,7 +485,8 @@
 	})
 }
 
-// TestTimeouts: CAN_DO_TIMEOUT; a worker that is woken and does not ask; one that holds its job in silence.
+// Time-outs of a job with CAN_DO_TIMEOUT, of a worker that is woken and does not request its job, and of one that never
+// reports the end of its job.
 func TestTimeouts(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.dial(), w.dial()
@@ -500,11 +503,11 @@
 		p.idle()
 		c.say(packet.SubmitJob, warning, "", "2")
 		p.picked()
-		w.wait(1100 * time.Millisecond) // it does not ask: never sent, so it goes elsewhere
+		w.wait(1100 * time.Millisecond) // it does not request the job, which was never sent and so goes to another worker
 		q := w.worker("y", warning)
 		w.wait(200 * time.Millisecond)
 		q.take("H:n0:b-2", warning, "2")
-		w.wait(5 * time.Second) // silent: its client's patience ends
+		w.wait(5 * time.Second) // no report: the client's time-out expires
 		c.want("JOB_CREATED H:n0:b-2", "WORK_FAIL H:n0:b-2")
 		q.Close()
 		if n := w.s.Counts(); n.Overdue != 1 || n.UnclaimedPicks != 1 || n.Assigned != 2 {
@@ -513,8 +516,8 @@
 	})
 }
 
-// TestHundredWorkers: one more that connects is cold, and gets one job like all others, never two.
-func TestHundredWorkers(t *testing.T) {
+// A worker that has just connected starts cold and gets one job like all others, never two.
+func TestNewWorkerGetsOneJob(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		var all []*peer
 		for i := range 20 {
@@ -534,8 +537,8 @@
 	})
 }
 
-// TestHosts: a Gearman client's job on a host that speaks HTTP, with its progress.
-func TestHosts(t *testing.T) {
+// A job of a Gearman client runs on an HTTP host, with its progress reported.
+func TestJobOnHTTPHost(t *testing.T) {
 	within(t, nil, 1, func(w *world) {
 		c := w.dial()
 		c.say(packet.SubmitJob, reading, "u", "level 3")
@@ -563,8 +566,8 @@
 	})
 }
 
-// TestForgedReport: an HTTP call-back says nothing of a Gearman worker's job.
-func TestForgedReport(t *testing.T) {
+// An HTTP callback cannot report on a job of a Gearman worker.
+func TestForgedCallbackIsIgnored(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "1")
@@ -580,11 +583,11 @@
 		p, c := w.worker("x", reading), w.dial()
 		c.say(packet.SubmitJobBg, reading, "u", "1")
 		c.want("JOB_CREATED H:n0:b-1")
-		c.Close() // nobody waits: it goes on
+		c.Close() // a background job continues without clients
 		p.take("H:n0:b-1", reading, "1")
 		d := w.dial()
 		d.say(packet.GetStatusUnique, "u")
-		d.say(packet.SubmitJob, reading, "u", "1") // one who waits joins
+		d.say(packet.SubmitJob, reading, "u", "1") // a waiting client is attached
 		p.say(packet.WorkStatus, "H:n0:b-1", "3", "4")
 		p.say(packet.WorkComplete, "H:n0:b-1", "ok")
 		d.want("STATUS_RES_UNIQUE u|1|1|0|0|0", "JOB_CREATED H:n0:b-1", "WORK_STATUS H:n0:b-1|3|4", "WORK_COMPLETE H:n0:b-1|ok")
@@ -604,8 +607,9 @@
 	})
 }
 
-// TestMalformed: a clear error where a packet could be read, else the end; nothing else on the connection is lost.
-func TestMalformed(t *testing.T) {
+// Malformed input gets a clear error if the packet could be read to its end, otherwise the connection is closed; nothing
+// else on the connection is lost.
+func TestMalformedInput(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", warning), w.dial()
 		c.say(packet.SubmitJob, warning, "", "1")
@@ -642,11 +646,11 @@
 	})
 }
 
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	within(t, func(g *settings.Gearman) { g.Limits.OpenJobs, g.Limits.JobsPerConnection = 4, 3 }, 0, func(w *world) {
 		c, d, p := w.dial(), w.dial(), w.dial()
 		for range 4 {
-			c.say(packet.SubmitJob, warning, "", "x") // no worker ever came: they wait
+			c.say(packet.SubmitJob, warning, "", "x") // no worker has connected: they wait
 		}
 		c.want("JOB_CREATED*", "JOB_CREATED*", "JOB_CREATED*", "ERROR queue_full|too many open jobs on this connection")
 		d.say(packet.SubmitJob, reading, "", "x")
@@ -658,14 +662,14 @@
 		p.say(packet.CanDo, strings.Repeat("f", 65))
 		p.say(packet.SetClientID, strings.Repeat("i", 65))
 		p.want("ERROR too_many_functions|*", "ERROR bad_function|*", "ERROR id_too_long|*")
-		w.wait(6 * time.Second) // exactly one end each, in time
+		w.wait(6 * time.Second) // each ends exactly once, in time
 		c.want("WORK_FAIL*", "WORK_FAIL*", "WORK_FAIL*")
 	})
 }
 
-// TestOffline: workers left out by hand get nothing, and what waits has its end in time; a worker that comes back has its
-// name, and the word stands.
-func TestOffline(t *testing.T) {
+// A worker taken offline by an operator gets no jobs, and a waiting job ends in time; a worker that reconnects has the
+// same name and stays offline.
+func TestOfflineWorkerGetsNoJobs(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", warning), w.dial()
 		set := func(out bool) {
@@ -694,13 +698,13 @@
 	})
 }
 
-// TestSlowReader: one that reads nothing is closed, and holds nobody up.
-func TestSlowReader(t *testing.T) {
+// A connection that reads nothing is closed and delays no other.
+func TestSlowReaderIsClosed(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		near, far := net.Pipe()
 		w.l.calls <- far
-		deaf := &standin.GearmanConn{Conn: near}
-		deaf.Send(int(packet.SubmitJob), warning, "u", "1")
+		stalled := &standin.GearmanConn{Conn: near}
+		stalled.Send(int(packet.SubmitJob), warning, "u", "1")
 		c, p := w.dial(), w.worker("x", warning)
 		c.say(packet.SubmitJob, warning, "u", "1")
 		p.take("H:n0:b-1", warning, "1")
@@ -721,9 +725,9 @@
 	})
 }
 
-// TestEnd: a planned end with 200 open jobs: each has exactly one end in time, and background jobs that were cut off are
+// In a planned shutdown with 200 open jobs each job ends exactly once in time, and background jobs that were cut off are
 // logged by handle.
-func TestEnd(t *testing.T) {
+func TestPlannedShutdown(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", warning), w.dial()
 		for i := range 200 {
@@ -761,13 +765,13 @@
 			t.Errorf("%d created, ends %v", created, ends)
 		}
 		p.Close()
-		if n := strings.Count(w.log.String(), "cut off by the planned end"); n == 0 || int64(n) != w.s.Counts().BackgroundCut || n+served < 20 {
+		if n := strings.Count(w.log.String(), "cut off by the planned shutdown"); n == 0 || int64(n) != w.s.Counts().BackgroundCut || n+served < 20 {
 			t.Errorf("%d background jobs logged as cut off", n)
 		}
 	})
 }
 
-func TestAdmin(t *testing.T) {
+func TestAdminCommands(t *testing.T) {
 	within(t, func(g *settings.Gearman) { g.Shutdown = true }, 0, func(w *world) {
 		w.worker("rain 1", warning)
 		c := w.dial()
@@ -816,7 +820,7 @@
 		",,,,": "2026-12-01 14:06", "5,,,,": "2026-12-01 15:05", "0,6,,,": "2026-12-02 06:00", "30,12,29,2,": "2028-02-29 12:30",
 		"0,0,,,0": "2026-12-06 00:00", "0,0,,,7": "2026-12-06 00:00", "60,,,,": "", "x,,,,": "", ",,31,2,": "",
 	} {
-		at, ok := schedule(from, bytes.Split([]byte(fields), []byte(",")))
+		at, ok := nextScheduledTime(from, bytes.Split([]byte(fields), []byte(",")))
 		if ok != (want != "") || ok && at.Format("2006-01-02 15:04") != want {
 			t.Errorf("%s: %v %v, want %s", fields, at, ok, want)
 		}
--- a/internal/gearman/packet/packet.go
+++ b/internal/gearman/packet/packet.go
@@ -1,9 +1,9 @@
-// Package packet reads and writes the packets of the Gearman protocol, as its public specification has them
-// (http://gearman.org/protocol/), and the lines of its administrative text protocol, which share a port.
+// Package packet reads and writes the packets of the Gearman protocol according to its public specification
+// (http://gearman.org/protocol/), and the lines of its administrative text protocol, which shares the port.
 //
-// A binary packet is a magic, a type and a size of four bytes each, big-endian, and then its arguments: all but the last
-// end with a NUL byte, the last one, mostly the data, is what remains. Nothing that a peer says is trusted for memory: the
-// size is told before anything of the body is read.
+// A binary packet is a magic number, a type and a size of four bytes each, big-endian, followed by its arguments: all
+// but the last end with a NUL byte; the last, usually the data, is the remainder. The header is returned before any of
+// the body is read, so that the caller checks the declared size before allocating memory.
 package packet
 
 import (
@@ -15,10 +15,10 @@
 	"io"
 )
 
-// Type is what a packet is for.
+// Type is the type of a packet.
 type Type uint32
 
-// The types.
+// The packet types.
 const (
 	CanDo Type = iota + 1
 	CantDo
@@ -83,35 +83,36 @@
 	return fmt.Sprintf("type %d", uint32(t))
 }
 
-// requests has the number of arguments of each packet that a client or worker sends; the others are ours to send.
-var requests = [last]int8{CanDo: 1, CantDo: 1, ResetAbilities: 0, PreSleep: 0, SubmitJob: 3, GrabJob: 0, WorkStatus: 3, WorkComplete: 2,
+// requestArguments has the number of arguments of each packet that clients and workers send; -1 for all others.
+var requestArguments = [last]int8{CanDo: 1, CantDo: 1, ResetAbilities: 0, PreSleep: 0, SubmitJob: 3, GrabJob: 0, WorkStatus: 3, WorkComplete: 2,
 	WorkFail: 1, GetStatus: 1, EchoReq: 1, SubmitJobBg: 3, SubmitJobHigh: 3, SetClientID: 1, CanDoTimeout: 2, AllYours: 0,
 	WorkException: 2, OptionReq: 1, WorkData: 2, WorkWarning: 2, GrabJobUniq: 0, SubmitJobHighBg: 3, SubmitJobLow: 3,
 	SubmitJobLowBg: 3, SubmitJobSched: 8, SubmitJobEpoch: 4, SubmitReduceJob: 4, SubmitReduceJobBg: 4, GrabJobAll: 0, GetStatusUnique: 1,
 	0: -1, 5: -1, Noop: -1, JobCreated: -1, NoJob: -1, JobAssign: -1, EchoRes: -1, Error: -1, StatusRes: -1, OptionRes: -1,
 	JobAssignUniq: -1, JobAssignAll: -1, StatusResUnique: -1}
 
-// IsRequest says whether packets of the type come from clients or workers.
-func (t Type) IsRequest() bool { return t < last && requests[t] >= 0 }
+// IsRequest reports whether packets of the type are sent by clients or workers.
+func (t Type) IsRequest() bool { return t < last && requestArguments[t] >= 0 }
 
-// HeaderSize is how long a header is, in bytes.
+// HeaderSize is the size of a packet header in bytes.
 const HeaderSize = 12
 
-// Header is what a packet begins with.
+// Header is the header of a packet.
 type Header struct {
 	Type Type
 	Size uint32 // of the body
 }
 
-// ErrBadMagic says that what came is no packet of a client's or worker's: where it ends is not known.
+// ErrBadMagic is returned for input that is not a packet of a client or worker. Its end cannot be found, so nothing more
+// can be read.
 var ErrBadMagic = errors.New("unknown magic")
 
 var reqMagic, resMagic = []byte("\x00REQ"), []byte("\x00RES")
 
-// MaxLineLength is the most bytes of a line of the text protocol.
+// MaxLineLength is the maximum size in bytes of a line of the text protocol.
 const MaxLineLength = 1 << 10
 
-// ErrLineTooLong is a line of the text protocol that is too long.
+// ErrLineTooLong is returned for a line of the text protocol longer than MaxLineLength.
 var ErrLineTooLong = errors.New("line too long")
 
 // Reader reads from one connection. Binary packets and lines of text may come in any order.
@@ -122,14 +123,14 @@
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{bufio.NewReaderSize(r, 4<<10)} }
 
-// IsText says whether what comes next is a line of text; it waits for the first byte. No line begins with a NUL, and every
-// packet does.
+// IsText reports whether a line of text comes next; it blocks until the first byte arrives. Every packet starts with a
+// NUL byte, and no line does.
 func (r *Reader) IsText() (bool, error) {
 	b, err := r.Peek(1)
 	return err == nil && b[0] != 0, err
 }
 
-// Header reads a packet's header. The body is to be read, or passed by with Discard, before the next.
+// Header reads the header of a packet. The caller reads or discards the body before it reads the next.
 func (r *Reader) Header() (Header, error) {
 	b, err := r.Peek(HeaderSize)
 	if len(b) >= 4 && !bytes.Equal(b[:4], reqMagic) {
@@ -146,10 +147,10 @@
 	return h, nil
 }
 
-// HasBuffered says whether so many bytes are here already: to read them does not wait.
+// HasBuffered reports whether n bytes can be read without blocking.
 func (r *Reader) HasBuffered(n int) bool { return r.Buffered() >= n }
 
-// Line reads a line of text without its end.
+// Line reads a line of text and returns it without its line ending.
 func (r *Reader) Line() (string, error) {
 	line, err := r.ReadSlice('\n')
 	if err == bufio.ErrBufferFull || len(line) > MaxLineLength {
@@ -164,19 +165,19 @@
 	return string(bytes.TrimRight(line, "\r\n")), nil
 }
 
-// ErrTooFewArguments says that a body has too few arguments: NUL bytes are missing.
+// ErrTooFewArguments is returned for a body with fewer arguments than its type has.
 var ErrTooFewArguments = errors.New("too few arguments")
 
-// MaxArguments is the most arguments that a packet has.
+// MaxArguments is the maximum number of arguments of a packet.
 const MaxArguments = 8
 
-// Split takes the arguments of a client's or worker's packet apart; they share the body's memory. Where a type has no
-// arguments, what came all the same is passed by.
+// Split splits the body of a client's or worker's packet into arguments, which share its memory. The body of a type
+// without arguments is ignored.
 func (t Type) Split(body []byte) (args [MaxArguments][]byte, err error) {
 	if !t.IsRequest() {
 		return args, errors.New("not a request")
 	}
-	n := int(requests[t])
+	n := int(requestArguments[t])
 	for i := range n {
 		if i == n-1 {
 			args[i] = body
@@ -188,8 +189,8 @@
 		}
 		args[i], body = body[:at], body[at+1:]
 	}
-	// Some clients end the last argument with a NUL as well, where it is a name.
-	if n > 0 && t.named() {
+	// Some clients terminate the last argument with a NUL as well if it is a name.
+	if n > 0 && t.lastIsName() {
 		args[n-1] = bytes.TrimSuffix(args[n-1], []byte{0})
 		if bytes.IndexByte(args[n-1], 0) >= 0 {
 			return args, errors.New("NUL in a name")
@@ -198,8 +199,8 @@
 	return args, nil
 }
 
-// named says whether the last argument of a type is a name, not data.
-func (t Type) named() bool {
+// lastIsName reports whether the last argument of a type is a name and not data.
+func (t Type) lastIsName() bool {
 	switch t {
 	case CanDo, CantDo, CanDoTimeout, SetClientID, GetStatus, GetStatusUnique, WorkFail, WorkStatus, OptionReq:
 		return true
@@ -207,13 +208,13 @@
 	return false
 }
 
-// Append writes a packet of the server's with its arguments.
+// Append appends a packet sent by the server.
 func Append[T string | []byte](b []byte, t Type, args ...T) []byte {
 	b = append(b, resMagic...)
 	return appendRest(b, t, args...)
 }
 
-// AppendRequest writes a packet of a client's or worker's.
+// AppendRequest appends a packet sent by a client or worker.
 func AppendRequest[T string | []byte](b []byte, t Type, args ...T) []byte {
 	b = append(b, reqMagic...)
 	return appendRest(b, t, args...)
--- a/internal/gearman/packet/packet_test.go
+++ b/internal/gearman/packet/packet_test.go
@@ -9,7 +9,7 @@
 	"testing/iotest"
 )
 
-// read takes all that a peer sends apart, as a server does.
+// read parses everything that a peer sends, as a server does.
 func read(r *Reader) (got []string, err error) {
 	for {
 		text, err := r.IsText()
@@ -40,12 +40,12 @@
 			got = append(got, h.Type.String()+" "+err.Error())
 			continue
 		}
-		n := requests[h.Type]
+		n := requestArguments[h.Type]
 		got = append(got, h.Type.String()+" "+string(bytes.Join(args[:n], []byte("|"))))
 	}
 }
 
-// TestEveryRequest: each type with its arguments, in whole and byte by byte, between lines of text.
+// Each request type with its arguments, in one piece and byte by byte, between lines of text.
 func TestEveryRequest(t *testing.T) {
 	var in []byte
 	var want []string
@@ -53,7 +53,7 @@
 		if !typ.IsRequest() {
 			continue
 		}
-		args := []string{"a", "b", "c", "d", "e", "f", "g", "data"}[MaxArguments-requests[typ]:]
+		args := []string{"a", "b", "c", "d", "e", "f", "g", "data"}[MaxArguments-requestArguments[typ]:]
 		in = AppendRequest(in, typ, args...)
 		want = append(want, typ.String()+" "+strings.Join(args, "|"))
 		in = append(in, "status\r\n"...)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestOddities(t *testing.T) {
+func TestUnusualInput(t *testing.T) {
 	for _, c := range []struct {
 		in, want string
 		err      error
@@ -106,8 +106,8 @@
 	}
 }
 
-// FuzzReader: whatever comes, in whatever pieces, is read alike, and what is understood says the same when it is written
-// again.
+// Any input is read the same way in one piece and byte by byte, and what was parsed is unchanged when it is encoded and
+// parsed again.
 func FuzzReader(f *testing.F) {
 	f.Add(AppendRequest(nil, SubmitJob, "f", "u", "data"))
 	f.Add([]byte("workers\n\x00REQ\x00\x00\x00\x09\x00\x00\x00\x00"))
@@ -130,13 +130,13 @@
 			if err != nil {
 				continue
 			}
-			again := AppendRequest(nil, h.Type, args[:requests[h.Type]]...)
+			again := AppendRequest(nil, h.Type, args[:requestArguments[h.Type]]...)
 			args2, err := h.Type.Split(again[HeaderSize:])
 			if err != nil {
 				t.Fatalf("%s: %v", h.Type, err)
 			}
 			for i := range args {
-				if !bytes.Equal(args[i], args2[i]) && !(h.Type.named() && bytes.HasSuffix(args[i], []byte{0})) {
+				if !bytes.Equal(args[i], args2[i]) && !(h.Type.lastIsName() && bytes.HasSuffix(args[i], []byte{0})) {
 					t.Errorf("%s: argument %d %q, again %q", h.Type, i, args[i], args2[i])
 				}
 			}
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -1,9 +1,9 @@
-// Package gearman is the Gearman side: clients hand in jobs, workers run them. Both are connections to the same port, and
-// one connection may be both.
+// Package gearman implements a Gearman server: clients submit jobs and workers run them. Both connect to the same port,
+// and one connection may be both.
 //
-// What it knows of jobs and workers are the state machines of package state, under one lock that is never held while
-// anything waits. Which worker gets a job is the decision module's word, which comes by Send; a worker that asks unbidden
-// gets nothing. docs/gearman.md is the page for operators.
+// The state of jobs and workers is kept by the state machines of package state, under one lock that is never held while
+// anything blocks. The decision module picks the worker for each job, which arrives by Send; a worker that requests a
+// job without having been picked gets NO_JOB. docs/gearman.md is the operators' guide.
 package gearman
 
 import (
@@ -30,7 +30,7 @@
 	"liftgauge/route"
 )
 
-// Engine is what the Gearman side asks of the owner.
+// Engine is what the server requires of the engine, which runs the decision module.
 type Engine interface {
 	Submit(m *owner.Message) bool
 	Gone(m *owner.Message)
@@ -48,99 +48,99 @@
 	Engine    Engine
 	Routes    *route.Table
 	Settings  *settings.Gearman
-	Classes   []balance.Class // by the module's number
+	Classes   []balance.Class // indexed by class number
 	Zone      int             // of this dispatcher, and so of its workers
-	HostKinds int             // how many kinds of hosts there are: the workers' come after
+	HostKinds int             // number of kinds of hosts; kinds of workers are numbered after them
 	Name      string          // of this dispatcher
-	Boot      string          // of this process: no two processes have the same
+	Boot      string          // id of this process; unique among processes
 	MaxConns  int
 	Budget    *budget.Budget
-	Subject   func(key string) uint64 // as the north side's
-	// ShutdownTimeout is how long after the beginning of a planned end every job must have ended.
+	Subject   func(key string) uint64 // hash of a key, the same as for HTTP clients
+	// ShutdownTimeout is how long after the start of a planned shutdown every job must have ended.
 	ShutdownTimeout time.Duration
-	Shutdown        func() // begins the planned end, where an admin may ask for it
+	Shutdown        func() // starts the planned shutdown; called for the admin command where the settings allow it
 	Now             func() time.Duration
 	Log             *slog.Logger
 	Check           *invariant.Checker
 }
 
-// Phase is how far a planned end has come.
+// Phase is a stage of a planned shutdown.
 type Phase int32
 
-// The phases.
+// The phases, in order.
 const (
 	Serving         Phase = iota
-	Draining              // serving as before
+	Draining              // still serving as before
 	ListenersClosed       // no new connections
 	RejectingJobs         // no new jobs
 )
 
-// Counts are what has been seen since the start.
+// Counts are totals since the start, and current numbers.
 type Counts struct {
-	Submitted, Attached       int64 // jobs taken, and submissions that joined one that was open
-	Served, Failed, BackOffs  int64 // ends of jobs
-	Abandoned                 int64 // jobs whose clients have all left
-	Rejected                  int64 // submissions that got an ERROR
+	Submitted, Attached       int64 // jobs accepted, and submissions attached to an open job
+	Served, Failed, BackOffs  int64 // outcomes of jobs
+	Abandoned                 int64 // jobs whose clients have all disconnected
+	Rejected                  int64 // submissions answered with ERROR
 	Assigned, NoJobs          int64
-	LateReports               int64 // words on jobs that the worker is not at
-	UnclaimedPicks            int64 // picks that a free worker did not ask for in time
-	Overdue                   int64 // jobs past their CAN_DO_TIMEOUT
-	SlowReaders               int64 // connections closed as they read too slowly
-	Malformed                 int64 // packets and lines that could not be read
-	BackgroundCut             int64 // background jobs that the planned end cut off
-	Connections, Workers      int64 // now
-	Waiting, Running, Clients int64 // now
+	LateReports               int64 // reports on jobs that the worker does not run
+	UnclaimedPicks            int64 // picks that a free worker did not request in time
+	Overdue                   int64 // jobs that exceeded their CAN_DO_TIMEOUT
+	SlowReaders               int64 // connections closed because the peer read too slowly
+	Malformed                 int64 // packets and lines that could not be parsed
+	BackgroundCut             int64 // background jobs cut off by a planned shutdown
+	Connections, Workers      int64 // current
+	Waiting, Running, Clients int64 // current
 }
 
-// Server is the Gearman side. It implements owner.South for its workers.
+// Server is a Gearman server. It implements owner.South for its workers.
 type Server struct {
 	Config
 	table    atomic.Pointer[route.Table]
 	settings atomic.Pointer[settings.Gearman]
 	phase    atomic.Int32
 
-	lists   sync.Mutex // held while a list is made and handed on
-	mu      sync.Mutex
-	jobs    *state.Jobs
-	counts  Counts
-	conns   map[state.Conn]*conn
-	last    state.Conn
-	workers map[string]*conn // that have a name
-	dirty   map[*conn]bool   // of these, those whose listing is to be looked at
-	gone    []owner.Host     // that have left and are still listed
-	queues  map[string]int   // bounds of waiting jobs by an admin's word
-	later   []*job           // that are to run at a later time
-	until   time.Duration    // by when all must have ended; 0: no end is under way
-	active  int              // picks and runs: there are times to look at
-
-	kick, relist chan struct{}
-	slots        chan struct{}
-	listeners    []net.Listener // guarded by the lock
-	closed       bool
-	ctx          context.Context
-	stop         context.CancelFunc
-	tasks        errgroup.Group
+	listMu           sync.Mutex // held while changes are collected and passed on
+	mu               sync.Mutex
+	jobs             *state.Jobs
+	counts           Counts
+	conns            map[state.Conn]*conn
+	lastConn         state.Conn
+	workers          map[string]*conn // by name; only those that have one
+	changed          map[*conn]bool   // of workers, those whose listing may have changed
+	removed          []owner.Host     // disconnected workers that are still listed
+	queueLimits      map[string]int   // limits of waiting jobs set by an administrator
+	scheduled        []*job           // jobs that are to run at a later time
+	shutdownDeadline time.Duration    // when every job must have ended; 0: no shutdown in progress
+	timedAttempts    int              // picks and runs, which may time out
+
+	timerWake, listWake chan struct{}
+	connSlots           chan struct{}
+	listeners           []net.Listener // guarded by the lock
+	closed              bool
+	ctx                 context.Context
+	stop                context.CancelFunc
+	tasks               errgroup.Group
 }
 
 var _ owner.South = (*Server)(nil)
 
 // job is what the server keeps with a state.Job.
 type job struct {
-	message *owner.Message
-	work    *work.Work
-	at      time.Duration // when it is to run, if not at once
-	begun   bool          // it may have run
-	handed  bool          // to the owner
-	conn    state.Conn    // that submitted it
-	since   time.Duration
+	message     *owner.Message
+	work        *work.Work
+	runAt       time.Duration // when it is to run, if not at once
+	begun       bool          // it may have run
+	submitted   bool          // passed to the engine
+	conn        state.Conn    // that submitted it
+	submittedAt time.Duration
 }
 
 // New returns a Server.
 func New(c Config) *Server {
-	s := &Server{Config: c, conns: map[state.Conn]*conn{}, workers: map[string]*conn{}, dirty: map[*conn]bool{}, queues: map[string]int{},
-		kick: make(chan struct{}, 1), relist: make(chan struct{}, 1), slots: make(chan struct{}, max(c.MaxConns, 1))}
+	s := &Server{Config: c, conns: map[state.Conn]*conn{}, workers: map[string]*conn{}, changed: map[*conn]bool{}, queueLimits: map[string]int{},
+		timerWake: make(chan struct{}, 1), listWake: make(chan struct{}, 1), connSlots: make(chan struct{}, max(c.MaxConns, 1))}
 	l := c.Settings.Limits
-	s.Name = plain(strings.ReplaceAll(s.Name, ":", "_"))
+	s.Name = singleWord(strings.ReplaceAll(s.Name, ":", "_"))
 	s.jobs = state.NewJobs(state.Limits{MaxOpen: l.OpenJobs, MaxPerConn: l.JobsPerConnection, MaxEnded: c.Settings.Timeouts.KeepEnded,
 		EndedRetention: time.Duration(c.Settings.Timeouts.Ended)})
 	s.table.Store(c.Routes)
@@ -149,7 +149,7 @@
 	return s
 }
 
-// Reload takes new settings. Listeners and what the module is made of stay as they are.
+// Reload applies new settings. Listeners and the settings of the decision module stay as they are.
 func (s *Server) Reload(t *route.Table, g *settings.Gearman) {
 	s.table.Store(t)
 	s.settings.Store(g)
@@ -159,14 +159,14 @@
 	s.jobs.MaxEnded, s.jobs.EndedRetention = g.Timeouts.KeepEnded, time.Duration(g.Timeouts.Ended)
 	for _, c := range s.workers {
 		c.worker.GrabTimeout = time.Duration(g.Timeouts.Grab)
-		s.touch(c)
+		s.markChanged(c)
 	}
 }
 
-// Table is what routes jobs now.
+// Table returns the current routing table.
 func (s *Server) Table() *route.Table { return s.table.Load() }
 
-// Counts returns what has been seen, and how it stands now.
+// Counts returns the totals since the start and the current numbers.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,33 +185,33 @@
 	return c
 }
 
-// Open is how many jobs are open.
+// Open returns the number of open jobs.
 func (s *Server) Open() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(s.jobs.Len())
 }
 
-func (s *Server) at() Phase { return Phase(s.phase.Load()) }
+func (s *Server) currentPhase() Phase { return Phase(s.phase.Load()) }
 
-// Enter begins a phase.
+// Enter starts a phase of the planned shutdown.
 func (s *Server) Enter(p Phase) {
 	if Phase(s.phase.Swap(int32(p))) == p {
 		return
 	}
 	s.mu.Lock()
-	if p >= Draining && s.until == 0 {
-		s.until = s.Now() + s.ShutdownTimeout
+	if p >= Draining && s.shutdownDeadline == 0 {
+		s.shutdownDeadline = s.Now() + s.ShutdownTimeout
 	}
 	s.mu.Unlock()
-	s.wake()
+	s.wakeTimer()
 	if p >= ListenersClosed {
-		s.unlisten()
+		s.closeListeners()
 	}
 }
 
-// unlisten closes the listeners; connections go on.
-func (s *Server) unlisten() {
+// closeListeners closes the listeners; established connections stay.
+func (s *Server) closeListeners() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.listeners {
@@ -221,17 +221,17 @@
 	s.closed = true
 }
 
-// HandOver leaves the addresses to another process.
-func (s *Server) HandOver() { s.unlisten() }
+// HandOver closes the listeners, so that new connections go to the successor process.
+func (s *Server) HandOver() { s.closeListeners() }
 
-// Rest closes the connections that nothing is open on and reports how many are left. Workers are needed for as long as
+// Rest closes the connections that have nothing open and returns the number that remains. Workers are needed as long as
 // any job is open.
 func (s *Server) Rest() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
 		if s.jobs.Len() == 0 && (c.worker == nil || c.worker.Running() == 0) {
-			c.shut = true // a job that its reader still has in hand is not taken: nobody could be told of it
+			c.closing = true // a submission that is being read is not accepted, as it could not be answered
 			c.Close()
 		}
 	}
@@ -248,7 +248,7 @@
 	}
 	s.mu.Unlock()
 	defer context.AfterFunc(ctx, func() {
-		s.unlisten()
+		s.closeListeners()
 		s.stop()
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -260,8 +260,8 @@
 	for _, l := range listeners {
 		group.Go(func() error { s.accept(ctx, l); return nil })
 	}
-	group.Go(func() error { s.lister(); return nil })
-	group.Go(func() error { s.clock(); return nil })
+	group.Go(func() error { s.runLister(); return nil })
+	group.Go(func() error { s.runTimer(); return nil })
 	err := group.Wait()
 	<-ctx.Done()
 	s.tasks.Wait()
@@ -273,9 +273,9 @@
 		raw, err := l.Accept()
 		if err != nil {
 			s.mu.Lock()
-			over := s.closed
+			closed := s.closed
 			s.mu.Unlock()
-			if over || ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+			if closed || ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
 			s.Log.Warn("gearman: accept", "err", err)
@@ -287,7 +287,7 @@
 			continue
 		}
 		select {
-		case s.slots <- struct{}{}:
+		case s.connSlots <- struct{}{}:
 		default:
 			raw.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 			raw.Write(packet.Append(nil, packet.Error, "too_many_connections", "no room for another connection"))
@@ -296,7 +296,7 @@
 		}
 		c := s.add(raw)
 		s.tasks.Go(func() error {
-			defer func() { <-s.slots }()
+			defer func() { <-s.connSlots }()
 			c.serve()
 			return nil
 		})
@@ -306,9 +306,9 @@
 func (s *Server) add(raw net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	c := &conn{Conn: raw, s: s, id: s.last, r: packet.NewReader(raw), room: s.Budget.Take0(), since: s.Now()}
-	c.idle.L = &c.out
+	s.lastConn++
+	c := &conn{Conn: raw, server: s, id: s.lastConn, reader: packet.NewReader(raw), bufferHold: s.Budget.Take0(), connectedAt: s.Now()}
+	c.writerIdle.L = &c.outMu
 	s.conns[c.id] = c
 	if s.ctx.Err() != nil {
 		raw.Close()
@@ -316,134 +316,135 @@
 	return c
 }
 
-// remove takes an ended connection out. What its worker was picked for has never run; what it was at may have, unless its
-// last byte was never written.
+// remove takes out a connection that has ended. Its picks have never run. Its assigned jobs may have run, except those
+// whose JOB_ASSIGN was not written completely.
 func (s *Server) remove(c *conn) {
 	c.Close()
-	c.out.Lock()
+	c.outMu.Lock()
 	c.broken = true
 	for c.writing {
-		c.idle.Wait()
+		c.writerIdle.Wait()
 	}
 	sent := c.sent
-	c.out.Unlock()
+	c.outMu.Unlock()
 	s.mu.Lock()
 	delete(s.conns, c.id)
 	abandoned := s.jobs.Disconnect(c.id)
 	s.counts.Abandoned += int64(len(abandoned))
-	var never, lost []*owner.Attempt
+	var notRun, lost []*owner.Attempt
 	if c.worker != nil {
 		picks, runs := c.worker.Close()
-		never = picks
+		notRun = picks
 		for _, r := range runs {
-			s.active--
-			if c.ends[r.Handle] > sent { // JOB_ASSIGN did not go out whole: nobody can have begun it
-				never = append(never, r.Attempt)
+			s.timedAttempts--
+			if c.assignEnds[r.Handle] > sent { // JOB_ASSIGN was not sent completely, so the worker cannot have started it
+				notRun = append(notRun, r.Attempt)
 			} else {
 				lost = append(lost, r.Attempt)
 			}
 		}
-		s.active -= len(picks)
+		s.timedAttempts -= len(picks)
 		if c.name != "" {
 			delete(s.workers, c.name)
-			delete(s.dirty, c)
+			delete(s.changed, c)
 			if c.listed {
 				h := c.host
 				h.Worker.State = balance.Removed
-				s.gone = append(s.gone, h)
-				s.look()
+				s.removed = append(s.removed, h)
+				s.wakeLister()
 			}
 		}
 	}
 	s.mu.Unlock()
-	if len(never)+len(lost) > 0 {
-		s.list()
+	if len(notRun)+len(lost) > 0 {
+		s.sendChanges()
 	}
-	for _, a := range never {
+	for _, a := range notRun {
 		s.ended(a, balance.ConnectFailed)
 	}
 	for _, a := range lost {
 		s.ended(a, balance.Reset)
 	}
 	for _, j := range abandoned {
-		s.leave(j)
+		s.abandon(j)
 	}
-	c.room.Drop()
+	c.bufferHold.Drop()
 }
 
-// leave tells the owner that nobody waits for a job any more.
-func (s *Server) leave(j *state.Job) {
+// abandon notifies the engine that a job has no clients left.
+func (s *Server) abandon(j *state.Job) {
 	d := j.Data.(*job)
 	s.mu.Lock()
-	handed := d.handed
+	handed := d.submitted
 	s.mu.Unlock()
 	if handed {
 		s.Engine.Gone(d.message)
-	} else { // it was to run later
+	} else { // scheduled, and not yet passed on
 		d.work.Hold.Drop()
 	}
 }
 
-// ended reports an attempt's end. The hold on its data goes with it.
+// ended reports the end of an attempt and releases the hold on its data.
 func (s *Server) ended(a *owner.Attempt, status balance.Status) {
 	s.Engine.Ended(a, status)
 	work.Of(a.Message).Held().Drop()
 }
 
-// touch has the lister look at a worker. The lock is held.
-func (s *Server) touch(c *conn) {
+// markChanged has the lister check a worker. The caller holds the lock.
+func (s *Server) markChanged(c *conn) {
 	if c.name != "" {
-		s.dirty[c] = true
-		s.look()
+		s.changed[c] = true
+		s.wakeLister()
 	}
 }
 
-func (s *Server) look() {
+func (s *Server) wakeLister() {
 	select {
-	case s.relist <- struct{}{}:
+	case s.listWake <- struct{}{}:
 	default:
 	}
 }
 
-// lister tells the owner of workers that have come, changed or gone. Changes that come together are told together: each
-// list makes the module draw up its turns anew.
-func (s *Server) lister() {
+// runLister reports workers that were added, changed or removed. Changes are batched, since each list makes the decision
+// module recompute its choice of workers.
+func (s *Server) runLister() {
 	for {
 		select {
-		case <-s.relist:
+		case <-s.listWake:
 		case <-s.ctx.Done():
 			return
 		}
-		s.list()
+		s.sendChanges()
 	}
 }
 
-// list tells the owner what has changed up to now. Before an attempt's end is reported that comes of such a change, the
-// change must be: the module would pick the same worker for it at once, and again, until no attempts are left.
-func (s *Server) list() {
-	s.lists.Lock() // the newer list comes after the older one
-	defer s.lists.Unlock()
+// sendChanges reports all changes so far to the engine. A change must be reported before the end of an attempt that
+// results from it: otherwise the module would pick the same worker again at once, until no attempts are left.
+func (s *Server) sendChanges() {
+	s.listMu.Lock() // keeps lists in order
+	defer s.listMu.Unlock()
 	s.mu.Lock()
-	hosts := s.gone
-	s.gone = nil
-	for c := range s.dirty {
+	hosts := s.removed
+	s.removed = nil
+	for c := range s.changed {
 		if h, changed := s.listing(c); changed {
 			hosts = append(hosts, h)
 		}
 	}
-	clear(s.dirty)
+	clear(s.changed)
 	s.mu.Unlock()
 	if len(hosts) > 0 {
 		s.Engine.List(balance.ListChanges, hosts)
 	}
 }
 
-// listing is how a worker is to be listed now, and whether that is something new. The lock is held.
+// listing returns how a worker is to be listed now, and whether that differs from how it was listed last. The caller
+// holds the lock.
 func (s *Server) listing(c *conn) (h owner.Host, changed bool) {
 	t := s.table.Load()
 	open := c.worker.Available()
-	h = owner.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.HostKinds + 1 + t.Kind(c.client),
-		Cell: t.Cell(c.client, uint64(c.id)), Weight: 1, Up: c.since, Slots: 1, Pulls: true, Runs: t.WorkerClasses(c.client, c.worker.Can)}}
+	h = owner.Host{Name: c.name, Address: c.RemoteAddr().String(), Via: s, Worker: balance.Worker{Zone: s.Zone, Kind: s.HostKinds + 1 + t.Kind(c.clientID),
+		Cell: t.Cell(c.clientID, uint64(c.id)), Weight: 1, Up: c.connectedAt, Slots: 1, Pulls: true, Runs: t.WorkerClasses(c.clientID, c.worker.Can)}}
 	if !open {
 		h.Worker.State = balance.Removed
 	}
@@ -460,15 +461,15 @@
 	return h, true
 }
 
-// christen gives a worker a name: its client id, and a number where several have the same. The numbers are used again, so
-// that a worker that comes back has its name and what operators said of it.
-func (s *Server) christen(c *conn) {
+// assignName names a worker: its client id, and a number to tell apart workers of the same id. Numbers are reused, so
+// that a worker that reconnects keeps its name and what operators have set for it.
+func (s *Server) assignName(c *conn) {
 	base := strings.Map(func(r rune) rune {
 		if r <= ' ' || r >= 0x7f || strings.ContainsRune(`/?#%"\`, r) {
 			return '_'
 		}
 		return r
-	}, c.client)
+	}, c.clientID)
 	if base == "" {
 		base = "worker"
 		if host, _, err := net.SplitHostPort(c.RemoteAddr().String()); err == nil {
@@ -485,14 +486,15 @@
 	}
 }
 
-// Send keeps an attempt for the worker that the module picked, until it asks. It is called from the owner's goroutine.
+// Send keeps an attempt for the worker that the module picked, until the worker requests a job. It is called from the
+// engine's goroutine.
 func (s *Server) Send(ctx context.Context, a *owner.Attempt) {
 	w := work.Of(a.Message)
 	if w == nil {
 		s.tasks.Go(func() error { s.Engine.Ended(a, balance.NotSent); return nil })
 		return
 	}
-	w.Held().Share() // until it is assigned or has ended
+	w.Held().Share() // until the attempt has ended
 	s.mu.Lock()
 	c := s.workers[a.Host.Name]
 	if c == nil {
@@ -506,9 +508,9 @@
 		s.tasks.Go(func() error { s.ended(a, balance.NotSent); return nil })
 		return
 	}
-	s.active++
-	// Only a withdrawal is of interest: any other end is told from here.
-	c.stops[a] = context.AfterFunc(ctx, func() {
+	s.timedAttempts++
+	// Only a withdrawal matters here: any other end is reported by this server.
+	c.withdrawStops[a] = context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), owner.ErrWithdrawn) {
 			s.withdrawn(c, a)
 		}
@@ -517,20 +519,20 @@
 	if wake {
 		c.send(packet.Append[string](nil, packet.Noop), false)
 	}
-	s.wake()
+	s.wakeTimer()
 }
 
-// withdrawn takes an attempt back where the worker has not got it. Else the worker is at it, whoever has given it up, and
-// gets nothing else until it says how it ended.
+// withdrawn takes an attempt back that has not been assigned yet. Otherwise the worker runs it, even though nobody waits
+// for it any more, and gets no other job until it reports the end.
 func (s *Server) withdrawn(c *conn, a *owner.Attempt) {
 	s.mu.Lock()
-	delete(c.stops, a)
+	delete(c.withdrawStops, a)
 	dropped := c.worker.Unpick(a)
 	if dropped {
-		s.active--
+		s.timedAttempts--
 	} else if r := c.worker.Run(work.Of(a.Message).Handle); r != nil && r.Attempt == a {
 		r.Abandoned = true
-		s.touch(c)
+		s.markChanged(c)
 	}
 	s.mu.Unlock()
 	if dropped {
@@ -538,43 +540,44 @@
 	}
 }
 
-// Probe asks whether a worker is there. Nothing can be asked of one; it is if it is connected and not silent.
+// Probe reports whether a worker is available. The protocol has no request to a worker, so it is available if it is
+// connected and not unresponsive.
 func (s *Server) Probe(h owner.Host) {
 	s.mu.Lock()
 	c := s.workers[h.Name]
-	there := c != nil && c.worker.Available()
+	available := c != nil && c.worker.Available()
 	s.mu.Unlock()
 	status := balance.OK
-	if !there {
+	if !available {
 		status = balance.ConnectFailed
 	}
 	s.tasks.Go(func() error { s.Engine.Probed(h, status, nil); return nil })
 }
 
-// Forget has nothing to drop: a worker's connection is its own.
+// Forget does nothing: the server opens no connections to workers.
 func (s *Server) Forget(owner.Host) {}
 
-func (s *Server) wake() {
+func (s *Server) wakeTimer() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.timerWake <- struct{}{}:
 	default:
 	}
 }
 
-// clockTick is how often times are looked at while there are any.
-const clockTick = 50 * time.Millisecond
+// timerInterval is how often time-outs are checked while there are any.
+const timerInterval = 50 * time.Millisecond
 
-// clock looks at times while there is anything that has one.
-func (s *Server) clock() {
-	ticks := time.NewTicker(clockTick)
+// runTimer checks time-outs while there are any.
+func (s *Server) runTimer() {
+	ticks := time.NewTicker(timerInterval)
 	defer ticks.Stop()
 	for {
 		s.mu.Lock()
-		rests := s.active == 0 && len(s.later) == 0 && s.until == 0
+		idle := s.timedAttempts == 0 && len(s.scheduled) == 0 && s.shutdownDeadline == 0
 		s.mu.Unlock()
-		if rests {
+		if idle {
 			select {
-			case <-s.kick:
+			case <-s.timerWake:
 			case <-s.ctx.Done():
 				return
 			}
@@ -596,65 +599,65 @@
 	for _, c := range s.workers {
 		picks, runs := c.worker.Tick(now)
 		if len(picks) > 0 {
-			s.Log.Info("gearman: worker does not ask for its job", "worker", c.name)
-			s.touch(c)
+			s.Log.Info("gearman: worker did not request its job in time", "worker", c.name)
+			s.markChanged(c)
 		}
-		s.active -= len(picks)
+		s.timedAttempts -= len(picks)
 		s.counts.UnclaimedPicks += int64(len(picks))
 		late = append(late, picks...)
 		for _, r := range runs {
 			s.counts.Overdue++
 			overdue = append(overdue, r.Attempt)
-			s.touch(c)
+			s.markChanged(c)
 		}
 		for _, a := range picks {
-			c.forgetStop(a)
+			c.stopWatchingWithdrawal(a)
 		}
 	}
 	var due []*job
-	rest := s.later[:0]
-	for _, j := range s.later {
-		if j.at <= now {
+	remaining := s.scheduled[:0]
+	for _, j := range s.scheduled {
+		if j.runAt <= now {
 			due = append(due, j)
 		} else {
-			rest = append(rest, j)
+			remaining = append(remaining, j)
 		}
 	}
-	clear(s.later[len(rest):])
-	s.later = rest
-	var cut []*state.Job
-	if s.until > 0 && now >= s.until {
-		cut = s.jobs.All()
+	clear(s.scheduled[len(remaining):])
+	s.scheduled = remaining
+	var unfinished []*state.Job
+	if s.shutdownDeadline > 0 && now >= s.shutdownDeadline {
+		unfinished = s.jobs.All()
 	}
 	s.mu.Unlock()
 	if len(late)+len(overdue) > 0 {
-		s.list()
+		s.sendChanges()
 	}
 	for _, a := range late {
 		s.ended(a, balance.ConnectFailed)
 	}
-	for _, a := range overdue { // the hold ends with the run
+	for _, a := range overdue { // the hold is released when the worker ends the run
 		s.Engine.Ended(a, balance.TimedOut)
 	}
 	for _, j := range due {
-		s.due(j)
+		s.submitScheduled(j)
 	}
-	for _, j := range cut {
-		s.cut(j)
+	for _, j := range unfinished {
+		s.cutOff(j)
 	}
 }
 
-// cut ends a job that the planned end does not leave time for.
-func (s *Server) cut(j *state.Job) {
+// cutOff ends a job that a planned shutdown leaves no time for.
+func (s *Server) cutOff(j *state.Job) {
 	d := j.Data.(*job)
 	s.mu.Lock()
 	begun := d.begun
 	s.mu.Unlock()
 	if j.Background {
-		s.Log.Warn("gearman: background job cut off by the planned end", "handle", j.Handle, "function", j.Function, "unique", j.Unique,
+		s.Log.Warn("gearman: background job cut off by the planned shutdown", "handle", j.Handle, "function", j.Function, "unique", j.Unique,
 			"may_have_run", begun)
 	}
 	if s.finish(j, owner.Answer{Kind: owner.Failed}, true) {
-		s.leave(j)
+		s.abandon(j)
 	}
 }
--- a/internal/gearman/state/jobs.go
+++ b/internal/gearman/state/jobs.go
@@ -1,6 +1,6 @@
-// Package state holds the two state machines of the Gearman side: the jobs that clients wait for, and what a worker's
-// connection may be told. Events go in with the time at which they happened, and what is to be done comes out; there is no
-// input or output here, no clock and no goroutine. Neither is safe for concurrent use.
+// Package state holds the two state machines of the Gearman server: the jobs that clients wait for, and the workers.
+// Events are passed in with the time at which they happened, and the actions to take are returned; there is no I/O, no
+// clock and no goroutine. Neither is safe for concurrent use.
 package state
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Conn names a connection.
+// Conn identifies a connection.
 type Conn uint64
 
 // Job is one job of a Gearman client.
@@ -20,13 +20,13 @@
 	Priority                 int // 0 normal, 1 high, 2 low
 	Running                  bool
 	Numerator, Denominator   string // of the last WORK_STATUS
-	Data                     any    // the caller's own
+	Data                     any    // owned by the caller
 
 	number  uint64
-	clients []Conn // an entry for each submission that waits; one connection may have several
+	clients []Conn // one entry for each waiting submission; a connection may have several
 }
 
-// Clients are who waits for the job, one for each submission.
+// Clients returns the connections that wait for the job, one entry for each submission.
 func (j *Job) Clients() []Conn { return j.clients }
 
 // EndedJob is a background job that has ended.
@@ -37,22 +37,22 @@
 	At                       time.Duration
 }
 
-// Limits are how much is kept.
+// Limits bound what is kept.
 type Limits struct {
-	MaxOpen        int // jobs
-	MaxPerConn     int // submissions that one connection waits for
-	MaxEnded       int // ends of background jobs
-	EndedRetention time.Duration
+	MaxOpen        int           // open jobs
+	MaxPerConn     int           // submissions that one connection waits for
+	MaxEnded       int           // ended background jobs
+	EndedRetention time.Duration // how long they are kept
 }
 
-// Why a job is not taken.
+// Reasons why a job is rejected.
 var (
 	ErrTooManyOpen    = errors.New("too many open jobs")
 	ErrTooManyPerConn = errors.New("too many open jobs on this connection")
 	ErrQueueFull      = errors.New("too many jobs wait for this function")
 )
 
-// Count is how many jobs of a function there are.
+// Count is the number of open jobs of a function.
 type Count struct {
 	Waiting [3]int // by priority
 	Running int
@@ -60,37 +60,37 @@
 
 type key struct{ function, unique string }
 
-// Jobs are all open jobs, and the ends of background jobs for a while.
+// Jobs holds all open jobs, and for a while the background jobs that have ended.
 type Jobs struct {
 	Limits
-	byHandle map[string]*Job
-	byUnique map[key]*Job
-	counts   map[string]*Count
-	waits    map[Conn]int
-	last     uint64
-	ended    []EndedJob // the oldest first
+	byHandle      map[string]*Job
+	byUnique      map[key]*Job
+	counts        map[string]*Count
+	waitingByConn map[Conn]int
+	last          uint64
+	ended         []EndedJob // oldest first
 }
 
 // NewJobs returns an empty table.
 func NewJobs(b Limits) *Jobs {
-	return &Jobs{Limits: b, byHandle: map[string]*Job{}, byUnique: map[key]*Job{}, counts: map[string]*Count{}, waits: map[Conn]int{}}
+	return &Jobs{Limits: b, byHandle: map[string]*Job{}, byUnique: map[key]*Job{}, counts: map[string]*Count{}, waitingByConn: map[Conn]int{}}
 }
 
-// Len is how many jobs are open.
+// Len returns the number of open jobs.
 func (s *Jobs) Len() int { return len(s.byHandle) }
 
-// Submit takes a job. Where one of the same function and unique id is open the client is attached to that one, fresh is
-// false and nothing else of the new one counts; a unique id of "" is like no other. A handle is asked for only if the job is
-// fresh. A background job has no client that waits.
-func (s *Jobs) Submit(c Conn, j Job, most int, handle func(number uint64) string) (job *Job, fresh bool, err error) {
-	if !j.Background && s.waits[c] >= s.MaxPerConn {
+// Submit adds a job. If a job of the same function and unique id is open, the client is attached to that one, fresh is
+// false and the rest of the new job is ignored; an empty unique id matches no other. The handle function is called only
+// for a fresh job. No client waits for a background job.
+func (s *Jobs) Submit(c Conn, j Job, maxWaiting int, handle func(number uint64) string) (job *Job, fresh bool, err error) {
+	if !j.Background && s.waitingByConn[c] >= s.MaxPerConn {
 		return nil, false, ErrTooManyPerConn
 	}
 	if j.Unique != "" {
 		if old := s.byUnique[key{j.Function, j.Unique}]; old != nil {
 			if !j.Background {
 				old.clients = append(old.clients, c)
-				s.waits[c]++
+				s.waitingByConn[c]++
 			}
 			return old, false, nil
 		}
@@ -99,7 +99,7 @@
 	switch {
 	case len(s.byHandle) >= s.MaxOpen:
 		return nil, false, ErrTooManyOpen
-	case most > 0 && count.Waiting[0]+count.Waiting[1]+count.Waiting[2] >= most:
+	case maxWaiting > 0 && count.Waiting[0]+count.Waiting[1]+count.Waiting[2] >= maxWaiting:
 		return nil, false, ErrQueueFull
 	}
 	s.last++
@@ -108,7 +108,7 @@
 	job.Handle = handle(s.last)
 	if !j.Background {
 		job.clients = append(job.clients, c)
-		s.waits[c]++
+		s.waitingByConn[c]++
 	}
 	s.byHandle[job.Handle] = job
 	if job.Unique != "" {
@@ -127,7 +127,7 @@
 	return c
 }
 
-// Count is how many jobs of a function there are.
+// Count returns the number of open jobs of a function.
 func (s *Jobs) Count(function string) Count {
 	if c := s.counts[function]; c != nil {
 		return *c
@@ -138,32 +138,32 @@
 // Find returns an open job by its handle, or nil.
 func (s *Jobs) Find(handle string) *Job { return s.byHandle[handle] }
 
-// open says whether a job is still in the table.
+// open reports whether a job is still open.
 func (s *Jobs) open(j *Job) bool { return s.byHandle[j.Handle] == j }
 
-// SetRunning notes that a job runs, or runs no more though it has not ended: it may begin again.
-func (s *Jobs) SetRunning(j *Job, runs bool) {
-	if !s.open(j) || j.Running == runs {
+// SetRunning records that a job runs, or that it no longer runs although it has not ended: it may be started again.
+func (s *Jobs) SetRunning(j *Job, running bool) {
+	if !s.open(j) || j.Running == running {
 		return
 	}
 	d := 1
-	if !runs {
+	if !running {
 		d = -1
 	}
-	j.Running = runs
+	j.Running = running
 	c := s.count(j.Function)
 	c.Running += d
 	c.Waiting[j.Priority%3] -= d
 }
 
-// End takes a job out and returns who is to be told. False: it had ended.
+// End removes a job and returns the clients to notify. It returns false if the job had already ended.
 func (s *Jobs) End(now time.Duration, j *Job, served bool) (clients []Conn, ok bool) {
 	if !s.open(j) {
 		return nil, false
 	}
 	s.remove(j)
 	for _, c := range j.clients {
-		s.left(c)
+		s.releaseWait(c)
 	}
 	clients, j.clients = j.clients, nil
 	if j.Background {
@@ -189,13 +189,13 @@
 	}
 }
 
-func (s *Jobs) left(c Conn) {
-	if s.waits[c]--; s.waits[c] <= 0 {
-		delete(s.waits, c)
+func (s *Jobs) releaseWait(c Conn) {
+	if s.waitingByConn[c]--; s.waitingByConn[c] <= 0 {
+		delete(s.waitingByConn, c)
 	}
 }
 
-// Expire forgets ends that are old or too many.
+// Expire removes ended jobs that are past their retention or too many.
 func (s *Jobs) Expire(now time.Duration) {
 	n := max(0, len(s.ended)-s.MaxEnded)
 	for n < len(s.ended) && now-s.ended[n].At > s.EndedRetention {
@@ -206,10 +206,10 @@
 	}
 }
 
-// Disconnect notes that a connection has ended. Jobs for which nobody waits any more are taken out and returned; background jobs
-// and those that others wait for go on.
+// Disconnect records that a connection has ended. Jobs without remaining clients are removed and returned; background
+// jobs and jobs that other clients wait for continue.
 func (s *Jobs) Disconnect(c Conn) (abandoned []*Job) {
-	if s.waits[c] == 0 {
+	if s.waitingByConn[c] == 0 {
 		return nil
 	}
 	for _, j := range s.byHandle {
@@ -221,7 +221,7 @@
 			abandoned = append(abandoned, j)
 		}
 	}
-	delete(s.waits, c)
+	delete(s.waitingByConn, c)
 	slices.SortFunc(abandoned, byNumber)
 	for _, j := range abandoned {
 		s.remove(j)
@@ -229,23 +229,23 @@
 	return abandoned
 }
 
-// Status is what can be said of a job.
+// Status is the status of a job as clients can query it.
 type Status struct {
 	Known, Running         bool
 	Numerator, Denominator string
 	Clients                int
 }
 
-// Status tells of a job by its handle, open or ended.
+// Status returns the status of an open or ended job by its handle.
 func (s *Jobs) Status(now time.Duration, handle string) Status {
 	if j := s.byHandle[handle]; j != nil {
 		return status(j)
 	}
 	s.Expire(now)
-	return s.endOf(func(e *EndedJob) bool { return e.Handle == handle })
+	return s.endedStatus(func(e *EndedJob) bool { return e.Handle == handle })
 }
 
-// StatusUnique tells of a job by its unique id, which is that of one function's as a rule; the newest if there are more.
+// StatusUnique returns the status of a job by its unique id; of the newest if several functions have a job of that id.
 func (s *Jobs) StatusUnique(now time.Duration, unique string) Status {
 	var found *Job
 	for k, j := range s.byUnique {
@@ -257,16 +257,16 @@
 		return status(found)
 	}
 	s.Expire(now)
-	return s.endOf(func(e *EndedJob) bool { return unique != "" && e.Unique == unique })
+	return s.endedStatus(func(e *EndedJob) bool { return unique != "" && e.Unique == unique })
 }
 
 func status(j *Job) Status {
 	return Status{Known: true, Running: j.Running, Numerator: orZero(j.Numerator), Denominator: orZero(j.Denominator), Clients: len(j.clients)}
 }
 
-func (s *Jobs) endOf(is func(*EndedJob) bool) Status {
+func (s *Jobs) endedStatus(match func(*EndedJob) bool) Status {
 	for i := len(s.ended) - 1; i >= 0; i-- {
-		if e := &s.ended[i]; is(e) {
+		if e := &s.ended[i]; match(e) {
 			return Status{Known: true, Numerator: orZero(e.Numerator), Denominator: orZero(e.Denominator)}
 		}
 	}
@@ -280,7 +280,7 @@
 	return s
 }
 
-// Progress notes a WORK_STATUS. What is no number counts as 0.
+// Progress records a WORK_STATUS. A value that is not a number counts as 0.
 func (s *Jobs) Progress(j *Job, num, den string) {
 	number := func(t string) string {
 		if _, err := strconv.ParseFloat(t, 64); err != nil {
@@ -291,7 +291,7 @@
 	j.Numerator, j.Denominator = number(num), number(den)
 }
 
-// All are the open jobs, the oldest first.
+// All returns the open jobs, oldest first.
 func (s *Jobs) All() []*Job {
 	all := make([]*Job, 0, len(s.byHandle))
 	for _, j := range s.byHandle {
--- a/internal/gearman/state/state_test.go
+++ b/internal/gearman/state/state_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestJobsAgainstModel plays clients that submit, share, leave and ask, and compares with plain lists.
+// Clients submit, share, leave and query jobs at random; the result is compared with a model of plain lists.
 func TestJobsAgainstModel(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestWorkerAgainstModel plays a worker of any habits against the module's picks. Every pick has exactly one end, none is
-// called never run once it was assigned, and nothing is assigned that was not picked or was taken back.
+// A worker with arbitrary behaviour is played against random picks. Every pick ends exactly once, none is reported as
+// never run once it was assigned, and nothing is assigned that was not picked or was taken back.
 func TestWorkerAgainstModel(t *testing.T) {
 	const (
 		picked = iota
@@ -221,7 +221,7 @@
 					if state[a] == assigned {
 						t.Fatalf("seed %d: attempt %d is not known", seed, a)
 					}
-					continue // a late word
+					continue // a late report
 				}
 				if rng.IntN(4) == 0 {
 					r.ExceptionReported = true
@@ -240,7 +240,7 @@
 					set(r.Attempt, assigned, ended)
 				}
 				if len(late) > 0 && w.Available() {
-					t.Fatal("a silent worker may be picked")
+					t.Fatal("an unresponsive worker is available")
 				}
 			}
 		}
--- a/internal/gearman/state/worker.go
+++ b/internal/gearman/state/worker.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Worker is what is known of one worker's connection. A names an attempt.
+// Worker is the state of one worker's connection. A identifies an attempt.
 //
-// A worker pulls: it sleeps (PRE_SLEEP) until it is woken (NOOP), and then asks for a job (GRAB_JOB). The decision module
-// pushes: it picks a worker. They meet here: a pick waits until the worker asks, and a worker that asks gets what was picked
-// for it or nothing. Until the job is assigned, the pick has provably never run.
+// A worker pulls: it sleeps (PRE_SLEEP) until it is woken (NOOP), and then requests a job (GRAB_JOB). The decision
+// module pushes: it picks a worker. The two are combined here: a pick waits until the worker requests a job, and a
+// worker that requests one gets what was picked for it or nothing. Until a job is assigned, it is certain that the pick
+// has never run.
 //
 //	         PRE_SLEEP                  pick: wake
 //	awake ──────────────────▶ asleep ───────────────▶ awake, a pick waits
 //	  ▲   NO_JOB ◀── GRAB_JOB, no pick                    │ GRAB_JOB: assign
 //	  └──────────── WORK_COMPLETE, WORK_FAIL ◀── runs ◀───┘
 //
-// A worker that is picked while it runs something is not woken: it asks when it is done. One that is free and does not ask
-// in time is silent: nobody is to send it anything until it says a word.
+// A worker that is picked while it runs a job is not woken: it requests the next job when it is done. A free worker that
+// does not request its job in time is unresponsive: it is not picked again until it sends something.
 type Worker[A comparable] struct {
-	GrabTimeout time.Duration // how long a free worker may take to ask for what is picked for it
+	GrabTimeout time.Duration // how long a free worker may take to request a job that was picked for it
 
-	functions map[string]time.Duration // what it can do, and within what time; 0 for any
-	ready     bool                     // it has slept or asked
-	asleep    bool
-	silent    bool
-	picks     []pick[A]
-	runs      map[string]*Run[A] // by handle
-	freeAt    time.Duration      // when the last run ended, or it was last awake for nothing
+	functions    map[string]time.Duration // functions it can run, with their time limits; 0: no limit
+	ready        bool                     // it has sent PRE_SLEEP or GRAB_JOB
+	asleep       bool
+	unresponsive bool
+	picks        []pick[A]
+	runs         map[string]*Run[A] // by handle
+	freeAt       time.Duration      // when the last run ended, or the last GRAB_JOB got nothing
 }
 
 type pick[A comparable] struct {
-	a        A
+	attempt  A
 	function string
-	at       time.Duration
+	pickedAt time.Duration
 }
 
 // Run is a job that was assigned.
@@ -41,21 +42,21 @@
 	Attempt           A
 	Handle            string
 	Function          string
-	Deadline          time.Duration // of CAN_DO_TIMEOUT; 0: none
-	Abandoned         bool          // nobody waits for its end any more, but the worker is still at it
-	ExceptionReported bool          // it has told of an exception, and a WORK_FAIL is to come
+	Deadline          time.Duration // from CAN_DO_TIMEOUT; 0: none
+	Abandoned         bool          // nobody waits for its end any more, but the worker still runs it
+	ExceptionReported bool          // the worker sent WORK_EXCEPTION; WORK_FAIL is expected
 }
 
-// NewWorker returns a worker that has said nothing yet.
+// NewWorker returns a worker that has not sent anything yet.
 func NewWorker[A comparable](grab time.Duration) *Worker[A] {
 	return &Worker[A]{GrabTimeout: grab, functions: map[string]time.Duration{}, runs: map[string]*Run[A]{}}
 }
 
-// Can says whether the worker can do a function, and Functions how many it can.
+// Can reports whether the worker can run a function, and FunctionCount how many it can run.
 func (w *Worker[A]) Can(function string) bool { _, ok := w.functions[function]; return ok }
 func (w *Worker[A]) FunctionCount() int       { return len(w.functions) }
 
-// FunctionNames are its functions in order.
+// FunctionNames returns the functions that the worker can run, sorted.
 func (w *Worker[A]) FunctionNames() []string {
 	names := make([]string, 0, len(w.functions))
 	for f := range w.functions {
@@ -65,13 +66,13 @@
 	return names
 }
 
-// Running is how many jobs it is at.
+// Running returns the number of jobs that the worker runs.
 func (w *Worker[A]) Running() int { return len(w.runs) }
 
-// Available says whether the worker may be picked: it has said that it is there, can do something, is not silent, and is not
-// still at a job that everybody else has given up.
+// Available reports whether the worker may be picked: it is ready, can run something, is not unresponsive, and does not
+// run a job that has been abandoned.
 func (w *Worker[A]) Available() bool {
-	if !w.ready || w.silent || len(w.functions) == 0 {
+	if !w.ready || w.unresponsive || len(w.functions) == 0 {
 		return false
 	}
 	for _, r := range w.runs {
@@ -82,11 +83,12 @@
 	return true
 }
 
-// CanDo adds a function, or changes its time.
-func (w *Worker[A]) CanDo(function string, within time.Duration) { w.functions[function] = within }
+// CanDo adds a function, or changes its time limit.
+func (w *Worker[A]) CanDo(function string, limit time.Duration) { w.functions[function] = limit }
 
-// CantDo takes a function away, or all of them where it is "". Picks for it have never run. Jobs that it is at go on.
-func (w *Worker[A]) CantDo(function string) (never []A) {
+// CantDo removes a function, or all of them for "". It returns the picks for it, which have never run. Running jobs
+// continue.
+func (w *Worker[A]) CantDo(function string) (notRun []A) {
 	if function == "" {
 		clear(w.functions)
 	} else {
@@ -96,13 +98,14 @@
 		if w.Can(p.function) {
 			return false
 		}
-		never = append(never, p.a)
+		notRun = append(notRun, p.attempt)
 		return true
 	})
-	return never
+	return notRun
 }
 
-// Pick notes that an attempt is for this worker, and says whether it is to be woken. False: it can't do that.
+// Pick records that an attempt is meant for this worker, and returns whether the worker has to be woken. It returns ok
+// false if the worker cannot run the function.
 func (w *Worker[A]) Pick(now time.Duration, a A, function string) (wake, ok bool) {
 	if !w.Can(function) {
 		return false, false
@@ -112,18 +115,18 @@
 	return wake, true
 }
 
-// Unpick takes a pick back. False: it was assigned, or was never picked.
+// Unpick takes a pick back. It returns false if the attempt was assigned or was never picked.
 func (w *Worker[A]) Unpick(a A) bool {
-	i := slices.IndexFunc(w.picks, func(p pick[A]) bool { return p.a == a })
+	i := slices.IndexFunc(w.picks, func(p pick[A]) bool { return p.attempt == a })
 	if i >= 0 {
 		w.picks = slices.Delete(w.picks, i, i+1)
 	}
 	return i >= 0
 }
 
-// PreSleep is PRE_SLEEP. Wake says that it is to be woken at once, as something is picked for it.
+// PreSleep processes PRE_SLEEP. Wake says that the worker has to be woken at once, since a pick waits for it.
 func (w *Worker[A]) PreSleep(now time.Duration) (wake bool, failed []*Run[A]) {
-	failed = w.said(now)
+	failed = w.markActive(now)
 	if len(w.picks) > 0 {
 		return true, failed
 	}
@@ -131,22 +134,23 @@
 	return false, failed
 }
 
-// Grab is GRAB_JOB: it takes out the next pick. False: there is none.
+// Grab processes GRAB_JOB: it removes and returns the next pick, with ok false if there is none.
 func (w *Worker[A]) Grab(now time.Duration) (a A, ok bool, failed []*Run[A]) {
-	failed = w.said(now)
+	failed = w.markActive(now)
 	w.asleep = false
 	if len(w.picks) == 0 {
 		w.freeAt = now
 		return a, false, failed
 	}
-	a = w.picks[0].a
+	a = w.picks[0].attempt
 	w.picks = slices.Delete(w.picks, 0, 1)
 	return a, true, failed
 }
 
-// said notes that the worker is there and done with what it has told an exception of: a WORK_FAIL is not to come then.
-func (w *Worker[A]) said(now time.Duration) (failed []*Run[A]) {
-	w.ready, w.silent = true, false
+// markActive records that the worker responds, and ends the runs for which it reported an exception: it has moved on,
+// and no WORK_FAIL is going to come.
+func (w *Worker[A]) markActive(now time.Duration) (failed []*Run[A]) {
+	w.ready, w.unresponsive = true, false
 	for h, r := range w.runs {
 		if r.ExceptionReported {
 			failed = append(failed, r)
@@ -156,20 +160,20 @@
 	return failed
 }
 
-// Assign notes that a job is written to the worker.
+// Assign records that a job is sent to the worker.
 func (w *Worker[A]) Assign(now time.Duration, a A, handle, function string) *Run[A] {
 	r := &Run[A]{Attempt: a, Handle: handle, Function: function}
-	if within := w.functions[function]; within > 0 {
-		r.Deadline = now + within
+	if limit := w.functions[function]; limit > 0 {
+		r.Deadline = now + limit
 	}
 	w.runs[handle] = r
 	return r
 }
 
-// Run is the job of a handle that the worker is at, or nil: it never had it, or has ended it.
+// Run returns the running job of a handle, or nil if the worker never had it or has ended it.
 func (w *Worker[A]) Run(handle string) *Run[A] { return w.runs[handle] }
 
-// End is WORK_COMPLETE or WORK_FAIL.
+// End processes WORK_COMPLETE or WORK_FAIL.
 func (w *Worker[A]) End(now time.Duration, handle string) { w.end(now, handle) }
 
 func (w *Worker[A]) end(now time.Duration, handle string) {
@@ -177,8 +181,8 @@
 	w.freeAt = now
 }
 
-// Tick looks at the time. Late are picks that the worker, though free, has not asked for: they have never run, and it is
-// silent. Overdue are jobs that are over their time; the worker is at them still.
+// Tick checks the time-outs. Late are picks that the worker did not request although it is free: they have never run,
+// and the worker is unresponsive. Overdue are jobs past their deadline, which the worker still runs.
 func (w *Worker[A]) Tick(now time.Duration) (late []A, overdue []*Run[A]) {
 	for _, r := range w.runs {
 		if r.Deadline > 0 && now >= r.Deadline && !r.Abandoned {
@@ -186,27 +190,27 @@
 			overdue = append(overdue, r)
 		}
 	}
-	if len(w.runs) > 0 || len(w.picks) == 0 || now-max(w.picks[0].at, w.freeAt) < w.GrabTimeout {
+	if len(w.runs) > 0 || len(w.picks) == 0 || now-max(w.picks[0].pickedAt, w.freeAt) < w.GrabTimeout {
 		return nil, overdue
 	}
 	for _, p := range w.picks {
-		late = append(late, p.a)
+		late = append(late, p.attempt)
 	}
-	w.picks, w.silent = nil, true
+	w.picks, w.unresponsive = nil, true
 	return late, overdue
 }
 
-// Close notes that the connection has ended: what was picked has never run, what it was at may have. Lost holds what is
-// over as well.
-func (w *Worker[A]) Close() (never []A, lost []*Run[A]) {
+// Close records that the connection has ended: picks have never run, and running jobs, including abandoned ones, may
+// have run.
+func (w *Worker[A]) Close() (notRun []A, running []*Run[A]) {
 	for _, p := range w.picks {
-		never = append(never, p.a)
+		notRun = append(notRun, p.attempt)
 	}
 	for _, r := range w.runs {
-		lost = append(lost, r)
+		running = append(running, r)
 	}
 	w.picks = nil
 	clear(w.runs)
 	clear(w.functions)
-	return never, lost
+	return notRun, running
 }
--- a/internal/gearman/upgrade_test.go
+++ b/internal/gearman/upgrade_test.go
@@ -9,8 +9,8 @@
 	"liftgauge/internal/gearman/packet"
 )
 
-// TestUpgrade: a successor has taken over while 200 jobs are open: no new connection is taken, workers stay for as long as
-// jobs are open, each has its one end, and then the connections close.
+// While a successor has taken over and 200 jobs are open, no new connection is accepted, workers stay connected as long
+// as jobs are open, each job ends once, and then the connections are closed.
 func TestUpgrade(t *testing.T) {
 	within(t, nil, 0, func(w *world) {
 		p, c := w.worker("x", warning), w.dial()
@@ -67,7 +67,8 @@
 	})
 }
 
-// TestSuccessor: a successor is not told of workers as hosts, and a job that crosses the closing of its connection is not taken.
+// Workers are not passed to a successor as hosts, and a job that is submitted while its connection is being closed is
+// not accepted.
 func TestSuccessor(t *testing.T) {
 	within(t, nil, 2, func(w *world) {
 		w.worker("x", warning)
@@ -78,7 +79,7 @@
 		}
 		w.s.mu.Lock()
 		for _, d := range w.s.conns {
-			d.shut = true
+			d.closing = true
 		}
 		w.s.mu.Unlock()
 		c.say(packet.SubmitJob, warning, "", "x")
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 reads and writes the part of HTTP/1.1 that the dispatcher speaks. Whatever a peer sends, what is
-// kept of it is bounded: a head by MaxHead, a body by the caller.
+// Package http1 reads and writes the subset of HTTP/1.1 that the dispatcher uses. Whatever a peer sends, the memory kept
+// for it is bounded: for a head by MaxHead, for a body by the caller.
 package http1
 
 import (
@@ -14,15 +14,15 @@
 	"liftgauge/internal/budget"
 )
 
-// Bounds of what is read.
+// Limits of what is read.
 const (
-	MaxHead    = 8 << 10 // bytes of a head: its first line and all fields
+	MaxHead    = 8 << 10 // bytes of a head: its start line and all fields
 	MaxFields  = 64
 	MaxTrailer = 1 << 10
-	MaxBody    = 64 << 10 // the protocol's bound of a body
+	MaxBody    = 64 << 10 // maximum size in bytes of a body in this protocol
 )
 
-// Error is a message that breaks the protocol, with the status that answers it.
+// Error is a violation of the protocol, with the status to answer it with.
 type Error struct {
 	Status int
 	Reason string
@@ -34,19 +34,19 @@
 
 func bad(reason string) error { return &Error{400, reason} }
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
 	ErrTooLarge     = &Error{413, "body too large"}
 	ErrHeadTooLarge = &Error{431, "head too large"}
 )
 
-// Field is one line of a head.
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// Fields are the lines of a head in their order.
+// Fields are header fields in their order.
 type Fields []Field
 
-// Get returns the first value of a field and how many there are. Names do not differ by case.
+// Get returns the first value of a field and how often the field occurs. Names are case-insensitive.
 func (f Fields) Get(name string) (value string, n int) {
 	for i := range f {
 		if equalFold(f[i].Name, name) {
@@ -58,7 +58,7 @@
 	return value, n
 }
 
-// Has reports whether a comma-separated field names the token.
+// Has reports whether a comma-separated field contains the token.
 func (f Fields) Has(name, token string) bool {
 	for i := range f {
 		if !equalFold(f[i].Name, name) {
@@ -92,10 +92,10 @@
 	return c
 }
 
-// Head is what all messages share.
+// Head is the part that the heads of requests and responses share.
 type Head struct {
 	Fields  Fields
-	Length  int64 // of the body; -1 where it is chunked or, in an answer, ends with the connection
+	Length  int64 // of the body; -1 if it is chunked or, in a response, ends with the connection
 	Chunked bool
 	Close   bool // the connection ends after this message
 }
@@ -103,10 +103,10 @@
 // Request is the head of a request.
 type Request struct {
 	Head
-	Method, Target, Path string // the path is the target without its query
+	Method, Target, Path string // Path is the target without its query
 }
 
-// Response is the head of an answer.
+// Response is the head of a response.
 type Response struct {
 	Head
 	Status int
@@ -118,15 +118,15 @@
 	line []byte
 }
 
-// NewReader returns a Reader of r. A head longer than its buffer is still bounded by MaxHead.
+// NewReader returns a Reader of r. A head may be longer than its buffer, up to MaxHead.
 func NewReader(r io.Reader) *Reader { return &Reader{Reader: bufio.NewReaderSize(r, 4<<10)} }
 
-// readLine returns a line without its end and counts it against the room that is left.
-func (r *Reader) readLine(room *int) ([]byte, error) {
+// readLine returns a line without its line ending and subtracts its size from the remaining bytes.
+func (r *Reader) readLine(remaining *int) ([]byte, error) {
 	r.line = r.line[:0]
 	for {
 		part, err := r.ReadSlice('\n')
-		if *room -= len(part); *room < 0 {
+		if *remaining -= len(part); *remaining < 0 {
 			return nil, ErrHeadTooLarge
 		}
 		r.line = append(r.line, part...)
@@ -150,12 +150,12 @@
 	}
 }
 
-// ReadRequest reads a request's head. io.EOF says that the connection ended between requests.
+// ReadRequest reads the head of a request. It returns io.EOF if the connection ended between requests.
 func (r *Reader) ReadRequest() (*Request, error) {
-	room := MaxHead
-	line, err := r.readLine(&room)
-	for blank := 0; err == nil && len(line) == 0 && blank < 2; blank++ { // a stray line end after a body
-		line, err = r.readLine(&room)
+	remaining := MaxHead
+	line, err := r.readLine(&remaining)
+	for blank := 0; err == nil && len(line) == 0 && blank < 2; blank++ { // an extra line ending after a body
+		line, err = r.readLine(&remaining)
 	}
 	if err != nil {
 		return nil, err
@@ -168,11 +168,11 @@
 	q := &Request{Method: string(method), Target: string(target)}
 	path, _, _ := bytes.Cut([]byte(q.Target), []byte{'?'})
 	q.Path = string(path)
-	minor, err := minorOf(version)
+	minor, err := minorVersion(version)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.readFields(&q.Head, &room, minor); err != nil {
+	if err := r.readFields(&q.Head, &remaining, minor); err != nil {
 		return nil, err
 	}
 	if q.Length < 0 && !q.Chunked {
@@ -181,15 +181,15 @@
 	return q, nil
 }
 
-// ReadResponse reads an answer's head.
+// ReadResponse reads the head of a response.
 func (r *Reader) ReadResponse() (*Response, error) {
-	room := MaxHead
-	line, err := r.readLine(&room)
+	remaining := MaxHead
+	line, err := r.readLine(&remaining)
 	if err != nil {
 		return nil, err
 	}
 	version, rest, _ := bytes.Cut(line, []byte{' '})
-	minor, err := minorOf(version)
+	minor, err := minorVersion(version)
 	if err != nil {
 		return nil, err
 	}
@@ -198,7 +198,7 @@
 	if p.Status, err = strconv.Atoi(string(code)); err != nil || len(code) != 3 || p.Status < 100 {
 		return nil, bad("malformed status line")
 	}
-	if err := r.readFields(&p.Head, &room, minor); err != nil {
+	if err := r.readFields(&p.Head, &remaining, minor); err != nil {
 		return nil, err
 	}
 	switch {
@@ -210,7 +210,7 @@
 	return p, nil
 }
 
-func minorOf(version []byte) (int, error) {
+func minorVersion(version []byte) (int, error) {
 	switch string(version) {
 	case "HTTP/1.1":
 		return 1, nil
@@ -220,12 +220,12 @@
 	return 0, bad("unknown version")
 }
 
-// readFields reads the fields and what they say of the body. Anything that two readers might take differently is
-// refused: it could hide a second request in the body of the first.
-func (r *Reader) readFields(h *Head, room *int, minor int) error {
+// readFields reads the header fields and determines the framing of the body. Anything that two readers might interpret
+// differently is rejected: it could smuggle a second request in the body of the first.
+func (r *Reader) readFields(h *Head, remaining *int, minor int) error {
 	h.Length = -1
 	for {
-		line, err := r.readLine(room)
+		line, err := r.readLine(remaining)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -236,7 +236,7 @@
 			break
 		}
 		name, value, ok := bytes.Cut(line, []byte{':'})
-		if !ok || !isToken(name) { // also a folded line, which starts with a blank
+		if !ok || !isToken(name) { // also rejects a folded line, which starts with a blank
 			return bad("malformed field")
 		}
 		if len(h.Fields) == MaxFields {
@@ -266,11 +266,11 @@
 
 func parseDigits(s string) (int64, error) {
 	if s == "" || len(s) > 18 {
-		return 0, errors.New("no length")
+		return 0, errors.New("length is empty or has more than 18 digits")
 	}
 	for i := range len(s) {
-		if s[i] < '0' || s[i] > '9' { // not even a sign
-			return 0, errors.New("no digit")
+		if s[i] < '0' || s[i] > '9' { // a sign is rejected too
+			return 0, errors.New("length has a character that is not a digit")
 		}
 	}
 	return strconv.ParseInt(s, 10, 64)
@@ -294,13 +294,13 @@
 	return len(b) > 0 && b[0] == '/'
 }
 
-// BodySize is how long a message's body is: what its head declares, or where that does not say the most there may be.
-func (h *Head) BodySize(most int) (int, error) {
-	if h.Length > int64(most) {
+// BodySize returns the size of the body: the declared length, or the given maximum if none is declared.
+func (h *Head) BodySize(limit int) (int, error) {
+	if h.Length > int64(limit) {
 		return 0, ErrTooLarge
 	}
 	if h.Length < 0 {
-		return most, nil
+		return limit, nil
 	}
 	return int(h.Length), nil
 }
@@ -331,35 +331,36 @@
 	return buf, nil
 }
 
-// SkipBody reads the body of a message and keeps nothing of it.
-func (r *Reader) SkipBody(h *Head, most int) error {
-	if h.Length > int64(most) {
+// SkipBody reads and discards the body of a message.
+func (r *Reader) SkipBody(h *Head, limit int) error {
+	if h.Length > int64(limit) {
 		return ErrTooLarge
 	}
 	if h.Length >= 0 {
 		_, err := r.Discard(int(h.Length))
 		return unexpected(err)
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(r.Body(h), int64(most)+1))
-	if err == nil && n > int64(most) {
+	n, err := io.Copy(io.Discard, io.LimitReader(r.Body(h), int64(limit)+1))
+	if err == nil && n > int64(limit) {
 		return ErrTooLarge
 	}
 	return err
 }
 
-// ReadBody reads the whole body of a message, up to a bound. A declared length is not trusted for memory.
-func (r *Reader) ReadBody(h *Head, most int) ([]byte, error) {
-	if h.Length > int64(most) {
+// ReadBody reads the whole body of a message, up to a maximum size. It allocates memory for what arrives, not for the
+// declared length.
+func (r *Reader) ReadBody(h *Head, limit int) ([]byte, error) {
+	if h.Length > int64(limit) {
 		return nil, ErrTooLarge
 	}
 	if h.Length == 0 {
 		return nil, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body(h), int64(most)+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body(h), int64(limit)+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > most {
+	if len(body) > limit {
 		return nil, ErrTooLarge
 	}
 	if h.Length > int64(len(body)) {
@@ -379,46 +380,46 @@
 func (r *Reader) Body(h *Head) io.Reader {
 	switch {
 	case h.Chunked:
-		return &chunks{r: r}
+		return &chunkedReader{r: r}
 	case h.Length >= 0:
 		return io.LimitReader(r, h.Length)
 	}
 	return r
 }
 
-// chunks decodes a chunked body.
-type chunks struct {
-	r    *Reader
-	left int64
-	open bool // inside the body: a chunk's end is still to come
-	err  error
+// chunkedReader decodes a chunked body.
+type chunkedReader struct {
+	r         *Reader
+	remaining int64
+	chunkOpen bool // a chunk has been started and its line ending is still to be read
+	err       error
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
-	if c.err == nil && c.left == 0 {
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	if c.err == nil && c.remaining == 0 {
 		c.err = c.next()
 	}
 	if c.err != nil {
 		return 0, c.err
 	}
-	n, err := c.r.Read(p[:min(int64(len(p)), c.left)])
-	if c.left -= int64(n); err == io.EOF {
+	n, err := c.r.Read(p[:min(int64(len(p)), c.remaining)])
+	if c.remaining -= int64(n); err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	c.err = err
 	return n, err
 }
 
-// next reads the line before a chunk, and after the last one the trailer.
-func (c *chunks) next() error {
-	room := MaxTrailer
-	if c.open {
-		if line, err := c.line(&room); err != nil || len(line) > 0 {
-			return cmpErr(err, "chunk without an end")
+// next reads the size line of a chunk, and after the last chunk the trailer.
+func (c *chunkedReader) next() error {
+	remaining := MaxTrailer
+	if c.chunkOpen {
+		if line, err := c.line(&remaining); err != nil || len(line) > 0 {
+			return errorOr(err, "chunk without an end")
 		}
 	}
-	c.open = true
-	line, err := c.line(&room)
+	c.chunkOpen = true
+	line, err := c.line(&remaining)
 	if err != nil {
 		return err
 	}
@@ -432,13 +433,13 @@
 		if v < 0 {
 			return bad("bad length of a chunk")
 		}
-		c.left = c.left<<4 | int64(v)
+		c.remaining = c.remaining<<4 | int64(v)
 	}
-	if c.left > 0 {
+	if c.remaining > 0 {
 		return nil
 	}
 	for {
-		if line, err := c.line(&room); err != nil {
+		if line, err := c.line(&remaining); err != nil {
 			return err
 		} else if len(line) == 0 {
 			return io.EOF
@@ -446,32 +447,32 @@
 	}
 }
 
-func (c *chunks) line(room *int) ([]byte, error) {
-	line, err := c.r.readLine(room)
+func (c *chunkedReader) line(remaining *int) ([]byte, error) {
+	line, err := c.r.readLine(remaining)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return line, err
 }
 
-func cmpErr(err error, reason string) error {
+func errorOr(err error, reason string) error {
 	if err != nil {
 		return err
 	}
 	return bad(reason)
 }
 
-// AppendRequest writes a request with its body. Fields are written as they are.
+// AppendRequest appends a request with its body. Fields are written unchanged.
 func AppendRequest(b []byte, method, target string, fields Fields, body []byte) []byte {
 	return append(AppendRequestHead(b, method, target, fields, len(body)), body...)
 }
 
-// AppendResponse writes an answer with its body.
+// AppendResponse appends a response with its body.
 func AppendResponse(b []byte, status int, fields Fields, body []byte) []byte {
 	return append(AppendResponseHead(b, status, fields, len(body)), body...)
 }
 
-// AppendRequestHead writes all of a request but its body, which is to follow.
+// AppendRequestHead appends the head of a request; its body must follow.
 func AppendRequestHead(b []byte, method, target string, fields Fields, body int) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -480,7 +481,7 @@
 	return finishHead(b, fields, body, body > 0 || method == "POST")
 }
 
-// AppendResponseHead writes all of an answer but its body, which is to follow.
+// AppendResponseHead appends the head of a response; its body must follow.
 func AppendResponseHead(b []byte, status int, fields Fields, body int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -505,7 +506,7 @@
 	return append(b, "\r\n"...)
 }
 
-// StatusText is the phrase of a status that the dispatcher uses.
+// StatusText returns the reason phrase of a status that the dispatcher uses.
 func StatusText(status int) string {
 	switch status {
 	case 100:
@@ -538,11 +539,11 @@
 	return "Status"
 }
 
-// Call is a request as it is passed on: all of it that must reach the other side byte for byte.
+// Call is a request to be forwarded: everything that must reach the other side byte for byte.
 type Call struct {
 	ID             string
 	Method, Target string
 	Fields         Fields
 	Body           []byte
-	Hold           *budget.Hold // what Body is in: who uses the call has a share in it; may be nil
+	Hold           *budget.Hold // memory accounted for Body, shared by the users of the call; may be nil
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -23,7 +23,7 @@
 	long := strings.Repeat("x", MaxBody+1)
 	for name, c := range map[string]struct {
 		text   string
-		status int // 0: it is good, -1: cut off
+		status int // 0: accepted, -1: truncated
 		body   string
 	}{
 		"plain":              {"POST /a?b=c HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 3\r\n\r\nabc", 0, "abc"},
@@ -86,7 +86,7 @@
 		}
 		body, err := r.ReadBody(&p.Head, MaxBody)
 		if err != nil || p.Status != want.status || p.Close != want.close || string(body) != want.body {
-			t.Errorf("answer %d: %+v, body %q, error %v", i, p, body, err)
+			t.Errorf("response %d: %+v, body %q, error %v", i, p, body, err)
 		}
 	}
 	for _, text := range []string{"HTTP/1.1 2x2 OK\r\n\r\n", "HTTP/1.1 099 No\r\n\r\n", "SMTP 200 OK\r\n\r\n", "HTTP/1.1\r\n\r\n"} {
@@ -96,8 +96,8 @@
 	}
 }
 
-// FuzzRequest checks that no input panics, that what is read stays in bounds, and that what is accepted says the same
-// once more when it is written anew: nothing in it can be taken in two ways.
+// FuzzRequest checks that no input panics, that what is read stays within the limits, and that an accepted request is
+// parsed the same when it is encoded again: nothing in it can be interpreted in two ways.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /send-warning/x?y=z HTTP/1.1\r\nReq-Id: 9b1f03aa\r\nContent-Length: 2\r\n\r\nhiGET / HTTP/1.1\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
@@ -122,15 +122,15 @@
 					kept = append(kept, x)
 				}
 			}
-			again, twin, err := read(string(AppendRequest(nil, q.Method, q.Target, kept, body)))
-			if err != nil || again.Method != q.Method || again.Target != q.Target || !bytes.Equal(body, twin) {
-				t.Fatalf("%+v %q written anew: %+v %q, %v", q, body, again, twin, err)
+			again, againBody, err := read(string(AppendRequest(nil, q.Method, q.Target, kept, body)))
+			if err != nil || again.Method != q.Method || again.Target != q.Target || !bytes.Equal(body, againBody) {
+				t.Fatalf("%+v %q encoded again: %+v %q, %v", q, body, again, againBody, err)
 			}
 		}
 	})
 }
 
-// FuzzResponse checks that no answer panics and that its body stays in bounds.
+// FuzzResponse checks that no response panics and that its body stays within the limits.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 1\r\n\r\nx"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{}\r\n\n\r\n0\r\n\r\n"))
--- a/internal/jsonval/append.go
+++ b/internal/jsonval/append.go
@@ -2,8 +2,9 @@
 
 import "strconv"
 
-// AppendString writes a string as JSON. Bytes that are not UTF-8 go as they are, which Parser takes: what one process
-// writes another must read as it was. (fastjson's own writer quotes control bytes as Go does, not as JSON does.)
+// AppendString appends a string as JSON. Bytes that are not valid UTF-8 are written unchanged, and Parser accepts them,
+// so that a string reads back as it was written. (The encoder of fastjson quotes control bytes like Go, which is not
+// valid JSON.)
 func AppendString(b []byte, s string) []byte {
 	const hex = "0123456789abcdef"
 	b = append(b, '"')
@@ -20,16 +21,16 @@
 	return append(b, '"')
 }
 
-// Member is a name and a value to be written.
+// Member is a name and a value to write.
 type Member struct {
 	Name  string
-	Value any // string, bool, int, int64, float64, []string, or []byte for what is JSON already
+	Value any // string, bool, int, int64, float64, []string, or []byte for encoded JSON
 }
 
 // NewMember returns a member.
 func NewMember(name string, value any) Member { return Member{name, value} }
 
-// AppendObject writes an object.
+// AppendObject appends an object.
 func AppendObject(b []byte, members ...Member) []byte {
 	b = append(b, '{')
 	for i, m := range members {
--- a/internal/jsonval/jsonval.go
+++ b/internal/jsonval/jsonval.go
@@ -1,4 +1,4 @@
-// Package jsonval reads JSON objects from the network and from files into Go values, naming the field at fault.
+// Package jsonval reads JSON objects from the network and from files into Go values. Errors name the field.
 package jsonval
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// Parser parses texts and uses its memory again: an Object is valid until the next call. It is not safe for
-// concurrent use.
+// Parser parses JSON texts and reuses its memory: an Object is valid until the next call. It is not safe for concurrent
+// use.
 type Parser struct{ p fastjson.Parser }
 
-// Parse reads a text that must be one object. Mistakes in its members are kept by the Object, see Err.
+// Parse parses a text that must be one object. Errors in its members are kept by the Object; see Err.
 func (p *Parser) Parse(text []byte) (Object, error) {
 	v, err := p.p.ParseBytes(text)
 	if err != nil {
@@ -28,15 +28,15 @@
 	return Object{v: v, err: new(error)}, nil
 }
 
-// Object reads the members of a JSON object into Go values and keeps the first mistake. What is missing keeps its
-// zero value, and keys that nobody asks for are skipped.
+// Object reads the members of a JSON object into Go values and keeps the first error. Missing members yield the zero
+// value, and members that are not read are ignored.
 type Object struct {
 	v    *fastjson.Value
 	path string
 	err  *error
 }
 
-// Err returns the first mistake.
+// Err returns the first error.
 func (o Object) Err() error {
 	if o.err == nil {
 		return nil
@@ -44,10 +44,10 @@
 	return *o.err
 }
 
-// Has reports whether there is a member of that name other than null.
+// Has reports whether there is a member of that name that is not null.
 func (o Object) Has(key string) bool { return o.get(key) != nil }
 
-// Raw returns a member's text, or nil.
+// Raw returns the JSON text of a member, or nil.
 func (o Object) Raw(key string) []byte {
 	if v := o.get(key); v != nil {
 		return v.MarshalTo(nil)
@@ -65,14 +65,14 @@
 	return nil
 }
 
-// Fail keeps a mistake in a member, if it is the first.
+// Fail records an error in a member, unless there already is one.
 func (o Object) Fail(key, want string) {
 	if *o.err == nil {
 		*o.err = fmt.Errorf("%s%s: want %s", o.path, key, want)
 	}
 }
 
-// Object returns a member that is an object; an empty one where it is missing.
+// Object returns a member that is an object; an empty one if it is missing.
 func (o Object) Object(key string) Object {
 	v := o.get(key)
 	if v != nil && v.Type() != fastjson.TypeObject {
@@ -82,7 +82,7 @@
 	return Object{v, o.path + key + ".", o.err}
 }
 
-// Part returns a member that is an object, whose mistakes are its own and not this one's; ok false: there is none.
+// Part returns a member that is an object and keeps its errors separately; ok is false if there is none.
 func (o Object) Part(key string) (part Object, ok bool) {
 	v := o.get(key)
 	if v == nil || v.Type() != fastjson.TypeObject {
@@ -130,7 +130,7 @@
 	return string(b)
 }
 
-// Bool returns true or false.
+// Bool returns a boolean.
 func (o Object) Bool(key string) bool {
 	v := o.get(key)
 	if v == nil {
@@ -150,14 +150,14 @@
 		return 0
 	}
 	f, err := v.Float64()
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) { // the parser takes such words, which JSON does not have
+	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) { // the parser accepts them, although they are not valid JSON
 		o.Fail(key, "a number")
 		return 0
 	}
 	return f
 }
 
-// Int64 returns a whole number.
+// Int64 returns an integer.
 func (o Object) Int64(key string) int64 {
 	v := o.get(key)
 	if v == nil {
@@ -165,7 +165,7 @@
 	}
 	n, err := v.Int64()
 	if err != nil {
-		if f, err := v.Float64(); err == nil && f == float64(int64(f)) { // 5e9 is whole too
+		if f, err := v.Float64(); err == nil && f == float64(int64(f)) { // accepts 5e9 too
 			return int64(f)
 		}
 		o.Fail(key, "a whole number")
@@ -173,7 +173,7 @@
 	return n
 }
 
-// Duration returns a time in nanoseconds.
+// Duration returns a duration given in nanoseconds.
 func (o Object) Duration(key string) time.Duration { return time.Duration(o.Int64(key)) }
 
 // Floats returns the elements of a member, which must be numbers.
--- a/internal/jsonval/jsonval_test.go
+++ b/internal/jsonval/jsonval_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestMistakes: the first mistake is kept, with the path of its member.
-func TestMistakes(t *testing.T) {
+// The first error is kept, with the path of its member.
+func TestErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"x":"1"}`:      "x: want a number",
 		`{"x":nan}`:      "x: want a number",
@@ -56,14 +56,14 @@
 	}
 }
 
-// close: fastjson reads a number to within its last bits.
+// close allows for fastjson, which parses numbers only to within their last bits.
 func close(a, b float64) bool { return math.Abs(a-b) <= 1e-12*math.Abs(b) }
 
-// FuzzAppend: what is written reads as it was.
+// What is written reads back unchanged.
 func FuzzAppend(f *testing.F) {
 	f.Add("a\x00\x1f\"\\\n\xff\u2028", int64(-7), 0.1, true)
 	f.Fuzz(func(t *testing.T, text string, n int64, x float64, flag bool) {
-		if x != 0 && !(math.Abs(x) > 1e-9 && math.Abs(x) < 1e9) { // weights are of a middling size
+		if x != 0 && !(math.Abs(x) > 1e-9 && math.Abs(x) < 1e9) { // weights have a moderate size
 			x = 1.5
 		}
 		n %= 1 << 53
--- a/internal/settings/cuefile/cuefile.go
+++ b/internal/settings/cuefile/cuefile.go
@@ -1,7 +1,7 @@
-// Package cuefile checks a settings file in CUE against the schema and turns it into JSON with all defaults filled in.
+// Package cuefile checks a CUE settings file against the schema and converts it to JSON with all defaults filled in.
 //
-// The daemon does not link it: CUE alone makes an idle process 9 MB larger, and the daemon must do with 24 in all. The
-// program liftgauge-cue does, which the daemon runs for as long as it takes to read a file.
+// The daemon does not link this package: CUE alone makes an idle process 9 MB larger, and the daemon is limited to 24 MB
+// in total. Only the program liftgauge-cue does, which the daemon runs to read a file.
 package cuefile
 
 import (
@@ -21,12 +21,12 @@
 //go:embed schema.cue
 var schema string
 
-// Error is all that is wrong with a file, a line for each mistake: file:line: field: what is wrong.
+// Error lists everything that is wrong with a file, one line for each error: file:line: field: what is wrong.
 type Error []string
 
 func (e Error) Error() string { return strings.Join(e, "\n") }
 
-// Load reads a file. An Error tells of mistakes in it.
+// Load reads a file. If the file has errors, it returns an Error.
 func Load(path string) (json []byte, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return Compile(path, text)
 }
 
-// Compile checks a text; name stands for it in errors.
+// Compile checks a text; name is the file name used in errors.
 func Compile(name string, text []byte) (json []byte, err error) {
 	return CompileWith(schema, "#Settings", name, text)
 }
@@ -49,17 +49,17 @@
 	}
 	file := ctx.CompileBytes(text, cue.Filename(name))
 	if err := file.Err(); err != nil {
-		return nil, mistakes(name, definition, err)
+		return nil, fileErrors(name, definition, err)
 	}
 	v := rules.LookupPath(cue.ParsePath(definition)).Unify(file)
 	if err := v.Validate(cue.Concrete(true), cue.Final()); err != nil {
-		return nil, mistakes(name, definition, err)
+		return nil, fileErrors(name, definition, err)
 	}
 	return v.MarshalJSON()
 }
 
-// Line is where a text sets a field, or the nearest one that it is in; 0 where it sets none of them. It is for mistakes that
-// a schema cannot see. Numbers among the names are places in lists.
+// Line returns the line at which a text sets a field, or the nearest enclosing one; 0 if it sets none of them. It is for
+// errors that a schema cannot detect. Numbers among the names are list indexes.
 func Line(text []byte, field ...string) int {
 	v, line := cuecontext.New().CompileBytes(text), 0
 	for _, name := range field {
@@ -78,8 +78,8 @@
 	return line
 }
 
-// mistakes lists what is wrong, with the place in the file where there is one.
-func mistakes(name, definition string, err error) Error {
+// fileErrors lists the errors, with their place in the file where there is one.
+func fileErrors(name, definition string, err error) Error {
 	var all Error
 	seen := map[string]bool{}
 	for _, e := range errors.Errors(err) {
@@ -92,7 +92,7 @@
 		}
 		format, args := e.Msg()
 		if strings.Contains(format, "errors in empty disjunction") {
-			continue // what was wrong with each choice follows
+			continue // the errors of each alternative follow
 		}
 		field := strings.Join(e.Path(), ".")
 		field = strings.TrimPrefix(strings.TrimPrefix(field, definition), ".")
--- a/internal/settings/cuefile/cuefile_test.go
+++ b/internal/settings/cuefile/cuefile_test.go
@@ -29,7 +29,7 @@
 		if g.Limits.Packet != 256<<10 || g.Timeouts.Grab != settings.Duration(time.Second) || g.Shutdown {
 			t.Errorf("%q: %+v", text, g)
 		}
-		for name, f := range g.Functions { // the program fills in the same for those that the file does not name
+		for name, f := range g.Functions { // the program uses the same defaults for functions that are not in the file
 			if !reflect.DeepEqual(f, settings.DefaultFunction()) {
 				t.Errorf("%s: %+v", name, f)
 			}
@@ -37,11 +37,11 @@
 	}
 }
 
-// TestMistakes: one line for each, with file, line, field, what was found and what is wanted.
-func TestMistakes(t *testing.T) {
+// Each error is one line with file, line, field, what was found and what is expected.
+func TestErrors(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want []string // parts of lines, in any order
+		want []string // substrings of lines, in any order
 	}{
 		{"gearman: {\n listen: \"here\"\n}", []string{"x.cue:2: gearman.listen: invalid value \"here\" (out of bound"}},
 		{"gearman: {\n listen: \"a:1\"\n limits: packet: 12\n}", []string{"x.cue:3: gearman.limits.packet: "}},
--- a/internal/settings/cuefile/schema.cue
+++ b/internal/settings/cuefile/schema.cue
@@ -1,9 +1,9 @@
-// The schema of deploy/liftgauge.cue. What is not set has the default that stands here with a *, or none.
+// The schema of deploy/liftgauge.cue. A field that is not set has the default marked with * here, if any.
 
-// A length of time, such as "250ms", "5s" or "1h30m".
+// A duration, such as "250ms", "5s" or "1h30m".
 #Duration: =~"^([0-9]+(\\.[0-9]+)?(ms|s|m|h))+$"
 
-// A pattern of client ids: * is any text, ? any one character.
+// A pattern of client ids: * matches any text, ? any one character.
 #Pattern: string & !=""
 
 // host:port
@@ -12,7 +12,7 @@
 #Pools: [string, ...string]
 
 #Settings: {
-	// Descriptors that the program may use where its configuration offers more than 1,024.
+	// Number of descriptors that the program may use, if its configuration offers more than 1,024.
 	sockets?: int & >=32 & <=65536
 
 	gearman?: #Gearman
@@ -21,106 +21,106 @@
 	membership?: #Membership
 }
 
-// An IPv4 address and a port that others can reach.
+// An IPv4 address and port that others can reach.
 #UDPAddress: =~"^((25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.|:)){4}(6553[0-5]|655[0-2][0-9]|65[0-4][0-9]{2}|6[0-4][0-9]{3}|[1-5][0-9]{4}|[1-9][0-9]{0,3})$" & =~"^[0-9.]+:[0-9]+$"
 
-// Talk between the dispatchers of one fleet: who of them lives. The net must be trusted.
+// Failure detection between the dispatchers of one fleet, over UDP. The network must be trusted.
 #Membership: {
-	// An IPv4 address of this process's own, for UDP. Others see what it sends come from it.
+	// The local IPv4 address for UDP. What this process sends reaches others from this address.
 	listen:  #UDPAddress
-	// Where others reach it and see it come from, if something between translates addresses.
+	// The address that others reach it at and see as its source, if there is address translation in between.
 	advertise?: #UDPAddress
 	cluster:    string & !="" | *"liftgauge"
 
-	// Where members are found; in the same order everywhere. The first that lives begins a fleet that has none.
+	// Addresses of members to join through, in the same order everywhere. The first live one forms a fleet if there is none.
 	seeds: [#UDPAddress, ...#UDPAddress]
 
-	roundTrip: #Duration | *"10ms" // the longest usual way there and back; times grow with it from 50ms on
-	silent?:   #Duration            // until a member that says nothing is charged; 6s: longer than any pause that is to be borne
-	refusals:  bool | *true         // "port unreachable" proves a death; false where a firewall says it for others
-	bytes:     int & >=2000 & <=1000000 | *3400 // a second at most, with heads of IP and UDP
+	roundTrip: #Duration | *"10ms" // the longest usual round-trip time; time-outs grow with it from 50ms on
+	silent?:   #Duration            // until an unresponsive member is suspected; 6s: longer than any pause to be tolerated
+	refusals:  bool | *true         // "port unreachable" proves that a member has ended; false where a firewall sends it on behalf of others
+	bytes:     int & >=2000 & <=1000000 | *3400 // maximum per second, including IP and UDP headers
 }
 
-// A record of each message, without bodies and without ids of people.
+// Records one entry for each message, without bodies and without ids of people.
 #Capture: {
-	folder: string & !="" // must be there
+	folder: string & !="" // must exist
 
-	file:     int & >=65536 | *67108864 // bytes of a file, after which the next one is begun
-	files:    int & >=1 | *8            // of this dispatcher's that are kept
-	queue:    int & >=1 | *2048         // records that may wait for the disk; more are dropped and counted
-	interval: #Duration | *"1s"         // until what was seen is written
+	file:     int & >=65536 | *67108864 // bytes of a file, after which the next one is started
+	files:    int & >=1 | *8            // number of files of this dispatcher that are kept
+	queue:    int & >=1 | *2048         // records that may wait to be written; more are dropped and counted
+	interval: #Duration | *"1s"         // maximum time until a record is written
 
-	// With this text the keys of messages are hashed. Dispatchers whose files are to be put together need the same.
+	// The keys of messages are hashed with this text. Dispatchers whose files are to be merged need the same one.
 	secret: string | *""
 }
 
 #Gearman: {
-	// Where Gearman clients connect, and workers too unless they have an address of their own.
+	// The address for Gearman clients, and for workers unless they have a separate one.
 	listen:   #Address
 	workers?: #Address
 
-	// By function's name. Without any there is one for each class, of the same name.
+	// By function name. If there are none, there is one for each class, of the same name.
 	functions: [=~"^[^ \\t\\r\\n\\x00]+$"]: #Function
 
-	// By class: which pools serve the jobs that come over HTTP, and by which function workers know them.
+	// By class: which pools serve its HTTP jobs, and the function under which workers run them.
 	classes: [string]: {
 		pools:     #Pools | *["hosts"]
 		function?: string & !=""
 	}
 
-	// Pools of workers, by the client ids that workers give. The first that fits has the worker. The inventory's hosts are
-	// the pool "hosts"; workers that fit none are the pool "workers".
+	// Pools of workers, by client id of the worker. The first match applies. The hosts of the inventory form the pool
+	// "hosts"; workers that match none form the pool "workers".
 	pools: [...{
 		name:    string & !="" & !="hosts"
 		clients: #Pattern
 	}]
 
-	// Which workers drop each other's repeats of a keyed job. A worker that fits none is a cell of its own.
+	// Groups of workers that deduplicate keyed jobs among each other. A worker that matches none is a cell of its own.
 	cells: [...{
 		name:    string & !=""
 		clients: #Pattern
 	}]
 
 	limits: {
-		packet:             int & >=1024 & <=16777216 | *262144 // bytes of one packet's arguments and data
-		function:           int & >=1 & <=1024 | *128           // bytes of a function's name
+		packet:             int & >=1024 & <=16777216 | *262144 // bytes of the arguments and data of one packet
+		function:           int & >=1 & <=1024 | *128           // bytes of a function name
 		unique:             int & >=1 & <=1024 | *128           // bytes of a unique id
 		client:             int & >=1 & <=1024 | *128           // bytes of a client id
 		jobsPerConnection:  int & >=1 | *1024                   // open jobs that one connection waits for
 		functionsPerWorker: int & >=1 | *64
-		openJobs:           int & >=1 | *10000     // in all, background jobs with them
-		buffer:             int & >=4096 | *524288 // bytes that wait for one connection to read
-		connections?:       int & >=2              // in all; without it half of the clients' share
+		openJobs:           int & >=1 | *10000     // in total, including background jobs
+		buffer:             int & >=4096 | *524288 // bytes of output buffered for one connection
+		connections?:       int & >=2              // in total; if not set, half of those otherwise available to HTTP clients
 	}
 
 	timeouts: {
 		grab:      #Duration | *"1s"  // from NOOP to GRAB_JOB
 		packet:    #Duration | *"5s"  // from a packet's first byte to its last
-		write:     #Duration | *"5s"  // of a connection that reads nothing
-		ended:     #Duration | *"10m" // how long the end of a background job can be asked for
-		keepEnded: int & >=0 | *1000  // and of how many
+		write:     #Duration | *"5s"  // for a connection that reads nothing
+		ended:     #Duration | *"10m" // how long the status of an ended background job is kept
+		keepEnded: int & >=0 | *1000  // for at most so many jobs
 	}
 
-	// Whether the admin command shutdown ends the program.
+	// Whether the admin command "shutdown" stops the program.
 	shutdown: bool | *false
 }
 
 #Function: {
-	// The class whose rules hold for its jobs. Without it the class of the function's name.
+	// The class whose rules apply to its jobs. By default the class with the name of the function.
 	class?: string & !=""
 
-	patience:   #Duration | *"5s" // of a client that waits; the class's own limit if that is shorter
-	background: #Duration | *"1h" // how long a background job may take until it has failed
-	window?:    #Duration         // in which a cell drops repeats, if not the class's own
+	patience:   #Duration | *"5s" // time-out of a client that waits; the limit of the class if that is shorter
+	background: #Duration | *"1h" // time-out of a background job
+	window?:    #Duration         // in which a cell deduplicates, if not that of the class
 
 	pools: #Pools | *["workers", "hosts"]
 
-	// "packet" goes by the kind of SUBMIT_JOB; the others hold whatever the packet says.
+	// "packet" follows the type of SUBMIT_JOB; the others apply whatever the packet type.
 	priority: *"packet" | "high" | "normal" | "low"
 
-	// How much work a job is thought to be: the sum of those that are set. Without any it is not known.
-	cost?:       #Duration       // each
-	costPerKiB?: #Duration       // for each KiB of data
-	costField?:  string & !=""   // a number of microseconds in the data, which is a JSON object then
-	maxQueue:    int & >=0 | *0  // jobs that may wait; 0 for no bound of its own
+	// The expected work of a job: the sum of those that are set. If none is set, it is unknown.
+	cost?:       #Duration       // per job
+	costPerKiB?: #Duration       // per KiB of data
+	costField?:  string & !=""   // name of a field with a number of microseconds, in data that is a JSON object
+	maxQueue:    int & >=0 | *0  // maximum number of waiting jobs; 0 for no limit of its own
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,9 @@
-// Package settings reads the program's own settings file into plain values. Without a file everything that it could switch
-// on is off.
+// Package settings reads the settings file of the program into plain values. Without a file, all optional features are
+// off.
 //
-// The file is CUE; the schema, with what each field means and its default, is cuefile/schema.cue. The program liftgauge-cue
-// beside this one checks it and fills in the defaults; package cuefile tells why.
+// The file is written in CUE; the schema, with the meaning and default of each field, is cuefile/schema.cue. The program
+// liftgauge-cue, installed next to this one, checks the file and fills in the defaults; see package cuefile for the
+// reason.
 package settings
 
 import (
@@ -19,19 +20,19 @@
 	"time"
 )
 
-// Settings are all that a settings file says. Sizes are bytes.
+// Settings are the contents of a settings file. Sizes are in bytes.
 type Settings struct {
-	Sockets int      `json:"sockets"` // descriptors, where the configuration offers more than its usual most; 0: not set
+	Sockets int      `json:"sockets"` // descriptors to use, where the configuration offers more than the usual limit; 0: not set
 	Gearman *Gearman `json:"gearman"` // nil: off
 	Capture *Capture `json:"capture"` // nil: off
-	// Membership is nil where dispatchers do not talk to each other.
+	// Membership is nil if dispatchers do not communicate with each other.
 	Membership *Membership `json:"membership"`
 }
 
-// Membership is what the schema calls #Membership.
+// Membership corresponds to #Membership in the schema.
 type Membership struct {
 	Listen    string   `json:"listen"`
-	Advertise string   `json:"advertise"` // empty: as it listens
+	Advertise string   `json:"advertise"` // empty: same as Listen
 	Cluster   string   `json:"cluster"`
 	Seeds     []string `json:"seeds"`
 	RoundTrip Duration `json:"roundTrip"`
@@ -40,7 +41,7 @@
 	Bytes     int      `json:"bytes"`
 }
 
-// Capture is what the schema calls #Capture.
+// Capture corresponds to #Capture in the schema.
 type Capture struct {
 	Folder   string   `json:"folder"`
 	File     int64    `json:"file"`
@@ -50,17 +51,17 @@
 	Secret   string   `json:"secret"`
 }
 
-// Duration is a time.Duration that stands in JSON as a text like "250ms".
+// Duration is a time.Duration encoded in JSON as a string like "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads the text.
+// UnmarshalText parses the string form.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// Gearman is what the schema calls #Gearman.
+// Gearman corresponds to #Gearman in the schema.
 type Gearman struct {
 	Listen    string              `json:"listen"`
 	Workers   string              `json:"workers"`
@@ -73,12 +74,12 @@
 	Shutdown  bool                `json:"shutdown"`
 }
 
-// Function is how the jobs of one Gearman function are dealt with.
+// Function is how the jobs of one Gearman function are handled.
 type Function struct {
 	Class      string   `json:"class"`
 	Patience   Duration `json:"patience"`
 	Background Duration `json:"background"`
-	Window     Duration `json:"window"` // 0: the class's
+	Window     Duration `json:"window"` // 0: that of the class
 	Pools      []string `json:"pools"`
 	Priority   string   `json:"priority"`
 	Cost       Duration `json:"cost"`
@@ -87,36 +88,36 @@
 	MaxQueue   int      `json:"maxQueue"`
 }
 
-// DefaultFunction is what the schema fills in.
+// DefaultFunction returns the defaults of the schema.
 func DefaultFunction() Function {
 	return Function{Patience: Duration(5 * time.Second), Background: Duration(time.Hour), Pools: []string{WorkerPool, HostPool}, Priority: "packet"}
 }
 
-// The pools that need no word in the settings.
+// The predefined pools.
 const (
-	HostPool   = "hosts"   // of the inventory
-	WorkerPool = "workers" // that fit no other pool
+	HostPool   = "hosts"   // hosts of the inventory
+	WorkerPool = "workers" // workers that match no other pool
 )
 
-// Class is how the jobs of a class that come over HTTP reach workers.
+// Class is how HTTP jobs of a class reach workers.
 type Class struct {
 	Pools    []string `json:"pools"`
 	Function string   `json:"function"`
 }
 
-// ClientGroup names those whose client id fits a pattern.
+// ClientGroup is the group of clients whose id matches a pattern.
 type ClientGroup struct {
 	Name    string `json:"name"`
 	Clients string `json:"clients"`
 }
 
-// Matches says whether a client id is in the group.
+// Matches reports whether a client id belongs to the group.
 func (g ClientGroup) Matches(client string) bool {
 	ok, err := path.Match(g.Clients, client)
 	return ok && err == nil
 }
 
-// Limits bound what Gearman connections may ask for.
+// Limits are the limits of Gearman connections.
 type Limits struct {
 	Packet             int `json:"packet"`
 	Function           int `json:"function"`
@@ -129,7 +130,7 @@
 	Connections        int `json:"connections"` // 0: not set
 }
 
-// Timeouts bound what Gearman connections are waited for.
+// Timeouts are the time-outs of Gearman connections.
 type Timeouts struct {
 	Grab      Duration `json:"grab"`
 	Packet    Duration `json:"packet"`
@@ -138,13 +139,13 @@
 	KeepEnded int      `json:"keepEnded"`
 }
 
-// Helper is the program that reads settings files.
+// Helper is the name of the program that reads settings files.
 const Helper = "liftgauge-cue"
 
-const helpWithin = 10 * time.Second
+const helperTimeout = 10 * time.Second
 
-// Load reads a settings file by the helper, which stands in a folder. Without a path there are no settings. An error names
-// the file, the line and the field, a line for each mistake.
+// Load reads a settings file by running the helper, which is in the given folder. Without a file name, it returns empty
+// settings. An error names the file, the line and the field, one line for each error.
 func Load(ctx context.Context, file, folder string) (*Settings, error) {
 	if file == "" {
 		return &Settings{}, nil
@@ -152,14 +153,14 @@
 	if _, err := os.Stat(file); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	ctx, stop := context.WithTimeout(ctx, helpWithin)
+	ctx, stop := context.WithTimeout(ctx, helperTimeout)
 	defer stop()
 	cmd := exec.CommandContext(ctx, filepath.Join(folder, Helper), file)
-	cmd.Env = append(os.Environ(), "GOMAXPROCS=1", "GOMEMLIMIT=16MiB") // it shares this program's limits
-	var out, wrong bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &wrong
+	cmd.Env = append(os.Environ(), "GOMAXPROCS=1", "GOMEMLIMIT=16MiB") // the helper shares this program's limits
+	var out, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &stderr
 	if err := cmd.Run(); err != nil {
-		if text := strings.TrimSpace(wrong.String()); text != "" {
+		if text := strings.TrimSpace(stderr.String()); text != "" {
 			return nil, errors.New("settings: " + text)
 		}
 		return nil, fmt.Errorf("settings: %s: %w", Helper, err)
@@ -167,7 +168,7 @@
 	return Decode(out.Bytes())
 }
 
-// Decode reads the JSON that the helper writes.
+// Decode parses the JSON that the helper writes.
 func Decode(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
