--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Member is an entry of discovery's list.
+// Member is an entry of the member list.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -23,30 +23,30 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Member is how discovery lists a host that serves.
+// Member returns the entry of the host while it serves.
 func (h *Host) Member() Member {
 	return Member{ID: h.Name, HostPort: h.Address, Locality: h.Zone, Flavor: h.Kind, Cell: h.Cell, Phase: "SERVING", Size: cmp.Or(h.Size, 1)}
 }
 
-// List is what discovery says: all members, or those that changed.
+// List is a response of discovery: all members, or those that changed.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// Discovery keeps the list of hosts and tells of its changes.
+// Discovery serves the list of hosts and its changes.
 type Discovery struct {
-	Address string
-	server  *http.Server
-	mu      sync.Mutex
-	at      int64
-	members map[string]Member
-	changes []Member // each made one revision
-	changed chan struct{}
+	Address  string
+	server   *http.Server
+	mu       sync.Mutex
+	revision int64
+	members  map[string]Member
+	changes  []Member // one for each revision
+	changed  chan struct{}
 }
 
-// StartDiscovery listens on loopback.
+// StartDiscovery starts discovery on a loopback address.
 func StartDiscovery() (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,15 +60,15 @@
 	return d, nil
 }
 
-// Close ends it, and all watches.
+// Close stops it, with all watches.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set lists members as they are from now on; DELETED ones leave.
+// Set adds or updates members; those in phase DELETED are removed.
 func (d *Discovery) Set(members ...Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range members {
-		d.at++
+		d.revision++
 		d.changes = append(d.changes, m)
 		if d.members[m.ID] = m; m.Phase == "DELETED" {
 			delete(d.members, m.ID)
@@ -78,11 +78,11 @@
 	d.changed = make(chan struct{})
 }
 
-// List is the whole list.
+// List returns the whole list.
 func (d *Discovery) List() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := List{Revision: d.at, Complete: true, Members: []Member{}}
+	l := List{Revision: d.revision, Complete: true, Members: []Member{}}
 	for _, m := range d.members {
 		l.Members = append(l.Members, m)
 	}
@@ -95,17 +95,17 @@
 		return
 	}
 	since, _ := strconv.ParseInt(r.FormValue("since"), 10, 64)
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(2 * time.Second)
+	defer heartbeat.Stop()
 	first := true
 	for {
 		d.mu.Lock()
-		changed, at := d.changed, d.at
+		changed, at := d.changed, d.revision
 		since = max(0, min(since, at))
-		news := append([]Member{}, d.changes[since:]...)
+		updates := append([]Member{}, d.changes[since:]...)
 		d.mu.Unlock()
-		if first || len(news) > 0 {
-			if json.NewEncoder(w).Encode(List{Revision: at, Members: news}) != nil {
+		if first || len(updates) > 0 {
+			if json.NewEncoder(w).Encode(List{Revision: at, Members: updates}) != nil {
 				return
 			}
 			since, first = at, false
@@ -113,7 +113,7 @@
 		http.NewResponseController(w).Flush()
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 			w.Write([]byte("\n"))
 		case <-r.Context().Done():
 			return
--- a/internal/standin/gearman.go
+++ b/internal/standin/gearman.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Gearman's packets as clients and workers meet them, written from the public specification and not from the daemon's
-// codec: the numbers are those of its tables.
+// Packet types as clients and workers use them, taken from the public specification and not from the daemon's codec, so
+// that an error there is not repeated here.
 const (
 	gmCanDo       = 1
 	gmPreSleep    = 4
@@ -31,16 +31,16 @@
 	gmHeader      = 12
 )
 
-// GearmanPacket is one packet: its type's number and its body with the NULs in it.
+// GearmanPacket is one packet: its type number and its body, including NUL bytes.
 type GearmanPacket struct {
 	Type int
 	Body []byte
 }
 
-// Args takes a body apart into at most n arguments.
+// Args splits a body into at most n arguments.
 func (f GearmanPacket) Args(n int) [][]byte { return bytes.SplitN(f.Body, []byte{0}, n) }
 
-// GearmanConn is one Gearman connection. Its writes are whole packets.
+// GearmanConn is a Gearman connection. Concurrent writes do not interleave packets.
 type GearmanConn struct {
 	net.Conn
 	mu sync.Mutex
@@ -55,7 +55,7 @@
 	return &GearmanConn{Conn: c}, nil
 }
 
-// NewGearmanPacket makes a packet with the magic of a client or worker.
+// NewGearmanPacket encodes a packet of a client or worker.
 func NewGearmanPacket(kind int, args ...string) []byte {
 	body := []byte{}
 	for i, a := range args {
@@ -79,7 +79,7 @@
 	return err
 }
 
-// Next reads a packet of the server's.
+// Next reads a packet sent by the server.
 func (w *GearmanConn) Next() (GearmanPacket, error) {
 	var head [gmHeader]byte
 	if _, err := io.ReadFull(w.Conn, head[:]); err != nil {
@@ -94,23 +94,23 @@
 	return f, err
 }
 
-// GearmanWorkerConfig is what a stand-in worker is like.
+// GearmanWorkerConfig describes a stand-in worker.
 type GearmanWorkerConfig struct {
 	Address     string
-	Client      string // id; may be empty
+	Client      string // client id; may be empty
 	Functions   []string
 	JobDuration time.Duration
 	Result      func([]byte) []byte
 	Ledger      *Ledger
-	// ID finds in a job's data by what name the ledger knows it.
+	// ID returns the name of a job in the ledger, from its data.
 	ID func(data []byte) string
-	// DropConnection says of each job whether the worker is to drop its connection while it is at it; may be nil.
+	// DropConnection says for each job whether the worker drops its connection while it runs it; may be nil.
 	DropConnection func(id string) bool
-	GrabType       int // the kind of GRAB_JOB; 0 for GRAB_JOB_UNIQ
+	GrabType       int // packet type of its job requests; 0 for GRAB_JOB_UNIQ
 }
 
-// GearmanWorker runs jobs one after another, as the common libraries do: GRAB_JOB, and PRE_SLEEP where there is none. Where
-// its connection ends it connects again until it is closed.
+// GearmanWorker runs jobs one after another like the common client libraries: it sends GRAB_JOB, and PRE_SLEEP if there
+// is no job. It reconnects until it is closed.
 type GearmanWorker struct {
 	GearmanWorkerConfig
 	mu     sync.Mutex
@@ -135,7 +135,7 @@
 	return w
 }
 
-// Close ends the worker, its connection with it.
+// Close stops the worker and closes its connection.
 func (w *GearmanWorker) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -146,7 +146,7 @@
 	<-w.done
 }
 
-// connect returns false once the worker is closed.
+// connect connects to the server, retrying. It returns false once the worker is closed.
 func (w *GearmanWorker) connect() bool {
 	for {
 		w.mu.Lock()
@@ -221,18 +221,18 @@
 	}
 }
 
-// GearmanClient hands in jobs over one connection and waits for them in any order. It is safe for concurrent use.
+// GearmanClient submits jobs over one connection and waits for them in any order. It is safe for concurrent use.
 type GearmanClient struct {
-	wire    *GearmanConn
-	mu      sync.Mutex
-	asked   []chan Outcome // that wait for JOB_CREATED, in order
-	waiting map[string][]chan Outcome
-	err     error
+	wire           *GearmanConn
+	mu             sync.Mutex
+	unacknowledged []chan Outcome // jobs that wait for JOB_CREATED, in order
+	waiting        map[string][]chan Outcome
+	err            error
 }
 
-// Outcome is how a job ended for its client.
+// Outcome is the outcome of a job for its client.
 type Outcome struct {
-	Status int // 200 served, 502 failed, 503 not taken, 0 the connection ended
+	Status int // 200 served, 502 failed, 503 rejected, 0 connection closed
 	Result []byte
 	Handle string
 }
@@ -248,10 +248,10 @@
 	return c, nil
 }
 
-// Close ends the connection; what waits ends with status 0.
+// Close closes the connection; waiting jobs end with status 0.
 func (c *GearmanClient) Close() { c.wire.Close() }
 
-// Do hands in a job and waits for its end.
+// Do submits a job and waits for its outcome.
 func (c *GearmanClient) Do(function, unique string, data []byte) Outcome {
 	end := make(chan Outcome, 1)
 	c.mu.Lock()
@@ -259,7 +259,7 @@
 		c.mu.Unlock()
 		return Outcome{}
 	}
-	c.asked = append(c.asked, end)
+	c.unacknowledged = append(c.unacknowledged, end)
 	_, err := c.wire.Write(NewGearmanPacket(gmSubmit, function, unique, string(data)))
 	c.mu.Unlock()
 	if err != nil {
@@ -274,7 +274,7 @@
 		c.mu.Lock()
 		if err != nil {
 			c.err = err
-			for _, end := range c.asked {
+			for _, end := range c.unacknowledged {
 				end <- Outcome{}
 			}
 			for _, all := range c.waiting {
@@ -288,12 +288,12 @@
 		switch f.Type {
 		case gmCreated:
 			handle := string(f.Body)
-			c.waiting[handle] = append(c.waiting[handle], c.asked[0])
-			c.asked = c.asked[1:]
+			c.waiting[handle] = append(c.waiting[handle], c.unacknowledged[0])
+			c.unacknowledged = c.unacknowledged[1:]
 		case gmError:
-			if len(c.asked) > 0 {
-				c.asked[0] <- Outcome{Status: 503, Result: f.Body}
-				c.asked = c.asked[1:]
+			if len(c.unacknowledged) > 0 {
+				c.unacknowledged[0] <- Outcome{Status: 503, Result: f.Body}
+				c.unacknowledged = c.unacknowledged[1:]
 			}
 		case gmComplete, gmFail:
 			args := f.Args(2)
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -14,30 +14,30 @@
 	"time"
 )
 
-// HostConfig is what a stand-in host is like.
+// HostConfig describes a stand-in host.
 type HostConfig struct {
 	Name          string
 	Zone          string
 	Kind          string
 	Cell          int
-	Slots         int                             // jobs that run side by side
-	Queue         int                             // jobs that may wait for a slot; one more is turned away unseen
-	JobDuration   time.Duration                   // how long a job runs
-	JobDurationOf func(body []byte) time.Duration // the same by its data, if it is set
-	BlockUntil    <-chan struct{}                 // jobs run until it is closed, if it is set
-	Size          float64                         // as discovery lists it; 0 for 1
+	Slots         int                             // jobs that run concurrently
+	Queue         int                             // jobs that may wait for a slot; further ones are rejected without running
+	JobDuration   time.Duration                   // duration of a job
+	JobDurationOf func(body []byte) time.Duration // duration of a job by its data; overrides JobDuration if set
+	BlockUntil    <-chan struct{}                 // if set, jobs run until it is closed
+	Size          float64                         // as listed by discovery; 0 for 1
 	Result        func(body []byte) []byte
-	ID            func(body []byte) string // finds the ledger's name of a job; nil for its id
-	ReportsStarts bool                     // it tells of starts
+	ID            func(body []byte) string // returns the name of a job in the ledger; nil: its id
+	ReportsStarts bool                     // reports when a job starts
 	Ledger        *Ledger
-	Accepted      func() // told of each job that is handed in, if it is set; must not block
-	// Dispatcher is where clients connect and where call-backs go.
+	Accepted      func() // if set, called for each accepted job; must not block
+	// Dispatcher is the address that callbacks are sent to.
 	Dispatcher string
-	// Callbacks carries call-backs; nil for a client of the host's own.
+	// Callbacks sends the callbacks; nil for a client of the host's own.
 	Callbacks *http.Client
 }
 
-// Host is a box that takes jobs by POST, answers 202 and calls back. It stops at Close.
+// Host accepts jobs by POST, answers 202 and reports results by callback, until Close.
 type Host struct {
 	HostConfig
 	Address string
@@ -49,14 +49,14 @@
 	stop     context.CancelFunc
 	jobs     sync.WaitGroup
 	held     atomic.Int64
-	busy     atomic.Int64 // nanoseconds that slots were taken
+	busy     atomic.Int64 // total time in nanoseconds that slots were in use
 	slots    chan struct{}
-	drains   atomic.Bool
+	draining atomic.Bool
 	mu       sync.Mutex
 	open     map[string]context.CancelFunc
 }
 
-// StartHost listens on loopback and takes jobs from then on.
+// StartHost starts a host on a loopback address.
 func StartHost(c HostConfig) (*Host, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,24 +70,24 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/healthy", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	mux.HandleFunc("DELETE /jobs/{id}", h.giveUp)
+	mux.HandleFunc("DELETE /jobs/{id}", h.cancelJob)
 	mux.HandleFunc("POST /sync/", h.sync)
-	mux.HandleFunc("POST /", h.take)
+	mux.HandleFunc("POST /", h.acceptJob)
 	h.server = &http.Server{Handler: mux}
 	go h.server.Serve(l)
 	return h, nil
 }
 
-// Drain has the host finish what it has and turn away what is new; discovery is told apart.
-func (h *Host) Drain(on bool) { h.drains.Store(on) }
+// Drain has the host finish its jobs and reject new ones. It does not change the entry in discovery.
+func (h *Host) Drain(on bool) { h.draining.Store(on) }
 
-// Held is how many jobs run or wait here.
+// Held returns the number of jobs that run or wait.
 func (h *Host) Held() int { return int(h.held.Load()) }
 
-// Busy is for how long slots were taken, added up.
+// Busy returns the total time that slots were in use.
 func (h *Host) Busy() time.Duration { return time.Duration(h.busy.Load()) }
 
-// Close ends the host at once: its connections are reset, its jobs forgotten.
+// Close stops the host at once: connections are reset and jobs are dropped.
 func (h *Host) Close() {
 	h.stop()
 	h.server.Close()
@@ -97,7 +97,7 @@
 	}
 }
 
-func (h *Host) giveUp(w http.ResponseWriter, r *http.Request) {
+func (h *Host) cancelJob(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
 	stop := h.open[r.PathValue("id")]
 	h.mu.Unlock()
@@ -107,8 +107,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take answers 202 and runs the job, or turns it away unseen.
-func (h *Host) take(w http.ResponseWriter, r *http.Request) {
+// acceptJob answers 202 and runs the job, or rejects it without running it.
+func (h *Host) acceptJob(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Req-Id")
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 64<<10))
 	switch {
@@ -118,8 +118,8 @@
 	case err != nil:
 		w.WriteHeader(http.StatusBadRequest)
 		return
-	case h.drains.Load() || h.held.Add(1) > int64(h.Slots+h.Queue):
-		if !h.drains.Load() {
+	case h.draining.Load() || h.held.Add(1) > int64(h.Slots+h.Queue):
+		if !h.draining.Load() {
 			h.held.Add(-1)
 		}
 		w.Header().Set("Srv-Declined", "1")
@@ -146,12 +146,13 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// job waits for a slot, runs and tells the result. A job given up before it began is handed back.
+// job waits for a slot, runs the job and reports the result. A job that is cancelled before it started is reported as
+// returned.
 func (h *Host) job(ctx context.Context, id string, body []byte) {
 	select {
 	case h.slots <- struct{}{}:
 	case <-ctx.Done():
-		h.tell(id, "returned", nil)
+		h.callBack(id, "returned", nil)
 		return
 	}
 	defer func() { <-h.slots }()
@@ -163,7 +164,7 @@
 		h.Ledger.Record(name, Run{h.Name, h.Cell})
 	}
 	if h.ReportsStarts {
-		h.jobs.Go(func() { h.tell(id, "started", nil) })
+		h.jobs.Go(func() { h.callBack(id, "started", nil) })
 	}
 	job := h.JobDuration
 	if h.JobDurationOf != nil {
@@ -179,10 +180,10 @@
 	case <-ends:
 	case <-h.BlockUntil:
 	case <-ctx.Done():
-		h.tell(id, "lost", nil)
+		h.callBack(id, "lost", nil)
 		return
 	}
-	h.tell(id, "done", h.result(body))
+	h.callBack(id, "done", h.result(body))
 }
 
 func (h *Host) result(body []byte) []byte {
@@ -192,7 +193,7 @@
 	return body
 }
 
-// sync is for proxies: the answer itself carries the result.
+// sync serves reverse proxies: the response carries the result.
 func (h *Host) sync(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -208,8 +209,8 @@
 	w.Write(h.result(body))
 }
 
-// tell calls back until an answer comes, at most ten times.
-func (h *Host) tell(id, state string, result []byte) {
+// callBack sends a callback until it is answered, at most ten times.
+func (h *Host) callBack(id, state string, result []byte) {
 	call := struct {
 		ID     string `json:"id"`
 		From   string `json:"from"`
@@ -220,7 +221,7 @@
 	if err != nil {
 		return
 	}
-	for try := range 10 {
+	for attempt := range 10 {
 		r, err := http.NewRequest("POST", "http://"+h.Dispatcher+"/callback", bytes.NewReader(text))
 		if err != nil {
 			return
@@ -234,14 +235,14 @@
 			}
 		}
 		select {
-		case <-time.After(time.Duration(try+1) * 10 * time.Millisecond):
+		case <-time.After(time.Duration(attempt+1) * 10 * time.Millisecond):
 		case <-h.ctx.Done():
 			return
 		}
 	}
 }
 
-// FixedResult returns a maker of results of so many bytes.
+// FixedResult returns a function that returns the same n bytes for every job.
 func FixedResult(n int) func([]byte) []byte {
 	text := []byte(strings.Repeat("0123456789abcdef", n/16+1)[:n])
 	return func([]byte) []byte { return text }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -1,25 +1,25 @@
-// Package standin holds what stands in for the world around the daemon on loopback: hosts, discovery and what they note.
-// It is for tests, the laboratory and demonstrations; the daemon never uses it.
+// Package standin provides stand-ins for the daemon's environment on loopback addresses: hosts, discovery, Gearman
+// clients and workers. It is for tests, the lab and demonstrations; the daemon never uses it.
 //
-// It speaks HTTP by net/http, not by the daemon's own parser, so that a mistake there is not made twice.
+// HTTP is implemented with net/http and not with the daemon's own parser, so that an error there is not repeated here.
 package standin
 
 import "sync"
 
-// Run is one time that a job was begun somewhere.
+// Run is one start of a job.
 type Run struct {
-	Host string // or a worker's client id
-	Cell int    // -1: that of the client id
+	Host string // or the client id of a worker
+	Cell int    // -1: determined by the client id
 }
 
-// Ledger notes which jobs ran where. It is safe for concurrent use.
+// Ledger records which jobs ran where. It is safe for concurrent use.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string][]Run
 	all  int
 }
 
-// Record notes that a job was begun.
+// Record records that a job was started.
 func (l *Ledger) Record(id string, r Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,21 +30,21 @@
 	l.all++
 }
 
-// Runs returns where a job was begun, in that order.
+// Runs returns the starts of a job, in order.
 func (l *Ledger) Runs(id string) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Run(nil), l.runs[id]...)
 }
 
-// Total is how often any job was begun.
+// Total returns the number of starts of all jobs.
 func (l *Ledger) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all
 }
 
-// Forget drops a job that nobody will ask for again, so that long loads keep a short ledger.
+// Forget removes a job that is not looked up again, so that the ledger stays small under long loads.
 func (l *Ledger) Forget(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -14,7 +14,7 @@
 	count uint32
 }
 
-// Reset empties the reply and addresses it to the batch.
+// Reset empties the reply and sets the sequence number of the batch that it answers.
 func (r *Reply) Reset(seq uint32) {
 	r.buf = append(r.buf[:0], make([]byte, 12)...)
 	binary.LittleEndian.PutUint32(r.buf[8:], seq)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire reads and writes the frames of the simulator's wire and parses its start-up settings.
+// Package wire reads and writes the frames of the simulator's protocol.
 package wire
 
 import (
@@ -43,18 +43,18 @@
 	ActionTimer     = 1110
 )
 
-// Event is one decoded record; the fields used depend on its code. Slices are valid until the next batch is read.
+// Event is one decoded record; which fields are set depends on its code. Slices are valid until the next batch is read.
 type Event struct {
 	Code     int
 	Instance uint32
 	Job      balance.Job
-	Outcome  balance.Outcome // also probe results, notes and accepted streams
-	Seed     uint64          // also the token of a timer
-	Data     []byte          // settings or a peer's message
+	Outcome  balance.Outcome // also of probes, notes and accepted streams
+	Seed     uint64          // or the token of a timer
+	Data     []byte          // settings, or a message of a peer
 	Note     int
 	Amount   float64
 	ListKind balance.ListKind
-	ListID   uint32 // of a list, or the sender of a message
+	ListID   uint32 // number of a list, or the sender of a message
 	Entries  []balance.Worker
 }
 
@@ -67,24 +67,24 @@
 
 // Reader decodes batches.
 type Reader struct {
-	r     io.Reader
-	head  [20]byte
-	buf   []byte
-	batch Batch
-	loads []float32
-	last  uint32
+	r       io.Reader
+	head    [20]byte
+	buf     []byte
+	batch   Batch
+	loads   []float32
+	lastSeq uint32
 }
 
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-const chunk = 1 << 20
+const readChunk = 1 << 20
 
-// fill reads n bytes, growing the buffer only as content arrives: a declared length is not trusted.
+// fill reads n bytes, growing the buffer only as data arrives: the declared length is not trusted.
 func (d *Reader) fill(n int) error {
 	d.buf = d.buf[:0]
 	for len(d.buf) < n {
-		step := min(n-len(d.buf), chunk)
+		step := min(n-len(d.buf), readChunk)
 		at := len(d.buf)
 		if cap(d.buf) < at+step {
 			grown := make([]byte, at, max(at+step, 2*cap(d.buf)))
@@ -99,19 +99,19 @@
 	return nil
 }
 
-// Read returns the next batch, or io.EOF at a clean end of input. The batch is valid until the next call.
+// Read returns the next batch, or io.EOF at the end of input. The batch is valid until the next call.
 func (d *Reader) Read() (*Batch, error) {
 	if _, err := io.ReadFull(d.r, d.head[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, fmt.Errorf("batch after %d: truncated header: %w", d.last, err)
+		return nil, fmt.Errorf("batch after %d: truncated header: %w", d.lastSeq, err)
 	}
 	le := binary.LittleEndian
 	count, length := le.Uint32(d.head[0:]), le.Uint32(d.head[4:])
 	d.batch.Now = time.Duration(le.Uint64(d.head[8:]))
 	d.batch.Seq = le.Uint32(d.head[16:])
-	d.last = d.batch.Seq
+	d.lastSeq = d.batch.Seq
 	if length < 12 {
 		return nil, fmt.Errorf("batch %d: length %d is shorter than the header", d.batch.Seq, length)
 	}
@@ -140,13 +140,13 @@
 var errShort = errors.New("content ends inside a record")
 
 type cursor struct {
-	b   []byte
-	bad bool
+	b     []byte
+	short bool
 }
 
 func (c *cursor) take(n int) []byte {
 	if n > len(c.b) {
-		c.bad = true
+		c.short = true
 		c.b = nil
 		return make([]byte, min(n, 8))
 	}
@@ -160,7 +160,7 @@
 func (c *cursor) u32() uint32 { return binary.LittleEndian.Uint32(c.take(4)) }
 func (c *cursor) u64() uint64 { return binary.LittleEndian.Uint64(c.take(8)) }
 
-// f32 reads a number; what is none counts as absent.
+// f32 reads a number; NaN and infinity are read as 0.
 func (c *cursor) f32() float64 {
 	v := float64(math.Float32frombits(c.u32()))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -171,7 +171,7 @@
 
 func (c *cursor) bytes(n int) []byte {
 	if n > len(c.b) {
-		c.bad = true
+		c.short = true
 		c.b = nil
 		return nil
 	}
@@ -181,7 +181,7 @@
 func (d *Reader) load(c *cursor) []float32 {
 	n := int(c.u8())
 	if n*4 > len(c.b) {
-		c.bad = true
+		c.short = true
 		return nil
 	}
 	at := len(d.loads)
@@ -282,7 +282,7 @@
 	default:
 		return ev, fmt.Errorf("unknown event code %d", code)
 	}
-	if c.bad {
+	if c.short {
 		return ev, errShort
 	}
 	return ev, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	. "liftgauge/internal/wire"
 )
 
-// frame makes a batch of the records, given in hex with spaces.
+// frame encodes a batch of records, given in hex with spaces.
 func frame(t *testing.T, records ...string) []byte {
 	t.Helper()
 	body := unhex(t, strings.Join(records, ""))
