--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -61,8 +61,8 @@
 	t.Logf("%d bytes a record", b.Len()/len(want))
 }
 
-// Wherever a file is truncated or damaged, the records read are records that were written, in order, and only those of
-// the affected blocks are missing.
+// TestTruncatedAndDamagedFiles checks that wherever a file is truncated or damaged, the records read are records that
+// were written, in order, and only those of the affected blocks are missing.
 func TestTruncatedAndDamagedFiles(t *testing.T) {
 	want := records(4000)
 	var b bytes.Buffer
@@ -117,8 +117,8 @@
 	}
 }
 
-// disk is a file that can fail.
-type disk struct {
+// faultyFile is a file that can fail.
+type faultyFile struct {
 	mu     sync.Mutex
 	b      []byte
 	room   int // free space in bytes
@@ -126,7 +126,7 @@
 	writes int
 }
 
-func (d *disk) Write(b []byte) (int, error) {
+func (d *faultyFile) Write(b []byte) (int, error) {
 	if d.stuck != nil {
 		<-d.stuck
 	}
@@ -140,25 +140,25 @@
 	}
 	return n, nil
 }
-func (d *disk) Truncate(n int64) error {
+func (d *faultyFile) Truncate(n int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.room += len(d.b) - int(n)
 	d.b = d.b[:n]
 	return nil
 }
-func (d *disk) Close() error { return nil }
+func (d *faultyFile) Close() error { return nil }
 
-func writer(d *disk, queue int) *Writer {
+func writer(d *faultyFile, queue int) *Writer {
 	return NewWriter(Config{Header: Header{Name: "n0"}, MaxFileSize: 1 << 30, QueueSize: queue, Interval: time.Second,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Create: func(string) (File, error) { return d, nil }})
 }
 
-// On a full disk, records that do not fit are dropped and counted, the file stays readable, and writing continues once
-// there is space.
+// TestFullDisk checks that on a full disk, records that do not fit are dropped and counted, the file stays readable, and
+// writing continues once there is space.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &disk{room: 2000}
+		d := &faultyFile{room: 2000}
 		w := writer(d, 4096)
 		ctx, stop := context.WithCancel(t.Context())
 		go w.Run(ctx)
@@ -184,10 +184,10 @@
 	})
 }
 
-// On a slow disk Put does not block and holds no more records than the queue.
+// TestSlowDisk checks that on a slow disk Put does not block and holds no more records than the queue.
 func TestSlowDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &disk{room: 1 << 30, stuck: make(chan struct{})}
+		d := &faultyFile{room: 1 << 30, stuck: make(chan struct{})}
 		w := writer(d, 100)
 		ctx, stop := context.WithCancel(t.Context())
 		go w.Run(ctx)
@@ -209,7 +209,7 @@
 	})
 }
 
-// A full file is followed by the next, and only the given number of files is kept.
+// TestFileRotation checks that a full file is followed by the next, and only the given number of files is kept.
 func TestFileRotation(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(Config{Folder: dir, Header: Header{Name: "n0", Boot: "b"}, MaxFileSize: 20 << 10, MaxFiles: 3, QueueSize: 1 << 16, Interval: time.Second,
@@ -237,7 +237,7 @@
 	}
 }
 
-// Whatever a file contains, reading it terminates without a panic and without unbounded memory.
+// FuzzReader checks that, whatever a file contains, reading it terminates without a panic and without unbounded memory.
 func FuzzReader(f *testing.F) {
 	var b bytes.Buffer
 	Create(&b, Header{Name: "n0"}, records(20))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964","new":[],
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964","new":[],
 "limits":{"cores":1.0,"memory_mb":2048,"sockets":512},"known":{"revision":41,"complete":true,"members":[]},
 "settings":{"classes":[{"name":"gauge-reading","aimNs":200000000,"hardLimitNs":5e9,"effect":"guarded","dedupScope":"cell",
 "windowNs":7500000000,"credit":2.0}],"dcs":["a","b"],"kinds":["m1"],"stepNs":2000000,"membershipMode":"on_request",
 "familyInfo":{"classKind":[-1],"classStretch":[2.5],"tellsStart":true},"limits":{"keepaliveNs":60000000000,"maxAttempts":4}}}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
 func TestParse(t *testing.T) {
 	env := map[string]string{"LB_LISTEN": "127.0.0.9:1"}
-	c, err := Parse([]byte(good), func(key string) string { return env[key] })
+	c, err := Parse([]byte(validConfig), func(key string) string { return env[key] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	}
 }
 
-// An error is one line that names the field.
+// TestBadConfig checks that an error is one line that names the field.
 func TestBadConfig(t *testing.T) {
 	for field, change := range map[string][2]string{
 		"LB_CONFIG":                         {`{"name"`, `["name"`},
@@ -53,20 +53,20 @@
 		"settings.limits: want an object":   {`{"keepaliveNs":60000000000,"maxAttempts":4}`, `7`},
 		"settings.familyInfo.classStretch:": {`[2.5]`, `2.5`},
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
-		c, err := Parse([]byte(text), none)
-		if err == nil || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") || text == good {
+		text := strings.Replace(validConfig, change[0], change[1], 1)
+		c, err := Parse([]byte(text), noEnv)
+		if err == nil || !strings.HasPrefix(err.Error(), field) || strings.Contains(err.Error(), "\n") || text == validConfig {
 			t.Errorf("%s: config %v, error %v", field, c, err)
 		}
 	}
 }
 
 func TestLoad(t *testing.T) {
-	if _, err := Load(none); err == nil || !strings.HasPrefix(err.Error(), "LB_CONFIG") {
+	if _, err := Load(noEnv); err == nil || !strings.HasPrefix(err.Error(), "LB_CONFIG") {
 		t.Errorf("error %v", err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(func(key string) string { return map[string]string{"LB_CONFIG": path}[key] }); err != nil {
@@ -74,14 +74,14 @@
 	}
 }
 
-// On a reload the discovery address in the file takes precedence over the variable, and changes that need a restart are
-// named.
+// TestReload checks that on a reload the discovery address in the file takes precedence over the variable, and changes
+// that need a restart are named.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.1:1", "LB_LISTEN": "127.0.0.9:1"}
 	getenv := func(key string) string { return env[key] }
 	write := func(old, new string) {
-		if err := os.WriteFile(path, []byte(strings.Replace(good, old, new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(validConfig, old, new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -118,9 +118,9 @@
 
 // FuzzParse checks that no configuration panics.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfig))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if c, err := Parse(in, none); err == nil && (len(c.Classes) != len(c.Settings.Classes) || c.Sockets < minSockets) {
+		if c, err := Parse(in, noEnv); err == nil && (len(c.Classes) != len(c.Settings.Classes) || c.Sockets < minSockets) {
 			t.Errorf("config %+v", c)
 		}
 	})
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -11,8 +11,8 @@
 	}
 }
 
-// The index of the free slots among the values of a load report, whatever the other columns are, and none where hosts
-// report no load.
+// TestLoadColumns checks the index of the free slots among the values of a load report, whatever the other columns are,
+// and that there is none where hosts report no load.
 func TestLoadColumns(t *testing.T) {
 	for text, want := range map[string]int{
 		`{"loadReport":{"how":"answers","columns":["latency_ms","eps","util","x0"]},"familyInfo":{"reportX0":"free slots"}}`: 3,
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -18,8 +18,8 @@
 
 const sites = "../../deploy/sites"
 
-// The settings of the deployments in deploy/sites, as received in simulations, are decoded to the expected classes: what
-// a class may do depends on its settings and on no name.
+// TestSettingsOfSites checks that the settings of the deployments in deploy/sites, as received in simulations, are
+// decoded to the expected classes: what a class may do depends on its settings and on no name.
 func TestSettingsOfSites(t *testing.T) {
 	type class struct {
 		effect balance.Effect
@@ -54,8 +54,8 @@
 	}
 }
 
-// No class, zone, kind or tenant of a deployment in deploy/sites occurs as a string in the program. Names of fewer than
-// four letters are not checked.
+// TestCodeContainsNoDeploymentNames checks that no class, zone, kind or tenant of a deployment in deploy/sites occurs as
+// a string in the program. Names of fewer than four letters are not checked.
 func TestCodeContainsNoDeploymentNames(t *testing.T) {
 	names := map[string]bool{}
 	files, err := filepath.Glob(sites + "/*.settings.json")
--- a/internal/gearman/conn.go
+++ b/internal/gearman/conn.go
@@ -33,13 +33,13 @@
 	worker        *state.Worker[*owner.Attempt] // nil until the peer announces an ability
 	name          string                        // under which the worker is listed as a host; empty until it is ready
 	listed        bool
-	host          owner.Host // as last listed
-	grabType      packet.Type
-	grabPending   bool // GRAB_JOB has not been answered yet
-	endReported   bool // the worker reported the end of a job, which the engine may not have processed yet
-	withdrawStops map[*owner.Attempt]func() bool
-	assignEnds    map[string]int64  // by handle: offset in the output stream at which its JOB_ASSIGN ends
-	partialData   map[string][]byte // by handle: data received before the end, for clients that get the result in one piece
+	host          owner.Host                     // as last listed
+	grabType      packet.Type                    // the last request for a job
+	grabPending   bool                           // GRAB_JOB has not been answered yet
+	endReported   bool                           // the worker reported the end of a job, which the engine may not have processed yet
+	withdrawStops map[*owner.Attempt]func() bool // stops watching for a withdrawal of the attempt
+	assignEnds    map[string]int64               // by handle: offset in the output stream at which its JOB_ASSIGN ends
+	partialData   map[string][]byte              // by handle: data received before the end, for clients that get the result in one piece
 
 	outMu          sync.Mutex
 	writerIdle     sync.Cond // signalled when no write is in progress
@@ -505,7 +505,7 @@
 	c.server.markIfAvailabilityChanged(c)
 }
 
-// forwardedPacket is a packet of a worker for the clients of a job, which the engine passes on with Passed.
+// forwardedPacket is a packet of a worker for the clients of a job, which the engine forwards to them.
 type forwardedPacket struct {
 	t    packet.Type
 	args [3][]byte
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -63,8 +63,8 @@
 	return nil, net.ErrClosed
 }
 
-// world is a server with a real engine, in a synctest bubble.
-type world struct {
+// fixture is a server with a real engine, in a synctest bubble.
+type fixture struct {
 	t    *testing.T
 	o    *owner.Owner
 	s    *Server
@@ -76,19 +76,19 @@
 	stop context.CancelFunc
 }
 
-func (w *world) Send(_ context.Context, a *owner.Attempt) {
+func (w *fixture) Send(_ context.Context, a *owner.Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.http = append(w.http, a)
 }
-func (w *world) Probe(owner.Host)  {}
-func (w *world) Forget(owner.Host) {}
-func (w *world) Watch()            {}
+func (w *fixture) Probe(owner.Host)  {}
+func (w *fixture) Forget(owner.Host) {}
+func (w *fixture) Watch()            {}
 
-func within(t *testing.T, change func(*settings.Gearman), hosts int, test func(w *world)) {
+func withServer(t *testing.T, change func(*settings.Gearman), hosts int, test func(w *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, l: pipes{make(chan net.Conn), &sync.Once{}}}
+		w := &fixture{t: t, l: pipes{make(chan net.Conn), &sync.Once{}}}
 		g := testGearman()
 		if change != nil {
 			change(g)
@@ -132,7 +132,7 @@
 }
 
 // wait lets time pass.
-func (w *world) wait(d time.Duration) {
+func (w *fixture) wait(d time.Duration) {
 	w.mu.Lock()
 	//lint:ignore SA2001 the lock orders what others noted before what the test reads next
 	w.mu.Unlock()
@@ -143,12 +143,12 @@
 // peer is a scripted client or worker. It records what it is sent.
 type peer struct {
 	*standin.GearmanConn
-	w      *world
+	w      *fixture
 	got    []string
 	closed bool
 }
 
-func (w *world) dial() *peer {
+func (w *fixture) dial() *peer {
 	near, far := net.Pipe()
 	w.l.calls <- far
 	p := &peer{GearmanConn: &standin.GearmanConn{Conn: near}, w: w}
@@ -170,7 +170,7 @@
 	}
 }
 
-func (p *peer) say(t packet.Type, args ...string) {
+func (p *peer) sendPacket(t packet.Type, args ...string) {
 	p.Send(int(t), args...)
 	synctest.Wait()
 }
@@ -199,15 +199,15 @@
 }
 
 // worker connects a worker, which goes to sleep.
-func (w *world) worker(client string, functions ...string) *peer {
+func (w *fixture) worker(client string, functions ...string) *peer {
 	p := w.dial()
 	if client != "" {
-		p.say(packet.SetClientID, client)
+		p.sendPacket(packet.SetClientID, client)
 	}
 	for _, f := range functions {
-		p.say(packet.CanDo, f)
+		p.sendPacket(packet.CanDo, f)
 	}
-	p.say(packet.PreSleep)
+	p.sendPacket(packet.PreSleep)
 	return p
 }
 
@@ -222,66 +222,67 @@
 func (p *peer) take(handle, function, data string) {
 	p.w.t.Helper()
 	p.picked()
-	p.say(packet.GrabJob)
+	p.sendPacket(packet.GrabJob)
 	p.want("JOB_ASSIGN " + handle + "|" + function + "|" + data)
 }
 
 // idle has a worker request a job, get none and go to sleep.
 func (p *peer) idle() {
 	p.w.t.Helper()
-	p.say(packet.GrabJob)
+	p.sendPacket(packet.GrabJob)
 	p.want("NO_JOB")
-	p.say(packet.PreSleep)
+	p.sendPacket(packet.PreSleep)
 	p.want()
 }
 
 func TestJobIsServed(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("rain-1", reading, warning), w.dial()
 		for i, unique := range []string{"u", "", "-"} { // the last two: not shared with any other job, and identified by the data
 			h := fmt.Sprint("H:n0:b-", i+1)
-			c.say(packet.SubmitJob, warning, unique, "level 3")
+			c.sendPacket(packet.SubmitJob, warning, unique, "level 3")
 			c.want("JOB_CREATED " + h)
 			p.take(h, warning, "level 3")
-			p.say(packet.WorkStatus, h, "1", "2")
-			p.say(packet.WorkData, h, "a\x00b")
-			p.say(packet.WorkWarning, h, "high")
-			p.say(packet.WorkException, h, "nobody asked for it")
-			p.say(packet.WorkComplete, h, "sent")
+			p.sendPacket(packet.WorkStatus, h, "1", "2")
+			p.sendPacket(packet.WorkData, h, "a\x00b")
+			p.sendPacket(packet.WorkWarning, h, "high")
+			p.sendPacket(packet.WorkException, h, "nobody asked for it")
+			p.sendPacket(packet.WorkComplete, h, "sent")
 			c.want("WORK_STATUS "+h+"|1|2", "WORK_DATA "+h+"|a|b", "WORK_WARNING "+h+"|high", "WORK_COMPLETE "+h+"|sent")
 			p.idle()
 		}
 	})
 }
 
-// Each type of GRAB_JOB is answered with its own type of JOB_ASSIGN.
+// TestEachGrabTypeGetsItsOwnAssignment checks that each type of GRAB_JOB is answered with its own type of JOB_ASSIGN.
 func TestEachGrabTypeGetsItsOwnAssignment(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", reading), w.dial()
 		for i, k := range []struct {
 			t    packet.Type
 			want string
 		}{{packet.GrabJob, "JOB_ASSIGN H:n0:b-1|gauge-reading|d"}, {packet.GrabJobUniq, "JOB_ASSIGN_UNIQ H:n0:b-2|gauge-reading|u|d"},
 			{packet.GrabJobAll, "JOB_ASSIGN_ALL H:n0:b-3|gauge-reading|u|sum|d"}} {
-			c.say(packet.SubmitReduceJob, reading, "u", "sum", "d")
+			c.sendPacket(packet.SubmitReduceJob, reading, "u", "sum", "d")
 			p.picked()
-			p.say(k.t)
+			p.sendPacket(k.t)
 			p.want(k.want)
-			p.say(packet.WorkComplete, fmt.Sprint("H:n0:b-", i+1), "")
+			p.sendPacket(packet.WorkComplete, fmt.Sprint("H:n0:b-", i+1), "")
 			p.idle()
 		}
 	})
 }
 
-// A worker that requests a job without having been picked gets nothing, however many jobs wait for others.
+// TestUnpickedWorkerGetsNoJob checks that a worker that requests a job without having been picked gets nothing, however
+// many jobs wait for others.
 func TestUnpickedWorkerGetsNoJob(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		a, c := w.worker("a", warning), w.dial()
-		c.say(packet.SubmitJob, warning, "", "1")
+		c.sendPacket(packet.SubmitJob, warning, "", "1")
 		b := w.worker("b", warning)
-		b.say(packet.GrabJob)
+		b.sendPacket(packet.GrabJob)
 		b.want("NO_JOB")
-		b.say(packet.PreSleep)
+		b.sendPacket(packet.PreSleep)
 		w.wait(200 * time.Millisecond)
 		if len(a.got)+len(b.got) != 1 {
 			t.Errorf("woken: %q, %q", a.got, b.got)
@@ -289,9 +290,9 @@
 	})
 }
 
-// A worker that disconnects during a job may have run it; one that disconnects before it received the complete
-// JOB_ASSIGN has not.
-func TestDisconnectRetriesOnlyJobsThatHaveNotRun(t *testing.T) {
+// TestRetryAfterWorkerDisconnect checks which jobs run again elsewhere: a worker that disconnects during a job may have
+// run it; one that disconnects before it received the complete JOB_ASSIGN has not.
+func TestRetryAfterWorkerDisconnect(t *testing.T) {
 	for _, c := range []struct {
 		name, function string
 		mid            bool // the job was assigned
@@ -304,10 +305,10 @@
 		{"a warning between NOOP and GRAB_JOB", warning, false, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			within(t, func(g *settings.Gearman) { g.Cells = []settings.ClientGroup{{Name: "k", Clients: "k-*"}} }, 0, func(w *world) {
+			withServer(t, func(g *settings.Gearman) { g.Cells = []settings.ClientGroup{{Name: "k", Clients: "k-*"}} }, 0, func(w *fixture) {
 				first := w.worker("k-1", c.function)
 				client := w.dial()
-				client.say(packet.SubmitJob, c.function, "u", "d")
+				client.sendPacket(packet.SubmitJob, c.function, "u", "d")
 				client.want("JOB_CREATED H:n0:b-1")
 				other := "o-1"
 				if c.cell {
@@ -316,7 +317,7 @@
 				second := w.worker(other, c.function)
 				first.picked()
 				if c.mid {
-					first.say(packet.GrabJob)
+					first.sendPacket(packet.GrabJob)
 					first.want("JOB_ASSIGN*")
 				}
 				first.Close()
@@ -329,41 +330,41 @@
 					return
 				}
 				second.take("H:n0:b-1", c.function, "d")
-				second.say(packet.WorkComplete, "H:n0:b-1", "ok")
+				second.sendPacket(packet.WorkComplete, "H:n0:b-1", "ok")
 				client.want("WORK_COMPLETE H:n0:b-1|ok")
 			})
 		})
 	}
 }
 
-// half passes writes through at first, then writes only the given number of bytes of one and fails.
-type half struct {
+// partialWriter passes writes through at first, then writes only the given number of bytes of one and fails.
+type partialWriter struct {
 	net.Conn
 	after, bytes int
 }
 
-func (h *half) Write(b []byte) (int, error) {
-	if h.after--; h.after >= 0 {
-		return h.Conn.Write(b)
+func (w *partialWriter) Write(b []byte) (int, error) {
+	if w.after--; w.after >= 0 {
+		return w.Conn.Write(b)
 	}
-	n, _ := h.Conn.Write(b[:min(h.bytes, len(b))])
-	h.Conn.Close()
+	n, _ := w.Conn.Write(b[:min(w.bytes, len(b))])
+	w.Conn.Close()
 	return n, io.ErrClosedPipe
 }
 
-// A job whose JOB_ASSIGN was written only in part has not run.
+// TestPartlyWrittenAssignmentHasNotRun checks that a job whose JOB_ASSIGN was written only in part has not run.
 func TestPartlyWrittenAssignmentHasNotRun(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		near, far := net.Pipe()
-		w.l.calls <- &half{Conn: far, after: 1, bytes: 20} // NOOP is written completely
+		w.l.calls <- &partialWriter{Conn: far, after: 1, bytes: 20} // NOOP is written completely
 		p := &peer{GearmanConn: &standin.GearmanConn{Conn: near}, w: w}
 		go p.read()
-		p.say(packet.CanDo, warning)
-		p.say(packet.PreSleep)
+		p.sendPacket(packet.CanDo, warning)
+		p.sendPacket(packet.PreSleep)
 		c := w.dial()
-		c.say(packet.SubmitJob, warning, "", "d")
+		c.sendPacket(packet.SubmitJob, warning, "", "d")
 		w.wait(200 * time.Millisecond)
-		p.say(packet.GrabJob)
+		p.sendPacket(packet.GrabJob)
 		second := w.worker("b", warning)
 		w.wait(200 * time.Millisecond)
 		second.take("H:n0:b-1", warning, "d")
@@ -373,47 +374,47 @@
 	})
 }
 
-// When its client disconnects, a waiting job is dropped; the result of a running one is dropped, and its worker gets no
-// other job before it reports the end; a job that another client waits for continues.
+// TestClientDisconnect checks that when its client disconnects, a waiting job is dropped; the result of a running one is
+// dropped, and its worker gets no other job before it reports the end; a job that another client waits for continues.
 func TestClientDisconnect(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
-		c.say(packet.SubmitJob, warning, "", "runs")
+		c.sendPacket(packet.SubmitJob, warning, "", "runs")
 		p.take("H:n0:b-1", warning, "runs")
-		c.say(packet.SubmitJob, warning, "", "waits")
+		c.sendPacket(packet.SubmitJob, warning, "", "waits")
 		c.Close()
 		w.wait(time.Second)
 		if n := w.s.Open(); n != 0 {
 			t.Errorf("%d jobs open", n)
 		}
 		d := w.dial()
-		d.say(packet.SubmitJob, warning, "", "next")
+		d.sendPacket(packet.SubmitJob, warning, "", "next")
 		w.wait(2 * time.Second)
 		p.want() // it still runs the first
-		p.say(packet.WorkComplete, "H:n0:b-1", "late")
-		p.say(packet.GrabJob)
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "late")
+		p.sendPacket(packet.GrabJob)
 		w.wait(200 * time.Millisecond)
 		if len(p.got) == 1 && p.got[0] == "NO_JOB " { // it is listed again a moment later
 			p.got = nil
-			p.say(packet.PreSleep)
+			p.sendPacket(packet.PreSleep)
 			w.wait(200 * time.Millisecond)
 			p.take("H:n0:b-3", warning, "next")
 		} else {
 			p.want("JOB_ASSIGN H:n0:b-3|send-warning|next")
 		}
 	})
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c, d := w.worker("x", warning), w.dial(), w.dial()
-		c.say(packet.SubmitJob, warning, "u", "1")
-		d.say(packet.SubmitJob, warning, "u", "1")
-		c.say(packet.SubmitJob, warning, "u", "1") // submitted twice by one client: it is answered twice
+		c.sendPacket(packet.SubmitJob, warning, "u", "1")
+		d.sendPacket(packet.SubmitJob, warning, "u", "1")
+		c.sendPacket(packet.SubmitJob, warning, "u", "1") // submitted twice by one client: it is answered twice
 		d.want("JOB_CREATED H:n0:b-1")
 		c.want("JOB_CREATED H:n0:b-1", "JOB_CREATED H:n0:b-1")
 		p.take("H:n0:b-1", warning, "1")
-		p.say(packet.WorkData, "H:n0:b-1", "x")
+		p.sendPacket(packet.WorkData, "H:n0:b-1", "x")
 		c.want("WORK_DATA H:n0:b-1|x", "WORK_DATA H:n0:b-1|x")
 		c.Close()
-		p.say(packet.WorkComplete, "H:n0:b-1", "ok")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "ok")
 		d.want("WORK_DATA H:n0:b-1|x", "WORK_COMPLETE H:n0:b-1|ok")
 		if n := w.s.Counts(); n.Attached != 2 || n.Assigned != 1 || n.Submitted != 1 {
 			t.Errorf("%+v", n)
@@ -421,21 +422,21 @@
 	})
 }
 
-// After CANT_DO the worker gets no new jobs; running ones end as usual.
+// TestCantDoStopsNewJobs checks that after CANT_DO the worker gets no new jobs; running ones end as usual.
 func TestCantDoStopsNewJobs(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
-		c.say(packet.SubmitJob, warning, "", "1")
+		c.sendPacket(packet.SubmitJob, warning, "", "1")
 		p.take("H:n0:b-1", warning, "1")
-		p.say(packet.CantDo, warning)
-		c.say(packet.SubmitJob, warning, "", "2")
-		p.say(packet.WorkComplete, "H:n0:b-1", "ok")
+		p.sendPacket(packet.CantDo, warning)
+		c.sendPacket(packet.SubmitJob, warning, "", "2")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "ok")
 		c.want("JOB_CREATED H:n0:b-1", "JOB_CREATED H:n0:b-2", "WORK_COMPLETE H:n0:b-1|ok")
 		p.idle()
-		p.say(packet.CanDo, warning)
+		p.sendPacket(packet.CanDo, warning)
 		p.picked()
-		p.say(packet.ResetAbilities) // between NOOP and GRAB_JOB
-		p.say(packet.GrabJob)
+		p.sendPacket(packet.ResetAbilities) // between NOOP and GRAB_JOB
+		p.sendPacket(packet.GrabJob)
 		p.want("NO_JOB")
 		q := w.worker("y", warning)
 		w.wait(200 * time.Millisecond)
@@ -443,23 +444,23 @@
 	})
 }
 
-// A second end, an end after a failure, a report on another worker's handle and one on an unknown handle cause no second
-// answer.
+// TestLateReportsAreIgnored checks that a second end, an end after a failure, a report on another worker's handle and
+// one on an unknown handle cause no second answer.
 func TestLateReportsAreIgnored(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, q, c := w.worker("x", warning), w.worker("y", warning), w.dial()
-		c.say(packet.SubmitJob, warning, "", "1")
+		c.sendPacket(packet.SubmitJob, warning, "", "1")
 		w.wait(200 * time.Millisecond)
 		if len(p.got) == 0 {
 			p, q = q, p
 		}
 		p.take("H:n0:b-1", warning, "1")
-		q.say(packet.WorkComplete, "H:n0:b-1", "another's")
-		q.say(packet.WorkComplete, "H:nowhere", "unknown")
+		q.sendPacket(packet.WorkComplete, "H:n0:b-1", "another's")
+		q.sendPacket(packet.WorkComplete, "H:nowhere", "unknown")
 		c.want("JOB_CREATED H:n0:b-1")
-		p.say(packet.WorkFail, "H:n0:b-1")
-		p.say(packet.WorkComplete, "H:n0:b-1", "after all")
-		p.say(packet.WorkFail, "H:n0:b-1")
+		p.sendPacket(packet.WorkFail, "H:n0:b-1")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "after all")
+		p.sendPacket(packet.WorkFail, "H:n0:b-1")
 		c.want("WORK_FAIL H:n0:b-1")
 		if n := w.s.Counts(); n.LateReports != 4 || n.Failed != 1 || n.Served != 0 {
 			t.Errorf("%+v", n)
@@ -467,17 +468,18 @@
 	})
 }
 
-// Clients that enabled exceptions receive them; the job ends with WORK_FAIL, which some workers do not send.
+// TestException checks that clients that enabled exceptions receive them; the job ends with WORK_FAIL, which some
+// workers do not send.
 func TestException(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c, d := w.worker("x", warning), w.dial(), w.dial()
-		c.say(packet.OptionReq, "exceptions")
-		c.say(packet.OptionReq, "colours")
+		c.sendPacket(packet.OptionReq, "exceptions")
+		c.sendPacket(packet.OptionReq, "colours")
 		c.want("OPTION_RES exceptions", "ERROR unknown_option|*")
-		c.say(packet.SubmitJob, warning, "u", "1")
-		d.say(packet.SubmitJob, warning, "u", "1")
+		c.sendPacket(packet.SubmitJob, warning, "u", "1")
+		d.sendPacket(packet.SubmitJob, warning, "u", "1")
 		p.take("H:n0:b-1", warning, "1")
-		p.say(packet.WorkException, "H:n0:b-1", "broken gauge")
+		p.sendPacket(packet.WorkException, "H:n0:b-1", "broken gauge")
 		c.want("JOB_CREATED H:n0:b-1", "WORK_EXCEPTION H:n0:b-1|broken gauge")
 		p.idle()
 		c.want("WORK_FAIL H:n0:b-1")
@@ -485,23 +487,23 @@
 	})
 }
 
-// Time-outs of a job with CAN_DO_TIMEOUT, of a worker that is woken and does not request its job, and of one that never
-// reports the end of its job.
+// TestTimeouts checks the time-outs of a job with CAN_DO_TIMEOUT, of a worker that is woken and does not request its
+// job, and of one that never reports the end of its job.
 func TestTimeouts(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.dial(), w.dial()
-		p.say(packet.CanDoTimeout, warning, "1")
-		p.say(packet.CanDoTimeout, reading, "soon")
+		p.sendPacket(packet.CanDoTimeout, warning, "1")
+		p.sendPacket(packet.CanDoTimeout, reading, "soon")
 		p.want("ERROR bad_timeout|*")
-		p.say(packet.PreSleep)
-		c.say(packet.SubmitJob, warning, "", "1")
+		p.sendPacket(packet.PreSleep)
+		c.sendPacket(packet.SubmitJob, warning, "", "1")
 		p.take("H:n0:b-1", warning, "1")
 		w.wait(1100 * time.Millisecond)
 		c.want("JOB_CREATED H:n0:b-1", "WORK_FAIL H:n0:b-1")
-		p.say(packet.WorkComplete, "H:n0:b-1", "too late")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "too late")
 		c.want()
 		p.idle()
-		c.say(packet.SubmitJob, warning, "", "2")
+		c.sendPacket(packet.SubmitJob, warning, "", "2")
 		p.picked()
 		w.wait(1100 * time.Millisecond) // it does not request the job, which was never sent and so goes to another worker
 		q := w.worker("y", warning)
@@ -516,16 +518,17 @@
 	})
 }
 
-// A worker that has just connected starts cold and gets one job like all others, never two.
+// TestNewWorkerGetsOneJob checks that a worker that has just connected starts cold and gets one job like all others,
+// never two.
 func TestNewWorkerGetsOneJob(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		var all []*peer
 		for i := range 20 {
 			all = append(all, w.worker(fmt.Sprint("k-", i), warning))
 		}
 		c := w.dial()
 		for range 60 {
-			c.say(packet.SubmitJob, warning, "", "x")
+			c.sendPacket(packet.SubmitJob, warning, "", "x")
 		}
 		all = append(all, w.worker("late", warning))
 		w.wait(200 * time.Millisecond)
@@ -537,11 +540,11 @@
 	})
 }
 
-// A job of a Gearman client runs on an HTTP host, with its progress reported.
+// TestJobOnHTTPHost checks that a job of a Gearman client runs on an HTTP host, with its progress reported.
 func TestJobOnHTTPHost(t *testing.T) {
-	within(t, nil, 1, func(w *world) {
+	withServer(t, nil, 1, func(w *fixture) {
 		c := w.dial()
-		c.say(packet.SubmitJob, reading, "u", "level 3")
+		c.sendPacket(packet.SubmitJob, reading, "u", "level 3")
 		w.wait(200 * time.Millisecond)
 		if len(w.http) != 1 {
 			t.Fatalf("%d sends", len(w.http))
@@ -556,21 +559,21 @@
 			synctest.Wait()
 		}
 		report(owner.Started, 0)
-		c.say(packet.GetStatus, "H:n0:b-1")
+		c.sendPacket(packet.GetStatus, "H:n0:b-1")
 		report(owner.Progress, 0.4)
 		report(owner.Done, 0)
 		report(owner.Done, 0)
 		c.want("JOB_CREATED H:n0:b-1", "STATUS_RES H:n0:b-1|1|1|0|0", "WORK_STATUS H:n0:b-1|40|100", "WORK_COMPLETE H:n0:b-1|ok")
-		c.say(packet.SubmitJob, reading, "", strings.Repeat("x", 65<<10))
+		c.sendPacket(packet.SubmitJob, reading, "", strings.Repeat("x", 65<<10))
 		c.want("ERROR data_too_large|*")
 	})
 }
 
-// An HTTP callback cannot report on a job of a Gearman worker.
+// TestForgedCallbackIsIgnored checks that an HTTP callback cannot report on a job of a Gearman worker.
 func TestForgedCallbackIsIgnored(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
-		c.say(packet.SubmitJob, warning, "", "1")
+		c.sendPacket(packet.SubmitJob, warning, "", "1")
 		p.take("H:n0:b-1", warning, "1")
 		w.o.Reported(owner.Report{Key: "gb-1", From: "gearman:x:0", State: owner.Done}, nil, nil)
 		synctest.Wait()
@@ -579,27 +582,27 @@
 }
 
 func TestBackground(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", reading), w.dial()
-		c.say(packet.SubmitJobBg, reading, "u", "1")
+		c.sendPacket(packet.SubmitJobBg, reading, "u", "1")
 		c.want("JOB_CREATED H:n0:b-1")
 		c.Close() // a background job continues without clients
 		p.take("H:n0:b-1", reading, "1")
 		d := w.dial()
-		d.say(packet.GetStatusUnique, "u")
-		d.say(packet.SubmitJob, reading, "u", "1") // a waiting client is attached
-		p.say(packet.WorkStatus, "H:n0:b-1", "3", "4")
-		p.say(packet.WorkComplete, "H:n0:b-1", "ok")
+		d.sendPacket(packet.GetStatusUnique, "u")
+		d.sendPacket(packet.SubmitJob, reading, "u", "1") // a waiting client is attached
+		p.sendPacket(packet.WorkStatus, "H:n0:b-1", "3", "4")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "ok")
 		d.want("STATUS_RES_UNIQUE u|1|1|0|0|0", "JOB_CREATED H:n0:b-1", "WORK_STATUS H:n0:b-1|3|4", "WORK_COMPLETE H:n0:b-1|ok")
-		d.say(packet.GetStatus, "H:n0:b-1")
+		d.sendPacket(packet.GetStatus, "H:n0:b-1")
 		w.wait(61 * time.Second)
-		d.say(packet.GetStatus, "H:n0:b-1")
+		d.sendPacket(packet.GetStatus, "H:n0:b-1")
 		d.want("STATUS_RES H:n0:b-1|1|0|3|4", "STATUS_RES H:n0:b-1|0|0|0|0")
 		if !strings.Contains(w.log.String(), `background job ended" handle=H:n0:b-1`) {
 			t.Error("its end is not logged")
 		}
 		p.idle()
-		d.say(packet.SubmitJobEpoch, reading, "", fmt.Sprint(time.Now().Add(3*time.Second).Unix()), "later")
+		d.sendPacket(packet.SubmitJobEpoch, reading, "", fmt.Sprint(time.Now().Add(3*time.Second).Unix()), "later")
 		w.wait(1900 * time.Millisecond)
 		p.want()
 		w.wait(1000 * time.Millisecond)
@@ -607,12 +610,12 @@
 	})
 }
 
-// Malformed input gets a clear error if the packet could be read to its end, otherwise the connection is closed; nothing
-// else on the connection is lost.
+// TestMalformedInput checks that malformed input gets a clear error if the packet could be read to its end, otherwise
+// the connection is closed; nothing else on the connection is lost.
 func TestMalformedInput(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
-		c.say(packet.SubmitJob, warning, "", "1")
+		c.sendPacket(packet.SubmitJob, warning, "", "1")
 		for _, b := range []string{
 			"\x00REQ\x00\x00\x00\x63\x00\x00\x00\x02xx", "\x00REQ\x00\x00\x00\x07\x00\x00\x00\x04a\x00bc", "\x00REQ\x00\x00\x00\x06\x00\x00\x00\x00",
 			"\x00REQ\x00\x00\x00\x07\x00\x00\x00\x06f\x00u\x00dd",
@@ -621,12 +624,12 @@
 				c.raw(b[i : i+1])
 			}
 		}
-		c.say(packet.SubmitJob, warning, strings.Repeat("u", 65), "")
-		c.say(packet.EchoReq, "still\x00here")
+		c.sendPacket(packet.SubmitJob, warning, strings.Repeat("u", 65), "")
+		c.sendPacket(packet.EchoReq, "still\x00here")
 		c.want("JOB_CREATED H:n0:b-1", "ERROR unknown_command|*", "ERROR bad_arguments|*", "ERROR unknown_command|*", "ERROR unknown_function|*",
 			"ERROR unique_too_long|*", "ECHO_RES still|here")
 		p.take("H:n0:b-1", warning, "1")
-		p.say(packet.WorkComplete, "H:n0:b-1", "ok")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "ok")
 		c.want("WORK_COMPLETE H:n0:b-1|ok")
 		for text, want := range map[string]string{"\x00RES\x00\x00\x00\x07\x00\x00\x00\x00": "ERROR bad_magic|*",
 			"\x00REQ\x00\x00\x00\x07\xff\xff\xff\xff": "ERROR packet_too_large|*"} {
@@ -637,40 +640,40 @@
 				t.Errorf("%q: still open", text)
 			}
 		}
-		half := w.worker("y", reading)
-		half.raw("\x00REQ\x00\x00\x00\x0d\x00\x00\x00\x20H:")
+		incomplete := w.worker("y", reading)
+		incomplete.raw("\x00REQ\x00\x00\x00\x0d\x00\x00\x00\x20H:")
 		w.wait(2100 * time.Millisecond)
-		if !half.closed {
+		if !incomplete.closed {
 			t.Error("half a packet holds the connection")
 		}
 	})
 }
 
 func TestLimits(t *testing.T) {
-	within(t, func(g *settings.Gearman) { g.Limits.OpenJobs, g.Limits.JobsPerConnection = 4, 3 }, 0, func(w *world) {
+	withServer(t, func(g *settings.Gearman) { g.Limits.OpenJobs, g.Limits.JobsPerConnection = 4, 3 }, 0, func(w *fixture) {
 		c, d, p := w.dial(), w.dial(), w.dial()
 		for range 4 {
-			c.say(packet.SubmitJob, warning, "", "x") // no worker has connected: they wait
+			c.sendPacket(packet.SubmitJob, warning, "", "x") // no worker has connected: they wait
 		}
 		c.want("JOB_CREATED*", "JOB_CREATED*", "JOB_CREATED*", "ERROR queue_full|too many open jobs on this connection")
-		d.say(packet.SubmitJob, reading, "", "x")
-		d.say(packet.SubmitJob, reading, "", "x")
+		d.sendPacket(packet.SubmitJob, reading, "", "x")
+		d.sendPacket(packet.SubmitJob, reading, "", "x")
 		d.want("JOB_CREATED*", "ERROR queue_full|too many open jobs")
 		for i := range 5 {
-			p.say(packet.CanDo, fmt.Sprint("f", i))
+			p.sendPacket(packet.CanDo, fmt.Sprint("f", i))
 		}
-		p.say(packet.CanDo, strings.Repeat("f", 65))
-		p.say(packet.SetClientID, strings.Repeat("i", 65))
+		p.sendPacket(packet.CanDo, strings.Repeat("f", 65))
+		p.sendPacket(packet.SetClientID, strings.Repeat("i", 65))
 		p.want("ERROR too_many_functions|*", "ERROR bad_function|*", "ERROR id_too_long|*")
 		w.wait(6 * time.Second) // each ends exactly once, in time
 		c.want("WORK_FAIL*", "WORK_FAIL*", "WORK_FAIL*")
 	})
 }
 
-// A worker taken offline by an operator gets no jobs, and a waiting job ends in time; a worker that reconnects has the
-// same name and stays offline.
+// TestOfflineWorkerGetsNoJobs checks that a worker taken offline by an operator gets no jobs, and a waiting job ends in
+// time; a worker that reconnects has the same name and stays offline.
 func TestOfflineWorkerGetsNoJobs(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
 		set := func(out bool) {
 			if known, err := w.o.SetOffline(w.t.Context(), "gearman:x:0", out, false); !known || err != nil {
@@ -678,7 +681,7 @@
 			}
 			synctest.Wait()
 		}
-		c.say(packet.SubmitJob, warning, "", "1")
+		c.sendPacket(packet.SubmitJob, warning, "", "1")
 		p.picked()
 		set(true) // between NOOP and GRAB_JOB
 		p.idle()
@@ -690,28 +693,28 @@
 		set(false)
 		w.wait(200 * time.Millisecond)
 		p.take("H:n0:b-1", warning, "1")
-		p.say(packet.WorkComplete, "H:n0:b-1", "ok")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "ok")
 		set(true)
-		c.say(packet.SubmitJob, warning, "", "2")
+		c.sendPacket(packet.SubmitJob, warning, "", "2")
 		w.wait(6 * time.Second)
 		c.want("JOB_CREATED H:n0:b-1", "WORK_COMPLETE H:n0:b-1|ok", "JOB_CREATED H:n0:b-2", "WORK_FAIL H:n0:b-2")
 	})
 }
 
-// A connection that reads nothing is closed and delays no other.
+// TestSlowReaderIsClosed checks that a connection that reads nothing is closed and delays no other.
 func TestSlowReaderIsClosed(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		near, far := net.Pipe()
 		w.l.calls <- far
 		stalled := &standin.GearmanConn{Conn: near}
 		stalled.Send(int(packet.SubmitJob), warning, "u", "1")
 		c, p := w.dial(), w.worker("x", warning)
-		c.say(packet.SubmitJob, warning, "u", "1")
+		c.sendPacket(packet.SubmitJob, warning, "u", "1")
 		p.take("H:n0:b-1", warning, "1")
 		for range 30 {
-			p.say(packet.WorkData, "H:n0:b-1", strings.Repeat("x", 30<<10))
+			p.sendPacket(packet.WorkData, "H:n0:b-1", strings.Repeat("x", 30<<10))
 		}
-		p.say(packet.WorkComplete, "H:n0:b-1", "ok")
+		p.sendPacket(packet.WorkComplete, "H:n0:b-1", "ok")
 		if len(c.got) != 32 || !strings.HasPrefix(c.got[31], "WORK_COMPLETE") {
 			t.Errorf("the other client got %d packets", len(c.got))
 		}
@@ -725,34 +728,34 @@
 	})
 }
 
-// In a planned shutdown with 200 open jobs each job ends exactly once in time, and background jobs that were cut off are
-// logged by handle.
+// TestPlannedShutdown checks that in a planned shutdown with 200 open jobs each job ends exactly once in time, and
+// background jobs that were cut off are logged by handle.
 func TestPlannedShutdown(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
 		for i := range 200 {
 			kind := packet.SubmitJob
 			if i%10 == 0 {
 				kind = packet.SubmitJobBg
 			}
-			c.say(kind, warning, "", "x")
+			c.sendPacket(kind, warning, "", "x")
 		}
 		created := len(c.got)
 		w.s.Enter(Draining)
 		p.picked()
-		p.say(packet.GrabJob)
+		p.sendPacket(packet.GrabJob)
 		served := 0
 		for range 5 {
 			p.w.mu.Lock()
 			handle := strings.Split(strings.TrimPrefix(p.got[len(p.got)-1], "JOB_ASSIGN "), "|")[0]
 			p.w.mu.Unlock()
-			p.say(packet.WorkComplete, handle, "ok")
+			p.sendPacket(packet.WorkComplete, handle, "ok")
 			served++
-			p.say(packet.GrabJob)
+			p.sendPacket(packet.GrabJob)
 		}
 		w.wait(2 * time.Second)
 		w.s.Enter(RejectingJobs)
-		c.say(packet.SubmitJob, warning, "", "x")
+		c.sendPacket(packet.SubmitJob, warning, "", "x")
 		w.wait(1500 * time.Millisecond)
 		if n := w.s.Open(); n != 0 {
 			t.Errorf("%d jobs open after the last answer", n)
@@ -772,11 +775,11 @@
 }
 
 func TestAdminCommands(t *testing.T) {
-	within(t, func(g *settings.Gearman) { g.Shutdown = true }, 0, func(w *world) {
+	withServer(t, func(g *settings.Gearman) { g.Shutdown = true }, 0, func(w *fixture) {
 		w.worker("rain 1", warning)
 		c := w.dial()
-		c.say(packet.SubmitJobHigh, warning, "u", "1")
-		c.say(packet.SubmitJobLow, warning, "", "2")
+		c.sendPacket(packet.SubmitJobHigh, warning, "u", "1")
+		c.sendPacket(packet.SubmitJobLow, warning, "", "2")
 		near, far := net.Pipe()
 		w.l.calls <- far
 		ask := func(line string) string {
@@ -808,7 +811,7 @@
 		if w.shut != 1 {
 			t.Errorf("%d shutdowns", w.shut)
 		}
-		c.say(packet.SubmitJob, warning, "", "3")
+		c.sendPacket(packet.SubmitJob, warning, "", "3")
 		c.want("JOB_CREATED*", "JOB_CREATED*", "WORK_FAIL H:n0:b-2", "ERROR queue_full|too many jobs wait for this function")
 		near.Close()
 	})
--- a/internal/gearman/packet/packet_test.go
+++ b/internal/gearman/packet/packet_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each request type with its arguments, in one piece and byte by byte, between lines of text.
+// TestEveryRequest parses each request type with its arguments, in one piece and byte by byte, between lines of text.
 func TestEveryRequest(t *testing.T) {
 	var in []byte
 	var want []string
@@ -106,8 +106,8 @@
 	}
 }
 
-// Any input is read the same way in one piece and byte by byte, and what was parsed is unchanged when it is encoded and
-// parsed again.
+// FuzzReader checks that any input is read the same way in one piece and byte by byte, and that what was parsed is
+// unchanged when it is encoded and parsed again.
 func FuzzReader(f *testing.F) {
 	f.Add(AppendRequest(nil, SubmitJob, "f", "u", "data"))
 	f.Add([]byte("workers\n\x00REQ\x00\x00\x00\x09\x00\x00\x00\x00"))
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -92,7 +92,7 @@
 	Waiting, Running, Clients int64 // current
 }
 
-// Server is a Gearman server. It implements owner.South for its workers.
+// Server is a Gearman server, to which the engine delivers the attempts for its workers.
 type Server struct {
 	Config
 	table    atomic.Pointer[route.Table]
--- a/internal/gearman/state/state_test.go
+++ b/internal/gearman/state/state_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Clients submit, share, leave and query jobs at random; the result is compared with a model of plain lists.
+// TestJobsAgainstModel has clients submit, share, leave and query jobs at random, and compares the result with a model
+// of plain lists.
 func TestJobsAgainstModel(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -129,8 +130,8 @@
 	}
 }
 
-// A worker with arbitrary behaviour is played against random picks. Every pick ends exactly once, none is reported as
-// never run once it was assigned, and nothing is assigned that was not picked or was taken back.
+// TestWorkerAgainstModel plays a worker with arbitrary behaviour against random picks. Every pick ends exactly once,
+// none is reported as never run once it was assigned, and nothing is assigned that was not picked or was taken back.
 func TestWorkerAgainstModel(t *testing.T) {
 	const (
 		picked = iota
--- a/internal/gearman/upgrade_test.go
+++ b/internal/gearman/upgrade_test.go
@@ -9,13 +9,13 @@
 	"liftgauge/internal/gearman/packet"
 )
 
-// While a successor has taken over and 200 jobs are open, no new connection is accepted, workers stay connected as long
-// as jobs are open, each job ends once, and then the connections are closed.
+// TestUpgrade checks that while a successor has taken over and 200 jobs are open, no new connection is accepted, workers
+// stay connected as long as jobs are open, each job ends once, and then the connections are closed.
 func TestUpgrade(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
 		for range 200 {
-			c.say(packet.SubmitJob, warning, "", "x")
+			c.sendPacket(packet.SubmitJob, warning, "", "x")
 		}
 		w.s.Enter(Draining)
 		w.s.HandOver()
@@ -25,7 +25,7 @@
 			t.Error("it still listens")
 		}
 		p.picked()
-		p.say(packet.GrabJob)
+		p.sendPacket(packet.GrabJob)
 		for range 20 {
 			if left := w.s.Rest(); left != 2 {
 				t.Fatalf("%d connections while jobs are open", left)
@@ -33,8 +33,8 @@
 			w.mu.Lock()
 			got := p.got[len(p.got)-1]
 			w.mu.Unlock()
-			p.say(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "ok")
-			p.say(packet.GrabJob)
+			p.sendPacket(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "ok")
+			p.sendPacket(packet.GrabJob)
 			w.wait(50 * time.Millisecond)
 		}
 		w.mu.Lock()
@@ -49,7 +49,7 @@
 		if c.closed != true || p.closed {
 			t.Errorf("client closed %v; worker, which is at a job, %v", c.closed, p.closed)
 		}
-		p.say(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "late")
+		p.sendPacket(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "late")
 		w.s.Rest()
 		synctest.Wait()
 		if !p.closed || w.s.Rest() != 0 {
@@ -67,10 +67,10 @@
 	})
 }
 
-// Workers are not passed to a successor as hosts, and a job that is submitted while its connection is being closed is
-// not accepted.
+// TestSuccessor checks that workers are not passed to a successor as hosts, and a job that is submitted while its
+// connection is being closed is not accepted.
 func TestSuccessor(t *testing.T) {
-	within(t, nil, 2, func(w *world) {
+	withServer(t, nil, 2, func(w *fixture) {
 		w.worker("x", warning)
 		c := w.dial()
 		w.wait(time.Second)
@@ -82,7 +82,7 @@
 			d.closing = true
 		}
 		w.s.mu.Unlock()
-		c.say(packet.SubmitJob, warning, "", "x")
+		c.sendPacket(packet.SubmitJob, warning, "", "x")
 		c.want()
 		if n := w.s.Counts(); n.Submitted != 0 {
 			t.Errorf("%+v", n)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%d %s: %s", e.Status, StatusText(e.Status), e.Reason)
 }
 
-func bad(reason string) error { return &Error{400, reason} }
+func protocolError(reason string) error { return &Error{400, reason} }
 
 // Errors that callers distinguish.
 var (
@@ -144,7 +144,7 @@
 			line = line[:n-1]
 		}
 		if bytes.IndexByte(line, '\r') >= 0 || bytes.IndexByte(line, 0) >= 0 {
-			return nil, bad("control byte in a line")
+			return nil, protocolError("control byte in a line")
 		}
 		return line, nil
 	}
@@ -163,7 +163,7 @@
 	method, rest, ok1 := bytes.Cut(line, []byte{' '})
 	target, version, ok2 := bytes.Cut(rest, []byte{' '})
 	if !ok1 || !ok2 || !isToken(method) || !isTarget(target) {
-		return nil, bad("malformed request line")
+		return nil, protocolError("malformed request line")
 	}
 	q := &Request{Method: string(method), Target: string(target)}
 	path, _, _ := bytes.Cut([]byte(q.Target), []byte{'?'})
@@ -196,7 +196,7 @@
 	code, _, _ := bytes.Cut(rest, []byte{' '})
 	p := &Response{}
 	if p.Status, err = strconv.Atoi(string(code)); err != nil || len(code) != 3 || p.Status < 100 {
-		return nil, bad("malformed status line")
+		return nil, protocolError("malformed status line")
 	}
 	if err := r.readFields(&p.Head, &remaining, minor); err != nil {
 		return nil, err
@@ -217,7 +217,7 @@
 	case "HTTP/1.0":
 		return 0, nil
 	}
-	return 0, bad("unknown version")
+	return 0, protocolError("unknown version")
 }
 
 // readFields reads the header fields and determines the framing of the body. Anything that two readers might interpret
@@ -237,7 +237,7 @@
 		}
 		name, value, ok := bytes.Cut(line, []byte{':'})
 		if !ok || !isToken(name) { // also rejects a folded line, which starts with a blank
-			return bad("malformed field")
+			return protocolError("malformed field")
 		}
 		if len(h.Fields) == MaxFields {
 			return ErrHeadTooLarge
@@ -248,15 +248,15 @@
 	length, lengths := h.Fields.Get("Content-Length")
 	switch {
 	case codings > 0 && (lengths > 0 || codings > 1 || !equalFold(coding, "chunked") || minor == 0):
-		return bad("conflicting or unknown framing")
+		return protocolError("conflicting or unknown framing")
 	case codings > 0:
 		h.Chunked = true
 	case lengths > 1:
-		return bad("more than one Content-Length")
+		return protocolError("more than one Content-Length")
 	case lengths == 1:
 		n, err := parseDigits(length)
 		if err != nil {
-			return bad("bad Content-Length")
+			return protocolError("bad Content-Length")
 		}
 		h.Length = n
 	}
@@ -426,12 +426,12 @@
 	size, _, _ := bytes.Cut(line, []byte{';'})
 	size = bytes.TrimRight(size, " \t")
 	if len(size) == 0 || len(size) > 8 {
-		return bad("bad length of a chunk")
+		return protocolError("bad length of a chunk")
 	}
 	for _, d := range size {
 		v := strings.IndexByte("0123456789abcdef", lower(d))
 		if v < 0 {
-			return bad("bad length of a chunk")
+			return protocolError("bad length of a chunk")
 		}
 		c.remaining = c.remaining<<4 | int64(v)
 	}
@@ -459,7 +459,7 @@
 	if err != nil {
 		return err
 	}
-	return bad(reason)
+	return protocolError(reason)
 }
 
 // AppendRequest appends a request with its body. Fields are written unchanged.
--- a/internal/jsonval/jsonval_test.go
+++ b/internal/jsonval/jsonval_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// The first error is kept, with the path of its member.
+// TestErrors checks that the first error is kept, with the path of its member.
 func TestErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"x":"1"}`:      "x: want a number",
@@ -59,7 +59,7 @@
 // close allows for fastjson, which parses numbers only to within their last bits.
 func close(a, b float64) bool { return math.Abs(a-b) <= 1e-12*math.Abs(b) }
 
-// What is written reads back unchanged.
+// FuzzAppend checks that what is written reads back unchanged.
 func FuzzAppend(f *testing.F) {
 	f.Add("a\x00\x1f\"\\\n\xff\u2028", int64(-7), 0.1, true)
 	f.Fuzz(func(t *testing.T, text string, n int64, x float64, flag bool) {
--- a/internal/settings/cuefile/cuefile_test.go
+++ b/internal/settings/cuefile/cuefile_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Each error is one line with file, line, field, what was found and what is expected.
+// TestErrors checks that each error is one line with file, line, field, what was found and what is expected.
 func TestErrors(t *testing.T) {
 	for _, c := range []struct {
 		text string
