--- a/cmd/liftgauge/pulls.go
+++ b/cmd/liftgauge/pulls.go
@@ -117,9 +117,9 @@
 	for _, f := range []control.Metric{
 		{Name: "submitted_total", Value: c.Submitted}, {Name: "attached_total", Value: c.Attached}, {Name: "served_total", Value: c.Served},
 		{Name: "failed_total", Value: c.Failed}, {Name: "refused_total", Value: c.BackOffs}, {Name: "abandoned_total", Value: c.Abandoned},
-		{Name: "turned_total", Value: c.Turned}, {Name: "assigned_total", Value: c.Assigned}, {Name: "no_jobs_total", Value: c.NoJobs},
-		{Name: "late_words_total", Value: c.Late}, {Name: "silent_total", Value: c.Silent}, {Name: "overdue_total", Value: c.Overdue},
-		{Name: "slow_readers_total", Value: c.Slow}, {Name: "malformed_total", Value: c.Malformed}, {Name: "background_cut_total", Value: c.BackgroundLost},
+		{Name: "turned_total", Value: c.Rejected}, {Name: "assigned_total", Value: c.Assigned}, {Name: "no_jobs_total", Value: c.NoJobs},
+		{Name: "late_words_total", Value: c.LateReports}, {Name: "silent_total", Value: c.UnclaimedPicks}, {Name: "overdue_total", Value: c.Overdue},
+		{Name: "slow_readers_total", Value: c.SlowReaders}, {Name: "malformed_total", Value: c.Malformed}, {Name: "background_cut_total", Value: c.BackgroundCut},
 		{Name: "connections", Value: c.Connections}, {Name: "workers", Value: c.Workers}, {Name: "waiting", Value: c.Waiting}, {Name: "running", Value: c.Running},
 	} {
 		all = append(all, control.Metric{Name: "gearman_" + f.Name, Value: f.Value})
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -20,13 +20,13 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := make([]Record, n)
 	for i := range all {
-		all[i] = Record{Arrived: int64(i) * 1e6, Class: i % 2, Key: rng.Uint64(), Hint: rng.Int64N(1e9), Patience: 5e9, End: uint8(i % 4), Took: rng.Int64N(1e9),
+		all[i] = Record{Arrived: int64(i) * 1e6, Class: i % 2, Key: rng.Uint64(), Hint: rng.Int64N(1e9), Timeout: 5e9, Outcome: uint8(i % 4), Duration: rng.Int64N(1e9),
 			Attempts: []Attempt{{Host: "s-1", Sent: 10, Began: -1, Ended: rng.Int64N(1e9), Status: 1}}}
 	}
 	return all
 }
 
-// readAll reads what can be read.
+// readAll returns the records that can be read.
 func readAll(t testing.TB, b []byte) (*Reader, []Record) {
 	t.Helper()
 	r, err := NewReader(bytes.NewReader(b))
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWhole(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	want := records(5000)
 	var b bytes.Buffer
 	h := Header{Name: "n0", Boot: "x", Classes: []string{"a", "b"}}
@@ -55,15 +55,15 @@
 		t.Fatal(err)
 	}
 	r, got := readAll(t, b.Bytes())
-	if h.Version = Version; !reflect.DeepEqual(got, want) || !reflect.DeepEqual(r.Header, h) || r.Cut || r.Damaged != 0 {
+	if h.Version = Version; !reflect.DeepEqual(got, want) || !reflect.DeepEqual(r.Header, h) || r.Truncated || r.Damaged != 0 {
 		t.Errorf("%d records of %d, %+v", len(got), len(want), r)
 	}
 	t.Logf("%d bytes a record", b.Len()/len(want))
 }
 
-// TestCutAndDamaged: whatever byte a file ends at or is wrong in, what comes back is what was written, in order, and all of
-// it but the blocks that are touched.
-func TestCutAndDamaged(t *testing.T) {
+// TestTruncatedAndDamagedFiles checks that wherever a file is truncated or damaged, the records read are records that
+// were written, in order, and only those of the affected blocks are missing.
+func TestTruncatedAndDamagedFiles(t *testing.T) {
 	want := records(4000)
 	var b bytes.Buffer
 	if err := Create(&b, Header{Name: "n0"}, want); err != nil {
@@ -102,31 +102,31 @@
 		bad := bytes.Clone(whole)
 		bad[at] ^= byte(1 + rng.IntN(255))
 		r, got = readAll(t, bad)
-		if !inOrder(got) || len(got) == len(want) || r.Damaged == 0 && !r.Cut || len(got) < len(want)/3 {
-			t.Fatalf("damaged at %d: %d of %d records, %d damaged, cut %v", at, len(got), len(want), r.Damaged, r.Cut)
+		if !inOrder(got) || len(got) == len(want) || r.Damaged == 0 && !r.Truncated || len(got) < len(want)/3 {
+			t.Fatalf("damaged at %d: %d of %d records, %d damaged, cut %v", at, len(got), len(want), r.Damaged, r.Truncated)
 		}
 	}
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-	}{"another kind": {[]byte("#!/bin/sh\n and so on, for some more"), ErrNoCapture}, "empty": {nil, ErrNoCapture},
-		"another version": {append([]byte("LGCAP\x02\r\n"), whole[8:]...), ErrVersion}, "cut in its header": {whole[:len(head)-1], ErrNoCapture}} {
+	}{"another kind": {[]byte("#!/bin/sh\n and so on, for some more"), ErrNotCapture}, "empty": {nil, ErrNotCapture},
+		"another version": {append([]byte("LGCAP\x02\r\n"), whole[8:]...), ErrVersion}, "cut in its header": {whole[:len(head)-1], ErrNotCapture}} {
 		if _, err := NewReader(bytes.NewReader(c.b)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// disk is a file that can fail.
-type disk struct {
+// faultyFile is a file that can fail.
+type faultyFile struct {
 	mu     sync.Mutex
 	b      []byte
-	room   int // bytes that it still takes
+	room   int // free space in bytes
 	stuck  chan struct{}
 	writes int
 }
 
-func (d *disk) Write(b []byte) (int, error) {
+func (d *faultyFile) Write(b []byte) (int, error) {
 	if d.stuck != nil {
 		<-d.stuck
 	}
@@ -140,24 +140,25 @@
 	}
 	return n, nil
 }
-func (d *disk) Truncate(n int64) error {
+func (d *faultyFile) Truncate(n int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.room += len(d.b) - int(n)
 	d.b = d.b[:n]
 	return nil
 }
-func (d *disk) Close() error { return nil }
+func (d *faultyFile) Close() error { return nil }
 
-func writer(d *disk, queue int) *Writer {
-	return NewWriter(Config{Header: Header{Name: "n0"}, MaxFile: 1 << 30, Queue: queue, Interval: time.Second,
+func writer(d *faultyFile, queue int) *Writer {
+	return NewWriter(Config{Header: Header{Name: "n0"}, MaxFileSize: 1 << 30, QueueSize: queue, Interval: time.Second,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Create: func(string) (File, error) { return d, nil }})
 }
 
-// TestFullDisk: what does not fit is dropped and counted, the file stays whole, and it goes on when there is room.
+// TestFullDisk checks that on a full disk, records that do not fit are dropped and counted, the file stays readable, and
+// writing continues once there is space.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &disk{room: 2000}
+		d := &faultyFile{room: 2000}
 		w := writer(d, 4096)
 		ctx, stop := context.WithCancel(t.Context())
 		go w.Run(ctx)
@@ -177,16 +178,16 @@
 		stop()
 		synctest.Wait()
 		r, got := readAll(t, d.b)
-		if r.Cut || r.Damaged != 0 || int64(len(got)) != w.Written() || r.Dropped != w.Dropped() || w.Written()+w.Dropped() != 2001 {
-			t.Errorf("%d read, %d written, %d dropped, %d said to be; cut %v, %d damaged", len(got), w.Written(), w.Dropped(), r.Dropped, r.Cut, r.Damaged)
+		if r.Truncated || r.Damaged != 0 || int64(len(got)) != w.Written() || r.Dropped != w.Dropped() || w.Written()+w.Dropped() != 2001 {
+			t.Errorf("%d read, %d written, %d dropped, %d said to be; cut %v, %d damaged", len(got), w.Written(), w.Dropped(), r.Dropped, r.Truncated, r.Damaged)
 		}
 	})
 }
 
-// TestSlowDisk: Put never waits, and holds no more than the queue.
+// TestSlowDisk checks that on a slow disk Put does not block and holds no more records than the queue.
 func TestSlowDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &disk{room: 1 << 30, stuck: make(chan struct{})}
+		d := &faultyFile{room: 1 << 30, stuck: make(chan struct{})}
 		w := writer(d, 100)
 		ctx, stop := context.WithCancel(t.Context())
 		go w.Run(ctx)
@@ -208,10 +209,10 @@
 	})
 }
 
-// TestFiles: a file that is full is followed by the next, and only so many are kept.
-func TestFiles(t *testing.T) {
+// TestFileRotation checks that a full file is followed by the next, and only the given number of files is kept.
+func TestFileRotation(t *testing.T) {
 	dir := t.TempDir()
-	w := NewWriter(Config{Folder: dir, Header: Header{Name: "n0", Boot: "b"}, MaxFile: 20 << 10, Files: 3, Queue: 1 << 16, Interval: time.Second,
+	w := NewWriter(Config{Folder: dir, Header: Header{Name: "n0", Boot: "b"}, MaxFileSize: 20 << 10, MaxFiles: 3, QueueSize: 1 << 16, Interval: time.Second,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	for range 10 {
 		for _, r := range records(2000) {
@@ -223,7 +224,7 @@
 	if err := w.Run(ctx); err != nil {
 		t.Fatal(err)
 	}
-	files, _ := filepath.Glob(filepath.Join(dir, "n0-b-*"+Ending))
+	files, _ := filepath.Glob(filepath.Join(dir, "n0-b-*"+Extension))
 	if len(files) != 3 || w.Dropped() != 0 {
 		t.Errorf("%d files, %d dropped", len(files), w.Dropped())
 	}
@@ -236,7 +237,7 @@
 	}
 }
 
-// FuzzReader: whatever a file holds, reading it ends, and neither panics nor takes memory without bound.
+// FuzzReader checks that, whatever a file contains, reading it terminates without a panic and without unbounded memory.
 func FuzzReader(f *testing.F) {
 	var b bytes.Buffer
 	Create(&b, Header{Name: "n0"}, records(20))
--- a/internal/gearman/packet/packet_test.go
+++ b/internal/gearman/packet/packet_test.go
@@ -9,10 +9,10 @@
 	"testing/iotest"
 )
 
-// read takes all that a peer sends apart, as a server does.
+// read parses everything that a peer sends, as a server does.
 func read(r *Reader) (got []string, err error) {
 	for {
-		text, err := r.Text()
+		text, err := r.IsText()
 		if err != nil {
 			return got, err
 		}
@@ -40,20 +40,20 @@
 			got = append(got, h.Type.String()+" "+err.Error())
 			continue
 		}
-		n := requests[h.Type]
+		n := requestArguments[h.Type]
 		got = append(got, h.Type.String()+" "+string(bytes.Join(args[:n], []byte("|"))))
 	}
 }
 
-// TestEveryRequest: each type with its arguments, in whole and byte by byte, between lines of text.
+// TestEveryRequest parses each request type with its arguments, in one piece and byte by byte, between lines of text.
 func TestEveryRequest(t *testing.T) {
 	var in []byte
 	var want []string
 	for typ := Type(0); typ < last; typ++ {
-		if !typ.Request() {
+		if !typ.IsRequest() {
 			continue
 		}
-		args := []string{"a", "b", "c", "d", "e", "f", "g", "data"}[MaxArguments-requests[typ]:]
+		args := []string{"a", "b", "c", "d", "e", "f", "g", "data"}[MaxArguments-requestArguments[typ]:]
 		in = AppendRequest(in, typ, args...)
 		want = append(want, typ.String()+" "+strings.Join(args, "|"))
 		in = append(in, "status\r\n"...)
@@ -69,13 +69,13 @@
 	}
 }
 
-func TestOddities(t *testing.T) {
+func TestUnusualInput(t *testing.T) {
 	for _, c := range []struct {
 		in, want string
 		err      error
 	}{
-		{"\x00RES\x00\x00\x00\x04\x00\x00\x00\x00", "", ErrMagic},
-		{"\x00FOO", "", ErrMagic},
+		{"\x00RES\x00\x00\x00\x04\x00\x00\x00\x00", "", ErrBadMagic},
+		{"\x00FOO", "", ErrBadMagic},
 		{"\x00REQ\x00\x00", "", io.ErrUnexpectedEOF},
 		{"\x00REQ\x00\x00\x00\x04\x00\x00\x00\x00", "PRE_SLEEP ", io.EOF},
 		{"\x00REQ\x00\x00\x00\x07\x00\x00\x00\x00", "SUBMIT_JOB too few arguments", io.EOF},
@@ -86,8 +86,8 @@
 		{"\x00REQ\x00\x00\x00\x63\x00\x00\x00\x01x", "type 99 not a request", io.EOF},
 		{"\x00REQ\x00\x00\x00\x06\x00\x00\x00\x00", "NOOP not a request", io.EOF},
 		{"\x00REQ\xff\xff\xff\xff\xff\xff\xff\xff", "", errors.New("too large")},
-		{strings.Repeat("x", MaxLine) + "\n", "", ErrLine},
-		{strings.Repeat("x", 1<<16), "", ErrLine},
+		{strings.Repeat("x", MaxLineLength) + "\n", "", ErrLineTooLong},
+		{strings.Repeat("x", 1<<16), "", ErrLineTooLong},
 		{"half a line", "", io.ErrUnexpectedEOF},
 	} {
 		got, err := read(NewReader(strings.NewReader(c.in)))
@@ -106,8 +106,8 @@
 	}
 }
 
-// FuzzReader: whatever comes, in whatever pieces, is read alike, and what is understood says the same when it is written
-// again.
+// FuzzReader checks that any input is read the same way in one piece and byte by byte, and that what was parsed is
+// unchanged when it is encoded and parsed again.
 func FuzzReader(f *testing.F) {
 	f.Add(AppendRequest(nil, SubmitJob, "f", "u", "data"))
 	f.Add([]byte("workers\n\x00REQ\x00\x00\x00\x09\x00\x00\x00\x00"))
@@ -121,7 +121,7 @@
 		r := NewReader(bytes.NewReader(in))
 		for {
 			h, err := r.Header()
-			if err != nil || h.Size > 1<<16 || !r.Whole(int(h.Size)) {
+			if err != nil || h.Size > 1<<16 || !r.HasBuffered(int(h.Size)) {
 				return
 			}
 			body := make([]byte, h.Size)
@@ -130,13 +130,13 @@
 			if err != nil {
 				continue
 			}
-			again := AppendRequest(nil, h.Type, args[:requests[h.Type]]...)
+			again := AppendRequest(nil, h.Type, args[:requestArguments[h.Type]]...)
 			args2, err := h.Type.Split(again[HeaderSize:])
 			if err != nil {
 				t.Fatalf("%s: %v", h.Type, err)
 			}
 			for i := range args {
-				if !bytes.Equal(args[i], args2[i]) && !(h.Type.named() && bytes.HasSuffix(args[i], []byte{0})) {
+				if !bytes.Equal(args[i], args2[i]) && !(h.Type.lastIsName() && bytes.HasSuffix(args[i], []byte{0})) {
 					t.Errorf("%s: argument %d %q, again %q", h.Type, i, args[i], args2[i])
 				}
 			}
--- a/internal/gearman/upgrade_test.go
+++ b/internal/gearman/upgrade_test.go
@@ -9,23 +9,23 @@
 	"liftgauge/internal/gearman/packet"
 )
 
-// TestUpgrade: a successor has taken over while 200 jobs are open: no new connection is taken, workers stay for as long as
-// jobs are open, each has its one end, and then the connections close.
+// TestUpgrade checks that while a successor has taken over and 200 jobs are open, no new connection is accepted, workers
+// stay connected as long as jobs are open, each job ends once, and then the connections are closed.
 func TestUpgrade(t *testing.T) {
-	within(t, nil, 0, func(w *world) {
+	withServer(t, nil, 0, func(w *fixture) {
 		p, c := w.worker("x", warning), w.dial()
 		for range 200 {
-			c.say(packet.SubmitJob, warning, "", "x")
+			c.sendPacket(packet.SubmitJob, warning, "", "x")
 		}
-		w.s.Enter(Leaving)
+		w.s.Enter(Draining)
 		w.s.HandOver()
-		w.s.Enter(Closing)
+		w.s.Enter(ListenersClosed)
 		synctest.Wait()
 		if !w.s.closed {
 			t.Error("it still listens")
 		}
 		p.picked()
-		p.say(packet.GrabJob)
+		p.sendPacket(packet.GrabJob)
 		for range 20 {
 			if left := w.s.Rest(); left != 2 {
 				t.Fatalf("%d connections while jobs are open", left)
@@ -33,8 +33,8 @@
 			w.mu.Lock()
 			got := p.got[len(p.got)-1]
 			w.mu.Unlock()
-			p.say(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "ok")
-			p.say(packet.GrabJob)
+			p.sendPacket(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "ok")
+			p.sendPacket(packet.GrabJob)
 			w.wait(50 * time.Millisecond)
 		}
 		w.mu.Lock()
@@ -49,7 +49,7 @@
 		if c.closed != true || p.closed {
 			t.Errorf("client closed %v; worker, which is at a job, %v", c.closed, p.closed)
 		}
-		p.say(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "late")
+		p.sendPacket(packet.WorkComplete, strings.Split(strings.TrimPrefix(got, "JOB_ASSIGN "), "|")[0], "late")
 		w.s.Rest()
 		synctest.Wait()
 		if !p.closed || w.s.Rest() != 0 {
@@ -67,9 +67,10 @@
 	})
 }
 
-// TestSuccessor: a successor is not told of workers as hosts, and a job that crosses the closing of its connection is not taken.
+// TestSuccessor checks that workers are not passed to a successor as hosts, and a job that is submitted while its
+// connection is being closed is not accepted.
 func TestSuccessor(t *testing.T) {
-	within(t, nil, 2, func(w *world) {
+	withServer(t, nil, 2, func(w *fixture) {
 		w.worker("x", warning)
 		c := w.dial()
 		w.wait(time.Second)
@@ -78,10 +79,10 @@
 		}
 		w.s.mu.Lock()
 		for _, d := range w.s.conns {
-			d.shut = true
+			d.closing = true
 		}
 		w.s.mu.Unlock()
-		c.say(packet.SubmitJob, warning, "", "x")
+		c.sendPacket(packet.SubmitJob, warning, "", "x")
 		c.want()
 		if n := w.s.Counts(); n.Submitted != 0 {
 			t.Errorf("%+v", n)
--- a/internal/serve/handover/peer.go
+++ b/internal/serve/handover/peer.go
@@ -164,14 +164,14 @@
 		l.SetDeadline(at)
 	}
 	defer l.SetDeadline(time.Time{})
-	if err := writeLine(l, jsonval.Is("op", "hello"), jsonval.Is("socket", p.socket)); err != nil {
+	if err := writeLine(l, jsonval.NewMember("op", "hello"), jsonval.NewMember("socket", p.socket)); err != nil {
 		return nil, err
 	}
 	o, err := readLine(l.reader)
 	if err != nil {
 		return nil, err
 	}
-	snapshot := &Snapshot{Ready: o.Flag("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
+	snapshot := &Snapshot{Ready: o.Bool("ready"), Discovery: o.Text("discovery"), List: o.Raw("list"), Learned: []byte(o.Text("learned")),
 		State: State{Offline: o.Texts("offline"), Listed: o.Texts("listed")}}
 	return snapshot, o.Err()
 }
@@ -184,7 +184,7 @@
 	if l == nil || !l.predecessor {
 		return nil
 	}
-	_, err := p.request(jsonval.Is("op", "ready"), jsonval.Is("socket", p.socket))
+	_, err := p.request(jsonval.NewMember("op", "ready"), jsonval.NewMember("socket", p.socket))
 	return err
 }
 
@@ -204,11 +204,11 @@
 
 // Callback forwards a host's call-back to the other process.
 func (p *Peer) Callback(body []byte) (status int, known bool, err error) {
-	o, err := p.request(jsonval.Is("op", "callback"), jsonval.Is("body", string(body)))
+	o, err := p.request(jsonval.NewMember("op", "callback"), jsonval.NewMember("body", string(body)))
 	if err != nil {
 		return 0, false, err
 	}
-	return int(o.Whole("status")), o.Flag("known"), o.Err()
+	return int(o.Int64("status")), o.Bool("known"), o.Err()
 }
 
 // PassConnection hands a client's connection to the successor, with the record of its waiting message. The record is made once the
@@ -233,7 +233,7 @@
 		return false, errNotReleasable
 	}
 	c.SetDeadline(time.Now().Add(p.snapshotTimeout)) // the outcome of what follows must be known
-	line := append(jsonval.AppendObject(nil, jsonval.Is("op", "message"), jsonval.Is("record", string(body))), '\n')
+	line := append(jsonval.AppendObject(nil, jsonval.NewMember("op", "message"), jsonval.NewMember("record", string(body))), '\n')
 	var sent int
 	if controlErr := rawConn.Control(func(fd uintptr) {
 		sent, _, err = c.(*net.UnixConn).WriteMsgUnix(line, syscall.UnixRights(int(fd)), nil)
@@ -252,7 +252,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return false, fmt.Errorf("handover: %w", err) // the successor has ended: while it lives it replies
 	}
-	return err != nil || o.Flag("taken"), nil
+	return err != nil || o.Bool("taken"), nil
 }
 
 // errNotReleasable means that a message cannot be released at present.
@@ -260,14 +260,14 @@
 
 // SetOffline has the other process carry out an operator's request.
 func (p *Peer) SetOffline(id string, offline, listed bool) (known bool, err error) {
-	o, err := p.request(jsonval.Is("op", "offline"), jsonval.Is("id", id), jsonval.Is("out", offline), jsonval.Is("sure", listed))
+	o, err := p.request(jsonval.NewMember("op", "offline"), jsonval.NewMember("id", id), jsonval.NewMember("out", offline), jsonval.NewMember("sure", listed))
 	if err != nil {
 		return false, err
 	}
-	if !o.Flag("done") {
+	if !o.Bool("done") {
 		return false, errors.New("handover: the other process did not apply it")
 	}
-	return o.Flag("known"), o.Err()
+	return o.Bool("known"), o.Err()
 }
 
 // dialOther connects to the other process for one request, which must complete within requestTimeout.
@@ -441,8 +441,8 @@
 			p.watch(l)
 			return
 		}
-		if err := writeLine(c, jsonval.Is("ready", true), jsonval.Is("discovery", snapshot.Discovery), jsonval.Is("list", snapshot.List), jsonval.Is("learned", string(snapshot.Learned)),
-			jsonval.Is("offline", snapshot.Offline), jsonval.Is("listed", snapshot.Listed)); err == nil {
+		if err := writeLine(c, jsonval.NewMember("ready", true), jsonval.NewMember("discovery", snapshot.Discovery), jsonval.NewMember("list", snapshot.List), jsonval.NewMember("learned", string(snapshot.Learned)),
+			jsonval.NewMember("offline", snapshot.Offline), jsonval.NewMember("listed", snapshot.Listed)); err == nil {
 			c.SetDeadline(time.Time{})
 		}
 		defer time.AfterFunc(p.readyTimeout, func() { p.handleOverdue(l) }).Stop()
@@ -450,20 +450,20 @@
 		return
 	case "ready":
 		if p.markReady(o.Text("socket")) {
-			reply = append(reply, jsonval.Is("done", true))
+			reply = append(reply, jsonval.NewMember("done", true))
 		}
 	case "callback":
 		status, known := p.Handler.Callback([]byte(o.Text("body")))
-		reply = append(reply, jsonval.Is("status", status), jsonval.Is("known", known))
+		reply = append(reply, jsonval.NewMember("status", status), jsonval.NewMember("known", known))
 	case "message":
 		taken := false
 		if client := received.take(); client != nil {
 			taken = p.Handler.Adopt([]byte(o.Text("record")), client)
 		}
-		reply = append(reply, jsonval.Is("taken", taken))
+		reply = append(reply, jsonval.NewMember("taken", taken))
 	case "offline":
-		known, err := p.Handler.SetOffline(requestCtx, o.Text("id"), o.Flag("out"), o.Flag("sure"))
-		reply = append(reply, jsonval.Is("known", known), jsonval.Is("done", err == nil))
+		known, err := p.Handler.SetOffline(requestCtx, o.Text("id"), o.Bool("out"), o.Bool("sure"))
+		reply = append(reply, jsonval.NewMember("known", known), jsonval.NewMember("done", err == nil))
 	}
 	writeLine(c, reply...)
 	p.closeConn(c)
