--- a/cmd/liftlab/fleet.go
+++ b/cmd/liftlab/fleet.go
@@ -119,7 +119,7 @@
 			case "all":
 				s.days = site.FleetDays
 			case "own":
-				s.days = site.OwnDays
+				s.days = site.SiteDays
 			}
 			for _, d := range s.days { // a fleet's days have no size of their own
 				if slices.Contains(site.FleetDays, d) {
@@ -130,7 +130,7 @@
 				s.policies = sim.PolicyNames
 			}
 			for _, p := range s.policies {
-				if sim.PolicyNamed(p) == nil {
+				if sim.PolicyByName(p) == nil {
 					return fmt.Errorf("policy %q: want all or some of %s", p, strings.Join(sim.PolicyNames, ", "))
 				}
 			}
@@ -162,9 +162,9 @@
 	f.Uint64Var(&seed, "seed", 1, "of the draw; the first of several")
 	f.IntVar(&seeds, "seeds", 1, "how many seeds to play")
 	f.StringVar(&from, "site", "trinidad", "a site file, or one of "+strings.Join(site.Names, ", "))
-	f.IntVar(&s.dispatchers, "dispatchers", 0, fmt.Sprintf("dispatchers, 1 to %d; 0: 80, on a site's own days as its file says", site.MostDispatchers))
-	f.IntVar(&s.workers, "workers", 0, fmt.Sprintf("workers, as many as zones to %d; 0: 60, or as the site's file says", site.MostBoxes))
-	f.StringVar(&day, "day", "zone", "all, own, or some of "+strings.Join(slices.Concat(site.FleetDays, site.OwnDays), ", "))
+	f.IntVar(&s.dispatchers, "dispatchers", 0, fmt.Sprintf("dispatchers, 1 to %d; 0: 80, on a site's own days as its file says", site.MaxDispatchers))
+	f.IntVar(&s.workers, "workers", 0, fmt.Sprintf("workers, as many as zones to %d; 0: 60, or as the site's file says", site.MaxBoxes))
+	f.StringVar(&day, "day", "zone", "all, own, or some of "+strings.Join(slices.Concat(site.FleetDays, site.SiteDays), ", "))
 	f.StringVar(&policy, "policy", "module", "all, or some of "+strings.Join(sim.PolicyNames, ", "))
 	f.BoolVar(&zones, "zones", false, "show what happened by zone and second")
 	return cmd
@@ -199,8 +199,8 @@
 	if err != nil {
 		return fleetReport{}, err
 	}
-	if w.Policy = sim.PolicyNamed(policy); policy == "members" {
-		w.Members = membersTake
+	if w.Policy = sim.PolicyByName(policy); policy == "members" {
+		w.MembershipDelay = membersTake
 	}
 	began := time.Now()
 	r := sim.Run(w, seed)
--- a/cmd/liftlab/plan.go
+++ b/cmd/liftlab/plan.go
@@ -50,7 +50,7 @@
 			if err != nil {
 				return err
 			}
-			if p.Least < 2 || p.Most < p.Least {
+			if p.MinDays < 2 || p.MaxDays < p.MinDays {
 				return errors.New("want two days at least, and no fewer at most")
 			}
 			out := cmd.OutOrStdout()
@@ -67,7 +67,7 @@
 				progress = mpb.New(mpb.WithOutput(os.Stderr))
 			}
 			bar = progress.AddSpinner(0, mpb.PrependDecorators(decor.Name("planning "), decor.CurrentNoUnit("%d questions answered")))
-			p.Done = func(plan.Outcome) { bar.Increment() }
+			p.OnOutcome = func(plan.Outcome) { bar.Increment() }
 			a, err := p.Plan(cmd.Context())
 			bar.SetTotal(-1, true)
 			progress.Wait()
@@ -94,8 +94,8 @@
 	cmd.AddCommand(verifyCommand(), speedCommand())
 	fl := cmd.Flags()
 	fl.Uint64Var(&p.Seed, "seed", 1, "of the days; the same seed gives the same plan")
-	fl.IntVar(&p.Least, "least", 8, "days for each question at first")
-	fl.IntVar(&p.Most, "most", 64, "and at most")
+	fl.IntVar(&p.MinDays, "least", 8, "days for each question at first")
+	fl.IntVar(&p.MaxDays, "most", 64, "and at most")
 	fl.StringVar(&html, "html", "", "write the plan as a page to this file")
 	fl.StringSliceVar(&captured, "captured", nil, "capture files in place of the fleet file's load")
 	fl.BoolVar(&asJSON, "json", false, "print the plan as JSON, as the last line")
--- a/lab/verify.go
+++ b/lab/verify.go
@@ -295,7 +295,7 @@
 	}
 	r.Header.Set("Req-Id", id)
 	r.Header.Set("Req-Kind", class)
-	r.Header.Set("Req-Deadline-Ms", strconv.Itoa(int(a.Left/time.Millisecond)))
+	r.Header.Set("Req-Deadline-Ms", strconv.Itoa(int(a.Timeout/time.Millisecond)))
 	if class == classNames[0] {
 		r.Header.Set("Idempotency-Key", id+id)
 	}
--- a/plan/captured.go
+++ b/plan/captured.go
@@ -164,7 +164,7 @@
 			w = time.Duration(f.Classes[class].Work.Mean).Seconds()
 		}
 		all = append(all, sim.Arrival{At: time.Duration(r.Arrived - records[0].Arrived), Class: c, Station: station, Work: w,
-			Hint: time.Duration(r.Hint), Left: time.Duration(r.Patience)})
+			Hint: time.Duration(r.Hint), Timeout: time.Duration(r.Patience)})
 	}
 	if len(all) == 0 {
 		return nil, nil, fmt.Errorf("none of the %d records is of a class that the fleet has", len(records))
--- a/plan/fleet.go
+++ b/plan/fleet.go
@@ -323,11 +323,11 @@
 // at the same factor whatever the boxes are.
 func (f *Fleet) World(seed uint64, factor float64) *sim.World {
 	stations, kinds, classes := f.Names()
-	w := &sim.World{Stations: len(stations), Jitter: f.Network.Jitter, Connect: 250 * time.Millisecond, Attempts: f.Rules.Attempts,
+	w := &sim.World{Stations: len(stations), Jitter: f.Network.Jitter, ConnectTimeout: 250 * time.Millisecond, MaxAttempts: f.Rules.Attempts,
 		Lag: time.Duration(f.Discovery.Lag), ListTime: time.Duration(f.Discovery.Call),
 		Rules: sim.Rules{DrainGrace: time.Duration(f.Rules.DrainGrace), StartCapacity: f.Rules.StartCapacity, WarmWithin: time.Duration(f.Rules.WarmWithin),
-			OverloadFactor: f.Rules.OverloadFactor, FallTime: time.Duration(f.Rules.FallTime), RestartAfter: time.Duration(f.Rules.RestartAfter)},
-		Retry: sim.Retry{Most: f.Retry.Most, Pause: time.Duration(f.Retry.Pause), Advice: f.Retry.Advice, Each: time.Duration(f.Retry.Each)},
+			OverloadFactor: f.Rules.OverloadFactor, OverloadTime: time.Duration(f.Rules.FallTime), RestartAfter: time.Duration(f.Rules.RestartAfter)},
+		Retry: sim.Retry{MaxRetries: f.Retry.Most, Pause: time.Duration(f.Retry.Pause), HonorsRetryAfter: f.Retry.Advice, TryTimeout: time.Duration(f.Retry.Each)},
 		Settings: balance.Settings{CrossZoneFee: 0.019, WasteFee: 0.08, ProbeFee: 0.0059, LateFee: 0.026, ValuePerWork: true, Tick: 2 * time.Millisecond,
 			SecondCopies: true, MaxRetryAfter: time.Second}}
 	for i, from := range stations {
@@ -425,7 +425,7 @@
 		c := pick(rest, mix)
 		class := w.Classes[c]
 		work := class.Work.Draw(rest)
-		a := sim.Arrival{At: time.Duration(at * 1e9), Class: c, Station: pick(rest, load), Work: work, Left: class.Limit}
+		a := sim.Arrival{At: time.Duration(at * 1e9), Class: c, Station: pick(rest, load), Work: work, Timeout: class.Limit}
 		if off := rest.NormFloat64(); class.HintSpread >= 0 {
 			a.Hint = time.Duration(work * math.Exp(class.HintSpread*off) * 1e9)
 		}
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -128,20 +128,20 @@
 
 // The verdicts.
 const (
-	Kept     Verdict = "kept"
-	Missed   Verdict = "missed"
-	CantTell Verdict = "can't tell"
+	Met       Verdict = "kept"
+	Missed    Verdict = "missed"
+	Undecided Verdict = "can't tell"
 )
 
 // against compares an estimate with a least value.
 func (e Estimate) against(goal float64) Verdict {
 	switch {
 	case e.Mean-e.Half >= goal:
-		return Kept
+		return Met
 	case e.Mean+e.Half < goal:
 		return Missed
 	}
-	return CantTell
+	return Undecided
 }
 
 // Outcome is what days of one kind show.
@@ -165,12 +165,12 @@
 
 // Planner answers questions about one fleet.
 type Planner struct {
-	Fleet *Fleet
-	Seed  uint64
-	Least int // days at first; twice as many as long as a goal is not decided,
-	Most  int // and no more than this
+	Fleet   *Fleet
+	Seed    uint64
+	MinDays int // days at first; twice as many as long as a goal is not decided,
+	MaxDays int // and no more than this
 	// Done, if it is set, is told of each question that is answered.
-	Done func(Outcome)
+	OnOutcome func(Outcome)
 }
 
 // change makes a day of a kind of a world, such as one on which a station goes dark.
@@ -178,10 +178,10 @@
 
 // Judge plays days of a fleet at a load factor until each goal is decided, or Most is reached. The days are those of the same
 // seeds for every fleet, so that two fleets differ by what they are alone.
-func (p *Planner) Judge(ctx context.Context, name string, f *Fleet, factor float64, with change) (Outcome, error) {
+func (p *Planner) Evaluate(ctx context.Context, name string, f *Fleet, factor float64, with change) (Outcome, error) {
 	o := Outcome{Name: name, Factor: factor, Boxes: f.Boxes()}
 	var days []*sim.Result
-	for n := max(p.Least, 2); ; n = min(2*n, p.Most) {
+	for n := max(p.MinDays, 2); ; n = min(2*n, p.MaxDays) {
 		more := make([]*sim.Result, n-len(days))
 		group, inner := errgroup.WithContext(ctx)
 		group.SetLimit(runtime.GOMAXPROCS(0))
@@ -204,9 +204,9 @@
 		}
 		days = append(days, more...)
 		p.sum(&o, f, days)
-		if o.Verdict != CantTell || n >= p.Most {
-			if p.Done != nil {
-				p.Done(o)
+		if o.Verdict != Undecided || n >= p.MaxDays {
+			if p.OnOutcome != nil {
+				p.OnOutcome(o)
 			}
 			return o, nil
 		}
@@ -261,13 +261,13 @@
 		o.Use[key] = s.use / s.n
 	}
 	o.Service, o.Worst10s = estimate(service), estimate(worst)
-	o.Verdict, o.Why = Kept, "all goals are kept"
+	o.Verdict, o.Why = Met, "all goals are kept"
 	judge := func(what string, e Estimate, goal float64) {
 		if goal <= 0 {
 			return
 		}
 		v := e.against(goal)
-		if v == Kept || o.Verdict == Missed || o.Verdict == v {
+		if v == Met || o.Verdict == Missed || o.Verdict == v {
 			return
 		}
 		o.Verdict, o.Why = v, fmt.Sprintf("%s %.3f ± %.3f, wanted %.3f", what, e.Mean, e.Half, goal)
@@ -323,13 +323,13 @@
 }
 
 func (p *Planner) today(ctx context.Context, a *Answer) (err error) {
-	a.Today, err = p.Judge(ctx, "today", p.Fleet, 1, nil)
+	a.Today, err = p.Evaluate(ctx, "today", p.Fleet, 1, nil)
 	return err
 }
 
 func (p *Planner) curve(ctx context.Context, a *Answer) error {
 	for _, x := range []float64{0.5, 0.75, 1.25, 1.5, 2, 2.5, 3} {
-		o, err := p.Judge(ctx, fmt.Sprintf("load x %.2f", x), p.Fleet, x, nil)
+		o, err := p.Evaluate(ctx, fmt.Sprintf("load x %.2f", x), p.Fleet, x, nil)
 		if err != nil {
 			return err
 		}
@@ -348,9 +348,9 @@
 	low, high := 0.0, math.Inf(1)
 	for _, o := range a.Curve {
 		switch {
-		case o.Verdict == Kept && o.Factor < high:
+		case o.Verdict == Met && o.Factor < high:
 			low = max(low, o.Factor)
-		case o.Verdict != Kept:
+		case o.Verdict != Met:
 			high = min(high, o.Factor)
 		}
 	}
@@ -362,11 +362,11 @@
 				break
 			}
 			mid := (low + high) / 2
-			o, err := p.Judge(ctx, fmt.Sprintf("load x %.2f", mid), p.Fleet, mid, nil)
+			o, err := p.Evaluate(ctx, fmt.Sprintf("load x %.2f", mid), p.Fleet, mid, nil)
 			if err != nil {
 				return err
 			}
-			if o.Verdict == Kept {
+			if o.Verdict == Met {
 				low = mid
 			} else {
 				high = mid
@@ -407,12 +407,12 @@
 	high, last := 0, Outcome{}
 	most := 8 * max(a.Boxes, low+1)
 	for n := max(a.Boxes, low+1); n <= most; n += max(n/2, 1) {
-		o, err := p.Judge(ctx, fmt.Sprint(n, " boxes"), p.Fleet.Scaled(n), 1, nil)
+		o, err := p.Evaluate(ctx, fmt.Sprint(n, " boxes"), p.Fleet.Scaled(n), 1, nil)
 		if err != nil {
 			return err
 		}
 		a.Fleets = append(a.Fleets, o)
-		if last = o; o.Verdict == Kept {
+		if last = o; o.Verdict == Met {
 			high = n
 			break
 		}
@@ -425,21 +425,21 @@
 	unknown := false
 	for high-low > 1 {
 		mid := (low + high) / 2
-		o, err := p.Judge(ctx, fmt.Sprint(mid, " boxes"), p.Fleet.Scaled(mid), 1, nil)
+		o, err := p.Evaluate(ctx, fmt.Sprint(mid, " boxes"), p.Fleet.Scaled(mid), 1, nil)
 		if err != nil {
 			return err
 		}
 		a.Fleets = append(a.Fleets, o)
-		if o.Verdict == Kept {
+		if o.Verdict == Met {
 			high = mid
 		} else {
-			low, unknown = mid, o.Verdict == CantTell
+			low, unknown = mid, o.Verdict == Undecided
 		}
 	}
 	slices.SortFunc(a.Fleets, func(x, y Outcome) int { return x.Boxes - y.Boxes })
 	a.Fewest, a.Fleet = high, fmt.Sprint(high, " boxes keep the goals with 95% confidence")
 	if unknown {
-		a.Fleet += fmt.Sprint("; whether ", low, " do can't be told from ", p.Most, " days")
+		a.Fleet += fmt.Sprint("; whether ", low, " do can't be told from ", p.MaxDays, " days")
 	}
 	return nil
 }
@@ -460,7 +460,7 @@
 	third := p.Fleet.length() / 3
 	factor := 1.0
 	ask := func(name string, faults func(w *sim.World) []sim.Fault) error {
-		o, err := p.Judge(ctx, name, p.Fleet, factor, func(w *sim.World) { w.Faults = faults(w) })
+		o, err := p.Evaluate(ctx, name, p.Fleet, factor, func(w *sim.World) { w.Faults = faults(w) })
 		if err == nil {
 			a.WhatIf = append(a.WhatIf, o)
 		}
@@ -471,7 +471,7 @@
 		for _, kind := range []struct {
 			name    string
 			effects []sim.Effect
-		}{{"boxes", []sim.Effect{sim.StationBoxes}}, {"clients", []sim.Effect{sim.StationUsers}}, {"links", []sim.Effect{sim.StationLinks}}, {"boxes and clients", []sim.Effect{sim.StationBoxes, sim.StationUsers}}} {
+		}{{"boxes", []sim.Effect{sim.StationBoxes}}, {"clients", []sim.Effect{sim.StationClients}}, {"links", []sim.Effect{sim.StationPartition}}, {"boxes and clients", []sim.Effect{sim.StationBoxes, sim.StationClients}}} {
 			faults := func(*sim.World) (all []sim.Fault) {
 				for _, e := range kind.effects {
 					all = append(all, sim.Fault{At: third, Effect: e, Target: i, For: third})
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -41,8 +41,8 @@
 
 func judge(t *testing.T, f *Fleet, factor float64, with change) Outcome {
 	t.Helper()
-	p := Planner{Fleet: f, Seed: 1, Least: 4, Most: 8}
-	o, err := p.Judge(context.Background(), "day", f, factor, with)
+	p := Planner{Fleet: f, Seed: 1, MinDays: 4, MaxDays: 8}
+	o, err := p.Evaluate(context.Background(), "day", f, factor, with)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(procs))
 		f := fleet(t, "")
 		f.Load.Length = Duration(8 * time.Second)
-		a, err := (&Planner{Fleet: f, Seed: 5, Least: 2, Most: 4}).Plan(context.Background())
+		a, err := (&Planner{Fleet: f, Seed: 5, MinDays: 2, MaxDays: 4}).Plan(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +131,7 @@
 func TestEdges(t *testing.T) {
 	plan := func(f *Fleet) *Answer {
 		t.Helper()
-		a, err := (&Planner{Fleet: f, Seed: 1, Least: 2, Most: 4}).Plan(context.Background())
+		a, err := (&Planner{Fleet: f, Seed: 1, MinDays: 2, MaxDays: 4}).Plan(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 	}
 	none := short(fleet(t, ""))
 	none.Load.Rate = 0
-	if a := plan(none); a.Today.Verdict != Kept || a.Tip != 0 || a.Fewest != 1 {
+	if a := plan(none); a.Today.Verdict != Met || a.Tip != 0 || a.Fewest != 1 {
 		t.Errorf("no load: %+v", a.Today)
 	}
 	much := short(fleet(t, ""))
@@ -175,7 +175,7 @@
 // TestPartial: an end in the middle says what is known, and says that it is partial.
 func TestPartial(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	p := Planner{Fleet: fleet(t, ""), Seed: 1, Least: 2, Most: 2, Done: func(Outcome) { stop() }}
+	p := Planner{Fleet: fleet(t, ""), Seed: 1, MinDays: 2, MaxDays: 2, OnOutcome: func(Outcome) { stop() }}
 	a, err := p.Plan(ctx)
 	if err != nil || !a.Partial || a.Today.Days == 0 {
 		t.Fatalf("%v, %+v", err, a)
--- a/sim/box.go
+++ b/sim/box.go
@@ -66,7 +66,7 @@
 // warmth is the share of its speed that a box has.
 func (b *box) warmth(now time.Duration) float64 {
 	rules := b.r.Rules
-	within, from := cmp.Or(b.kind.ColdFor, rules.WarmWithin), cmp.Or(b.kind.ColdFrom, rules.StartCapacity)
+	within, from := cmp.Or(b.kind.WarmUpTime, rules.WarmWithin), cmp.Or(b.kind.ColdSpeed, rules.StartCapacity)
 	if !b.cold || within <= 0 {
 		return 1
 	}
@@ -157,7 +157,7 @@
 		b.result.Served++
 		b.service += (a.work/b.Speed/b.warmth(b.r.now) - b.service) * 0.1
 		status := balance.OK
-		if b.Errs > 0 && b.r.errors.Float64() < b.Errs {
+		if b.ErrorShare > 0 && b.r.errors.Float64() < b.ErrorShare {
 			status = balance.Errored
 			b.errs, b.erredAt = b.erring()+0.1, b.r.now
 		}
@@ -192,7 +192,7 @@
 	b.waited(a)
 	b.r.began(a)
 	b.progress(a)
-	if b.r.Untold {
+	if b.r.NoStartReports {
 		return
 	}
 	b.tell(a, func() {
@@ -251,14 +251,14 @@
 func (b *box) overrun(a *attempt) bool {
 	rules := b.r.Rules
 	c := b.warmth(b.r.now)
-	if !b.cold || rules.OverloadFactor <= 0 || rules.FallTime <= 0 {
+	if !b.cold || rules.OverloadFactor <= 0 || rules.OverloadTime <= 0 {
 		return false
 	}
 	sum, told, kept := 0.0, 0.0, b.recent[:0]
 	// A job takes no more of the time in question than a core can give it then.
-	work := min(a.job.work, b.Speed*rules.FallTime.Seconds())
+	work := min(a.job.work, b.Speed*rules.OverloadTime.Seconds())
 	for _, s := range append(b.recent, sent{b.r.now, work, a.d.knows(b)}) {
-		if b.r.now-s.at < rules.FallTime {
+		if b.r.now-s.at < rules.OverloadTime {
 			kept = append(kept, s)
 			if sum += s.work; s.told {
 				told += s.work
@@ -266,7 +266,7 @@
 		}
 	}
 	b.recent = kept
-	bears := rules.OverloadFactor * c * b.Speed * float64(b.kind.Cores) * rules.FallTime.Seconds()
+	bears := rules.OverloadFactor * c * b.Speed * float64(b.kind.Cores) * rules.OverloadTime.Seconds()
 	b.r.result.Margin = min(b.r.result.Margin, 1-sum/bears)
 	if sum > bears && told*3 >= sum*2 {
 		b.r.result.Breaches++
@@ -278,7 +278,7 @@
 func (b *box) remove(a *attempt) bool {
 	for _, list := range []*[]*attempt{&b.running, &b.waiting} {
 		for i, x := range *list {
-			if x == a && a.runs && b.kind.RunsOn {
+			if x == a && a.runs && b.kind.IgnoresCancel {
 				return true
 			}
 			if x == a {
@@ -382,7 +382,7 @@
 	}
 	w, lag := b.listed(phase), b.r.Lag
 	if b.silent && phase == balance.Removed {
-		lag = cmp.Or(b.r.SilentLag, lag)
+		lag = cmp.Or(b.r.UnresponsiveLag, lag)
 	}
 	b.r.after(time.Duration(b.r.late*float64(lag)), func() {
 		for _, d := range b.r.dispatchers {
@@ -495,7 +495,7 @@
 	if b.looks = append(b.looks, look{b.r.now, values}); len(b.looks) > 8 {
 		b.looks = b.looks[1:]
 	}
-	b.r.after(rep.Every, b.look)
+	b.r.after(rep.Interval, b.look)
 }
 
 // erring is how many errors a second there were of late: half after some seven seconds.
--- a/sim/dispatcher.go
+++ b/sim/dispatcher.go
@@ -59,11 +59,11 @@
 		s.Classes = append(s.Classes, c.Class)
 	}
 	s.Dispatchers, s.Number, s.Zone, s.Zones = len(r.World.Dispatchers), d.number, d.station, r.Stations
-	s.ReportsStart, s.ReportsWritten, s.ListOnRequest, s.CanCancel, s.CanProbe = !r.Untold, true, !r.Pushed, true, true
-	s.RoughWeights, s.MarksRetry = !r.Pushed, r.Retry.Marks
-	s.MaxAttempts = max(r.Attempts, 1)
-	s.ConnectTimeout, s.DrainGrace, s.StartCapacity, s.WarmWithin = r.Connect, r.Rules.DrainGrace, r.Rules.StartCapacity, r.Rules.WarmWithin
-	s.OverloadFactor, s.OverloadTime = r.Rules.OverloadFactor, r.Rules.FallTime
+	s.ReportsStart, s.ReportsWritten, s.ListOnRequest, s.CanCancel, s.CanProbe = !r.NoStartReports, true, !r.ListsPushed, true, true
+	s.RoughWeights, s.MarksRetry = !r.ListsPushed, r.Retry.MarksRetries
+	s.MaxAttempts = max(r.MaxAttempts, 1)
+	s.ConnectTimeout, s.DrainGrace, s.StartCapacity, s.WarmWithin = r.ConnectTimeout, r.Rules.DrainGrace, r.Rules.StartCapacity, r.Rules.WarmWithin
+	s.OverloadFactor, s.OverloadTime = r.Rules.OverloadFactor, r.Rules.OverloadTime
 	s.FreeSlots, s.FreeMemory = -1, -1
 	if r.Report != nil {
 		s.FreeSlots = slices.Index(r.Report.Fields, "free slots")
@@ -77,7 +77,7 @@
 		make1 = Module
 	}
 	d.jobs, d.ids, d.idle = map[balance.JobID]*job{}, nil, make([]int, len(r.boxes))
-	d.watches, d.dead, d.leaving, d.began = r.Pushed, false, false, r.now
+	d.watches, d.dead, d.leaving, d.began = r.ListsPushed, false, false, r.now
 	d.life++
 	d.policy = make1(s, r.seed<<16|uint64(d.number)<<8|uint64(d.life), d)
 	if first {
@@ -96,10 +96,10 @@
 
 // membersChange has all that live then hear of who does, by rank, once membership has agreed on it.
 func (r *run) membersChange() {
-	if r.Members == 0 {
+	if r.MembershipDelay == 0 {
 		return
 	}
-	r.after(r.Members, func() {
+	r.after(r.MembershipDelay, func() {
 		var live []*dispatcher
 		zone := make([]int, r.Stations)
 		for _, d := range r.dispatchers {
@@ -156,7 +156,7 @@
 	life := d.life
 	d.r.at(j.end+grace, func() { d.due(life, j) })
 	d.policy.Job(d.clock(), balance.Job{ID: j.id, Class: j.class, Tenant: a.Tenant, Left: j.end - d.r.now, Hint: a.Hint,
-		Slots: float64(a.Slots), Again: j.tries > 0 && d.r.Retry.Marks})
+		Slots: float64(a.Slots), Again: j.tries > 0 && d.r.Retry.MarksRetries})
 }
 
 // due is the end of a client's patience.
@@ -293,7 +293,7 @@
 	case !fresh:
 		r.after(0, written)
 	case !ok || b.silent: // no connection comes up
-		r.after(r.Connect, func() { d.outcome(a, balance.ConnectFailed) })
+		r.after(r.ConnectTimeout, func() { d.outcome(a, balance.ConnectFailed) })
 	case !b.up, b.kind.Connections > 0 && b.conns >= b.kind.Connections:
 		r.after(to+back, func() { d.outcome(a, balance.ConnectFailed) })
 	default:
@@ -386,9 +386,9 @@
 	r, life := d.r, d.life
 	r.result.Lists++
 	r.result.MostLists = max(r.result.MostLists, r.calls.count(r.now))
-	if r.ListWithin > 0 && r.discovery-r.now > r.ListWithin {
+	if r.ListTimeout > 0 && r.discovery-r.now > r.ListTimeout {
 		r.result.ListsLate++
-		r.after(r.ListWithin, func() {
+		r.after(r.ListTimeout, func() {
 			if !d.dead && d.life == life {
 				d.policy.List(d.clock(), balance.ListFailed, nil)
 			}
--- a/sim/policies.go
+++ b/sim/policies.go
@@ -12,7 +12,7 @@
 // ready and that this policy may use, and waits for nothing. It is tried once; what is turned away is refused.
 //
 // own counts the policy's own jobs that are out at each of the ready boxes.
-func Plain(choose func(rng *rand.Rand, turn int, ready []balance.Worker, own func(balance.WorkerID) int) balance.WorkerID) func(balance.Settings, uint64, balance.Actions) Policy {
+func SimplePolicy(choose func(rng *rand.Rand, turn int, ready []balance.Worker, own func(balance.WorkerID) int) balance.WorkerID) func(balance.Settings, uint64, balance.Actions) Policy {
 	return func(s balance.Settings, seed uint64, do balance.Actions) Policy {
 		first := 0 // dispatchers that all began with the same box would go round together
 		if s.Dispatchers > 0 {
@@ -56,18 +56,18 @@
 var PolicyNames = []string{"module", "members", "random", "rounds", "two-choices", "late-truth"}
 
 // PolicyNamed returns a policy by its name; nil: there is none.
-func PolicyNamed(name string) func(balance.Settings, uint64, balance.Actions) Policy {
+func PolicyByName(name string) func(balance.Settings, uint64, balance.Actions) Policy {
 	switch name {
 	case "module", "members": // the second is told who lives: World.Members
 		return Module
 	case "random":
-		return Plain(Random)
+		return SimplePolicy(Random)
 	case "rounds":
-		return Plain(RoundRobin)
+		return SimplePolicy(RoundRobin)
 	case "two-choices":
-		return Plain(TwoChoices)
+		return SimplePolicy(TwoChoices)
 	case "late-truth":
-		return LateTruth
+		return DelayedOracle
 	}
 	return nil
 }
@@ -75,7 +75,7 @@
 // LateTruth is a policy that no dispatcher can have: it sees how many jobs every box holds, half a second late, and adds
 // what it sent itself since. Each job goes where it has the least before it, of a few drawn: were all looked at, hundreds of
 // dispatchers would choose the same box until the looks show it. It does not see what fails.
-func LateTruth(_ balance.Settings, seed uint64, do balance.Actions) Policy {
+func DelayedOracle(_ balance.Settings, seed uint64, do balance.Actions) Policy {
 	d := do.(*dispatcher)
 	d.r.look()
 	p := &lateTruth{d: d, sent: make([][]time.Duration, len(d.r.boxes))}
--- a/sim/result.go
+++ b/sim/result.go
@@ -134,10 +134,10 @@
 // worth is what a job is worth.
 func (w *World) worth(a *Arrival) float64 {
 	worth := w.Classes[a.Class].Value
-	if w.ByWork {
+	if w.ValuePerWork {
 		worth *= a.Work
 	}
-	if a.Over {
+	if a.OverQuota {
 		worth *= w.Goal.OverShare
 	}
 	return worth
@@ -173,7 +173,7 @@
 	w.ByStation[a.Station].Asked += worth
 	c.Asked += worth
 	r.result.work += a.Work
-	if a.Tenant < len(r.result.Tenants) && !a.Over {
+	if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
 		r.result.Tenants[a.Tenant].Asked += worth
 	}
 	r.open++
@@ -182,9 +182,9 @@
 
 // patience is until when a client waits for a try that it sends now.
 func (r *run) patience(a *Arrival) time.Duration {
-	end := a.At + a.Left
-	if r.Retry.Each > 0 {
-		end = min(end, r.now+r.Retry.Each)
+	end := a.At + a.Timeout
+	if r.Retry.TryTimeout > 0 {
+		end = min(end, r.now+r.Retry.TryTimeout)
 	}
 	return end
 }
@@ -252,12 +252,12 @@
 func (r *run) ended(j *job, end End, wait time.Duration) {
 	a := &r.Arrivals[j.arrival]
 	class := &r.Classes[j.class]
-	if end != Served && j.tries < r.Retry.Most && (end == Refused || class.Effect != balance.Unsafe) {
+	if end != Served && j.tries < r.Retry.MaxRetries && (end == Refused || class.Effect != balance.Unsafe) {
 		pause := r.Retry.Pause << j.tries
-		if r.Retry.Advice && end == Refused {
+		if r.Retry.HonorsRetryAfter && end == Refused {
 			pause = max(pause, wait)
 		}
-		if r.now+pause < a.At+a.Left {
+		if r.now+pause < a.At+a.Timeout {
 			next := &job{arrival: j.arrival, class: j.class, work: j.work, tries: j.tries + 1}
 			r.after(pause, func() {
 				next.end = r.patience(a)
@@ -268,8 +268,8 @@
 	}
 	r.open--
 	r.result.Ended = r.now
-	if r.Ended != nil {
-		r.Ended(j.arrival, r.now, end)
+	if r.OnJobEnd != nil {
+		r.OnJobEnd(j.arrival, r.now, end)
 	}
 	c := &r.result.Classes[j.class]
 	switch took := r.now - a.At; end {
@@ -284,7 +284,7 @@
 			r.result.late += r.worth(a)
 		}
 		c.Earned += worth
-		if a.Tenant < len(r.result.Tenants) && !a.Over {
+		if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
 			r.result.Tenants[a.Tenant].Earned += worth
 		}
 		w := r.windowOf(a.At)
@@ -372,7 +372,7 @@
 		}
 	}
 	switch f.Effect {
-	case BoxDies:
+	case BoxCrash:
 		r.boxes[f.Target].die(false, f.For)
 	case BoxVanishes:
 		r.boxes[f.Target].die(true, f.For)
@@ -383,21 +383,21 @@
 		r.after(f.For, func() { r.pace(1 / f.Factor) })
 	case StationBoxes:
 		each(f.Target, func(b *box) { b.die(true, f.For) })
-	case StationUsers:
+	case StationClients:
 		r.silent[f.Target]++
 		r.after(f.For, func() { r.silent[f.Target]-- })
-	case StationLinks:
+	case StationPartition:
 		r.cut[f.Target]++
 		r.after(f.For, func() { r.cut[f.Target]-- })
-	case Dispatcher:
+	case DispatcherCrash:
 		r.dispatchers[f.Target].die(f.For)
-	case DispatcherEnds:
+	case DispatcherShutdown:
 		r.dispatchers[f.Target].leave(f.For)
 	case BoxStalls:
 		r.boxes[f.Target].stall(f.For)
-	case BoxSilent:
+	case BoxPartition:
 		r.boxes[f.Target].hush(f.For)
-	case ListMoves:
+	case DiscoveryMoves:
 		for _, d := range r.dispatchers {
 			life := d.life
 			r.after(time.Duration(r.network.Float64()*float64(time.Second)), func() {
@@ -406,13 +406,13 @@
 				}
 			})
 		}
-	case ListsLate:
+	case ListsDelayed:
 		r.late *= f.Factor
 		r.after(f.For, func() { r.late /= f.Factor })
-	case Resets:
+	case ConnectionResets:
 		r.resets += f.Factor
 		r.after(f.For, func() { r.resets = max(0, r.resets-f.Factor) })
-	case AnswersLost:
+	case RepliesLost:
 		r.unheard += f.Factor
 		r.after(f.For, func() { r.unheard = max(0, r.unheard-f.Factor) })
 	}
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -50,12 +50,12 @@
 	Crowding float64
 	// ColdFrom is the share of its speed that a box starts at, and ColdFor how long it is cold; 0: as the rules say, which is the worst
 	// that they allow.
-	ColdFrom float64
-	ColdFor  time.Duration
+	ColdSpeed  float64
+	WarmUpTime time.Duration
 	// Every so often, in the mean, a box stands still for some time; 0: never.
 	StallEvery, StallFor time.Duration
 	// RunsOn says that work that was begun goes on when it is withdrawn; what waits leaves the queue all the same.
-	RunsOn bool
+	IgnoresCancel bool
 }
 
 // Box is one box.
@@ -66,9 +66,9 @@
 	Cell    int
 	Speed   float64 // of this one; 0: drawn from its kind
 	// Joins is when it is first there, cold; 0: from the beginning.
-	Joins time.Duration
+	JoinsAt time.Duration
 	// Errs is the share of its jobs that end in an error, when their work is done.
-	Errs float64
+	ErrorShare float64
 }
 
 // Class is a class of jobs: what the module is told, and what the jobs are like.
@@ -92,10 +92,10 @@
 // Report is the word on its load that a box adds to what ends an attempt and to the answer to a probe. It shows the box as it
 // was when it last looked, and what it looks at takes a while to be seen.
 type Report struct {
-	Fields []string      // in their order: free slots, queue, latency_ms, eps, util
-	Every  time.Duration // between two looks
-	Delay  time.Duration
-	Noise  float64 // standard deviation of each value over itself
+	Fields   []string      // in their order: free slots, queue, latency_ms, eps, util
+	Interval time.Duration // between two looks
+	Delay    time.Duration
+	Noise    float64 // standard deviation of each value over itself
 }
 
 // Goal is what a day's figure is made of: its parts, and what is taken off it for what is done on the way, as a share of what was asked for.
@@ -111,30 +111,30 @@
 	StartCapacity  float64       // share of its speed at which a box starts
 	WarmWithin     time.Duration
 	OverloadFactor float64       // work sent to a cold box beyond so many times what it can do,
-	FallTime       time.Duration // within so long, and it falls over
+	OverloadTime   time.Duration // within so long, and it falls over
 	RestartAfter   time.Duration // of a box that fell over, and of one that died if it comes back
 }
 
 // Arrival is one job of a client, as if nothing held it up.
 type Arrival struct {
-	At      time.Duration
-	Class   int
-	Station int // of the client
-	Tenant  int
-	Work    float64 // seconds at speed 1
-	Hint    time.Duration
-	Left    time.Duration // how long the client waits in all
-	Slots   int           // that it takes while it runs; 0: one
-	Over    bool          // beyond its tenant's share
+	At        time.Duration
+	Class     int
+	Station   int // of the client
+	Tenant    int
+	Work      float64 // seconds at speed 1
+	Hint      time.Duration
+	Timeout   time.Duration // how long the client waits in all
+	Slots     int           // that it takes while it runs; 0: one
+	OverQuota bool          // beyond its tenant's share
 }
 
 // Retry is what clients do when a job is refused or fails. An unsafe job that failed is never tried again by a client.
 type Retry struct {
-	Most  int           // tries beyond the first
-	Pause time.Duration // before the first of them, twice as long before each further one
-	Each  time.Duration // how long a client waits for one try; 0: as long as for all
+	MaxRetries int           // tries beyond the first
+	Pause      time.Duration // before the first of them, twice as long before each further one
+	TryTimeout time.Duration // how long a client waits for one try; 0: as long as for all
 	// Advice says that clients stay away as long as they are told to, and Marks that they mark what they send again.
-	Advice, Marks bool
+	HonorsRetryAfter, MarksRetries bool
 }
 
 // Effect is what a fault does.
@@ -142,22 +142,22 @@
 
 // The effects.
 const (
-	BoxDies        Effect = iota // its connections are reset; it comes back cold after For
-	BoxVanishes                  // it says nothing; it comes back cold after For
-	BoxDrains                    // discovery tells, it finishes what it has, restarts, and comes back cold after For
-	BoxesSlow                    // every box runs at Factor of its speed for For
-	StationBoxes                 // all boxes of a station vanish for For and come back cold
-	StationUsers                 // a station's clients send nothing for For
-	StationLinks                 // nothing passes between a station and the others for For
-	Burst                        // arrivals come Factor times as often; to be worked into the arrivals by who makes them
-	Dispatcher                   // one dies; its clients go to another of their station after Rules.RestartAfter, or fail
-	DispatcherEnds               // one is restarted as planned: it gets no new jobs, has 3.7 s for those it holds, and is back For later
-	BoxSilent                    // one is not heard of for For, and nothing reaches it; what it runs goes on
-	ListMoves                    // discovery moves: every dispatcher calls anew
-	ListsLate                    // discovery tells Factor times as late for For
-	Resets                       // for For, this Factor of the requests have their connection reset and run all the same
-	AnswersLost                  // for For, this Factor of the ends is never heard of
-	BoxStalls                    // one stands still for For: it takes jobs, and nothing comes of them, nor of probes
+	BoxCrash           Effect = iota // its connections are reset; it comes back cold after For
+	BoxVanishes                      // it says nothing; it comes back cold after For
+	BoxDrains                        // discovery tells, it finishes what it has, restarts, and comes back cold after For
+	BoxesSlow                        // every box runs at Factor of its speed for For
+	StationBoxes                     // all boxes of a station vanish for For and come back cold
+	StationClients                   // a station's clients send nothing for For
+	StationPartition                 // nothing passes between a station and the others for For
+	Burst                            // arrivals come Factor times as often; to be worked into the arrivals by who makes them
+	DispatcherCrash                  // one dies; its clients go to another of their station after Rules.RestartAfter, or fail
+	DispatcherShutdown               // one is restarted as planned: it gets no new jobs, has 3.7 s for those it holds, and is back For later
+	BoxPartition                     // one is not heard of for For, and nothing reaches it; what it runs goes on
+	DiscoveryMoves                   // discovery moves: every dispatcher calls anew
+	ListsDelayed                     // discovery tells Factor times as late for For
+	ConnectionResets                 // for For, this Factor of the requests have their connection reset and run all the same
+	RepliesLost                      // for For, this Factor of the ends is never heard of
+	BoxStalls                        // one stands still for For: it takes jobs, and nothing comes of them, nor of probes
 )
 
 // Fault is something that goes wrong.
@@ -180,32 +180,32 @@
 	Rules       Rules
 	Dispatchers []int // the station of each
 	// Shares are how much traffic each dispatcher gets beside the others of its station; nil: all alike.
-	Shares     []float64
-	Arrivals   []Arrival
-	Retry      Retry
-	Faults     []Fault
-	Lag        time.Duration // from a change until discovery tells it
-	SilentLag  time.Duration // the same of a box that vanished or hangs; 0: as any
-	Pushed     bool          // lists come to all dispatchers by themselves
-	Untold     bool          // boxes do not tell when a job begins
-	Progress   time.Duration // from a job's beginning on they tell so often how far it is; 0: never
-	Report     *Report       // nil: boxes report nothing
-	Tenants    []Tenant
-	Goal       Goal
-	ListTime   time.Duration    // discovery's work for one call, which are done in turn
-	ListWithin time.Duration    // a call that would wait longer fails then; 0: none does
-	Connect    time.Duration    // time-out of a connection
-	Handshake  int              // round trips until a new connection carries a request; 0: one
-	ByWork     bool             // worth counts for each second of work, not for each job
-	Attempts   int              // at most, for each job
-	Settings   balance.Settings // what else the module is told; classes, rules and numbers are filled in
-	Policy     func(s balance.Settings, seed uint64, do balance.Actions) Policy
-	// Members is how long after a dispatcher's death or return the others go by who lives; 0: they go by the settings always.
-	Members time.Duration
-	End     time.Duration // the run ends when nothing is open any more, and then at the latest
-	Window  time.Duration // of the series in the result; 0: 10 s
+	Shares          []float64
+	Arrivals        []Arrival
+	Retry           Retry
+	Faults          []Fault
+	Lag             time.Duration // from a change until discovery tells it
+	UnresponsiveLag time.Duration // the same of a box that vanished or hangs; 0: as any
+	ListsPushed     bool          // lists come to all dispatchers by themselves
+	NoStartReports  bool          // boxes do not tell when a job begins
+	Progress        time.Duration // from a job's beginning on they tell so often how far it is; 0: never
+	Report          *Report       // nil: boxes report nothing
+	Tenants         []Tenant
+	Goal            Goal
+	ListTime        time.Duration    // discovery's work for one call, which are done in turn
+	ListTimeout     time.Duration    // a call that would wait longer fails then; 0: none does
+	ConnectTimeout  time.Duration    // time-out of a connection
+	Handshake       int              // round trips until a new connection carries a request; 0: one
+	ValuePerWork    bool             // worth counts for each second of work, not for each job
+	MaxAttempts     int              // at most, for each job
+	Settings        balance.Settings // what else the module is told; classes, rules and numbers are filled in
+	Policy          func(s balance.Settings, seed uint64, do balance.Actions) Policy
+	// MembershipDelay is how long after a dispatcher's death or return the others go by who lives; 0: they go by the settings always.
+	MembershipDelay time.Duration
+	End             time.Duration // the run ends when nothing is open any more, and then at the latest
+	Window          time.Duration // of the series in the result; 0: 10 s
 	// Ended, if it is set, is told of every job's end, by its place among the arrivals.
-	Ended func(arrival int, at time.Duration, end End)
+	OnJobEnd func(arrival int, at time.Duration, end End)
 }
 
 // Policy decides for one dispatcher. *balance.Dispatcher is the one that counts.
@@ -303,13 +303,13 @@
 		if b.Speed == 0 {
 			b.Speed = max(k.Speed*(1+k.Spread*speeds.NormFloat64()), k.Speed/10)
 		}
-		r.boxes = append(r.boxes, &box{Box: b, r: r, kind: k, id: balance.WorkerID(i + 1), phase: balance.Ready, up: b.Joins == 0})
+		r.boxes = append(r.boxes, &box{Box: b, r: r, kind: k, id: balance.WorkerID(i + 1), phase: balance.Ready, up: b.JoinsAt == 0})
 		r.result.Boxes = append(r.result.Boxes, BoxResult{Name: b.Name, Station: b.Station, Kind: b.Kind})
 	}
 	for i, b := range r.boxes {
 		b.result = &r.result.Boxes[i]
-		if b.Joins > 0 {
-			r.at(b.Joins, b.restart)
+		if b.JoinsAt > 0 {
+			r.at(b.JoinsAt, b.restart)
 		}
 	}
 	for i, station := range w.Dispatchers {
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -18,7 +18,7 @@
 	all := make([]Arrival, n)
 	for i := range all {
 		at += rng.ExpFloat64() / rate
-		all[i] = Arrival{At: time.Duration(at * 1e9), Work: work.Draw(size), Left: time.Hour}
+		all[i] = Arrival{At: time.Duration(at * 1e9), Work: work.Draw(size), Timeout: time.Hour}
 	}
 	return all
 }
@@ -27,7 +27,7 @@
 func oneBox(cores, slots int, arrivals []Arrival) *World {
 	return &World{Stations: 1, OneWay: [][]time.Duration{{0}}, Kinds: []Kind{{Cores: cores, Slots: slots, Queue: math.MaxInt32, Speed: 1}},
 		Boxes: []Box{{}}, Classes: []Class{{Class: balance.Class{TargetLatency: time.Hour, Value: 1, Kind: -1}}}, Dispatchers: []int{0}, Arrivals: arrivals,
-		Connect: time.Second, Attempts: 1, Policy: Plain(RoundRobin)}
+		ConnectTimeout: time.Second, MaxAttempts: 1, Policy: SimplePolicy(RoundRobin)}
 }
 
 // TestTheory holds the boxes against what is known exactly. Each figure is the mean over several seeds and must be within
@@ -101,9 +101,9 @@
 		second := stream(seed, "second")
 		var next []Arrival
 		sum := 0.0
-		first.Ended = func(i int, at time.Duration, _ End) {
+		first.OnJobEnd = func(i int, at time.Duration, _ End) {
 			sum += (at - first.Arrivals[i].At).Seconds()
-			next = append(next, Arrival{At: at, Work: exp.Draw(second), Left: time.Hour})
+			next = append(next, Arrival{At: at, Work: exp.Draw(second), Timeout: time.Hour})
 		}
 		Run(first, seed)
 		r := Run(oneBox(1, 1, next), seed)
@@ -138,7 +138,7 @@
 // deployment is a day of the size of the platform's: boxes of two kinds in five stations, three dispatchers.
 func deployment(seed uint64, boxes, dispatchers int, rate float64, span time.Duration) *World {
 	const stations = 5
-	w := &World{Stations: stations, Jitter: 0.2, Connect: 250 * time.Millisecond, Attempts: 4, Lag: time.Second, ListTime: 20 * time.Millisecond,
+	w := &World{Stations: stations, Jitter: 0.2, ConnectTimeout: 250 * time.Millisecond, MaxAttempts: 4, Lag: time.Second, ListTime: 20 * time.Millisecond,
 		Kinds: []Kind{{Name: "full", Cores: 2, Slots: 3, Queue: 4, Speed: 1, Spread: 0.1, Crowding: 0.3},
 			{Name: "slow", Cores: 2, Slots: 3, Queue: 4, Speed: 0.6, Spread: 0.1, Crowding: 0.3}},
 		Classes: []Class{
@@ -147,8 +147,8 @@
 			{Class: balance.Class{TargetLatency: 200 * time.Millisecond, RuntimeFactor: 2.5, Value: 10, LateValue: 0.2, Limit: 5 * time.Second, Kind: -1},
 				Work: Dist{0.5, Lognormal, 1}}},
 		Rules: Rules{DrainGrace: 500 * time.Millisecond, StartCapacity: 0.3, WarmWithin: 8 * time.Second, OverloadFactor: 2.5,
-			FallTime: 2 * time.Second, RestartAfter: 5 * time.Second},
-		Retry:    Retry{Most: 2, Pause: 100 * time.Millisecond, Advice: true},
+			OverloadTime: 2 * time.Second, RestartAfter: 5 * time.Second},
+		Retry:    Retry{MaxRetries: 2, Pause: 100 * time.Millisecond, HonorsRetryAfter: true},
 		Settings: balance.Settings{CrossZoneFee: 0.019, Tick: 2 * time.Millisecond, SecondCopies: true, MaxRetryAfter: time.Second}}
 	for i := range stations {
 		w.OneWay = append(w.OneWay, make([]time.Duration, stations))
@@ -176,7 +176,7 @@
 		}
 		work := w.Classes[c].Work.Draw(rng)
 		w.Arrivals = append(w.Arrivals, Arrival{At: time.Duration(at * 1e9), Class: c, Station: rng.IntN(stations), Work: work,
-			Hint: time.Duration(work * 1e9 * lognormal(rng, 0.3)), Left: 5 * time.Second})
+			Hint: time.Duration(work * 1e9 * lognormal(rng, 0.3)), Timeout: 5 * time.Second})
 	}
 }
 
@@ -197,7 +197,7 @@
 func TestSameSeedSameRun(t *testing.T) {
 	world := func() *World {
 		w := deployment(3, 16, 3, 20, 20*time.Second)
-		w.Faults = []Fault{{At: 5 * time.Second, Effect: BoxVanishes, Target: 2, For: 5 * time.Second}, {At: 8 * time.Second, Effect: Dispatcher, Target: 1, For: time.Second}}
+		w.Faults = []Fault{{At: 5 * time.Second, Effect: BoxVanishes, Target: 2, For: 5 * time.Second}, {At: 8 * time.Second, Effect: DispatcherCrash, Target: 1, For: time.Second}}
 		return w
 	}
 	procs := runtime.GOMAXPROCS(1)
@@ -220,10 +220,10 @@
 		t.Errorf("service %.3f with nothing wrong", base.Service)
 	}
 	for _, f := range []Fault{
-		{Effect: BoxDies, Target: 1, For: 5 * time.Second}, {Effect: BoxVanishes, Target: 1, For: 5 * time.Second},
+		{Effect: BoxCrash, Target: 1, For: 5 * time.Second}, {Effect: BoxVanishes, Target: 1, For: 5 * time.Second},
 		{Effect: BoxDrains, Target: 1, For: time.Second}, {Effect: BoxesSlow, Factor: 0.4, For: 10 * time.Second},
-		{Effect: StationBoxes, Target: 3, For: 8 * time.Second}, {Effect: StationUsers, Target: 3, For: 8 * time.Second},
-		{Effect: StationLinks, Target: 3, For: 8 * time.Second}, {Effect: Dispatcher, Target: 1, For: 2 * time.Second},
+		{Effect: StationBoxes, Target: 3, For: 8 * time.Second}, {Effect: StationClients, Target: 3, For: 8 * time.Second},
+		{Effect: StationPartition, Target: 3, For: 8 * time.Second}, {Effect: DispatcherCrash, Target: 1, For: 2 * time.Second},
 	} {
 		w := deployment(1, 16, 3, 20, 30*time.Second)
 		f.At = 10 * time.Second
@@ -294,19 +294,19 @@
 		}
 		return n
 	}
-	if r := play(Fault{At: 5 * time.Second, Effect: DispatcherEnds, Target: 1, For: time.Second}); failed(r) > 1 { // one may take over 3.7 s
+	if r := play(Fault{At: 5 * time.Second, Effect: DispatcherShutdown, Target: 1, For: time.Second}); failed(r) > 1 { // one may take over 3.7 s
 		t.Errorf("%d jobs lost by a planned end", failed(r))
 	}
-	if r := play(Fault{At: 5 * time.Second, Effect: BoxSilent, Target: 1, For: 2 * time.Second}); r.Boxes[1].Served == 0 || failed(r) > 12 {
+	if r := play(Fault{At: 5 * time.Second, Effect: BoxPartition, Target: 1, For: 2 * time.Second}); r.Boxes[1].Served == 0 || failed(r) > 12 {
 		t.Errorf("%d jobs failed by a box that was silent for 2 s", failed(r))
 	}
-	if r := play(Fault{At: 5 * time.Second, Effect: AnswersLost, Factor: 0.5, For: 2 * time.Second}); failed(r) == 0 {
+	if r := play(Fault{At: 5 * time.Second, Effect: RepliesLost, Factor: 0.5, For: 2 * time.Second}); failed(r) == 0 {
 		t.Error("half of the answers were lost for 2 s, and nobody missed one")
 	}
-	if r := play(Fault{At: 5 * time.Second, Effect: Resets, Factor: 0.5, For: 2 * time.Second}); failed(r) == 0 {
+	if r := play(Fault{At: 5 * time.Second, Effect: ConnectionResets, Factor: 0.5, For: 2 * time.Second}); failed(r) == 0 {
 		t.Error("half of the requests were reset for 2 s, and no unsafe job failed")
 	}
-	if r := play(Fault{At: 5 * time.Second, Effect: ListMoves}); r.Lists < 6 {
+	if r := play(Fault{At: 5 * time.Second, Effect: DiscoveryMoves}); r.Lists < 6 {
 		t.Errorf("%d calls at discovery by three dispatchers that had to call twice", r.Lists)
 	}
 }
--- a/sim/site/day.go
+++ b/sim/site/day.go
@@ -19,15 +19,15 @@
 //   - trouble: one of the site's troubles;
 //   - overload: the same, while more is asked for than all boxes can do;
 //   - big: the same at the size of the busiest days.
-var OwnDays = []string{"quiet", "trouble", "overload", "big"}
+var SiteDays = []string{"quiet", "trouble", "overload", "big"}
 
 // fleetDay is the length of a day of many dispatchers.
 const fleetDay = 25 * time.Second
 
 // The most dispatchers and boxes that Day makes a day of.
 const (
-	MostDispatchers = 1000
-	MostBoxes       = 1000
+	MaxDispatchers = 1000
+	MaxBoxes       = 1000
 )
 
 // Day draws a day. With no dispatchers or boxes given, one of the site's OwnDays is as large as the site's ranges say.
@@ -47,7 +47,7 @@
 //
 // On these one of the site's troubles comes as well: on calm days one that is no fault.
 func (s *Site) Day(day string, dispatchers, boxes int, seed uint64) (*sim.World, error) {
-	own := slices.Contains(OwnDays, day)
+	own := slices.Contains(SiteDays, day)
 	rng := sim.Stream(seed, "fleet-site")
 	span := func(r Range) time.Duration { return time.Duration(r.draw(rng) * 1e9) }
 	length := fleetDay
@@ -64,8 +64,8 @@
 		}
 		length = span(s.Length)
 	}
-	if dispatchers < 1 || dispatchers > MostDispatchers || boxes < s.Zones || boxes > MostBoxes {
-		return nil, fmt.Errorf("want 1 to %d dispatchers and %d to %d workers, not %d and %d", MostDispatchers, s.Zones, MostBoxes, dispatchers, boxes)
+	if dispatchers < 1 || dispatchers > MaxDispatchers || boxes < s.Zones || boxes > MaxBoxes {
+		return nil, fmt.Errorf("want 1 to %d dispatchers and %d to %d workers, not %d and %d", MaxDispatchers, s.Zones, MaxBoxes, dispatchers, boxes)
 	}
 	asked, discovery := !s.Discovery.Pushed, &s.Discovery
 	calls := 0.0
@@ -73,17 +73,17 @@
 		calls = max(discovery.Calls.draw(rng), float64(dispatchers)/3)
 	}
 	w := &sim.World{
-		Stations: s.Zones, Jitter: s.Network.Jitter.draw(rng), Lag: span(discovery.Lag), SilentLag: span(discovery.Silent), Pushed: !asked,
-		Connect: seconds(s.Network.Connect), Attempts: s.Rules.Attempts, Window: 5 * time.Second, End: length + 10*time.Second, ByWork: true,
-		Handshake: s.Network.Handshake.whole(rng), Untold: !s.TellsStart, Progress: seconds(s.Progress), Goal: s.goal(),
+		Stations: s.Zones, Jitter: s.Network.Jitter.draw(rng), Lag: span(discovery.Lag), UnresponsiveLag: span(discovery.Silent), ListsPushed: !asked,
+		ConnectTimeout: seconds(s.Network.Connect), MaxAttempts: s.Rules.Attempts, Window: 5 * time.Second, End: length + 10*time.Second, ValuePerWork: true,
+		Handshake: s.Network.Handshake.whole(rng), NoStartReports: !s.TellsStart, Progress: seconds(s.Progress), Goal: s.goal(),
 		Rules: sim.Rules{DrainGrace: seconds(s.Rules.DrainGrace), StartCapacity: s.Rules.StartCapacity, WarmWithin: seconds(s.Rules.WarmWithin),
-			OverloadFactor: s.Rules.OverloadFactor, FallTime: seconds(s.Rules.FallTime), RestartAfter: seconds(s.Rules.RestartAfter)},
+			OverloadFactor: s.Rules.OverloadFactor, OverloadTime: seconds(s.Rules.FallTime), RestartAfter: seconds(s.Rules.RestartAfter)},
 	}
 	if own {
 		w.Window, w.End = 10*time.Second, length+30*time.Second
 	}
 	if asked {
-		w.ListWithin = time.Second
+		w.ListTimeout = time.Second
 		if day == "herd" {
 			calls /= 3
 		}
@@ -98,16 +98,16 @@
 	for i, k := range s.Kinds {
 		errors[i] = k.Errors
 		w.Kinds = append(w.Kinds, sim.Kind{Name: k.Name, Cores: k.Cores, Slots: k.Slots, Queue: int(float64(k.Cores) * k.Queue.draw(rng)), Speed: k.Speed.draw(rng),
-			Spread: k.Spread.draw(rng), Connections: k.Connections, ColdFrom: k.ColdFrom.draw(rng), ColdFor: span(k.ColdFor),
-			StallEvery: span(k.StallEvery), StallFor: span(k.StallFor), RunsOn: runsOn})
+			Spread: k.Spread.draw(rng), Connections: k.Connections, ColdSpeed: k.ColdFrom.draw(rng), WarmUpTime: span(k.ColdFor),
+			StallEvery: span(k.StallEvery), StallFor: span(k.StallFor), IgnoresCancel: runsOn})
 	}
 	for _, c := range s.Classes {
 		w.Classes = append(w.Classes, sim.Class{Name: c.Name, Work: sim.Dist{Mean: c.Work.draw(rng), Shape: c.shape(), Spread: c.Spread.draw(rng)},
 			HintSpread: c.HintSpread, AttemptSpread: c.Attempts.draw(rng), Class: c.plain()})
 	}
-	w.Retry = sim.Retry{Most: s.Retry.Most.whole(rng), Pause: span(s.Retry.Pause), Advice: s.Retry.Advice, Marks: s.Retry.Marks}
+	w.Retry = sim.Retry{MaxRetries: s.Retry.Most.whole(rng), Pause: span(s.Retry.Pause), HonorsRetryAfter: s.Retry.Advice, MarksRetries: s.Retry.Marks}
 	if len(s.Report.Fields) > 0 {
-		w.Report = &sim.Report{Fields: s.Report.Fields, Every: span(s.Report.Every), Delay: span(s.Report.Delay), Noise: s.Report.Noise.draw(rng)}
+		w.Report = &sim.Report{Fields: s.Report.Fields, Interval: span(s.Report.Every), Delay: span(s.Report.Delay), Noise: s.Report.Noise.draw(rng)}
 	}
 	local, cross := span(s.Network.Local), span(s.Network.Crossing)
 	for i := range s.Zones {
@@ -141,7 +141,7 @@
 				n++
 			}
 		}
-		b.Cell, b.Errs = b.Station*MostBoxes+n/cell, errors[b.Kind].draw(rng)
+		b.Cell, b.ErrorShare = b.Station*MaxBoxes+n/cell, errors[b.Kind].draw(rng)
 		w.Boxes = append(w.Boxes, b)
 		speed += w.Kinds[b.Kind].Speed * float64(w.Kinds[b.Kind].Cores)
 	}
@@ -260,13 +260,13 @@
 		l.Heavy, l.Slow = t.Part.draw(rng), t.Size.draw(rng)
 	case "dispatchers":
 		for _, n := range struck(len(w.Dispatchers), t.Part) {
-			add(15*time.Second, sim.Dispatcher, n, 0, span(t.Len))
+			add(15*time.Second, sim.DispatcherCrash, n, 0, span(t.Len))
 		}
 	case "slow":
 		at, factor := span(early), 1/t.Size.draw(rng)
 		add(at, sim.BoxesSlow, 0, factor, span(t.Len))
 	case "crash", "hang":
-		at, d, effect := span(early), span(t.Len), sim.BoxDies
+		at, d, effect := span(early), span(t.Len), sim.BoxCrash
 		if t.Effect == "hang" {
 			effect = sim.BoxStalls
 		}
@@ -292,7 +292,7 @@
 			if b := &w.Boxes[n]; i%2 == 0 {
 				b.Speed = w.Kinds[b.Kind].Speed / 3
 			} else {
-				b.Errs = 0.3
+				b.ErrorShare = 0.3
 			}
 		}
 	}
@@ -302,7 +302,7 @@
 			at := from + time.Duration(i)*within/time.Duration(len(some))
 			w.Faults = append(w.Faults, sim.Fault{At: at, Effect: sim.BoxDrains, Target: n})
 			fresh := w.Boxes[n]
-			fresh.Name, fresh.Joins = fresh.Name+"-new", at+2*time.Second
+			fresh.Name, fresh.JoinsAt = fresh.Name+"-new", at+2*time.Second
 			w.Boxes = append(w.Boxes, fresh)
 		}
 	}
@@ -318,40 +318,40 @@
 		replace(order[:boxes/2], 4*time.Second, 14*time.Second)
 		for i, n := range rng.Perm(len(w.Dispatchers)) {
 			at := 3*time.Second + time.Duration(i*10/len(w.Dispatchers))*1800*time.Millisecond
-			w.Faults = append(w.Faults, sim.Fault{At: at, Effect: sim.DispatcherEnds, Target: n, For: time.Second})
+			w.Faults = append(w.Faults, sim.Fault{At: at, Effect: sim.DispatcherShutdown, Target: n, For: time.Second})
 		}
-		w.Faults = append(w.Faults, sim.Fault{At: 10 * time.Second, Effect: sim.ListMoves})
+		w.Faults = append(w.Faults, sim.Fault{At: 10 * time.Second, Effect: sim.DiscoveryMoves})
 	case "herd":
 		bad(order[boxes/2:])
 		release()
 		for _, n := range rng.Perm(len(w.Dispatchers))[:(7*len(w.Dispatchers)+9)/10] {
-			w.Faults = append(w.Faults, sim.Fault{At: 11 * time.Second, Effect: sim.Dispatcher, Target: n, For: time.Second})
+			w.Faults = append(w.Faults, sim.Fault{At: 11 * time.Second, Effect: sim.DispatcherCrash, Target: n, For: time.Second})
 		}
 	case "kill":
 		release()
 		for _, n := range rng.Perm(len(w.Dispatchers))[:(7*len(w.Dispatchers)+9)/10] {
-			w.Faults = append(w.Faults, sim.Fault{At: 2 * time.Second, Effect: sim.Dispatcher, Target: n})
+			w.Faults = append(w.Faults, sim.Fault{At: 2 * time.Second, Effect: sim.DispatcherCrash, Target: n})
 		}
 	case "zone":
 		bad(order)
 		lost := rng.IntN(zones)
 		w.Faults = append(w.Faults, sim.Fault{At: 7 * time.Second, Effect: sim.StationBoxes, Target: lost, For: 5 * time.Second},
-			sim.Fault{At: 14 * time.Second, Effect: sim.StationLinks, Target: (lost + 1 + rng.IntN(zones-1)) % zones, For: 4 * time.Second})
+			sim.Fault{At: 14 * time.Second, Effect: sim.StationPartition, Target: (lost + 1 + rng.IntN(zones-1)) % zones, For: 4 * time.Second})
 	case "split":
 		if rng.IntN(2) == 0 {
-			w.Faults = append(w.Faults, sim.Fault{At: 8 * time.Second, Effect: sim.StationLinks, Target: rng.IntN(zones), For: 6 * time.Second})
+			w.Faults = append(w.Faults, sim.Fault{At: 8 * time.Second, Effect: sim.StationPartition, Target: rng.IntN(zones), For: 6 * time.Second})
 		} else {
 			for _, n := range order[:boxes/5] {
-				w.Faults = append(w.Faults, sim.Fault{At: 8 * time.Second, Effect: sim.BoxSilent, Target: n, For: 6 * time.Second})
+				w.Faults = append(w.Faults, sim.Fault{At: 8 * time.Second, Effect: sim.BoxPartition, Target: n, For: 6 * time.Second})
 			}
 		}
-		w.Faults = append(w.Faults, sim.Fault{At: 8 * time.Second, Effect: sim.ListsLate, Factor: 4, For: 6 * time.Second},
-			sim.Fault{At: 8 * time.Second, Effect: sim.Resets, Factor: 0.02, For: 6 * time.Second},
-			sim.Fault{At: 8 * time.Second, Effect: sim.AnswersLost, Factor: 0.02, For: 6 * time.Second})
+		w.Faults = append(w.Faults, sim.Fault{At: 8 * time.Second, Effect: sim.ListsDelayed, Factor: 4, For: 6 * time.Second},
+			sim.Fault{At: 8 * time.Second, Effect: sim.ConnectionResets, Factor: 0.02, For: 6 * time.Second},
+			sim.Fault{At: 8 * time.Second, Effect: sim.RepliesLost, Factor: 0.02, For: 6 * time.Second})
 	case "join":
 		replace(order[:6*boxes/10], 6*time.Second, 5*time.Second)
 	default:
-		return fmt.Errorf("day %q: want one of %v or %v", day, FleetDays, OwnDays)
+		return fmt.Errorf("day %q: want one of %v or %v", day, FleetDays, SiteDays)
 	}
 	return nil
 }
@@ -403,19 +403,19 @@
 		}
 		a.Class = pick(l.Classes, rng.Float64())
 		c := &w.Classes[a.Class]
-		a.Left = c.Limit
+		a.Timeout = c.Limit
 		a.Work = c.Work.Draw(rng)
 		if x := rng.Float64(); a.Class == len(w.Classes)-1 && x < l.Heavy {
 			a.Work *= l.Slow
 		}
 		if rng.Float64() < l.Early {
-			a.Left = time.Second
+			a.Timeout = time.Second
 		}
 		if c.HintSpread >= 0 {
 			a.Hint = time.Duration(a.Work * math.Exp(c.HintSpread*rng.NormFloat64()) * 1e9)
 		}
 		if l.Leaves > 0 && rng.Float64() < l.Leaves {
-			a.Left = time.Duration(float64(a.Left) * rng.Float64())
+			a.Timeout = time.Duration(float64(a.Timeout) * rng.Float64())
 		}
 		if sizes := s.Classes[a.Class].Slots; len(sizes) > 1 {
 			x, n := rng.Float64(), 0
@@ -430,7 +430,7 @@
 				spent[i] = max(0, spent[i]-t.Quota*gap)
 			}
 			owed, quota := &spent[a.Tenant], w.Tenants[a.Tenant].Quota
-			if a.Over = *owed+a.Work > quota*quotaFor.Seconds()+mean; !a.Over {
+			if a.OverQuota = *owed+a.Work > quota*quotaFor.Seconds()+mean; !a.OverQuota {
 				*owed += a.Work
 			}
 		}
--- a/sim/site/site_test.go
+++ b/sim/site/site_test.go
@@ -35,9 +35,9 @@
 			starts, moves := n, 0
 			for _, f := range w.Faults {
 				switch f.Effect {
-				case sim.Dispatcher, sim.DispatcherEnds:
+				case sim.DispatcherCrash, sim.DispatcherShutdown:
 					starts++
-				case sim.ListMoves:
+				case sim.DiscoveryMoves:
 					moves += n // all call anew within a second, as the operators have them do
 				}
 			}
@@ -65,7 +65,7 @@
 	for _, bad := range []struct {
 		day                string
 		dispatchers, boxes int
-	}{{"feast", 80, 60}, {"zone", 0, 60}, {"zone", 80, 4}, {"zone", MostDispatchers + 1, 60}, {"zone", 80, MostBoxes + 1}} {
+	}{{"feast", 80, 60}, {"zone", 0, 60}, {"zone", 80, 4}, {"zone", MaxDispatchers + 1, 60}, {"zone", 80, MaxBoxes + 1}} {
 		if _, err := trinidad.Day(bad.day, bad.dispatchers, bad.boxes, 1); err == nil {
 			t.Errorf("%v is taken", bad)
 		}
@@ -84,8 +84,8 @@
 		return m
 	}
 	for day, want := range map[string]map[sim.Effect]int{
-		"calm": {}, "roll": {sim.BoxDrains: boxes / 2, sim.DispatcherEnds: n, sim.ListMoves: 1}, "herd": {sim.BoxDrains: boxes / 2},
-		"zone": {sim.StationBoxes: 1, sim.StationLinks: 1}, "kill": {sim.BoxDrains: boxes / 2, sim.Dispatcher: 42}, "split": {sim.ListsLate: 1, sim.Resets: 1, sim.AnswersLost: 1}, "join": {sim.BoxDrains: 6 * boxes / 10},
+		"calm": {}, "roll": {sim.BoxDrains: boxes / 2, sim.DispatcherShutdown: n, sim.DiscoveryMoves: 1}, "herd": {sim.BoxDrains: boxes / 2},
+		"zone": {sim.StationBoxes: 1, sim.StationPartition: 1}, "kill": {sim.BoxDrains: boxes / 2, sim.DispatcherCrash: 42}, "split": {sim.ListsDelayed: 1, sim.ConnectionResets: 1, sim.RepliesLost: 1}, "join": {sim.BoxDrains: 6 * boxes / 10},
 	} {
 		for seed := range uint64(6) {
 			w, err := trinidad.Day(day, n, boxes, seed)
@@ -98,7 +98,7 @@
 					t.Errorf("%s, seed %d: effect %d comes %d times, want %d", day, seed, e, got[e], c)
 				}
 			}
-			if day == "herd" && got[sim.Dispatcher] < 42 || day == "split" && got[sim.StationLinks] == 0 && got[sim.BoxSilent] != boxes/5 || day == "calm" && len(got) > 0 {
+			if day == "herd" && got[sim.DispatcherCrash] < 42 || day == "split" && got[sim.StationPartition] == 0 && got[sim.BoxPartition] != boxes/5 || day == "calm" && len(got) > 0 {
 				t.Errorf("%s, seed %d: %v", day, seed, got)
 			}
 			least, most, sum := 1e9, 0.0, 0.0
@@ -152,7 +152,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Policy = sim.PolicyNamed(name)
+		w.Policy = sim.PolicyByName(name)
 		service[name] = sim.Run(w, 3).Service
 	}
 	for _, name := range []string{"random", "rounds", "two-choices"} {
@@ -163,7 +163,7 @@
 	if service["late-truth"] < service["random"] {
 		t.Errorf("seeing the truth gives %.3f, choosing at random %.3f", service["late-truth"], service["random"])
 	}
-	if sim.PolicyNamed("best") != nil {
+	if sim.PolicyByName("best") != nil {
 		t.Error("a policy that there is not")
 	}
 }
@@ -173,7 +173,7 @@
 func TestSites(t *testing.T) {
 	for _, name := range Names {
 		s := load1(t, name)
-		for _, day := range OwnDays {
+		for _, day := range SiteDays {
 			w, err := s.Day(day, 0, 0, 3)
 			if err != nil {
 				t.Fatal(err)
@@ -186,12 +186,12 @@
 			if offered != ends || offered < 500 || r.Duplicates > 0 || r.Breaches > 0 || r.G > r.Service+1e-9 && r.G > 1 {
 				t.Errorf("%s, %s: %d jobs offered, %d ended, %d duplicates, %d breaches, G %.3f", name, day, offered, ends, r.Duplicates, r.Breaches, r.G)
 			}
-			if s.Discovery.Pushed != (r.Lists == 0) || w.Untold == s.TellsStart || (w.Report == nil) != (len(s.Report.Fields) == 0) {
-				t.Errorf("%s, %s: %d calls at discovery, starts untold %v, reports %v", name, day, r.Lists, w.Untold, w.Report)
+			if s.Discovery.Pushed != (r.Lists == 0) || w.NoStartReports == s.TellsStart || (w.Report == nil) != (len(s.Report.Fields) == 0) {
+				t.Errorf("%s, %s: %d calls at discovery, starts untold %v, reports %v", name, day, r.Lists, w.NoStartReports, w.Report)
 			}
 			over := 0
 			for _, a := range w.Arrivals {
-				if a.Over {
+				if a.OverQuota {
 					over++
 				}
 			}
@@ -209,7 +209,7 @@
 		effect string
 		want   sim.Effect
 		least  int
-	}{{"crash", sim.BoxDies, 1}, {"hang", sim.BoxStalls, 1}, {"pauses", sim.BoxStalls, 10}, {"slow", sim.BoxesSlow, 1}} {
+	}{{"crash", sim.BoxCrash, 1}, {"hang", sim.BoxStalls, 1}, {"pauses", sim.BoxStalls, 10}, {"slow", sim.BoxesSlow, 1}} {
 		one := *s
 		one.Troubles = nil
 		for _, x := range s.Troubles {
