--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -24,7 +24,7 @@
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	writer := bufio.NewWriterSize(out, 1<<16)
-	host := host{dispatchers: map[uint32]*balance.Dispatcher{}, sheets: map[uint32][]balance.Worker{}}
+	host := host{dispatchers: map[uint32]*balance.Dispatcher{}, workerLists: map[uint32][]balance.Worker{}}
 	for {
 		batch, err := reader.Read()
 		if err == io.EOF {
@@ -51,7 +51,7 @@
 // host holds the dispatchers by instance. They share the sheets as they came over the wire and nothing else.
 type host struct {
 	dispatchers map[uint32]*balance.Dispatcher
-	sheets      map[uint32][]balance.Worker
+	workerLists map[uint32][]balance.Worker
 	reply       wire.Reply
 }
 
@@ -63,7 +63,7 @@
 	}()
 	switch ev.Code {
 	case wire.EvList:
-		h.sheets[ev.Sheet] = ev.Entries
+		h.workerLists[ev.Sheet] = ev.Entries
 		return nil
 	case wire.EvUp:
 		settings, err := config.ParseSettings(ev.Data)
@@ -87,7 +87,7 @@
 	case wire.EvTimer:
 		d.Timer(b.Now, ev.Seed)
 	case wire.EvRegistry:
-		d.List(b.Now, ev.Form, h.sheets[ev.Sheet])
+		d.List(b.Now, ev.Form, h.workerLists[ev.Sheet])
 	case wire.EvNote:
 		if ev.Note == 1 {
 			d.Started(b.Now, o.Job, o.Attempt)
--- a/plan/captured.go
+++ b/plan/captured.go
@@ -54,7 +54,7 @@
 
 // speeds fits speeds by kind and what boxes do just after a start. It takes jobs to be alike on all kinds. Kinds without a
 // speed get the one that is fitted, against the first kind by name that has one, or against the fastest.
-func (f *Fleet) speeds(h capture.Header, records []capture.Record) []Speed {
+func (f *Fleet) fitSpeeds(h capture.Header, records []capture.Record) []Speed {
 	warm, fresh := map[string][]float64{}, map[string][]float64{}
 	for _, r := range records {
 		for _, a := range r.Attempts {
@@ -116,14 +116,14 @@
 		}
 		return ""
 	}
-	speeds := f.speeds(h, records)
+	speeds := f.fitSpeeds(h, records)
 	for _, k := range slices.Sorted(maps.Keys(f.Kinds)) {
 		if f.Kinds[k].Speed == 0 {
 			return nil, nil, fmt.Errorf("kinds.%s.speed: not given, and no runs on that kind were captured to fit it from", k)
 		}
 	}
-	works := map[string][]float64{}
-	fits := map[string]*Fitted{}
+	workByClass := map[string][]float64{}
+	fitByClass := map[string]*Fitted{}
 	work := func(r capture.Record) float64 {
 		for _, a := range r.Attempts {
 			if k, ok := f.Kinds[name(h.Kinds, a.Kind)]; ok && a.Status == uint8(balance.OK) && a.Began >= 0 && a.Ended > a.Began {
@@ -134,20 +134,20 @@
 	}
 	for _, r := range records {
 		class := name(h.Classes, r.Class)
-		fit := fits[class]
+		fit := fitByClass[class]
 		if fit == nil {
 			fit = &Fitted{Class: class}
-			fits[class] = fit
+			fitByClass[class] = fit
 		}
 		fit.Records++
 		if w := work(r); w > 0 {
-			works[class] = append(works[class], w)
+			workByClass[class] = append(workByClass[class], w)
 		}
 	}
 	var all []sim.Arrival
 	for _, r := range records {
 		class := name(h.Classes, r.Class)
-		c, fit := slices.Index(classes, class), fits[class]
+		c, fit := slices.Index(classes, class), fitByClass[class]
 		station := max(slices.Index(stations, name(h.Zones, r.Zone)), 0)
 		if c < 0 || r.Again {
 			fit.Skipped++
@@ -157,8 +157,8 @@
 		if w == 0 {
 			w = time.Duration(r.Hint).Seconds()
 		}
-		if w == 0 && len(works[class]) > 0 {
-			w = stat.Mean(works[class], nil)
+		if w == 0 && len(workByClass[class]) > 0 {
+			w = stat.Mean(workByClass[class], nil)
 		}
 		if w == 0 {
 			w = time.Duration(f.Classes[class].Work.Mean).Seconds()
@@ -169,21 +169,21 @@
 	if len(all) == 0 {
 		return nil, nil, fmt.Errorf("none of the %d records is of a class that the fleet has", len(records))
 	}
-	press := float64(len(records)) / float64(int64(len(records))+dropped)
+	compression := float64(len(records)) / float64(int64(len(records))+dropped)
 	for i := range all {
-		all[i].At = time.Duration(float64(all[i].At) * press)
+		all[i].At = time.Duration(float64(all[i].At) * compression)
 	}
 	f.captured = all
 	span := max(all[len(all)-1].At, time.Second)
 	f.Load.Rate, f.Load.Length, f.Load.Bursts = float64(len(all))/span.Seconds(), Duration(span), nil
 	var fitted []Fitted
 	for _, class := range classes {
-		fit := fits[class]
+		fit := fitByClass[class]
 		if fit == nil {
 			continue
 		}
-		if fit.Runs = len(works[class]); fit.Runs > 1 {
-			fit.Work = estimate(works[class])
+		if fit.Runs = len(workByClass[class]); fit.Runs > 1 {
+			fit.Work = estimate(workByClass[class])
 			c := f.Classes[class]
 			c.Work.Mean = Duration(fit.Work.Mean * float64(time.Second))
 			c.Mix = float64(fit.Records - fit.Skipped)
--- a/plan/fleet.go
+++ b/plan/fleet.go
@@ -48,7 +48,7 @@
 	Goals      Goals              `json:"goals"`
 
 	captured []sim.Arrival // in place of Load, where there are any
-	fits     bool          // captured load is to come
+	willFit  bool          // captured load is to come
 }
 
 // The parts of a Fleet.
@@ -141,21 +141,21 @@
 
 // LoadFleet reads a fleet file. A cuefile.Error tells of mistakes, a line each. Fits says that UseCaptured is to follow: then
 // speeds may be missing.
-func LoadFleet(path string, fits bool) (*Fleet, error) {
+func LoadFleet(path string, willFit bool) (*Fleet, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, text, fits)
+	return Parse(path, text, willFit)
 }
 
 // Parse reads a fleet; name stands for its file in errors.
-func Parse(name string, text []byte, fits bool) (*Fleet, error) {
+func Parse(name string, text []byte, willFit bool) (*Fleet, error) {
 	out, err := cuefile.CompileBy(schema, "#Fleet", name, text)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{fits: fits}
+	f := &Fleet{willFit: willFit}
 	if err := json.Unmarshal(out, f); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -164,13 +164,13 @@
 
 // check looks for what a schema cannot see.
 func (f *Fleet) check(name string, text []byte) error {
-	var wrong cuefile.Error
+	var mistakes cuefile.Error
 	add := func(field []string, format string, args ...any) {
 		at := filepath.Base(name)
 		if line := cuefile.Line(text, field...); line > 0 {
 			at += fmt.Sprint(":", line)
 		}
-		wrong = append(wrong, fmt.Sprintf("%s: %s: %s", at, strings.Join(field, "."), fmt.Sprintf(format, args...)))
+		mistakes = append(mistakes, fmt.Sprintf("%s: %s: %s", at, strings.Join(field, "."), fmt.Sprintf(format, args...)))
 	}
 	at := func(field ...string) []string { return field }
 	if len(f.Stations) == 0 {
@@ -195,7 +195,7 @@
 	if dispatchers == 0 && len(f.Stations) > 0 {
 		add(at("stations"), "want at least one dispatcher")
 	}
-	if f.captured == nil && !f.fits {
+	if f.captured == nil && !f.willFit {
 		for _, k := range slices.Sorted(maps.Keys(f.Kinds)) {
 			if f.Kinds[k].Speed == 0 {
 				add(at("kinds", k, "speed"), "want a number, as no captured load is there to fit it from")
@@ -214,8 +214,8 @@
 			add(at("goals", "inTime", c), "want a class that classes has")
 		}
 	}
-	if len(wrong) > 0 {
-		return wrong
+	if len(mistakes) > 0 {
+		return mistakes
 	}
 	return nil
 }
@@ -259,7 +259,7 @@
 }
 
 // loadOf is the part of the load that a station's clients send.
-func (f *Fleet) loadOf(station string) float64 {
+func (f *Fleet) loadShare(station string) float64 {
 	sum := 0.0
 	for _, s := range f.Stations {
 		sum += s.Load
@@ -370,11 +370,11 @@
 				Effect: effects[c.Effect], Window: time.Duration(c.Window), Kind: -1}})
 	}
 	w.Arrivals = f.arrivals(w, seed, factor)
-	w.End = f.length() + 30*time.Second
+	w.End = f.dayLength() + 30*time.Second
 	return w
 }
 
-func (f *Fleet) length() time.Duration { return time.Duration(f.Load.Length) }
+func (f *Fleet) dayLength() time.Duration { return time.Duration(f.Load.Length) }
 
 // arrivals draws a day's jobs. Bursts and the load factor press the same jobs closer together.
 func (f *Fleet) arrivals(w *sim.World, seed uint64, factor float64) []sim.Arrival {
@@ -409,7 +409,7 @@
 	for _, s := range stations {
 		load = append(load, f.Stations[s].Load)
 	}
-	times, rest := sim.Stream(seed, "plan/arrivals"), sim.Stream(seed, "plan/jobs")
+	times, jobs := sim.Stream(seed, "plan/arrivals"), sim.Stream(seed, "plan/jobs")
 	var all []sim.Arrival
 	for at := 0.0; ; {
 		rate := f.Load.Rate * factor
@@ -419,14 +419,14 @@
 			}
 		}
 		at += times.ExpFloat64() / rate
-		if at >= f.length().Seconds() || len(all) >= 5_000_000 {
+		if at >= f.dayLength().Seconds() || len(all) >= 5_000_000 {
 			return all
 		}
-		c := pick(rest, mix)
+		c := pick(jobs, mix)
 		class := w.Classes[c]
-		work := class.Work.Draw(rest)
-		a := sim.Arrival{At: time.Duration(at * 1e9), Class: c, Station: pick(rest, load), Work: work, Timeout: class.Limit}
-		if off := rest.NormFloat64(); class.HintSpread >= 0 {
+		work := class.Work.Draw(jobs)
+		a := sim.Arrival{At: time.Duration(at * 1e9), Class: c, Station: pick(jobs, load), Work: work, Timeout: class.Limit}
+		if off := jobs.NormFloat64(); class.HintSpread >= 0 {
 			a.Hint = time.Duration(work * math.Exp(class.HintSpread*off) * 1e9)
 		}
 		all = append(all, a)
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -47,17 +47,17 @@
 		c := f.Classes[name]
 		add("boxes' cores", name+" alone", f.Load.Rate*c.Mix/max(mix, 1e-12)*time.Duration(c.Work.Mean).Seconds()/max(f.capacity(""), 1e-12), false)
 	}
-	dispatchers, homeless := 0, 0.0
+	dispatchers, withoutDispatcher := 0, 0.0
 	for _, s := range stations {
 		if n := f.Stations[s].Dispatchers; n > 0 {
 			dispatchers += n
 		} else {
-			homeless += f.loadOf(s) // of clients that go to others' dispatchers, to all alike
+			withoutDispatcher += f.loadShare(s) // of clients that go to others' dispatchers, to all alike
 		}
 	}
 	speed := f.capacity("") / max(f.cores(), 1)
 	for _, s := range stations {
-		share := f.loadOf(s)
+		share := f.loadShare(s)
 		if own := f.capacity(s); own > 0 || share > 0 {
 			add("the station's own boxes", s, work*share/max(own, 1e-12), false)
 		}
@@ -66,7 +66,7 @@
 		if d == 0 {
 			continue
 		}
-		rate = rate/float64(d) + f.Load.Rate*homeless/float64(dispatchers)
+		rate = rate/float64(d) + f.Load.Rate*withoutDispatcher/float64(dispatchers)
 		add("a dispatcher's CPU", s, rate*time.Duration(f.Dispatcher.CPUPerJob).Seconds()/f.Dispatcher.Cores, true)
 		// A client holds its connection while its job is open; a quarter of the descriptors are for hosts.
 		open := rate * (f.work()/max(speed, 1e-12) + 2*time.Duration(f.Network.Crossing).Seconds())
@@ -134,7 +134,7 @@
 )
 
 // against compares an estimate with a least value.
-func (e Estimate) against(goal float64) Verdict {
+func (e Estimate) verdict(goal float64) Verdict {
 	switch {
 	case e.Mean-e.Half >= goal:
 		return Met
@@ -174,11 +174,11 @@
 }
 
 // change makes a day of a kind of a world, such as one on which a station goes dark.
-type change func(w *sim.World)
+type worldChange func(w *sim.World)
 
 // Judge plays days of a fleet at a load factor until each goal is decided, or Most is reached. The days are those of the same
 // seeds for every fleet, so that two fleets differ by what they are alone.
-func (p *Planner) Evaluate(ctx context.Context, name string, f *Fleet, factor float64, with change) (Outcome, error) {
+func (p *Planner) Evaluate(ctx context.Context, name string, f *Fleet, factor float64, with worldChange) (Outcome, error) {
 	o := Outcome{Name: name, Factor: factor, Boxes: f.Boxes()}
 	var days []*sim.Result
 	for n := max(p.MinDays, 2); ; n = min(2*n, p.MaxDays) {
@@ -203,7 +203,7 @@
 			return o, err
 		}
 		days = append(days, more...)
-		p.sum(&o, f, days)
+		p.summarize(&o, f, days)
 		if o.Verdict != Undecided || n >= p.MaxDays {
 			if p.OnOutcome != nil {
 				p.OnOutcome(o)
@@ -214,7 +214,7 @@
 }
 
 // sum makes an outcome of days.
-func (p *Planner) sum(o *Outcome, f *Fleet, days []*sim.Result) {
+func (p *Planner) summarize(o *Outcome, f *Fleet, days []*sim.Result) {
 	stations, kinds, classes := f.Names()
 	var service, worst []float64
 	inTime := make([][]float64, len(classes))
@@ -262,21 +262,21 @@
 	}
 	o.Service, o.Worst10s = estimate(service), estimate(worst)
 	o.Verdict, o.Why = Met, "all goals are kept"
-	judge := func(what string, e Estimate, goal float64) {
+	checkGoal := func(what string, e Estimate, goal float64) {
 		if goal <= 0 {
 			return
 		}
-		v := e.against(goal)
+		v := e.verdict(goal)
 		if v == Met || o.Verdict == Missed || o.Verdict == v {
 			return
 		}
 		o.Verdict, o.Why = v, fmt.Sprintf("%s %.3f ± %.3f, wanted %.3f", what, e.Mean, e.Half, goal)
 	}
-	judge("service", o.Service, f.Goals.Service)
-	judge("the worst 10 s", o.Worst10s, f.Goals.Worst10s)
+	checkGoal("service", o.Service, f.Goals.Service)
+	checkGoal("the worst 10 s", o.Worst10s, f.Goals.Worst10s)
 	for c, name := range classes {
 		o.InTime[name] = estimate(inTime[c])
-		judge(name+" in time", o.InTime[name], f.Goals.InTime[name])
+		checkGoal(name+" in time", o.InTime[name], f.Goals.InTime[name])
 	}
 	if o.Broken > 0 {
 		o.Verdict, o.Why = Missed, fmt.Sprint(o.Broken, " times a box was pushed over or a job ran twice")
@@ -308,7 +308,7 @@
 func (p *Planner) Plan(ctx context.Context) (*Answer, error) {
 	start := time.Now()
 	a := &Answer{Seed: p.Seed, Boxes: p.Fleet.Boxes(), Bounds: p.Fleet.Bounds()}
-	steps := []func(context.Context, *Answer) error{p.today, p.curve, p.tip, p.fewest, p.whatIf}
+	steps := []func(context.Context, *Answer) error{p.today, p.curve, p.tippingPoint, p.fewest, p.whatIf}
 	for _, step := range steps {
 		if err := step(ctx, a); err != nil {
 			if ctx.Err() == nil {
@@ -341,7 +341,7 @@
 }
 
 // tip finds the load factor at which the goals are missed first, and names what is fullest there.
-func (p *Planner) tip(ctx context.Context, a *Answer) error {
+func (p *Planner) tippingPoint(ctx context.Context, a *Answer) error {
 	if p.Fleet.Load.Rate <= 0 {
 		return nil
 	}
@@ -419,7 +419,7 @@
 		low = n
 	}
 	if high == 0 {
-		a.Fleet = "no fleet in these proportions keeps the goals: " + last.Why + a.forbids()
+		a.Fleet = "no fleet in these proportions keeps the goals: " + last.Why + a.limitBeyondBoxes()
 		return nil
 	}
 	unknown := false
@@ -445,7 +445,7 @@
 }
 
 // forbids names a limit that boxes do not lift.
-func (a *Answer) forbids() string {
+func (a *Answer) limitBeyondBoxes() string {
 	for _, l := range a.Bounds {
 		if l.Hard && l.Resource != "boxes' cores" && l.Use >= 0.9 {
 			return fmt.Sprintf("; %s in %s is %.0f%% used", l.Resource, l.Where, 100*l.Use)
@@ -457,9 +457,9 @@
 // whatIf loses each station, the largest boxes, and deploys.
 func (p *Planner) whatIf(ctx context.Context, a *Answer) error {
 	stations, _, _ := p.Fleet.Names()
-	third := p.Fleet.length() / 3
+	third := p.Fleet.dayLength() / 3
 	factor := 1.0
-	ask := func(name string, faults func(w *sim.World) []sim.Fault) error {
+	evaluate := func(name string, faults func(w *sim.World) []sim.Fault) error {
 		o, err := p.Evaluate(ctx, name, p.Fleet, factor, func(w *sim.World) { w.Faults = faults(w) })
 		if err == nil {
 			a.WhatIf = append(a.WhatIf, o)
@@ -478,7 +478,7 @@
 				}
 				return all
 			}
-			if err := ask(fmt.Sprintf("%s goes dark: %s", s, kind.name), faults); err != nil {
+			if err := evaluate(fmt.Sprintf("%s goes dark: %s", s, kind.name), faults); err != nil {
 				return err
 			}
 			if o := a.WhatIf[len(a.WhatIf)-1]; kind.name == "boxes" && o.Service.Mean < worst {
@@ -490,7 +490,7 @@
 		}
 	}
 	for k := 1; k <= min(3, a.Boxes-1); k++ {
-		if err := ask(fmt.Sprintf("the %d largest boxes vanish", k), func(w *sim.World) (all []sim.Fault) {
+		if err := evaluate(fmt.Sprintf("the %d largest boxes vanish", k), func(w *sim.World) (all []sim.Fault) {
 			order := make([]int, len(w.Boxes))
 			for i := range order {
 				order[i] = i
@@ -511,7 +511,7 @@
 	if factor = max(1, p.Fleet.Load.Busiest); factor > 1 {
 		name += fmt.Sprintf(" at load x %.2f", factor)
 	}
-	return ask(name, func(w *sim.World) (all []sim.Fault) {
+	return evaluate(name, func(w *sim.World) (all []sim.Fault) {
 		for i := range w.Boxes {
 			all = append(all, sim.Fault{At: third/2 + 2*third*time.Duration(i)/time.Duration(len(w.Boxes)), Effect: sim.BoxDrains, Target: i, For: time.Second})
 		}
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -39,7 +39,7 @@
 	return f
 }
 
-func judge(t *testing.T, f *Fleet, factor float64, with change) Outcome {
+func judge(t *testing.T, f *Fleet, factor float64, with worldChange) Outcome {
 	t.Helper()
 	p := Planner{Fleet: f, Seed: 1, MinDays: 4, MaxDays: 8}
 	o, err := p.Evaluate(context.Background(), "day", f, factor, with)
@@ -191,7 +191,7 @@
 func TestDark(t *testing.T) {
 	f := fleet(t, "")
 	f.Load.Rate = 38
-	dark := func(e sim.Effect) change {
+	dark := func(e sim.Effect) worldChange {
 		return func(w *sim.World) {
 			w.Faults = []sim.Fault{{At: 7 * time.Second, Effect: e, Target: 0, For: 6 * time.Second}}
 		}
--- a/plan/report.go
+++ b/plan/report.go
@@ -21,7 +21,7 @@
 	if a.Partial {
 		fmt.Fprintln(w, "PARTIAL: it was ended before all was answered.")
 	}
-	fmt.Fprintf(w, "%d boxes, %.1f jobs a second, %.0f s a day.\n\n", a.Boxes, f.Load.Rate, f.length().Seconds())
+	fmt.Fprintf(w, "%d boxes, %.1f jobs a second, %.0f s a day.\n\n", a.Boxes, f.Load.Rate, f.dayLength().Seconds())
 	for _, line := range a.Fitted {
 		fmt.Fprintln(w, line)
 	}
@@ -98,7 +98,7 @@
 }
 
 // across draws a level, such as a goal.
-func across(p *plot.Plot, from, to, y float64) error {
+func horizontalLine(p *plot.Plot, from, to, y float64) error {
 	l, err := plotter.NewLine(plotter.XYs{{X: from, Y: y}, {X: to, Y: y}})
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 	}
 	line.Color, points.Color = blue, blue
 	p.Add(area, line, points)
-	if err := across(p, a.Curve[0].Factor, a.Curve[len(a.Curve)-1].Factor, goal); err != nil {
+	if err := horizontalLine(p, a.Curve[0].Factor, a.Curve[len(a.Curve)-1].Factor, goal); err != nil {
 		return nil, err
 	}
 	if a.Next > 0 {
@@ -185,7 +185,7 @@
 	}
 	line.Color, marks.Color, bars.Color = blue, blue, blue
 	p.Add(line, marks, bars)
-	return p, across(p, points.XYs[0].X, points.XYs[len(points.XYs)-1].X, goal)
+	return p, horizontalLine(p, points.XYs[0].X, points.XYs[len(points.XYs)-1].X, goal)
 }
 
 type errorPoints struct {
@@ -295,7 +295,7 @@
 		}
 	}
 	if len(a.Timeline) > 0 {
-		third := f.length().Seconds() / 3
+		third := f.dayLength().Seconds() / 3
 		p, err := a.timelinePlot(third, 2*third)
 		if err != nil {
 			return err
--- a/sim/dispatcher.go
+++ b/sim/dispatcher.go
@@ -9,41 +9,41 @@
 
 // job is one try of a client's at a dispatcher.
 type job struct {
-	id       balance.JobID
-	arrival  int
-	class    int
-	work     float64
-	sent     time.Duration // by the client
-	end      time.Duration // of the client's patience
-	tries    int           // of the client before this one
-	attempts []*attempt
-	answered bool
-	mayHave  bool // an attempt may have run
+	id            balance.JobID
+	arrival       int
+	class         int
+	work          float64
+	sent          time.Duration // by the client
+	deadline      time.Duration // of the client's patience
+	previousTries int           // of the client before this one
+	attempts      []*attempt
+	answered      bool
+	mayHaveRun    bool // an attempt may have run
 }
 
 // dispatcher is one with its policy. It is the policy's Actions; what comes of a call happens later, never inside it.
 type dispatcher struct {
-	r       *run
-	number  int
-	station int
-	policy  Policy
-	dead    bool
-	leaving bool // a planned restart: clients go elsewhere
-	life    int
-	jobs    map[balance.JobID]*job // never walked: its order is not ours
-	ids     []balance.JobID        // open jobs in the order in which they came, and ended ones until they are swept
-	last    balance.JobID
-	idle    []int // connections to each box that stand idle
-	watches bool
-	began   time.Duration    // its process
-	kept    []balance.Worker // the list as it was last told, for a restart
+	r            *run
+	number       int
+	station      int
+	policy       Policy
+	dead         bool
+	shuttingDown bool // a planned restart: clients go elsewhere
+	incarnation  int
+	jobs         map[balance.JobID]*job // never walked: its order is not ours
+	ids          []balance.JobID        // open jobs in the order in which they came, and ended ones until they are swept
+	lastID       balance.JobID
+	idle         []int // connections to each box that stand idle
+	watching     bool
+	startedAt    time.Duration    // its process
+	workers      []balance.Worker // the list as it was last told, for a restart
 }
 
 const (
-	grace        = 4 * time.Millisecond
-	probeWithin  = 500 * time.Millisecond
-	cancelWithin = time.Second
-	endsWithin   = 3700 * time.Millisecond // of a planned end, until the process is killed
+	deadlineGrace   = 4 * time.Millisecond
+	probeTimeout    = 500 * time.Millisecond
+	cancelTimeout   = time.Second
+	shutdownTimeout = 3700 * time.Millisecond // of a planned end, until the process is killed
 )
 
 func newDispatcher(r *run, n, station int) *dispatcher {
@@ -72,30 +72,30 @@
 		s.AskWithin = 10 * time.Second
 	}
 	s.Tick = max(s.Tick, time.Millisecond)
-	make1 := r.Policy
-	if make1 == nil {
-		make1 = Module
+	newPolicy := r.Policy
+	if newPolicy == nil {
+		newPolicy = Module
 	}
 	d.jobs, d.ids, d.idle = map[balance.JobID]*job{}, nil, make([]int, len(r.boxes))
-	d.watches, d.dead, d.leaving, d.began = r.ListsPushed, false, false, r.now
-	d.life++
-	d.policy = make1(s, r.seed<<16|uint64(d.number)<<8|uint64(d.life), d)
+	d.watching, d.dead, d.shuttingDown, d.startedAt = r.ListsPushed, false, false, r.now
+	d.incarnation++
+	d.policy = newPolicy(s, r.seed<<16|uint64(d.number)<<8|uint64(d.incarnation), d)
 	if first {
 		for _, b := range r.boxes {
 			if b.up {
-				d.kept = append(d.kept, b.listed(balance.Ready))
+				d.workers = append(d.workers, b.listEntry(balance.Ready))
 			}
 		}
 	}
 	d.policy.Start(d.clock())
-	d.policy.List(d.clock(), balance.ListCached, d.kept)
+	d.policy.List(d.clock(), balance.ListCached, d.workers)
 	if !first {
-		r.membersChange()
+		r.announceMembers()
 	}
 }
 
 // membersChange has all that live then hear of who does, by rank, once membership has agreed on it.
-func (r *run) membersChange() {
+func (r *run) announceMembers() {
 	if r.MembershipDelay == 0 {
 		return
 	}
@@ -121,14 +121,14 @@
 func (d *dispatcher) clock() time.Duration { return epoch + d.r.now }
 
 // told is a change of the list, for those who watch.
-func (d *dispatcher) told(w balance.Worker) {
-	if d.dead || !d.watches {
+func (d *dispatcher) listChanged(w balance.Worker) {
+	if d.dead || !d.watching {
 		return
 	}
-	if i := slices.IndexFunc(d.kept, func(k balance.Worker) bool { return k.ID == w.ID }); i >= 0 {
-		d.kept[i] = w
+	if i := slices.IndexFunc(d.workers, func(k balance.Worker) bool { return k.ID == w.ID }); i >= 0 {
+		d.workers[i] = w
 	} else {
-		d.kept = append(d.kept, w)
+		d.workers = append(d.workers, w)
 	}
 	if w.State == balance.Removed || w.Up > 0 {
 		d.idle[w.ID-1] = 0
@@ -137,31 +137,31 @@
 }
 
 // knows: the list has told this dispatcher of the box's last start.
-func (d *dispatcher) knows(b *box) bool {
-	i := slices.IndexFunc(d.kept, func(k balance.Worker) bool { return k.ID == b.id })
-	return i >= 0 && d.kept[i].Up == b.listed(balance.Ready).Up
+func (d *dispatcher) knowsStart(b *box) bool {
+	i := slices.IndexFunc(d.workers, func(k balance.Worker) bool { return k.ID == b.id })
+	return i >= 0 && d.workers[i].Up == b.listEntry(balance.Ready).Up
 }
 
 // take is a client's job whose last byte has come.
-func (d *dispatcher) take(j *job) {
+func (d *dispatcher) receive(j *job) {
 	if d.dead {
-		d.r.ended(j, Lost, 0)
+		d.r.tryEnded(j, Lost, 0)
 		return
 	}
-	d.last++
-	j.id = d.last
+	d.lastID++
+	j.id = d.lastID
 	d.jobs[j.id] = j
 	d.ids = append(d.ids, j.id)
 	a := &d.r.Arrivals[j.arrival]
-	life := d.life
-	d.r.at(j.end+grace, func() { d.due(life, j) })
-	d.policy.Job(d.clock(), balance.Job{ID: j.id, Class: j.class, Tenant: a.Tenant, Left: j.end - d.r.now, Hint: a.Hint,
-		Slots: float64(a.Slots), Again: j.tries > 0 && d.r.Retry.MarksRetries})
+	incarnation := d.incarnation
+	d.r.at(j.deadline+deadlineGrace, func() { d.deadlinePassed(incarnation, j) })
+	d.policy.Job(d.clock(), balance.Job{ID: j.id, Class: j.class, Tenant: a.Tenant, Left: j.deadline - d.r.now, Hint: a.Hint,
+		Slots: float64(a.Slots), Again: j.previousTries > 0 && d.r.Retry.MarksRetries})
 }
 
 // due is the end of a client's patience.
-func (d *dispatcher) due(life int, j *job) {
-	if d.dead || d.life != life || d.jobs[j.id] != j {
+func (d *dispatcher) deadlinePassed(incarnation int, j *job) {
+	if d.dead || d.incarnation != incarnation || d.jobs[j.id] != j {
 		return
 	}
 	for _, a := range j.attempts {
@@ -171,28 +171,28 @@
 		}
 	}
 	if !j.answered {
-		d.answer(j, Failed, 0)
+		d.reply(j, Failed, 0)
 		d.policy.Disconnected(d.clock(), j.id)
 	}
-	d.settle(j)
+	d.removeIfDone(j)
 }
 
 // answer gives the client the final answer.
-func (d *dispatcher) answer(j *job, end End, wait time.Duration) {
+func (d *dispatcher) reply(j *job, end End, wait time.Duration) {
 	if j.answered {
 		return
 	}
 	j.answered = true
 	r, station := d.r, d.r.Arrivals[j.arrival].Station
-	way, ok := r.way(d.station, station)
+	delay, ok := r.delay(d.station, station)
 	if !ok { // the client hears nothing: its patience ends
-		r.at(max(j.end, r.now), func() { r.ended(j, Lost, 0) })
+		r.at(max(j.deadline, r.now), func() { r.tryEnded(j, Lost, 0) })
 		return
 	}
-	r.after(way, func() { r.ended(j, end, wait) })
+	r.after(delay, func() { r.tryEnded(j, end, wait) })
 }
 
-func (d *dispatcher) settle(j *job) {
+func (d *dispatcher) removeIfDone(j *job) {
 	if !j.answered {
 		return
 	}
@@ -214,28 +214,28 @@
 	a.done = true
 	j := a.job
 	if !status.NotRun() {
-		j.mayHave = true
+		j.mayHaveRun = true
 	}
 	switch status {
 	case balance.OK, balance.Full, balance.Errored, balance.Cancelled:
 		d.idle[a.box.id-1]++
 	case balance.TimedOut: // the connection is closed
-		a.box.conns = max(a.box.conns-1, 0)
+		a.box.connections = max(a.box.connections-1, 0)
 	}
 	if status == balance.OK {
-		d.answer(j, Served, 0)
+		d.reply(j, Served, 0)
 	}
-	d.policy.Outcome(d.clock(), balance.Outcome{Job: j.id, Attempt: a.n, Worker: a.box.id, Status: status, Report: report, Closed: j.answered})
-	d.settle(j)
+	d.policy.Outcome(d.clock(), balance.Outcome{Job: j.id, Attempt: a.number, Worker: a.box.id, Status: status, Report: report, Closed: j.answered})
+	d.removeIfDone(j)
 }
 
 // abandon tells a box that nobody waits for an attempt any more.
 func (d *dispatcher) abandon(a *attempt) {
-	a.gone = true
-	if way, ok := d.r.way(d.station, a.box.Station); ok && !a.box.silent {
-		life := a.box.life
-		d.r.after(way, func() {
-			if a.box.life == life {
+	a.abandoned = true
+	if delay, ok := d.r.delay(d.station, a.box.Station); ok && !a.box.unresponsive {
+		incarnation := a.box.incarnation
+		d.r.after(delay, func() {
+			if a.box.incarnation == incarnation {
 				a.box.remove(a)
 			}
 		})
@@ -246,45 +246,45 @@
 func (d *dispatcher) Send(id balance.JobID, worker balance.WorkerID, _ time.Duration) {
 	r, j := d.r, d.jobs[id]
 	b := r.boxes[worker-1]
-	a := &attempt{d: d, job: j, n: len(j.attempts), box: b, work: j.work, slots: max(r.Arrivals[j.arrival].Slots, 1)}
+	a := &attempt{dispatcher: d, job: j, number: len(j.attempts), box: b, work: j.work, slots: max(r.Arrivals[j.arrival].Slots, 1)}
 	if off := r.Classes[j.class].AttemptSpread; off > 0 {
 		a.work *= lognormal(r.attempts, off)
 	}
-	a.left = a.work
+	a.remaining = a.work
 	j.attempts = append(j.attempts, a)
 	r.result.Attempts++
-	if a.n > 0 {
+	if a.number > 0 {
 		r.result.Again++
 	}
 	if b.Station != d.station {
 		r.result.Crossings++
-		r.result.zone(r.now, d.station).Left++
+		r.result.zoneSecond(r.now, d.station).Left++
 	}
-	life := d.life
-	to, ok := r.way(d.station, b.Station)
-	back, _ := r.way(b.Station, d.station)
+	incarnation := d.incarnation
+	to, ok := r.delay(d.station, b.Station)
+	back, _ := r.delay(b.Station, d.station)
 	fresh := d.idle[worker-1] == 0
 	if !fresh {
 		d.idle[worker-1]--
 	}
 	written := func() {
-		if a.done || a.gone || d.dead || d.life != life {
+		if a.done || a.abandoned || d.dead || d.incarnation != incarnation {
 			return
 		}
-		d.policy.Written(d.clock(), id, a.n, fresh)
+		d.policy.Written(d.clock(), id, a.number, fresh)
 		if ok {
 			r.after(to, func() {
 				switch {
-				case b.silent: // nothing is ever heard of it
+				case b.unresponsive: // nothing is ever heard of it
 				case !b.up:
-					if w, ok := r.way(b.Station, d.station); ok {
+					if w, ok := r.delay(b.Station, d.station); ok {
 						r.after(w, func() { d.outcome(a, balance.Reset) })
 					}
-				case r.resets > 0 && r.errors.Float64() < r.resets:
+				case r.resetShare > 0 && r.errors.Float64() < r.resetShare:
 					r.after(back, func() { d.outcome(a, balance.Reset) })
-					b.take(a)
+					b.receive(a)
 				default:
-					b.take(a)
+					b.receive(a)
 				}
 			})
 		}
@@ -292,14 +292,14 @@
 	switch {
 	case !fresh:
 		r.after(0, written)
-	case !ok || b.silent: // no connection comes up
+	case !ok || b.unresponsive: // no connection comes up
 		r.after(r.ConnectTimeout, func() { d.outcome(a, balance.ConnectFailed) })
-	case !b.up, b.kind.Connections > 0 && b.conns >= b.kind.Connections:
+	case !b.up, b.kind.Connections > 0 && b.connections >= b.kind.Connections:
 		r.after(to+back, func() { d.outcome(a, balance.ConnectFailed) })
 	default:
 		r.result.Connections++
 		r.result.MostConnects = max(r.result.MostConnects, b.connects.count(r.now))
-		b.conns++
+		b.connections++
 		r.after(time.Duration(max(r.Handshake, 1))*(to+back), written)
 	}
 }
@@ -307,16 +307,16 @@
 // Refuse implements balance.Actions.
 func (d *dispatcher) Refuse(id balance.JobID, wait time.Duration) {
 	if j := d.jobs[id]; j != nil {
-		d.answer(j, Refused, wait)
-		d.settle(j)
+		d.reply(j, Refused, wait)
+		d.removeIfDone(j)
 	}
 }
 
 // Fail implements balance.Actions.
 func (d *dispatcher) Fail(id balance.JobID) {
 	if j := d.jobs[id]; j != nil {
-		d.answer(j, Failed, 0)
-		d.settle(j)
+		d.reply(j, Failed, 0)
+		d.removeIfDone(j)
 	}
 }
 
@@ -327,41 +327,41 @@
 		return
 	}
 	a := j.attempts[n]
-	to, ok := d.r.way(d.station, a.box.Station)
-	if !ok || a.box.silent {
-		d.r.after(cancelWithin, func() { d.outcome(a, balance.Cancelled) })
+	to, ok := d.r.delay(d.station, a.box.Station)
+	if !ok || a.box.unresponsive {
+		d.r.after(cancelTimeout, func() { d.outcome(a, balance.Cancelled) })
 		return
 	}
-	back, _ := d.r.way(a.box.Station, d.station)
-	life := a.box.life
+	back, _ := d.r.delay(a.box.Station, d.station)
+	incarnation := a.box.incarnation
 	d.r.after(to, func() {
-		if a.box.life == life { // what has not begun leaves the queue, but nothing says that it had not: it may have run
+		if a.box.incarnation == incarnation { // what has not begun leaves the queue, but nothing says that it had not: it may have run
 			a.box.remove(a)
 		}
-		a.gone = true
+		a.abandoned = true
 		d.r.after(back, func() { d.outcome(a, balance.Cancelled) })
 	})
 }
 
 // Probe implements balance.Actions.
 func (d *dispatcher) Probe(worker balance.WorkerID) {
-	r, b, life := d.r, d.r.boxes[worker-1], d.life
+	r, b, incarnation := d.r, d.r.boxes[worker-1], d.incarnation
 	r.result.Probes++
 	r.result.MostProbes = max(r.result.MostProbes, b.probes.count(r.now))
-	to, ok := r.way(d.station, b.Station)
-	back, _ := r.way(b.Station, d.station)
+	to, ok := r.delay(d.station, b.Station)
+	back, _ := r.delay(b.Station, d.station)
 	status, after := balance.OK, to+back
 	var report []float32
 	switch {
-	case !ok || b.silent || b.stalled > 0 && b.up:
-		status, after = balance.TimedOut, probeWithin
+	case !ok || b.unresponsive || b.stalled > 0 && b.up:
+		status, after = balance.TimedOut, probeTimeout
 	case !b.up:
 		status = balance.ConnectFailed
 	default:
 		report = b.report()
 	}
 	r.after(after, func() {
-		if !d.dead && d.life == life {
+		if !d.dead && d.incarnation == incarnation {
 			d.policy.Probed(d.clock(), worker, status, report)
 		}
 	})
@@ -369,13 +369,13 @@
 
 // Timer implements balance.Actions.
 func (d *dispatcher) Timer(after time.Duration, token uint64) {
-	tick, life := max(d.r.Settings.Tick, time.Millisecond), d.life
+	tick, incarnation := max(d.r.Settings.Tick, time.Millisecond), d.incarnation
 	at := (d.r.now + after + tick - 1) / tick * tick
 	if at <= d.r.now {
 		at += tick
 	}
 	d.r.at(at, func() {
-		if !d.dead && d.life == life {
+		if !d.dead && d.incarnation == incarnation {
 			d.policy.Timer(d.clock(), token)
 		}
 	})
@@ -383,36 +383,36 @@
 
 // Watch implements balance.Actions: discovery deals with calls in turn.
 func (d *dispatcher) Watch() {
-	r, life := d.r, d.life
+	r, incarnation := d.r, d.incarnation
 	r.result.Lists++
-	r.result.MostLists = max(r.result.MostLists, r.calls.count(r.now))
-	if r.ListTimeout > 0 && r.discovery-r.now > r.ListTimeout {
+	r.result.MostLists = max(r.result.MostLists, r.discoveryCalls.count(r.now))
+	if r.ListTimeout > 0 && r.discoveryFreeAt-r.now > r.ListTimeout {
 		r.result.ListsLate++
 		r.after(r.ListTimeout, func() {
-			if !d.dead && d.life == life {
+			if !d.dead && d.incarnation == incarnation {
 				d.policy.List(d.clock(), balance.ListFailed, nil)
 			}
 		})
 		return
 	}
-	r.discovery = max(r.discovery, r.now) + r.ListTime
-	r.at(r.discovery, func() {
-		if d.dead || d.life != life {
+	r.discoveryFreeAt = max(r.discoveryFreeAt, r.now) + r.ListTime
+	r.at(r.discoveryFreeAt, func() {
+		if d.dead || d.incarnation != incarnation {
 			return
 		}
-		if !d.watches {
-			r.result.Unlisted = max(r.result.Unlisted, r.now-d.began)
+		if !d.watching {
+			r.result.Unlisted = max(r.result.Unlisted, r.now-d.startedAt)
 		}
-		d.watches = true
+		d.watching = true
 		all := make([]balance.Worker, 0, len(r.boxes))
 		for _, b := range r.boxes {
-			state := b.phase
+			state := b.state
 			if !b.up {
 				continue
 			}
-			all = append(all, b.listed(state))
+			all = append(all, b.listEntry(state))
 		}
-		d.kept = append(d.kept[:0:0], all...)
+		d.workers = append(d.workers[:0:0], all...)
 		d.policy.List(d.clock(), balance.ListFull, all)
 	})
 }
@@ -421,28 +421,28 @@
 func (d *dispatcher) Log(string) {}
 
 // leave ends the process as planned: it may end what it holds, but clients go elsewhere.
-func (d *dispatcher) leave(back time.Duration) {
-	if d.dead || d.leaving {
+func (d *dispatcher) shutDown(restartAfter time.Duration) {
+	if d.dead || d.shuttingDown {
 		return
 	}
-	d.leaving = true
-	life := d.life
-	d.r.after(endsWithin, func() {
-		if d.life == life {
-			d.die(back)
+	d.shuttingDown = true
+	incarnation := d.incarnation
+	d.r.after(shutdownTimeout, func() {
+		if d.incarnation == incarnation {
+			d.crash(restartAfter)
 		}
 	})
 }
 
 // die ends the process with all that it holds; the list that it had is what it starts with again.
-func (d *dispatcher) die(back time.Duration) {
+func (d *dispatcher) crash(restartAfter time.Duration) {
 	if d.dead {
 		return
 	}
-	d.dead, d.leaving = true, false
-	d.r.membersChange()
+	d.dead, d.shuttingDown = true, false
+	d.r.announceMembers()
 	for i, n := range d.idle {
-		d.r.boxes[i].conns = max(d.r.boxes[i].conns-n, 0)
+		d.r.boxes[i].connections = max(d.r.boxes[i].connections-n, 0)
 	}
 	for _, id := range d.ids {
 		j := d.jobs[id]
@@ -456,10 +456,10 @@
 		}
 		if !j.answered {
 			j.answered = true
-			d.r.after(0, func() { d.r.ended(j, Lost, 0) })
+			d.r.after(0, func() { d.r.tryEnded(j, Lost, 0) })
 		}
 	}
-	if back > 0 {
-		d.r.after(back, func() { d.start(false) })
+	if restartAfter > 0 {
+		d.r.after(restartAfter, func() { d.start(false) })
 	}
 }
--- a/sim/policies.go
+++ b/sim/policies.go
@@ -12,13 +12,13 @@
 // ready and that this policy may use, and waits for nothing. It is tried once; what is turned away is refused.
 //
 // own counts the policy's own jobs that are out at each of the ready boxes.
-func SimplePolicy(choose func(rng *rand.Rand, turn int, ready []balance.Worker, own func(balance.WorkerID) int) balance.WorkerID) func(balance.Settings, uint64, balance.Actions) Policy {
-	return func(s balance.Settings, seed uint64, do balance.Actions) Policy {
+func SimplePolicy(choose func(rng *rand.Rand, turn int, ready []balance.Worker, outstanding func(balance.WorkerID) int) balance.WorkerID) func(balance.Settings, uint64, balance.Actions) Policy {
+	return func(s balance.Settings, seed uint64, actions balance.Actions) Policy {
 		first := 0 // dispatchers that all began with the same box would go round together
 		if s.Dispatchers > 0 {
 			first = s.Number << 20 / s.Dispatchers
 		}
-		return &plain{do: do, choose: choose, rng: rand.New(rand.NewPCG(seed, 1)), own: map[balance.WorkerID]int{}, turn: first}
+		return &simplePolicy{actions: actions, choose: choose, rng: rand.New(rand.NewPCG(seed, 1)), outstanding: map[balance.WorkerID]int{}, turn: first}
 	}
 }
 
@@ -33,10 +33,10 @@
 }
 
 // LeastOutstanding sends to the box with the fewest own jobs out, the first among equals from a turn on.
-func LeastOutstanding(_ *rand.Rand, turn int, ready []balance.Worker, own func(balance.WorkerID) int) balance.WorkerID {
+func LeastOutstanding(_ *rand.Rand, turn int, ready []balance.Worker, outstanding func(balance.WorkerID) int) balance.WorkerID {
 	best := ready[turn%len(ready)].ID
 	for i := range ready {
-		if id := ready[(turn+i)%len(ready)].ID; own(id) < own(best) {
+		if id := ready[(turn+i)%len(ready)].ID; outstanding(id) < outstanding(best) {
 			best = id
 		}
 	}
@@ -44,9 +44,9 @@
 }
 
 // TwoChoices sends to the one of two random boxes with fewer own jobs out.
-func TwoChoices(rng *rand.Rand, _ int, ready []balance.Worker, own func(balance.WorkerID) int) balance.WorkerID {
+func TwoChoices(rng *rand.Rand, _ int, ready []balance.Worker, outstanding func(balance.WorkerID) int) balance.WorkerID {
 	a, b := ready[rng.IntN(len(ready))].ID, ready[rng.IntN(len(ready))].ID
-	if own(b) < own(a) {
+	if outstanding(b) < outstanding(a) {
 		return b
 	}
 	return a
@@ -75,22 +75,22 @@
 // LateTruth is a policy that no dispatcher can have: it sees how many jobs every box holds, half a second late, and adds
 // what it sent itself since. Each job goes where it has the least before it, of a few drawn: were all looked at, hundreds of
 // dispatchers would choose the same box until the looks show it. It does not see what fails.
-func DelayedOracle(_ balance.Settings, seed uint64, do balance.Actions) Policy {
-	d := do.(*dispatcher)
-	d.r.look()
-	p := &lateTruth{d: d, sent: make([][]time.Duration, len(d.r.boxes))}
-	p.plain = plain{do: do, rng: rand.New(rand.NewPCG(seed, 1)), own: map[balance.WorkerID]int{}, choose: p.least}
+func DelayedOracle(_ balance.Settings, seed uint64, actions balance.Actions) Policy {
+	d := actions.(*dispatcher)
+	d.r.sampleLoads()
+	p := &delayedOracle{d: d, sent: make([][]time.Duration, len(d.r.boxes))}
+	p.simplePolicy = simplePolicy{actions: actions, rng: rand.New(rand.NewPCG(seed, 1)), outstanding: map[balance.WorkerID]int{}, choose: p.leastLoaded}
 	return p
 }
 
 const (
-	lookEvery = 100 * time.Millisecond
-	lookLate  = 5 // looks
-	lookAt    = 5 // boxes
+	sampleInterval = 100 * time.Millisecond
+	sampleDelay    = 5 // looks
+	boxChoices     = 5 // boxes
 )
 
 // look has the loads of all boxes looked at from now on.
-func (r *run) look() {
+func (r *run) sampleLoads() {
 	if r.loads != nil {
 		return
 	}
@@ -101,32 +101,32 @@
 		for i, b := range r.boxes {
 			loads[i] = float64(len(b.running) + len(b.waiting))
 		}
-		if r.loads = append(r.loads, loads); len(r.loads) > lookLate {
+		if r.loads = append(r.loads, loads); len(r.loads) > sampleDelay {
 			r.loads = r.loads[1:]
 		}
-		r.after(lookEvery, next)
+		r.after(sampleInterval, next)
 	}
 	next()
 }
 
-type lateTruth struct {
-	plain
+type delayedOracle struct {
+	simplePolicy
 	d    *dispatcher
 	sent [][]time.Duration // by box: when jobs went there that the looks may not show yet
 }
 
-func (p *lateTruth) least(rng *rand.Rand, _ int, ready []balance.Worker, _ func(balance.WorkerID) int) balance.WorkerID {
+func (p *delayedOracle) leastLoaded(rng *rand.Rand, _ int, ready []balance.Worker, _ func(balance.WorkerID) int) balance.WorkerID {
 	var best balance.WorkerID
 	least := math.Inf(1)
-	for range lookAt {
+	for range boxChoices {
 		w := &ready[rng.IntN(len(ready))]
 		n := w.ID - 1
-		for len(p.sent[n]) > 0 && p.sent[n][0] < p.d.r.now-lookLate*lookEvery {
+		for len(p.sent[n]) > 0 && p.sent[n][0] < p.d.r.now-sampleDelay*sampleInterval {
 			p.sent[n] = p.sent[n][1:]
 		}
 		held := p.d.r.loads[0][n] + float64(len(p.sent[n]))
 		b := p.d.r.boxes[n]
-		if cost := max(held+1, float64(b.kind.Cores)) / (b.Speed * b.warmth(p.d.r.now)); cost < least {
+		if cost := max(held+1, float64(b.kind.Cores)) / (b.Speed * b.warmUpFactor(p.d.r.now)); cost < least {
 			best, least = w.ID, cost
 		}
 	}
@@ -134,19 +134,19 @@
 	return best
 }
 
-type plain struct {
-	do      balance.Actions
-	choose  func(*rand.Rand, int, []balance.Worker, func(balance.WorkerID) int) balance.WorkerID
-	rng     *rand.Rand
-	turn    int
-	workers []balance.Worker
-	ready   []balance.Worker
-	own     map[balance.WorkerID]int
+type simplePolicy struct {
+	actions     balance.Actions
+	choose      func(*rand.Rand, int, []balance.Worker, func(balance.WorkerID) int) balance.WorkerID
+	rng         *rand.Rand
+	turn        int
+	workers     []balance.Worker
+	ready       []balance.Worker
+	outstanding map[balance.WorkerID]int
 }
 
-func (p *plain) Start(time.Duration) { p.do.Watch() }
+func (p *simplePolicy) Start(time.Duration) { p.actions.Watch() }
 
-func (p *plain) List(_ time.Duration, form balance.ListKind, entries []balance.Worker) {
+func (p *simplePolicy) List(_ time.Duration, form balance.ListKind, entries []balance.Worker) {
 	if form == balance.ListFull || form == balance.ListCached {
 		p.workers = append(p.workers[:0:0], entries...)
 	} else {
@@ -171,31 +171,31 @@
 	}
 }
 
-func (p *plain) Job(_ time.Duration, j balance.Job) {
+func (p *simplePolicy) Job(_ time.Duration, j balance.Job) {
 	if len(p.ready) == 0 {
-		p.do.Refuse(j.ID, 0)
+		p.actions.Refuse(j.ID, 0)
 		return
 	}
-	id := p.choose(p.rng, p.turn, p.ready, func(id balance.WorkerID) int { return p.own[id] })
+	id := p.choose(p.rng, p.turn, p.ready, func(id balance.WorkerID) int { return p.outstanding[id] })
 	p.turn++
-	p.own[id]++
-	p.do.Send(j.ID, id, 0)
+	p.outstanding[id]++
+	p.actions.Send(j.ID, id, 0)
 }
 
-func (p *plain) Outcome(_ time.Duration, o balance.Outcome) {
-	p.own[o.Worker]--
+func (p *simplePolicy) Outcome(_ time.Duration, o balance.Outcome) {
+	p.outstanding[o.Worker]--
 	switch {
 	case o.Closed:
 	case o.Status.NotRun():
-		p.do.Refuse(o.Job, 0)
+		p.actions.Refuse(o.Job, 0)
 	default:
-		p.do.Fail(o.Job)
+		p.actions.Fail(o.Job)
 	}
 }
 
-func (p *plain) Written(time.Duration, balance.JobID, int, bool)                   {}
-func (p *plain) Started(time.Duration, balance.JobID, int)                         {}
-func (p *plain) Progress(time.Duration, balance.JobID, int, float64)               {}
-func (p *plain) Probed(time.Duration, balance.WorkerID, balance.Status, []float32) {}
-func (p *plain) Timer(time.Duration, uint64)                                       {}
-func (p *plain) Disconnected(time.Duration, balance.JobID)                         {}
+func (p *simplePolicy) Written(time.Duration, balance.JobID, int, bool)                   {}
+func (p *simplePolicy) Started(time.Duration, balance.JobID, int)                         {}
+func (p *simplePolicy) Progress(time.Duration, balance.JobID, int, float64)               {}
+func (p *simplePolicy) Probed(time.Duration, balance.WorkerID, balance.Status, []float32) {}
+func (p *simplePolicy) Timer(time.Duration, uint64)                                       {}
+func (p *simplePolicy) Disconnected(time.Duration, balance.JobID)                         {}
--- a/sim/result.go
+++ b/sim/result.go
@@ -108,8 +108,8 @@
 	Events                              int64
 	Ended                               time.Duration // when the last job ended
 
-	stations   int
-	work, late float64 // asked for, in seconds; worth that ended served and late
+	stations             int
+	askedWork, lateWorth float64 // asked for, in seconds; worth that ended served and late
 }
 
 func newResult(w *World) *Result {
@@ -124,7 +124,7 @@
 }
 
 // zone is a station's count for a second.
-func (r *Result) zone(at time.Duration, station int) *ZoneSecond {
+func (r *Result) zoneSecond(at time.Duration, station int) *ZoneSecond {
 	for len(r.Zones) <= int(at/time.Second) {
 		r.Zones = append(r.Zones, make([]ZoneSecond, r.stations))
 	}
@@ -161,7 +161,7 @@
 // arrive has a client send a job for the first time.
 func (r *run) arrive(n int) {
 	a := &r.Arrivals[n]
-	if r.silent[a.Station] > 0 {
+	if r.mutedClients[a.Station] > 0 {
 		return
 	}
 	c := &r.result.Classes[a.Class]
@@ -172,16 +172,16 @@
 	w.Asked += worth
 	w.ByStation[a.Station].Asked += worth
 	c.Asked += worth
-	r.result.work += a.Work
+	r.result.askedWork += a.Work
 	if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
 		r.result.Tenants[a.Tenant].Asked += worth
 	}
-	r.open++
-	r.send(&job{arrival: n, class: a.Class, work: a.Work, end: r.patience(a)})
+	r.openJobs++
+	r.send(&job{arrival: n, class: a.Class, work: a.Work, deadline: r.tryDeadline(a)})
 }
 
 // patience is until when a client waits for a try that it sends now.
-func (r *run) patience(a *Arrival) time.Duration {
+func (r *run) tryDeadline(a *Arrival) time.Duration {
 	end := a.At + a.Timeout
 	if r.Retry.TryTimeout > 0 {
 		end = min(end, r.now+r.Retry.TryTimeout)
@@ -206,7 +206,7 @@
 	var near, far []*dispatcher
 	for _, d := range r.dispatchers {
 		switch {
-		case d.dead, d.leaving:
+		case d.dead, d.shuttingDown:
 		case d.station == station:
 			near = append(near, d)
 		default:
@@ -217,56 +217,56 @@
 		near = far
 	}
 	if len(near) == 0 {
-		r.after(0, func() { r.ended(j, Lost, 0) })
+		r.after(0, func() { r.tryEnded(j, Lost, 0) })
 		return
 	}
-	d := r.deal(station, near)
-	way, ok := r.way(station, d.station)
+	d := r.pickDispatcher(station, near)
+	delay, ok := r.delay(station, d.station)
 	if !ok {
-		r.at(j.end, func() { r.ended(j, Lost, 0) })
+		r.at(j.deadline, func() { r.tryEnded(j, Lost, 0) })
 		return
 	}
-	r.after(way, func() { d.take(j) })
+	r.after(delay, func() { d.receive(j) })
 }
 
 // deal picks the dispatcher for a station's next job: in turn, or by their shares.
-func (r *run) deal(station int, among []*dispatcher) *dispatcher {
+func (r *run) pickDispatcher(station int, candidates []*dispatcher) *dispatcher {
 	if r.Shares == nil {
-		r.moved[station]++
-		return among[r.moved[station]%len(among)]
+		r.nextDispatcher[station]++
+		return candidates[r.nextDispatcher[station]%len(candidates)]
 	}
 	sum := 0.0
-	for _, d := range among {
+	for _, d := range candidates {
 		sum += r.Shares[d.number]
 	}
 	x := r.front.Float64() * sum
-	for _, d := range among {
+	for _, d := range candidates {
 		if x -= r.Shares[d.number]; x < 0 {
 			return d
 		}
 	}
-	return among[len(among)-1]
+	return candidates[len(candidates)-1]
 }
 
 // ended is the end of a try. The client tries again if that may help and do no harm.
-func (r *run) ended(j *job, end End, wait time.Duration) {
+func (r *run) tryEnded(j *job, end End, wait time.Duration) {
 	a := &r.Arrivals[j.arrival]
 	class := &r.Classes[j.class]
-	if end != Served && j.tries < r.Retry.MaxRetries && (end == Refused || class.Effect != balance.Unsafe) {
-		pause := r.Retry.Pause << j.tries
+	if end != Served && j.previousTries < r.Retry.MaxRetries && (end == Refused || class.Effect != balance.Unsafe) {
+		pause := r.Retry.Pause << j.previousTries
 		if r.Retry.HonorsRetryAfter && end == Refused {
 			pause = max(pause, wait)
 		}
 		if r.now+pause < a.At+a.Timeout {
-			next := &job{arrival: j.arrival, class: j.class, work: j.work, tries: j.tries + 1}
+			next := &job{arrival: j.arrival, class: j.class, work: j.work, previousTries: j.previousTries + 1}
 			r.after(pause, func() {
-				next.end = r.patience(a)
+				next.deadline = r.tryDeadline(a)
 				r.send(next)
 			})
 			return
 		}
 	}
-	r.open--
+	r.openJobs--
 	r.result.Ended = r.now
 	if r.OnJobEnd != nil {
 		r.OnJobEnd(j.arrival, r.now, end)
@@ -281,7 +281,7 @@
 		} else {
 			c.Late++
 			worth *= class.LateValue
-			r.result.late += r.worth(a)
+			r.result.lateWorth += r.worth(a)
 		}
 		c.Earned += worth
 		if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
@@ -300,8 +300,8 @@
 }
 
 // began counts a run of a job.
-func (r *run) began(a *attempt) {
-	n := &r.runs[a.job.arrival]
+func (r *run) countRun(a *attempt) {
+	n := &r.runCounts[a.job.arrival]
 	if *n < math.MaxUint8 {
 		*n++
 	}
@@ -345,9 +345,9 @@
 		waste += b.Wasted
 	}
 	g, first := &r.Goal, float64(max(r.arrived, 1))
-	res.Wasted = waste / max(res.work, 1e-9)
+	res.Wasted = waste / max(res.askedWork, 1e-9)
 	res.G = g.Whole*res.Service + g.Window*res.Worst + g.Class*class + g.Tenant*tenant -
-		g.Cross*float64(res.Crossings)/first - g.Waste*res.Wasted - g.Late*res.late/max(asked, 1e-9) -
+		g.Cross*float64(res.Crossings)/first - g.Waste*res.Wasted - g.Late*res.lateWorth/max(asked, 1e-9) -
 		g.Probe*float64(res.Probes)/first - g.Connection*float64(res.Connections)/first
 	for i := range res.Classes {
 		c := &res.Classes[i]
@@ -373,58 +373,58 @@
 	}
 	switch f.Effect {
 	case BoxCrash:
-		r.boxes[f.Target].die(false, f.For)
+		r.boxes[f.Target].terminate(false, f.For)
 	case BoxVanishes:
-		r.boxes[f.Target].die(true, f.For)
+		r.boxes[f.Target].terminate(true, f.For)
 	case BoxDrains:
 		r.boxes[f.Target].drain(f.For)
 	case BoxesSlow:
-		r.pace(f.Factor)
-		r.after(f.For, func() { r.pace(1 / f.Factor) })
+		r.scaleSpeed(f.Factor)
+		r.after(f.For, func() { r.scaleSpeed(1 / f.Factor) })
 	case StationBoxes:
-		each(f.Target, func(b *box) { b.die(true, f.For) })
+		each(f.Target, func(b *box) { b.terminate(true, f.For) })
 	case StationClients:
-		r.silent[f.Target]++
-		r.after(f.For, func() { r.silent[f.Target]-- })
+		r.mutedClients[f.Target]++
+		r.after(f.For, func() { r.mutedClients[f.Target]-- })
 	case StationPartition:
-		r.cut[f.Target]++
-		r.after(f.For, func() { r.cut[f.Target]-- })
+		r.partitioned[f.Target]++
+		r.after(f.For, func() { r.partitioned[f.Target]-- })
 	case DispatcherCrash:
-		r.dispatchers[f.Target].die(f.For)
+		r.dispatchers[f.Target].crash(f.For)
 	case DispatcherShutdown:
-		r.dispatchers[f.Target].leave(f.For)
+		r.dispatchers[f.Target].shutDown(f.For)
 	case BoxStalls:
 		r.boxes[f.Target].stall(f.For)
 	case BoxPartition:
-		r.boxes[f.Target].hush(f.For)
+		r.boxes[f.Target].partition(f.For)
 	case DiscoveryMoves:
 		for _, d := range r.dispatchers {
-			life := d.life
+			incarnation := d.incarnation
 			r.after(time.Duration(r.network.Float64()*float64(time.Second)), func() {
-				if !d.dead && d.life == life {
+				if !d.dead && d.incarnation == incarnation {
 					d.Watch()
 				}
 			})
 		}
 	case ListsDelayed:
-		r.late *= f.Factor
-		r.after(f.For, func() { r.late /= f.Factor })
+		r.lagFactor *= f.Factor
+		r.after(f.For, func() { r.lagFactor /= f.Factor })
 	case ConnectionResets:
-		r.resets += f.Factor
-		r.after(f.For, func() { r.resets = max(0, r.resets-f.Factor) })
+		r.resetShare += f.Factor
+		r.after(f.For, func() { r.resetShare = max(0, r.resetShare-f.Factor) })
 	case RepliesLost:
-		r.unheard += f.Factor
-		r.after(f.For, func() { r.unheard = max(0, r.unheard-f.Factor) })
+		r.lostReplyShare += f.Factor
+		r.after(f.For, func() { r.lostReplyShare = max(0, r.lostReplyShare-f.Factor) })
 	}
 }
 
 // pace changes the speed of all boxes.
-func (r *run) pace(factor float64) {
+func (r *run) scaleSpeed(factor float64) {
 	for _, b := range r.boxes {
 		b.advance()
 	}
-	r.slow *= factor
+	r.speedFactor *= factor
 	for _, b := range r.boxes {
-		b.replan()
+		b.scheduleCompletion()
 	}
 }
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -199,7 +199,7 @@
 	ValuePerWork    bool             // worth counts for each second of work, not for each job
 	MaxAttempts     int              // at most, for each job
 	Settings        balance.Settings // what else the module is told; classes, rules and numbers are filled in
-	Policy          func(s balance.Settings, seed uint64, do balance.Actions) Policy
+	Policy          func(s balance.Settings, seed uint64, actions balance.Actions) Policy
 	// MembershipDelay is how long after a dispatcher's death or return the others go by who lives; 0: they go by the settings always.
 	MembershipDelay time.Duration
 	End             time.Duration // the run ends when nothing is open any more, and then at the latest
@@ -223,8 +223,8 @@
 }
 
 // Module is the decision module as a Policy.
-func Module(s balance.Settings, seed uint64, do balance.Actions) Policy {
-	return balance.New(s, seed, do)
+func Module(s balance.Settings, seed uint64, actions balance.Actions) Policy {
+	return balance.New(s, seed, actions)
 }
 
 // Stream is a source of chance with a name: nobody else draws from it.
@@ -261,31 +261,31 @@
 // run is a World that is being played.
 type run struct {
 	*World
-	seed        uint64
-	now         time.Duration
-	seq         uint64
-	queue       events
-	network     *rand.Rand
-	errors      *rand.Rand
-	attempts    *rand.Rand
-	reports     *rand.Rand
-	boxes       []*box
-	dispatchers []*dispatcher
-	open        int // jobs without an end
-	arrived     int // of Arrivals
-	slow        float64
-	cut         []int // by station: faults that cut its links now
-	silent      []int // by station: faults that silence its clients now
-	discovery   time.Duration
-	calls       perSecond
-	result      *Result
-	runs        []uint8 // by arrival: how often it ran
-	moved       []int   // by station: turn among its dispatchers
-	front       *rand.Rand
-	late        float64 // by how much discovery is late
-	resets      float64 // share of the requests that are reset
-	unheard     float64 // share of the ends that are lost
-	loads       [][]float64
+	seed            uint64
+	now             time.Duration
+	seq             uint64
+	queue           events
+	network         *rand.Rand
+	errors          *rand.Rand
+	attempts        *rand.Rand
+	reports         *rand.Rand
+	boxes           []*box
+	dispatchers     []*dispatcher
+	openJobs        int // jobs without an end
+	arrived         int // of Arrivals
+	speedFactor     float64
+	partitioned     []int // by station: faults that cut its links now
+	mutedClients    []int // by station: faults that silence its clients now
+	discoveryFreeAt time.Duration
+	discoveryCalls  perSecond
+	result          *Result
+	runCounts       []uint8 // by arrival: how often it ran
+	nextDispatcher  []int   // by station: turn among its dispatchers
+	front           *rand.Rand
+	lagFactor       float64 // by how much discovery is late
+	resetShare      float64 // share of the requests that are reset
+	lostReplyShare  float64 // share of the ends that are lost
+	loads           [][]float64
 }
 
 // epoch is when runs begin on the module's clock: no box has started long before.
@@ -294,8 +294,8 @@
 // Run plays a world.
 func Run(w *World, seed uint64) *Result {
 	r := &run{World: w, seed: seed, network: stream(seed, "network"), errors: stream(seed, "errors"), attempts: stream(seed, "attempts"), reports: stream(seed, "reports"),
-		front: stream(seed, "front"), slow: 1, late: 1, cut: make([]int, w.Stations), silent: make([]int, w.Stations),
-		runs: make([]uint8, len(w.Arrivals)), moved: make([]int, w.Stations)}
+		front: stream(seed, "front"), speedFactor: 1, lagFactor: 1, partitioned: make([]int, w.Stations), mutedClients: make([]int, w.Stations),
+		runCounts: make([]uint8, len(w.Arrivals)), nextDispatcher: make([]int, w.Stations)}
 	r.result = newResult(w)
 	speeds := stream(seed, "speeds")
 	for i, b := range w.Boxes {
@@ -303,7 +303,7 @@
 		if b.Speed == 0 {
 			b.Speed = max(k.Speed*(1+k.Spread*speeds.NormFloat64()), k.Speed/10)
 		}
-		r.boxes = append(r.boxes, &box{Box: b, r: r, kind: k, id: balance.WorkerID(i + 1), phase: balance.Ready, up: b.JoinsAt == 0})
+		r.boxes = append(r.boxes, &box{Box: b, r: r, kind: k, id: balance.WorkerID(i + 1), state: balance.Ready, up: b.JoinsAt == 0})
 		r.result.Boxes = append(r.result.Boxes, BoxResult{Name: b.Name, Station: b.Station, Kind: b.Kind})
 	}
 	for i, b := range r.boxes {
@@ -320,16 +320,16 @@
 	}
 	stalls := stream(seed, "stalls")
 	for _, b := range r.boxes {
-		b.stalls(stalls)
-		b.look()
+		b.scheduleStalls(stalls)
+		b.sampleLoad()
 	}
 	for _, f := range w.Faults {
 		r.at(f.At, func() { r.fault(f) })
 	}
-	r.next()
+	r.scheduleArrival()
 	for len(r.queue) > 0 {
 		e := heap.Pop(&r.queue).(event)
-		if w.End > 0 && e.at > w.End || r.open == 0 && r.arrived == len(w.Arrivals) {
+		if w.End > 0 && e.at > w.End || r.openJobs == 0 && r.arrived == len(w.Arrivals) {
 			break
 		}
 		r.now = e.at
@@ -349,7 +349,7 @@
 func (r *run) after(d time.Duration, do func()) { r.at(r.now+d, do) }
 
 // next has the next job arrive. They come one after another, so that the queue stays short.
-func (r *run) next() {
+func (r *run) scheduleArrival() {
 	if r.arrived == len(r.Arrivals) {
 		return
 	}
@@ -357,13 +357,13 @@
 	r.at(r.Arrivals[n].At, func() {
 		r.arrived++
 		r.arrive(n)
-		r.next()
+		r.scheduleArrival()
 	})
 }
 
 // way is how long a message takes between two stations now; ok false: it never arrives.
-func (r *run) way(from, to int) (d time.Duration, ok bool) {
-	if from != to && (r.cut[from] > 0 || r.cut[to] > 0) {
+func (r *run) delay(from, to int) (d time.Duration, ok bool) {
+	if from != to && (r.partitioned[from] > 0 || r.partitioned[to] > 0) {
 		return 0, false
 	}
 	d = r.OneWay[from][to]
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -24,7 +24,7 @@
 }
 
 // oneBox is a queue as theory has it: one box, no network, every job sent at once.
-func oneBox(cores, slots int, arrivals []Arrival) *World {
+func singleQueue(cores, slots int, arrivals []Arrival) *World {
 	return &World{Stations: 1, OneWay: [][]time.Duration{{0}}, Kinds: []Kind{{Cores: cores, Slots: slots, Queue: math.MaxInt32, Speed: 1}},
 		Boxes: []Box{{}}, Classes: []Class{{Class: balance.Class{TargetLatency: time.Hour, Value: 1, Kind: -1}}}, Dispatchers: []int{0}, Arrivals: arrivals,
 		ConnectTimeout: time.Second, MaxAttempts: 1, Policy: SimplePolicy(RoundRobin)}
@@ -62,7 +62,7 @@
 		const seeds, n = 10, 8000
 		var means, p95s []float64
 		for seed := range uint64(seeds) {
-			r := Run(oneBox(c.cores, c.slots, poisson(seed, c.rate, n, c.work)), seed)
+			r := Run(singleQueue(c.cores, c.slots, poisson(seed, c.rate, n, c.work)), seed)
 			h := r.Classes[0].Latency
 			if r.Classes[0].InTime != n {
 				t.Fatalf("%s: %d of %d served", c.name, r.Classes[0].InTime, n)
@@ -97,7 +97,7 @@
 	exp := Dist{Mean: 0.1, Shape: Exponential}
 	var means []float64
 	for seed := range uint64(seeds) {
-		first := oneBox(1, 1, poisson(seed, rate, n, exp))
+		first := singleQueue(1, 1, poisson(seed, rate, n, exp))
 		second := stream(seed, "second")
 		var next []Arrival
 		sum := 0.0
@@ -106,7 +106,7 @@
 			next = append(next, Arrival{At: at, Work: exp.Draw(second), Timeout: time.Hour})
 		}
 		Run(first, seed)
-		r := Run(oneBox(1, 1, next), seed)
+		r := Run(singleQueue(1, 1, next), seed)
 		means = append(means, sum/n+r.Classes[0].Latency.Mean()/1e6)
 	}
 	mean, sq := 0.0, 0.0
@@ -129,7 +129,7 @@
 		w.Kinds[i].Connections = 2
 	}
 	r := Run(w, 1)
-	account(t, "few connections", r, w)
+	checkAccounting(t, "few connections", r, w)
 	if free := Run(deployment(1, 10, 5, 15, 20*time.Second), 1); r.Connections >= free.Connections && r.Again <= free.Again {
 		t.Errorf("%d connections and %d second attempts, %d and %d without a bound", r.Connections, r.Again, free.Connections, free.Again)
 	}
@@ -181,7 +181,7 @@
 }
 
 // account checks that every job has exactly one end and no rule was broken.
-func account(t *testing.T, name string, r *Result, w *World) {
+func checkAccounting(t *testing.T, name string, r *Result, w *World) {
 	t.Helper()
 	var offered, ends int64
 	for _, c := range r.Classes {
@@ -229,7 +229,7 @@
 		f.At = 10 * time.Second
 		w.Faults = []Fault{f}
 		r := Run(w, 1)
-		account(t, fmt.Sprint("effect ", f.Effect), r, w)
+		checkAccounting(t, fmt.Sprint("effect ", f.Effect), r, w)
 		if r.Service < 0.4 {
 			t.Errorf("effect %d: service %.3f", f.Effect, r.Service)
 		}
@@ -240,7 +240,7 @@
 func TestOverload(t *testing.T) {
 	w := deployment(1, 4, 2, 200, 20*time.Second)
 	r := Run(w, 1)
-	account(t, "overload", r, w)
+	checkAccounting(t, "overload", r, w)
 	if r.Service > 0.5 {
 		t.Errorf("service %.2f at many times what the boxes can do", r.Service)
 	}
@@ -257,7 +257,7 @@
 	}
 	w.Dispatchers = []int{0}
 	r := Run(w, 1)
-	account(t, "spill", r, w)
+	checkAccounting(t, "spill", r, w)
 	if r.Crossings == 0 || r.Service < 0.7 {
 		t.Errorf("%d crossings, service %.3f", r.Crossings, r.Service)
 	}
@@ -285,7 +285,7 @@
 		w := deployment(1, 10, 3, 10, 20*time.Second)
 		w.Faults = faults
 		r := Run(w, 1)
-		account(t, fmt.Sprint(faults), r, w)
+		checkAccounting(t, fmt.Sprint(faults), r, w)
 		return r
 	}
 	failed := func(r *Result) (n int64) {
--- a/sim/site/day.go
+++ b/sim/site/day.go
@@ -22,7 +22,7 @@
 var SiteDays = []string{"quiet", "trouble", "overload", "big"}
 
 // fleetDay is the length of a day of many dispatchers.
-const fleetDay = 25 * time.Second
+const fleetDayLength = 25 * time.Second
 
 // The most dispatchers and boxes that Day makes a day of.
 const (
@@ -47,19 +47,19 @@
 //
 // On these one of the site's troubles comes as well: on calm days one that is no fault.
 func (s *Site) Day(day string, dispatchers, boxes int, seed uint64) (*sim.World, error) {
-	own := slices.Contains(SiteDays, day)
+	siteDay := slices.Contains(SiteDays, day)
 	rng := sim.Stream(seed, "fleet-site")
 	span := func(r Range) time.Duration { return time.Duration(r.draw(rng) * 1e9) }
-	length := fleetDay
-	if own {
+	length := fleetDayLength
+	if siteDay {
 		sizes := [2]Range{s.Dispatchers, s.Boxes}
 		if day == "big" {
 			sizes = [2]Range{s.BigDispatchers, s.BigBoxes}
 		}
-		if n := sizes[0].whole(rng); dispatchers == 0 {
+		if n := sizes[0].drawInt(rng); dispatchers == 0 {
 			dispatchers = n
 		}
-		if n := sizes[1].whole(rng); boxes == 0 {
+		if n := sizes[1].drawInt(rng); boxes == 0 {
 			boxes = n
 		}
 		length = span(s.Length)
@@ -67,22 +67,22 @@
 	if dispatchers < 1 || dispatchers > MaxDispatchers || boxes < s.Zones || boxes > MaxBoxes {
 		return nil, fmt.Errorf("want 1 to %d dispatchers and %d to %d workers, not %d and %d", MaxDispatchers, s.Zones, MaxBoxes, dispatchers, boxes)
 	}
-	asked, discovery := !s.Discovery.Pushed, &s.Discovery
+	onRequest, discovery := !s.Discovery.Pushed, &s.Discovery
 	calls := 0.0
-	if asked { // that discovery deals with in a second
+	if onRequest { // that discovery deals with in a second
 		calls = max(discovery.Calls.draw(rng), float64(dispatchers)/3)
 	}
 	w := &sim.World{
-		Stations: s.Zones, Jitter: s.Network.Jitter.draw(rng), Lag: span(discovery.Lag), UnresponsiveLag: span(discovery.Silent), ListsPushed: !asked,
+		Stations: s.Zones, Jitter: s.Network.Jitter.draw(rng), Lag: span(discovery.Lag), UnresponsiveLag: span(discovery.Silent), ListsPushed: !onRequest,
 		ConnectTimeout: seconds(s.Network.Connect), MaxAttempts: s.Rules.Attempts, Window: 5 * time.Second, End: length + 10*time.Second, ValuePerWork: true,
-		Handshake: s.Network.Handshake.whole(rng), NoStartReports: !s.TellsStart, Progress: seconds(s.Progress), Goal: s.goal(),
+		Handshake: s.Network.Handshake.drawInt(rng), NoStartReports: !s.TellsStart, Progress: seconds(s.Progress), Goal: s.goal(),
 		Rules: sim.Rules{DrainGrace: seconds(s.Rules.DrainGrace), StartCapacity: s.Rules.StartCapacity, WarmWithin: seconds(s.Rules.WarmWithin),
 			OverloadFactor: s.Rules.OverloadFactor, OverloadTime: seconds(s.Rules.FallTime), RestartAfter: seconds(s.Rules.RestartAfter)},
 	}
-	if own {
+	if siteDay {
 		w.Window, w.End = 10*time.Second, length+30*time.Second
 	}
-	if asked {
+	if onRequest {
 		w.ListTimeout = time.Second
 		if day == "herd" {
 			calls /= 3
@@ -103,9 +103,9 @@
 	}
 	for _, c := range s.Classes {
 		w.Classes = append(w.Classes, sim.Class{Name: c.Name, Work: sim.Dist{Mean: c.Work.draw(rng), Shape: c.shape(), Spread: c.Spread.draw(rng)},
-			HintSpread: c.HintSpread, AttemptSpread: c.Attempts.draw(rng), Class: c.plain()})
+			HintSpread: c.HintSpread, AttemptSpread: c.Attempts.draw(rng), Class: c.settings()})
 	}
-	w.Retry = sim.Retry{MaxRetries: s.Retry.Most.whole(rng), Pause: span(s.Retry.Pause), HonorsRetryAfter: s.Retry.Advice, MarksRetries: s.Retry.Marks}
+	w.Retry = sim.Retry{MaxRetries: s.Retry.Most.drawInt(rng), Pause: span(s.Retry.Pause), HonorsRetryAfter: s.Retry.Advice, MarksRetries: s.Retry.Marks}
 	if len(s.Report.Fields) > 0 {
 		w.Report = &sim.Report{Fields: s.Report.Fields, Interval: span(s.Report.Every), Delay: span(s.Report.Delay), Noise: s.Report.Noise.draw(rng)}
 	}
@@ -130,9 +130,9 @@
 		}
 		return all
 	}
-	kinds := cumulated(rng, len(s.Kinds), func(i int) Range { return s.Kinds[i].Share })
-	cell := s.Cell.whole(rng)
-	speed, zone := 0.0, spread(shares(s.BoxSkew.draw(rng)), boxes)
+	kinds := cumulative(rng, len(s.Kinds), func(i int) Range { return s.Kinds[i].Share })
+	cell := s.Cell.drawInt(rng)
+	speed, zone := 0.0, distribute(shares(s.BoxSkew.draw(rng)), boxes)
 	for i := range boxes {
 		b := sim.Box{Name: fmt.Sprint("w", i), Station: zone[i], Kind: pick(kinds, math.Mod(float64(i)*math.Phi, 1))}
 		n := 0 // boxes of the zone so far
@@ -147,22 +147,22 @@
 	}
 	skew := s.ZoneSkew.draw(rng)
 	traffic := shares(skew)
-	w.Dispatchers = spread(traffic, dispatchers)
+	w.Dispatchers = distribute(traffic, dispatchers)
 	cv := s.StreamCV.draw(rng)
 	for range dispatchers {
 		w.Shares = append(w.Shares, sim.Dist{Mean: 1, Shape: sim.Lognormal, Spread: cv}.Draw(rng))
 	}
-	asks := "fleet"
-	if own {
-		asks = day
+	loadDay := "fleet"
+	if siteDay {
+		loadDay = day
 	}
-	l := load{length: length, Work: s.Load[asks].draw(rng) * speed, From: traffic, Slow: 1}
-	l.Classes = cumulated(rng, len(s.Classes), func(i int) Range { return s.Classes[i].Share })
-	if l.To = traffic; !own {
+	l := load{length: length, Work: s.Load[loadDay].draw(rng) * speed, From: traffic, Slow: 1}
+	l.Classes = cumulative(rng, len(s.Classes), func(i int) Range { return s.Classes[i].Share })
+	if l.To = traffic; !siteDay {
 		l.To, l.Shift = shares(skew), span(Range{9, 13})
 	}
 	if day != "quiet" {
-		s.trouble(w, rng, &l, day == "calm")
+		s.addTrouble(w, rng, &l, day == "calm")
 	}
 	l.Leaves = s.Leaves.draw(rng)
 	if day == "calm" {
@@ -173,8 +173,8 @@
 	}
 	s.tenants(w, rng, &l, speed)
 	s.arrivals(w, sim.Stream(seed, "fleet-arrivals"), l)
-	if !own {
-		if err := happen(w, day, sim.Stream(seed, "fleet-faults")); err != nil {
+	if !siteDay {
+		if err := addDayFaults(w, day, sim.Stream(seed, "fleet-faults")); err != nil {
 			return nil, err
 		}
 	}
@@ -182,7 +182,7 @@
 }
 
 // cumulated draws the shares of n parts, of which the last is what the others leave, and adds them up.
-func cumulated(rng *rand.Rand, n int, share func(int) Range) []float64 {
+func cumulative(rng *rand.Rand, n int, share func(int) Range) []float64 {
 	all, sum := make([]float64, n), 0.0
 	for i := range n - 1 {
 		sum += share(i).draw(rng)
@@ -195,8 +195,8 @@
 }
 
 // pick is the part in which x is.
-func pick(cumulated []float64, x float64) int {
-	return slices.IndexFunc(cumulated, func(most float64) bool { return x <= most })
+func pick(cumulative []float64, x float64) int {
+	return slices.IndexFunc(cumulative, func(most float64) bool { return x <= most })
 }
 
 // tenants draws what each asks for. Their shares are of what all boxes can do.
@@ -217,7 +217,7 @@
 }
 
 // spread deals n places out over the zones by their shares, evenly mixed.
-func spread(shares []float64, n int) []int {
+func distribute(shares []float64, n int) []int {
 	owed, out := make([]float64, len(shares)), make([]int, n)
 	for i := range out {
 		best := 0
@@ -233,7 +233,7 @@
 }
 
 // trouble adds one of the site's own troubles; on a calm day one that is no fault.
-func (s *Site) trouble(w *sim.World, rng *rand.Rand, l *load, calm bool) {
+func (s *Site) addTrouble(w *sim.World, rng *rand.Rand, l *load, calm bool) {
 	span := func(r Range) time.Duration { return time.Duration(r.draw(rng) * 1e9) }
 	var all []Trouble
 	for _, t := range s.Troubles {
@@ -246,7 +246,7 @@
 	}
 	early := Range{3, 14}
 	// struck draws a share of n.
-	struck := func(n int, part Range) []int {
+	sample := func(n int, part Range) []int {
 		order := rng.Perm(n)
 		return order[:int(part.draw(rng)*float64(n))]
 	}
@@ -259,7 +259,7 @@
 	case "heavy":
 		l.Heavy, l.Slow = t.Part.draw(rng), t.Size.draw(rng)
 	case "dispatchers":
-		for _, n := range struck(len(w.Dispatchers), t.Part) {
+		for _, n := range sample(len(w.Dispatchers), t.Part) {
 			add(15*time.Second, sim.DispatcherCrash, n, 0, span(t.Len))
 		}
 	case "slow":
@@ -270,12 +270,12 @@
 		if t.Effect == "hang" {
 			effect = sim.BoxStalls
 		}
-		for _, n := range struck(len(w.Boxes), t.Part) {
+		for _, n := range sample(len(w.Boxes), t.Part) {
 			add(at, effect, n, 0, d)
 		}
 	case "pauses":
 		at, d, size, every := span(early), span(t.Len), span(t.Size), span(t.Every)
-		for _, n := range struck(len(w.Boxes), t.Part) {
+		for _, n := range sample(len(w.Boxes), t.Part) {
 			for from := time.Duration(rng.Float64() * float64(every)); from < d; from += every {
 				add(at+from, sim.BoxStalls, n, 0, size)
 			}
@@ -284,10 +284,10 @@
 }
 
 // happen adds what a fleet's day is named for.
-func happen(w *sim.World, day string, rng *rand.Rand) error {
+func addDayFaults(w *sim.World, day string, rng *rand.Rand) error {
 	boxes, zones := len(w.Boxes), w.Stations
 	order := rng.Perm(boxes)
-	bad := func(all []int) { // one in eight, of these
+	degrade := func(all []int) { // one in eight, of these
 		for i, n := range all[:min(max(1, boxes/8), len(all))] {
 			if b := &w.Boxes[n]; i%2 == 0 {
 				b.Speed = w.Kinds[b.Kind].Speed / 3
@@ -322,7 +322,7 @@
 		}
 		w.Faults = append(w.Faults, sim.Fault{At: 10 * time.Second, Effect: sim.DiscoveryMoves})
 	case "herd":
-		bad(order[boxes/2:])
+		degrade(order[boxes/2:])
 		release()
 		for _, n := range rng.Perm(len(w.Dispatchers))[:(7*len(w.Dispatchers)+9)/10] {
 			w.Faults = append(w.Faults, sim.Fault{At: 11 * time.Second, Effect: sim.DispatcherCrash, Target: n, For: time.Second})
@@ -333,7 +333,7 @@
 			w.Faults = append(w.Faults, sim.Fault{At: 2 * time.Second, Effect: sim.DispatcherCrash, Target: n})
 		}
 	case "zone":
-		bad(order)
+		degrade(order)
 		lost := rng.IntN(zones)
 		w.Faults = append(w.Faults, sim.Fault{At: 7 * time.Second, Effect: sim.StationBoxes, Target: lost, For: 5 * time.Second},
 			sim.Fault{At: 14 * time.Second, Effect: sim.StationPartition, Target: (lost + 1 + rng.IntN(zones-1)) % zones, For: 4 * time.Second})
@@ -373,7 +373,7 @@
 }
 
 // quotaFor is how long a tenant may ask for more than its share before that counts as beyond.
-const quotaFor = 2 * time.Second
+const quotaWindow = 2 * time.Second
 
 // arrivals fills the day.
 func (s *Site) arrivals(w *sim.World, rng *rand.Rand, l load) {
@@ -383,7 +383,7 @@
 		mean += share * c.Work.Mean
 		before += share
 	}
-	spent, at := make([]float64, len(w.Tenants)), 0.0
+	used, at := make([]float64, len(w.Tenants)), 0.0
 	for {
 		rate := l.Work / mean
 		now := time.Duration(at * 1e9)
@@ -395,9 +395,9 @@
 			return
 		}
 		a := sim.Arrival{At: time.Duration(at * 1e9)}
-		gone := min(1, max(0, (a.At-l.Shift).Seconds()/4+0.5))
+		shifted := min(1, max(0, (a.At-l.Shift).Seconds()/4+0.5))
 		for x := rng.Float64(); a.Station < w.Stations-1; a.Station++ {
-			if x -= l.From[a.Station] + (l.To[a.Station]-l.From[a.Station])*gone; x < 0 {
+			if x -= l.From[a.Station] + (l.To[a.Station]-l.From[a.Station])*shifted; x < 0 {
 				break
 			}
 		}
@@ -427,11 +427,11 @@
 		if len(l.Tenants) > 0 {
 			a.Tenant = pick(l.Tenants, rng.Float64())
 			for i, t := range w.Tenants { // each pays off what it owes at the pace of its share
-				spent[i] = max(0, spent[i]-t.Quota*gap)
+				used[i] = max(0, used[i]-t.Quota*gap)
 			}
-			owed, quota := &spent[a.Tenant], w.Tenants[a.Tenant].Quota
-			if a.OverQuota = *owed+a.Work > quota*quotaFor.Seconds()+mean; !a.OverQuota {
-				*owed += a.Work
+			usage, quota := &used[a.Tenant], w.Tenants[a.Tenant].Quota
+			if a.OverQuota = *usage+a.Work > quota*quotaWindow.Seconds()+mean; !a.OverQuota {
+				*usage += a.Work
 			}
 		}
 		w.Arrivals = append(w.Arrivals, a)
--- a/sim/site/site.go
+++ b/sim/site/site.go
@@ -40,7 +40,7 @@
 }
 
 // whole draws a whole number.
-func (r Range) whole(rng *rand.Rand) int {
+func (r Range) drawInt(rng *rand.Rand) int {
 	if r[0] == r[1] {
 		return int(r[0])
 	}
@@ -203,13 +203,13 @@
 
 // check looks for what a schema cannot see.
 func (s *Site) check(name string, text []byte) error {
-	var wrong cuefile.Error
+	var mistakes cuefile.Error
 	add := func(format string, field ...string) {
 		at := filepath.Base(name)
 		if line := cuefile.Line(text, field...); line > 0 {
 			at += fmt.Sprint(":", line)
 		}
-		wrong = append(wrong, fmt.Sprintf("%s: %s: %s", at, strings.Join(field, "."), format))
+		mistakes = append(mistakes, fmt.Sprintf("%s: %s: %s", at, strings.Join(field, "."), format))
 	}
 	for _, r := range []struct {
 		field string
@@ -242,8 +242,8 @@
 			add(fmt.Sprintf("want a range above 0, have %v", c.Work), "classes", fmt.Sprint(i), "work")
 		}
 	}
-	if len(wrong) > 0 {
-		return wrong
+	if len(mistakes) > 0 {
+		return mistakes
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 }
 
 // plain is what the module is told of the class.
-func (c *Class) plain() balance.Class {
+func (c *Class) settings() balance.Class {
 	p := balance.Class{TargetLatency: seconds(c.Aim), RuntimeFactor: c.Stretch, Value: c.Worth, LateValue: c.LateWorth, Limit: seconds(c.Patience), Window: seconds(c.Window),
 		Effect:     map[string]balance.Effect{"unsafe": balance.Unsafe, "keyed": balance.Keyed, "safe": balance.Safe}[c.Effect],
 		DedupScope: map[string]balance.DedupScope{"cell": balance.DedupCell, "zone": balance.DedupZone, "all": balance.DedupAll}[c.Group], Kind: -1}
--- a/sim/site/site_test.go
+++ b/sim/site/site_test.go
@@ -11,7 +11,7 @@
 )
 
 // load1 is a site that ships with the program.
-func load1(t *testing.T, name string) *Site {
+func loadSite(t *testing.T, name string) *Site {
 	t.Helper()
 	s, err := Load(name)
 	if err != nil {
@@ -24,7 +24,7 @@
 // get few probes and connections in any second, and calls at discovery stay within a few for each dispatcher, however many
 // there are.
 func TestFleet(t *testing.T) {
-	trinidad := load1(t, "trinidad")
+	trinidad := loadSite(t, "trinidad")
 	for _, day := range FleetDays {
 		for _, n := range []int{20, 120} {
 			w, err := trinidad.Day(day, n, 60, 1)
@@ -74,7 +74,7 @@
 
 // TestFleetDays: what a day is named for happens in it: each effect is felt in what its run shows.
 func TestFleetDays(t *testing.T) {
-	trinidad := load1(t, "trinidad")
+	trinidad := loadSite(t, "trinidad")
 	const n, boxes = 60, 40
 	count := func(w *sim.World) map[sim.Effect]int {
 		m := map[sim.Effect]int{}
@@ -115,7 +115,7 @@
 // TestCrowdedZoneIsRelieved: a zone whose clients ask for more than its boxes can do, among idle ones. Within 2 s of the load's
 // coming its jobs go elsewhere, and soon no more of them wait than elsewhere by much. Before, they stayed, and all waited.
 func TestCrowdedZoneIsRelieved(t *testing.T) {
-	w, err := load1(t, "trinidad").Day("calm", 150, 100, 5)
+	w, err := loadSite(t, "trinidad").Day("calm", 150, 100, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 func TestPolicies(t *testing.T) {
 	service := map[string]float64{}
 	for _, name := range sim.PolicyNames {
-		w, err := load1(t, "trinidad").Day("calm", 120, 80, 3)
+		w, err := loadSite(t, "trinidad").Day("calm", 120, 80, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -172,7 +172,7 @@
 // no start is told, tenants ask for more than their shares.
 func TestSites(t *testing.T) {
 	for _, name := range Names {
-		s := load1(t, name)
+		s := loadSite(t, name)
 		for _, day := range SiteDays {
 			w, err := s.Day(day, 0, 0, 3)
 			if err != nil {
@@ -204,7 +204,7 @@
 
 // TestTroubles: each of a site's troubles comes on some seed, and does what it is named for.
 func TestTroubles(t *testing.T) {
-	s := load1(t, "lensbrug")
+	s := loadSite(t, "lensbrug")
 	for _, c := range []struct {
 		effect string
 		want   sim.Effect
