--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts many dispatchers on the simulator's wire, on standard input and output.
+// Command adapter runs many dispatchers for an external simulator, which speaks the protocol of package wire on standard input and
+// output.
 package main
 
 import (
@@ -48,7 +49,7 @@
 	}
 }
 
-// host holds the dispatchers by instance. They share the sheets as they came over the wire and nothing else.
+// host holds the dispatchers by instance number. They share only the worker lists that were received, stored by sheet number.
 type host struct {
 	dispatchers map[uint32]*balance.Dispatcher
 	workerLists map[uint32][]balance.Worker
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestPanicIsReportedAsFault(t *testing.T) {
-	h := host{dispatchers: map[uint32]*balance.Dispatcher{3: {}}} // not made by New: its first timer panics
+	h := host{dispatchers: map[uint32]*balance.Dispatcher{3: {}}} // not created by New: its first timer panics
 	h.reply.Reset(1)
 	if err := h.handle(&wire.Batch{Seq: 1}, &wire.Event{Code: wire.EvTimer, Instance: 3}); err != nil {
 		t.Fatal(err)
--- a/plan/captured.go
+++ b/plan/captured.go
@@ -14,22 +14,22 @@
 	"liftgauge/sim"
 )
 
-// Fitted is what was learnt from captured load, and from how much.
+// Fitted is the work of a class as fitted from captured load, with the number of records behind it.
 type Fitted struct {
 	Class   string   `json:"class"`
 	Records int      `json:"records"`
-	Runs    int      `json:"runs"` // with a known start and end
+	Runs    int      `json:"runs"` // runs with a known start and end
 	Work    Estimate `json:"work_s"`
-	Skipped int      `json:"skipped"` // of classes or kinds that the fleet lacks
+	Skipped int      `json:"skipped"` // retries, and records of classes that the fleet lacks
 }
 
-// Speed is what was learnt of a kind of boxes.
+// Speed is the speed of a kind of box as fitted from captured load.
 type Speed struct {
 	Kind  string   `json:"kind"`
-	Runs  int      `json:"runs"`  // on boxes that were warm
-	Speed Estimate `json:"speed"` // work done in a second by a core, against the kind whose speed is known
-	Fresh int      `json:"fresh"` // runs on boxes in the first eighth of their warming up
-	Cold  Estimate `json:"cold"`  // the part of their speed that these have
+	Runs  int      `json:"runs"`  // on warm boxes
+	Speed Estimate `json:"speed"` // work done in a second by a core, relative to the kind whose speed is known
+	Fresh int      `json:"fresh"` // runs on boxes in the first eighth of their warm-up
+	Cold  Estimate `json:"cold"`  // share of their full speed that these boxes have
 }
 
 func (s Speed) String() string {
@@ -40,7 +40,7 @@
 	return text
 }
 
-// ratio is how many times as long one sort of runs takes as another, by the means of their logarithms.
+// ratio returns how many times as long one set of runs takes as another, from the means of the logarithms of their times.
 func ratio(long, short []float64) Estimate {
 	if len(long) < 2 || len(short) < 2 {
 		return Estimate{Mean: 1}
@@ -52,8 +52,9 @@
 	return Estimate{mean, mean * half}
 }
 
-// speeds fits speeds by kind and what boxes do just after a start. It takes jobs to be alike on all kinds. Kinds without a
-// speed get the one that is fitted, against the first kind by name that has one, or against the fastest.
+// fitSpeeds fits the speed of each kind, and the speed of boxes just after a start. It assumes that all kinds run the same mix of
+// jobs. A kind without a speed in the fleet file gets the fitted one, relative to the first kind by name that has a speed, or else to
+// the fastest.
 func (f *Fleet) fitSpeeds(h capture.Header, records []capture.Record) []Speed {
 	warm, fresh := map[string][]float64{}, map[string][]float64{}
 	for _, r := range records {
@@ -102,10 +103,10 @@
 	return all
 }
 
-// UseCaptured takes captured records in place of the fleet file's load. A job's work is its running time where it was served,
-// times the speed of the kind that ran it, else its hint, else the mean of its class. Clients are taken to be at the station of
-// the dispatcher that they came to. Where records were dropped when they were written, those that are left are pressed together
-// by as much. Clients' retries are left out: the emulator's clients make their own.
+// UseCaptured replaces the fleet file's load by captured records. A job's work is its running time times the speed of the kind
+// that ran it, if it was served, else its hint, else the mean of its class. Clients are assumed to be at the station of the
+// dispatcher that they used. If the capture dropped records, the times of the remaining ones are compressed in proportion, so that
+// the rate is right. Clients' retries are left out, as the simulator's clients make their own.
 func (f *Fleet) UseCaptured(h capture.Header, records []capture.Record, dropped int64) ([]Fitted, []Speed, error) {
 	stations, _, classes := f.Names()
 	records = slices.Clone(records)
--- a/plan/fleet.go
+++ b/plan/fleet.go
@@ -1,6 +1,7 @@
-// Package plan says of a fleet what gives way first, how many boxes a goal needs, and what the loss of a station does.
+// Package plan is the capacity planner: for a fleet it finds the resource that is exhausted first, the number of boxes that the goals
+// need, and the effect of losing a station.
 //
-// It works out bounds by hand first, and plays days in the emulator (package sim) only where these do not decide.
+// It computes analytical bounds first, and then simulates days (package sim).
 package plan
 
 import (
@@ -24,17 +25,17 @@
 //go:embed fleet.cue
 var schema string
 
-// Duration is a time that stands in JSON as a text.
+// Duration is a duration that is written as a string in JSON.
 type Duration time.Duration
 
-// UnmarshalText reads the text.
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// Fleet is a fleet file. The schema, fleet.cue, says what each field means.
+// Fleet is a fleet file. The schema, fleet.cue, defines each field.
 type Fleet struct {
 	Stations   map[string]Station `json:"stations"`
 	Network    Network            `json:"network"`
@@ -47,8 +48,8 @@
 	Dispatcher Dispatcher         `json:"dispatcher"`
 	Goals      Goals              `json:"goals"`
 
-	captured []sim.Arrival // in place of Load, where there are any
-	willFit  bool          // captured load is to come
+	captured []sim.Arrival // replaces Load if not nil
+	willFit  bool          // UseCaptured will follow, so speeds may be missing
 }
 
 // The parts of a Fleet.
@@ -139,7 +140,7 @@
 	}
 )
 
-// LoadFleet reads a fleet file. A cuefile.Error tells of mistakes, a line each. Fits says that UseCaptured is to follow: then
+// LoadFleet reads a fleet file. A cuefile.Error lists the mistakes in it, one per line. With willFit, UseCaptured is to follow and
 // speeds may be missing.
 func LoadFleet(path string, willFit bool) (*Fleet, error) {
 	text, err := os.ReadFile(path)
@@ -149,7 +150,7 @@
 	return Parse(path, text, willFit)
 }
 
-// Parse reads a fleet; name stands for its file in errors.
+// Parse parses a fleet file; name is the file name used in errors.
 func Parse(name string, text []byte, willFit bool) (*Fleet, error) {
 	out, err := cuefile.CompileBy(schema, "#Fleet", name, text)
 	if err != nil {
@@ -162,7 +163,7 @@
 	return f, f.check(name, text)
 }
 
-// check looks for what a schema cannot see.
+// check checks what the schema cannot express.
 func (f *Fleet) check(name string, text []byte) error {
 	var mistakes cuefile.Error
 	add := func(field []string, format string, args ...any) {
@@ -220,12 +221,12 @@
 	return nil
 }
 
-// Names are the stations, kinds and classes in the order of their numbers.
+// Names returns the names of the stations, kinds and classes, in the order of their indices in a World.
 func (f *Fleet) Names() (stations, kinds, classes []string) {
 	return slices.Sorted(maps.Keys(f.Stations)), slices.Sorted(maps.Keys(f.Kinds)), slices.Sorted(maps.Keys(f.Classes))
 }
 
-// Boxes is how many boxes there are.
+// Boxes returns the number of boxes.
 func (f *Fleet) Boxes() (n int) {
 	for _, s := range f.Stations {
 		for _, k := range s.Boxes {
@@ -235,7 +236,7 @@
 	return n
 }
 
-// capacity is the work done in a second by all boxes of a station, or of all.
+// capacity returns the work that all boxes of a station can do in a second, or those of all stations if the name is empty.
 func (f *Fleet) capacity(station string) (sum float64) {
 	for name, s := range f.Stations {
 		if station == "" || name == station {
@@ -248,7 +249,7 @@
 	return sum
 }
 
-// work is the mean work of a job, in seconds at speed 1.
+// work returns the mean work of a job, in seconds at speed 1.
 func (f *Fleet) work() float64 {
 	sum, mix := 0.0, 0.0
 	for _, c := range f.Classes {
@@ -258,7 +259,7 @@
 	return sum / max(mix, 1e-12)
 }
 
-// loadOf is the part of the load that a station's clients send.
+// loadShare returns the share of the load that a station's clients send.
 func (f *Fleet) loadShare(station string) float64 {
 	sum := 0.0
 	for _, s := range f.Stations {
@@ -267,8 +268,8 @@
 	return f.Stations[station].Load / max(sum, 1e-12)
 }
 
-// Scaled is the fleet with so many boxes in all, in the proportions of today's: by largest remainders, and for equal ones by
-// name, so that more boxes never mean fewer of any sort by much.
+// Scaled returns the fleet with n boxes in all, in the same proportions. It uses the largest remainder method, with ties in the
+// order of names, so that with more boxes in all, the number of any station and kind never falls by much.
 func (f *Fleet) Scaled(n int) *Fleet {
 	type sort struct {
 		station, kind string
@@ -319,8 +320,8 @@
 	return &g
 }
 
-// World is the fleet as the emulator plays it, at a load factor, with the arrivals of a seed. The same seed has the same jobs
-// at the same factor whatever the boxes are.
+// World returns the fleet as input of the simulator, at a load factor, with the arrivals of a seed. For one seed and factor the
+// jobs are the same whatever the boxes are.
 func (f *Fleet) World(seed uint64, factor float64) *sim.World {
 	stations, kinds, classes := f.Names()
 	w := &sim.World{Stations: len(stations), Jitter: f.Network.Jitter, ConnectTimeout: 250 * time.Millisecond, MaxAttempts: f.Rules.Attempts,
@@ -376,9 +377,9 @@
 
 func (f *Fleet) dayLength() time.Duration { return time.Duration(f.Load.Length) }
 
-// arrivals draws a day's jobs. Bursts and the load factor press the same jobs closer together.
+// arrivals draws a day's jobs. Bursts and the load factor move the same jobs closer together.
 func (f *Fleet) arrivals(w *sim.World, seed uint64, factor float64) []sim.Arrival {
-	if f.captured != nil { // pressed together
+	if f.captured != nil { // the load factor scales the times
 		all := slices.Clone(f.captured)
 		for i := range all {
 			all[i].At = time.Duration(float64(all[i].At) / factor)
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -17,16 +17,16 @@
 	"liftgauge/sim"
 )
 
-// Limit is a resource that may give way.
+// Limit is the use of a resource that may be exhausted.
 type Limit struct {
 	Resource string  `json:"resource"`
 	Where    string  `json:"where"`     // a station, or "all"
-	Use      float64 `json:"use"`       // its part that is used at load factor 1; over 1 is more than there is
-	At       float64 `json:"at_factor"` // the load factor at which all of it is used; 0: never
-	Hard     bool    `json:"hard"`      // nothing else takes over when it gives way
+	Use      float64 `json:"use"`       // share used at load factor 1; over 1 means overload
+	At       float64 `json:"at_factor"` // load factor at which it is exhausted; 0: never
+	Hard     bool    `json:"hard"`      // no other resource takes over when it is exhausted
 }
 
-// Bounds works out by hand how much of each resource a load uses, the fullest first.
+// Bounds computes analytically how much of each resource the load uses, highest use first.
 func (f *Fleet) Bounds() []Limit {
 	var all []Limit
 	add := func(resource, where string, use float64, hard bool) {
@@ -52,7 +52,7 @@
 		if n := f.Stations[s].Dispatchers; n > 0 {
 			dispatchers += n
 		} else {
-			withoutDispatcher += f.loadShare(s) // of clients that go to others' dispatchers, to all alike
+			withoutDispatcher += f.loadShare(s) // clients without a local dispatcher use all dispatchers equally
 		}
 	}
 	speed := f.capacity("") / max(f.cores(), 1)
@@ -68,21 +68,22 @@
 		}
 		rate = rate/float64(d) + f.Load.Rate*withoutDispatcher/float64(dispatchers)
 		add("a dispatcher's CPU", s, rate*time.Duration(f.Dispatcher.CPUPerJob).Seconds()/f.Dispatcher.Cores, true)
-		// A client holds its connection while its job is open; a quarter of the descriptors are for hosts.
+		// A client holds its connection while its job is open; a quarter of the descriptors is reserved for boxes.
 		open := rate * (f.work()/max(speed, 1e-12) + 2*time.Duration(f.Network.Crossing).Seconds())
-		// A job is some five events, and a quarter of a second of them may wait behind one long stop.
+		// A job causes about five events, and a pause of the process can queue up a quarter of a second of them.
 		add("a dispatcher's queue", s, rate*5/4/float64(f.Dispatcher.Queue), true)
 		memory := budget.SplitMemory(int64(f.Dispatcher.MemoryMB) << 20).Messages
 		add("a dispatcher's memory", s, open*float64(budget.MessageCost+f.Dispatcher.Body)/float64(memory), true)
 		add("a dispatcher's descriptors", s, open/(float64(f.Dispatcher.Sockets-32)*3/4), true)
 	}
-	// Each dispatcher keeps a connection to a box for each of its own jobs there, and one at least.
+	// Each dispatcher keeps one connection to a box for each of its jobs there, and at least one.
 	for _, name := range slices.Sorted(maps.Keys(f.Kinds)) {
 		if k := f.Kinds[name]; k.Connections > 0 {
 			add("a box's connections", name, float64(max(dispatchers, k.Slots))/float64(k.Connections), true)
 		}
 	}
-	// All dispatchers ask at once after discovery was away: that it takes longer than a watch is waited for counts as full.
+	// All dispatchers call at once when discovery returns after an outage. The limit is reached when serving all of them takes longer
+	// than a dispatcher waits for its list.
 	add("discovery's calls", "all", float64(dispatchers)*time.Duration(f.Discovery.Call).Seconds()/2.5, true)
 	slices.SortStableFunc(all, func(a, b Limit) int { return cmpFloat(b.Use, a.Use) })
 	return all
@@ -108,7 +109,7 @@
 	return float64(n)
 }
 
-// Estimate is a mean over days with half the width of its 95% interval.
+// Estimate is a mean over days with half the width of its 95% confidence interval.
 type Estimate struct {
 	Mean float64 `json:"mean"`
 	Half float64 `json:"half"`
@@ -123,17 +124,17 @@
 	return Estimate{mean, t * sd / math.Sqrt(float64(len(all)))}
 }
 
-// Verdict says whether a goal is kept.
+// Verdict says whether a goal is met.
 type Verdict string
 
-// The verdicts.
+// The possible verdicts.
 const (
 	Met       Verdict = "kept"
 	Missed    Verdict = "missed"
 	Undecided Verdict = "can't tell"
 )
 
-// against compares an estimate with a least value.
+// verdict compares an estimate with a minimum value.
 func (e Estimate) verdict(goal float64) Verdict {
 	switch {
 	case e.Mean-e.Half >= goal:
@@ -144,7 +145,7 @@
 	return Undecided
 }
 
-// Outcome is what days of one kind show.
+// Outcome is the result of the simulated days of one scenario.
 type Outcome struct {
 	Name     string              `json:"name"`
 	Factor   float64             `json:"load_factor"`
@@ -154,30 +155,30 @@
 	InTime   map[string]Estimate `json:"in_time"`
 	P99      map[string]float64  `json:"p99_ms"`
 	Use      map[string]float64  `json:"utilisation"` // by station and kind
-	Stations map[string]float64  `json:"by_station"`  // service of what each station's clients sent
+	Stations map[string]float64  `json:"by_station"`  // service of the jobs of each station's clients
 	Boxes    int                 `json:"boxes"`
 	Lost     int64               `json:"lost"`
-	Broken   int64               `json:"rules_broken"` // boxes pushed over, and runs of what must not run twice
-	Tries    float64             `json:"tries"`        // of clients, for each job
+	Broken   int64               `json:"rules_broken"` // cold boxes that crashed under overload, and repeated runs of unsafe jobs
+	Tries    float64             `json:"tries"`        // client tries per job
 	Verdict  Verdict             `json:"verdict"`
-	Why      string              `json:"why"` // the goal that is missed or not decided by most
+	Why      string              `json:"why"` // the goal that is missed or undecided
 }
 
 // Planner answers questions about one fleet.
 type Planner struct {
 	Fleet   *Fleet
 	Seed    uint64
-	MinDays int // days at first; twice as many as long as a goal is not decided,
-	MaxDays int // and no more than this
-	// Done, if it is set, is told of each question that is answered.
+	MinDays int // number of days at first; doubled while a goal is undecided,
+	MaxDays int // up to this number
+	// OnOutcome, if set, is called with each outcome.
 	OnOutcome func(Outcome)
 }
 
-// change makes a day of a kind of a world, such as one on which a station goes dark.
+// worldChange modifies a world for a scenario, such as the loss of a station.
 type worldChange func(w *sim.World)
 
-// Judge plays days of a fleet at a load factor until each goal is decided, or Most is reached. The days are those of the same
-// seeds for every fleet, so that two fleets differ by what they are alone.
+// Evaluate simulates days of a fleet at a load factor until each goal is decided or MaxDays is reached. All fleets use days of the
+// same seeds, so that the outcomes of two fleets differ only because of the fleets.
 func (p *Planner) Evaluate(ctx context.Context, name string, f *Fleet, factor float64, with worldChange) (Outcome, error) {
 	o := Outcome{Name: name, Factor: factor, Boxes: f.Boxes()}
 	var days []*sim.Result
@@ -213,7 +214,7 @@
 	}
 }
 
-// sum makes an outcome of days.
+// summarize computes the outcome of days.
 func (p *Planner) summarize(o *Outcome, f *Fleet, days []*sim.Result) {
 	stations, kinds, classes := f.Names()
 	var service, worst []float64
@@ -283,28 +284,28 @@
 	}
 }
 
-// Answer is all that a plan says.
+// Answer is the complete result of a plan.
 type Answer struct {
 	Seed     uint64    `json:"seed"`
 	Boxes    int       `json:"boxes"`
 	Bounds   []Limit   `json:"bounds"`
 	Today    Outcome   `json:"today"`
-	Tip      float64   `json:"tip"` // the highest load factor found at which the goals are kept; 0: none
+	Tip      float64   `json:"tip"` // the highest load factor found at which the goals are met; 0: none
 	Next     float64   `json:"tip_missed"`
-	First    []Limit   `json:"first_to_give_way"` // at the tip, the fullest first
-	Fewest   int       `json:"fewest_boxes"`      // that keep the goals at load factor 1; 0: not known
+	First    []Limit   `json:"first_to_give_way"` // at the tip, highest use first
+	Fewest   int       `json:"fewest_boxes"`      // smallest number that meets the goals at load factor 1; 0: not known
 	Fleet    string    `json:"fewest_why"`
-	Fleets   []Outcome `json:"fleets"` // numbers of boxes that were tried
+	Fleets   []Outcome `json:"fleets"` // the numbers of boxes that were simulated
 	Curve    []Outcome `json:"curve"`
 	WhatIf   []Outcome `json:"what_if"`
 	Partial  bool      `json:"partial"`
-	Fitted   []string  `json:"fitted"` // from captured load, if that was used: what, and from how much
+	Fitted   []string  `json:"fitted"` // values fitted from captured load, if that was used, with their sample sizes
 	Timeline []sim.Window
 	Lost     string  `json:"timeline_of"`
 	Seconds  float64 `json:"seconds"`
 }
 
-// Plan answers all questions. Where the context ends it returns what is known so far, as partial.
+// Plan computes the complete answer. If the context ends, it returns what is known so far and marks it as partial.
 func (p *Planner) Plan(ctx context.Context) (*Answer, error) {
 	start := time.Now()
 	a := &Answer{Seed: p.Seed, Boxes: p.Fleet.Boxes(), Bounds: p.Fleet.Bounds()}
@@ -340,7 +341,7 @@
 	return nil
 }
 
-// tip finds the load factor at which the goals are missed first, and names what is fullest there.
+// tippingPoint finds the lowest load factor at which the goals are missed, and the resources with the highest use there.
 func (p *Planner) tippingPoint(ctx context.Context, a *Answer) error {
 	if p.Fleet.Load.Rate <= 0 {
 		return nil
@@ -383,7 +384,7 @@
 		a.First = append(a.First, l)
 	}
 	slices.SortStableFunc(a.First, func(x, y Limit) int {
-		if x.Hard != y.Hard { // what others take over for does not stop the fleet
+		if x.Hard != y.Hard { // a limit that other resources take over for does not stop the fleet
 			if x.Hard {
 				return -1
 			}
@@ -395,13 +396,13 @@
 	return nil
 }
 
-// fewest finds the smallest fleet in today's proportions that keeps the goals, by bisection.
+// fewest finds the smallest fleet in today's proportions that meets the goals, by bisection.
 func (p *Planner) fewest(ctx context.Context, a *Answer) error {
 	if p.Fleet.Load.Rate <= 0 {
 		a.Fewest, a.Fleet = 1, "there is no load"
 		return nil
 	}
-	// Below this many no policy can do the work.
+	// With fewer boxes than this no policy can do the work.
 	low := int(float64(a.Boxes) * a.Bounds[slices.IndexFunc(a.Bounds, func(l Limit) bool { return l.Resource == "boxes' cores" && l.Hard })].Use)
 	low = max(low, 1) - 1
 	high, last := 0, Outcome{}
@@ -444,7 +445,7 @@
 	return nil
 }
 
-// forbids names a limit that boxes do not lift.
+// limitBeyondBoxes describes a limit that more boxes do not raise.
 func (a *Answer) limitBeyondBoxes() string {
 	for _, l := range a.Bounds {
 		if l.Hard && l.Resource != "boxes' cores" && l.Use >= 0.9 {
@@ -454,7 +455,7 @@
 	return "; even where boxes are idle"
 }
 
-// whatIf loses each station, the largest boxes, and deploys.
+// whatIf simulates the loss of each station and of the largest boxes, and a rolling deploy.
 func (p *Planner) whatIf(ctx context.Context, a *Answer) error {
 	stations, _, _ := p.Fleet.Names()
 	third := p.Fleet.dayLength() / 3
--- a/plan/report.go
+++ b/plan/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Text writes an answer for a terminal.
+// Text writes an answer as plain text for a terminal.
 func (a *Answer) Text(w io.Writer, f *Fleet) {
 	if a.Partial {
 		fmt.Fprintln(w, "PARTIAL: it was ended before all was answered.")
@@ -74,7 +74,7 @@
 	red  = color.RGBA{214, 39, 40, 255}
 )
 
-// svg draws a plot to be put into a page.
+// svg renders a plot for embedding in a page.
 func svg(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(16*vg.Centimeter, 8*vg.Centimeter)
 	p.Draw(draw.New(c))
@@ -83,7 +83,7 @@
 		return "", err
 	}
 	text := b.String()
-	if i := strings.Index(text, "<svg"); i > 0 { // no prologue inside a page
+	if i := strings.Index(text, "<svg"); i > 0 { // an embedded SVG has no XML prologue
 		text = text[i:]
 	}
 	return template.HTML(text), nil
@@ -97,7 +97,7 @@
 	return p
 }
 
-// across draws a level, such as a goal.
+// horizontalLine draws a dashed line at a level, such as a goal.
 func horizontalLine(p *plot.Plot, from, to, y float64) error {
 	l, err := plotter.NewLine(plotter.XYs{{X: from, Y: y}, {X: to, Y: y}})
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// curvePlot is load factor against service with its band.
+// curvePlot plots service over the load factor, with its confidence band.
 func (a *Answer) curvePlot(goal float64) (*plot.Plot, error) {
 	p := axes("Service against load", "load factor", "service")
 	var mid, up, down plotter.XYs
@@ -142,7 +142,7 @@
 	return p, nil
 }
 
-// stationsPlot is load factor against the service of each station's clients.
+// stationsPlot plots the service of each station's clients over the load factor.
 func (a *Answer) stationsPlot(stations []string) (*plot.Plot, error) {
 	p := axes("Service by the clients' station", "load factor", "service")
 	p.Legend.Left = true
@@ -167,7 +167,7 @@
 	return p, nil
 }
 
-// boxesPlot is the number of boxes against service, with its interval and the goal.
+// boxesPlot plots service over the number of boxes, with confidence intervals and the goal.
 func (a *Answer) boxesPlot(goal float64) (*plot.Plot, error) {
 	p := axes("Boxes against the goal", "boxes", "service")
 	var points errorPoints
@@ -193,7 +193,7 @@
 	plotter.YErrors
 }
 
-// timelinePlot is service over the day on which a station's boxes go dark.
+// timelinePlot plots service over the day on which a station loses its boxes.
 func (a *Answer) timelinePlot(dark, back float64) (*plot.Plot, error) {
 	p := axes("The boxes of "+a.Lost+" go dark", "seconds", "service")
 	var line plotter.XYs
@@ -262,7 +262,7 @@
 </body></html>
 `))
 
-// HTML writes an answer as one page that needs nothing else.
+// HTML writes an answer as one self-contained page.
 func (a *Answer) HTML(w io.Writer, f *Fleet) error {
 	data := struct {
 		A                                *Answer
--- a/sim/box.go
+++ b/sim/box.go
@@ -9,47 +9,47 @@
 	"liftgauge/balance"
 )
 
-// attempt is a job at a box, or on the way there or back.
+// attempt is one delivery of a job to a box, including the time it is in transit.
 type attempt struct {
 	dispatcher  *dispatcher
 	job         *job
 	number      int
 	box         *box
-	incarnation int // of the box when it came there
+	incarnation int // of the box when the attempt arrived
 	arrivedAt   time.Duration
 	remaining   float64
-	work        float64 // in all
+	work        float64 // total, in seconds at speed 1
 	slots       int
 	running     bool
 	begun       bool
-	abandoned   bool // given up, ended, or forgotten by its dispatcher
-	done        bool // its dispatcher has its outcome
+	abandoned   bool // its dispatcher no longer waits for it
+	done        bool // its dispatcher has received the outcome
 }
 
-// box is a box under way. Jobs that run share its cores: each has the speed of a core, or an equal part where there are more
-// jobs than cores, and what crowding leaves of it.
+// box is the run-time state of a Box. Running jobs share its cores: each runs at the speed of one core, or, when there are
+// more jobs than cores, at an equal share of all cores, reduced by the crowding penalty.
 type box struct {
 	Box
 	r            *run
 	kind         Kind
 	id           balance.WorkerID
 	state        balance.State
-	up           bool // its process is there
-	unresponsive bool // it is, or is not, but says nothing
+	up           bool // its process is running
+	unresponsive bool // nothing is received from it, whether or not it is up
 	incarnation  int  // counts restarts
 	startedAt    time.Duration
-	cold         bool // since its start it may still be
+	cold         bool // may still be warming up
 	running      []*attempt
 	waiting      []*attempt
-	advancedTo   time.Duration // until when the work of those that run is taken off
-	completion   int           // the completion that is planned now; older ones are void
-	busy         float64       // core-seconds of work, as a share of all cores
-	recent       []sentWork    // to a cold box, within FallTime
-	used         int           // slots of those that run
-	stalled      int           // what keeps it standing still now
-	samples      []loadSample  // its last reports
-	meanRuntime  float64       // recent running time, seconds
-	errorLevel   float64       // recent errors a second
+	advancedTo   time.Duration // time up to which work was subtracted from running jobs
+	completion   int           // number of the scheduled completion; earlier ones are void
+	busy         float64       // core-seconds in use
+	recent       []sentWork    // work sent to a cold box within Rules.OverloadTime
+	used         int           // slots of running jobs
+	stalled      int           // number of stalls in effect
+	samples      []loadSample  // most recent load samples
+	meanRuntime  float64       // moving average, in seconds
+	errorLevel   float64       // errors per second at lastErrorAt
 	lastErrorAt  time.Duration
 	connections  int // open, in use or idle
 	result       *BoxResult
@@ -60,10 +60,10 @@
 type sentWork struct {
 	at         time.Duration
 	work       float64
-	knowsStart bool // by a dispatcher that knew of the start
+	knowsStart bool // the sending dispatcher's list showed the box's last start
 }
 
-// warmth is the share of its speed that a box has.
+// warmUpFactor returns the share of its full speed that the box has reached.
 func (b *box) warmUpFactor(now time.Duration) float64 {
 	rules := b.r.Rules
 	within, from := cmp.Or(b.kind.WarmUpTime, rules.WarmWithin), cmp.Or(b.kind.ColdSpeed, rules.StartCapacity)
@@ -78,7 +78,7 @@
 	return from + (1-from)*age
 }
 
-// rate is the speed of each job that runs.
+// jobSpeed returns the speed of each running job.
 func (b *box) jobSpeed() float64 {
 	n := float64(b.used)
 	if n == 0 || b.stalled > 0 {
@@ -92,7 +92,7 @@
 	return rate
 }
 
-// advance takes off the work that was done since the last time.
+// advance subtracts the work done since the last call from the running jobs.
 func (b *box) advance() {
 	dt := (b.r.now - b.advancedTo).Seconds()
 	b.advancedTo = b.r.now
@@ -107,12 +107,13 @@
 	b.r.result.zoneSecond(b.r.now, b.Station).Running += float64(len(b.running)) * dt
 }
 
-// waitSeen is the wait that Zones counts: a job that waits as long is late if it has no work to speak of.
+// waitThreshold is the queueing time above which Result.Zones counts an attempt as waited: after it even a very short job is
+// late.
 const waitThreshold = 200 * time.Millisecond
 
-const coldInterval = 100 * time.Millisecond // how often a cold box's speed is looked at
+const coldInterval = 100 * time.Millisecond // how often the speed of a cold box is updated
 
-// replan plans the next completion.
+// scheduleCompletion schedules an update at the next completion and voids the previous one.
 func (b *box) scheduleCompletion() {
 	b.completion++
 	if len(b.running) == 0 || b.stalled > 0 {
@@ -134,7 +135,7 @@
 	})
 }
 
-// step ends what is done and lets in what waits.
+// update ends the attempts whose work is done and starts waiting ones in the free slots.
 func (b *box) update() {
 	b.advance()
 	if b.stalled > 0 {
@@ -162,9 +163,9 @@
 			b.errorLevel, b.lastErrorAt = b.errorRate()+0.1, b.r.now
 		}
 		if b.r.lostReplyShare > 0 && b.r.errors.Float64() < b.r.lostReplyShare {
-			continue // its dispatcher waits until it gives up
+			continue // the reply is lost; its dispatcher waits until the deadline
 		}
-		if a.abandoned { // it was withdrawn and ran on
+		if a.abandoned { // it was cancelled and kept running
 			b.result.Wasted += a.work
 		}
 		b.reportOutcome(a, status)
@@ -177,14 +178,14 @@
 	b.scheduleCompletion()
 }
 
-// waited counts an attempt that leaves the queue, or never was in it, by when it came.
+// countWait counts an attempt that starts or leaves the queue, in the second in which it arrived.
 func (b *box) countWait(a *attempt) {
 	if b.r.now-a.arrivedAt > waitThreshold {
 		b.r.result.zoneSecond(a.arrivedAt, b.Station).Waited++
 	}
 }
 
-// begin runs an attempt.
+// begin starts an attempt.
 func (b *box) begin(a *attempt) {
 	a.running, a.begun = true, true
 	b.running = append(b.running, a)
@@ -202,7 +203,7 @@
 	})
 }
 
-// tell sends a word back to the dispatcher. A word that is lost on a cut way is said again until the way is there.
+// notify sends a message to the attempt's dispatcher. While the network is cut it is resent until it gets through.
 func (b *box) notify(a *attempt, deliver func()) {
 	incarnation := b.incarnation
 	d, ok := b.r.delay(b.Station, a.dispatcher.station)
@@ -217,7 +218,7 @@
 	b.r.after(d, deliver)
 }
 
-// take is an attempt whose last byte has come.
+// receive handles an attempt whose last byte has arrived.
 func (b *box) receive(a *attempt) {
 	if a.abandoned {
 		return
@@ -247,7 +248,7 @@
 	b.result.Longest = max(b.result.Longest, len(b.waiting))
 }
 
-// overrun says whether a cold box has been sent more than it can bear.
+// overloaded reports whether a cold box has been sent more work than it survives.
 func (b *box) overloaded(a *attempt) bool {
 	rules := b.r.Rules
 	c := b.warmUpFactor(b.r.now)
@@ -255,7 +256,7 @@
 		return false
 	}
 	sum, informed, kept := 0.0, 0.0, b.recent[:0]
-	// A job takes no more of the time in question than a core can give it then.
+	// A job counts for at most what one core does within OverloadTime.
 	work := min(a.job.work, b.Speed*rules.OverloadTime.Seconds())
 	for _, s := range append(b.recent, sentWork{b.r.now, work, a.dispatcher.knowsStart(b)}) {
 		if b.r.now-s.at < rules.OverloadTime {
@@ -274,7 +275,7 @@
 	return sum > limit
 }
 
-// remove takes an attempt out. False: it is not here any more.
+// remove removes an attempt from the box. It returns false if the attempt is not there.
 func (b *box) remove(a *attempt) bool {
 	for _, list := range []*[]*attempt{&b.running, &b.waiting} {
 		for i, x := range *list {
@@ -298,7 +299,8 @@
 	return false
 }
 
-// die ends the process. Loud: connections are reset. It comes back cold after a time, unless that is 0.
+// terminate ends the process. Connections are reset unless it becomes unresponsive. It restarts cold after restartAfter; 0 means
+// never.
 func (b *box) terminate(unresponsive bool, restartAfter time.Duration) {
 	if !b.up {
 		return
@@ -330,7 +332,7 @@
 	}
 }
 
-// restart starts the process, cold.
+// restart starts the process cold.
 func (b *box) restart() {
 	if b.up {
 		return
@@ -340,7 +342,7 @@
 	b.announce(balance.Ready)
 }
 
-// hush has nothing pass to and from the box for a time; what it runs goes on.
+// partition cuts the box off from the network for a time; running jobs continue.
 func (b *box) partition(d time.Duration) {
 	if !b.up || b.unresponsive {
 		return
@@ -354,7 +356,7 @@
 	})
 }
 
-// drain has the box finish what it has, and then restart.
+// drain lets the box finish its jobs and then restarts it.
 func (b *box) drain(restartAfter time.Duration) {
 	if !b.up || b.state == balance.Draining {
 		return
@@ -375,10 +377,10 @@
 	b.r.after(2*b.r.Lag+time.Second, wait)
 }
 
-// list has discovery tell of a change.
+// announce has discovery report the box's state to the dispatchers after the list lag.
 func (b *box) announce(state balance.State) {
 	if b.state = state; state != balance.Draining {
-		b.state = balance.Ready // whether it takes jobs is for the process; a dead one takes none
+		b.state = balance.Ready // a removed box accepts no jobs because its process is not up
 	}
 	w, lag := b.listEntry(state), b.r.Lag
 	if b.unresponsive && state == balance.Removed {
@@ -391,7 +393,7 @@
 	})
 }
 
-// listed is how discovery lists the box.
+// listEntry returns the box's entry in the worker list.
 func (b *box) listEntry(state balance.State) balance.Worker {
 	w := balance.Worker{ID: b.id, Zone: b.Station, Kind: b.Box.Kind, Cell: b.Cell, State: state, Weight: b.kind.Speed * float64(b.kind.Cores)}
 	if b.startedAt > 0 {
@@ -400,16 +402,16 @@
 	return w
 }
 
-// fits says whether there are slots for an attempt now.
+// hasSlots reports whether there are free slots for an attempt.
 func (b *box) hasSlots(a *attempt) bool { return b.used+a.slots <= max(b.kind.Slots, a.slots) }
 
-// ends tells a dispatcher how an attempt ended, with what the box reports of its load now.
+// reportOutcome sends the outcome of an attempt to its dispatcher, with the box's load report.
 func (b *box) reportOutcome(a *attempt, status balance.Status) {
 	report := b.report()
 	b.notify(a, func() { a.dispatcher.outcomeWith(a, status, report) })
 }
 
-// progress tells every so often how far an attempt has come that runs.
+// scheduleProgress reports the progress of a running attempt at regular intervals.
 func (b *box) scheduleProgress(a *attempt) {
 	if b.r.Progress <= 0 {
 		return
@@ -432,7 +434,7 @@
 	})
 }
 
-// stall has the box stand still for a time. What came meanwhile it deals with afterwards.
+// stall pauses the box for a time. What arrives in the meantime is handled afterwards.
 func (b *box) stall(d time.Duration) {
 	if !b.up || d <= 0 {
 		return
@@ -451,7 +453,7 @@
 	})
 }
 
-// stalls has the box stand still now and then.
+// scheduleStalls stalls the box at random intervals.
 func (b *box) scheduleStalls(rng *rand.Rand) {
 	if b.kind.StallEvery <= 0 || b.kind.StallFor <= 0 {
 		return
@@ -462,13 +464,13 @@
 	})
 }
 
-// look is what a box saw of its own load.
+// loadSample is a box's measurement of its own load.
 type loadSample struct {
 	at     time.Duration
 	values []float32
 }
 
-// look has the box look at its load now and from now on.
+// sampleLoad measures the load now and at each report interval from then on.
 func (b *box) sampleLoad() {
 	rep := b.r.Report
 	if rep == nil {
@@ -498,12 +500,12 @@
 	b.r.after(rep.Interval, b.sampleLoad)
 }
 
-// erring is how many errors a second there were of late: half after some seven seconds.
+// errorRate returns the recent errors per second. It decays with a half-life of about seven seconds.
 func (b *box) errorRate() float64 {
 	return b.errorLevel * math.Exp(-(b.r.now-b.lastErrorAt).Seconds()/10)
 }
 
-// report is the newest look that can be seen.
+// report returns the newest sample that is at least as old as the report delay.
 func (b *box) report() []float32 {
 	if b.r.Report == nil {
 		return nil
--- a/sim/dispatcher.go
+++ b/sim/dispatcher.go
@@ -7,50 +7,51 @@
 	"liftgauge/balance"
 )
 
-// job is one try of a client's at a dispatcher.
+// job is one try of a client at a dispatcher.
 type job struct {
 	id            balance.JobID
 	arrival       int
 	class         int
 	work          float64
 	sent          time.Duration // by the client
-	deadline      time.Duration // of the client's patience
-	previousTries int           // of the client before this one
+	deadline      time.Duration // when the client stops waiting
+	previousTries int           // earlier tries of the client
 	attempts      []*attempt
 	answered      bool
 	mayHaveRun    bool // an attempt may have run
 }
 
-// dispatcher is one with its policy. It is the policy's Actions; what comes of a call happens later, never inside it.
+// dispatcher is a simulated dispatcher with its policy. It implements balance.Actions for the policy; the effects of a call
+// happen in later events, never inside the call.
 type dispatcher struct {
 	r            *run
 	number       int
 	station      int
 	policy       Policy
 	dead         bool
-	shuttingDown bool // a planned restart: clients go elsewhere
+	shuttingDown bool // planned restart: clients use other dispatchers
 	incarnation  int
-	jobs         map[balance.JobID]*job // never walked: its order is not ours
-	ids          []balance.JobID        // open jobs in the order in which they came, and ended ones until they are swept
+	jobs         map[balance.JobID]*job // never iterated, as map order is not deterministic
+	ids          []balance.JobID        // jobs in order of arrival; ended ones are no longer in jobs
 	lastID       balance.JobID
-	idle         []int // connections to each box that stand idle
+	idle         []int // idle connections, by box
 	watching     bool
-	startedAt    time.Duration    // its process
-	workers      []balance.Worker // the list as it was last told, for a restart
+	startedAt    time.Duration    // start of its process
+	workers      []balance.Worker // the worker list as last received, kept over a restart
 }
 
 const (
 	deadlineGrace   = 4 * time.Millisecond
 	probeTimeout    = 500 * time.Millisecond
 	cancelTimeout   = time.Second
-	shutdownTimeout = 3700 * time.Millisecond // of a planned end, until the process is killed
+	shutdownTimeout = 3700 * time.Millisecond // from the start of a planned shutdown until the process is killed
 )
 
 func newDispatcher(r *run, n, station int) *dispatcher {
 	return &dispatcher{r: r, number: n, station: station}
 }
 
-// start makes a policy that knows the list, which at the beginning is as it is.
+// start creates the policy and passes it the cached worker list. On the first start the cache is the current list.
 func (d *dispatcher) start(first bool) {
 	r := d.r
 	s := r.Settings
@@ -94,7 +95,7 @@
 	}
 }
 
-// membersChange has all that live then hear of who does, by rank, once membership has agreed on it.
+// announceMembers gives all live dispatchers their new rank and count, after the membership delay.
 func (r *run) announceMembers() {
 	if r.MembershipDelay == 0 {
 		return
@@ -120,7 +121,7 @@
 
 func (d *dispatcher) clock() time.Duration { return epoch + d.r.now }
 
-// told is a change of the list, for those who watch.
+// listChanged handles a change of the worker list, if the dispatcher watches it.
 func (d *dispatcher) listChanged(w balance.Worker) {
 	if d.dead || !d.watching {
 		return
@@ -136,13 +137,13 @@
 	d.policy.List(d.clock(), balance.ListChanges, []balance.Worker{w})
 }
 
-// knows: the list has told this dispatcher of the box's last start.
+// knowsStart reports whether the dispatcher's worker list shows the box's last start.
 func (d *dispatcher) knowsStart(b *box) bool {
 	i := slices.IndexFunc(d.workers, func(k balance.Worker) bool { return k.ID == b.id })
 	return i >= 0 && d.workers[i].Up == b.listEntry(balance.Ready).Up
 }
 
-// take is a client's job whose last byte has come.
+// receive handles a client's job whose last byte has arrived.
 func (d *dispatcher) receive(j *job) {
 	if d.dead {
 		d.r.tryEnded(j, Lost, 0)
@@ -159,7 +160,7 @@
 		Slots: float64(a.Slots), Again: j.previousTries > 0 && d.r.Retry.MarksRetries})
 }
 
-// due is the end of a client's patience.
+// deadlinePassed abandons a job's attempts and fails the job when its client stops waiting.
 func (d *dispatcher) deadlinePassed(incarnation int, j *job) {
 	if d.dead || d.incarnation != incarnation || d.jobs[j.id] != j {
 		return
@@ -177,7 +178,7 @@
 	d.removeIfDone(j)
 }
 
-// answer gives the client the final answer.
+// reply sends the client the final answer.
 func (d *dispatcher) reply(j *job, end End, wait time.Duration) {
 	if j.answered {
 		return
@@ -185,7 +186,7 @@
 	j.answered = true
 	r, station := d.r, d.r.Arrivals[j.arrival].Station
 	delay, ok := r.delay(d.station, station)
-	if !ok { // the client hears nothing: its patience ends
+	if !ok { // the client gets no answer and gives up at its deadline
 		r.at(max(j.deadline, r.now), func() { r.tryEnded(j, Lost, 0) })
 		return
 	}
@@ -204,7 +205,7 @@
 	delete(d.jobs, j.id)
 }
 
-// outcome is the first end of an attempt that its dispatcher hears of.
+// outcome handles the first outcome of an attempt that its dispatcher receives.
 func (d *dispatcher) outcome(a *attempt, status balance.Status) { d.outcomeWith(a, status, nil) }
 
 func (d *dispatcher) outcomeWith(a *attempt, status balance.Status, report []float32) {
@@ -219,7 +220,7 @@
 	switch status {
 	case balance.OK, balance.Full, balance.Errored, balance.Cancelled:
 		d.idle[a.box.id-1]++
-	case balance.TimedOut: // the connection is closed
+	case balance.TimedOut: // the dispatcher closes the connection
 		a.box.connections = max(a.box.connections-1, 0)
 	}
 	if status == balance.OK {
@@ -229,7 +230,7 @@
 	d.removeIfDone(j)
 }
 
-// abandon tells a box that nobody waits for an attempt any more.
+// abandon notifies a box that nobody waits for an attempt any more.
 func (d *dispatcher) abandon(a *attempt) {
 	a.abandoned = true
 	if delay, ok := d.r.delay(d.station, a.box.Station); ok && !a.box.unresponsive {
@@ -275,7 +276,7 @@
 		if ok {
 			r.after(to, func() {
 				switch {
-				case b.unresponsive: // nothing is ever heard of it
+				case b.unresponsive: // the request is lost
 				case !b.up:
 					if w, ok := r.delay(b.Station, d.station); ok {
 						r.after(w, func() { d.outcome(a, balance.Reset) })
@@ -292,7 +293,7 @@
 	switch {
 	case !fresh:
 		r.after(0, written)
-	case !ok || b.unresponsive: // no connection comes up
+	case !ok || b.unresponsive: // the connection attempt times out
 		r.after(r.ConnectTimeout, func() { d.outcome(a, balance.ConnectFailed) })
 	case !b.up, b.kind.Connections > 0 && b.connections >= b.kind.Connections:
 		r.after(to+back, func() { d.outcome(a, balance.ConnectFailed) })
@@ -335,7 +336,7 @@
 	back, _ := d.r.delay(a.box.Station, d.station)
 	incarnation := a.box.incarnation
 	d.r.after(to, func() {
-		if a.box.incarnation == incarnation { // what has not begun leaves the queue, but nothing says that it had not: it may have run
+		if a.box.incarnation == incarnation { // a queued attempt is removed, but the dispatcher cannot tell it from one that ran
 			a.box.remove(a)
 		}
 		a.abandoned = true
@@ -381,7 +382,7 @@
 	})
 }
 
-// Watch implements balance.Actions: discovery deals with calls in turn.
+// Watch implements balance.Actions. Discovery handles calls one at a time.
 func (d *dispatcher) Watch() {
 	r, incarnation := d.r, d.incarnation
 	r.result.Lists++
@@ -420,7 +421,7 @@
 // Log implements balance.Actions.
 func (d *dispatcher) Log(string) {}
 
-// leave ends the process as planned: it may end what it holds, but clients go elsewhere.
+// shutDown is a planned shutdown: the dispatcher may finish its jobs, but clients use other dispatchers.
 func (d *dispatcher) shutDown(restartAfter time.Duration) {
 	if d.dead || d.shuttingDown {
 		return
@@ -434,7 +435,7 @@
 	})
 }
 
-// die ends the process with all that it holds; the list that it had is what it starts with again.
+// crash ends the process and loses its jobs. The worker list is kept and used at the next start.
 func (d *dispatcher) crash(restartAfter time.Duration) {
 	if d.dead {
 		return
--- a/sim/dist.go
+++ b/sim/dist.go
@@ -8,7 +8,7 @@
 // lognormal draws a value around 1 (its median) whose logarithm has a standard deviation.
 func lognormal(rng *rand.Rand, sigma float64) float64 { return math.Exp(sigma * rng.NormFloat64()) }
 
-// Draw draws a value.
+// Draw draws a value from the distribution.
 func (d Dist) Draw(rng *rand.Rand) float64 {
 	switch d.Shape {
 	case Exponential:
--- a/sim/policies.go
+++ b/sim/policies.go
@@ -8,13 +8,13 @@
 	"liftgauge/balance"
 )
 
-// Plain returns a textbook policy to compare with: a job goes at once to the box that choose names among those that are
-// ready and that this policy may use, and waits for nothing. It is tried once; what is turned away is refused.
+// SimplePolicy returns a textbook policy for comparison: a job is sent at once to the ready box that choose returns and is never
+// queued. There is one attempt for each job; if a box turns it away, the job is refused.
 //
-// own counts the policy's own jobs that are out at each of the ready boxes.
+// outstanding returns the number of this policy's own unfinished jobs at a box.
 func SimplePolicy(choose func(rng *rand.Rand, turn int, ready []balance.Worker, outstanding func(balance.WorkerID) int) balance.WorkerID) func(balance.Settings, uint64, balance.Actions) Policy {
 	return func(s balance.Settings, seed uint64, actions balance.Actions) Policy {
-		first := 0 // dispatchers that all began with the same box would go round together
+		first := 0 // without an offset all dispatchers would send to the same boxes in step
 		if s.Dispatchers > 0 {
 			first = s.Number << 20 / s.Dispatchers
 		}
@@ -22,17 +22,17 @@
 	}
 }
 
-// Random sends each job to any box.
+// Random sends each job to a random box.
 func Random(rng *rand.Rand, _ int, ready []balance.Worker, _ func(balance.WorkerID) int) balance.WorkerID {
 	return ready[rng.IntN(len(ready))].ID
 }
 
-// RoundRobin sends to one box after another.
+// RoundRobin sends to the boxes in turn.
 func RoundRobin(_ *rand.Rand, turn int, ready []balance.Worker, _ func(balance.WorkerID) int) balance.WorkerID {
 	return ready[turn%len(ready)].ID
 }
 
-// LeastOutstanding sends to the box with the fewest own jobs out, the first among equals from a turn on.
+// LeastOutstanding sends to the box with the fewest outstanding jobs of this dispatcher. Ties go to the first box from the turn on.
 func LeastOutstanding(_ *rand.Rand, turn int, ready []balance.Worker, outstanding func(balance.WorkerID) int) balance.WorkerID {
 	best := ready[turn%len(ready)].ID
 	for i := range ready {
@@ -43,7 +43,7 @@
 	return best
 }
 
-// TwoChoices sends to the one of two random boxes with fewer own jobs out.
+// TwoChoices sends to the one of two random boxes that has fewer outstanding jobs of this dispatcher.
 func TwoChoices(rng *rand.Rand, _ int, ready []balance.Worker, outstanding func(balance.WorkerID) int) balance.WorkerID {
 	a, b := ready[rng.IntN(len(ready))].ID, ready[rng.IntN(len(ready))].ID
 	if outstanding(b) < outstanding(a) {
@@ -52,13 +52,13 @@
 	return a
 }
 
-// PolicyNames are the policies that PolicyNamed knows.
+// PolicyNames are the names that PolicyByName accepts.
 var PolicyNames = []string{"module", "members", "random", "rounds", "two-choices", "late-truth"}
 
-// PolicyNamed returns a policy by its name; nil: there is none.
+// PolicyByName returns the policy with a name, or nil if there is none.
 func PolicyByName(name string) func(balance.Settings, uint64, balance.Actions) Policy {
 	switch name {
-	case "module", "members": // the second is told who lives: World.Members
+	case "module", "members": // with "members" the caller also sets World.MembershipDelay
 		return Module
 	case "random":
 		return SimplePolicy(Random)
@@ -72,9 +72,10 @@
 	return nil
 }
 
-// LateTruth is a policy that no dispatcher can have: it sees how many jobs every box holds, half a second late, and adds
-// what it sent itself since. Each job goes where it has the least before it, of a few drawn: were all looked at, hundreds of
-// dispatchers would choose the same box until the looks show it. It does not see what fails.
+// DelayedOracle is a reference policy that no real dispatcher can implement: it sees how many jobs every box holds, half a
+// second late, and adds the jobs that it sent itself since then. Each job goes to the least loaded of a few boxes drawn at
+// random: if all boxes were compared, hundreds of dispatchers would choose the same one until the samples show it. It does
+// not see failures.
 func DelayedOracle(_ balance.Settings, seed uint64, actions balance.Actions) Policy {
 	d := actions.(*dispatcher)
 	d.r.sampleLoads()
@@ -85,11 +86,11 @@
 
 const (
 	sampleInterval = 100 * time.Millisecond
-	sampleDelay    = 5 // looks
-	boxChoices     = 5 // boxes
+	sampleDelay    = 5 // samples
+	boxChoices     = 5 // boxes compared for each job
 )
 
-// look has the loads of all boxes looked at from now on.
+// sampleLoads samples the loads of all boxes from now on.
 func (r *run) sampleLoads() {
 	if r.loads != nil {
 		return
@@ -112,7 +113,7 @@
 type delayedOracle struct {
 	simplePolicy
 	d    *dispatcher
-	sent [][]time.Duration // by box: when jobs went there that the looks may not show yet
+	sent [][]time.Duration // by box: send times of jobs that the samples may not show yet
 }
 
 func (p *delayedOracle) leastLoaded(rng *rand.Rand, _ int, ready []balance.Worker, _ func(balance.WorkerID) int) balance.WorkerID {
--- a/sim/result.go
+++ b/sim/result.go
@@ -9,13 +9,13 @@
 	"liftgauge/balance"
 )
 
-// perSecond counts what happens in the present second.
+// perSecond counts events in the current second.
 type perSecond struct {
 	second time.Duration
 	n      int
 }
 
-// count counts one more, and returns how many there were in this second.
+// count counts an event and returns the number of events in this second.
 func (p *perSecond) count(now time.Duration) int {
 	if s := now / time.Second; s != p.second {
 		p.second, p.n = s, 0
@@ -27,33 +27,33 @@
 // End is how a client's job ended, its retries folded into its first try.
 type End uint8
 
-// The ends.
+// The possible ends of a job.
 const (
 	Served End = iota
 	Refused
 	Failed
-	Lost // no answer: the dispatcher died, or the client's patience ended first
+	Lost // no answer: the dispatcher crashed, or the client timed out first
 )
 
-// ClassResult is what became of a class's jobs. Times are of jobs that were served, from the client's first try on.
+// ClassResult is the outcome of a class's jobs. Latencies are of served jobs and start at the client's first try.
 type ClassResult struct {
 	Offered, InTime, Late, Refused, Failed, Lost int64
-	Worth                                        float64 // earned over asked for, each job alike
+	Worth                                        float64 // earned value over offered value, all jobs counted equally
 	Asked, Earned                                float64
 	Latency                                      *hdrhistogram.Histogram
 }
 
-// BoxResult is what became of a box.
+// BoxResult is the outcome of a box.
 type BoxResult struct {
 	Name                 string
 	Station, Kind        int
 	Sent, Served, Turned int64
 	Falls, Longest       int
-	Wasted               float64 // seconds of work at speed 1 that nobody waited for
+	Wasted               float64 // seconds of work at speed 1 whose result nobody waited for
 	Utilisation          float64 // of its cores, over the run
 }
 
-// Window is a stretch of the run, by when jobs were first sent.
+// Window is an interval of the run; a job belongs to the window in which it was first sent.
 type Window struct {
 	From          time.Duration
 	Offered       int64
@@ -61,55 +61,55 @@
 	ByStation     []StationWindow
 }
 
-// TenantResult is what became of what a tenant asked for within its share.
+// TenantResult is the outcome of the jobs that a tenant sent within its share.
 type TenantResult struct {
 	Name          string
 	Asked, Earned float64
 }
 
-// StationWindow is the part of a window that a station's clients sent.
+// StationWindow is the part of a window that came from a station's clients.
 type StationWindow struct{ Asked, Earned float64 }
 
-// ZoneSecond is what the boxes and dispatchers of a station did in a second.
+// ZoneSecond is the activity of a station's boxes and dispatchers in one second.
 type ZoneSecond struct {
-	Sent    int64   // attempts that came to its boxes
-	Waited  int64   // of these, those that did not begin within 0.2 s
+	Sent    int64   // attempts that arrived at its boxes
+	Waited  int64   // those that did not start within 0.2 s
 	Left    int64   // attempts that its dispatchers sent to other stations
-	Running float64 // jobs that ran at its boxes, in the mean over the second
+	Running float64 // mean number of jobs running at its boxes
 }
 
-// Result is what a run shows.
+// Result is the result of a run.
 type Result struct {
 	Classes     []ClassResult
 	Boxes       []BoxResult
 	Tenants     []TenantResult
-	G           float64 // the day's figure by World.Goal: its parts, less what is taken off
-	Wasted      float64 // work that nobody got an answer of, over that asked for
+	G           float64 // the day's score by World.Goal: its weighted parts less the costs
+	Wasted      float64 // work whose result nobody received, over offered work
 	Windows     []Window
 	Zones       [][]ZoneSecond // by second and station
-	Service     float64        // worth answered in time over worth asked for
-	Worst       float64        // the same of the worst window that was offered a fair part of the mean
-	Tries       int64          // of clients, first ones with them
-	Attempts    int64          // of dispatchers
-	Again       int64          // of these, beyond a job's first
-	Crossings   int64          // of these, to another station
+	Service     float64        // value earned over value offered
+	Worst       float64        // the same for the worst window that was offered at least half of the mean
+	Tries       int64          // of clients, including first tries
+	Attempts    int64          // attempts of dispatchers
+	Again       int64          // attempts after a job's first
+	Crossings   int64          // attempts sent to another station
 	Connections int64
 	Probes      int64
-	Lists       int64 // calls at discovery
-	ListsLate   int64 // of these, failed as they would have waited too long
-	// Unlisted is the longest time from a dispatcher's start to its first list, of those that got one.
+	Lists       int64 // calls to discovery
+	ListsLate   int64 // calls that failed because they would have waited too long
+	// Unlisted is the longest time from a dispatcher's start to its first list, among dispatchers that received one.
 	Unlisted time.Duration
-	// The most in any second of the run: calls at discovery, and probes and new connections at one box.
+	// The maxima in any second of the run: calls to discovery, and probes of and new connections to one box.
 	MostLists, MostProbes, MostConnects int
-	Falls                               int   // boxes pushed over
-	Breaches                            int   // of these, where two thirds of the work came from dispatchers that knew of the start
+	Falls                               int   // cold boxes that crashed under overload
+	Breaches                            int   // falls where two thirds of the work came from dispatchers that had been notified of the start
 	Duplicates                          int64 // runs of jobs that must not run twice, beyond the first
 	Margin                              float64
 	Events                              int64
 	Ended                               time.Duration // when the last job ended
 
 	stations             int
-	askedWork, lateWorth float64 // asked for, in seconds; worth that ended served and late
+	askedWork, lateWorth float64 // offered work in seconds at speed 1; value of jobs that were served late
 }
 
 func newResult(w *World) *Result {
@@ -123,7 +123,7 @@
 	return r
 }
 
-// zone is a station's count for a second.
+// zoneSecond returns the counts of a station for a second.
 func (r *Result) zoneSecond(at time.Duration, station int) *ZoneSecond {
 	for len(r.Zones) <= int(at/time.Second) {
 		r.Zones = append(r.Zones, make([]ZoneSecond, r.stations))
@@ -131,7 +131,7 @@
 	return &r.Zones[at/time.Second][station]
 }
 
-// worth is what a job is worth.
+// worth returns the value of a job.
 func (w *World) worth(a *Arrival) float64 {
 	worth := w.Classes[a.Class].Value
 	if w.ValuePerWork {
@@ -143,7 +143,7 @@
 	return worth
 }
 
-// span is the time of the arrivals.
+// span is the time of the last arrival.
 func (w *World) span() time.Duration {
 	if n := len(w.Arrivals); n > 0 {
 		return max(w.Arrivals[n-1].At, time.Second)
@@ -158,7 +158,7 @@
 	return 10 * time.Second
 }
 
-// arrive has a client send a job for the first time.
+// arrive sends a client's job for the first time.
 func (r *run) arrive(n int) {
 	a := &r.Arrivals[n]
 	if r.mutedClients[a.Station] > 0 {
@@ -180,7 +180,7 @@
 	r.send(&job{arrival: n, class: a.Class, work: a.Work, deadline: r.tryDeadline(a)})
 }
 
-// patience is until when a client waits for a try that it sends now.
+// tryDeadline returns when a client stops waiting for a try that it sends now.
 func (r *run) tryDeadline(a *Arrival) time.Duration {
 	end := a.At + a.Timeout
 	if r.Retry.TryTimeout > 0 {
@@ -198,7 +198,7 @@
 	return &r.result.Windows[i]
 }
 
-// send has a client send a try to a dispatcher of its station, or of any where its own has none.
+// send sends a client's try to a dispatcher of its station, or to one of another station if its own has none.
 func (r *run) send(j *job) {
 	station := r.Arrivals[j.arrival].Station
 	r.result.Tries++
@@ -229,7 +229,7 @@
 	r.after(delay, func() { d.receive(j) })
 }
 
-// deal picks the dispatcher for a station's next job: in turn, or by their shares.
+// pickDispatcher returns the dispatcher for a station's next job: round robin, or at random by World.Shares.
 func (r *run) pickDispatcher(station int, candidates []*dispatcher) *dispatcher {
 	if r.Shares == nil {
 		r.nextDispatcher[station]++
@@ -248,7 +248,7 @@
 	return candidates[len(candidates)-1]
 }
 
-// ended is the end of a try. The client tries again if that may help and do no harm.
+// tryEnded handles the end of a client's try. The client retries within its limits, unless the job is unsafe and may have run.
 func (r *run) tryEnded(j *job, end End, wait time.Duration) {
 	a := &r.Arrivals[j.arrival]
 	class := &r.Classes[j.class]
@@ -299,7 +299,7 @@
 	}
 }
 
-// began counts a run of a job.
+// countRun counts the start of a job and detects duplicate runs.
 func (r *run) countRun(a *attempt) {
 	n := &r.runCounts[a.job.arrival]
 	if *n < math.MaxUint8 {
@@ -310,7 +310,7 @@
 	}
 }
 
-// finish works out what needs the whole run.
+// finish computes the results that need the whole run.
 func (r *run) finish() {
 	res := r.result
 	asked, earned := 0.0, 0.0
@@ -362,7 +362,7 @@
 	}
 }
 
-// fault has something go wrong.
+// fault applies a fault.
 func (r *run) fault(f Fault) {
 	each := func(station int, do func(b *box)) {
 		for _, b := range r.boxes {
@@ -418,7 +418,7 @@
 	}
 }
 
-// pace changes the speed of all boxes.
+// scaleSpeed multiplies the speed of all boxes by a factor.
 func (r *run) scaleSpeed(factor float64) {
 	for _, b := range r.boxes {
 		b.advance()
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -1,10 +1,10 @@
-// Package sim plays a deployment in virtual time: clients, dispatchers, the network, boxes, discovery, and what goes wrong.
+// Package sim simulates a deployment in virtual time: clients, dispatchers, the network, boxes (workers), discovery and faults.
 //
-// Each simulated dispatcher holds the real decision module, or another Policy to compare it with. There is one goroutine and
-// no clock: a run is a function of its World and seed, and the same on every machine, whatever GOMAXPROCS is. Every use of
-// chance has a stream of its own, so that a change in one place leaves the draws of all others alone.
+// Each simulated dispatcher runs the real decision module, or another Policy for comparison. There is one goroutine and no
+// clock: a run is a function of its World and seed, and the same on every machine, whatever GOMAXPROCS is. Every use of
+// randomness has a stream of its own, so that a change in one place does not alter the draws elsewhere.
 //
-// The model is simple on purpose; doc comments on the fields say what each figure means. It knows nothing of planners.
+// The model is simple on purpose; the doc comments of the fields define each quantity. It does not depend on the planner.
 package sim
 
 import (
@@ -25,10 +25,10 @@
 	Spread float64
 }
 
-// Shape is the form of a Dist.
+// Shape is the shape of a Dist.
 type Shape uint8
 
-// The shapes.
+// The shapes of a Dist.
 const (
 	Fixed Shape = iota
 	Exponential
@@ -39,83 +39,84 @@
 // Kind is a kind of box.
 type Kind struct {
 	Name  string
-	Cores int     // jobs that run at full speed side by side; more share them
-	Slots int     // jobs that run side by side at all
-	Queue int     // jobs that wait for a slot; one more is turned away unseen
-	Speed float64 // work done in a second by a core
-	// Spread is the standard deviation of single boxes' speeds over the mean.
+	Cores int     // jobs that run in parallel at full speed; more jobs share the cores
+	Slots int     // jobs that run in parallel
+	Queue int     // jobs that wait for a slot; further ones are turned away
+	Speed float64 // work that a core does in a second
+	// Spread is the standard deviation over the mean of the speeds of individual boxes.
 	Spread      float64
-	Connections int // that a box takes; 0: any number
-	// Crowding is what running twice as many jobs as there are cores costs, as a share of the speed of all.
+	Connections int // connections that a box accepts; 0: unlimited
+	// Crowding is the overhead of running more jobs than cores: with twice as many jobs as cores, the speed of all is divided by
+	// 1 + Crowding.
 	Crowding float64
-	// ColdFrom is the share of its speed that a box starts at, and ColdFor how long it is cold; 0: as the rules say, which is the worst
-	// that they allow.
+	// ColdSpeed is the share of its speed at which a box starts, and WarmUpTime how long it takes to reach full speed; 0: as in
+	// Rules, which is the worst that they allow.
 	ColdSpeed  float64
 	WarmUpTime time.Duration
-	// Every so often, in the mean, a box stands still for some time; 0: never.
+	// A box stalls every StallEvery, for StallFor, both in the mean; 0: never.
 	StallEvery, StallFor time.Duration
-	// RunsOn says that work that was begun goes on when it is withdrawn; what waits leaves the queue all the same.
+	// IgnoresCancel means that a job that has started runs on when it is cancelled; a queued one is still removed.
 	IgnoresCancel bool
 }
 
-// Box is one box.
+// Box is a worker.
 type Box struct {
 	Name    string
 	Station int
 	Kind    int
 	Cell    int
-	Speed   float64 // of this one; 0: drawn from its kind
-	// Joins is when it is first there, cold; 0: from the beginning.
+	Speed   float64 // of this box; 0: drawn from its kind
+	// JoinsAt is when the box first starts, cold; 0: it is there from the beginning.
 	JoinsAt time.Duration
-	// Errs is the share of its jobs that end in an error, when their work is done.
+	// ErrorShare is the share of its jobs that end in an error once their work is done.
 	ErrorShare float64
 }
 
-// Class is a class of jobs: what the module is told, and what the jobs are like.
+// Class is a class of jobs: the settings for the decision module and the properties of the jobs.
 type Class struct {
 	balance.Class
 	Name string
 	Work Dist // seconds at speed 1
-	// HintSpread is how far hints are off: the standard deviation of their logarithm. Negative: no hints.
+	// HintSpread is the error of the hints, as the standard deviation of their logarithm. Negative: no hints.
 	HintSpread float64
-	// AttemptSpread is how far the running time of each attempt is off the job's: the standard deviation of its logarithm.
+	// AttemptSpread is how far the work of an attempt deviates from the job's, as the standard deviation of the ratio's logarithm.
 	AttemptSpread float64
 }
 
-// Tenant is one of those who share the deployment.
+// Tenant is a tenant of the deployment.
 type Tenant struct {
 	Name  string
-	Share float64 // of what all boxes can do
-	Quota float64 // seconds of work in a second within its share; what it asks for beyond is worth Goal.OverShare
+	Share float64 // of the capacity of all boxes
+	Quota float64 // seconds of work per second within its share; jobs beyond it are worth Goal.OverShare
 }
 
-// Report is the word on its load that a box adds to what ends an attempt and to the answer to a probe. It shows the box as it
-// was when it last looked, and what it looks at takes a while to be seen.
+// Report describes the load report that a box adds to the outcome of an attempt and to the answer to a probe. It shows the
+// box's last sample of its load, which becomes visible only after a delay.
 type Report struct {
-	Fields   []string      // in their order: free slots, queue, latency_ms, eps, util
-	Interval time.Duration // between two looks
+	Fields   []string      // in this order: free slots, queue, latency_ms, eps, util
+	Interval time.Duration // between two samples
 	Delay    time.Duration
-	Noise    float64 // standard deviation of each value over itself
+	Noise    float64 // relative standard deviation of each value
 }
 
-// Goal is what a day's figure is made of: its parts, and what is taken off it for what is done on the way, as a share of what was asked for.
+// Goal defines a day's score: the weights of its parts, and the costs that are subtracted for crossings, waste and the like.
 type Goal struct {
-	Whole, Window, Class, Tenant          float64 // weights of the whole day, its worst window, the worst class and the worst tenant
-	Cross, Waste, Late, Probe, Connection float64 // for all jobs' crossing once, as much work wasted, all ending late, a probe and a connection a job
-	OverShare                             float64 // what a job beyond its tenant's share is worth
+	Whole, Window, Class, Tenant          float64 // weights of the service of the whole day, its worst window, the worst class and the worst tenant
+	Cross, Waste, Late, Probe, Connection float64 // costs if every job crosses once, as much work is wasted as offered, every job is late, and for one probe and one connection per job
+	OverShare                             float64 // value factor of a job beyond its tenant's share
 }
 
-// Rules are what the deployment asks for; the module knows them too.
+// Rules are the rules of the deployment, which the decision module receives too.
 type Rules struct {
-	DrainGrace     time.Duration // after a drain is told nothing new may be sent for longer
+	DrainGrace     time.Duration // time after the notification of a drain during which jobs may still be sent
 	StartCapacity  float64       // share of its speed at which a box starts
 	WarmWithin     time.Duration
-	OverloadFactor float64       // work sent to a cold box beyond so many times what it can do,
-	OverloadTime   time.Duration // within so long, and it falls over
-	RestartAfter   time.Duration // of a box that fell over, and of one that died if it comes back
+	OverloadFactor float64       // a cold box crashes when it is sent more than this many times the work that it can do
+	OverloadTime   time.Duration // within this time
+	RestartAfter   time.Duration // of a box that crashed under overload
 }
 
-// Arrival is one job of a client, as if nothing held it up.
+// Arrival is one job of a client, with the time at which it is first sent.
 type Arrival struct {
 	At        time.Duration
 	Class     int
@@ -123,44 +124,44 @@
 	Tenant    int
 	Work      float64 // seconds at speed 1
 	Hint      time.Duration
-	Timeout   time.Duration // how long the client waits in all
-	Slots     int           // that it takes while it runs; 0: one
+	Timeout   time.Duration // how long the client waits, including retries
+	Slots     int           // that the job occupies while it runs; 0: one
 	OverQuota bool          // beyond its tenant's share
 }
 
-// Retry is what clients do when a job is refused or fails. An unsafe job that failed is never tried again by a client.
+// Retry is how clients retry when a job is refused or fails. Clients never retry an unsafe job that failed.
 type Retry struct {
-	MaxRetries int           // tries beyond the first
-	Pause      time.Duration // before the first of them, twice as long before each further one
-	TryTimeout time.Duration // how long a client waits for one try; 0: as long as for all
-	// Advice says that clients stay away as long as they are told to, and Marks that they mark what they send again.
+	MaxRetries int           // retries after the first try
+	Pause      time.Duration // before the first retry; doubled before each further one
+	TryTimeout time.Duration // how long a client waits for one try; 0: until the job's timeout
+	// HonorsRetryAfter means that clients wait at least the time given with a refusal, MarksRetries that they mark retries as such.
 	HonorsRetryAfter, MarksRetries bool
 }
 
-// Effect is what a fault does.
+// Effect is the effect of a fault.
 type Effect uint8
 
-// The effects.
+// The effects of faults.
 const (
-	BoxCrash           Effect = iota // its connections are reset; it comes back cold after For
-	BoxVanishes                      // it says nothing; it comes back cold after For
-	BoxDrains                        // discovery tells, it finishes what it has, restarts, and comes back cold after For
+	BoxCrash           Effect = iota // a box crashes and its connections are reset; it restarts cold after For
+	BoxVanishes                      // a box becomes unresponsive and loses its jobs; it restarts cold after For
+	BoxDrains                        // a box is listed as draining, finishes its jobs, and restarts cold after For
 	BoxesSlow                        // every box runs at Factor of its speed for For
-	StationBoxes                     // all boxes of a station vanish for For and come back cold
+	StationBoxes                     // all boxes of a station vanish and restart cold after For
 	StationClients                   // a station's clients send nothing for For
-	StationPartition                 // nothing passes between a station and the others for For
-	Burst                            // arrivals come Factor times as often; to be worked into the arrivals by who makes them
-	DispatcherCrash                  // one dies; its clients go to another of their station after Rules.RestartAfter, or fail
-	DispatcherShutdown               // one is restarted as planned: it gets no new jobs, has 3.7 s for those it holds, and is back For later
-	BoxPartition                     // one is not heard of for For, and nothing reaches it; what it runs goes on
-	DiscoveryMoves                   // discovery moves: every dispatcher calls anew
-	ListsDelayed                     // discovery tells Factor times as late for For
-	ConnectionResets                 // for For, this Factor of the requests have their connection reset and run all the same
-	RepliesLost                      // for For, this Factor of the ends is never heard of
-	BoxStalls                        // one stands still for For: it takes jobs, and nothing comes of them, nor of probes
+	StationPartition                 // a station is cut off from the others for For
+	Burst                            // arrivals come Factor times as often; applied by the generator of the arrivals, not by the simulator
+	DispatcherCrash                  // a dispatcher crashes; its clients use others; it restarts after For, or never if For is 0
+	DispatcherShutdown               // a dispatcher is restarted as planned: it gets no new jobs, has 3.7 s to finish its jobs, and starts again after For
+	BoxPartition                     // a box is cut off from the network for For; running jobs continue
+	DiscoveryMoves                   // discovery moves: every dispatcher requests the list again
+	ListsDelayed                     // list changes are Factor times as late for For
+	ConnectionResets                 // for For, this share (Factor) of the requests have their connection reset but run all the same
+	RepliesLost                      // for For, this share (Factor) of the replies is lost
+	BoxStalls                        // a box stalls for For: it accepts jobs but answers neither them nor probes
 )
 
-// Fault is something that goes wrong.
+// Fault is a fault that happens during a run.
 type Fault struct {
 	At     time.Duration
 	Effect Effect
@@ -169,46 +170,47 @@
 	Factor float64
 }
 
-// World is all that a run is made of.
+// World is the complete input of a run, apart from its seed.
 type World struct {
 	Stations    int
-	OneWay      [][]time.Duration // between stations; the own one on the diagonal
-	Jitter      float64           // standard deviation of the logarithm of a way's time
+	OneWay      [][]time.Duration // one-way delay between stations; inside a station on the diagonal
+	Jitter      float64           // standard deviation of the logarithm of the delay
 	Kinds       []Kind
 	Boxes       []Box
 	Classes     []Class
 	Rules       Rules
-	Dispatchers []int // the station of each
-	// Shares are how much traffic each dispatcher gets beside the others of its station; nil: all alike.
+	Dispatchers []int // station of each dispatcher
+	// Shares are the relative traffic of the dispatchers of a station; nil: equal.
 	Shares          []float64
 	Arrivals        []Arrival
 	Retry           Retry
 	Faults          []Fault
-	Lag             time.Duration // from a change until discovery tells it
-	UnresponsiveLag time.Duration // the same of a box that vanished or hangs; 0: as any
-	ListsPushed     bool          // lists come to all dispatchers by themselves
-	NoStartReports  bool          // boxes do not tell when a job begins
-	Progress        time.Duration // from a job's beginning on they tell so often how far it is; 0: never
-	Report          *Report       // nil: boxes report nothing
+	Lag             time.Duration // from a change until discovery reports it
+	UnresponsiveLag time.Duration // the same for an unresponsive box; 0: as Lag
+	ListsPushed     bool          // discovery sends lists to all dispatchers without a request
+	NoStartReports  bool          // boxes do not report the start of a job
+	Progress        time.Duration // interval at which boxes report the progress of a running job; 0: never
+	Report          *Report       // nil: boxes do not report their load
 	Tenants         []Tenant
 	Goal            Goal
-	ListTime        time.Duration    // discovery's work for one call, which are done in turn
-	ListTimeout     time.Duration    // a call that would wait longer fails then; 0: none does
-	ConnectTimeout  time.Duration    // time-out of a connection
-	Handshake       int              // round trips until a new connection carries a request; 0: one
-	ValuePerWork    bool             // worth counts for each second of work, not for each job
-	MaxAttempts     int              // at most, for each job
-	Settings        balance.Settings // what else the module is told; classes, rules and numbers are filled in
+	ListTime        time.Duration    // time that discovery takes for one call; it handles calls one at a time
+	ListTimeout     time.Duration    // a call that would wait longer fails after this time; 0: no limit
+	ConnectTimeout  time.Duration    // for opening a connection
+	Handshake       int              // round trips to open a connection; 0: one
+	ValuePerWork    bool             // a class's value is per second of work, not per job
+	MaxAttempts     int              // per job
+	Settings        balance.Settings // other settings of the decision module; classes, rules and numbers are filled in
 	Policy          func(s balance.Settings, seed uint64, actions balance.Actions) Policy
-	// MembershipDelay is how long after a dispatcher's death or return the others go by who lives; 0: they go by the settings always.
+	// MembershipDelay is the time from a dispatcher's crash or start until the others use the new number of live dispatchers; 0:
+	// they always use the configured number.
 	MembershipDelay time.Duration
-	End             time.Duration // the run ends when nothing is open any more, and then at the latest
-	Window          time.Duration // of the series in the result; 0: 10 s
-	// Ended, if it is set, is told of every job's end, by its place among the arrivals.
+	End             time.Duration // latest end of the run, which ends earlier when no job is open
+	Window          time.Duration // length of the windows in the result; 0: 10 s
+	// OnJobEnd, if set, is called at the end of every job, with its index in Arrivals.
 	OnJobEnd func(arrival int, at time.Duration, end End)
 }
 
-// Policy decides for one dispatcher. *balance.Dispatcher is the one that counts.
+// Policy makes the decisions of one dispatcher. *balance.Dispatcher is the real implementation.
 type Policy interface {
 	Start(now time.Duration)
 	List(now time.Duration, form balance.ListKind, entries []balance.Worker)
@@ -227,7 +229,7 @@
 	return balance.New(s, seed, actions)
 }
 
-// Stream is a source of chance with a name: nobody else draws from it.
+// Stream returns the random number stream with a name, which is independent of all others.
 func Stream(seed uint64, name string) *rand.Rand { return stream(seed, name) }
 
 func stream(seed uint64, name string) *rand.Rand {
@@ -235,7 +237,7 @@
 	return rand.New(rand.NewChaCha8(sha256.Sum256(append(text, name...))))
 }
 
-// event is something that happens at a time; among those of one time the one that was asked for first.
+// event is an action at a time. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -258,7 +260,7 @@
 	return x
 }
 
-// run is a World that is being played.
+// run is the state of a running simulation.
 type run struct {
 	*World
 	seed            uint64
@@ -271,27 +273,28 @@
 	reports         *rand.Rand
 	boxes           []*box
 	dispatchers     []*dispatcher
-	openJobs        int // jobs without an end
-	arrived         int // of Arrivals
+	openJobs        int // jobs that have not ended
+	arrived         int // number of Arrivals so far
 	speedFactor     float64
-	partitioned     []int // by station: faults that cut its links now
-	mutedClients    []int // by station: faults that silence its clients now
+	partitioned     []int // by station: active faults that cut its links
+	mutedClients    []int // by station: active faults that stop its clients
 	discoveryFreeAt time.Duration
 	discoveryCalls  perSecond
 	result          *Result
-	runCounts       []uint8 // by arrival: how often it ran
-	nextDispatcher  []int   // by station: turn among its dispatchers
+	runCounts       []uint8 // by arrival: how often the job ran
+	nextDispatcher  []int   // by station: position in the round robin over its dispatchers
 	front           *rand.Rand
-	lagFactor       float64 // by how much discovery is late
+	lagFactor       float64 // factor on the lag of discovery
 	resetShare      float64 // share of the requests that are reset
-	lostReplyShare  float64 // share of the ends that are lost
+	lostReplyShare  float64 // share of the outcomes that are lost
 	loads           [][]float64
 }
 
-// epoch is when runs begin on the module's clock: no box has started long before.
+// epoch is the start of a run on the decision module's clock. A box without a listed start time (0) started long before it and
+// counts as warm.
 const epoch = 1000 * time.Hour
 
-// Run plays a world.
+// Run simulates a World with a seed.
 func Run(w *World, seed uint64) *Result {
 	r := &run{World: w, seed: seed, network: stream(seed, "network"), errors: stream(seed, "errors"), attempts: stream(seed, "attempts"), reports: stream(seed, "reports"),
 		front: stream(seed, "front"), speedFactor: 1, lagFactor: 1, partitioned: make([]int, w.Stations), mutedClients: make([]int, w.Stations),
@@ -340,7 +343,7 @@
 	return r.result
 }
 
-// at has something happen at a time, not before now.
+// at schedules an event at a time, or now if that has passed.
 func (r *run) at(at time.Duration, do func()) {
 	r.seq++
 	heap.Push(&r.queue, event{max(at, r.now), r.seq, do})
@@ -348,7 +351,7 @@
 
 func (r *run) after(d time.Duration, do func()) { r.at(r.now+d, do) }
 
-// next has the next job arrive. They come one after another, so that the queue stays short.
+// scheduleArrival schedules the next arrival. Only one is scheduled at a time, so that the queue stays short.
 func (r *run) scheduleArrival() {
 	if r.arrived == len(r.Arrivals) {
 		return
@@ -361,7 +364,7 @@
 	})
 }
 
-// way is how long a message takes between two stations now; ok false: it never arrives.
+// delay returns how long a message sent now takes between two stations; ok is false if it never arrives.
 func (r *run) delay(from, to int) (d time.Duration, ok bool) {
 	if from != to && (r.partitioned[from] > 0 || r.partitioned[to] > 0) {
 		return 0, false
--- a/sim/site/day.go
+++ b/sim/site/day.go
@@ -10,42 +10,42 @@
 	"liftgauge/sim"
 )
 
-// FleetDays are days of many dispatchers: a deployment of the site's kind, but of any size.
+// FleetDays are days with many dispatchers: deployments of the site's kind, but of any size.
 var FleetDays = []string{"calm", "roll", "herd", "zone", "split", "join", "kill"}
 
-// OwnDays are the site's own, at the size that it has.
+// SiteDays are the site's own days, at its real size.
 //
 //   - quiet: nothing fails;
-//   - trouble: one of the site's troubles;
-//   - overload: the same, while more is asked for than all boxes can do;
+//   - trouble: one of the site's troubles happens;
+//   - overload: the same, while clients send more work than all boxes can do;
 //   - big: the same at the size of the busiest days.
 var SiteDays = []string{"quiet", "trouble", "overload", "big"}
 
-// fleetDay is the length of a day of many dispatchers.
+// fleetDayLength is the length of a day with many dispatchers.
 const fleetDayLength = 25 * time.Second
 
-// The most dispatchers and boxes that Day makes a day of.
+// The largest numbers of dispatchers and boxes that Day accepts.
 const (
 	MaxDispatchers = 1000
 	MaxBoxes       = 1000
 )
 
-// Day draws a day. With no dispatchers or boxes given, one of the site's OwnDays is as large as the site's ranges say.
+// Day draws a day. Without given numbers of dispatchers or boxes, one of the site's SiteDays draws them from the site's ranges.
 //
 // FleetDays are:
 //
-//   - calm: nothing fails; traffic shifts between zones, and half as much again comes for some seconds;
+//   - calm: nothing fails; traffic shifts between zones, and is 1.5 times as high for some seconds;
 //   - roll: half of the boxes are replaced in steps, all dispatchers are restarted as planned, a tenth at a time, and
-//     discovery moves;
-//   - herd: boxes are released in batches, and in the midst of it seven in ten dispatchers are killed at once, and are back
-//     after a second; discovery is short of room; one box in eight is bad;
-//   - zone: the boxes of a zone vanish for 5 s and return cold, another zone is cut off; one box in eight is bad;
-//   - split: a zone is cut off for 6 s, or a fifth of the boxes is silent; lists come late, answers are lost and connections
-//     reset under requests;
-//   - kill: seven in ten dispatchers are killed at once and stay away; then boxes are released in batches;
-//   - join: six in ten boxes are replaced within 7 s; some clients give up early or come again often.
+//     discovery moves, so that all dispatchers request their lists again;
+//   - herd: a release restarts boxes in batches, and during it seven in ten dispatchers are killed at once and restart after
+//     a second; discovery handles only a third of its usual calls; one box in eight is slow or fails jobs;
+//   - zone: the boxes of a zone vanish for 5 s and return cold, another zone is cut off; one box in eight is slow or fails jobs;
+//   - split: a zone is cut off for 6 s, or a fifth of the boxes is unresponsive; lists come late, replies are lost and
+//     connections are reset during requests;
+//   - kill: seven in ten dispatchers are killed at once and do not restart; then a release restarts boxes in batches;
+//   - join: six in ten boxes are replaced within 7 s; some clients give up early.
 //
-// On these one of the site's troubles comes as well: on calm days one that is no fault.
+// On each of them one of the site's troubles happens as well: on calm days one that is not a fault.
 func (s *Site) Day(day string, dispatchers, boxes int, seed uint64) (*sim.World, error) {
 	siteDay := slices.Contains(SiteDays, day)
 	rng := sim.Stream(seed, "fleet-site")
@@ -69,7 +69,7 @@
 	}
 	onRequest, discovery := !s.Discovery.Pushed, &s.Discovery
 	calls := 0.0
-	if onRequest { // that discovery deals with in a second
+	if onRequest { // calls that discovery handles per second
 		calls = max(discovery.Calls.draw(rng), float64(dispatchers)/3)
 	}
 	w := &sim.World{
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	// shares spreads what there is over the zones, with a skew.
+	// shares draws the shares of the zones, with a skew.
 	shares := func(skew float64) []float64 {
 		all, sum := make([]float64, s.Zones), 0.0
 		for z := range all {
@@ -135,7 +135,7 @@
 	speed, zone := 0.0, distribute(shares(s.BoxSkew.draw(rng)), boxes)
 	for i := range boxes {
 		b := sim.Box{Name: fmt.Sprint("w", i), Station: zone[i], Kind: pick(kinds, math.Mod(float64(i)*math.Phi, 1))}
-		n := 0 // boxes of the zone so far
+		n := 0 // boxes in the zone so far
 		for _, other := range w.Boxes {
 			if other.Station == b.Station {
 				n++
@@ -181,7 +181,7 @@
 	return w, nil
 }
 
-// cumulated draws the shares of n parts, of which the last is what the others leave, and adds them up.
+// cumulative draws the shares of n parts and returns their running sums. The last part gets the remainder.
 func cumulative(rng *rand.Rand, n int, share func(int) Range) []float64 {
 	all, sum := make([]float64, n), 0.0
 	for i := range n - 1 {
@@ -194,12 +194,12 @@
 	return all
 }
 
-// pick is the part in which x is.
+// pick returns the index of the part that contains x.
 func pick(cumulative []float64, x float64) int {
 	return slices.IndexFunc(cumulative, func(most float64) bool { return x <= most })
 }
 
-// tenants draws what each asks for. Their shares are of what all boxes can do.
+// tenants draws the load of each tenant. Shares are relative to the capacity of all boxes.
 func (s *Site) tenants(w *sim.World, rng *rand.Rand, l *load, speed float64) {
 	if len(s.Tenants) == 0 {
 		return
@@ -216,7 +216,7 @@
 	l.Tenants[len(l.Tenants)-1] = math.Inf(1)
 }
 
-// spread deals n places out over the zones by their shares, evenly mixed.
+// distribute assigns n items to the zones in proportion to their shares, evenly interleaved.
 func distribute(shares []float64, n int) []int {
 	owed, out := make([]float64, len(shares)), make([]int, n)
 	for i := range out {
@@ -232,7 +232,7 @@
 	return out
 }
 
-// trouble adds one of the site's own troubles; on a calm day one that is no fault.
+// addTrouble adds one of the site's troubles; on a calm day one that is not a fault.
 func (s *Site) addTrouble(w *sim.World, rng *rand.Rand, l *load, calm bool) {
 	span := func(r Range) time.Duration { return time.Duration(r.draw(rng) * 1e9) }
 	var all []Trouble
@@ -245,7 +245,7 @@
 		return
 	}
 	early := Range{3, 14}
-	// struck draws a share of n.
+	// sample draws a random share of n indices.
 	sample := func(n int, part Range) []int {
 		order := rng.Perm(n)
 		return order[:int(part.draw(rng)*float64(n))]
@@ -283,11 +283,11 @@
 	}
 }
 
-// happen adds what a fleet's day is named for.
+// addDayFaults adds the faults that define one of the FleetDays.
 func addDayFaults(w *sim.World, day string, rng *rand.Rand) error {
 	boxes, zones := len(w.Boxes), w.Stations
 	order := rng.Perm(boxes)
-	degrade := func(all []int) { // one in eight, of these
+	degrade := func(all []int) { // one box in eight, from these
 		for i, n := range all[:min(max(1, boxes/8), len(all))] {
 			if b := &w.Boxes[n]; i%2 == 0 {
 				b.Speed = w.Kinds[b.Kind].Speed / 3
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	// replace drains so many boxes from a time on; others take their places.
+	// replace drains boxes one after another from a time on; new boxes take their places.
 	replace := func(some []int, from, within time.Duration) {
 		for i, n := range some {
 			at := from + time.Duration(i)*within/time.Duration(len(some))
@@ -306,7 +306,7 @@
 			w.Boxes = append(w.Boxes, fresh)
 		}
 	}
-	release := func() { // in batches, each comes back
+	release := func() { // in batches; each box restarts
 		for i := range boxes / 2 {
 			at := 6*time.Second + time.Duration(i*10/max(boxes/2, 1))*1200*time.Millisecond
 			w.Faults = append(w.Faults, sim.Fault{At: at, Effect: sim.BoxDrains, Target: order[i], For: time.Second})
@@ -356,26 +356,26 @@
 	return nil
 }
 
-// load is what the clients of a day ask for.
+// load is the load that the clients of a day offer.
 type load struct {
 	length   time.Duration
-	Work     float64   // seconds at speed 1 asked for in a second
-	Classes  []float64 // shares of the jobs, added up
-	Tenants  []float64 // the same; none: nobody shares
+	Work     float64   // seconds at speed 1 offered per second
+	Classes  []float64 // running sums of the shares of the jobs
+	Tenants  []float64 // the same for tenants; empty: no tenants
 	From, To []float64
-	Shift    time.Duration // when a zone's share of the jobs has gone half the way From To; it takes 4 s
-	// Burst times as many jobs come from BurstAt on for BurstFor.
+	Shift    time.Duration // midpoint of the 4 s in which the zones' shares move from From to To
+	// From BurstAt on, for BurstFor, there are Burst times as many jobs.
 	Burst             float64
 	BurstAt, BurstFor time.Duration
-	Heavy, Slow       float64 // this share of the last class takes Slow times as long
-	Early             float64 // share of the clients that wait a second only
-	Leaves            float64 // share that leave at some moment before their time is up
+	Heavy, Slow       float64 // this share of the last class's jobs takes Slow times as long
+	Early             float64 // share of the clients that wait only one second
+	Leaves            float64 // share of the clients that disconnect at a random time before their timeout
 }
 
-// quotaFor is how long a tenant may ask for more than its share before that counts as beyond.
+// quotaWindow is the burst that a tenant's quota allows, as time at its share, before further jobs count as over quota.
 const quotaWindow = 2 * time.Second
 
-// arrivals fills the day.
+// arrivals generates the arrivals of the day.
 func (s *Site) arrivals(w *sim.World, rng *rand.Rand, l load) {
 	mean, before := 0.0, 0.0
 	for i, c := range w.Classes {
@@ -426,7 +426,7 @@
 		}
 		if len(l.Tenants) > 0 {
 			a.Tenant = pick(l.Tenants, rng.Float64())
-			for i, t := range w.Tenants { // each pays off what it owes at the pace of its share
+			for i, t := range w.Tenants { // usage decays at the rate of the tenant's quota
 				used[i] = max(0, used[i]-t.Quota*gap)
 			}
 			usage, quota := &used[a.Tenant], w.Tenants[a.Tenant].Quota
--- a/sim/site/lensbrug.cue
+++ b/sim/site/lensbrug.cue
@@ -1,5 +1,5 @@
-// Lens orders: few dispatchers of very unequal traffic on boxes of four cores in two centres. Lists are pushed, seconds late; boxes report
-// their load in every answer and do not tell when a job starts, but each second how far it is; two tenants have shares.
+// Lens orders: few dispatchers with very unequal traffic and boxes with four cores in two data centres. Lists are pushed, seconds late;
+// boxes report their load in every reply; they do not report the start of a job, but its progress every second; two tenants have shares.
 zones:          2
 boxes:          [7, 9]
 dispatchers:    [3, 5]
@@ -14,7 +14,8 @@
 cell: [3, 5]
 retry: {most: [0, 1], pause: [0.0038, 0.03], advice: true, marks: true, adviceMost: 2}
 leaves: [0.02, 0.06]
-// Hints, stalls and attempts' spread are as in days that the operators' own tool draws, which the page of ranges gives no figures for or wider ones.
+// Hints, stalls and the spread of attempts follow the days that the operators' own tool draws: the published ranges have no figures for
+// them, or wider ones.
 runsOn: true
 kinds: [
 	{name: "fast", share: [0.26, 0.34], cores: 4, queue: [4.8, 7.8], speed: [1.1, 1.5], spread: [0.045, 0.16], connections: 3000, coldFrom: [0.34, 0.52], coldFor: [3.7, 7], stallEvery: [18, 46], stallFor: [0, 0.14], errors: [0, 0.003]},
@@ -23,7 +24,7 @@
 ]
 classes: [
 	{name: "blank-reserve", share: [0.65, 0.77], work: [0.24, 0.46], shape: "lognormal", spread: [1.6, 2.5], hintSpread: 0.75, attempts: [0.11, 0.15], aim: 0.15, stretch: 2, worth: 2, patience: 5, effect: "unsafe"},
-	// A Pareto law whose standard deviation is 1.6 to 2.8 times the mean has a tail of 1 + sqrt(1 + 1/cv^2).
+	// A Pareto distribution whose standard deviation is 1.6 to 2.8 times the mean has a tail of 1 + sqrt(1 + 1/cv^2).
 	{name: "surface-calc", work: [1.4, 2.8], shape: "pareto", spread: [2.06, 2.18], hintSpread: 0.75, attempts: [0.1, 0.15], slots: [0.8, 0.2], aim: 1.5, stretch: 1.75, worth: 3, patience: 25, effect: "keyed", group: "zone", window: 40},
 ]
 tellsStart: false
--- a/sim/site/site.go
+++ b/sim/site/site.go
@@ -1,7 +1,8 @@
-// Package site draws days for the emulator from what a deployment is like: a site file in CUE with ranges for its sizes, its load, its
-// boxes, its classes, what its dispatchers are told, its troubles and what a day's figure is made of.
+// Package site draws days for the simulator from the description of a deployment: a site file in CUE with ranges for its sizes, load,
+// boxes and classes, the reports that its dispatchers receive, its troubles, and the score of a day.
 //
-// Sites ship with the program, named after whose figures they have; any other is a file. The schema, schema.cue, says what each field means.
+// Some sites are embedded in the program, named after the deployment that their figures describe; others are read from files. The
+// schema, schema.cue, defines each field.
 package site
 
 import (
@@ -25,13 +26,13 @@
 //go:embed schema.cue trinidad.cue lensbrug.cue
 var files embed.FS
 
-// Names are the sites that ship with the program.
+// Names are the sites that are embedded in the program.
 var Names = []string{"trinidad", "lensbrug"}
 
-// Range is what a figure is drawn from, both ends included.
+// Range is the range from which a value is drawn, both ends included.
 type Range [2]float64
 
-// draw takes nothing from the source where there is nothing to draw.
+// draw returns a value from the range. It does not use the random source if the range is a single value.
 func (r Range) draw(rng *rand.Rand) float64 {
 	if r[0] == r[1] {
 		return r[0]
@@ -39,7 +40,7 @@
 	return r[0] + (r[1]-r[0])*rng.Float64()
 }
 
-// whole draws a whole number.
+// drawInt returns an integer from the range.
 func (r Range) drawInt(rng *rand.Rand) int {
 	if r[0] == r[1] {
 		return int(r[0])
@@ -156,7 +157,7 @@
 	Window     float64   `json:"window"`
 }
 
-// Trouble is something that goes wrong at the site.
+// Trouble is a disturbance that can happen at the site.
 type Trouble struct {
 	Effect string `json:"effect"`
 	Len    Range  `json:"len"`
@@ -165,7 +166,7 @@
 	Every  Range  `json:"every"`
 }
 
-// Load reads a site that ships with the program, by its name, or a file. A cuefile.Error tells of mistakes, a line each.
+// Load reads an embedded site by its name, or a site file. A cuefile.Error lists the mistakes in it, one per line.
 func Load(name string) (*Site, error) {
 	if slices.Contains(Names, name) {
 		text, err := files.ReadFile(name + ".cue")
@@ -184,7 +185,7 @@
 	return Parse(name, text)
 }
 
-// Parse reads a site; name stands for its file in errors.
+// Parse parses a site; name is the file name used in errors.
 func Parse(name string, text []byte) (*Site, error) {
 	schema, err := files.ReadFile("schema.cue")
 	if err != nil {
@@ -201,7 +202,7 @@
 	return s, s.check(name, text)
 }
 
-// check looks for what a schema cannot see.
+// check checks what the schema cannot express.
 func (s *Site) check(name string, text []byte) error {
 	var mistakes cuefile.Error
 	add := func(format string, field ...string) {
@@ -263,13 +264,13 @@
 	return sim.Lognormal
 }
 
-// plain is what the module is told of the class.
+// settings returns the class's settings for the decision module.
 func (c *Class) settings() balance.Class {
 	p := balance.Class{TargetLatency: seconds(c.Aim), RuntimeFactor: c.Stretch, Value: c.Worth, LateValue: c.LateWorth, Limit: seconds(c.Patience), Window: seconds(c.Window),
 		Effect:     map[string]balance.Effect{"unsafe": balance.Unsafe, "keyed": balance.Keyed, "safe": balance.Safe}[c.Effect],
 		DedupScope: map[string]balance.DedupScope{"cell": balance.DedupCell, "zone": balance.DedupZone, "all": balance.DedupAll}[c.Group], Kind: -1}
 	if p.Effect != balance.Keyed {
-		p.DedupScope = balance.DedupCell // says nothing there
+		p.DedupScope = balance.DedupCell // has no meaning for other effects
 	}
 	return p
 }
--- a/sim/site/trinidad.cue
+++ b/sim/site/trinidad.cue
@@ -1,4 +1,4 @@
-// Flood warnings: stations that are far apart, discovery that is asked, boxes that tell when a job starts and report nothing.
+// Flood warnings: stations that are far apart, lists on request, boxes that report the start of a job but not their load.
 zones:          5
 boxes:          [15, 16]
 dispatchers:    [2, 4]
