--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -9,7 +9,7 @@
 	"liftgauge/internal/wire"
 )
 
-func TestRun(t *testing.T) {
+func TestRunAnswersBatchesAndReportsErrors(t *testing.T) {
 	empty := []byte{0, 0, 0, 0, 12, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 5, 0, 0, 0}
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(empty), &out); err != nil {
@@ -22,7 +22,7 @@
 		0xf2, 3, 3, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, '{')
 	err := run(bytes.NewReader(up), &out)
 	if err == nil || !strings.Contains(err.Error(), "batch 6") || strings.Contains(err.Error(), "\n") {
-		t.Errorf("settings that are no JSON: error %v", err)
+		t.Errorf("settings that are not JSON: error %v", err)
 	}
 }
 
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -49,7 +49,7 @@
 	return o
 }
 
-func TestFleetMistakes(t *testing.T) {
+func TestFleetMistakesAreReportedByLineAndField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`speed: 0.7`, `speed: -1`, "f.cue:6: kinds.slow.speed: invalid value -1"},
 		{`slow: 2}, disp`, `odd: 2}, disp`, "f.cue:4: stations.b.boxes.odd: want a kind"},
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestBoundsMatchHandComputedUse(t *testing.T) {
 	f := fleet(t, "")
 	for _, l := range f.Bounds() {
 		want := map[string]float64{"boxes' cores/all": 4 / 10.8, "the station's own boxes/a": 2 / 6., "the station's own boxes/b": 2 / 4.8, "a dispatcher's CPU/a": 0.002}[l.Resource+"/"+l.Where]
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestScaled: every number of boxes is made up as asked, in the proportions of today, and today's is today.
-func TestScaled(t *testing.T) {
+// TestScaledFleetHasRequestedSize: a scaled fleet has exactly the requested number of boxes, and today's number gives today's fleet.
+func TestScaledFleetHasRequestedSize(t *testing.T) {
 	f := fleet(t, "")
 	if g := f.Scaled(f.Boxes()); !reflect.DeepEqual(g.Stations["b"].Boxes, f.Stations["b"].Boxes) {
 		t.Errorf("%+v", g.Stations)
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestSamePlan: the same seed gives the same answer, byte for byte, on one core and on four.
-func TestSamePlan(t *testing.T) {
+// TestSameSeedGivesSamePlan: the same seed gives the same answer, byte for byte, on one core and on four.
+func TestSameSeedGivesSamePlan(t *testing.T) {
 	answer := func(procs int) []byte {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(procs))
 		f := fleet(t, "")
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestEdges: a single box, no load, load far over capacity, a goal that nothing reaches, one that is reached by far.
-func TestEdges(t *testing.T) {
+// TestEdgeCases: a single box, no load, load far over capacity, an unreachable goal, a goal that is easily met.
+func TestEdgeCases(t *testing.T) {
 	plan := func(f *Fleet) *Answer {
 		t.Helper()
 		a, err := (&Planner{Fleet: f, Seed: 1, MinDays: 2, MaxDays: 4}).Plan(context.Background())
@@ -153,7 +153,7 @@
 	much := short(fleet(t, ""))
 	much.Load.Rate = 400
 	if a := plan(much); a.Today.Verdict != Missed || a.First[0].Resource != "boxes' cores" || a.Fewest <= a.Boxes {
-		t.Errorf("far too much: %s, first %+v, %d boxes", a.Today.Verdict, a.First, a.Fewest)
+		t.Errorf("load far over capacity: %s, first %+v, %d boxes", a.Today.Verdict, a.First, a.Fewest)
 	}
 	never := short(fleet(t, ""))
 	never.Dispatcher.CPUPerJob = Duration(48 * time.Millisecond)
@@ -163,17 +163,17 @@
 		never.Classes[name] = c
 	}
 	if a := plan(never); a.Fewest != 0 || !strings.Contains(a.Fleet, "no fleet") || !strings.Contains(a.Fleet, "a dispatcher's CPU in a") {
-		t.Errorf("a goal out of reach: %d, %s", a.Fewest, a.Fleet)
+		t.Errorf("unreachable goal: %d, %s", a.Fewest, a.Fleet)
 	}
 	far := short(fleet(t, ""))
 	far.Load.Rate = 3
 	if a := plan(far); a.Fewest >= a.Boxes || a.Fewest == 0 {
-		t.Errorf("reached by far: %d of %d boxes", a.Fewest, a.Boxes)
+		t.Errorf("easily met goal: %d of %d boxes", a.Fewest, a.Boxes)
 	}
 }
 
-// TestPartial: an end in the middle says what is known, and says that it is partial.
-func TestPartial(t *testing.T) {
+// TestCancelledPlanIsPartial: a plan whose context is cancelled returns what is known and is marked as partial.
+func TestCancelledPlanIsPartial(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := Planner{Fleet: fleet(t, ""), Seed: 1, MinDays: 2, MaxDays: 2, OnOutcome: func(Outcome) { stop() }}
 	a, err := p.Plan(ctx)
@@ -186,9 +186,9 @@
 	}
 }
 
-// TestDark: a station that goes dark costs more at the peak than in the low, and links cost a station that has too few boxes
-// of its own; what comes back cold all at once is not pushed over.
-func TestDark(t *testing.T) {
+// TestLossOfStationCostsMoreAtPeak: losing a station's boxes costs more service at peak load than at low load, and boxes that return
+// cold all at once do not crash under overload.
+func TestLossOfStationCostsMoreAtPeak(t *testing.T) {
 	f := fleet(t, "")
 	f.Load.Rate = 38
 	dark := func(e sim.Effect) worldChange {
@@ -198,32 +198,31 @@
 	}
 	peak, low, whole := judge(t, f, 1, dark(sim.StationBoxes)), judge(t, f, 0.3, dark(sim.StationBoxes)), judge(t, f, 1, nil)
 	if !(peak.Service.Mean < whole.Service.Mean-0.05 && low.Service.Mean > peak.Service.Mean+0.05) {
-		t.Errorf("dark at the peak %.3f, in the low %.3f, whole %.3f", peak.Service.Mean, low.Service.Mean, whole.Service.Mean)
+		t.Errorf("station lost at peak load %.3f, at low load %.3f, no fault %.3f", peak.Service.Mean, low.Service.Mean, whole.Service.Mean)
 	}
 	if peak.Broken+low.Broken > 0 {
 		t.Errorf("%d and %d rules broken", peak.Broken, low.Broken)
 	}
 }
 
-// TestTip: clients that try again feed an overload: with the same load service is worse than without, past the tip and not
-// before it.
-func TestTip(t *testing.T) {
+// TestRetriesAmplifyOverload: retries do not harm service below the tipping point, and add to the load above it.
+func TestRetriesAmplifyOverload(t *testing.T) {
 	calm, storm := fleet(t, "retry: most: 0\n"), fleet(t, "retry: {most: 3, pause: \"20ms\", advice: false, each: \"1500ms\"}\n")
 	if a, b := judge(t, calm, 0.5, nil), judge(t, storm, 0.5, nil); b.Service.Mean < a.Service.Mean-0.02 {
-		t.Errorf("before the tip: %.3f without retries, %.3f with", a.Service.Mean, b.Service.Mean)
+		t.Errorf("below the tipping point: %.3f without retries, %.3f with", a.Service.Mean, b.Service.Mean)
 	}
 	if b := judge(t, storm, 5, nil); b.Tries < 1.5 {
-		t.Errorf("past the tip: %.2f tries a job", b.Tries)
+		t.Errorf("above the tipping point: %.2f tries per job", b.Tries)
 	}
 }
 
-// TestCaptured: captured records give back the load, with what was fitted and from how much.
-func TestCaptured(t *testing.T) {
+// TestCapturedLoadIsFitted: captured records reproduce the load, and the fitted work has the right sample sizes.
+func TestCapturedLoadIsFitted(t *testing.T) {
 	h := capture.Header{Classes: []string{"reading", "warning", "gone"}, Zones: []string{"a", "b"}, Kinds: []string{"slow", "fast"}}
 	var records []capture.Record
 	for i := range 600 {
 		r := capture.Record{Arrived: int64(i) * 5e7, Class: i % 3, Zone: i % 2, Patience: 5e9, Again: i%60 == 1, End: capture.Served}
-		if i%2 == 0 { // half are known to have run, on the slow kind: 0.7 of their time is their work
+		if i%2 == 0 { // half of them have a known run on the slow kind, so their work is 0.7 of the running time
 			r.Attempts = []capture.Attempt{{Kind: 0, Sent: 0, Began: 1e6, Ended: 1e6 + 1e8, Status: 1, Age: -1}}
 		}
 		records = append(records, r)
@@ -244,12 +243,12 @@
 		t.Errorf("%d arrivals, %.1f a second", n, f.Load.Rate)
 	}
 	if _, _, err := fleet(t, "").UseCaptured(capture.Header{Classes: []string{"x"}}, records, 0); err == nil {
-		t.Error("records of no known class were taken")
+		t.Error("records without a known class were accepted")
 	}
 }
 
-// TestExample: the fleet that the docs show is one.
-func TestExample(t *testing.T) {
+// TestDocumentedExampleIsValid: the example fleet in the documentation is a valid fleet file.
+func TestDocumentedExampleIsValid(t *testing.T) {
 	text, err := os.ReadFile("../docs/fleet.cue")
 	if err != nil {
 		t.Fatal(err)
@@ -259,8 +258,8 @@
 	}
 }
 
-// TestHalfDropped: where half of the records were dropped, and the file says so, the load comes back whole.
-func TestHalfDropped(t *testing.T) {
+// TestDroppedRecordsAreMadeUpFor: if a capture states that half of the records were dropped, the fitted load has the full rate.
+func TestDroppedRecordsAreMadeUpFor(t *testing.T) {
 	h := capture.Header{Classes: []string{"reading", "warning"}, Kinds: []string{"fast"}}
 	var whole, half []capture.Record
 	rng := sim.Stream(9, "drops")
@@ -274,11 +273,11 @@
 	_, _, err1 := a.UseCaptured(h, whole, 0)
 	_, _, err2 := b.UseCaptured(h, half, int64(len(whole)-len(half)))
 	if err1 != nil || err2 != nil || a.Load.Rate < 95 || b.Load.Rate < 0.98*a.Load.Rate || b.Load.Rate > 1.02*a.Load.Rate {
-		t.Errorf("%v, %v: %.1f jobs a second, %.1f from half", err1, err2, a.Load.Rate, b.Load.Rate)
+		t.Errorf("%v, %v: %.1f jobs per second, %.1f from half of the records", err1, err2, a.Load.Rate, b.Load.Rate)
 	}
 }
 
-// TestBusyFleet: 21 boxes at 0.76 of capacity, two kinds whose speeds overlap: no rule is broken and the day is served.
+// TestBusyFleet: with 21 boxes at 0.76 of capacity and two kinds whose speeds overlap, no rule is broken and service stays high.
 func TestBusyFleet(t *testing.T) {
 	f, err := Parse("f.cue", []byte(`
 stations: {a: {boxes: {fast: 6, slow: 4}, load: 4}, b: {boxes: {fast: 3, slow: 3}, load: 1}, c: {boxes: {fast: 2, slow: 3}, load: 1}}
@@ -304,7 +303,7 @@
 	}
 }
 
-// TestFittedSpeeds: speeds by kind and the cold ramp come back from records drawn with known ones, inside their intervals.
+// TestFittedSpeeds: the speeds by kind and the cold speed that the records were drawn with lie inside the fitted intervals.
 func TestFittedSpeeds(t *testing.T) {
 	rng := sim.Stream(4, "records")
 	h := capture.Header{Classes: []string{"reading", "warning"}, Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
@@ -315,7 +314,7 @@
 		if kind == 1 {
 			run /= 0.6
 		}
-		if rng.IntN(4) == 0 { // it has just started, at 0.3 of its speed
+		if rng.IntN(4) == 0 { // the box has just started, at 0.3 of its speed
 			age = 5e8
 			run /= 0.3 + 0.7*0.5/8
 		}
--- a/sim/sim_test.go
+++ b/sim/sim_test.go
@@ -11,7 +11,7 @@
 	"liftgauge/balance"
 )
 
-// poisson makes arrivals at a rate.
+// poisson returns n Poisson arrivals at a rate.
 func poisson(seed uint64, rate float64, n int, work Dist) []Arrival {
 	rng, size := stream(seed, "arrivals"), stream(seed, "work")
 	at := 0.0
@@ -23,18 +23,18 @@
 	return all
 }
 
-// oneBox is a queue as theory has it: one box, no network, every job sent at once.
+// singleQueue returns a single queue of queueing theory: one box, no network delay, every job sent at once.
 func singleQueue(cores, slots int, arrivals []Arrival) *World {
 	return &World{Stations: 1, OneWay: [][]time.Duration{{0}}, Kinds: []Kind{{Cores: cores, Slots: slots, Queue: math.MaxInt32, Speed: 1}},
 		Boxes: []Box{{}}, Classes: []Class{{Class: balance.Class{TargetLatency: time.Hour, Value: 1, Kind: -1}}}, Dispatchers: []int{0}, Arrivals: arrivals,
 		ConnectTimeout: time.Second, MaxAttempts: 1, Policy: SimplePolicy(RoundRobin)}
 }
 
-// TestTheory holds the boxes against what is known exactly. Each figure is the mean over several seeds and must be within
-// four standard errors of the theory, and within 5% of it.
-func TestTheory(t *testing.T) {
+// TestBoxesMatchQueueingTheory compares the boxes with exact results. Each figure is the mean over several seeds and must be within
+// four standard errors of the exact value, and within 5% of it.
+func TestBoxesMatchQueueingTheory(t *testing.T) {
 	exp := Dist{Mean: 0.1, Shape: Exponential}
-	erlangC := func(c int, a float64) float64 { // the share that waits
+	erlangC := func(c int, a float64) float64 { // the share of jobs that wait
 		sum, term := 0.0, 1.0
 		for k := range c {
 			if k > 0 {
@@ -91,8 +91,9 @@
 	}
 }
 
-// TestTandem: what leaves one queue goes to the next. After Burke the second is a queue like the first, and their times add up.
-func TestTandem(t *testing.T) {
+// TestTandemQueuesMatchBurkesTheorem: the departures of one queue are the arrivals of the next. According to Burke's theorem the second
+// queue behaves like the first, so the mean times add up.
+func TestTandemQueuesMatchBurkesTheorem(t *testing.T) {
 	const seeds, n, rate = 10, 8000, 6.0
 	exp := Dist{Mean: 0.1, Shape: Exponential}
 	var means []float64
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestConnections: a box that is out of connections refuses new ones, and the job goes elsewhere.
-func TestConnections(t *testing.T) {
+// TestBoxRefusesConnectionsBeyondItsLimit: a box that is out of connections refuses new ones, and the job goes to another box.
+func TestBoxRefusesConnectionsBeyondItsLimit(t *testing.T) {
 	w := deployment(1, 10, 5, 15, 20*time.Second)
 	for i := range w.Kinds {
 		w.Kinds[i].Connections = 2
@@ -135,7 +136,7 @@
 	}
 }
 
-// deployment is a day of the size of the platform's: boxes of two kinds in five stations, three dispatchers.
+// deployment returns a day with boxes of two kinds in five stations.
 func deployment(seed uint64, boxes, dispatchers int, rate float64, span time.Duration) *World {
 	const stations = 5
 	w := &World{Stations: stations, Jitter: 0.2, ConnectTimeout: 250 * time.Millisecond, MaxAttempts: 4, Lag: time.Second, ListTime: 20 * time.Millisecond,
@@ -180,7 +181,7 @@
 	}
 }
 
-// account checks that every job has exactly one end and no rule was broken.
+// checkAccounting checks that every job has exactly one end and that no rule was broken.
 func checkAccounting(t *testing.T, name string, r *Result, w *World) {
 	t.Helper()
 	var offered, ends int64
@@ -189,12 +190,12 @@
 		ends += c.InTime + c.Late + c.Refused + c.Failed + c.Lost
 	}
 	if offered != ends || r.Duplicates != 0 || r.Falls != 0 {
-		t.Errorf("%s: %d offered, %d ends, %d duplicates, %d boxes pushed over", name, offered, ends, r.Duplicates, r.Falls)
+		t.Errorf("%s: %d offered, %d ends, %d duplicates, %d boxes crashed under overload", name, offered, ends, r.Duplicates, r.Falls)
 	}
 }
 
-// TestSameSeedSameRun: the result is the same whatever GOMAXPROCS is, and another with another seed.
-func TestSameSeedSameRun(t *testing.T) {
+// TestSameSeedGivesSameRun: the result does not depend on GOMAXPROCS, and differs with another seed.
+func TestSameSeedGivesSameRun(t *testing.T) {
 	world := func() *World {
 		w := deployment(3, 16, 3, 20, 20*time.Second)
 		w.Faults = []Fault{{At: 5 * time.Second, Effect: BoxVanishes, Target: 2, For: 5 * time.Second}, {At: 8 * time.Second, Effect: DispatcherCrash, Target: 1, For: time.Second}}
@@ -213,11 +214,11 @@
 	}
 }
 
-// TestFaults: whatever goes wrong, every job has one end, nothing runs twice that must not, and no cold box falls over.
-func TestFaults(t *testing.T) {
+// TestFaultsKeepTheRules: under each fault every job has one end, no unsafe job runs twice, and no cold box crashes under overload.
+func TestFaultsKeepTheRules(t *testing.T) {
 	base := Run(deployment(1, 16, 3, 20, 30*time.Second), 1)
 	if base.Service < 0.9 {
-		t.Errorf("service %.3f with nothing wrong", base.Service)
+		t.Errorf("service %.3f without a fault", base.Service)
 	}
 	for _, f := range []Fault{
 		{Effect: BoxCrash, Target: 1, For: 5 * time.Second}, {Effect: BoxVanishes, Target: 1, For: 5 * time.Second},
@@ -236,21 +237,22 @@
 	}
 }
 
-// TestOverload: load far over what there is ends, in bounded memory, with as many ends as jobs.
-func TestOverload(t *testing.T) {
+// TestEveryJobEndsUnderOverload: at a load far over capacity the run ends and every job has one end.
+func TestEveryJobEndsUnderOverload(t *testing.T) {
 	w := deployment(1, 4, 2, 200, 20*time.Second)
 	r := Run(w, 1)
 	checkAccounting(t, "overload", r, w)
 	if r.Service > 0.5 {
-		t.Errorf("service %.2f at many times what the boxes can do", r.Service)
+		t.Errorf("service %.2f at many times the capacity", r.Service)
 	}
 	if w := (&World{Stations: 1, OneWay: [][]time.Duration{{0}}}); Run(w, 1).Service != 1 {
-		t.Error("nothing was asked for, and yet missed")
+		t.Error("a run without jobs does not have a service of 1")
 	}
 }
 
-// TestSpillOver: a station whose clients ask for more than its own boxes can do is served by others, which costs a crossing.
-func TestSpillOver(t *testing.T) {
+// TestOverloadedStationSpillsOver: jobs of a station whose load exceeds the capacity of its boxes are sent to other stations, which
+// counts as crossings.
+func TestOverloadedStationSpillsOver(t *testing.T) {
 	w := deployment(1, 15, 5, 12, 30*time.Second)
 	for i := range w.Arrivals {
 		w.Arrivals[i].Station = 0
@@ -263,7 +265,7 @@
 	}
 }
 
-// BenchmarkDay is a day of 55 s with 16 boxes, 3 dispatchers and 40 jobs a second.
+// BenchmarkDay simulates a day of 55 s with 16 boxes, 3 dispatchers and 40 jobs per second.
 func BenchmarkDay(b *testing.B) {
 	w := deployment(1, 16, 3, 40, 55*time.Second)
 	for i := range w.Classes {
@@ -278,8 +280,8 @@
 	}
 }
 
-// TestEffects: a box that is silent for a time answers later what it ran; a planned end loses nothing; answers that are lost
-// end with the client's patience; a reset request has run.
+// TestEffects: a box that is partitioned for a time answers afterwards; a planned shutdown loses no jobs; lost replies make jobs fail
+// at the client's deadline; a request whose connection is reset may have run, so an unsafe job fails.
 func TestEffects(t *testing.T) {
 	play := func(faults ...Fault) *Result {
 		w := deployment(1, 10, 3, 10, 20*time.Second)
@@ -294,19 +296,19 @@
 		}
 		return n
 	}
-	if r := play(Fault{At: 5 * time.Second, Effect: DispatcherShutdown, Target: 1, For: time.Second}); failed(r) > 1 { // one may take over 3.7 s
-		t.Errorf("%d jobs lost by a planned end", failed(r))
+	if r := play(Fault{At: 5 * time.Second, Effect: DispatcherShutdown, Target: 1, For: time.Second}); failed(r) > 1 { // one job may take longer than the 3.7 s of a shutdown
+		t.Errorf("%d jobs lost by a planned shutdown", failed(r))
 	}
 	if r := play(Fault{At: 5 * time.Second, Effect: BoxPartition, Target: 1, For: 2 * time.Second}); r.Boxes[1].Served == 0 || failed(r) > 12 {
-		t.Errorf("%d jobs failed by a box that was silent for 2 s", failed(r))
+		t.Errorf("%d jobs failed while a box was partitioned for 2 s", failed(r))
 	}
 	if r := play(Fault{At: 5 * time.Second, Effect: RepliesLost, Factor: 0.5, For: 2 * time.Second}); failed(r) == 0 {
-		t.Error("half of the answers were lost for 2 s, and nobody missed one")
+		t.Error("half of the replies were lost for 2 s, but no job failed")
 	}
 	if r := play(Fault{At: 5 * time.Second, Effect: ConnectionResets, Factor: 0.5, For: 2 * time.Second}); failed(r) == 0 {
-		t.Error("half of the requests were reset for 2 s, and no unsafe job failed")
+		t.Error("half of the requests were reset for 2 s, but no unsafe job failed")
 	}
 	if r := play(Fault{At: 5 * time.Second, Effect: DiscoveryMoves}); r.Lists < 6 {
-		t.Errorf("%d calls at discovery by three dispatchers that had to call twice", r.Lists)
+		t.Errorf("%d calls to discovery by three dispatchers that had to call twice", r.Lists)
 	}
 }
--- a/sim/site/site_test.go
+++ b/sim/site/site_test.go
@@ -10,7 +10,7 @@
 	"liftgauge/sim"
 )
 
-// load1 is a site that ships with the program.
+// loadSite loads an embedded site.
 func loadSite(t *testing.T, name string) *Site {
 	t.Helper()
 	s, err := Load(name)
@@ -20,10 +20,9 @@
 	return s
 }
 
-// TestFleet: what a fleet of dispatchers does together, on fixed seeds in virtual time: no unsafe job runs twice, workers
-// get few probes and connections in any second, and calls at discovery stay within a few for each dispatcher, however many
-// there are.
-func TestFleet(t *testing.T) {
+// TestFleetKeepsItsLimits: on fleet days with fixed seeds no unsafe job runs twice, workers get few probes and connections in any
+// second, and each dispatcher makes only a few calls to discovery, however many dispatchers there are.
+func TestFleetKeepsItsLimits(t *testing.T) {
 	trinidad := loadSite(t, "trinidad")
 	for _, day := range FleetDays {
 		for _, n := range []int{20, 120} {
@@ -38,20 +37,20 @@
 				case sim.DispatcherCrash, sim.DispatcherShutdown:
 					starts++
 				case sim.DiscoveryMoves:
-					moves += n // all call anew within a second, as the operators have them do
+					moves += n // all dispatchers request the list again within a second, as the operators require
 				}
 			}
-			// A dispatcher makes one call that is taken, and up to two that come too late. All that start together call within 2 s,
-			// and those whose calls fail within a second: what discovery has counts as told 6 s after it could be reached.
+			// A dispatcher makes one call that succeeds, and up to two that time out. Dispatchers that start together call within 2 s,
+			// and those whose calls fail call again within a second: the list counts as delivered 6 s after discovery became reachable.
 			if r.Duplicates > 0 || int(r.Lists) > 3*(starts+moves) || r.MostLists > 2*n/3+10+moves {
-				t.Errorf("%s, %d dispatchers: %d duplicates, %d calls at discovery, %d in a second", day, n, r.Duplicates, r.Lists, r.MostLists)
+				t.Errorf("%s, %d dispatchers: %d duplicates, %d calls to discovery, %d in a second", day, n, r.Duplicates, r.Lists, r.MostLists)
 			}
-			// A worker bears some ten probes a second in all, and connections by hundreds.
+			// A worker can handle about ten probes per second in all, and hundreds of connections.
 			if r.MostConnects > 40 || r.MostProbes > 10 {
-				t.Errorf("%s, %d dispatchers: %d new connections and %d probes at a worker in a second", day, n, r.MostConnects, r.MostProbes)
+				t.Errorf("%s, %d dispatchers: %d new connections and %d probes to a worker in a second", day, n, r.MostConnects, r.MostProbes)
 			}
 			if r.Breaches > 1 {
-				t.Errorf("%s, %d dispatchers: %d cold workers pushed over by those that knew, margin %.2f", day, n, r.Breaches, r.Margin)
+				t.Errorf("%s, %d dispatchers: %d cold workers overloaded by dispatchers that had received their start, margin %.2f", day, n, r.Breaches, r.Margin)
 			}
 			var offered, ends int64
 			for _, c := range r.Classes {
@@ -67,13 +66,13 @@
 		dispatchers, boxes int
 	}{{"feast", 80, 60}, {"zone", 0, 60}, {"zone", 80, 4}, {"zone", MaxDispatchers + 1, 60}, {"zone", 80, MaxBoxes + 1}} {
 		if _, err := trinidad.Day(bad.day, bad.dispatchers, bad.boxes, 1); err == nil {
-			t.Errorf("%v is taken", bad)
+			t.Errorf("%v is accepted", bad)
 		}
 	}
 }
 
-// TestFleetDays: what a day is named for happens in it: each effect is felt in what its run shows.
-func TestFleetDays(t *testing.T) {
+// TestFleetDaysHaveTheirFaults: each fleet day has the faults that define it, and uneven traffic over its dispatchers.
+func TestFleetDaysHaveTheirFaults(t *testing.T) {
 	trinidad := loadSite(t, "trinidad")
 	const n, boxes = 60, 40
 	count := func(w *sim.World) map[sim.Effect]int {
@@ -95,7 +94,7 @@
 			got := count(w)
 			for e, c := range want {
 				if got[e] != c {
-					t.Errorf("%s, seed %d: effect %d comes %d times, want %d", day, seed, e, got[e], c)
+					t.Errorf("%s, seed %d: effect %d occurs %d times, want %d", day, seed, e, got[e], c)
 				}
 			}
 			if day == "herd" && got[sim.DispatcherCrash] < 42 || day == "split" && got[sim.StationPartition] == 0 && got[sim.BoxPartition] != boxes/5 || day == "calm" && len(got) > 0 {
@@ -112,14 +111,14 @@
 	}
 }
 
-// TestCrowdedZoneIsRelieved: a zone whose clients ask for more than its boxes can do, among idle ones. Within 2 s of the load's
-// coming its jobs go elsewhere, and soon no more of them wait than elsewhere by much. Before, they stayed, and all waited.
-func TestCrowdedZoneIsRelieved(t *testing.T) {
+// TestOverloadedZoneSpillsOver guards against dispatchers that keep the jobs of an overloaded zone waiting there while other zones are
+// idle: within 2 s of the overload they must send jobs to other zones, and keep doing so.
+func TestOverloadedZoneSpillsOver(t *testing.T) {
 	w, err := loadSite(t, "trinidad").Day("calm", 150, 100, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range w.Arrivals { // from second 10 on six in ten jobs come to zone 2, and no other burst
+	for i := range w.Arrivals { // from second 10 on six in ten jobs come to zone 2; the other jobs are spread evenly
 		if w.Arrivals[i].Station = i % w.Stations; w.Arrivals[i].At > 10*time.Second && i%10 < 5 {
 			w.Arrivals[i].Station = 2
 		}
@@ -143,9 +142,9 @@
 	}
 }
 
-// TestPolicies: on a calm day of many dispatchers the module does better than random choice, and no policy but one that
-// sees the state of the boxes does as well.
-func TestPolicies(t *testing.T) {
+// TestModuleBeatsTextbookPolicies: on a calm day with many dispatchers the decision module beats the textbook policies, and the oracle
+// beats random choice.
+func TestModuleBeatsTextbookPolicies(t *testing.T) {
 	service := map[string]float64{}
 	for _, name := range sim.PolicyNames {
 		w, err := loadSite(t, "trinidad").Day("calm", 120, 80, 3)
@@ -161,16 +160,16 @@
 		}
 	}
 	if service["late-truth"] < service["random"] {
-		t.Errorf("seeing the truth gives %.3f, choosing at random %.3f", service["late-truth"], service["random"])
+		t.Errorf("service of late-truth %.3f, of random choice %.3f", service["late-truth"], service["random"])
 	}
 	if sim.PolicyByName("best") != nil {
-		t.Error("a policy that there is not")
+		t.Error("an unknown policy name is accepted")
 	}
 }
 
-// TestSites: what ships is drawn and played, each job gets one end, and what a site says is felt: reports come, lists without being asked for,
-// no start is told, tenants ask for more than their shares.
-func TestSites(t *testing.T) {
+// TestEmbeddedSites: days of the embedded sites can be drawn and simulated, each job gets one end, and the site's properties take effect:
+// load reports, pushed lists, missing start reports, tenants over their shares.
+func TestEmbeddedSites(t *testing.T) {
 	for _, name := range Names {
 		s := loadSite(t, name)
 		for _, day := range SiteDays {
@@ -187,7 +186,7 @@
 				t.Errorf("%s, %s: %d jobs offered, %d ended, %d duplicates, %d breaches, G %.3f", name, day, offered, ends, r.Duplicates, r.Breaches, r.G)
 			}
 			if s.Discovery.Pushed != (r.Lists == 0) || w.NoStartReports == s.TellsStart || (w.Report == nil) != (len(s.Report.Fields) == 0) {
-				t.Errorf("%s, %s: %d calls at discovery, starts untold %v, reports %v", name, day, r.Lists, w.NoStartReports, w.Report)
+				t.Errorf("%s, %s: %d calls to discovery, no start reports %v, reports %v", name, day, r.Lists, w.NoStartReports, w.Report)
 			}
 			over := 0
 			for _, a := range w.Arrivals {
@@ -196,14 +195,14 @@
 				}
 			}
 			if len(s.Tenants) == 0 && over > 0 || len(s.Tenants) > 0 && day == "overload" && over == 0 {
-				t.Errorf("%s, %s: %d jobs beyond their tenants' shares", name, day, over)
+				t.Errorf("%s, %s: %d jobs over their tenants' shares", name, day, over)
 			}
 		}
 	}
 }
 
-// TestTroubles: each of a site's troubles comes on some seed, and does what it is named for.
-func TestTroubles(t *testing.T) {
+// TestTroublesTakeEffect: each of a site's troubles adds its faults, and the faults change the service.
+func TestTroublesTakeEffect(t *testing.T) {
 	s := loadSite(t, "lensbrug")
 	for _, c := range []struct {
 		effect string
@@ -229,13 +228,13 @@
 		}
 		with := sim.Run(w, 5)
 		if w.Faults = nil; n < c.least || sim.Run(w, 5).Service == with.Service {
-			t.Errorf("%s: %d faults, and nothing is felt", c.effect, n)
+			t.Errorf("%s: %d faults, too few or without an effect on service", c.effect, n)
 		}
 	}
 }
 
-// TestMistakes: what is wrong with a site file is told in a line each, with the file's line and the field.
-func TestMistakes(t *testing.T) {
+// TestMistakesAreReportedByLineAndField: each mistake in a site file gives one line with the line of the file and the field.
+func TestMistakesAreReportedByLineAndField(t *testing.T) {
 	good, err := files.ReadFile("lensbrug.cue")
 	if err != nil {
 		t.Fatal(err)
