--- a/plan/fleet.go
+++ b/plan/fleet.go
@@ -271,27 +271,27 @@
 // Scaled returns the fleet with n boxes in all, in the same proportions. It uses the largest remainder method, with ties in the
 // order of names, so that with more boxes in all, the number of any station and kind never falls by much.
 func (f *Fleet) Scaled(n int) *Fleet {
-	type sort struct {
+	type boxGroup struct {
 		station, kind string
 		exact         float64
 		n             int
 	}
-	var all []sort
-	today := f.Boxes()
+	var all []boxGroup
+	total := f.Boxes()
 	stations, kinds, _ := f.Names()
-	left := n
+	remaining := n
 	for _, s := range stations {
 		for _, k := range kinds {
 			if have := f.Stations[s].Boxes[k]; have > 0 {
-				x := sort{s, k, float64(have) * float64(n) / float64(today), 0}
+				x := boxGroup{s, k, float64(have) * float64(n) / float64(total), 0}
 				x.n = int(x.exact)
-				left -= x.n
+				remaining -= x.n
 				all = append(all, x)
 			}
 		}
 	}
 	order := slices.Clone(all)
-	slices.SortStableFunc(order, func(a, b sort) int {
+	slices.SortStableFunc(order, func(a, b boxGroup) int {
 		ra, rb := a.exact-float64(a.n), b.exact-float64(b.n)
 		switch {
 		case ra > rb+1e-12:
@@ -302,7 +302,7 @@
 		return 0
 	})
 	for i := range order {
-		if i < left {
+		if i < remaining {
 			order[i].n++
 		}
 	}
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -150,24 +150,24 @@
 	if a := plan(none); a.Today.Verdict != Met || a.Tip != 0 || a.Fewest != 1 {
 		t.Errorf("no load: %+v", a.Today)
 	}
-	much := short(fleet(t, ""))
-	much.Load.Rate = 400
-	if a := plan(much); a.Today.Verdict != Missed || a.First[0].Resource != "boxes' cores" || a.Fewest <= a.Boxes {
+	overloaded := short(fleet(t, ""))
+	overloaded.Load.Rate = 400
+	if a := plan(overloaded); a.Today.Verdict != Missed || a.First[0].Resource != "boxes' cores" || a.Fewest <= a.Boxes {
 		t.Errorf("load far over capacity: %s, first %+v, %d boxes", a.Today.Verdict, a.First, a.Fewest)
 	}
-	never := short(fleet(t, ""))
-	never.Dispatcher.CPUPerJob = Duration(48 * time.Millisecond)
-	never.Goals.Service = 1
-	for name, c := range never.Classes {
+	unreachable := short(fleet(t, ""))
+	unreachable.Dispatcher.CPUPerJob = Duration(48 * time.Millisecond)
+	unreachable.Goals.Service = 1
+	for name, c := range unreachable.Classes {
 		c.Aim, c.Stretch = Duration(time.Millisecond), 0
-		never.Classes[name] = c
+		unreachable.Classes[name] = c
 	}
-	if a := plan(never); a.Fewest != 0 || !strings.Contains(a.Fleet, "no fleet") || !strings.Contains(a.Fleet, "a dispatcher's CPU in a") {
+	if a := plan(unreachable); a.Fewest != 0 || !strings.Contains(a.Fleet, "no fleet") || !strings.Contains(a.Fleet, "a dispatcher's CPU in a") {
 		t.Errorf("unreachable goal: %d, %s", a.Fewest, a.Fleet)
 	}
-	far := short(fleet(t, ""))
-	far.Load.Rate = 3
-	if a := plan(far); a.Fewest >= a.Boxes || a.Fewest == 0 {
+	easy := short(fleet(t, ""))
+	easy.Load.Rate = 3
+	if a := plan(easy); a.Fewest >= a.Boxes || a.Fewest == 0 {
 		t.Errorf("easily met goal: %d of %d boxes", a.Fewest, a.Boxes)
 	}
 }
@@ -191,14 +191,14 @@
 func TestLossOfStationCostsMoreAtPeak(t *testing.T) {
 	f := fleet(t, "")
 	f.Load.Rate = 38
-	dark := func(e sim.Effect) worldChange {
+	loseStation := func(e sim.Effect) worldChange {
 		return func(w *sim.World) {
 			w.Faults = []sim.Fault{{At: 7 * time.Second, Effect: e, Target: 0, For: 6 * time.Second}}
 		}
 	}
-	peak, low, whole := judge(t, f, 1, dark(sim.StationBoxes)), judge(t, f, 0.3, dark(sim.StationBoxes)), judge(t, f, 1, nil)
-	if !(peak.Service.Mean < whole.Service.Mean-0.05 && low.Service.Mean > peak.Service.Mean+0.05) {
-		t.Errorf("station lost at peak load %.3f, at low load %.3f, no fault %.3f", peak.Service.Mean, low.Service.Mean, whole.Service.Mean)
+	peak, low, noFault := judge(t, f, 1, loseStation(sim.StationBoxes)), judge(t, f, 0.3, loseStation(sim.StationBoxes)), judge(t, f, 1, nil)
+	if !(peak.Service.Mean < noFault.Service.Mean-0.05 && low.Service.Mean > peak.Service.Mean+0.05) {
+		t.Errorf("station lost at peak load %.3f, at low load %.3f, no fault %.3f", peak.Service.Mean, low.Service.Mean, noFault.Service.Mean)
 	}
 	if peak.Broken+low.Broken > 0 {
 		t.Errorf("%d and %d rules broken", peak.Broken, low.Broken)
--- a/sim/box.go
+++ b/sim/box.go
@@ -13,7 +13,7 @@
 type attempt struct {
 	dispatcher  *dispatcher
 	job         *job
-	number      int
+	number      int // among the job's attempts, from 0
 	box         *box
 	incarnation int // of the box when the attempt arrived
 	arrivedAt   time.Duration
@@ -57,25 +57,26 @@
 	probes, connects perSecond
 }
 
+// sentWork is the work of an attempt that was sent to a cold box.
 type sentWork struct {
-	at         time.Duration
-	work       float64
-	knowsStart bool // the sending dispatcher's list showed the box's last start
+	at          time.Duration
+	work        float64
+	startListed bool // the sending dispatcher's list contained the box's last start
 }
 
 // warmUpFactor returns the share of its full speed that the box has reached.
 func (b *box) warmUpFactor(now time.Duration) float64 {
 	rules := b.r.Rules
-	within, from := cmp.Or(b.kind.WarmUpTime, rules.WarmWithin), cmp.Or(b.kind.ColdSpeed, rules.StartCapacity)
-	if !b.cold || within <= 0 {
+	warmUpTime, coldSpeed := cmp.Or(b.kind.WarmUpTime, rules.WarmWithin), cmp.Or(b.kind.ColdSpeed, rules.StartCapacity)
+	if !b.cold || warmUpTime <= 0 {
 		return 1
 	}
-	age := float64(now-b.startedAt) / float64(within)
+	age := float64(now-b.startedAt) / float64(warmUpTime)
 	if age >= 1 {
 		b.cold = false
 		return 1
 	}
-	return from + (1-from)*age
+	return coldSpeed + (1-coldSpeed)*age
 }
 
 // jobSpeed returns the speed of each running job.
@@ -158,11 +159,11 @@
 		b.result.Served++
 		b.meanRuntime += (a.work/b.Speed/b.warmUpFactor(b.r.now) - b.meanRuntime) * 0.1
 		status := balance.OK
-		if b.ErrorShare > 0 && b.r.errors.Float64() < b.ErrorShare {
+		if b.ErrorShare > 0 && b.r.errorRand.Float64() < b.ErrorShare {
 			status = balance.Errored
 			b.errorLevel, b.lastErrorAt = b.errorRate()+0.1, b.r.now
 		}
-		if b.r.lostReplyShare > 0 && b.r.errors.Float64() < b.r.lostReplyShare {
+		if b.r.lostReplyShare > 0 && b.r.errorRand.Float64() < b.r.lostReplyShare {
 			continue // the reply is lost; its dispatcher waits until the deadline
 		}
 		if a.abandoned { // it was cancelled and kept running
@@ -251,23 +252,23 @@
 // overloaded reports whether a cold box has been sent more work than it survives.
 func (b *box) overloaded(a *attempt) bool {
 	rules := b.r.Rules
-	c := b.warmUpFactor(b.r.now)
+	factor := b.warmUpFactor(b.r.now)
 	if !b.cold || rules.OverloadFactor <= 0 || rules.OverloadTime <= 0 {
 		return false
 	}
 	sum, informed, kept := 0.0, 0.0, b.recent[:0]
 	// A job counts for at most what one core does within OverloadTime.
 	work := min(a.job.work, b.Speed*rules.OverloadTime.Seconds())
-	for _, s := range append(b.recent, sentWork{b.r.now, work, a.dispatcher.knowsStart(b)}) {
+	for _, s := range append(b.recent, sentWork{b.r.now, work, a.dispatcher.startListed(b)}) {
 		if b.r.now-s.at < rules.OverloadTime {
 			kept = append(kept, s)
-			if sum += s.work; s.knowsStart {
+			if sum += s.work; s.startListed {
 				informed += s.work
 			}
 		}
 	}
 	b.recent = kept
-	limit := rules.OverloadFactor * c * b.Speed * float64(b.kind.Cores) * rules.OverloadTime.Seconds()
+	limit := rules.OverloadFactor * factor * b.Speed * float64(b.kind.Cores) * rules.OverloadTime.Seconds()
 	b.r.result.Margin = min(b.r.result.Margin, 1-sum/limit)
 	if sum > limit && informed*3 >= sum*2 {
 		b.r.result.Breaches++
@@ -476,7 +477,7 @@
 	if rep == nil {
 		return
 	}
-	noise := func() float64 { return 1 + rep.Noise*b.r.reports.NormFloat64() }
+	noise := func() float64 { return 1 + rep.Noise*b.r.reportRand.NormFloat64() }
 	values := make([]float32, len(rep.Fields))
 	for i, field := range rep.Fields {
 		x := 0.0
--- a/sim/dispatcher.go
+++ b/sim/dispatcher.go
@@ -41,7 +41,7 @@
 }
 
 const (
-	deadlineGrace   = 4 * time.Millisecond
+	deadlineGrace   = 4 * time.Millisecond // from a client's deadline until the dispatcher abandons the job
 	probeTimeout    = 500 * time.Millisecond
 	cancelTimeout   = time.Second
 	shutdownTimeout = 3700 * time.Millisecond // from the start of a planned shutdown until the process is killed
@@ -137,8 +137,8 @@
 	d.policy.List(d.clock(), balance.ListChanges, []balance.Worker{w})
 }
 
-// knowsStart reports whether the dispatcher's worker list shows the box's last start.
-func (d *dispatcher) knowsStart(b *box) bool {
+// startListed reports whether the dispatcher's worker list contains the box's last start.
+func (d *dispatcher) startListed(b *box) bool {
 	i := slices.IndexFunc(d.workers, func(k balance.Worker) bool { return k.ID == b.id })
 	return i >= 0 && d.workers[i].Up == b.listEntry(balance.Ready).Up
 }
@@ -249,7 +249,7 @@
 	b := r.boxes[worker-1]
 	a := &attempt{dispatcher: d, job: j, number: len(j.attempts), box: b, work: j.work, slots: max(r.Arrivals[j.arrival].Slots, 1)}
 	if off := r.Classes[j.class].AttemptSpread; off > 0 {
-		a.work *= lognormal(r.attempts, off)
+		a.work *= lognormal(r.attemptRand, off)
 	}
 	a.remaining = a.work
 	j.attempts = append(j.attempts, a)
@@ -281,7 +281,7 @@
 					if w, ok := r.delay(b.Station, d.station); ok {
 						r.after(w, func() { d.outcome(a, balance.Reset) })
 					}
-				case r.resetShare > 0 && r.errors.Float64() < r.resetShare:
+				case r.resetShare > 0 && r.errorRand.Float64() < r.resetShare:
 					r.after(back, func() { d.outcome(a, balance.Reset) })
 					b.receive(a)
 				default:
--- a/sim/result.go
+++ b/sim/result.go
@@ -131,16 +131,16 @@
 	return &r.Zones[at/time.Second][station]
 }
 
-// worth returns the value of a job.
-func (w *World) worth(a *Arrival) float64 {
-	worth := w.Classes[a.Class].Value
+// value returns the value of a job.
+func (w *World) value(a *Arrival) float64 {
+	value := w.Classes[a.Class].Value
 	if w.ValuePerWork {
-		worth *= a.Work
+		value *= a.Work
 	}
 	if a.OverQuota {
-		worth *= w.Goal.OverShare
+		value *= w.Goal.OverShare
 	}
-	return worth
+	return value
 }
 
 // span is the time of the last arrival.
@@ -168,13 +168,13 @@
 	c.Offered++
 	w := r.windowOf(a.At)
 	w.Offered++
-	worth := r.worth(a)
-	w.Asked += worth
-	w.ByStation[a.Station].Asked += worth
-	c.Asked += worth
+	value := r.value(a)
+	w.Asked += value
+	w.ByStation[a.Station].Asked += value
+	c.Asked += value
 	r.result.askedWork += a.Work
 	if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
-		r.result.Tenants[a.Tenant].Asked += worth
+		r.result.Tenants[a.Tenant].Asked += value
 	}
 	r.openJobs++
 	r.send(&job{arrival: n, class: a.Class, work: a.Work, deadline: r.tryDeadline(a)})
@@ -239,7 +239,7 @@
 	for _, d := range candidates {
 		sum += r.Shares[d.number]
 	}
-	x := r.front.Float64() * sum
+	x := r.frontRand.Float64() * sum
 	for _, d := range candidates {
 		if x -= r.Shares[d.number]; x < 0 {
 			return d
@@ -275,21 +275,21 @@
 	switch took := r.now - a.At; end {
 	case Served:
 		c.Latency.RecordValue(max(1, took.Microseconds()))
-		worth := r.worth(a)
+		value := r.value(a)
 		if aim := class.TargetLatency + time.Duration(class.RuntimeFactor*a.Work*float64(time.Second)); took <= aim {
 			c.InTime++
 		} else {
 			c.Late++
-			worth *= class.LateValue
-			r.result.lateWorth += r.worth(a)
+			value *= class.LateValue
+			r.result.lateWorth += r.value(a)
 		}
-		c.Earned += worth
+		c.Earned += value
 		if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
-			r.result.Tenants[a.Tenant].Earned += worth
+			r.result.Tenants[a.Tenant].Earned += value
 		}
 		w := r.windowOf(a.At)
-		w.Earned += worth
-		w.ByStation[a.Station].Earned += worth
+		w.Earned += value
+		w.ByStation[a.Station].Earned += value
 	case Refused:
 		c.Refused++
 	case Failed:
@@ -400,7 +400,7 @@
 	case DiscoveryMoves:
 		for _, d := range r.dispatchers {
 			incarnation := d.incarnation
-			r.after(time.Duration(r.network.Float64()*float64(time.Second)), func() {
+			r.after(time.Duration(r.networkRand.Float64()*float64(time.Second)), func() {
 				if !d.dead && d.incarnation == incarnation {
 					d.Watch()
 				}
--- a/sim/sim.go
+++ b/sim/sim.go
@@ -170,7 +170,7 @@
 	Factor float64
 }
 
-// World is the complete input of a run, apart from its seed.
+// World is the complete input of a run except for the seed.
 type World struct {
 	Stations    int
 	OneWay      [][]time.Duration // one-way delay between stations; inside a station on the diagonal
@@ -267,10 +267,10 @@
 	now             time.Duration
 	seq             uint64
 	queue           events
-	network         *rand.Rand
-	errors          *rand.Rand
-	attempts        *rand.Rand
-	reports         *rand.Rand
+	networkRand     *rand.Rand
+	errorRand       *rand.Rand
+	attemptRand     *rand.Rand
+	reportRand      *rand.Rand
 	boxes           []*box
 	dispatchers     []*dispatcher
 	openJobs        int // jobs that have not ended
@@ -283,7 +283,7 @@
 	result          *Result
 	runCounts       []uint8 // by arrival: how often the job ran
 	nextDispatcher  []int   // by station: position in the round robin over its dispatchers
-	front           *rand.Rand
+	frontRand       *rand.Rand
 	lagFactor       float64 // factor on the lag of discovery
 	resetShare      float64 // share of the requests that are reset
 	lostReplyShare  float64 // share of the outcomes that are lost
@@ -296,8 +296,8 @@
 
 // Run simulates a World with a seed.
 func Run(w *World, seed uint64) *Result {
-	r := &run{World: w, seed: seed, network: stream(seed, "network"), errors: stream(seed, "errors"), attempts: stream(seed, "attempts"), reports: stream(seed, "reports"),
-		front: stream(seed, "front"), speedFactor: 1, lagFactor: 1, partitioned: make([]int, w.Stations), mutedClients: make([]int, w.Stations),
+	r := &run{World: w, seed: seed, networkRand: stream(seed, "network"), errorRand: stream(seed, "errors"), attemptRand: stream(seed, "attempts"), reportRand: stream(seed, "reports"),
+		frontRand: stream(seed, "front"), speedFactor: 1, lagFactor: 1, partitioned: make([]int, w.Stations), mutedClients: make([]int, w.Stations),
 		runCounts: make([]uint8, len(w.Arrivals)), nextDispatcher: make([]int, w.Stations)}
 	r.result = newResult(w)
 	speeds := stream(seed, "speeds")
@@ -371,7 +371,7 @@
 	}
 	d = r.OneWay[from][to]
 	if r.Jitter > 0 && d > 0 {
-		d = time.Duration(float64(d) * lognormal(r.network, r.Jitter))
+		d = time.Duration(float64(d) * lognormal(r.networkRand, r.Jitter))
 	}
 	return d, true
 }
--- a/sim/site/day.go
+++ b/sim/site/day.go
@@ -93,13 +93,13 @@
 	w.Settings.ValuePerWork, w.Settings.SecondCopies, w.Settings.MaxRetryAfter = true, true, seconds(s.Retry.AdviceMost)
 	w.Settings.CrossZoneFee, w.Settings.ProbeFee, w.Settings.HandshakeFee = s.Goal.Cross, s.Goal.Probe, s.Goal.Connection
 	w.Settings.WasteFee, w.Settings.LateFee = s.Goal.Waste, s.Goal.Late
-	errors := make([]Range, len(s.Kinds))
-	runsOn := s.RunsOn && rng.IntN(2) == 0
+	errorShares := make([]Range, len(s.Kinds))
+	ignoresCancel := s.RunsOn && rng.IntN(2) == 0
 	for i, k := range s.Kinds {
-		errors[i] = k.Errors
+		errorShares[i] = k.Errors
 		w.Kinds = append(w.Kinds, sim.Kind{Name: k.Name, Cores: k.Cores, Slots: k.Slots, Queue: int(float64(k.Cores) * k.Queue.draw(rng)), Speed: k.Speed.draw(rng),
 			Spread: k.Spread.draw(rng), Connections: k.Connections, ColdSpeed: k.ColdFrom.draw(rng), WarmUpTime: span(k.ColdFor),
-			StallEvery: span(k.StallEvery), StallFor: span(k.StallFor), IgnoresCancel: runsOn})
+			StallEvery: span(k.StallEvery), StallFor: span(k.StallFor), IgnoresCancel: ignoresCancel})
 	}
 	for _, c := range s.Classes {
 		w.Classes = append(w.Classes, sim.Class{Name: c.Name, Work: sim.Dist{Mean: c.Work.draw(rng), Shape: c.shape(), Spread: c.Spread.draw(rng)},
@@ -141,7 +141,7 @@
 				n++
 			}
 		}
-		b.Cell, b.ErrorShare = b.Station*MaxBoxes+n/cell, errors[b.Kind].draw(rng)
+		b.Cell, b.ErrorShare = b.Station*MaxBoxes+n/cell, errorShares[b.Kind].draw(rng)
 		w.Boxes = append(w.Boxes, b)
 		speed += w.Kinds[b.Kind].Speed * float64(w.Kinds[b.Kind].Cores)
 	}
@@ -218,15 +218,15 @@
 
 // distribute assigns n items to the zones in proportion to their shares, evenly interleaved.
 func distribute(shares []float64, n int) []int {
-	owed, out := make([]float64, len(shares)), make([]int, n)
+	deficit, out := make([]float64, len(shares)), make([]int, n)
 	for i := range out {
 		best := 0
 		for z := range shares {
-			if owed[z] += shares[z]; owed[z] > owed[best] {
+			if deficit[z] += shares[z]; deficit[z] > deficit[best] {
 				best = z
 			}
 		}
-		owed[best]--
+		deficit[best]--
 		out[i] = best
 	}
 	return out
@@ -244,7 +244,7 @@
 	if len(all) == 0 {
 		return
 	}
-	early := Range{3, 14}
+	startTime := Range{3, 14}
 	// sample draws a random share of n indices.
 	sample := func(n int, part Range) []int {
 		order := rng.Perm(n)
@@ -255,7 +255,7 @@
 	}
 	switch t := all[rng.IntN(len(all))]; t.Effect {
 	case "burst":
-		l.Burst, l.BurstAt, l.BurstFor = t.Size.draw(rng), span(early), span(t.Len)
+		l.Burst, l.BurstAt, l.BurstFor = t.Size.draw(rng), span(startTime), span(t.Len)
 	case "heavy":
 		l.Heavy, l.Slow = t.Part.draw(rng), t.Size.draw(rng)
 	case "dispatchers":
@@ -263,10 +263,10 @@
 			add(15*time.Second, sim.DispatcherCrash, n, 0, span(t.Len))
 		}
 	case "slow":
-		at, factor := span(early), 1/t.Size.draw(rng)
+		at, factor := span(startTime), 1/t.Size.draw(rng)
 		add(at, sim.BoxesSlow, 0, factor, span(t.Len))
 	case "crash", "hang":
-		at, d, effect := span(early), span(t.Len), sim.BoxCrash
+		at, d, effect := span(startTime), span(t.Len), sim.BoxCrash
 		if t.Effect == "hang" {
 			effect = sim.BoxStalls
 		}
@@ -274,7 +274,7 @@
 			add(at, effect, n, 0, d)
 		}
 	case "pauses":
-		at, d, size, every := span(early), span(t.Len), span(t.Size), span(t.Every)
+		at, d, size, every := span(startTime), span(t.Len), span(t.Size), span(t.Every)
 		for _, n := range sample(len(w.Boxes), t.Part) {
 			for from := time.Duration(rng.Float64() * float64(every)); from < d; from += every {
 				add(at+from, sim.BoxStalls, n, 0, size)
@@ -287,8 +287,8 @@
 func addDayFaults(w *sim.World, day string, rng *rand.Rand) error {
 	boxes, zones := len(w.Boxes), w.Stations
 	order := rng.Perm(boxes)
-	degrade := func(all []int) { // one box in eight, from these
-		for i, n := range all[:min(max(1, boxes/8), len(all))] {
+	degrade := func(candidates []int) { // one box in eight, from these
+		for i, n := range candidates[:min(max(1, boxes/8), len(candidates))] {
 			if b := &w.Boxes[n]; i%2 == 0 {
 				b.Speed = w.Kinds[b.Kind].Speed / 3
 			} else {
@@ -297,13 +297,13 @@
 		}
 	}
 	// replace drains boxes one after another from a time on; new boxes take their places.
-	replace := func(some []int, from, within time.Duration) {
-		for i, n := range some {
-			at := from + time.Duration(i)*within/time.Duration(len(some))
+	replace := func(replaced []int, from, within time.Duration) {
+		for i, n := range replaced {
+			at := from + time.Duration(i)*within/time.Duration(len(replaced))
 			w.Faults = append(w.Faults, sim.Fault{At: at, Effect: sim.BoxDrains, Target: n})
-			fresh := w.Boxes[n]
-			fresh.Name, fresh.JoinsAt = fresh.Name+"-new", at+2*time.Second
-			w.Boxes = append(w.Boxes, fresh)
+			added := w.Boxes[n]
+			added.Name, added.JoinsAt = added.Name+"-new", at+2*time.Second
+			w.Boxes = append(w.Boxes, added)
 		}
 	}
 	release := func() { // in batches; each box restarts
