--- a/plan/fleet.cue
+++ b/plan/fleet.cue
@@ -57,7 +57,7 @@
 	retry: {most: int & >=0 | *2, pause: #Duration | *"100ms", advice: bool | *true, each?: #Duration}
 	discovery: {lag: #Duration | *"1s", call: #Duration | *"20ms"}
 	dispatcher: {
-		cpuPerJob: #Duration | *"100us" // measured by liftlab overhead
+		cpuPerJob: #Duration | *"100us" // CPU time for one job, as "liftlab overhead" reports it
 		cores:     number & >0 | *1
 		sockets:   int & >=32 | *1024
 		queue:     int & >=1 | *4096 // capacity of its event queue
