--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts many dispatchers on the simulator's wire, on standard input and output.
+// Command adapter runs many dispatchers for an external simulator, which speaks the protocol of package wire on standard input and
+// output.
 package main
 
 import (
@@ -24,7 +25,7 @@
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
 	writer := bufio.NewWriterSize(out, 1<<16)
-	host := host{dispatchers: map[uint32]*balance.Dispatcher{}, sheets: map[uint32][]balance.Worker{}}
+	host := host{dispatchers: map[uint32]*balance.Dispatcher{}, workerLists: map[uint32][]balance.Worker{}}
 	for {
 		batch, err := reader.Read()
 		if err == io.EOF {
@@ -48,10 +49,10 @@
 	}
 }
 
-// host holds the dispatchers by instance. They share the sheets as they came over the wire and nothing else.
+// host holds the dispatchers by instance number. They share only the worker lists that were received, stored by sheet number.
 type host struct {
 	dispatchers map[uint32]*balance.Dispatcher
-	sheets      map[uint32][]balance.Worker
+	workerLists map[uint32][]balance.Worker
 	reply       wire.Reply
 }
 
@@ -63,7 +64,7 @@
 	}()
 	switch ev.Code {
 	case wire.EventList:
-		h.sheets[ev.ListID] = ev.Entries
+		h.workerLists[ev.ListID] = ev.Entries
 		return nil
 	case wire.EventStart:
 		settings, err := config.ParseSettings(ev.Data)
@@ -87,7 +88,7 @@
 	case wire.EventTimer:
 		d.Timer(b.Now, ev.Seed)
 	case wire.EventRegistry:
-		d.List(b.Now, ev.ListKind, h.sheets[ev.ListID])
+		d.List(b.Now, ev.ListKind, h.workerLists[ev.ListID])
 	case wire.EventNote:
 		if ev.Note == 1 {
 			d.Started(b.Now, o.Job, o.Attempt)
--- a/plan/captured.go
+++ b/plan/captured.go
@@ -14,22 +14,22 @@
 	"liftgauge/sim"
 )
 
-// Fitted is what was learnt from captured load, and from how much.
+// Fitted is the work of a class as fitted from captured load, with the number of records behind it.
 type Fitted struct {
 	Class   string   `json:"class"`
 	Records int      `json:"records"`
-	Runs    int      `json:"runs"` // with a known start and end
+	Runs    int      `json:"runs"` // runs with a known start and end
 	Work    Estimate `json:"work_s"`
-	Skipped int      `json:"skipped"` // of classes or kinds that the fleet lacks
+	Skipped int      `json:"skipped"` // retries, and records of classes that the fleet lacks
 }
 
-// Speed is what was learnt of a kind of boxes.
+// Speed is the speed of a kind of box as fitted from captured load.
 type Speed struct {
 	Kind  string   `json:"kind"`
-	Runs  int      `json:"runs"`  // on boxes that were warm
-	Speed Estimate `json:"speed"` // work done in a second by a core, against the kind whose speed is known
-	Fresh int      `json:"fresh"` // runs on boxes in the first eighth of their warming up
-	Cold  Estimate `json:"cold"`  // the part of their speed that these have
+	Runs  int      `json:"runs"`  // on warm boxes
+	Speed Estimate `json:"speed"` // work done in a second by a core, relative to the kind whose speed is known
+	Fresh int      `json:"fresh"` // runs on boxes in the first eighth of their warm-up
+	Cold  Estimate `json:"cold"`  // share of their full speed that these boxes have
 }
 
 func (s Speed) String() string {
@@ -40,7 +40,7 @@
 	return text
 }
 
-// ratio is how many times as long one sort of runs takes as another, by the means of their logarithms.
+// ratio returns how many times as long one set of runs takes as another, from the means of the logarithms of their times.
 func ratio(long, short []float64) Estimate {
 	if len(long) < 2 || len(short) < 2 {
 		return Estimate{Mean: 1}
@@ -52,9 +52,10 @@
 	return Estimate{mean, mean * half}
 }
 
-// speeds fits speeds by kind and what boxes do just after a start. It takes jobs to be alike on all kinds. Kinds without a
-// speed get the one that is fitted, against the first kind by name that has one, or against the fastest.
-func (f *Fleet) speeds(h capture.Header, records []capture.Record) []Speed {
+// fitSpeeds fits the speed of each kind, and the speed of boxes just after a start. It assumes that all kinds run the same mix of
+// jobs. A kind without a speed in the fleet file gets the fitted one, relative to the first kind by name that has a speed, or else to
+// the fastest.
+func (f *Fleet) fitSpeeds(h capture.Header, records []capture.Record) []Speed {
 	warm, fresh := map[string][]float64{}, map[string][]float64{}
 	for _, r := range records {
 		for _, a := range r.Attempts {
@@ -102,10 +103,10 @@
 	return all
 }
 
-// UseCaptured takes captured records in place of the fleet file's load. A job's work is its running time where it was served,
-// times the speed of the kind that ran it, else its hint, else the mean of its class. Clients are taken to be at the station of
-// the dispatcher that they came to. Where records were dropped when they were written, those that are left are pressed together
-// by as much. Clients' retries are left out: the emulator's clients make their own.
+// UseCaptured replaces the fleet file's load by captured records. A job's work is its running time times the speed of the kind
+// that ran it, if it was served, else its hint, else the mean of its class. Clients are assumed to be at the station of the
+// dispatcher that they used. If the capture dropped records, the times of the remaining ones are compressed in proportion, so that
+// the rate is right. Clients' retries are left out, as the simulator's clients make their own.
 func (f *Fleet) UseCaptured(h capture.Header, records []capture.Record, dropped int64) ([]Fitted, []Speed, error) {
 	stations, _, classes := f.Names()
 	records = slices.Clone(records)
@@ -116,14 +117,14 @@
 		}
 		return ""
 	}
-	speeds := f.speeds(h, records)
+	speeds := f.fitSpeeds(h, records)
 	for _, k := range slices.Sorted(maps.Keys(f.Kinds)) {
 		if f.Kinds[k].Speed == 0 {
 			return nil, nil, fmt.Errorf("kinds.%s.speed: not given, and no runs on that kind were captured to fit it from", k)
 		}
 	}
-	works := map[string][]float64{}
-	fits := map[string]*Fitted{}
+	workByClass := map[string][]float64{}
+	fitByClass := map[string]*Fitted{}
 	work := func(r capture.Record) float64 {
 		for _, a := range r.Attempts {
 			if k, ok := f.Kinds[name(h.Kinds, a.Kind)]; ok && a.Status == uint8(balance.OK) && a.Began >= 0 && a.Ended > a.Began {
@@ -134,20 +135,20 @@
 	}
 	for _, r := range records {
 		class := name(h.Classes, r.Class)
-		fit := fits[class]
+		fit := fitByClass[class]
 		if fit == nil {
 			fit = &Fitted{Class: class}
-			fits[class] = fit
+			fitByClass[class] = fit
 		}
 		fit.Records++
 		if w := work(r); w > 0 {
-			works[class] = append(works[class], w)
+			workByClass[class] = append(workByClass[class], w)
 		}
 	}
 	var all []sim.Arrival
 	for _, r := range records {
 		class := name(h.Classes, r.Class)
-		c, fit := slices.Index(classes, class), fits[class]
+		c, fit := slices.Index(classes, class), fitByClass[class]
 		station := max(slices.Index(stations, name(h.Zones, r.Zone)), 0)
 		if c < 0 || r.Retry {
 			fit.Skipped++
@@ -157,33 +158,33 @@
 		if w == 0 {
 			w = time.Duration(r.Hint).Seconds()
 		}
-		if w == 0 && len(works[class]) > 0 {
-			w = stat.Mean(works[class], nil)
+		if w == 0 && len(workByClass[class]) > 0 {
+			w = stat.Mean(workByClass[class], nil)
 		}
 		if w == 0 {
 			w = time.Duration(f.Classes[class].Work.Mean).Seconds()
 		}
 		all = append(all, sim.Arrival{At: time.Duration(r.Arrived - records[0].Arrived), Class: c, Station: station, Work: w,
-			Hint: time.Duration(r.Hint), Left: time.Duration(r.Timeout)})
+			Hint: time.Duration(r.Hint), Timeout: time.Duration(r.Timeout)})
 	}
 	if len(all) == 0 {
 		return nil, nil, fmt.Errorf("none of the %d records is of a class that the fleet has", len(records))
 	}
-	press := float64(len(records)) / float64(int64(len(records))+dropped)
+	compression := float64(len(records)) / float64(int64(len(records))+dropped)
 	for i := range all {
-		all[i].At = time.Duration(float64(all[i].At) * press)
+		all[i].At = time.Duration(float64(all[i].At) * compression)
 	}
 	f.captured = all
 	span := max(all[len(all)-1].At, time.Second)
 	f.Load.Rate, f.Load.Length, f.Load.Bursts = float64(len(all))/span.Seconds(), Duration(span), nil
 	var fitted []Fitted
 	for _, class := range classes {
-		fit := fits[class]
+		fit := fitByClass[class]
 		if fit == nil {
 			continue
 		}
-		if fit.Runs = len(works[class]); fit.Runs > 1 {
-			fit.Work = estimate(works[class])
+		if fit.Runs = len(workByClass[class]); fit.Runs > 1 {
+			fit.Work = estimate(workByClass[class])
 			c := f.Classes[class]
 			c.Work.Mean = Duration(fit.Work.Mean * float64(time.Second))
 			c.Mix = float64(fit.Records - fit.Skipped)
--- a/plan/fleet.go
+++ b/plan/fleet.go
@@ -1,6 +1,7 @@
-// Package plan says of a fleet what gives way first, how many boxes a goal needs, and what the loss of a station does.
+// Package plan is the capacity planner: for a fleet it finds the resource that is exhausted first, the number of boxes that the goals
+// need, and the effect of losing a station.
 //
-// It works out bounds by hand first, and plays days in the emulator (package sim) only where these do not decide.
+// It computes analytical bounds first, and then simulates days (package sim).
 package plan
 
 import (
@@ -24,17 +25,17 @@
 //go:embed fleet.cue
 var schema string
 
-// Duration is a time that stands in JSON as a text.
+// Duration is a duration that is written as a string in JSON.
 type Duration time.Duration
 
-// UnmarshalText reads the text.
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// Fleet is a fleet file. The schema, fleet.cue, says what each field means.
+// Fleet is a fleet file. The schema, fleet.cue, defines each field.
 type Fleet struct {
 	Stations   map[string]Station `json:"stations"`
 	Network    Network            `json:"network"`
@@ -47,8 +48,8 @@
 	Dispatcher Dispatcher         `json:"dispatcher"`
 	Goals      Goals              `json:"goals"`
 
-	captured []sim.Arrival // in place of Load, where there are any
-	fits     bool          // captured load is to come
+	captured []sim.Arrival // replaces Load if not nil
+	willFit  bool          // UseCaptured will follow, so speeds may be missing
 }
 
 // The parts of a Fleet.
@@ -139,38 +140,38 @@
 	}
 )
 
-// LoadFleet reads a fleet file. A cuefile.Error tells of mistakes, a line each. Fits says that UseCaptured is to follow: then
+// LoadFleet reads a fleet file. A cuefile.Error lists the mistakes in it, one per line. With willFit, UseCaptured is to follow and
 // speeds may be missing.
-func LoadFleet(path string, fits bool) (*Fleet, error) {
+func LoadFleet(path string, willFit bool) (*Fleet, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, text, fits)
+	return Parse(path, text, willFit)
 }
 
-// Parse reads a fleet; name stands for its file in errors.
-func Parse(name string, text []byte, fits bool) (*Fleet, error) {
+// Parse parses a fleet file; name is the file name used in errors.
+func Parse(name string, text []byte, willFit bool) (*Fleet, error) {
 	out, err := cuefile.CompileWith(schema, "#Fleet", name, text)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{fits: fits}
+	f := &Fleet{willFit: willFit}
 	if err := json.Unmarshal(out, f); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return f, f.check(name, text)
 }
 
-// check looks for what a schema cannot see.
+// check checks what the schema cannot express.
 func (f *Fleet) check(name string, text []byte) error {
-	var wrong cuefile.Error
+	var mistakes cuefile.Error
 	add := func(field []string, format string, args ...any) {
 		at := filepath.Base(name)
 		if line := cuefile.Line(text, field...); line > 0 {
 			at += fmt.Sprint(":", line)
 		}
-		wrong = append(wrong, fmt.Sprintf("%s: %s: %s", at, strings.Join(field, "."), fmt.Sprintf(format, args...)))
+		mistakes = append(mistakes, fmt.Sprintf("%s: %s: %s", at, strings.Join(field, "."), fmt.Sprintf(format, args...)))
 	}
 	at := func(field ...string) []string { return field }
 	if len(f.Stations) == 0 {
@@ -195,7 +196,7 @@
 	if dispatchers == 0 && len(f.Stations) > 0 {
 		add(at("stations"), "want at least one dispatcher")
 	}
-	if f.captured == nil && !f.fits {
+	if f.captured == nil && !f.willFit {
 		for _, k := range slices.Sorted(maps.Keys(f.Kinds)) {
 			if f.Kinds[k].Speed == 0 {
 				add(at("kinds", k, "speed"), "want a number, as no captured load is there to fit it from")
@@ -214,18 +215,18 @@
 			add(at("goals", "inTime", c), "want a class that classes has")
 		}
 	}
-	if len(wrong) > 0 {
-		return wrong
+	if len(mistakes) > 0 {
+		return mistakes
 	}
 	return nil
 }
 
-// Names are the stations, kinds and classes in the order of their numbers.
+// Names returns the names of the stations, kinds and classes, in the order of their indices in a World.
 func (f *Fleet) Names() (stations, kinds, classes []string) {
 	return slices.Sorted(maps.Keys(f.Stations)), slices.Sorted(maps.Keys(f.Kinds)), slices.Sorted(maps.Keys(f.Classes))
 }
 
-// Boxes is how many boxes there are.
+// Boxes returns the number of boxes.
 func (f *Fleet) Boxes() (n int) {
 	for _, s := range f.Stations {
 		for _, k := range s.Boxes {
@@ -235,7 +236,7 @@
 	return n
 }
 
-// capacity is the work done in a second by all boxes of a station, or of all.
+// capacity returns the work that all boxes of a station can do in a second, or those of all stations if the name is empty.
 func (f *Fleet) capacity(station string) (sum float64) {
 	for name, s := range f.Stations {
 		if station == "" || name == station {
@@ -248,7 +249,7 @@
 	return sum
 }
 
-// work is the mean work of a job, in seconds at speed 1.
+// work returns the mean work of a job, in seconds at speed 1.
 func (f *Fleet) work() float64 {
 	sum, mix := 0.0, 0.0
 	for _, c := range f.Classes {
@@ -258,8 +259,8 @@
 	return sum / max(mix, 1e-12)
 }
 
-// loadOf is the part of the load that a station's clients send.
-func (f *Fleet) loadOf(station string) float64 {
+// loadShare returns the share of the load that a station's clients send.
+func (f *Fleet) loadShare(station string) float64 {
 	sum := 0.0
 	for _, s := range f.Stations {
 		sum += s.Load
@@ -267,30 +268,30 @@
 	return f.Stations[station].Load / max(sum, 1e-12)
 }
 
-// Scaled is the fleet with so many boxes in all, in the proportions of today's: by largest remainders, and for equal ones by
-// name, so that more boxes never mean fewer of any sort by much.
+// Scaled returns the fleet with n boxes in all, in the same proportions. It uses the largest remainder method, with ties in the
+// order of names, so that with more boxes in all, the number of any station and kind never falls by much.
 func (f *Fleet) Scaled(n int) *Fleet {
-	type sort struct {
+	type boxGroup struct {
 		station, kind string
 		exact         float64
 		n             int
 	}
-	var all []sort
-	today := f.Boxes()
+	var all []boxGroup
+	total := f.Boxes()
 	stations, kinds, _ := f.Names()
-	left := n
+	remaining := n
 	for _, s := range stations {
 		for _, k := range kinds {
 			if have := f.Stations[s].Boxes[k]; have > 0 {
-				x := sort{s, k, float64(have) * float64(n) / float64(today), 0}
+				x := boxGroup{s, k, float64(have) * float64(n) / float64(total), 0}
 				x.n = int(x.exact)
-				left -= x.n
+				remaining -= x.n
 				all = append(all, x)
 			}
 		}
 	}
 	order := slices.Clone(all)
-	slices.SortStableFunc(order, func(a, b sort) int {
+	slices.SortStableFunc(order, func(a, b boxGroup) int {
 		ra, rb := a.exact-float64(a.n), b.exact-float64(b.n)
 		switch {
 		case ra > rb+1e-12:
@@ -301,7 +302,7 @@
 		return 0
 	})
 	for i := range order {
-		if i < left {
+		if i < remaining {
 			order[i].n++
 		}
 	}
@@ -319,15 +320,15 @@
 	return &g
 }
 
-// World is the fleet as the emulator plays it, at a load factor, with the arrivals of a seed. The same seed has the same jobs
-// at the same factor whatever the boxes are.
+// World returns the fleet as input of the simulator, at a load factor, with the arrivals of a seed. For one seed and factor the
+// jobs are the same whatever the boxes are.
 func (f *Fleet) World(seed uint64, factor float64) *sim.World {
 	stations, kinds, classes := f.Names()
-	w := &sim.World{Stations: len(stations), Jitter: f.Network.Jitter, Connect: 250 * time.Millisecond, Attempts: f.Rules.Attempts,
+	w := &sim.World{Stations: len(stations), Jitter: f.Network.Jitter, ConnectTimeout: 250 * time.Millisecond, MaxAttempts: f.Rules.Attempts,
 		Lag: time.Duration(f.Discovery.Lag), ListTime: time.Duration(f.Discovery.Call),
 		Rules: sim.Rules{DrainGrace: time.Duration(f.Rules.DrainGrace), StartCapacity: f.Rules.StartCapacity, WarmWithin: time.Duration(f.Rules.WarmWithin),
-			OverloadFactor: f.Rules.OverloadFactor, FallTime: time.Duration(f.Rules.FallTime), RestartAfter: time.Duration(f.Rules.RestartAfter)},
-		Retry: sim.Retry{Most: f.Retry.Most, Pause: time.Duration(f.Retry.Pause), Advice: f.Retry.Advice, Each: time.Duration(f.Retry.Each)},
+			OverloadFactor: f.Rules.OverloadFactor, OverloadTime: time.Duration(f.Rules.FallTime), RestartAfter: time.Duration(f.Rules.RestartAfter)},
+		Retry: sim.Retry{MaxRetries: f.Retry.Most, Pause: time.Duration(f.Retry.Pause), HonorsRetryAfter: f.Retry.Advice, TryTimeout: time.Duration(f.Retry.Each)},
 		Settings: balance.Settings{CrossZoneFee: 0.019, WasteFee: 0.08, ProbeFee: 0.0059, LateFee: 0.026, ValuePerWork: true, Tick: 2 * time.Millisecond,
 			SecondCopies: true, MaxRetryAfter: time.Second}}
 	for i, from := range stations {
@@ -370,15 +371,15 @@
 				Effect: effects[c.Effect], Window: time.Duration(c.Window), Kind: -1}})
 	}
 	w.Arrivals = f.arrivals(w, seed, factor)
-	w.End = f.length() + 30*time.Second
+	w.End = f.dayLength() + 30*time.Second
 	return w
 }
 
-func (f *Fleet) length() time.Duration { return time.Duration(f.Load.Length) }
+func (f *Fleet) dayLength() time.Duration { return time.Duration(f.Load.Length) }
 
-// arrivals draws a day's jobs. Bursts and the load factor press the same jobs closer together.
+// arrivals draws a day's jobs. Bursts and the load factor move the same jobs closer together.
 func (f *Fleet) arrivals(w *sim.World, seed uint64, factor float64) []sim.Arrival {
-	if f.captured != nil { // pressed together
+	if f.captured != nil { // the load factor scales the times
 		all := slices.Clone(f.captured)
 		for i := range all {
 			all[i].At = time.Duration(float64(all[i].At) / factor)
@@ -409,7 +410,7 @@
 	for _, s := range stations {
 		load = append(load, f.Stations[s].Load)
 	}
-	times, rest := sim.Stream(seed, "plan/arrivals"), sim.Stream(seed, "plan/jobs")
+	times, jobs := sim.Stream(seed, "plan/arrivals"), sim.Stream(seed, "plan/jobs")
 	var all []sim.Arrival
 	for at := 0.0; ; {
 		rate := f.Load.Rate * factor
@@ -419,14 +420,14 @@
 			}
 		}
 		at += times.ExpFloat64() / rate
-		if at >= f.length().Seconds() || len(all) >= 5_000_000 {
+		if at >= f.dayLength().Seconds() || len(all) >= 5_000_000 {
 			return all
 		}
-		c := pick(rest, mix)
+		c := pick(jobs, mix)
 		class := w.Classes[c]
-		work := class.Work.Draw(rest)
-		a := sim.Arrival{At: time.Duration(at * 1e9), Class: c, Station: pick(rest, load), Work: work, Left: class.Limit}
-		if off := rest.NormFloat64(); class.HintSpread >= 0 {
+		work := class.Work.Draw(jobs)
+		a := sim.Arrival{At: time.Duration(at * 1e9), Class: c, Station: pick(jobs, load), Work: work, Timeout: class.Limit}
+		if off := jobs.NormFloat64(); class.HintSpread >= 0 {
 			a.Hint = time.Duration(work * math.Exp(class.HintSpread*off) * 1e9)
 		}
 		all = append(all, a)
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -17,16 +17,16 @@
 	"liftgauge/sim"
 )
 
-// Limit is a resource that may give way.
+// Limit is the use of a resource that may be exhausted.
 type Limit struct {
 	Resource string  `json:"resource"`
 	Where    string  `json:"where"`     // a station, or "all"
-	Use      float64 `json:"use"`       // its part that is used at load factor 1; over 1 is more than there is
-	At       float64 `json:"at_factor"` // the load factor at which all of it is used; 0: never
-	Hard     bool    `json:"hard"`      // nothing else takes over when it gives way
+	Use      float64 `json:"use"`       // share used at load factor 1; over 1 means overload
+	At       float64 `json:"at_factor"` // load factor at which it is exhausted; 0: never
+	Hard     bool    `json:"hard"`      // no other resource takes over when it is exhausted
 }
 
-// Bounds works out by hand how much of each resource a load uses, the fullest first.
+// Bounds computes analytically how much of each resource the load uses, highest use first.
 func (f *Fleet) Bounds() []Limit {
 	var all []Limit
 	add := func(resource, where string, use float64, hard bool) {
@@ -47,17 +47,17 @@
 		c := f.Classes[name]
 		add("boxes' cores", name+" alone", f.Load.Rate*c.Mix/max(mix, 1e-12)*time.Duration(c.Work.Mean).Seconds()/max(f.capacity(""), 1e-12), false)
 	}
-	dispatchers, homeless := 0, 0.0
+	dispatchers, withoutDispatcher := 0, 0.0
 	for _, s := range stations {
 		if n := f.Stations[s].Dispatchers; n > 0 {
 			dispatchers += n
 		} else {
-			homeless += f.loadOf(s) // of clients that go to others' dispatchers, to all alike
+			withoutDispatcher += f.loadShare(s) // clients without a local dispatcher use all dispatchers equally
 		}
 	}
 	speed := f.capacity("") / max(f.cores(), 1)
 	for _, s := range stations {
-		share := f.loadOf(s)
+		share := f.loadShare(s)
 		if own := f.capacity(s); own > 0 || share > 0 {
 			add("the station's own boxes", s, work*share/max(own, 1e-12), false)
 		}
@@ -66,23 +66,24 @@
 		if d == 0 {
 			continue
 		}
-		rate = rate/float64(d) + f.Load.Rate*homeless/float64(dispatchers)
+		rate = rate/float64(d) + f.Load.Rate*withoutDispatcher/float64(dispatchers)
 		add("a dispatcher's CPU", s, rate*time.Duration(f.Dispatcher.CPUPerJob).Seconds()/f.Dispatcher.Cores, true)
-		// A client holds its connection while its job is open; a quarter of the descriptors are for hosts.
+		// A client holds its connection while its job is open; a quarter of the descriptors is reserved for boxes.
 		open := rate * (f.work()/max(speed, 1e-12) + 2*time.Duration(f.Network.Crossing).Seconds())
-		// A job is some five events, and a quarter of a second of them may wait behind one long stop.
+		// A job causes about five events, and a pause of the process can queue up a quarter of a second of them.
 		add("a dispatcher's queue", s, rate*5/4/float64(f.Dispatcher.Queue), true)
 		memory := budget.SplitMemory(int64(f.Dispatcher.MemoryMB) << 20).Messages
 		add("a dispatcher's memory", s, open*float64(budget.MessageCost+f.Dispatcher.Body)/float64(memory), true)
 		add("a dispatcher's descriptors", s, open/(float64(f.Dispatcher.Sockets-32)*3/4), true)
 	}
-	// Each dispatcher keeps a connection to a box for each of its own jobs there, and one at least.
+	// Each dispatcher keeps one connection to a box for each of its jobs there, and at least one.
 	for _, name := range slices.Sorted(maps.Keys(f.Kinds)) {
 		if k := f.Kinds[name]; k.Connections > 0 {
 			add("a box's connections", name, float64(max(dispatchers, k.Slots))/float64(k.Connections), true)
 		}
 	}
-	// All dispatchers ask at once after discovery was away: that it takes longer than a watch is waited for counts as full.
+	// All dispatchers call at once when discovery returns after an outage. The limit is reached when serving all of them takes longer
+	// than a dispatcher waits for its list.
 	add("discovery's calls", "all", float64(dispatchers)*time.Duration(f.Discovery.Call).Seconds()/2.5, true)
 	slices.SortStableFunc(all, func(a, b Limit) int { return cmpFloat(b.Use, a.Use) })
 	return all
@@ -108,7 +109,7 @@
 	return float64(n)
 }
 
-// Estimate is a mean over days with half the width of its 95% interval.
+// Estimate is a mean over days with half the width of its 95% confidence interval.
 type Estimate struct {
 	Mean float64 `json:"mean"`
 	Half float64 `json:"half"`
@@ -123,28 +124,28 @@
 	return Estimate{mean, t * sd / math.Sqrt(float64(len(all)))}
 }
 
-// Verdict says whether a goal is kept.
+// Verdict says whether a goal is met.
 type Verdict string
 
-// The verdicts.
+// The possible verdicts.
 const (
-	Kept     Verdict = "kept"
-	Missed   Verdict = "missed"
-	CantTell Verdict = "can't tell"
+	Met       Verdict = "kept"
+	Missed    Verdict = "missed"
+	Undecided Verdict = "can't tell"
 )
 
-// against compares an estimate with a least value.
-func (e Estimate) against(goal float64) Verdict {
+// verdict compares an estimate with a minimum value.
+func (e Estimate) verdict(goal float64) Verdict {
 	switch {
 	case e.Mean-e.Half >= goal:
-		return Kept
+		return Met
 	case e.Mean+e.Half < goal:
 		return Missed
 	}
-	return CantTell
+	return Undecided
 }
 
-// Outcome is what days of one kind show.
+// Outcome is the result of the simulated days of one scenario.
 type Outcome struct {
 	Name     string              `json:"name"`
 	Factor   float64             `json:"load_factor"`
@@ -154,34 +155,34 @@
 	InTime   map[string]Estimate `json:"in_time"`
 	P99      map[string]float64  `json:"p99_ms"`
 	Use      map[string]float64  `json:"utilisation"` // by station and kind
-	Stations map[string]float64  `json:"by_station"`  // service of what each station's clients sent
+	Stations map[string]float64  `json:"by_station"`  // service of the jobs of each station's clients
 	Boxes    int                 `json:"boxes"`
 	Lost     int64               `json:"lost"`
-	Broken   int64               `json:"rules_broken"` // boxes pushed over, and runs of what must not run twice
-	Tries    float64             `json:"tries"`        // of clients, for each job
+	Broken   int64               `json:"rules_broken"` // cold boxes that crashed under overload, and repeated runs of unsafe jobs
+	Tries    float64             `json:"tries"`        // client tries per job
 	Verdict  Verdict             `json:"verdict"`
-	Why      string              `json:"why"` // the goal that is missed or not decided by most
+	Why      string              `json:"why"` // the goal that is missed or undecided
 }
 
 // Planner answers questions about one fleet.
 type Planner struct {
-	Fleet *Fleet
-	Seed  uint64
-	Least int // days at first; twice as many as long as a goal is not decided,
-	Most  int // and no more than this
-	// Done, if it is set, is told of each question that is answered.
-	Done func(Outcome)
+	Fleet   *Fleet
+	Seed    uint64
+	MinDays int // number of days at first; doubled while a goal is undecided,
+	MaxDays int // up to this number
+	// OnOutcome, if set, is called with each outcome.
+	OnOutcome func(Outcome)
 }
 
-// change makes a day of a kind of a world, such as one on which a station goes dark.
-type change func(w *sim.World)
+// worldChange modifies a world for a scenario, such as the loss of a station.
+type worldChange func(w *sim.World)
 
-// Judge plays days of a fleet at a load factor until each goal is decided, or Most is reached. The days are those of the same
-// seeds for every fleet, so that two fleets differ by what they are alone.
-func (p *Planner) Judge(ctx context.Context, name string, f *Fleet, factor float64, with change) (Outcome, error) {
+// Evaluate simulates days of a fleet at a load factor until each goal is decided or MaxDays is reached. All fleets use days of the
+// same seeds, so that the outcomes of two fleets differ only because of the fleets.
+func (p *Planner) Evaluate(ctx context.Context, name string, f *Fleet, factor float64, with worldChange) (Outcome, error) {
 	o := Outcome{Name: name, Factor: factor, Boxes: f.Boxes()}
 	var days []*sim.Result
-	for n := max(p.Least, 2); ; n = min(2*n, p.Most) {
+	for n := max(p.MinDays, 2); ; n = min(2*n, p.MaxDays) {
 		more := make([]*sim.Result, n-len(days))
 		group, inner := errgroup.WithContext(ctx)
 		group.SetLimit(runtime.GOMAXPROCS(0))
@@ -203,18 +204,18 @@
 			return o, err
 		}
 		days = append(days, more...)
-		p.sum(&o, f, days)
-		if o.Verdict != CantTell || n >= p.Most {
-			if p.Done != nil {
-				p.Done(o)
+		p.summarize(&o, f, days)
+		if o.Verdict != Undecided || n >= p.MaxDays {
+			if p.OnOutcome != nil {
+				p.OnOutcome(o)
 			}
 			return o, nil
 		}
 	}
 }
 
-// sum makes an outcome of days.
-func (p *Planner) sum(o *Outcome, f *Fleet, days []*sim.Result) {
+// summarize computes the outcome of days.
+func (p *Planner) summarize(o *Outcome, f *Fleet, days []*sim.Result) {
 	stations, kinds, classes := f.Names()
 	var service, worst []float64
 	inTime := make([][]float64, len(classes))
@@ -261,54 +262,54 @@
 		o.Use[key] = s.use / s.n
 	}
 	o.Service, o.Worst10s = estimate(service), estimate(worst)
-	o.Verdict, o.Why = Kept, "all goals are kept"
-	judge := func(what string, e Estimate, goal float64) {
+	o.Verdict, o.Why = Met, "all goals are kept"
+	checkGoal := func(what string, e Estimate, goal float64) {
 		if goal <= 0 {
 			return
 		}
-		v := e.against(goal)
-		if v == Kept || o.Verdict == Missed || o.Verdict == v {
+		v := e.verdict(goal)
+		if v == Met || o.Verdict == Missed || o.Verdict == v {
 			return
 		}
 		o.Verdict, o.Why = v, fmt.Sprintf("%s %.3f ± %.3f, wanted %.3f", what, e.Mean, e.Half, goal)
 	}
-	judge("service", o.Service, f.Goals.Service)
-	judge("the worst 10 s", o.Worst10s, f.Goals.Worst10s)
+	checkGoal("service", o.Service, f.Goals.Service)
+	checkGoal("the worst 10 s", o.Worst10s, f.Goals.Worst10s)
 	for c, name := range classes {
 		o.InTime[name] = estimate(inTime[c])
-		judge(name+" in time", o.InTime[name], f.Goals.InTime[name])
+		checkGoal(name+" in time", o.InTime[name], f.Goals.InTime[name])
 	}
 	if o.Broken > 0 {
 		o.Verdict, o.Why = Missed, fmt.Sprint(o.Broken, " times a box was pushed over or a job ran twice")
 	}
 }
 
-// Answer is all that a plan says.
+// Answer is the complete result of a plan.
 type Answer struct {
 	Seed     uint64    `json:"seed"`
 	Boxes    int       `json:"boxes"`
 	Bounds   []Limit   `json:"bounds"`
 	Today    Outcome   `json:"today"`
-	Tip      float64   `json:"tip"` // the highest load factor found at which the goals are kept; 0: none
+	Tip      float64   `json:"tip"` // the highest load factor found at which the goals are met; 0: none
 	Next     float64   `json:"tip_missed"`
-	First    []Limit   `json:"first_to_give_way"` // at the tip, the fullest first
-	Fewest   int       `json:"fewest_boxes"`      // that keep the goals at load factor 1; 0: not known
+	First    []Limit   `json:"first_to_give_way"` // at the tip, highest use first
+	Fewest   int       `json:"fewest_boxes"`      // smallest number that meets the goals at load factor 1; 0: not known
 	Fleet    string    `json:"fewest_why"`
-	Fleets   []Outcome `json:"fleets"` // numbers of boxes that were tried
+	Fleets   []Outcome `json:"fleets"` // the numbers of boxes that were simulated
 	Curve    []Outcome `json:"curve"`
 	WhatIf   []Outcome `json:"what_if"`
 	Partial  bool      `json:"partial"`
-	Fitted   []string  `json:"fitted"` // from captured load, if that was used: what, and from how much
+	Fitted   []string  `json:"fitted"` // values fitted from captured load, if that was used, with their sample sizes
 	Timeline []sim.Window
 	Lost     string  `json:"timeline_of"`
 	Seconds  float64 `json:"seconds"`
 }
 
-// Plan answers all questions. Where the context ends it returns what is known so far, as partial.
+// Plan computes the complete answer. If the context ends, it returns what is known so far and marks it as partial.
 func (p *Planner) Plan(ctx context.Context) (*Answer, error) {
 	start := time.Now()
 	a := &Answer{Seed: p.Seed, Boxes: p.Fleet.Boxes(), Bounds: p.Fleet.Bounds()}
-	steps := []func(context.Context, *Answer) error{p.today, p.curve, p.tip, p.fewest, p.whatIf}
+	steps := []func(context.Context, *Answer) error{p.today, p.curve, p.tippingPoint, p.fewest, p.whatIf}
 	for _, step := range steps {
 		if err := step(ctx, a); err != nil {
 			if ctx.Err() == nil {
@@ -323,13 +324,13 @@
 }
 
 func (p *Planner) today(ctx context.Context, a *Answer) (err error) {
-	a.Today, err = p.Judge(ctx, "today", p.Fleet, 1, nil)
+	a.Today, err = p.Evaluate(ctx, "today", p.Fleet, 1, nil)
 	return err
 }
 
 func (p *Planner) curve(ctx context.Context, a *Answer) error {
 	for _, x := range []float64{0.5, 0.75, 1.25, 1.5, 2, 2.5, 3} {
-		o, err := p.Judge(ctx, fmt.Sprintf("load x %.2f", x), p.Fleet, x, nil)
+		o, err := p.Evaluate(ctx, fmt.Sprintf("load x %.2f", x), p.Fleet, x, nil)
 		if err != nil {
 			return err
 		}
@@ -340,17 +341,17 @@
 	return nil
 }
 
-// tip finds the load factor at which the goals are missed first, and names what is fullest there.
-func (p *Planner) tip(ctx context.Context, a *Answer) error {
+// tippingPoint finds the lowest load factor at which the goals are missed, and the resources with the highest use there.
+func (p *Planner) tippingPoint(ctx context.Context, a *Answer) error {
 	if p.Fleet.Load.Rate <= 0 {
 		return nil
 	}
 	low, high := 0.0, math.Inf(1)
 	for _, o := range a.Curve {
 		switch {
-		case o.Verdict == Kept && o.Factor < high:
+		case o.Verdict == Met && o.Factor < high:
 			low = max(low, o.Factor)
-		case o.Verdict != Kept:
+		case o.Verdict != Met:
 			high = min(high, o.Factor)
 		}
 	}
@@ -362,11 +363,11 @@
 				break
 			}
 			mid := (low + high) / 2
-			o, err := p.Judge(ctx, fmt.Sprintf("load x %.2f", mid), p.Fleet, mid, nil)
+			o, err := p.Evaluate(ctx, fmt.Sprintf("load x %.2f", mid), p.Fleet, mid, nil)
 			if err != nil {
 				return err
 			}
-			if o.Verdict == Kept {
+			if o.Verdict == Met {
 				low = mid
 			} else {
 				high = mid
@@ -383,7 +384,7 @@
 		a.First = append(a.First, l)
 	}
 	slices.SortStableFunc(a.First, func(x, y Limit) int {
-		if x.Hard != y.Hard { // what others take over for does not stop the fleet
+		if x.Hard != y.Hard { // a limit that other resources take over for does not stop the fleet
 			if x.Hard {
 				return -1
 			}
@@ -395,57 +396,57 @@
 	return nil
 }
 
-// fewest finds the smallest fleet in today's proportions that keeps the goals, by bisection.
+// fewest finds the smallest fleet in today's proportions that meets the goals, by bisection.
 func (p *Planner) fewest(ctx context.Context, a *Answer) error {
 	if p.Fleet.Load.Rate <= 0 {
 		a.Fewest, a.Fleet = 1, "there is no load"
 		return nil
 	}
-	// Below this many no policy can do the work.
+	// With fewer boxes than this no policy can do the work.
 	low := int(float64(a.Boxes) * a.Bounds[slices.IndexFunc(a.Bounds, func(l Limit) bool { return l.Resource == "boxes' cores" && l.Hard })].Use)
 	low = max(low, 1) - 1
 	high, last := 0, Outcome{}
 	most := 8 * max(a.Boxes, low+1)
 	for n := max(a.Boxes, low+1); n <= most; n += max(n/2, 1) {
-		o, err := p.Judge(ctx, fmt.Sprint(n, " boxes"), p.Fleet.Scaled(n), 1, nil)
+		o, err := p.Evaluate(ctx, fmt.Sprint(n, " boxes"), p.Fleet.Scaled(n), 1, nil)
 		if err != nil {
 			return err
 		}
 		a.Fleets = append(a.Fleets, o)
-		if last = o; o.Verdict == Kept {
+		if last = o; o.Verdict == Met {
 			high = n
 			break
 		}
 		low = n
 	}
 	if high == 0 {
-		a.Fleet = "no fleet in these proportions keeps the goals: " + last.Why + a.forbids()
+		a.Fleet = "no fleet in these proportions keeps the goals: " + last.Why + a.limitBeyondBoxes()
 		return nil
 	}
 	unknown := false
 	for high-low > 1 {
 		mid := (low + high) / 2
-		o, err := p.Judge(ctx, fmt.Sprint(mid, " boxes"), p.Fleet.Scaled(mid), 1, nil)
+		o, err := p.Evaluate(ctx, fmt.Sprint(mid, " boxes"), p.Fleet.Scaled(mid), 1, nil)
 		if err != nil {
 			return err
 		}
 		a.Fleets = append(a.Fleets, o)
-		if o.Verdict == Kept {
+		if o.Verdict == Met {
 			high = mid
 		} else {
-			low, unknown = mid, o.Verdict == CantTell
+			low, unknown = mid, o.Verdict == Undecided
 		}
 	}
 	slices.SortFunc(a.Fleets, func(x, y Outcome) int { return x.Boxes - y.Boxes })
 	a.Fewest, a.Fleet = high, fmt.Sprint(high, " boxes keep the goals with 95% confidence")
 	if unknown {
-		a.Fleet += fmt.Sprint("; whether ", low, " do can't be told from ", p.Most, " days")
+		a.Fleet += fmt.Sprint("; whether ", low, " do can't be told from ", p.MaxDays, " days")
 	}
 	return nil
 }
 
-// forbids names a limit that boxes do not lift.
-func (a *Answer) forbids() string {
+// limitBeyondBoxes describes a limit that more boxes do not raise.
+func (a *Answer) limitBeyondBoxes() string {
 	for _, l := range a.Bounds {
 		if l.Hard && l.Resource != "boxes' cores" && l.Use >= 0.9 {
 			return fmt.Sprintf("; %s in %s is %.0f%% used", l.Resource, l.Where, 100*l.Use)
@@ -454,13 +455,13 @@
 	return "; even where boxes are idle"
 }
 
-// whatIf loses each station, the largest boxes, and deploys.
+// whatIf simulates the loss of each station and of the largest boxes, and a rolling deploy.
 func (p *Planner) whatIf(ctx context.Context, a *Answer) error {
 	stations, _, _ := p.Fleet.Names()
-	third := p.Fleet.length() / 3
+	third := p.Fleet.dayLength() / 3
 	factor := 1.0
-	ask := func(name string, faults func(w *sim.World) []sim.Fault) error {
-		o, err := p.Judge(ctx, name, p.Fleet, factor, func(w *sim.World) { w.Faults = faults(w) })
+	evaluate := func(name string, faults func(w *sim.World) []sim.Fault) error {
+		o, err := p.Evaluate(ctx, name, p.Fleet, factor, func(w *sim.World) { w.Faults = faults(w) })
 		if err == nil {
 			a.WhatIf = append(a.WhatIf, o)
 		}
@@ -471,14 +472,14 @@
 		for _, kind := range []struct {
 			name    string
 			effects []sim.Effect
-		}{{"boxes", []sim.Effect{sim.StationBoxes}}, {"clients", []sim.Effect{sim.StationUsers}}, {"links", []sim.Effect{sim.StationLinks}}, {"boxes and clients", []sim.Effect{sim.StationBoxes, sim.StationUsers}}} {
+		}{{"boxes", []sim.Effect{sim.StationBoxes}}, {"clients", []sim.Effect{sim.StationClients}}, {"links", []sim.Effect{sim.StationPartition}}, {"boxes and clients", []sim.Effect{sim.StationBoxes, sim.StationClients}}} {
 			faults := func(*sim.World) (all []sim.Fault) {
 				for _, e := range kind.effects {
 					all = append(all, sim.Fault{At: third, Effect: e, Target: i, For: third})
 				}
 				return all
 			}
-			if err := ask(fmt.Sprintf("%s goes dark: %s", s, kind.name), faults); err != nil {
+			if err := evaluate(fmt.Sprintf("%s goes dark: %s", s, kind.name), faults); err != nil {
 				return err
 			}
 			if o := a.WhatIf[len(a.WhatIf)-1]; kind.name == "boxes" && o.Service.Mean < worst {
@@ -490,7 +491,7 @@
 		}
 	}
 	for k := 1; k <= min(3, a.Boxes-1); k++ {
-		if err := ask(fmt.Sprintf("the %d largest boxes vanish", k), func(w *sim.World) (all []sim.Fault) {
+		if err := evaluate(fmt.Sprintf("the %d largest boxes vanish", k), func(w *sim.World) (all []sim.Fault) {
 			order := make([]int, len(w.Boxes))
 			for i := range order {
 				order[i] = i
@@ -511,7 +512,7 @@
 	if factor = max(1, p.Fleet.Load.Busiest); factor > 1 {
 		name += fmt.Sprintf(" at load x %.2f", factor)
 	}
-	return ask(name, func(w *sim.World) (all []sim.Fault) {
+	return evaluate(name, func(w *sim.World) (all []sim.Fault) {
 		for i := range w.Boxes {
 			all = append(all, sim.Fault{At: third/2 + 2*third*time.Duration(i)/time.Duration(len(w.Boxes)), Effect: sim.BoxDrains, Target: i, For: time.Second})
 		}
--- a/plan/report.go
+++ b/plan/report.go
@@ -16,12 +16,12 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Text writes an answer for a terminal.
+// Text writes an answer as plain text for a terminal.
 func (a *Answer) Text(w io.Writer, f *Fleet) {
 	if a.Partial {
 		fmt.Fprintln(w, "PARTIAL: it was ended before all was answered.")
 	}
-	fmt.Fprintf(w, "%d boxes, %.1f jobs a second, %.0f s a day.\n\n", a.Boxes, f.Load.Rate, f.length().Seconds())
+	fmt.Fprintf(w, "%d boxes, %.1f jobs a second, %.0f s a day.\n\n", a.Boxes, f.Load.Rate, f.dayLength().Seconds())
 	for _, line := range a.Fitted {
 		fmt.Fprintln(w, line)
 	}
@@ -74,7 +74,7 @@
 	red  = color.RGBA{214, 39, 40, 255}
 )
 
-// svg draws a plot to be put into a page.
+// svg renders a plot for embedding in a page.
 func svg(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(16*vg.Centimeter, 8*vg.Centimeter)
 	p.Draw(draw.New(c))
@@ -83,7 +83,7 @@
 		return "", err
 	}
 	text := b.String()
-	if i := strings.Index(text, "<svg"); i > 0 { // no prologue inside a page
+	if i := strings.Index(text, "<svg"); i > 0 { // an embedded SVG has no XML prologue
 		text = text[i:]
 	}
 	return template.HTML(text), nil
@@ -97,8 +97,8 @@
 	return p
 }
 
-// across draws a level, such as a goal.
-func across(p *plot.Plot, from, to, y float64) error {
+// horizontalLine draws a dashed line at a level, such as a goal.
+func horizontalLine(p *plot.Plot, from, to, y float64) error {
 	l, err := plotter.NewLine(plotter.XYs{{X: from, Y: y}, {X: to, Y: y}})
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// curvePlot is load factor against service with its band.
+// curvePlot plots service over the load factor, with its confidence band.
 func (a *Answer) curvePlot(goal float64) (*plot.Plot, error) {
 	p := axes("Service against load", "load factor", "service")
 	var mid, up, down plotter.XYs
@@ -128,7 +128,7 @@
 	}
 	line.Color, points.Color = blue, blue
 	p.Add(area, line, points)
-	if err := across(p, a.Curve[0].Factor, a.Curve[len(a.Curve)-1].Factor, goal); err != nil {
+	if err := horizontalLine(p, a.Curve[0].Factor, a.Curve[len(a.Curve)-1].Factor, goal); err != nil {
 		return nil, err
 	}
 	if a.Next > 0 {
@@ -142,7 +142,7 @@
 	return p, nil
 }
 
-// stationsPlot is load factor against the service of each station's clients.
+// stationsPlot plots the service of each station's clients over the load factor.
 func (a *Answer) stationsPlot(stations []string) (*plot.Plot, error) {
 	p := axes("Service by the clients' station", "load factor", "service")
 	p.Legend.Left = true
@@ -167,7 +167,7 @@
 	return p, nil
 }
 
-// boxesPlot is the number of boxes against service, with its interval and the goal.
+// boxesPlot plots service over the number of boxes, with confidence intervals and the goal.
 func (a *Answer) boxesPlot(goal float64) (*plot.Plot, error) {
 	p := axes("Boxes against the goal", "boxes", "service")
 	var points errorPoints
@@ -185,7 +185,7 @@
 	}
 	line.Color, marks.Color, bars.Color = blue, blue, blue
 	p.Add(line, marks, bars)
-	return p, across(p, points.XYs[0].X, points.XYs[len(points.XYs)-1].X, goal)
+	return p, horizontalLine(p, points.XYs[0].X, points.XYs[len(points.XYs)-1].X, goal)
 }
 
 type errorPoints struct {
@@ -193,7 +193,7 @@
 	plotter.YErrors
 }
 
-// timelinePlot is service over the day on which a station's boxes go dark.
+// timelinePlot plots service over the day on which a station loses its boxes.
 func (a *Answer) timelinePlot(dark, back float64) (*plot.Plot, error) {
 	p := axes("The boxes of "+a.Lost+" go dark", "seconds", "service")
 	var line plotter.XYs
@@ -262,7 +262,7 @@
 </body></html>
 `))
 
-// HTML writes an answer as one page that needs nothing else.
+// HTML writes an answer as one self-contained page.
 func (a *Answer) HTML(w io.Writer, f *Fleet) error {
 	data := struct {
 		A                                *Answer
@@ -295,7 +295,7 @@
 		}
 	}
 	if len(a.Timeline) > 0 {
-		third := f.length().Seconds() / 3
+		third := f.dayLength().Seconds() / 3
 		p, err := a.timelinePlot(third, 2*third)
 		if err != nil {
 			return err
--- a/sim/result.go
+++ b/sim/result.go
@@ -9,13 +9,13 @@
 	"liftgauge/balance"
 )
 
-// perSecond counts what happens in the present second.
+// perSecond counts events in the current second.
 type perSecond struct {
 	second time.Duration
 	n      int
 }
 
-// count counts one more, and returns how many there were in this second.
+// count counts an event and returns the number of events in this second.
 func (p *perSecond) count(now time.Duration) int {
 	if s := now / time.Second; s != p.second {
 		p.second, p.n = s, 0
@@ -27,33 +27,33 @@
 // End is how a client's job ended, its retries folded into its first try.
 type End uint8
 
-// The ends.
+// The possible ends of a job.
 const (
 	Served End = iota
 	Refused
 	Failed
-	Lost // no answer: the dispatcher died, or the client's patience ended first
+	Lost // no answer: the dispatcher crashed, or the client timed out first
 )
 
-// ClassResult is what became of a class's jobs. Times are of jobs that were served, from the client's first try on.
+// ClassResult is the outcome of a class's jobs. Latencies are of served jobs and start at the client's first try.
 type ClassResult struct {
 	Offered, InTime, Late, Refused, Failed, Lost int64
-	Worth                                        float64 // earned over asked for, each job alike
+	Worth                                        float64 // earned value over offered value, all jobs counted equally
 	Asked, Earned                                float64
 	Latency                                      *hdrhistogram.Histogram
 }
 
-// BoxResult is what became of a box.
+// BoxResult is the outcome of a box.
 type BoxResult struct {
 	Name                 string
 	Station, Kind        int
 	Sent, Served, Turned int64
 	Falls, Longest       int
-	Wasted               float64 // seconds of work at speed 1 that nobody waited for
+	Wasted               float64 // seconds of work at speed 1 whose result nobody waited for
 	Utilisation          float64 // of its cores, over the run
 }
 
-// Window is a stretch of the run, by when jobs were first sent.
+// Window is an interval of the run; a job belongs to the window in which it was first sent.
 type Window struct {
 	From          time.Duration
 	Offered       int64
@@ -61,55 +61,55 @@
 	ByStation     []StationWindow
 }
 
-// TenantResult is what became of what a tenant asked for within its share.
+// TenantResult is the outcome of the jobs that a tenant sent within its share.
 type TenantResult struct {
 	Name          string
 	Asked, Earned float64
 }
 
-// StationWindow is the part of a window that a station's clients sent.
+// StationWindow is the part of a window that came from a station's clients.
 type StationWindow struct{ Asked, Earned float64 }
 
-// ZoneSecond is what the boxes and dispatchers of a station did in a second.
+// ZoneSecond is the activity of a station's boxes and dispatchers in one second.
 type ZoneSecond struct {
-	Sent    int64   // attempts that came to its boxes
-	Waited  int64   // of these, those that did not begin within 0.2 s
+	Sent    int64   // attempts that arrived at its boxes
+	Waited  int64   // those that did not start within 0.2 s
 	Left    int64   // attempts that its dispatchers sent to other stations
-	Running float64 // jobs that ran at its boxes, in the mean over the second
+	Running float64 // mean number of jobs running at its boxes
 }
 
-// Result is what a run shows.
+// Result is the result of a run.
 type Result struct {
 	Classes     []ClassResult
 	Boxes       []BoxResult
 	Tenants     []TenantResult
-	G           float64 // the day's figure by World.Goal: its parts, less what is taken off
-	Wasted      float64 // work that nobody got an answer of, over that asked for
+	G           float64 // the day's score by World.Goal: its weighted parts less the costs
+	Wasted      float64 // work whose result nobody received, over offered work
 	Windows     []Window
 	Zones       [][]ZoneSecond // by second and station
-	Service     float64        // worth answered in time over worth asked for
-	Worst       float64        // the same of the worst window that was offered a fair part of the mean
-	Tries       int64          // of clients, first ones with them
-	Attempts    int64          // of dispatchers
-	Again       int64          // of these, beyond a job's first
-	Crossings   int64          // of these, to another station
+	Service     float64        // value earned over value offered
+	Worst       float64        // the same for the worst window that was offered at least half of the mean
+	Tries       int64          // of clients, including first tries
+	Attempts    int64          // attempts of dispatchers
+	Again       int64          // attempts after a job's first
+	Crossings   int64          // attempts sent to another station
 	Connections int64
 	Probes      int64
-	Lists       int64 // calls at discovery
-	ListsLate   int64 // of these, failed as they would have waited too long
-	// Unlisted is the longest time from a dispatcher's start to its first list, of those that got one.
+	Lists       int64 // calls to discovery
+	ListsLate   int64 // calls that failed because they would have waited too long
+	// Unlisted is the longest time from a dispatcher's start to its first list, among dispatchers that received one.
 	Unlisted time.Duration
-	// The most in any second of the run: calls at discovery, and probes and new connections at one box.
+	// The maxima in any second of the run: calls to discovery, and probes of and new connections to one box.
 	MostLists, MostProbes, MostConnects int
-	Falls                               int   // boxes pushed over
-	Breaches                            int   // of these, where two thirds of the work came from dispatchers that knew of the start
+	Falls                               int   // cold boxes that crashed under overload
+	Breaches                            int   // falls where two thirds of the work came from dispatchers that had been notified of the start
 	Duplicates                          int64 // runs of jobs that must not run twice, beyond the first
 	Margin                              float64
 	Events                              int64
 	Ended                               time.Duration // when the last job ended
 
-	stations   int
-	work, late float64 // asked for, in seconds; worth that ended served and late
+	stations             int
+	askedWork, lateWorth float64 // offered work in seconds at speed 1; value of jobs that were served late
 }
 
 func newResult(w *World) *Result {
@@ -123,27 +123,27 @@
 	return r
 }
 
-// zone is a station's count for a second.
-func (r *Result) zone(at time.Duration, station int) *ZoneSecond {
+// zoneSecond returns the counts of a station for a second.
+func (r *Result) zoneSecond(at time.Duration, station int) *ZoneSecond {
 	for len(r.Zones) <= int(at/time.Second) {
 		r.Zones = append(r.Zones, make([]ZoneSecond, r.stations))
 	}
 	return &r.Zones[at/time.Second][station]
 }
 
-// worth is what a job is worth.
-func (w *World) worth(a *Arrival) float64 {
-	worth := w.Classes[a.Class].Value
-	if w.ByWork {
-		worth *= a.Work
+// value returns the value of a job.
+func (w *World) value(a *Arrival) float64 {
+	value := w.Classes[a.Class].Value
+	if w.ValuePerWork {
+		value *= a.Work
 	}
-	if a.Over {
-		worth *= w.Goal.OverShare
+	if a.OverQuota {
+		value *= w.Goal.OverShare
 	}
-	return worth
+	return value
 }
 
-// span is the time of the arrivals.
+// span is the time of the last arrival.
 func (w *World) span() time.Duration {
 	if n := len(w.Arrivals); n > 0 {
 		return max(w.Arrivals[n-1].At, time.Second)
@@ -158,33 +158,33 @@
 	return 10 * time.Second
 }
 
-// arrive has a client send a job for the first time.
+// arrive sends a client's job for the first time.
 func (r *run) arrive(n int) {
 	a := &r.Arrivals[n]
-	if r.silent[a.Station] > 0 {
+	if r.mutedClients[a.Station] > 0 {
 		return
 	}
 	c := &r.result.Classes[a.Class]
 	c.Offered++
 	w := r.windowOf(a.At)
 	w.Offered++
-	worth := r.worth(a)
-	w.Asked += worth
-	w.ByStation[a.Station].Asked += worth
-	c.Asked += worth
-	r.result.work += a.Work
-	if a.Tenant < len(r.result.Tenants) && !a.Over {
-		r.result.Tenants[a.Tenant].Asked += worth
-	}
-	r.open++
-	r.send(&job{arrival: n, class: a.Class, work: a.Work, end: r.patience(a)})
+	value := r.value(a)
+	w.Asked += value
+	w.ByStation[a.Station].Asked += value
+	c.Asked += value
+	r.result.askedWork += a.Work
+	if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
+		r.result.Tenants[a.Tenant].Asked += value
+	}
+	r.openJobs++
+	r.send(&job{arrival: n, class: a.Class, work: a.Work, deadline: r.tryDeadline(a)})
 }
 
-// patience is until when a client waits for a try that it sends now.
-func (r *run) patience(a *Arrival) time.Duration {
-	end := a.At + a.Left
-	if r.Retry.Each > 0 {
-		end = min(end, r.now+r.Retry.Each)
+// tryDeadline returns when a client stops waiting for a try that it sends now.
+func (r *run) tryDeadline(a *Arrival) time.Duration {
+	end := a.At + a.Timeout
+	if r.Retry.TryTimeout > 0 {
+		end = min(end, r.now+r.Retry.TryTimeout)
 	}
 	return end
 }
@@ -198,7 +198,7 @@
 	return &r.result.Windows[i]
 }
 
-// send has a client send a try to a dispatcher of its station, or of any where its own has none.
+// send sends a client's try to a dispatcher of its station, or to one of another station if its own has none.
 func (r *run) send(j *job) {
 	station := r.Arrivals[j.arrival].Station
 	r.result.Tries++
@@ -206,7 +206,7 @@
 	var near, far []*dispatcher
 	for _, d := range r.dispatchers {
 		switch {
-		case d.dead, d.leaving:
+		case d.dead, d.shuttingDown:
 		case d.station == station:
 			near = append(near, d)
 		default:
@@ -217,79 +217,79 @@
 		near = far
 	}
 	if len(near) == 0 {
-		r.after(0, func() { r.ended(j, Lost, 0) })
+		r.after(0, func() { r.tryEnded(j, Lost, 0) })
 		return
 	}
-	d := r.deal(station, near)
-	way, ok := r.way(station, d.station)
+	d := r.pickDispatcher(station, near)
+	delay, ok := r.delay(station, d.station)
 	if !ok {
-		r.at(j.end, func() { r.ended(j, Lost, 0) })
+		r.at(j.deadline, func() { r.tryEnded(j, Lost, 0) })
 		return
 	}
-	r.after(way, func() { d.take(j) })
+	r.after(delay, func() { d.receive(j) })
 }
 
-// deal picks the dispatcher for a station's next job: in turn, or by their shares.
-func (r *run) deal(station int, among []*dispatcher) *dispatcher {
+// pickDispatcher returns the dispatcher for a station's next job: round robin, or at random by World.Shares.
+func (r *run) pickDispatcher(station int, candidates []*dispatcher) *dispatcher {
 	if r.Shares == nil {
-		r.moved[station]++
-		return among[r.moved[station]%len(among)]
+		r.nextDispatcher[station]++
+		return candidates[r.nextDispatcher[station]%len(candidates)]
 	}
 	sum := 0.0
-	for _, d := range among {
+	for _, d := range candidates {
 		sum += r.Shares[d.number]
 	}
-	x := r.front.Float64() * sum
-	for _, d := range among {
+	x := r.frontRand.Float64() * sum
+	for _, d := range candidates {
 		if x -= r.Shares[d.number]; x < 0 {
 			return d
 		}
 	}
-	return among[len(among)-1]
+	return candidates[len(candidates)-1]
 }
 
-// ended is the end of a try. The client tries again if that may help and do no harm.
-func (r *run) ended(j *job, end End, wait time.Duration) {
+// tryEnded handles the end of a client's try. The client retries within its limits, unless the job is unsafe and may have run.
+func (r *run) tryEnded(j *job, end End, wait time.Duration) {
 	a := &r.Arrivals[j.arrival]
 	class := &r.Classes[j.class]
-	if end != Served && j.tries < r.Retry.Most && (end == Refused || class.Effect != balance.Unsafe) {
-		pause := r.Retry.Pause << j.tries
-		if r.Retry.Advice && end == Refused {
+	if end != Served && j.previousTries < r.Retry.MaxRetries && (end == Refused || class.Effect != balance.Unsafe) {
+		pause := r.Retry.Pause << j.previousTries
+		if r.Retry.HonorsRetryAfter && end == Refused {
 			pause = max(pause, wait)
 		}
-		if r.now+pause < a.At+a.Left {
-			next := &job{arrival: j.arrival, class: j.class, work: j.work, tries: j.tries + 1}
+		if r.now+pause < a.At+a.Timeout {
+			next := &job{arrival: j.arrival, class: j.class, work: j.work, previousTries: j.previousTries + 1}
 			r.after(pause, func() {
-				next.end = r.patience(a)
+				next.deadline = r.tryDeadline(a)
 				r.send(next)
 			})
 			return
 		}
 	}
-	r.open--
+	r.openJobs--
 	r.result.Ended = r.now
-	if r.Ended != nil {
-		r.Ended(j.arrival, r.now, end)
+	if r.OnJobEnd != nil {
+		r.OnJobEnd(j.arrival, r.now, end)
 	}
 	c := &r.result.Classes[j.class]
 	switch took := r.now - a.At; end {
 	case Served:
 		c.Latency.RecordValue(max(1, took.Microseconds()))
-		worth := r.worth(a)
+		value := r.value(a)
 		if aim := class.TargetLatency + time.Duration(class.RuntimeFactor*a.Work*float64(time.Second)); took <= aim {
 			c.InTime++
 		} else {
 			c.Late++
-			worth *= class.LateValue
-			r.result.late += r.worth(a)
+			value *= class.LateValue
+			r.result.lateWorth += r.value(a)
 		}
-		c.Earned += worth
-		if a.Tenant < len(r.result.Tenants) && !a.Over {
-			r.result.Tenants[a.Tenant].Earned += worth
+		c.Earned += value
+		if a.Tenant < len(r.result.Tenants) && !a.OverQuota {
+			r.result.Tenants[a.Tenant].Earned += value
 		}
 		w := r.windowOf(a.At)
-		w.Earned += worth
-		w.ByStation[a.Station].Earned += worth
+		w.Earned += value
+		w.ByStation[a.Station].Earned += value
 	case Refused:
 		c.Refused++
 	case Failed:
@@ -299,9 +299,9 @@
 	}
 }
 
-// began counts a run of a job.
-func (r *run) began(a *attempt) {
-	n := &r.runs[a.job.arrival]
+// countRun counts the start of a job and detects duplicate runs.
+func (r *run) countRun(a *attempt) {
+	n := &r.runCounts[a.job.arrival]
 	if *n < math.MaxUint8 {
 		*n++
 	}
@@ -310,7 +310,7 @@
 	}
 }
 
-// finish works out what needs the whole run.
+// finish computes the results that need the whole run.
 func (r *run) finish() {
 	res := r.result
 	asked, earned := 0.0, 0.0
@@ -345,9 +345,9 @@
 		waste += b.Wasted
 	}
 	g, first := &r.Goal, float64(max(r.arrived, 1))
-	res.Wasted = waste / max(res.work, 1e-9)
+	res.Wasted = waste / max(res.askedWork, 1e-9)
 	res.G = g.Whole*res.Service + g.Window*res.Worst + g.Class*class + g.Tenant*tenant -
-		g.Cross*float64(res.Crossings)/first - g.Waste*res.Wasted - g.Late*res.late/max(asked, 1e-9) -
+		g.Cross*float64(res.Crossings)/first - g.Waste*res.Wasted - g.Late*res.lateWorth/max(asked, 1e-9) -
 		g.Probe*float64(res.Probes)/first - g.Connection*float64(res.Connections)/first
 	for i := range res.Classes {
 		c := &res.Classes[i]
@@ -362,7 +362,7 @@
 	}
 }
 
-// fault has something go wrong.
+// fault applies a fault.
 func (r *run) fault(f Fault) {
 	each := func(station int, do func(b *box)) {
 		for _, b := range r.boxes {
@@ -372,59 +372,59 @@
 		}
 	}
 	switch f.Effect {
-	case BoxDies:
-		r.boxes[f.Target].die(false, f.For)
+	case BoxCrash:
+		r.boxes[f.Target].terminate(false, f.For)
 	case BoxVanishes:
-		r.boxes[f.Target].die(true, f.For)
+		r.boxes[f.Target].terminate(true, f.For)
 	case BoxDrains:
 		r.boxes[f.Target].drain(f.For)
 	case BoxesSlow:
-		r.pace(f.Factor)
-		r.after(f.For, func() { r.pace(1 / f.Factor) })
+		r.scaleSpeed(f.Factor)
+		r.after(f.For, func() { r.scaleSpeed(1 / f.Factor) })
 	case StationBoxes:
-		each(f.Target, func(b *box) { b.die(true, f.For) })
-	case StationUsers:
-		r.silent[f.Target]++
-		r.after(f.For, func() { r.silent[f.Target]-- })
-	case StationLinks:
-		r.cut[f.Target]++
-		r.after(f.For, func() { r.cut[f.Target]-- })
-	case Dispatcher:
-		r.dispatchers[f.Target].die(f.For)
-	case DispatcherEnds:
-		r.dispatchers[f.Target].leave(f.For)
+		each(f.Target, func(b *box) { b.terminate(true, f.For) })
+	case StationClients:
+		r.mutedClients[f.Target]++
+		r.after(f.For, func() { r.mutedClients[f.Target]-- })
+	case StationPartition:
+		r.partitioned[f.Target]++
+		r.after(f.For, func() { r.partitioned[f.Target]-- })
+	case DispatcherCrash:
+		r.dispatchers[f.Target].crash(f.For)
+	case DispatcherShutdown:
+		r.dispatchers[f.Target].shutDown(f.For)
 	case BoxStalls:
 		r.boxes[f.Target].stall(f.For)
-	case BoxSilent:
-		r.boxes[f.Target].hush(f.For)
-	case ListMoves:
+	case BoxPartition:
+		r.boxes[f.Target].partition(f.For)
+	case DiscoveryMoves:
 		for _, d := range r.dispatchers {
-			life := d.life
-			r.after(time.Duration(r.network.Float64()*float64(time.Second)), func() {
-				if !d.dead && d.life == life {
+			incarnation := d.incarnation
+			r.after(time.Duration(r.networkRand.Float64()*float64(time.Second)), func() {
+				if !d.dead && d.incarnation == incarnation {
 					d.Watch()
 				}
 			})
 		}
-	case ListsLate:
-		r.late *= f.Factor
-		r.after(f.For, func() { r.late /= f.Factor })
-	case Resets:
-		r.resets += f.Factor
-		r.after(f.For, func() { r.resets = max(0, r.resets-f.Factor) })
-	case AnswersLost:
-		r.unheard += f.Factor
-		r.after(f.For, func() { r.unheard = max(0, r.unheard-f.Factor) })
+	case ListsDelayed:
+		r.lagFactor *= f.Factor
+		r.after(f.For, func() { r.lagFactor /= f.Factor })
+	case ConnectionResets:
+		r.resetShare += f.Factor
+		r.after(f.For, func() { r.resetShare = max(0, r.resetShare-f.Factor) })
+	case RepliesLost:
+		r.lostReplyShare += f.Factor
+		r.after(f.For, func() { r.lostReplyShare = max(0, r.lostReplyShare-f.Factor) })
 	}
 }
 
-// pace changes the speed of all boxes.
-func (r *run) pace(factor float64) {
+// scaleSpeed multiplies the speed of all boxes by a factor.
+func (r *run) scaleSpeed(factor float64) {
 	for _, b := range r.boxes {
 		b.advance()
 	}
-	r.slow *= factor
+	r.speedFactor *= factor
 	for _, b := range r.boxes {
-		b.replan()
+		b.scheduleCompletion()
 	}
 }
