--- a/sim/system/abandon_test.go
+++ b/sim/system/abandon_test.go
@@ -18,14 +18,14 @@
 	play(t, Options{Seed: 33, Stores: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		time.Sleep(bounds.Contact()) // the first table is there
-		stores := w.Of(protocol.RoleStore)
+		stores := w.ByRole(protocol.RoleStore)
 		lost := []*Process{stores[0], stores[3]} // in one zone, where copies lie that no loss of a zone has to spare
 		for _, p := range lost {
 			is.NoErr(p.LosePower())
 			p.Wipe()
 		}
 		time.Sleep(2 * time.Second)
-		client := operator.New([]string{at(w.controlPrimary().IP, controlPort)}, &http.Transport{DialContext: w.Net.Host(operatorIP).DialContext, DisableKeepAlives: true})
+		client := operator.New([]string{hostPort(w.controlPrimary().IP, controlPort)}, &http.Transport{DialContext: w.Net.Host(operatorIP).DialContext, DisableKeepAlives: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		status, err := client.Status(ctx)
@@ -41,7 +41,7 @@
 		is.Equal(status.Partitions.Waiting, 0)
 		is.Equal(status.Partitions.Short, 0)
 		traffic(w, 10*time.Second)
-		is.Equal(w.Judge.Figures().Open, 0)
-		is.Equal(w.Judge.Figures().Refused, 0)
+		is.Equal(w.Checker.Figures().Open, 0)
+		is.Equal(w.Checker.Figures().Refused, 0)
 	})
 }
--- a/sim/system/clients.go
+++ b/sim/system/clients.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	clientPatience = 2 * time.Second // of one try, and of one question about a message
-	clientTries    = 3
+	clientTimeout  = 2 * time.Second // of one try, and of one question about a message
+	clientAttempts = 3
 )
 
 // Traffic is one stream of messages.
@@ -68,8 +68,8 @@
 }
 
 func (c *client) send() {
-	for try := range clientTries {
-		status, pause := c.try(try)
+	for attempt := range clientAttempts {
+		status, pause := c.attempt(attempt)
 		if !refusal(status) {
 			return
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (c *client) try(n int) (status int, pause time.Duration) {
+func (c *client) attempt(n int) (status int, pause time.Duration) {
 	t := &c.traffic
 	m := &message{
 		id: fmt.Sprintf("%s-%d", c.name, n), key: c.key, service: t.Route.Backend, prefix: t.Route.PathPrefix, fifo: t.Route.Fifo && c.key != "",
@@ -86,7 +86,7 @@
 	setDefault(&m.maxAttempts, 4)
 	setDefault(&m.timeout, time.Second)
 	m.body = m.id + strings.Repeat("x", max(t.Bytes, 200))
-	dispatchers := c.world.Of(protocol.RoleDispatcher)
+	dispatchers := c.world.ByRole(protocol.RoleDispatcher)
 	header := http.Header{}
 	if m.key != "" {
 		header.Set("X-Ordering-Key", m.key)
@@ -94,7 +94,7 @@
 	if c.delay > 0 {
 		header.Set("X-Delay-Ms", fmt.Sprint(c.delay.Milliseconds()))
 	}
-	response := c.world.hand(c.host, dispatchers[(c.pick+n)%len(dispatchers)], m, header)
+	response := c.world.submit(c.host, dispatchers[(c.pick+n)%len(dispatchers)], m, header)
 	if response == nil {
 		return 0, 0
 	}
@@ -102,20 +102,20 @@
 }
 
 // hand hands a message to a dispatcher and has what comes of it judged. It returns nil without a complete answer.
-func (w *World) hand(host *virtualnet.Host, to *Process, m *message, header http.Header) *http.Response {
-	request, err := http.NewRequestWithContext(w.ctx, http.MethodPost, "http://"+at(to.IP, frontendPort)+m.prefix+"m", strings.NewReader(m.body))
+func (w *World) submit(host *virtualnet.Host, to *Process, m *message, header http.Header) *http.Response {
+	request, err := http.NewRequestWithContext(w.ctx, http.MethodPost, "http://"+hostPort(to.IP, frontendPort)+m.prefix+"m", strings.NewReader(m.body))
 	if err != nil {
 		return nil
 	}
 	request.Host = hostname
 	request.Header = header
 	request.Header.Set("X-Request-Id", m.id)
-	request.Header.Set("X-Deadline-Ms", fmt.Sprint(clientPatience.Milliseconds()))
+	request.Header.Set("X-Deadline-Ms", fmt.Sprint(clientTimeout.Milliseconds()))
 	watch := &requestWatch{}
-	w.Judge.send(m)
-	response, body, err := exchange(newClient(host, clientPatience), watch.watch(request))
+	w.Checker.recordSend(m)
+	response, body, err := exchange(newClient(host, clientTimeout), watch.watch(request))
 	if wrote, whole := watch.written(); whole && w.ctx.Err() == nil {
-		w.Judge.tried(cut{id: m.id, dispatcher: to.Name, sent: m.sent, wrote: wrote, at: time.Now()}, err != nil && !isTimeout(err))
+		w.Checker.recordAttempt(abortedRequest{id: m.id, dispatcher: to.Name, sent: m.sent, wrote: wrote, at: time.Now()}, err != nil && !isTimeout(err))
 	}
 	if err != nil {
 		return nil
@@ -128,9 +128,9 @@
 		}
 	}
 	if echoed := response.Header.Get("X-Request-Id"); echoed != "" && echoed != m.id {
-		w.Judge.broken("MIXED", "%s got the answer of %s: %s", m.id, echoed, body)
+		w.Checker.reportViolation("MIXED", "%s got the answer of %s: %s", m.id, echoed, body)
 	}
-	w.Judge.answered(m, response.StatusCode, string(body))
+	w.Checker.recordResponse(m, response.StatusCode, string(body))
 	return response
 }
 
@@ -153,12 +153,12 @@
 // Check asks for the state of accepted messages and for the bytes of those that have not ended, up to a number of each, again and again
 // after failures.
 func (w *World) Check(most int) {
-	w.Judge.judgeCuts()
-	open, ended := w.Judge.split()
+	w.Checker.checkAborted()
+	open, ended := w.Checker.acceptedMessages()
 	for _, m := range open[:min(most, len(open))] {
 		if !w.ended(m) {
-			status, body := w.ask(m, "/message-body/")
-			w.Judge.body(m, status, body)
+			status, body := w.query(m, "/message-body/")
+			w.Checker.checkBody(m, status, body)
 		}
 		w.checkState(m)
 	}
@@ -168,39 +168,39 @@
 }
 
 func (w *World) ended(m *message) bool {
-	w.Judge.mu.Lock()
-	defer w.Judge.mu.Unlock()
+	w.Checker.mu.Lock()
+	defer w.Checker.mu.Unlock()
 	return m.ended
 }
 
 func (w *World) checkState(m *message) {
-	status, body := w.ask(m, statePath)
+	status, body := w.query(m, statePath)
 	var answer struct{ State, Signature string }
 	if status == http.StatusOK {
 		if err := json.Unmarshal([]byte(body), &answer); err != nil {
-			w.Judge.broken("MIXED", "the state of %s cannot be read: %q", m.id, body)
+			w.Checker.reportViolation("MIXED", "the state of %s cannot be read: %q", m.id, body)
 			return
 		}
 	}
-	w.Judge.state(m, status, answer.State, answer.Signature)
+	w.Checker.checkState(m, status, answer.State, answer.Signature)
 }
 
 // statePath is where dispatchers answer for the state of a message.
 const statePath = "/message/"
 
 // ask asks one dispatcher after the other until one answers, a few times.
-func (w *World) ask(m *message, path string) (status int, body string) {
+func (w *World) query(m *message, path string) (status int, body string) {
 	host := w.Net.Host(clientIP)
-	for try := range 12 {
-		dispatchers := w.Of(protocol.RoleDispatcher)
-		address := at(dispatchers[try%len(dispatchers)].IP, frontendPort)
+	for attempt := range 12 {
+		dispatchers := w.ByRole(protocol.RoleDispatcher)
+		address := hostPort(dispatchers[attempt%len(dispatchers)].IP, frontendPort)
 		status, body = w.get(host, "http://"+address+path+m.name)
 		switch status {
 		case http.StatusOK:
 			return status, body
 		case http.StatusNotFound, http.StatusGone:
 			if path == statePath {
-				w.Judge.missing(m)
+				w.Checker.checkNotFound(m)
 			}
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -209,14 +209,14 @@
 }
 
 func (w *World) get(host *virtualnet.Host, url string) (int, string) {
-	ctx, cancel := context.WithTimeout(w.ctx, clientPatience)
+	ctx, cancel := context.WithTimeout(w.ctx, clientTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, ""
 	}
 	request.Host = hostname
-	response, err := newClient(host, clientPatience).Do(request)
+	response, err := newClient(host, clientTimeout).Do(request)
 	if err != nil {
 		return 0, ""
 	}
--- a/sim/system/controlfaults.go
+++ b/sim/system/controlfaults.go
@@ -19,12 +19,12 @@
 	{"halves", func(w *World, random *rand.Rand) error {
 		controls := w.shuffled(protocol.RoleControl, random)
 		half := len(controls) / 2
-		w.separate(controls[:half], controls[half:], 6*time.Second)
+		w.cutBetween(controls[:half], controls[half:], 6*time.Second)
 		return nil
 	}},
 	{"primary cut off for long", func(w *World, random *rand.Rand) error {
 		primary := w.controlPrimary()
-		w.separate([]*Process{primary}, w.others(primary), longCut)
+		w.cutBetween([]*Process{primary}, w.others(primary), longCut)
 		return nil
 	}},
 	{"primary cut off one way", func(w *World, random *rand.Rand) error {
@@ -36,11 +36,11 @@
 		time.Sleep(5 * time.Second)
 		return nil
 	}},
-	{"behind", (*World).leaveBehind},
+	{"behind", (*World).leaveControlStale},
 	{"replaced one after the other", func(w *World, random *rand.Rand) error {
 		controls := w.shuffled(protocol.RoleControl, random)
 		for _, p := range append(controls, controls...) {
-			if err := w.replaceDisk(p); err != nil {
+			if err := w.replaceDiskAndCatchUp(p); err != nil {
 				return err
 			}
 		}
@@ -48,7 +48,7 @@
 	}},
 	{"primary replaced again and again", func(w *World, random *rand.Rand) error {
 		for range 4 {
-			if err := w.replaceDisk(w.controlPrimary()); err != nil {
+			if err := w.replaceDiskAndCatchUp(w.controlPrimary()); err != nil {
 				return err
 			}
 		}
@@ -57,7 +57,7 @@
 	{"all killed", func(w *World, random *rand.Rand) error {
 		var failed error
 		for range 3 {
-			for _, p := range w.Of(protocol.RoleControl) {
+			for _, p := range w.ByRole(protocol.RoleControl) {
 				failed = errors.Join(failed, p.Kill())
 			}
 			time.Sleep(300 * time.Millisecond)
@@ -83,19 +83,19 @@
 	}},
 }
 
-// leaveBehind cuts a member off while changes are made, then takes the disk of another and the power of the rest, and joins the cut: the one
+// leaveControlStale cuts a member off while changes are made, then takes the disk of another and the power of the rest, and joins the cut: the one
 // that is behind is among the first that come back.
-func (w *World) leaveBehind(random *rand.Rand) error {
+func (w *World) leaveControlStale(random *rand.Rand) error {
 	controls := w.shuffled(protocol.RoleControl, random)
-	behind, replaced, dark := controls[0], controls[1], controls[2:]
-	w.CutOff(behind.IP, true)
+	behind, replaced, unpowered := controls[0], controls[1], controls[2:]
+	w.SetIsolated(behind.IP, true)
 	time.Sleep(4 * time.Second) // changes go on meanwhile
 	failed := replaced.LosePower()
 	replaced.Wipe()
-	for _, p := range dark {
+	for _, p := range unpowered {
 		failed = errors.Join(failed, p.LosePower())
 	}
-	w.CutOff(behind.IP, false)
+	w.SetIsolated(behind.IP, false)
 	failed = errors.Join(failed, replaced.Start())
 	time.Sleep(2 * time.Second)
 	failed = errors.Join(failed, w.StartAll())
@@ -103,15 +103,15 @@
 	return failed
 }
 
-// replaceDisk takes a process's disk, starts it with an empty one, and returns when it counts as whole again.
-func (w *World) replaceDisk(p *Process) error {
-	failed := w.emptyDisk(p)
+// replaceDiskAndCatchUp takes a process's disk, starts it with an empty one, and returns when it counts as whole again.
+func (w *World) replaceDiskAndCatchUp(p *Process) error {
+	failed := w.restartWithEmptyDisk(p)
 	time.Sleep(seconds(bounds.CatchUpS))
 	return failed
 }
 
-// emptyDisk takes a process's disk and starts it with an empty one.
-func (w *World) emptyDisk(p *Process) error {
+// restartWithEmptyDisk takes a process's disk and starts it with an empty one.
+func (w *World) restartWithEmptyDisk(p *Process) error {
 	failed := p.LosePower()
 	p.Wipe()
 	time.Sleep(500 * time.Millisecond)
@@ -119,15 +119,15 @@
 }
 
 // separate cuts all links between two groups of machines for a while.
-func (w *World) separate(some, others []*Process, span time.Duration) {
+func (w *World) cutBetween(some, others []*Process, span time.Duration) {
 	w.eachPair(some, others, func(a, b string) {
-		w.Judge.trouble("cut between " + a + " and " + b)
+		w.Checker.recordFault("cut between " + a + " and " + b)
 		w.Net.Cut(a, b, false)
 		w.Net.Cut(b, a, false)
 	})
 	time.Sleep(span)
 	w.eachPair(some, others, func(a, b string) {
-		w.Judge.trouble("joined " + a + " and " + b)
+		w.Checker.recordFault("joined " + a + " and " + b)
 		w.Net.Heal(a, b)
 		w.Net.Heal(b, a)
 	})
@@ -145,7 +145,7 @@
 
 // shuffled lists the processes of a role in a drawn order.
 func (w *World) shuffled(role protocol.Role, random *rand.Rand) []*Process {
-	list := w.Of(role)
+	list := w.ByRole(role)
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
@@ -153,9 +153,9 @@
 // controlPrimary is the control process that is the active primary; where none is, the first one.
 func (w *World) controlPrimary() *Process {
 	host := w.Net.Host(operatorIP)
-	controls := w.Of(protocol.RoleControl)
+	controls := w.ByRole(protocol.RoleControl)
 	for _, p := range controls {
-		_, body := w.get(host, "http://"+at(p.IP, controlPort)+"/status")
+		_, body := w.get(host, "http://"+hostPort(p.IP, controlPort)+"/status")
 		var page struct{ Active bool }
 		if json.Unmarshal([]byte(body), &page) == nil && page.Active {
 			return p
@@ -164,15 +164,15 @@
 	return controls[0]
 }
 
-// controlIsWhole tells whether the active primary has all control processes, each with its present disk, as witnesses, F+2 of them as members, and
+// controlFullyReplicated tells whether the active primary has all control processes, each with its present disk, as witnesses, F+2 of them as members, and
 // nobody behind.
-func (w *World) controlIsWhole() bool {
+func (w *World) controlFullyReplicated() bool {
 	host := w.Net.Host(operatorIP)
-	controls := w.Of(protocol.RoleControl)
+	controls := w.ByRole(protocol.RoleControl)
 	var present []string
 	var active statuspage.Page
 	for _, p := range controls {
-		_, body := w.get(host, "http://"+at(p.IP, controlPort)+"/status")
+		_, body := w.get(host, "http://"+hostPort(p.IP, controlPort)+"/status")
 		var page statuspage.Page
 		if json.Unmarshal([]byte(body), &page) != nil {
 			return false
@@ -190,5 +190,5 @@
 
 // others lists the processes of the same role.
 func (w *World) others(p *Process) []*Process {
-	return slices.DeleteFunc(w.Of(p.Role), func(other *Process) bool { return other == p })
+	return slices.DeleteFunc(w.ByRole(p.Role), func(other *Process) bool { return other == p })
 }
--- a/sim/system/controlfaults_test.go
+++ b/sim/system/controlfaults_test.go
@@ -36,7 +36,7 @@
 		is := is.NewRelaxed(t)
 		history = &w.Operator.History
 		var answers, ended atomic.Int64
-		w.Operator.LoseAnswer = func() bool { return answers.Add(1)%10 < lostAnswers }
+		w.Operator.LoseResponse = func() bool { return answers.Add(1)%10 < lostAnswers }
 		raceOrders(w, func() bool { return ended.Load() == 0 })
 		time.Sleep(2 * time.Second)
 		is.NoErr(f.play(w, rand.New(rand.NewPCG(o.Seed, hash(f.name)))))
@@ -45,7 +45,7 @@
 		ended.Store(1)
 		time.Sleep(seconds(bounds.RecoveryS) - 2*time.Second)
 		w.Send(Traffic{Route: plainRoute, Every: 40 * time.Millisecond}, 2*time.Second, "after")
-		w.Judge.recovered(back)
+		w.Checker.checkRecovered(back)
 		time.Sleep(2 * time.Second)
 	})
 	is := is.New(t)
@@ -58,7 +58,7 @@
 func TestOrderIsTakenOnceHoweverOftenItIsSent(t *testing.T) {
 	play(t, Options{Seed: 12, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		controls := w.Of(protocol.RoleControl)
+		controls := w.ByRole(protocol.RoleControl)
 		first := w.Operator.Document(7, fifoRoute, plainRoute, pacedRoute)
 		rival := first
 		rival.Limits.IdleTimeoutMs++ // other content under the same number
@@ -71,7 +71,7 @@
 			is.Equal(status, http.StatusPreconditionFailed)
 		}
 		var answers atomic.Int64
-		w.Operator.LoseAnswer = func() bool { return answers.Add(1) <= int64(len(controls)) }
+		w.Operator.LoseResponse = func() bool { return answers.Add(1) <= int64(len(controls)) }
 		again()
 		revision := 7
 		change := func(count int) {
@@ -87,7 +87,7 @@
 		kill(t, w.controlPrimary(), 300*time.Millisecond)
 		again()
 		change(100)
-		is.NoErr(w.replaceDisk(w.controlPrimary()))
+		is.NoErr(w.replaceDiskAndCatchUp(w.controlPrimary()))
 		again()
 		is.NoErr(w.losePowerEverywhere())
 		again()
@@ -104,9 +104,9 @@
 			return p.Start
 		},
 		"cut off": func(w *World, p *Process) func() error {
-			w.CutOff(p.IP, true)
+			w.SetIsolated(p.IP, true)
 			return func() error {
-				w.CutOff(p.IP, false)
+				w.SetIsolated(p.IP, false)
 				return nil
 			}
 		},
@@ -172,17 +172,17 @@
 // TestOrdersGoOnWhileADiskOfControlStalls stalls the disk of one process of control for longer than an operator waits. The process still votes and
 // answers, so nobody else would leave it out.
 func TestOrdersGoOnWhileADiskOfControlStalls(t *testing.T) {
-	playDiskTrouble(t, 17, virtualdisk.Trouble{Stalled: true})
+	playDiskFault(t, 17, virtualdisk.Fault{Stalled: true})
 }
 
 // TestOrdersGoOnWhileADiskOfControlRefuses is the same with a disk that refuses all writes.
 func TestOrdersGoOnWhileADiskOfControlRefuses(t *testing.T) {
-	playDiskTrouble(t, 18, virtualdisk.Trouble{Refusal: errors.New("the disk is full")})
+	playDiskFault(t, 18, virtualdisk.Fault{WriteError: errors.New("the disk is full")})
 }
 
-// playDiskTrouble has the disk of control's primary, and of another process, in trouble for longer than an operator waits: every order is taken in time, and
+// playDiskFault has the disk of control's primary, and of another process, in trouble for longer than an operator waits: every order is taken in time, and
 // control is whole again afterwards.
-func playDiskTrouble(t *testing.T, seed uint64, trouble virtualdisk.Trouble) {
+func playDiskFault(t *testing.T, seed uint64, trouble virtualdisk.Fault) {
 	const span, within = 9 * time.Second, 4 * time.Second
 	for _, processes := range []int{3, 4} {
 		for _, which := range []string{"the primary", "another"} {
@@ -194,8 +194,8 @@
 					if which == "another" {
 						p = w.others(p)[0]
 					}
-					w.Judge.trouble("disk trouble of " + p.Name)
-					p.disk.SetTrouble(trouble)
+					w.Checker.recordFault("disk trouble of " + p.Name)
+					p.disk.SetFault(trouble)
 					begun := time.Now()
 					for revision := 5; time.Since(begun) < span; revision++ {
 						status, err := w.Operator.Replace(revision, w.Operator.Document(revision+1, fifoRoute, plainRoute, pacedRoute), within)
@@ -203,9 +203,9 @@
 						is.Equal(status, http.StatusOK)
 						time.Sleep(500 * time.Millisecond)
 					}
-					p.disk.SetTrouble(virtualdisk.Trouble{})
+					p.disk.SetFault(virtualdisk.Fault{})
 					time.Sleep(bounds.Contact())
-					is.True(w.controlIsWhole())
+					is.True(w.controlFullyReplicated())
 				})
 			})
 		}
@@ -218,13 +218,13 @@
 	play(t, Options{Seed: 19, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		primary := w.controlPrimary()
-		during(w, 14*time.Second, func() {
+		runWithFaults(w, 14*time.Second, func() {
 			time.Sleep(4 * time.Second)
-			w.separate([]*Process{primary}, w.Of(protocol.RoleStore), 5*time.Second)
+			w.cutBetween([]*Process{primary}, w.ByRole(protocol.RoleStore), 5*time.Second)
 			time.Sleep(bounds.Contact())
-			is.True(w.whole(w.Net.Host(operatorIP)))
+			is.True(w.fullyReplicated(w.Net.Host(operatorIP)))
 		})
-		f := w.Judge.Figures()
+		f := w.Checker.Figures()
 		is.True(f.Refused+f.Unanswered < f.Sent/8) // those of the dispatcher beside it, which is cut off as well; without, a third of all
 		is.Equal(f.Open, 0)
 	})
@@ -252,11 +252,11 @@
 					time.Sleep(500 * time.Millisecond)
 					is.NoErr(p.Start())
 					back := time.Now()
-					for !w.controlIsWhole() && time.Since(back) < 2*seconds(bounds.CatchUpS) {
-						time.Sleep(wholePoll)
+					for !w.controlFullyReplicated() && time.Since(back) < 2*seconds(bounds.CatchUpS) {
+						time.Sleep(replicationPoll)
 					}
 					took := time.Since(back)
-					t.Logf("WHOLE %d processes, F %d, %s: %v after its return", o.Control, o.Machines, which, took.Round(wholePoll))
+					t.Logf("WHOLE %d processes, F %d, %s: %v after its return", o.Control, o.Machines, which, took.Round(replicationPoll))
 					is.True(took <= seconds(bounds.CatchUpS))
 				}
 			})
--- a/sim/system/controllosses_test.go
+++ b/sim/system/controllosses_test.go
@@ -26,7 +26,7 @@
 	{"disks one after the other", func(w *World, lost []*Process, _ time.Duration) error {
 		var failed error
 		for _, p := range lost {
-			failed = errors.Join(failed, w.emptyDisk(p))
+			failed = errors.Join(failed, w.restartWithEmptyDisk(p))
 			time.Sleep(500 * time.Millisecond) // less than CatchUpS: the one before still counts as lost
 		}
 		return failed
@@ -41,11 +41,11 @@
 	}},
 	{"cut off", func(w *World, lost []*Process, away time.Duration) error {
 		for _, p := range lost {
-			w.CutOff(p.IP, true)
+			w.SetIsolated(p.IP, true)
 		}
 		time.Sleep(away)
 		for _, p := range lost {
-			w.CutOff(p.IP, false)
+			w.SetIsolated(p.IP, false)
 		}
 		return nil
 	}},
@@ -101,7 +101,7 @@
 		is.Equal(status, http.StatusOK)
 		revision++
 	}
-	during(w, lossLasts+4*time.Second, func() {
+	runWithFaults(w, lossLasts+4*time.Second, func() {
 		change()
 		begun := time.Now()
 		played := make(chan error)
@@ -111,16 +111,16 @@
 			change()
 		}
 		is.NoErr(<-played)
-		late := w.Judge.begunLate("svc-c", begun.Add(electedWithin), begun.Add(lossLasts), pacedWithin)
+		late := w.Checker.startedLate("svc-c", begun.Add(electedWithin), begun.Add(lossLasts), pacedWithin)
 		is.Equal(late, 0) // rate-limited services go on
 		time.Sleep(seconds(bounds.CatchUpS))
-		is.True(w.controlIsWhole())
+		is.True(w.controlFullyReplicated())
 	})
 	change()
 	is.NoErr(w.losePowerEverywhere())
 	time.Sleep(bounds.Contact())
 	is.Equal(w.Operator.Newest().Revision, revision)
-	is.Equal(w.Judge.Figures().Open, 0)
+	is.Equal(w.Checker.Figures().Open, 0)
 }
 
 // TestControlWithoutAMajorityGoesOnWhenItIsBack takes a majority of control's processes away, more than any F allows: traffic without a rate goes on,
@@ -132,7 +132,7 @@
 			play(t, Options{Seed: 24, Control: processes, Edges: 6, Stores: 4}, func(t *testing.T, w *World) {
 				is := is.NewRelaxed(t)
 				lost := w.shuffled(w.controlPrimary().Role, rand.New(rand.NewPCG(24, uint64(processes))))[:(processes+1)/2]
-				during(w, lossLasts+4*time.Second, func() {
+				runWithFaults(w, lossLasts+4*time.Second, func() {
 					begun := time.Now()
 					for _, p := range lost {
 						is.NoErr(p.LosePower())
@@ -141,25 +141,25 @@
 					document := w.Operator.Document(6, fifoRoute, plainRoute, pacedRoute)
 					status, err := w.Operator.Replace(5, document, orderWithin)
 					is.True(err != nil || status >= http.StatusInternalServerError) // not decided
-					is.Equal(w.Judge.begunLate("svc-b", begun.Add(electedWithin), time.Now().Add(-2*pacedWithin), pacedWithin), 0)
+					is.Equal(w.Checker.startedLate("svc-b", begun.Add(electedWithin), time.Now().Add(-2*pacedWithin), pacedWithin), 0)
 					is.NoErr(startEach(lost))
 					status, err = w.Operator.Replace(5, document, 2*orderWithin)
 					is.NoErr(err)
 					is.Equal(status, http.StatusOK)
 					time.Sleep(bounds.Contact())
-					is.True(w.controlIsWhole())
+					is.True(w.controlFullyReplicated())
 				})
-				is.Equal(w.Judge.Figures().Open, 0)
+				is.Equal(w.Checker.Figures().Open, 0)
 			})
 		})
 	}
 }
 
-// begunLate counts the messages of a service that were sent in a span and accepted, and whose run began later than within after that.
-func (j *Judge) begunLate(service string, from, to time.Time, within time.Duration) (count int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+// startedLate counts the messages of a service that were sent in a span and accepted, and whose run began later than within after that.
+func (ch *Checker) startedLate(service string, from, to time.Time, within time.Duration) (count int) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		if m.service != service || m.sent.Before(from) || m.sent.After(to) || m.accepted.IsZero() {
 			continue
 		}
--- a/sim/system/crash_test.go
+++ b/sim/system/crash_test.go
@@ -62,12 +62,12 @@
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		<-sent
-		is.Equal(w.Judge.Figures().Open, 0)
+		is.Equal(w.Checker.Figures().Open, 0)
 		points = crash.Points()
 	}
 	prepare := func(w *World) {
 		crash = virtualdisk.NewCrash(at)
-		p := w.Of(role)[0]
+		p := w.ByRole(role)[0]
 		p.crash = crash
 		w.running.Go(func() { crashOnce(t, w, p, crash) })
 	}
--- a/sim/system/days.go
+++ b/sim/system/days.go
@@ -13,7 +13,7 @@
 )
 
 // begin starts all and gives the first configuration.
-func begin(w *World) error {
+func startConfigured(w *World) error {
 	for _, s := range []Service{
 		{Name: "svc-a", Workers: 4, Run: 20 * time.Millisecond, FailEvery: 23},
 		{Name: "svc-b", Workers: 4, Run: 30 * time.Millisecond},
@@ -56,7 +56,7 @@
 }
 
 // during runs traffic for a span with faults beside it, and lets all come to rest.
-func during(w *World, span time.Duration, faults func()) {
+func runWithFaults(w *World, span time.Duration, faults func()) {
 	done := make(chan struct{})
 	w.running.Go(func() {
 		time.Sleep(2 * time.Second)
@@ -71,16 +71,16 @@
 // Day is a day drawn by a seed: traffic on all routes and a few faults, as many at a time as FaultTolerance allows machines to be lost, then
 // perhaps a loss of power everywhere. It returns when all has come to rest. It ends with the questions of the end.
 func Day(w *World) error {
-	if err := begin(w); err != nil {
+	if err := startConfigured(w); err != nil {
 		return err
 	}
 	random := rand.New(rand.NewPCG(w.options.Seed, 0x646179))
 	var failed error
-	during(w, 14*time.Second, func() {
+	runWithFaults(w, 14*time.Second, func() {
 		count := max(1, w.options.Machines)
 		rows := make(chan error, count)
 		for row := range count {
-			w.running.Go(func() { rows <- w.faultsInARow(rand.New(rand.NewPCG(w.options.Seed, uint64(row)))) })
+			w.running.Go(func() { rows <- w.faultSequence(rand.New(rand.NewPCG(w.options.Seed, uint64(row)))) })
 		}
 		for range count {
 			failed = errors.Join(failed, <-rows)
@@ -94,8 +94,8 @@
 	return failed
 }
 
-// faultsInARow plays a few faults one after the other.
-func (w *World) faultsInARow(random *rand.Rand) (failed error) {
+// faultSequence plays a few faults one after the other.
+func (w *World) faultSequence(random *rand.Rand) (failed error) {
 	for range 2 + random.IntN(3) {
 		failed = errors.Join(failed, faults[random.IntN(len(faults))].play(w, random))
 		time.Sleep(bounds.Contact()/4 + time.Duration(random.Int64N(int64(bounds.Contact()))))
@@ -114,13 +114,13 @@
 
 // cutPair cuts the link between two machines for a while, one way or both, silently or with resets.
 func (w *World) cutPair(a, b string, both, reset bool, span time.Duration) {
-	w.Judge.trouble("cut between " + a + " and " + b)
+	w.Checker.recordFault("cut between " + a + " and " + b)
 	w.Net.Cut(a, b, reset)
 	if both {
 		w.Net.Cut(b, a, reset)
 	}
 	time.Sleep(span)
-	w.Judge.trouble("joined " + a + " and " + b)
+	w.Checker.recordFault("joined " + a + " and " + b)
 	w.Net.Heal(a, b)
 	w.Net.Heal(b, a)
 }
--- a/sim/system/faults.go
+++ b/sim/system/faults.go
@@ -26,44 +26,44 @@
 // faults are all that days are made of.
 var faults = []fault{
 	{"kill", func(w *World, random *rand.Rand) error {
-		return w.lose(w.Processes, random, (*Process).Kill)
+		return w.loseTemporarily(w.Processes, random, (*Process).Kill)
 	}},
 	{"power", func(w *World, random *rand.Rand) error {
-		return w.lose(w.Processes, random, (*Process).LosePower)
+		return w.loseTemporarily(w.Processes, random, (*Process).LosePower)
 	}},
 	{"planned end", func(w *World, random *rand.Rand) error {
-		return w.lose(w.Processes, random, func(p *Process) error {
+		return w.loseTemporarily(w.Processes, random, func(p *Process) error {
 			_, _, err := p.Terminate()
 			return err
 		})
 	}},
 	{"disk lost", func(w *World, random *rand.Rand) error {
-		return w.lose(w.withDisk(), random, func(p *Process) error {
+		return w.loseTemporarily(w.withDisk(), random, func(p *Process) error {
 			err := p.LosePower()
 			p.Wipe()
 			return err
 		})
 	}},
 	{"cut off", func(w *World, random *rand.Rand) error {
-		p := w.any(random)
-		w.CutOff(p.IP, true)
-		time.Sleep(faultSpan(random))
-		w.CutOff(p.IP, false)
+		p := w.randomProcess(random)
+		w.SetIsolated(p.IP, true)
+		time.Sleep(faultDuration(random))
+		w.SetIsolated(p.IP, false)
 		return nil
 	}},
 	{"link cut", func(w *World, random *rand.Rand) error {
-		w.cutPair(w.any(random).IP, w.any(random).IP, random.IntN(2) == 0, false, faultSpan(random))
+		w.cutPair(w.randomProcess(random).IP, w.randomProcess(random).IP, random.IntN(2) == 0, false, faultDuration(random))
 		return nil
 	}},
 	{"link reset", func(w *World, random *rand.Rand) error {
-		w.cutPair(w.any(random).IP, w.any(random).IP, random.IntN(2) == 0, true, faultSpan(random))
+		w.cutPair(w.randomProcess(random).IP, w.randomProcess(random).IP, random.IntN(2) == 0, true, faultDuration(random))
 		return nil
 	}},
-	{"disk stalls", diskFault(virtualdisk.Trouble{Stalled: true})},
-	{"disk slow", diskFault(virtualdisk.Trouble{Slower: slowSync})},
-	{"disk full", diskFault(virtualdisk.Trouble{Refusal: syscall.ENOSPC})},
-	{"disk refuses", diskFault(virtualdisk.Trouble{Refusal: syscall.EIO})},
-	{"disk refuses once", diskFault(virtualdisk.Trouble{Refusal: syscall.EIO, Once: true})},
+	{"disk stalls", diskFault(virtualdisk.Fault{Stalled: true})},
+	{"disk slow", diskFault(virtualdisk.Fault{ExtraSyncTime: slowSync})},
+	{"disk full", diskFault(virtualdisk.Fault{WriteError: syscall.ENOSPC})},
+	{"disk refuses", diskFault(virtualdisk.Fault{WriteError: syscall.EIO})},
+	{"disk refuses once", diskFault(virtualdisk.Fault{WriteError: syscall.EIO, Once: true})},
 	{"configuration", func(w *World, random *rand.Rand) error {
 		newest := w.Operator.Newest()
 		next := newest
@@ -77,32 +77,34 @@
 	}},
 	{"list away", func(w *World, random *rand.Rand) error {
 		w.Platform.SetDown(true)
-		time.Sleep(faultSpan(random))
+		time.Sleep(faultDuration(random))
 		w.Platform.SetDown(false)
 		return nil
 	}},
 }
 
-func faultSpan(random *rand.Rand) time.Duration {
+func faultDuration(random *rand.Rand) time.Duration {
 	return time.Duration(random.Int64N(int64(longestFault)))
 }
 
 // any draws a process.
-func (w *World) any(random *rand.Rand) *Process { return w.Processes[random.IntN(len(w.Processes))] }
+func (w *World) randomProcess(random *rand.Rand) *Process {
+	return w.Processes[random.IntN(len(w.Processes))]
+}
 
 // withDisk lists the processes that keep state.
 func (w *World) withDisk() []*Process {
-	return append(w.Of(protocol.RoleControl), w.Of(protocol.RoleStore)...)
+	return append(w.ByRole(protocol.RoleControl), w.ByRole(protocol.RoleStore)...)
 }
 
 // held is the set of processes that faults have hold of: no two lose the same one at a time.
-type held struct {
+type processClaims struct {
 	mu        sync.Mutex
 	processes map[*Process]bool
 }
 
 // take draws a process that no other fault has hold of. There must be one.
-func (h *held) take(random *rand.Rand, among []*Process) *Process {
+func (h *processClaims) claim(random *rand.Rand, among []*Process) *Process {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for {
@@ -118,42 +120,42 @@
 	}
 }
 
-func (h *held) release(p *Process) {
+func (h *processClaims) release(p *Process) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.processes, p)
 }
 
 // lose loses one of some processes for a while, and returns when it counts as back.
-func (w *World) lose(among []*Process, random *rand.Rand, how func(p *Process) error) error {
-	p := w.taken.take(random, among)
-	defer w.taken.release(p)
+func (w *World) loseTemporarily(among []*Process, random *rand.Rand, how func(p *Process) error) error {
+	p := w.claimed.claim(random, among)
+	defer w.claimed.release(p)
 	err := how(p)
-	time.Sleep(faultSpan(random))
+	time.Sleep(faultDuration(random))
 	err = errors.Join(err, p.Start())
-	w.catchUp(p)
+	w.awaitCatchUp(p)
 	return err
 }
 
 // catchUp waits until a process counts as whole again.
-func (w *World) catchUp(p *Process) {
+func (w *World) awaitCatchUp(p *Process) {
 	if p.Role == protocol.RoleStore {
 		time.Sleep(seconds(bounds.CatchUpS))
 	}
 }
 
 // diskFault is a fault of one disk for a while.
-func diskFault(trouble virtualdisk.Trouble) func(w *World, random *rand.Rand) error {
+func diskFault(trouble virtualdisk.Fault) func(w *World, random *rand.Rand) error {
 	return func(w *World, random *rand.Rand) error {
-		p := w.taken.take(random, w.withDisk())
-		defer w.taken.release(p)
+		p := w.claimed.claim(random, w.withDisk())
+		defer w.claimed.release(p)
 		disk := p.disk
-		w.Judge.trouble("disk of " + p.Name + "/" + p.Role.String())
-		disk.SetTrouble(trouble)
-		time.Sleep(faultSpan(random))
-		w.Judge.trouble("disk in order again")
-		disk.SetTrouble(virtualdisk.Trouble{})
-		w.catchUp(p)
+		w.Checker.recordFault("disk of " + p.Name + "/" + p.Role.String())
+		disk.SetFault(trouble)
+		time.Sleep(faultDuration(random))
+		w.Checker.recordFault("disk in order again")
+		disk.SetFault(virtualdisk.Fault{})
+		w.awaitCatchUp(p)
 		return nil
 	}
 }
--- a/sim/system/faults_test.go
+++ b/sim/system/faults_test.go
@@ -31,13 +31,13 @@
 		play(t, Options{Seed: seed}, func(t *testing.T, w *World) {
 			is := is.NewRelaxed(t)
 			random := rand.New(rand.NewPCG(seed, 0x66617578))
-			during(w, 8*time.Second, func() {
+			runWithFaults(w, 8*time.Second, func() {
 				for range 2 {
 					is.NoErr(f.play(w, random))
 					time.Sleep(bounds.Contact())
 				}
 			})
-			is.Equal(w.Judge.Figures().Open, 0)
+			is.Equal(w.Checker.Figures().Open, 0)
 		})
 	})
 }
--- a/sim/system/foundanew_test.go
+++ b/sim/system/foundanew_test.go
@@ -20,8 +20,8 @@
 	ctx, cancel := context.WithTimeout(w.ctx, time.Minute)
 	defer cancel()
 	var addresses []string
-	for _, p := range w.Of(protocol.RoleControl) {
-		addresses = append(addresses, at(p.IP, controlPort))
+	for _, p := range w.ByRole(protocol.RoleControl) {
+		addresses = append(addresses, hostPort(p.IP, controlPort))
 	}
 	client := operator.New(addresses, &http.Transport{DialContext: w.Net.Host(operatorIP).DialContext, DisableKeepAlives: true})
 	accounts, err := client.Accounts(ctx)
@@ -35,9 +35,9 @@
 	if err := client.Found(ctx, plan, file); err != nil {
 		return plan, err
 	}
-	controls := w.Of(protocol.RoleControl)
+	controls := w.ByRole(protocol.RoleControl)
 	founder := controls[slices.IndexFunc(controls, func(p *Process) bool { return p.Name == plan.Founder.Name })]
-	w.Judge.trouble("founder " + founder.Name + " ends")
+	w.Checker.recordFault("founder " + founder.Name + " ends")
 	<-founder.done
 	if err := founder.stop(false); err != nil {
 		return plan, err
@@ -69,13 +69,13 @@
 func playFoundAnew(t *testing.T, w *World, survivors []*Process) {
 	is := is.NewRelaxed(t)
 	var lost []*Process
-	for _, p := range w.Of(protocol.RoleControl) {
+	for _, p := range w.ByRole(protocol.RoleControl) {
 		if !slices.Contains(survivors, p) {
 			lost = append(lost, p)
 		}
 	}
 	revision := w.Operator.Newest().Revision
-	during(w, 24*time.Second, func() {
+	runWithFaults(w, 24*time.Second, func() {
 		is.NoErr(loseDisks(lost))
 		time.Sleep(time.Second)
 		is.NoErr(startEach(lost))
@@ -90,33 +90,33 @@
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 		time.Sleep(seconds(bounds.CatchUpS))
-		is.True(w.controlIsWhole())
+		is.True(w.controlFullyReplicated())
 		// A store is lost as before: partitions get other primaries by the new control.
-		is.NoErr(w.emptyDisk(w.Of(protocol.RoleStore)[0]))
+		is.NoErr(w.restartWithEmptyDisk(w.ByRole(protocol.RoleStore)[0]))
 		time.Sleep(seconds(bounds.CatchUpS))
-		is.True(w.whole(w.Net.Host(operatorIP)))
+		is.True(w.fullyReplicated(w.Net.Host(operatorIP)))
 	})
 	is.NoErr(w.losePowerEverywhere())
 	time.Sleep(bounds.Contact())
 	is.Equal(w.Operator.Newest().Revision, revision+1)
-	is.Equal(w.Judge.Figures().Open, 0)
+	is.Equal(w.Checker.Figures().Open, 0)
 }
 
 // TestNothingIsFoundedWhileControlWorks has the command refused at each moment of a store's and a control process's loss within F.
 func TestNothingIsFoundedWhileControlWorks(t *testing.T) {
 	play(t, Options{Seed: 32}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		during(w, 12*time.Second, func() {
+		runWithFaults(w, 12*time.Second, func() {
 			is.NoErr(w.controlPrimary().Kill())
 			for range 10 {
 				_, err := w.foundAnew(recovery.Options{}, nil)
 				is.True(err != nil)
 				time.Sleep(200 * time.Millisecond)
 			}
-			is.NoErr(startEach(w.Of(protocol.RoleControl)))
+			is.NoErr(startEach(w.ByRole(protocol.RoleControl)))
 			time.Sleep(bounds.Contact())
 		})
-		is.Equal(w.Judge.Figures().Open, 0)
-		is.Equal(fmt.Sprint(w.Judge.Breaches()), "[]")
+		is.Equal(w.Checker.Figures().Open, 0)
+		is.Equal(fmt.Sprint(w.Checker.Violations()), "[]")
 	})
 }
--- a/sim/system/history.go
+++ b/sim/system/history.go
@@ -27,16 +27,16 @@
 
 type readCall struct{}
 
-// orderAnswer is the last word of an order that was sent until it got one; status is 0 where none came.
-type orderAnswer struct{ status int }
+// orderResponse is the last word of an order that was sent until it got one; status is 0 where none came.
+type orderResponse struct{ status int }
 
-type readAnswer struct {
+type readResponse struct {
 	revision int
 	body     string
 }
 
 // order notes an order that began at a time and ends now.
-func (h *History) order(began time.Time, call orderCall, answer orderAnswer) {
+func (h *History) order(began time.Time, call orderCall, answer orderResponse) {
 	returned := time.Now().UnixNano()
 	if answer.status == 0 {
 		returned = math.MaxInt64 // it may still come into force
@@ -45,7 +45,7 @@
 }
 
 // read notes an answered question for the configuration.
-func (h *History) read(began time.Time, answer readAnswer) {
+func (h *History) read(began time.Time, answer readResponse) {
 	h.add(porcupine.Operation{Input: readCall{}, Call: began.UnixNano(), Output: answer, Return: time.Now().UnixNano()})
 }
 
@@ -79,42 +79,42 @@
 type registerState struct {
 	revision int
 	body     string
-	taken    string // digests of bodies in order, each ended by takenEnd
+	applied  string // digests of bodies in order, each ended by digestEnd
 }
 
-const takenEnd = " "
+const digestEnd = " "
 
 // digest stands for a body among those that were taken.
-func digest(body string) string { return strconv.FormatUint(xxhash.Sum64String(body), 16) + takenEnd }
+func digest(body string) string { return strconv.FormatUint(xxhash.Sum64String(body), 16) + digestEnd }
 
 func (s registerState) step(input, output any) []any {
 	switch call := input.(type) {
 	case readCall:
-		answer := output.(readAnswer)
+		answer := output.(readResponse)
 		if answer.revision == s.revision && answer.body == s.body {
 			return []any{s}
 		}
 	case orderCall:
-		return s.order(call, output.(orderAnswer).status)
+		return s.order(call, output.(orderResponse).status)
 	}
 	return nil
 }
 
 // order lists the states that an order may lead to, if it was answered so.
 func (s registerState) order(call orderCall, status int) []any {
-	taken := strings.Contains(takenEnd+s.taken, takenEnd+digest(call.body))
+	applied := strings.Contains(digestEnd+s.applied, digestEnd+digest(call.body))
 	fits := call.base == s.revision && call.revision > s.revision
-	after := registerState{revision: call.revision, body: call.body, taken: s.taken + digest(call.body)}
+	after := registerState{revision: call.revision, body: call.body, applied: s.applied + digest(call.body)}
 	switch {
-	case status == http.StatusOK && taken:
+	case status == http.StatusOK && applied:
 		return []any{s}
 	case status == http.StatusOK && fits:
 		return []any{after}
-	case status == http.StatusPreconditionFailed && !taken && call.base != s.revision:
+	case status == http.StatusPreconditionFailed && !applied && call.base != s.revision:
 		return []any{s}
-	case status == http.StatusBadRequest && !taken && call.revision <= s.revision:
+	case status == http.StatusBadRequest && !applied && call.revision <= s.revision:
 		return []any{s}
-	case status == 0 && fits && !taken:
+	case status == 0 && fits && !applied:
 		return []any{s, after}
 	case status == 0:
 		return []any{s}
--- a/sim/system/history_test.go
+++ b/sim/system/history_test.go
@@ -17,13 +17,13 @@
 	for i := 0; i+1 < len(calls); i += 2 {
 		switch call := calls[i].(type) {
 		case orderCall:
-			h.order(now.Add(time.Duration(i-len(calls))*time.Second), call, calls[i+1].(orderAnswer))
+			h.order(now.Add(time.Duration(i-len(calls))*time.Second), call, calls[i+1].(orderResponse))
 		case readCall:
-			h.read(now.Add(time.Duration(i-len(calls))*time.Second), calls[i+1].(readAnswer))
+			h.read(now.Add(time.Duration(i-len(calls))*time.Second), calls[i+1].(readResponse))
 		}
 	}
 	for i := range h.calls { // each ends before the next begins
-		if h.calls[i].Output != (orderAnswer{}) {
+		if h.calls[i].Output != (orderResponse{}) {
 			h.calls[i].Return = h.calls[i].Call + int64(time.Second)
 		}
 	}
@@ -34,22 +34,22 @@
 func TestHistoryModel(t *testing.T) {
 	first, second := orderCall{0, 1, "first"}, orderCall{1, 2, "second"}
 	rival := orderCall{1, 2, "rival"}
-	yes, other, invalid, unclear := orderAnswer{200}, orderAnswer{412}, orderAnswer{400}, orderAnswer{}
+	yes, other, invalid, unclear := orderResponse{200}, orderResponse{412}, orderResponse{400}, orderResponse{}
 	for name, c := range map[string]struct {
 		calls []any
 		fits  bool
 	}{
-		"one after another":             {[]any{first, yes, second, yes, readCall{}, readAnswer{2, "second"}}, true},
+		"one after another":             {[]any{first, yes, second, yes, readCall{}, readResponse{2, "second"}}, true},
 		"taken is taken for good":       {[]any{first, yes, second, yes, first, yes}, true},
 		"one of two wins":               {[]any{first, yes, second, yes, rival, other}, true},
-		"unclear, in force":             {[]any{first, yes, second, unclear, readCall{}, readAnswer{2, "second"}}, true},
-		"unclear, not in force":         {[]any{first, yes, second, unclear, rival, yes, readCall{}, readAnswer{2, "rival"}}, true},
+		"unclear, in force":             {[]any{first, yes, second, unclear, readCall{}, readResponse{2, "second"}}, true},
+		"unclear, not in force":         {[]any{first, yes, second, unclear, rival, yes, readCall{}, readResponse{2, "rival"}}, true},
 		"not higher":                    {[]any{first, yes, orderCall{1, 1, "again"}, invalid}, true},
 		"both of two win":               {[]any{first, yes, second, yes, rival, yes}, false},
-		"an acknowledged one is lost":   {[]any{first, yes, second, yes, readCall{}, readAnswer{1, "first"}}, false},
-		"a refused one is in force":     {[]any{first, yes, second, other, readCall{}, readAnswer{2, "second"}}, false},
+		"an acknowledged one is lost":   {[]any{first, yes, second, yes, readCall{}, readResponse{1, "first"}}, false},
+		"a refused one is in force":     {[]any{first, yes, second, other, readCall{}, readResponse{2, "second"}}, false},
 		"a taken one is refused":        {[]any{first, yes, second, yes, first, other}, false},
-		"an unclear one comes and goes": {[]any{first, yes, second, unclear, readCall{}, readAnswer{2, "second"}, readCall{}, readAnswer{1, "first"}}, false},
+		"an unclear one comes and goes": {[]any{first, yes, second, unclear, readCall{}, readResponse{2, "second"}, readCall{}, readResponse{1, "first"}}, false},
 	} {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(historyOf(c.calls...).Linearizable(), c.fits) })
 	}
@@ -75,14 +75,14 @@
 // race runs operators, readers and faults for a time.
 func race(t *testing.T, w *World, lasting time.Duration) {
 	end := time.Now().Add(lasting)
-	controls := w.Of(protocol.RoleControl)
+	controls := w.ByRole(protocol.RoleControl)
 	raceOrders(w, func() bool { return time.Now().Before(end) })
 	for i := 0; time.Now().Before(end); i++ {
 		p := controls[i%len(controls)]
 		if i%2 == 0 {
-			w.CutOff(p.IP, true)
+			w.SetIsolated(p.IP, true)
 			time.Sleep(1500 * time.Millisecond)
-			w.CutOff(p.IP, false)
+			w.SetIsolated(p.IP, false)
 		} else {
 			kill(t, p, 300*time.Millisecond)
 		}
@@ -93,7 +93,7 @@
 
 // raceOrders has three operators race and two readers ask as long as it goes on.
 func raceOrders(w *World, goesOn func() bool) {
-	controls := w.Of(protocol.RoleControl)
+	controls := w.ByRole(protocol.RoleControl)
 	for operator := range 3 {
 		w.running.Go(func() {
 			for round := 0; goesOn(); round++ {
@@ -108,7 +108,7 @@
 	for reader := range 2 {
 		w.running.Go(func() {
 			for i := reader; goesOn(); i++ {
-				w.Operator.Read(at(controls[i%len(controls)].IP, controlPort))
+				w.Operator.Read(hostPort(controls[i%len(controls)].IP, controlPort))
 				time.Sleep(150 * time.Millisecond)
 			}
 		})
--- a/sim/system/judge.go
+++ b/sim/system/judge.go
@@ -10,30 +10,30 @@
 )
 
 // Judge holds what clients, workers and the operator have seen, and says which rules were broken. The names are those of RULES.
-type Judge struct {
+type Checker struct {
 	mu            sync.Mutex
 	start         time.Time
-	broke         []Breach
+	violations    []Violation
 	messages      map[string]*message
 	keys          map[string][]*message // of Fifo routes
 	arrivals      map[string][]time.Time
-	troubles      []time.Time
-	troubled      []string
+	faultTimes    []time.Time
+	faultLog      []string
 	refusedOrLate []string // tries: when each was sent, after what time it was answered, and why
 	acked         []order  // acknowledged configurations in order
-	ackedAt       []time.Time
+	configAckedAt []time.Time
 	sent          map[string]bool
 	dropped       map[string]time.Time // routes by prefix: when the drop was acknowledged
-	versions      map[versionSeen]time.Time
+	versions      map[observedVersion]time.Time
 
-	ends              []plannedEnd
-	sentAt            []time.Time         // configurations
-	beside, otherwise map[string]cutCount // by dispatcher: beside a configuration, and all others
-	cuts              []cut
+	shutdowns                   []plannedShutdown
+	configSentAt                []time.Time           // configurations
+	duringConfig, outsideConfig map[string]abortCount // by dispatcher: beside a configuration, and all others
+	aborted                     []abortedRequest
 }
 
 // Breach is one broken rule.
-type Breach struct {
+type Violation struct {
 	Rule string
 	Text string
 	At   time.Duration // since the start of the run
@@ -61,70 +61,70 @@
 	body           string
 }
 
-func newJudge() *Judge {
-	return &Judge{start: time.Now(), messages: map[string]*message{}, keys: map[string][]*message{}, arrivals: map[string][]time.Time{},
+func newChecker() *Checker {
+	return &Checker{start: time.Now(), messages: map[string]*message{}, keys: map[string][]*message{}, arrivals: map[string][]time.Time{},
 		sent: map[string]bool{}, dropped: map[string]time.Time{},
-		beside: map[string]cutCount{}, otherwise: map[string]cutCount{}}
+		duringConfig: map[string]abortCount{}, outsideConfig: map[string]abortCount{}}
 }
 
 // broken notes a breach.
-func (j *Judge) broken(rule, format string, arguments ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.breach(rule, format, arguments...)
+func (ch *Checker) reportViolation(rule, format string, arguments ...any) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	ch.addViolation(rule, format, arguments...)
 }
 
-func (j *Judge) breach(rule, format string, arguments ...any) {
-	j.broke = append(j.broke, Breach{Rule: rule, Text: fmt.Sprintf(format, arguments...), At: time.Since(j.start)})
+func (ch *Checker) addViolation(rule, format string, arguments ...any) {
+	ch.violations = append(ch.violations, Violation{Rule: rule, Text: fmt.Sprintf(format, arguments...), At: time.Since(ch.start)})
 }
 
 // Breaches are the broken rules so far.
-func (j *Judge) Breaches() []Breach {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return slices.Clone(j.broke)
+func (ch *Checker) Violations() []Violation {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	return slices.Clone(ch.violations)
 }
 
 // trouble notes an unplanned fault now.
-func (j *Judge) trouble(what string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.troubles = append(j.troubles, time.Now())
-	j.troubled = append(j.troubled, fmt.Sprintf("%v %s", time.Since(j.start), what))
+func (ch *Checker) recordFault(what string) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	ch.faultTimes = append(ch.faultTimes, time.Now())
+	ch.faultLog = append(ch.faultLog, fmt.Sprintf("%v %s", time.Since(ch.start), what))
 }
 
 // calm tells whether no trouble was noted in a span. The caller holds the lock.
-func (j *Judge) calm(from, to time.Time) bool {
-	return !slices.ContainsFunc(j.troubles, func(t time.Time) bool { return !t.Before(from) && !t.After(to) })
+func (ch *Checker) noFaultBetween(from, to time.Time) bool {
+	return !slices.ContainsFunc(ch.faultTimes, func(t time.Time) bool { return !t.Before(from) && !t.After(to) })
 }
 
 // send notes that a client sends a message.
-func (j *Judge) send(m *message) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) recordSend(m *message) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	m.sent = time.Now()
-	j.messages[m.id] = m
+	ch.messages[m.id] = m
 	if m.fifo {
-		j.keys[m.key] = append(j.keys[m.key], m)
+		ch.keys[m.key] = append(ch.keys[m.key], m)
 	}
 }
 
 // answered notes the answer that a client got.
-func (j *Judge) answered(m *message, status int, text string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) recordResponse(m *message, status int, text string) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	m.status = status
 	if took := time.Since(m.sent); refusal(status) || took > acceptWithin {
-		j.refusedOrLate = append(j.refusedOrLate, fmt.Sprintf("%v %s: %d after %v %s", m.sent.Sub(j.start), m.id, status, took, strings.TrimSpace(text)))
+		ch.refusedOrLate = append(ch.refusedOrLate, fmt.Sprintf("%v %s: %d after %v %s", m.sent.Sub(ch.start), m.id, status, took, strings.TrimSpace(text)))
 	}
 	if status == http.StatusAccepted {
 		m.accepted = time.Now()
 	}
 	if refusal(status) && m.runs > 0 {
-		j.breach("REFUSED", "%s was answered %d and had run", m.id, status)
+		ch.addViolation("REFUSED", "%s was answered %d and had run", m.id, status)
 	}
-	if at, gone := j.dropped[m.prefix]; status == http.StatusAccepted && gone && m.sent.After(at.Add(bounds.ConfigApply())) {
-		j.breach("CONFIG", "%s was accepted %v after its route was dropped", m.id, m.sent.Sub(at))
+	if at, dropped := ch.dropped[m.prefix]; status == http.StatusAccepted && dropped && m.sent.After(at.Add(bounds.ConfigApply())) {
+		ch.addViolation("CONFIG", "%s was accepted %v after its route was dropped", m.id, m.sent.Sub(at))
 	}
 }
 
@@ -137,18 +137,18 @@
 }
 
 // arrive notes that a request reached a service, run or not.
-func (j *Judge) arrive(service string, rate float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) recordArrival(service string, rate float64) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	now := time.Now()
 	window := time.Duration(bounds.CeilingWindowS * float64(time.Second))
-	list := append(j.arrivals[service], now)
+	list := append(ch.arrivals[service], now)
 	for now.Sub(list[0]) > window {
 		list = list[1:]
 	}
-	j.arrivals[service] = list
+	ch.arrivals[service] = list
 	if most := rate*bounds.CeilingWindowS*bounds.OriginOverage + 5; rate > 0 && float64(len(list)) > most {
-		j.breach("CEILING", "%s got %d requests in %v, at most %.0f are allowed", service, len(list), window, most)
+		ch.addViolation("CEILING", "%s got %d requests in %v, at most %.0f are allowed", service, len(list), window, most)
 	}
 }
 
@@ -159,43 +159,43 @@
 )
 
 // begin notes that a worker begins to work on a message. It returns nil for one that no client sent.
-func (j *Judge) begin(id, service, uri, key, body string) *message {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	m := j.messages[id]
+func (ch *Checker) recordStart(id, service, uri, key, body string) *message {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	m := ch.messages[id]
 	if m == nil {
-		j.breach("UNASKED", "%s ran a request %q that nobody sent", service, id)
+		ch.addViolation("UNASKED", "%s ran a request %q that nobody sent", service, id)
 		return nil
 	}
 	now := time.Now()
 	switch {
 	case service != m.service:
-		j.breach("ROUTE", "%s belongs to %s and ran at %s", id, m.service, service)
+		ch.addViolation("ROUTE", "%s belongs to %s and ran at %s", id, m.service, service)
 	case body != m.body || !strings.HasPrefix(uri, m.prefix):
-		j.breach("UNASKED", "%s ran with another body or path", id)
+		ch.addViolation("UNASKED", "%s ran with another body or path", id)
 	case key != m.key:
-		j.breach("UNASKED", "%s ran with the ordering key %q, not %q", id, key, m.key)
+		ch.addViolation("UNASKED", "%s ran with the ordering key %q, not %q", id, key, m.key)
 	case now.Before(m.sent.Add(m.delay - bounds.Earliest() - earlySlack)):
-		j.breach("ORDER", "%s begins %v before its delay is over", id, m.sent.Add(m.delay).Sub(now))
+		ch.addViolation("ORDER", "%s begins %v before its delay is over", id, m.sent.Add(m.delay).Sub(now))
 	case m.failed >= failuresOfBudget*m.maxAttempts:
-		j.breach("BUDGET", "%s runs again after it has failed %d times", id, m.failed)
+		ch.addViolation("BUDGET", "%s runs again after it has failed %d times", id, m.failed)
 	}
 	if refusal(m.status) {
-		j.breach("REFUSED", "%s was answered %d and runs", id, m.status)
+		ch.addViolation("REFUSED", "%s was answered %d and runs", id, m.status)
 	}
-	if !m.succeeded.IsZero() && j.calm(m.succeeded.Add(-bounds.Contact()), now) {
-		j.breach("TWICE", "%s runs again %v after its success", id, now.Sub(m.succeeded))
+	if !m.succeeded.IsZero() && ch.noFaultBetween(m.succeeded.Add(-bounds.Contact()), now) {
+		ch.addViolation("TWICE", "%s runs again %v after its success", id, now.Sub(m.succeeded))
 	}
-	if at, gone := j.dropped[m.prefix]; gone && now.After(at.Add(bounds.ConfigApply())) {
-		j.breach("CONFIG", "%s runs %v after its route was dropped", id, now.Sub(at))
+	if at, dropped := ch.dropped[m.prefix]; dropped && now.After(at.Add(bounds.ConfigApply())) {
+		ch.addViolation("CONFIG", "%s runs %v after its route was dropped", id, now.Sub(at))
 	}
 	if m.runs++; m.runs == 1 {
 		m.began = now
 	}
 	if m.fifo {
-		for _, other := range j.keys[m.key] {
+		for _, other := range ch.keys[m.key] {
 			if other != m && !other.accepted.IsZero() && other.accepted.Before(m.sent) && !other.ended {
-				j.breach("ORDER", "%s of key %s begins, and %s, accepted %v before it was sent, has not ended", id, m.key, other.id, m.sent.Sub(other.accepted))
+				ch.addViolation("ORDER", "%s of key %s begins, and %s, accepted %v before it was sent, has not ended", id, m.key, other.id, m.sent.Sub(other.accepted))
 			}
 		}
 	}
@@ -203,9 +203,9 @@
 }
 
 // finish notes a worker's answer.
-func (j *Judge) finish(m *message, status int, signature string, took time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) recordCompletion(m *message, status int, signature string, took time.Duration) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	switch status {
 	case http.StatusOK:
 		m.ended = true
@@ -223,39 +223,39 @@
 }
 
 // acknowledged notes that a configuration was acknowledged.
-func (j *Judge) acknowledged(o order) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, before := range j.acked {
+func (ch *Checker) recordAcknowledged(o order) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, before := range ch.acked {
 		if before == o {
 			return
 		}
 		if before.base == o.base {
-			j.breach("CONFIG", "two changes on top of version %d were acknowledged: %d and %d", o.base, before.revision, o.revision)
+			ch.addViolation("CONFIG", "two changes on top of version %d were acknowledged: %d and %d", o.base, before.revision, o.revision)
 		}
 	}
-	j.acked = append(j.acked, o)
-	j.ackedAt = append(j.ackedAt, time.Now())
+	ch.acked = append(ch.acked, o)
+	ch.configAckedAt = append(ch.configAckedAt, time.Now())
 }
 
 // read judges a configuration that was asked for during the day: whoever answers, in touch or not, knows what was acknowledged so long before.
-func (j *Judge) read(asked time.Time, revision int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for i, o := range j.acked {
-		if age := asked.Sub(j.ackedAt[i]); age > bounds.ConfigApply() && o.revision > revision {
-			j.breach("CONFIG", "version %d is read %v after version %d was acknowledged", revision, age, o.revision)
+func (ch *Checker) checkRead(asked time.Time, revision int) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for i, o := range ch.acked {
+		if age := asked.Sub(ch.configAckedAt[i]); age > bounds.ConfigApply() && o.revision > revision {
+			ch.addViolation("CONFIG", "version %d is read %v after version %d was acknowledged", revision, age, o.revision)
 			return
 		}
 	}
 }
 
 // recovered judges what was sent since all machines have been back for so long as a recovery may take: a quarter is to be accepted.
-func (j *Judge) recovered(back time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) checkRecovered(back time.Time) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	sent, accepted := 0, 0
-	for _, m := range j.messages {
+	for _, m := range ch.messages {
 		if m.sent.After(back.Add(seconds(bounds.RecoveryS))) {
 			sent++
 			if !m.accepted.IsZero() {
@@ -264,35 +264,35 @@
 		}
 	}
 	if sent == 0 || 4*accepted < sent {
-		j.breach("RECOVER", "%d of %d messages sent later than %v s after the machines were back were accepted", accepted, sent, bounds.RecoveryS)
+		ch.addViolation("RECOVER", "%d of %d messages sent later than %v s after the machines were back were accepted", accepted, sent, bounds.RecoveryS)
 	}
 }
 
 // readBack judges the configuration that the operator reads at the end; empty if none came.
-func (j *Judge) readBack(revision int, body string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if len(j.acked) == 0 {
+func (ch *Checker) checkReadBack(revision int, body string) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	if len(ch.acked) == 0 {
 		return
 	}
-	newest := slices.MaxFunc(j.acked, func(a, b order) int { return a.revision - b.revision })
+	newest := slices.MaxFunc(ch.acked, func(a, b order) int { return a.revision - b.revision })
 	switch {
 	case body == "":
-		j.breach("CONFIG", "the configuration cannot be read back")
+		ch.addViolation("CONFIG", "the configuration cannot be read back")
 	case revision < newest.revision:
-		j.breach("LOST", "version %d was acknowledged, and %d is in place", newest.revision, revision)
+		ch.addViolation("LOST", "version %d was acknowledged, and %d is in place", newest.revision, revision)
 	case revision == newest.revision && body != newest.body:
-		j.breach("CONFIG", "version %d is not what was sent under its number", revision)
+		ch.addViolation("CONFIG", "version %d is not what was sent under its number", revision)
 	}
 }
 
 // open lists the accepted messages that have not ended, and ended those that have.
-func (j *Judge) split() (open, ended []*message) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+func (ch *Checker) acceptedMessages() (open, ended []*message) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		switch {
-		case m.accepted.IsZero() || !j.dropped[m.prefix].IsZero():
+		case m.accepted.IsZero() || !ch.dropped[m.prefix].IsZero():
 		case m.ended:
 			ended = append(ended, m)
 		default:
@@ -303,27 +303,27 @@
 }
 
 // state judges what a dispatcher says of a message; status 0 stands for no answer.
-func (j *Judge) state(m *message, status int, state, signature string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) checkState(m *message, status int, state, signature string) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	switch {
 	case status != http.StatusOK:
 		if !m.ended {
-			j.breach("LOST", "%s was accepted at %v and has not ended; its state is answered %d", m.id, m.accepted.Sub(j.start), status)
+			ch.addViolation("LOST", "%s was accepted at %v and has not ended; its state is answered %d", m.id, m.accepted.Sub(ch.start), status)
 		}
 	case state == "succeeded" && !slices.Contains(m.signatures, signature):
-		j.breach("MIXED", "%s is said to have succeeded with %q, the stamps are %q", m.id, signature, m.signatures)
+		ch.addViolation("MIXED", "%s is said to have succeeded with %q, the stamps are %q", m.id, signature, m.signatures)
 	case state == "dead_letter" && !m.ended:
-		j.breach("MIXED", "%s is said to be dead and has not ended", m.id)
+		ch.addViolation("MIXED", "%s is said to be dead and has not ended", m.id)
 	}
 }
 
 // missing judges that a dispatcher says of a message that there is none.
-func (j *Judge) missing(m *message) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) checkNotFound(m *message) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	if age := time.Since(m.accepted); !m.accepted.IsZero() && age > missingAfter && age < bounds.Status() {
-		j.breach("LOST", "%s is answered not found %v after it was accepted", m.id, age)
+		ch.addViolation("LOST", "%s is answered not found %v after it was accepted", m.id, age)
 	}
 }
 
@@ -331,24 +331,24 @@
 const missingAfter = 2 * time.Second
 
 // body judges the bytes that a dispatcher gives back of a message that has not ended.
-func (j *Judge) body(m *message, status int, body string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) checkBody(m *message, status int, body string) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	switch {
 	case m.ended:
 	case status != http.StatusOK:
-		j.breach("LOST", "%s was accepted at %v and has not ended; its body is answered %d", m.id, m.accepted.Sub(j.start), status)
+		ch.addViolation("LOST", "%s was accepted at %v and has not ended; its body is answered %d", m.id, m.accepted.Sub(ch.start), status)
 	case body != m.body:
-		j.breach("MIXED", "%s comes back with other bytes", m.id)
+		ch.addViolation("MIXED", "%s comes back with other bytes", m.id)
 	}
 }
 
 // repeated lists the messages that succeeded more than once.
-func (j *Judge) repeated() []*message {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) repeatedSuccesses() []*message {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	var found []*message
-	for _, m := range j.messages {
+	for _, m := range ch.messages {
 		if len(m.signatures) > 1 {
 			found = append(found, m)
 		}
@@ -363,11 +363,11 @@
 }
 
 // Figures counts what happened so far.
-func (j *Judge) Figures() Figures {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	f := Figures{Troubles: slices.Clone(j.troubled), RefusedOrLate: slices.Clone(j.refusedOrLate)}
-	for _, m := range j.messages {
+func (ch *Checker) Figures() Figures {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	f := Figures{Troubles: slices.Clone(ch.faultLog), RefusedOrLate: slices.Clone(ch.refusedOrLate)}
+	for _, m := range ch.messages {
 		f.Sent++
 		f.Runs += m.runs
 		f.Repeats += max(0, len(m.signatures)-1)
--- a/sim/system/lastdisk_test.go
+++ b/sim/system/lastdisk_test.go
@@ -23,7 +23,7 @@
 // other: what was acknowledged before is on the first disk, what was acknowledged since on the third.
 func TestLastMembersDiskIsLost(t *testing.T) {
 	playSecondLosses(t, 60, func(w *World, lose func() error) error {
-		first := w.Of(protocol.RoleStore)[0]
+		first := w.ByRole(protocol.RoleStore)[0]
 		failed := errors.Join(first.LosePower(), lose())
 		time.Sleep(time.Second)
 		return errors.Join(failed, first.Start())
@@ -34,9 +34,9 @@
 // to drop its records before there are enough copies elsewhere.
 func TestDiskIsLostBesideAStoreThatIsApart(t *testing.T) {
 	playSecondLosses(t, 70, func(w *World, lose func() error) error {
-		stores := w.Of(protocol.RoleStore)
+		stores := w.ByRole(protocol.RoleStore)
 		w.eachPair(stores[:1], stores[1:2], func(a, b string) {
-			w.Judge.trouble("cut between " + a + " and " + b)
+			w.Checker.recordFault("cut between " + a + " and " + b)
 			w.Net.Cut(a, b, false)
 			w.Net.Cut(b, a, false)
 		})
@@ -58,16 +58,16 @@
 			core, logs := observer.New(zap.WarnLevel)
 			play(t, Options{Seed: seed + uint64(i), Stores: 3, Logger: zap.New(core)}, func(t *testing.T, w *World) {
 				is := is.NewRelaxed(t)
-				during(w, 16*time.Second, func() {
+				runWithFaults(w, 16*time.Second, func() {
 					is.NoErr(first(w, func() error {
-						w.awaitShort(5 * time.Second)
+						w.awaitUnderReplicated(5 * time.Second)
 						time.Sleep(wait)
-						return w.emptyDisk(w.Of(protocol.RoleStore)[1])
+						return w.restartWithEmptyDisk(w.ByRole(protocol.RoleStore)[1])
 					}))
 					time.Sleep(bounds.Contact())
-					is.True(w.whole(w.Net.Host(operatorIP)))
+					is.True(w.fullyReplicated(w.Net.Host(operatorIP)))
 				})
-				is.Equal(w.Judge.Figures().Open, 0)
+				is.Equal(w.Checker.Figures().Open, 0)
 			})
 			merges += logs.FilterMessage(mergedMessage).Len()
 		})
--- a/sim/system/lostpush_test.go
+++ b/sim/system/lostpush_test.go
@@ -27,17 +27,17 @@
 	)
 	stores := map[string]bool{"10.0.1.2": true, "10.0.2.2": true}
 	o := Options{Seed: 22}
-	o.Net.Lose = func(from, to string, datagram []byte) bool {
+	o.Net.DropDatagram = func(from, to string, datagram []byte) bool {
 		return to == missed && (itemsDatagram(datagram) || !stores[from])
 	}
 	play(t, o, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		var back time.Time
-		during(w, 11*time.Second, func() {
-			is.NoErr(backAfter(2*time.Second, (*Process).Kill, w.Of(protocol.RoleStore)[1]))
+		runWithFaults(w, 11*time.Second, func() {
+			is.NoErr(backAfter(2*time.Second, (*Process).Kill, w.ByRole(protocol.RoleStore)[1]))
 			back = time.Now()
 		})
-		slowest := w.Judge.slowestAccept(back)
+		slowest := w.Checker.slowestAccept(back)
 		t.Logf("slowest 202 after the store was back: %v", slowest)
 		is.True(slowest < ordinaryAccept)
 	})
--- a/sim/system/operator.go
+++ b/sim/system/operator.go
@@ -56,10 +56,10 @@
 	world   *World
 	client  *http.Client
 	History History
-	// LoseAnswer, if set, tells of each answer to an order whether it is lost on its way. It is called from many goroutines.
-	LoseAnswer func() bool
-	mu         sync.Mutex
-	newest     Document // acknowledged
+	// LoseResponse, if set, tells of each answer to an order whether it is lost on its way. It is called from many goroutines.
+	LoseResponse func() bool
+	mu           sync.Mutex
+	newest       Document // acknowledged
 }
 
 func newOperator(w *World) *Operator {
@@ -115,18 +115,18 @@
 	}
 	began := time.Now()
 	defer func() {
-		o.History.order(began, orderCall{base: base, revision: d.Revision, body: string(body)}, orderAnswer{status: status})
+		o.History.order(began, orderCall{base: base, revision: d.Revision, body: string(body)}, orderResponse{status: status})
 	}()
-	o.world.Judge.orderSent()
+	o.world.Checker.recordConfigurationSent()
 	limit := began.Add(within)
 	pause := 50 * time.Millisecond
 	for i := 0; time.Now().Before(limit); i++ {
-		controls := o.world.Of(protocol.RoleControl)
-		address := at(controls[(d.Revision+i)%len(controls)].IP, controlPort)
+		controls := o.world.ByRole(protocol.RoleControl)
+		address := hostPort(controls[(d.Revision+i)%len(controls)].IP, controlPort)
 		status, _ = o.order(address, base, body)
 		switch {
 		case status == http.StatusOK:
-			o.world.Judge.acknowledged(order{base: base, revision: d.Revision, body: string(body)})
+			o.world.Checker.recordAcknowledged(order{base: base, revision: d.Revision, body: string(body)})
 			o.mu.Lock()
 			if d.Revision > o.newest.Revision {
 				o.newest = d
@@ -154,30 +154,30 @@
 		return 0, err
 	}
 	defer response.Body.Close()
-	if o.LoseAnswer != nil && o.LoseAnswer() {
-		return 0, errAnswerLost
+	if o.LoseResponse != nil && o.LoseResponse() {
+		return 0, errResponseLost
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	return response.StatusCode, err
 }
 
-var errAnswerLost = errors.New("the answer was lost on its way")
+var errResponseLost = errors.New("the answer was lost on its way")
 
 // ReadBack asks for the configuration until it comes or time is up, and has it judged.
 func (o *Operator) ReadBack(within time.Duration) {
 	limit := time.Now().Add(within)
 	for i := 0; time.Now().Before(limit); i++ {
-		controls := o.world.Of(protocol.RoleControl)
-		body, err := o.describe(at(controls[i%len(controls)].IP, controlPort))
+		controls := o.world.ByRole(protocol.RoleControl)
+		body, err := o.describe(hostPort(controls[i%len(controls)].IP, controlPort))
 		if err == nil {
 			if revision, again, ok := o.decode(body); ok {
-				o.world.Judge.readBack(revision, again)
+				o.world.Checker.checkReadBack(revision, again)
 			}
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	o.world.Judge.readBack(0, "")
+	o.world.Checker.checkReadBack(0, "")
 }
 
 // Read asks one control process for the configuration, once, and notes what it answers.
@@ -188,8 +188,8 @@
 		return
 	}
 	if revision, again, ok := o.decode(body); ok {
-		o.History.read(began, readAnswer{revision: revision, body: again})
-		o.world.Judge.read(began, revision)
+		o.History.read(began, readResponse{revision: revision, body: again})
+		o.world.Checker.checkRead(began, revision)
 	}
 }
 
@@ -197,7 +197,7 @@
 func (o *Operator) decode(body []byte) (revision int, again string, ok bool) {
 	var d Document
 	if err := json.Unmarshal(body, &d); err != nil {
-		o.world.Judge.broken("CONFIG", "what is read back cannot be read: %v", err)
+		o.world.Checker.reportViolation("CONFIG", "what is read back cannot be read: %v", err)
 		return 0, "", false
 	}
 	written, _ := json.Marshal(d)
@@ -224,10 +224,10 @@
 
 // Drop notes that the newest acknowledged configuration no longer has a route.
 func (o *Operator) Drop(prefix string) {
-	j := o.world.Judge
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.dropped[prefix] = time.Now()
+	ch := o.world.Checker
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	ch.dropped[prefix] = time.Now()
 }
 
 func splitAddress(address string) (host, port string, err error) { return net.SplitHostPort(address) }
--- a/sim/system/platform.go
+++ b/sim/system/platform.go
@@ -37,7 +37,7 @@
 	service              Service
 	slots                chan struct{}
 	draining             time.Time // when the list showed it
-	gone                 bool
+	removed              bool
 	count                int
 }
 
@@ -78,7 +78,7 @@
 		p.mu.Lock()
 		n := len(p.workers) + 1
 		w := &Worker{
-			ID: fmt.Sprintf("i-%s-%d", s.Name, i+1), Service: s.Name, Address: at(fmt.Sprintf("10.8.%d.%d", n/250, n%250+1), 8080), platform: p,
+			ID: fmt.Sprintf("i-%s-%d", s.Name, i+1), Service: s.Name, Address: hostPort(fmt.Sprintf("10.8.%d.%d", n/250, n%250+1), 8080), platform: p,
 			service: s, slots: make(chan struct{}, workerCapacity),
 		}
 		p.workers = append(p.workers, w)
@@ -134,7 +134,7 @@
 		NextPageToken *string
 	}{Instances: []instance{}}
 	for i, worker := range p.workers {
-		if worker.service.Rate > 0 || worker.gone {
+		if worker.service.Rate > 0 || worker.removed {
 			continue
 		}
 		state := "ready"
@@ -161,13 +161,13 @@
 	if err != nil {
 		return
 	}
-	judge := w.platform.world.Judge
-	judge.arrive(w.Service, w.service.Rate)
+	checker := w.platform.world.Checker
+	checker.recordArrival(w.Service, w.service.Rate)
 	if expected := r.Header.Get("X-Expect-Instance"); expected != "" && expected != w.ID {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.judgeDrain(id)
+	w.checkDrain(id)
 	select {
 	case w.slots <- struct{}{}:
 		defer func() { <-w.slots }()
@@ -177,12 +177,12 @@
 		return
 	}
 	begin := time.Now()
-	m := judge.begin(id, w.Service, r.RequestURI, r.Header.Get("X-Ordering-Key"), string(body))
+	m := checker.recordStart(id, w.Service, r.RequestURI, r.Header.Get("X-Ordering-Key"), string(body))
 	if m == nil {
 		return
 	}
 	run := w.service.Run/2 + time.Duration(hash(id)%uint64(w.service.Run+1))
-	if !w.work(r, run) {
+	if !w.simulateRun(r, run) {
 		return // nobody waits any more: the work is dropped
 	}
 	status, count := w.outcome()
@@ -192,27 +192,27 @@
 	}
 	rw.WriteHeader(status)
 	_, _ = io.WriteString(rw, "done "+id)
-	judge.finish(m, status, signature, time.Since(begin))
+	checker.recordCompletion(m, status, signature, time.Since(begin))
 }
 
-func (w *Worker) judgeDrain(id string) {
+func (w *Worker) checkDrain(id string) {
 	w.platform.mu.Lock()
 	draining := w.draining
 	w.platform.mu.Unlock()
-	j := w.platform.world.Judge
+	ch := w.platform.world.Checker
 	now := time.Now()
 	if draining.IsZero() || now.Sub(draining) <= bounds.Drain() {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.calm(draining.Add(-bounds.Contact()), now) {
-		j.breach("DRAIN", "%s got %s %v after the list showed it draining", w.ID, id, now.Sub(draining))
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	if ch.noFaultBetween(draining.Add(-bounds.Contact()), now) {
+		ch.addViolation("DRAIN", "%s got %s %v after the list showed it draining", w.ID, id, now.Sub(draining))
 	}
 }
 
 // work takes its time; it is false if the connection ends meanwhile.
-func (w *Worker) work(r *http.Request, run time.Duration) bool {
+func (w *Worker) simulateRun(r *http.Request, run time.Duration) bool {
 	timer := time.NewTimer(run)
 	defer timer.Stop()
 	select {
--- a/sim/system/recovery.go
+++ b/sim/system/recovery.go
@@ -19,9 +19,9 @@
 
 // What clients take for usual.
 const (
-	acceptWithin  = 100 * time.Millisecond
-	deliverWithin = 500 * time.Millisecond
-	wholePoll     = 20 * time.Millisecond
+	acceptWithin    = 100 * time.Millisecond
+	deliverWithin   = 500 * time.Millisecond
+	replicationPoll = 20 * time.Millisecond
 )
 
 // MeasureRecovery has a loss happen beside traffic, and measures what clients and the table of partitions show for a span after it.
@@ -31,11 +31,11 @@
 	traffic(func() {
 		begin = time.Now()
 		polled := make(chan time.Time)
-		w.running.Go(func() { polled <- w.lastNotWhole(begin.Add(span)) })
+		w.running.Go(func() { polled <- w.lastUnderReplicated(begin.Add(span)) })
 		err = loss()
 		whole = <-polled
 	})
-	r = w.Judge.recovery(begin, begin.Add(span))
+	r = w.Checker.measureRecovery(begin, begin.Add(span))
 	r.Loss = name
 	if !whole.IsZero() {
 		r.Whole = whole.Sub(begin).Seconds()
@@ -43,25 +43,25 @@
 	return r, err
 }
 
-// lastNotWhole asks control until a time, and returns the last moment at which copies were missing, or nobody could tell.
-func (w *World) lastNotWhole(until time.Time) (last time.Time) {
+// lastUnderReplicated asks control until a time, and returns the last moment at which copies were missing, or nobody could tell.
+func (w *World) lastUnderReplicated(until time.Time) (last time.Time) {
 	host := w.Net.Host(operatorIP)
 	for time.Now().Before(until) {
-		if !w.whole(host) {
+		if !w.fullyReplicated(host) {
 			last = time.Now()
 		}
-		time.Sleep(wholePoll)
+		time.Sleep(replicationPoll)
 	}
 	return last
 }
 
 // whole tells whether the active primary's table has all copies.
-func (w *World) whole(host *virtualnet.Host) bool {
-	for _, p := range w.Of(protocol.RoleControl) {
+func (w *World) fullyReplicated(host *virtualnet.Host) bool {
+	for _, p := range w.ByRole(protocol.RoleControl) {
 		if !p.Up() {
 			continue
 		}
-		status, body := w.get(host, "http://"+at(p.IP, controlPort)+"/status")
+		status, body := w.get(host, "http://"+hostPort(p.IP, controlPort)+"/status")
 		var page struct {
 			Active     bool
 			Partitions struct{ Count, Short int }
@@ -75,10 +75,10 @@
 }
 
 // recovery looks at the messages that were sent in a span.
-func (j *Judge) recovery(from, to time.Time) (r Recovery) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+func (ch *Checker) measureRecovery(from, to time.Time) (r Recovery) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		if m.sent.Before(from) || m.sent.After(to) {
 			continue
 		}
@@ -94,19 +94,19 @@
 	return r
 }
 
-// awaitShort waits until the active primary's table lacks copies.
-func (w *World) awaitShort(within time.Duration) {
+// awaitUnderReplicated waits until the active primary's table lacks copies.
+func (w *World) awaitUnderReplicated(within time.Duration) {
 	host := w.Net.Host(operatorIP)
-	for limit := time.Now().Add(within); time.Now().Before(limit) && w.whole(host); {
-		time.Sleep(wholePoll / 2)
+	for limit := time.Now().Add(within); time.Now().Before(limit) && w.fullyReplicated(host); {
+		time.Sleep(replicationPoll / 2)
 	}
 }
 
 // slowestAccept is the longest time to the 202 of a message that was sent after a moment.
-func (j *Judge) slowestAccept(after time.Time) (slowest time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+func (ch *Checker) slowestAccept(after time.Time) (slowest time.Duration) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		if m.sent.After(after) && !m.accepted.IsZero() {
 			slowest = max(slowest, m.accepted.Sub(m.sent))
 		}
--- a/sim/system/recovery_test.go
+++ b/sim/system/recovery_test.go
@@ -24,10 +24,10 @@
 		return backAfter(3*time.Second, (*Process).Kill, w.controlPrimary())
 	}},
 	{"store killed, back after 3 s", 300 * time.Millisecond, 1500 * time.Millisecond, 5 * time.Second, func(w *World) error {
-		return backAfter(3*time.Second, (*Process).Kill, w.Of(protocol.RoleStore)[0])
+		return backAfter(3*time.Second, (*Process).Kill, w.ByRole(protocol.RoleStore)[0])
 	}},
 	{"store without power for 3 s", 700 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second, func(w *World) error {
-		return backAfter(3*time.Second, (*Process).LosePower, w.Of(protocol.RoleStore)[1])
+		return backAfter(3*time.Second, (*Process).LosePower, w.ByRole(protocol.RoleStore)[1])
 	}},
 	{"store back after 1 s with an empty disk", 700 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second, func(w *World) error {
 		lose := func(p *Process) error {
@@ -35,7 +35,7 @@
 			p.Wipe()
 			return err
 		}
-		return backAfter(time.Second, lose, w.Of(protocol.RoleStore)[2])
+		return backAfter(time.Second, lose, w.ByRole(protocol.RoleStore)[2])
 	}},
 	{"all machines of a zone without power for 3 s", 3200 * time.Millisecond, // until its own dispatcher is ready again
 		3 * time.Second, 5 * time.Second, func(w *World) error {
@@ -73,7 +73,7 @@
 		t.Run(loss.name, func(t *testing.T) {
 			play(t, Options{Seed: uint64(20 + i)}, func(t *testing.T, w *World) {
 				is := is.NewRelaxed(t)
-				beside := func(lose func()) { during(w, recoverySpan+3*time.Second, lose) }
+				beside := func(lose func()) { runWithFaults(w, recoverySpan+3*time.Second, lose) }
 				r, err := w.MeasureRecovery(loss.name, recoverySpan, beside, func() error { return loss.lose(w) })
 				is.NoErr(err)
 				line, err := json.Marshal(r)
--- a/sim/system/regress.go
+++ b/sim/system/regress.go
@@ -12,8 +12,8 @@
 // CONFIG judges that no incarnation of a dispatcher goes back behind a version whose effect was seen. In a history of configurations that each add a
 // route of their own, and drop none, a dispatcher that has taken a message for a route has that version, and has no 404 for it any more.
 
-// versionSeen is a version that an incarnation of a dispatcher was seen to have.
-type versionSeen struct {
+// observedVersion is a version that an incarnation of a dispatcher was seen to have.
+type observedVersion struct {
 	dispatcher  string
 	incarnation int
 	revision    int
@@ -25,22 +25,22 @@
 }
 
 // probed judges the answer of a dispatcher to a message for the route of a revision, which was sent at a time.
-func (j *Judge) probed(seen versionSeen, sent time.Time, status int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (ch *Checker) checkProbe(seen observedVersion, sent time.Time, status int) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
 	switch status {
 	case http.StatusAccepted:
-		if j.versions == nil {
-			j.versions = map[versionSeen]time.Time{}
+		if ch.versions == nil {
+			ch.versions = map[observedVersion]time.Time{}
 		}
-		if _, known := j.versions[seen]; !known {
-			j.versions[seen] = time.Now()
+		if _, known := ch.versions[seen]; !known {
+			ch.versions[seen] = time.Now()
 		}
 	case http.StatusNotFound:
 		slack := time.Duration(bounds.RollbackSlackMs * float64(time.Millisecond))
-		for known, at := range j.versions {
+		for known, at := range ch.versions {
 			if known.dispatcher == seen.dispatcher && known.incarnation == seen.incarnation && known.revision >= seen.revision && sent.After(at.Add(slack)) {
-				j.breach("CONFIG", "%s#%d goes back: it had version %d, and %v later it does not know the route of version %d",
+				ch.addViolation("CONFIG", "%s#%d goes back: it had version %d, and %v later it does not know the route of version %d",
 					seen.dispatcher, seen.incarnation, known.revision, sent.Sub(at), seen.revision)
 				return
 			}
@@ -53,9 +53,9 @@
 func (w *World) probeVersions(base int, newest func() int, every time.Duration, end <-chan struct{}) {
 	host := w.Net.Host(clientIP)
 	for n := 0; ; n++ {
-		for _, p := range w.Of(protocol.RoleDispatcher) {
+		for _, p := range w.ByRole(protocol.RoleDispatcher) {
 			for revision := newest(); revision > max(base, newest()-3); revision-- {
-				seen := versionSeen{dispatcher: p.Name, incarnation: int(p.incarnation.Load()), revision: revision}
+				seen := observedVersion{dispatcher: p.Name, incarnation: int(p.incarnation.Load()), revision: revision}
 				if !p.Up() {
 					continue
 				}
@@ -71,7 +71,7 @@
 }
 
 // probe sends one message for the route of a revision.
-func (w *World) probe(host *virtualnet.Host, p *Process, seen versionSeen, n int) {
+func (w *World) probe(host *virtualnet.Host, p *Process, seen observedVersion, n int) {
 	route := versionRoute(seen.revision)
 	m := &message{
 		id: fmt.Sprintf("probe-%s-%d-%d-%d", p.Name, seen.incarnation, seen.revision, n), service: route.Backend, prefix: route.PathPrefix,
@@ -79,8 +79,8 @@
 	}
 	m.body = m.id
 	sent := time.Now()
-	response := w.hand(host, p, m, http.Header{})
+	response := w.submit(host, p, m, http.Header{})
 	if response != nil && int(p.incarnation.Load()) == seen.incarnation {
-		w.Judge.probed(seen, sent, response.StatusCode)
+		w.Checker.checkProbe(seen, sent, response.StatusCode)
 	}
 }
--- a/sim/system/regress_test.go
+++ b/sim/system/regress_test.go
@@ -25,15 +25,15 @@
 		w.running.Go(func() {
 			defer close(faults)
 			first := w.controlPrimary()
-			w.CutOff(first.IP, true)
+			w.SetIsolated(first.IP, true)
 			time.Sleep(2 * time.Second)
-			w.CutOff(first.IP, false)
+			w.SetIsolated(first.IP, false)
 			time.Sleep(2 * time.Second)
 			is.NoErr(w.controlPrimary().Kill())
-			is.NoErr(startEach(w.Of(protocol.RoleControl)))
+			is.NoErr(startEach(w.ByRole(protocol.RoleControl)))
 			time.Sleep(2 * time.Second)
-			is.NoErr(w.emptyDisk(w.controlPrimary()))
-			is.NoErr(w.Of(protocol.RoleDispatcher)[0].Restart(200 * time.Millisecond))
+			is.NoErr(w.restartWithEmptyDisk(w.controlPrimary()))
+			is.NoErr(w.ByRole(protocol.RoleDispatcher)[0].Restart(200 * time.Millisecond))
 		})
 		for range 25 {
 			routes = append(routes, versionRoute(revision+1))
@@ -47,7 +47,7 @@
 		<-faults
 		close(end)
 		time.Sleep(bounds.Contact())
-		is.True(len(w.Judge.versions) > 60) // three dispatchers, 25 versions: most were seen
+		is.True(len(w.Checker.versions) > 60) // three dispatchers, 25 versions: most were seen
 	})
 }
 
@@ -55,20 +55,20 @@
 // what it was asked before, does not.
 func TestJudgeSeesAVersionGoBack(t *testing.T) {
 	is := is.New(t)
-	j := newJudge()
+	ch := newChecker()
 	now := time.Now()
-	seen := versionSeen{dispatcher: "edge-1", incarnation: 1, revision: 7}
-	j.probed(seen, now, http.StatusNotFound) // not yet
-	j.probed(seen, now, http.StatusAccepted)
+	seen := observedVersion{dispatcher: "edge-1", incarnation: 1, revision: 7}
+	ch.checkProbe(seen, now, http.StatusNotFound) // not yet
+	ch.checkProbe(seen, now, http.StatusAccepted)
 	later := now.Add(time.Second)
-	j.probed(versionSeen{"edge-1", 2, 7}, later, http.StatusNotFound)
-	j.probed(versionSeen{"edge-2", 1, 7}, later, http.StatusNotFound)
-	j.probed(versionSeen{"edge-1", 1, 8}, later, http.StatusNotFound)
-	j.probed(seen, now, http.StatusNotFound) // sent before
-	is.Equal(len(j.Breaches()), 0)
-	j.probed(versionSeen{"edge-1", 1, 6}, later, http.StatusNotFound) // the routes of earlier versions stay
-	is.Equal(len(j.Breaches()), 1)
-	is.Equal(j.Breaches()[0].Rule, "CONFIG")
+	ch.checkProbe(observedVersion{"edge-1", 2, 7}, later, http.StatusNotFound)
+	ch.checkProbe(observedVersion{"edge-2", 1, 7}, later, http.StatusNotFound)
+	ch.checkProbe(observedVersion{"edge-1", 1, 8}, later, http.StatusNotFound)
+	ch.checkProbe(seen, now, http.StatusNotFound) // sent before
+	is.Equal(len(ch.Violations()), 0)
+	ch.checkProbe(observedVersion{"edge-1", 1, 6}, later, http.StatusNotFound) // the routes of earlier versions stay
+	is.Equal(len(ch.Violations()), 1)
+	is.Equal(ch.Violations()[0].Rule, "CONFIG")
 }
 
 // TestJudgeSeesARequestCutByAPlannedEnd plays the cases of LOST around planned work.
@@ -85,21 +85,21 @@
 		"held and cut":                {"edge-1", slack + time.Millisecond, time.Second, false, true},
 		"cut at once":                 {"edge-1", slack, time.Second, false, false},
 		"by another dispatcher":       {"edge-2", time.Second, time.Second, false, false},
-		"long after the end":          {"edge-1", time.Second, bounds.Grace() + plannedAfter, false, false},
+		"long after the end":          {"edge-1", time.Second, bounds.Grace() + shutdownSlack, false, false},
 		"before the SIGTERM":          {"edge-1", time.Second, -time.Millisecond, false, false},
 		"beside an unplanned trouble": {"edge-1", time.Second, time.Second, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			j := newJudge()
-			j.ends = []plannedEnd{{"edge-1", start}}
+			ch := newChecker()
+			ch.shutdowns = []plannedShutdown{{"edge-1", start}}
 			if c.trouble {
-				j.troubles = []time.Time{start}
+				ch.faultTimes = []time.Time{start}
 			}
 			at := start.Add(c.after)
-			j.tried(cut{id: "m", dispatcher: c.dispatcher, sent: at.Add(-c.held - time.Millisecond), wrote: at.Add(-c.held), at: at}, true)
-			j.judgeCuts()
-			is.Equal(len(j.Breaches()) == 1, c.lost)
+			ch.recordAttempt(abortedRequest{id: "m", dispatcher: c.dispatcher, sent: at.Add(-c.held - time.Millisecond), wrote: at.Add(-c.held), at: at}, true)
+			ch.checkAborted()
+			is.Equal(len(ch.Violations()) == 1, c.lost)
 		})
 	}
 }
@@ -115,22 +115,22 @@
 	}{
 		"none otherwise":     {0, time.Second, 2},
 		"as often otherwise": {2, time.Second, 0},
-		"late":               {0, clientPatience * spentShare / 10, 0},
+		"late":               {0, clientTimeout * lateShareTenths / 10, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			j := newJudge()
-			j.sentAt, j.ackedAt = []time.Time{start}, []time.Time{start}
-			one := func(at time.Time, cutOff bool) {
-				j.tried(cut{id: "m", dispatcher: "edge-1", sent: at.Add(-c.held), wrote: at.Add(-c.held), at: at}, cutOff)
+			ch := newChecker()
+			ch.configSentAt, ch.configAckedAt = []time.Time{start}, []time.Time{start}
+			one := func(at time.Time, aborted bool) {
+				ch.recordAttempt(abortedRequest{id: "m", dispatcher: "edge-1", sent: at.Add(-c.held), wrote: at.Add(-c.held), at: at}, aborted)
 			}
 			far := start.Add(time.Hour)
 			for n := range 10 {
 				one(start.Add(2*time.Second), n < 2)
 				one(far, n < c.otherCuts)
 			}
-			j.judgeCuts()
-			is.Equal(len(j.Breaches()), c.lost)
+			ch.checkAborted()
+			is.Equal(len(ch.Violations()), c.lost)
 		})
 	}
 }
--- a/sim/system/storefaults_test.go
+++ b/sim/system/storefaults_test.go
@@ -23,14 +23,14 @@
 func playStoreFault(t *testing.T, o Options, f fault) {
 	play(t, o, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		during(w, 14*time.Second, func() {
+		runWithFaults(w, 14*time.Second, func() {
 			is.NoErr(f.play(w, rand.New(rand.NewPCG(o.Seed, hash(f.name)))))
 			back := time.Now()
-			is.True(w.awaitWhole(bounds.Contact())) // in time
+			is.True(w.awaitFullyReplicated(bounds.Contact())) // in time
 			time.Sleep(seconds(bounds.RecoveryS) - time.Since(back))
 			w.Send(Traffic{Route: plainRoute, Every: 40 * time.Millisecond}, 2*time.Second, "after")
-			w.Judge.recovered(back)
+			w.Checker.checkRecovered(back)
 		})
-		is.Equal(w.Judge.Figures().Open, 0)
+		is.Equal(w.Checker.Figures().Open, 0)
 	})
 }
--- a/sim/system/system_test.go
+++ b/sim/system/system_test.go
@@ -36,14 +36,14 @@
 		}
 		defer w.Close()
 		prepare(w)
-		if err := begin(w); err != nil {
+		if err := startConfigured(w); err != nil {
 			t.Fatal(err)
 		}
 		during(t, w)
 		w.Operator.ReadBack(15 * time.Second)
 		w.Check(100)
-		t.Logf("%+v, %d bytes", w.Judge.Figures(), w.Net.Bytes())
-		for _, b := range w.Judge.Breaches() {
+		t.Logf("%+v, %d bytes", w.Checker.Figures(), w.Net.Bytes())
+		for _, b := range w.Checker.Violations() {
 			t.Errorf("%s at %v: %s", b.Rule, b.At, b.Text)
 		}
 	})
@@ -53,7 +53,7 @@
 	play(t, Options{Seed: 1}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		traffic(w, 20*time.Second)
-		f := w.Judge.Figures()
+		f := w.Checker.Figures()
 		is.True(f.Accepted > 500)
 		is.Equal(f.Open, 0)    // all that was accepted has ended
 		is.Equal(f.Repeats, 0) // and ran to success once
@@ -74,13 +74,13 @@
 	for _, role := range []protocol.Role{protocol.RoleDispatcher, protocol.RoleControl, protocol.RoleStore} {
 		t.Run(role.String(), func(t *testing.T) {
 			play(t, Options{Seed: 2}, func(t *testing.T, w *World) {
-				during(w, 12*time.Second, func() {
-					for _, p := range w.Of(role) {
+				runWithFaults(w, 12*time.Second, func() {
+					for _, p := range w.ByRole(role) {
 						kill(t, p, time.Second)
 						time.Sleep(4 * time.Second) // the copies are whole again
 					}
 				})
-				is.New(t).Equal(w.Judge.Figures().Open, 0)
+				is.New(t).Equal(w.Checker.Figures().Open, 0)
 			})
 		})
 	}
@@ -89,13 +89,13 @@
 func TestStoreLostForGood(t *testing.T) {
 	play(t, Options{Seed: 3, Stores: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		stores := w.Of(protocol.RoleStore)
-		during(w, 12*time.Second, func() {
+		stores := w.ByRole(protocol.RoleStore)
+		runWithFaults(w, 12*time.Second, func() {
 			is.NoErr(stores[0].LosePower())
 			time.Sleep(bounds.Contact() + 2*time.Second)
 			is.NoErr(stores[1].LosePower()) // what the first one held has its copies again
 		})
-		is.Equal(w.Judge.Figures().Open, 0)
+		is.Equal(w.Checker.Figures().Open, 0)
 	})
 }
 
@@ -103,8 +103,8 @@
 	for i := range 3 {
 		t.Run(fmt.Sprint("cut off ", i+1), func(t *testing.T) {
 			play(t, Options{Seed: 4}, func(t *testing.T, w *World) {
-				during(w, 8*time.Second, func() {
-					w.CutOff(w.Of(protocol.RoleControl)[i].IP, true)
+				runWithFaults(w, 8*time.Second, func() {
+					w.SetIsolated(w.ByRole(protocol.RoleControl)[i].IP, true)
 					results := make(chan int)
 					for revision := 6; revision <= 7; revision++ {
 						d := w.Operator.Document(revision, fifoRoute, plainRoute, pacedRoute)
@@ -121,7 +121,7 @@
 					}
 					is.New(t).Equal(won, 1) // exactly one; the judge sees to it that it is the one in force
 					time.Sleep(time.Second)
-					w.CutOff(w.Of(protocol.RoleControl)[i].IP, false)
+					w.SetIsolated(w.ByRole(protocol.RoleControl)[i].IP, false)
 				})
 			})
 		})
@@ -139,7 +139,7 @@
 					time.Sleep(4 * time.Second)
 				}
 				time.Sleep(8 * time.Second)
-				f := w.Judge.Figures()
+				f := w.Checker.Figures()
 				is.True(f.Accepted > 0)
 				is.Equal(f.Open, 0)
 			})
@@ -166,8 +166,8 @@
 func TestRolledRestartOfStores(t *testing.T) {
 	play(t, Options{Seed: 5}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		during(w, 16*time.Second, func() {
-			for _, p := range w.Of(protocol.RoleStore) {
+		runWithFaults(w, 16*time.Second, func() {
+			for _, p := range w.ByRole(protocol.RoleStore) {
 				took, killed, err := p.Terminate()
 				is.NoErr(err)
 				is.True(!killed) // within GraceS
@@ -177,7 +177,7 @@
 				time.Sleep(bounds.Contact())
 			}
 		})
-		f := w.Judge.Figures()
+		f := w.Checker.Figures()
 		is.Equal(f.Open, 0)
 		is.Equal(f.Repeats, 0) // a planned end excuses nothing
 	})
@@ -186,13 +186,13 @@
 func TestRolledRestartOfDispatchers(t *testing.T) {
 	play(t, Options{Seed: 6}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		during(w, 16*time.Second, func() {
-			for _, p := range w.Of(protocol.RoleDispatcher) {
+		runWithFaults(w, 16*time.Second, func() {
+			for _, p := range w.ByRole(protocol.RoleDispatcher) {
 				is.NoErr(p.Restart(500 * time.Millisecond))
 				time.Sleep(time.Second)
 			}
 		})
-		f := w.Judge.Figures()
+		f := w.Checker.Figures()
 		is.Equal(f.Open, 0)
 		is.Equal(f.Repeats, 0)
 	})
@@ -201,7 +201,7 @@
 func TestDrainAndDroppedRoute(t *testing.T) {
 	play(t, Options{Seed: 7}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		during(w, 12*time.Second, func() {
+		runWithFaults(w, 12*time.Second, func() {
 			w.Platform.Drain(w.Platform.Workers("svc-b")[0])
 			w.Platform.Drain(w.Platform.Workers("svc-a")[1])
 			time.Sleep(time.Second)
@@ -217,17 +217,17 @@
 // act as a primary any more, although it cannot know of its successors.
 func TestStoreThatOnlyDispatchersReach(t *testing.T) {
 	play(t, Options{Seed: 8, Edges: 6}, func(t *testing.T, w *World) {
-		store := w.Of(protocol.RoleStore)[0]
-		others := append(w.Of(protocol.RoleStore)[1:], w.Of(protocol.RoleControl)...)
-		during(w, 14*time.Second, func() {
+		store := w.ByRole(protocol.RoleStore)[0]
+		others := append(w.ByRole(protocol.RoleStore)[1:], w.ByRole(protocol.RoleControl)...)
+		runWithFaults(w, 14*time.Second, func() {
 			for range 2 {
-				w.Judge.trouble("cut off from control and stores " + store.Name)
+				w.Checker.recordFault("cut off from control and stores " + store.Name)
 				for _, other := range others {
 					w.Net.Cut(store.IP, other.IP, false)
 					w.Net.Cut(other.IP, store.IP, false)
 				}
 				time.Sleep(3 * time.Second)
-				w.Judge.trouble("joined " + store.Name)
+				w.Checker.recordFault("joined " + store.Name)
 				for _, other := range others {
 					w.Net.Heal(store.IP, other.IP)
 					w.Net.Heal(other.IP, store.IP)
@@ -235,7 +235,7 @@
 				time.Sleep(bounds.Contact())
 			}
 		})
-		f := w.Judge.Figures()
+		f := w.Checker.Figures()
 		is := is.NewRelaxed(t)
 		is.Equal(f.Open, 0)
 		is.Equal(f.Repeats, 0) // the rule excuses these, the leases prevent them
@@ -246,7 +246,7 @@
 // successors, on the other side, hand them out; without leases both would.
 func TestStoreAloneWithADispatcher(t *testing.T) {
 	play(t, Options{Seed: 11, Edges: 4}, func(t *testing.T, w *World) {
-		store, alone := w.Of(protocol.RoleStore)[0].IP, w.Of(protocol.RoleDispatcher)[3].IP
+		store, alone := w.ByRole(protocol.RoleStore)[0].IP, w.ByRole(protocol.RoleDispatcher)[3].IP
 		cut := func(change func(from, to string)) {
 			for _, p := range w.Processes {
 				for _, side := range []string{store, alone} {
@@ -260,20 +260,20 @@
 		cutAt := time.Now().Add(3 * time.Second)
 		w.running.Go(func() {
 			time.Sleep(time.Until(cutAt))
-			w.Judge.trouble("cut off " + store + " and " + alone)
+			w.Checker.recordFault("cut off " + store + " and " + alone)
 			cut(func(from, to string) { w.Net.Cut(from, to, false) })
 			time.Sleep(5 * time.Second)
-			w.Judge.trouble("joined")
+			w.Checker.recordFault("joined")
 			cut(w.Net.Heal)
 		})
 		w.Send(Traffic{Route: plainRoute, Every: 8 * time.Millisecond, Delay: 2500 * time.Millisecond}, 5*time.Second, "delayed")
 		time.Sleep(15 * time.Second)
-		f := w.Judge.Figures()
+		f := w.Checker.Figures()
 		is := is.NewRelaxed(t)
 		is.Equal(f.Open, 0)
 		// What the store still hands out by its leases is run again elsewhere, as nothing can be recorded; nothing may be after them.
 		const lease, run = 600 * time.Millisecond, 100 * time.Millisecond
-		for _, m := range w.Judge.repeated() {
+		for _, m := range w.Checker.repeatedSuccesses() {
 			if after := m.succeeded.Sub(cutAt); after > lease+run {
 				t.Errorf("%s succeeded %v after the cut, and again", m.id, after)
 			}
@@ -285,7 +285,7 @@
 	for i := range 3 {
 		t.Run(fmt.Sprint("pair ", i+1), func(t *testing.T) {
 			play(t, Options{Seed: 9}, func(t *testing.T, w *World) {
-				controls := w.Of(protocol.RoleControl)
+				controls := w.ByRole(protocol.RoleControl)
 				w.running.Go(func() { w.cutPair(controls[i].IP, controls[(i+1)%3].IP, true, false, 6*time.Second) })
 				time.Sleep(50 * time.Millisecond)
 				base := 5
@@ -315,7 +315,7 @@
 // TestFramesWithUnknownFields plays every process against later versions of all others, which add fields at the end.
 func TestFramesWithUnknownFields(t *testing.T) {
 	o := Options{Seed: 10}
-	o.Net.Frame = func(_, _ string, frame []byte) []byte {
+	o.Net.RewriteFrame = func(_, _ string, frame []byte) []byte {
 		const headerSize, refusal = 16, 4
 		if len(frame) > headerSize && frame[4] < refusal {
 			frame = append(frame, 0xff, 0x01, 0x07, 0x80)
@@ -324,13 +324,13 @@
 	}
 	play(t, o, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		during(w, 12*time.Second, func() {
-			for _, p := range w.Of(protocol.RoleStore) {
+		runWithFaults(w, 12*time.Second, func() {
+			for _, p := range w.ByRole(protocol.RoleStore) {
 				kill(t, p, time.Second)
 				time.Sleep(bounds.Contact())
 			}
 		})
-		f := w.Judge.Figures()
+		f := w.Checker.Figures()
 		is.True(f.Accepted > 300)
 		is.Equal(f.Open, 0)
 	})
@@ -360,17 +360,17 @@
 				if err := Day(w); err != nil {
 					t.Error(err)
 				}
-				f := w.Judge.Figures()
+				f := w.Checker.Figures()
 				line, err := json.Marshal(struct {
 					Seed uint64
 					Figures
-					Breaches []Breach
-				}{seed, f, w.Judge.Breaches()})
+					Breaches []Violation
+				}{seed, f, w.Checker.Violations()})
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Logf("DAY %s", line)
-				for _, b := range w.Judge.Breaches() {
+				for _, b := range w.Checker.Violations() {
 					t.Errorf("%s at %v: %s", b.Rule, b.At, b.Text)
 				}
 				if f.Accepted == 0 {
--- a/sim/system/virtualdisk/disk.go
+++ b/sim/system/virtualdisk/disk.go
@@ -36,38 +36,38 @@
 	options Options
 
 	stopped chan struct{} // closed once the disk is off
-	health  *health
+	faults  *faultState
 
-	mu      sync.Mutex
-	off     bool
-	files   map[string]*file
-	removed map[string][]byte // durable content of removed files whose removal is not durable
-	named   map[string]bool   // files and folders whose names are durable
+	mu           sync.Mutex
+	off          bool
+	files        map[string]*fileState
+	removed      map[string][]byte // durable content of removed files whose removal is not durable
+	durableNames map[string]bool   // files and folders whose names are durable
 }
 
 // file is what is known of a file.
-type file struct {
-	durable int64
-	writes  []int64 // ends of the writes after the last sync
-	before  []byte  // content before a cut that is not durable
+type fileState struct {
+	durable        int64
+	writes         []int64 // ends of the writes after the last sync
+	beforeTruncate []byte  // content before a cut that is not durable
 }
 
 var _ recordlog.Disk = (*Disk)(nil)
 
 // New returns the disk of a process whose folder holds what Keep or LosePower left there, all of it durable.
 func New(folder string, o Options) (*Disk, error) {
-	d := &Disk{options: o, stopped: make(chan struct{}), health: newHealth(), files: map[string]*file{}, removed: map[string][]byte{}, named: map[string]bool{}}
+	d := &Disk{options: o, stopped: make(chan struct{}), faults: newFaultState(), files: map[string]*fileState{}, removed: map[string][]byte{}, durableNames: map[string]bool{}}
 	err := filepath.WalkDir(folder, func(path string, e fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		d.named[path] = true
+		d.durableNames[path] = true
 		if e.IsDir() {
 			return nil
 		}
 		info, err := e.Info()
 		if err == nil {
-			d.files[path] = &file{durable: info.Size()}
+			d.files[path] = &fileState{durable: info.Size()}
 		}
 		return err
 	})
@@ -91,19 +91,19 @@
 
 // do carries out an operation between two crash points.
 func (d *Disk) do(operation func() error) error {
-	d.awaitFlow()
-	if d.crashes() {
+	d.awaitNotStalled()
+	if d.passCrashPoint() {
 		return ErrPower
 	}
 	err := d.locked(operation)
-	if d.crashes() {
+	if d.passCrashPoint() {
 		return ErrPower
 	}
 	return err
 }
 
 // crashes passes a crash point. It returns true, once the disk is off, if that is the one to stop at.
-func (d *Disk) crashes() bool {
+func (d *Disk) passCrashPoint() bool {
 	if d.options.Crash == nil || !d.options.Crash.pass() {
 		return false
 	}
@@ -120,9 +120,9 @@
 	return operation()
 }
 
-func (d *Disk) file(path string) *file {
+func (d *Disk) file(path string) *fileState {
 	if d.files[path] == nil {
-		d.files[path] = &file{}
+		d.files[path] = &fileState{}
 	}
 	return d.files[path]
 }
@@ -145,21 +145,21 @@
 			f.writes = append(f.writes, info.Size())
 		}
 		if i < len(entries)-1 {
-			d.synced(path)
+			d.markSynced(path)
 		}
 	}
 }
 
-func (d *Disk) synced(path string) {
+func (d *Disk) markSynced(path string) {
 	if info, err := os.Stat(path); err == nil && !d.options.SkipSync {
-		d.files[path] = &file{durable: info.Size()}
+		d.files[path] = &fileState{durable: info.Size()}
 	}
 }
 
 // CreateJournal implements recordlog.Disk.
 func (d *Disk) CreateJournal(folder string, segmentBytes int64) (j recordlog.Journal, err error) {
 	err = d.do(func() error {
-		if err := d.health.refusal(); err != nil {
+		if err := d.faults.writeError(); err != nil {
 			return err
 		}
 		j, err = d.SystemDisk.CreateJournal(folder, segmentBytes)
@@ -174,9 +174,9 @@
 
 // SyncFile implements recordlog.Disk.
 func (d *Disk) SyncFile(path string) error {
-	d.syncing()
+	d.awaitSync()
 	return d.do(func() error {
-		d.synced(path)
+		d.markSynced(path)
 		return nil
 	})
 }
@@ -191,7 +191,7 @@
 		}
 		entries, err := os.ReadDir(path)
 		for _, e := range entries {
-			d.named[filepath.Join(path, e.Name())] = true
+			d.durableNames[filepath.Join(path, e.Name())] = true
 		}
 		return err
 	})
@@ -205,8 +205,8 @@
 			return err
 		}
 		f := d.file(path)
-		if f.before == nil {
-			f.before = before
+		if f.beforeTruncate == nil {
+			f.beforeTruncate = before
 		}
 		f.durable = min(f.durable, size)
 		f.writes = slices.DeleteFunc(f.writes, func(end int64) bool { return end > size })
@@ -228,10 +228,10 @@
 				d.removed[name] = content[:min(d.file(name).durable, int64(len(content)))]
 			}
 			delete(d.files, name)
-			delete(d.named, name)
+			delete(d.durableNames, name)
 			return nil
 		})
-		delete(d.named, path)
+		delete(d.durableNames, path)
 		return os.RemoveAll(path)
 	})
 }
@@ -246,7 +246,7 @@
 // WriteBatch implements recordlog.Journal.
 func (j *journal) WriteBatch(b *wal.Batch) error {
 	return j.disk.do(func() error {
-		if err := j.disk.health.refusal(); err != nil {
+		if err := j.disk.faults.writeError(); err != nil {
 			return err
 		}
 		err := j.Journal.WriteBatch(b)
@@ -257,21 +257,23 @@
 
 // Sync implements recordlog.Journal.
 func (j *journal) Sync() error {
-	j.disk.syncing()
+	j.disk.awaitSync()
 	return j.disk.do(func() error {
 		entries, err := os.ReadDir(j.folder)
 		if err == nil && len(entries) > 0 {
-			j.disk.synced(filepath.Join(j.folder, entries[len(entries)-1].Name()))
+			j.disk.markSynced(filepath.Join(j.folder, entries[len(entries)-1].Name()))
 		}
 		return err
 	})
 }
 
 // Keep copies the folder of a stopped process to a new one, as it is after the process was killed: nothing written is lost.
-func (d *Disk) Keep(folder, to string) error { return d.copy(folder, to, nil) }
+func (d *Disk) CopyAfterKill(folder, to string) error { return d.copy(folder, to, nil) }
 
 // LosePower copies the folder of a stopped process to a new one, as it may be after a loss of power.
-func (d *Disk) LosePower(folder, to string, r *rand.Rand) error { return d.copy(folder, to, r) }
+func (d *Disk) CopyAfterPowerLoss(folder, to string, r *rand.Rand) error {
+	return d.copy(folder, to, r)
+}
 
 func (d *Disk) copy(folder, to string, r *rand.Rand) error {
 	d.mu.Lock()
@@ -280,7 +282,7 @@
 	if err := os.MkdirAll(to, 0o750); err != nil {
 		return err
 	}
-	wipe := r != nil && r.IntN(4) == 0
+	loseUnsynced := r != nil && r.IntN(4) == 0
 	err := filepath.WalkDir(folder, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
 			return err
@@ -291,14 +293,14 @@
 		}
 		if r != nil {
 			f := d.file(path)
-			named := d.named[path] && d.named[filepath.Dir(path)]
+			named := d.durableNames[path] && d.durableNames[filepath.Dir(path)]
 			switch {
-			case !named && (wipe || r.IntN(2) == 0):
+			case !named && (loseUnsynced || r.IntN(2) == 0):
 				return nil
-			case f.before != nil && r.IntN(2) == 0:
-				content = f.before
+			case f.beforeTruncate != nil && r.IntN(2) == 0:
+				content = f.beforeTruncate
 			default:
-				content = tear(content, f, wipe, r)
+				content = tear(content, f, loseUnsynced, r)
 			}
 		}
 		return write(folder, to, path, content)
@@ -330,7 +332,7 @@
 }
 
 // tear decides for each write after the last sync what is left of it.
-func tear(content []byte, f *file, wipe bool, r *rand.Rand) []byte {
+func tear(content []byte, f *fileState, loseUnsynced bool, r *rand.Rand) []byte {
 	durable := min(f.durable, int64(len(content)))
 	kept := append(slices.Clone(content[:durable]), make([]byte, int64(len(content))-durable)...)
 	start, last := durable, durable
@@ -339,7 +341,7 @@
 		start = to
 		choice := r.IntN(4)
 		switch {
-		case wipe || choice == 0 || to <= from:
+		case loseUnsynced || choice == 0 || to <= from:
 			continue
 		case choice == 1:
 			to = from + r.Int64N(to-from+1)
--- a/sim/system/virtualdisk/trouble.go
+++ b/sim/system/virtualdisk/trouble.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// Trouble is what is wrong with a disk. The zero value is a disk in order.
-type Trouble struct {
-	Stalled bool          // nothing ends before the trouble does
-	Slower  time.Duration // each sync of a file takes so much longer
-	Refusal error         // writes fail with it, and nothing of them is kept
-	Once    bool          // the refusal is over with the first write that it met
+// Fault is what is wrong with a disk. The zero value is a disk in order.
+type Fault struct {
+	Stalled       bool          // nothing ends before the fault does
+	ExtraSyncTime time.Duration // each sync of a file takes so much longer
+	WriteError    error         // writes fail with it, and nothing of them is kept
+	Once          bool          // the refusal is over with the first write that it met
 }
 
-// health holds a disk's trouble.
-type health struct {
+// health holds a disk's fault.
+type faultState struct {
 	mu      sync.Mutex
-	trouble Trouble
+	fault   Fault
 	changed chan struct{} // closed by the next change
 }
 
-func newHealth() *health { return &health{changed: make(chan struct{})} }
+func newFaultState() *faultState { return &faultState{changed: make(chan struct{})} }
 
-// SetTrouble replaces the disk's trouble.
-func (d *Disk) SetTrouble(t Trouble) {
-	h := d.health
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.trouble = t
-	close(h.changed)
-	h.changed = make(chan struct{})
+// SetFault replaces the disk's fault.
+func (d *Disk) SetFault(t Fault) {
+	s := d.faults
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.fault = t
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (h *health) now() (Trouble, <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.trouble, h.changed
+func (s *faultState) current() (Fault, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.fault, s.changed
 }
 
 // refusal returns the error of a write that begins now, if it is refused.
-func (h *health) refusal() error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	err := h.trouble.Refusal
-	if h.trouble.Once {
-		h.trouble = Trouble{}
+func (s *faultState) writeError() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	err := s.fault.WriteError
+	if s.fault.Once {
+		s.fault = Fault{}
 	}
 	return err
 }
 
-// awaitFlow waits until the disk does not stall. It returns at once when the disk is off.
-func (d *Disk) awaitFlow() {
+// awaitNotStalled waits until the disk does not stall. It returns at once when the disk is off.
+func (d *Disk) awaitNotStalled() {
 	for {
-		trouble, changed := d.health.now()
-		if !trouble.Stalled {
+		fault, changed := d.faults.current()
+		if !fault.Stalled {
 			return
 		}
 		select {
@@ -65,7 +65,7 @@
 }
 
 // syncing takes the time of a sync.
-func (d *Disk) syncing() {
-	trouble, _ := d.health.now()
-	time.Sleep(d.options.Sync + trouble.Slower)
+func (d *Disk) awaitSync() {
+	fault, _ := d.faults.current()
+	time.Sleep(d.options.Sync + fault.ExtraSyncTime)
 }
--- a/sim/system/virtualnet/conn.go
+++ b/sim/system/virtualnet/conn.go
@@ -14,27 +14,27 @@
 
 // pair is the two ends of a connection.
 type pair struct {
-	net              *Net
-	owner, peer      *Host
-	here, there      string
-	dialer, acceptor *conn
+	net                      *Net
+	dialerHost, acceptorHost *Host
+	dialerIP, acceptorIP     string
+	dialer, acceptor         *conn
 }
 
-// breakOff ends the connection with an error on both sides.
-func (p *pair) breakOff(err error) {
+// abort ends the connection with an error on both sides.
+func (p *pair) abort(err error) {
 	p.dialer.in.fail(err)
 	p.dialer.out.fail(err)
-	p.net.forget(p)
+	p.net.removePair(p)
 }
 
-// dropSide ends the side of a killed host. The other side sees a reset, or nothing.
-func (p *pair) dropSide(h *Host, silent bool) {
+// closeSide ends the side of a killed host. The other side sees a reset, or nothing.
+func (p *pair) closeSide(h *Host, silent bool) {
 	if !silent {
-		p.breakOff(syscall.ECONNRESET)
+		p.abort(syscall.ECONNRESET)
 		return
 	}
 	side := p.dialer
-	if p.peer == h {
+	if p.acceptorHost == h {
 		side = p.acceptor
 	}
 	side.kill()
@@ -45,12 +45,12 @@
 	pair          *pair
 	in, out       *stream
 	local, remote *net.TCPAddr
-	wire          *wire // nil where frames are not changed
+	rewriter      *frameRewriter // nil where frames are not changed
 }
 
 // kill makes this end unusable without a word to the other one.
 func (c *conn) kill() {
-	c.in.mute()
+	c.in.loseReader()
 	c.out.shutWriter()
 }
 
@@ -63,8 +63,8 @@
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	sent := append([]byte(nil), b...)
-	if c.wire != nil {
-		sent = c.wire.change(sent)
+	if c.rewriter != nil {
+		sent = c.rewriter.rewrite(sent)
 	}
 	if err := c.out.write(sent); err != nil {
 		return 0, c.wrap("write", err)
@@ -83,8 +83,8 @@
 func (c *conn) Close() error {
 	c.in.shutReader()
 	c.out.end()
-	if c.in.isOver() && c.out.isOver() {
-		c.pair.net.forget(c.pair)
+	if c.in.isFinished() && c.out.isFinished() {
+		c.pair.net.removePair(c.pair)
 	}
 	return nil
 }
@@ -109,13 +109,13 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.in.setDeadline(&c.in.readBy, t)
+	c.in.setDeadline(&c.in.readDeadline, t)
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.out.setDeadline(&c.out.writeBy, t)
+	c.out.setDeadline(&c.out.writeDeadline, t)
 	return nil
 }
 
@@ -124,18 +124,18 @@
 	net      *Net
 	from, to string
 
-	mu         sync.Mutex
-	changed    chan struct{} // closed at the next change
-	segments   []segment
-	bytes      int
-	lastAt     time.Time
-	readBy     time.Time
-	writeBy    time.Time
-	failed     error // of both sides
-	ended      bool  // the writer closed
-	readerShut bool
-	muted      bool // the reader is gone and the writer cannot know
-	writerShut bool
+	mu            sync.Mutex
+	changed       chan struct{} // closed at the next change
+	segments      []segment
+	bytes         int
+	lastAt        time.Time
+	readDeadline  time.Time
+	writeDeadline time.Time
+	failed        error // of both sides
+	ended         bool  // the writer closed
+	readerShut    bool
+	readerLost    bool // the reader is gone and the writer cannot know
+	writerShut    bool
 }
 
 // segment is what one write sent; without data it is the end.
@@ -170,16 +170,16 @@
 	})
 }
 func (s *stream) shutReader() { s.update(func() { s.readerShut = true }) }
-func (s *stream) mute()       { s.update(func() { s.readerShut, s.muted = true, true }) }
+func (s *stream) loseReader() { s.update(func() { s.readerShut, s.readerLost = true, true }) }
 func (s *stream) shutWriter() { s.update(func() { s.writerShut = true }) }
 
-func (s *stream) isMuted() bool {
+func (s *stream) isReaderLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.muted
+	return s.readerLost
 }
 
-func (s *stream) isOver() bool {
+func (s *stream) isFinished() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed != nil || s.ended && s.readerShut
@@ -220,13 +220,13 @@
 		case s.failed != nil:
 			s.mu.Unlock()
 			return s.failed
-		case s.muted:
+		case s.readerLost:
 			s.mu.Unlock()
 			return nil
 		case s.readerShut:
 			s.mu.Unlock()
 			return syscall.EPIPE
-		case passed(s.writeBy):
+		case reached(s.writeDeadline):
 			s.mu.Unlock()
 			return os.ErrDeadlineExceeded
 		case s.bytes < windowBytes:
@@ -237,7 +237,7 @@
 			s.mu.Unlock()
 			return nil
 		}
-		changed, limit := s.changed, s.writeBy
+		changed, limit := s.changed, s.writeDeadline
 		s.mu.Unlock()
 		wait(changed, nil, limit)
 	}
@@ -247,14 +247,14 @@
 	for {
 		s.net.mu.Lock()
 		l := s.net.link(s.from, s.to)
-		cut, relinked := l.cut, l.changed
+		cut, linkChanged := l.cut, l.changed
 		s.net.mu.Unlock()
 		s.mu.Lock()
 		switch {
 		case s.readerShut:
 			s.mu.Unlock()
 			return 0, net.ErrClosed
-		case passed(s.readBy):
+		case reached(s.readDeadline):
 			s.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		case s.failed != nil:
@@ -263,15 +263,15 @@
 		}
 		var due time.Time
 		if !cut && len(s.segments) > 0 {
-			if head := &s.segments[0]; passed(head.at) {
+			if head := &s.segments[0]; reached(head.at) {
 				defer s.mu.Unlock()
 				return s.take(b)
 			}
 			due = s.segments[0].at
 		}
-		changed, limit := s.changed, earlier(s.readBy, due)
+		changed, limit := s.changed, earlier(s.readDeadline, due)
 		s.mu.Unlock()
-		wait(changed, relinked, limit)
+		wait(changed, linkChanged, limit)
 	}
 }
 
@@ -293,7 +293,7 @@
 }
 
 // passed tells whether a moment has come; the zero time never comes.
-func passed(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
+func reached(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
 
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
--- a/sim/system/virtualnet/net.go
+++ b/sim/system/virtualnet/net.go
@@ -28,9 +28,9 @@
 	// Loss is the part of datagrams that is lost.
 	Loss float64
 	// Lose tells of a datagram whether it is lost, beside those drawn by Loss, if it is not nil.
-	Lose func(from, to string, datagram []byte) bool
+	DropDatagram func(from, to string, datagram []byte) bool
 	// Frame changes each frame of the system's own protocol (header and body) on its way, if it is not nil.
-	Frame func(from, to string, frame []byte) []byte
+	RewriteFrame func(from, to string, frame []byte) []byte
 }
 
 // Net is a network. All its methods may be called from any goroutine of the bubble.
@@ -111,12 +111,14 @@
 
 // Reset breaks all connections between two machines on both sides.
 func (n *Net) Reset(a, b string) {
-	for _, p := range n.between(func(p *pair) bool { return p.here == a && p.there == b || p.here == b && p.there == a }) {
-		p.breakOff(syscall.ECONNRESET)
+	for _, p := range n.matchingPairs(func(p *pair) bool {
+		return p.dialerIP == a && p.acceptorIP == b || p.dialerIP == b && p.acceptorIP == a
+	}) {
+		p.abort(syscall.ECONNRESET)
 	}
 }
 
-func (n *Net) between(f func(p *pair) bool) []*pair {
+func (n *Net) matchingPairs(f func(p *pair) bool) []*pair {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var found []*pair
@@ -142,9 +144,9 @@
 // Host puts a host on the network. Each process should have one of its own, so that killing it leaves others on the machine alone. The
 // other ends of connections that a silent kill at this address left behind learn now that they are gone.
 func (n *Net) Host(ip string) *Host {
-	for _, p := range n.between(func(p *pair) bool { return p.here == ip || p.there == ip }) {
-		if p.dialer.in.isMuted() && p.here == ip || p.acceptor.in.isMuted() && p.there == ip {
-			p.breakOff(syscall.ECONNRESET)
+	for _, p := range n.matchingPairs(func(p *pair) bool { return p.dialerIP == ip || p.acceptorIP == ip }) {
+		if p.dialer.in.isReaderLost() && p.dialerIP == ip || p.acceptor.in.isReaderLost() && p.acceptorIP == ip {
+			p.abort(syscall.ECONNRESET)
 		}
 	}
 	return &Host{net: n, ip: ip}
@@ -152,8 +154,8 @@
 
 // Close breaks all connections; it is for the end of a run.
 func (n *Net) Close() {
-	for _, p := range n.between(func(*pair) bool { return true }) {
-		p.breakOff(syscall.ECONNRESET)
+	for _, p := range n.matchingPairs(func(*pair) bool { return true }) {
+		p.abort(syscall.ECONNRESET)
 	}
 }
 
@@ -183,8 +185,8 @@
 	for _, p := range packets {
 		_ = p.Close()
 	}
-	for _, p := range n.between(func(p *pair) bool { return p.owner == h || p.peer == h }) {
-		p.dropSide(h, silent)
+	for _, p := range n.matchingPairs(func(p *pair) bool { return p.dialerHost == h || p.acceptorHost == h }) {
+		p.closeSide(h, silent)
 	}
 }
 
@@ -252,7 +254,7 @@
 		for {
 			select {
 			case c := <-l.backlog:
-				c.pair.breakOff(syscall.ECONNRESET)
+				c.pair.abort(syscall.ECONNRESET)
 			default:
 				return
 			}
@@ -274,8 +276,8 @@
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: net.TCPAddrFromAddrPort(to), Err: err}
 	}
 	// One way, and back with the answer.
-	for _, way := range [][2]string{{h.ip, to.Addr().String()}, {to.Addr().String(), h.ip}} {
-		if err := h.net.travel(ctx, way[0], way[1]); err != nil {
+	for _, direction := range [][2]string{{h.ip, to.Addr().String()}, {to.Addr().String(), h.ip}} {
+		if err := h.net.awaitTransit(ctx, direction[0], direction[1]); err != nil {
 			return fail(err)
 		}
 	}
@@ -289,8 +291,8 @@
 	return c, nil
 }
 
-// travel waits as long as a packet from one machine to another takes.
-func (n *Net) travel(ctx context.Context, from, to string) error {
+// awaitTransit waits as long as a packet from one machine to another takes.
+func (n *Net) awaitTransit(ctx context.Context, from, to string) error {
 	n.mu.Lock()
 	delay := n.delay()
 	n.mu.Unlock()
@@ -333,11 +335,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &pair{net: n, owner: h, peer: l.host, here: h.ip, there: to.Addr().String()}
-	forth, back := newStream(n, p.here, p.there), newStream(n, p.there, p.here)
-	mine, theirs := net.TCPAddrFromAddrPort(from), net.TCPAddrFromAddrPort(to)
-	p.dialer = &conn{pair: p, in: back, out: forth, local: mine, remote: theirs, wire: newWire(n, h.ip, p.there)}
-	p.acceptor = &conn{pair: p, in: forth, out: back, local: theirs, remote: mine, wire: newWire(n, p.there, h.ip)}
+	p := &pair{net: n, dialerHost: h, acceptorHost: l.host, dialerIP: h.ip, acceptorIP: to.Addr().String()}
+	outbound, inbound := newStream(n, p.dialerIP, p.acceptorIP), newStream(n, p.acceptorIP, p.dialerIP)
+	dialerAddr, acceptorAddr := net.TCPAddrFromAddrPort(from), net.TCPAddrFromAddrPort(to)
+	p.dialer = &conn{pair: p, in: inbound, out: outbound, local: dialerAddr, remote: acceptorAddr, rewriter: newFrameRewriter(n, h.ip, p.acceptorIP)}
+	p.acceptor = &conn{pair: p, in: outbound, out: inbound, local: acceptorAddr, remote: dialerAddr, rewriter: newFrameRewriter(n, p.acceptorIP, h.ip)}
 	select {
 	case l.backlog <- p.acceptor:
 	default:
@@ -347,7 +349,7 @@
 	return p.dialer, nil
 }
 
-func (n *Net) forget(p *pair) {
+func (n *Net) removePair(p *pair) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, p)
--- a/sim/system/virtualnet/packet.go
+++ b/sim/system/virtualnet/packet.go
@@ -70,8 +70,8 @@
 	n := p.host.net
 	n.mu.Lock()
 	lost := n.link(p.host.ip, to.Addr().String()).cut || n.random.Float64() < n.options.Loss
-	if n.options.Lose != nil {
-		lost = lost || n.options.Lose(p.host.ip, to.Addr().String(), b)
+	if n.options.DropDatagram != nil {
+		lost = lost || n.options.DropDatagram(p.host.ip, to.Addr().String(), b)
 	}
 	delay := n.delay()
 	n.mu.Unlock()
--- a/sim/system/virtualnet/wire.go
+++ b/sim/system/virtualnet/wire.go
@@ -4,53 +4,53 @@
 
 // The layout of package rpc's connections, restated here on purpose: a change there that older processes would not understand shows.
 const (
-	rpcMagic     = "LGrp"
-	rpcPreamble  = 8
-	rpcHeader    = 16
-	rpcLongest   = 64 << 20
-	unknownInput = -1
+	rpcMagic       = "LGrp"
+	rpcPreamble    = 8
+	rpcHeader      = 16
+	rpcLongest     = 64 << 20
+	stateNotFrames = -1
 )
 
 // wire finds the frames in what one end of a connection writes and has them changed.
-type wire struct {
+type frameRewriter struct {
 	net      *Net
 	from, to string
 	pending  []byte
-	state    int // 0 before the preamble, 1 between frames, unknownInput where the bytes are not frames
+	state    int // 0 before the preamble, 1 between frames, stateNotFrames where the bytes are not frames
 }
 
-func newWire(n *Net, from, to string) *wire {
-	if n.options.Frame == nil {
+func newFrameRewriter(n *Net, from, to string) *frameRewriter {
+	if n.options.RewriteFrame == nil {
 		return nil
 	}
-	return &wire{net: n, from: from, to: to}
+	return &frameRewriter{net: n, from: from, to: to}
 }
 
 // change returns what goes on instead of b. The end of a frame that is not whole yet is kept back.
-func (w *wire) change(b []byte) []byte {
-	if w.state == unknownInput {
+func (r *frameRewriter) rewrite(b []byte) []byte {
+	if r.state == stateNotFrames {
 		return b
 	}
-	w.pending = append(w.pending, b...)
+	r.pending = append(r.pending, b...)
 	var out []byte
-	if w.state == 0 {
-		if len(w.pending) < rpcPreamble || string(w.pending[:len(rpcMagic)]) != rpcMagic {
-			w.state = unknownInput
-			out, w.pending = w.pending, nil
+	if r.state == 0 {
+		if len(r.pending) < rpcPreamble || string(r.pending[:len(rpcMagic)]) != rpcMagic {
+			r.state = stateNotFrames
+			out, r.pending = r.pending, nil
 			return out
 		}
-		out, w.pending = append(out, w.pending[:rpcPreamble]...), w.pending[rpcPreamble:]
-		w.state = 1
+		out, r.pending = append(out, r.pending[:rpcPreamble]...), r.pending[rpcPreamble:]
+		r.state = 1
 	}
-	for len(w.pending) >= rpcHeader {
-		length := int(binary.LittleEndian.Uint32(w.pending))
-		if length > rpcLongest || len(w.pending) < rpcHeader+length {
+	for len(r.pending) >= rpcHeader {
+		length := int(binary.LittleEndian.Uint32(r.pending))
+		if length > rpcLongest || len(r.pending) < rpcHeader+length {
 			break
 		}
-		frame := w.net.options.Frame(w.from, w.to, append([]byte(nil), w.pending[:rpcHeader+length]...))
+		frame := r.net.options.RewriteFrame(r.from, r.to, append([]byte(nil), r.pending[:rpcHeader+length]...))
 		binary.LittleEndian.PutUint32(frame, uint32(len(frame)-rpcHeader))
 		out = append(out, frame...)
-		w.pending = w.pending[rpcHeader+length:]
+		r.pending = r.pending[rpcHeader+length:]
 	}
 	return out
 }
--- a/sim/system/world.go
+++ b/sim/system/world.go
@@ -56,13 +56,13 @@
 // World is one system and what surrounds it. It must be made and closed within one bubble.
 type World struct {
 	Net       *virtualnet.Net
-	Judge     *Judge
+	Checker   *Checker
 	Platform  *Platform
 	Operator  *Operator
 	Processes []*Process
 
 	options   Options
-	taken     held // processes that a fault has hold of
+	claimed   processClaims // processes that a fault has hold of
 	bootstrap bool
 	running   sync.WaitGroup
 	ctx       context.Context
@@ -92,12 +92,12 @@
 // NewWorld makes a system whose processes are down.
 func NewWorld(o Options) (*World, error) {
 	o = o.withDefaults()
-	w := &World{Judge: newJudge(), options: o, bootstrap: true}
+	w := &World{Checker: newChecker(), options: o, bootstrap: true}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.Net = virtualnet.New(o.Net)
 	for i := range o.Edges {
 		name, ip, zone := fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("10.0.%d.1", i+1), fmt.Sprintf("zone-%d", i%3+1)
-		if i < o.Controls() {
+		if i < o.ControlCount() {
 			w.add(name, protocol.RoleControl, ip, zone)
 		}
 		w.add(name, protocol.RoleDispatcher, ip, zone)
@@ -111,13 +111,13 @@
 }
 
 // Controls is how many processes of control there are.
-func (o Options) Controls() int { return cmp.Or(o.Control, max(3, 2*o.Machines+1)) }
+func (o Options) ControlCount() int { return cmp.Or(o.Control, max(3, 2*o.Machines+1)) }
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Machines, 1)
 	o.Machines = max(o.Machines, 0)
-	setDefault(&o.Edges, o.Controls())
-	setDefault(&o.Stores, o.Controls())
+	setDefault(&o.Edges, o.ControlCount())
+	setDefault(&o.Stores, o.ControlCount())
 	setDefault(&o.Disk.Sync, time.Millisecond)
 	o.Net.Seed = o.Seed
 	if o.Logger == nil {
@@ -148,7 +148,7 @@
 }
 
 // Of lists the processes of a role.
-func (w *World) Of(role protocol.Role) []*Process {
+func (w *World) ByRole(role protocol.Role) []*Process {
 	var found []*Process
 	for _, p := range w.Processes {
 		if p.Role == role {
@@ -190,16 +190,16 @@
 	for _, other := range w.Processes {
 		s.Zones[other.zone] = "region"
 		if other.Role == protocol.RoleControl && len(s.SeedNodes) < 3 {
-			s.SeedNodes = append(s.SeedNodes, at(other.IP, controlPort))
+			s.SeedNodes = append(s.SeedNodes, hostPort(other.IP, controlPort))
 		}
 	}
 	s.FaultTolerance.Machines = w.options.Machines
 	s.Limits = nodeconfig.Limits{CpuShare: 1, CpuCores: 1, MemoryMb: 280, MaxOpenFiles: 4000, BandwidthMbps: 1000, DiskMb: 64}
 	switch p.Role {
 	case protocol.RoleControl:
-		s.BindAddresses.ControlPlane = at(p.IP, controlPort)
+		s.BindAddresses.ControlPlane = hostPort(p.IP, controlPort)
 	case protocol.RoleDispatcher:
-		s.BindAddresses.Frontend, s.BindAddresses.Readiness = at(p.IP, frontendPort), at(p.IP, readinessPort)
+		s.BindAddresses.Frontend, s.BindAddresses.Readiness = hostPort(p.IP, frontendPort), hostPort(p.IP, readinessPort)
 	}
 	return s
 }
@@ -211,7 +211,7 @@
 	CeilingWindowS: 5, OriginOverage: 1.1,
 }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
 
 // Up tells whether the process runs. It may be called from any goroutine.
 func (p *Process) Up() bool { return p.up.Load() }
@@ -250,7 +250,7 @@
 		if err := run(ctx, environment, settings, logger); err != nil {
 			logger.Error("the process ended", zap.Error(err))
 			if ctx.Err() == nil && !errors.Is(err, control.ErrFoundedAnew) {
-				p.world.Judge.broken("Fault", "%s/%s ended by itself: %v", p.Name, p.Role, err)
+				p.world.Checker.reportViolation("Fault", "%s/%s ended by itself: %v", p.Name, p.Role, err)
 			}
 		}
 	})
@@ -259,13 +259,13 @@
 
 // Kill ends the process at once, as by SIGKILL; what it wrote is kept.
 func (p *Process) Kill() error {
-	p.world.Judge.trouble("kill " + p.Name + "/" + p.Role.String())
+	p.world.Checker.recordFault("kill " + p.Name + "/" + p.Role.String())
 	return p.stop(false)
 }
 
 // LosePower ends the process as by a loss of power: the others hear nothing, and of what was not synced any part may be lost.
 func (p *Process) LosePower() error {
-	p.world.Judge.trouble("power " + p.Name + "/" + p.Role.String())
+	p.world.Checker.recordFault("power " + p.Name + "/" + p.Role.String())
 	return p.stop(true)
 }
 
@@ -288,9 +288,9 @@
 	before := p.folder
 	p.folder = p.nextFolder()
 	if power {
-		return p.disk.LosePower(before, p.folder, p.random)
+		return p.disk.CopyAfterPowerLoss(before, p.folder, p.random)
 	}
-	return p.disk.Keep(before, p.folder)
+	return p.disk.CopyAfterKill(before, p.folder)
 }
 
 // Terminate ends the process as planned, by SIGTERM and a kill after GraceS. It returns how long that took, and whether it was killed.
@@ -300,7 +300,7 @@
 	}
 	begin := time.Now()
 	if p.Role == protocol.RoleDispatcher {
-		p.world.Judge.plannedEnd(p.Name)
+		p.world.Checker.recordPlannedShutdown(p.Name)
 	}
 	p.cancel()
 	grace := time.NewTimer(bounds.Grace())
@@ -322,18 +322,18 @@
 	return p.Start()
 }
 
-// CutOff separates a machine from all others of the system, silently; clients, workers, list and operator still reach it.
-func (w *World) CutOff(ip string, cut bool) {
-	w.Judge.trouble("cut " + ip)
+// SetIsolated separates a machine from all others of the system, silently; clients, workers, list and operator still reach it.
+func (w *World) SetIsolated(ip string, cut bool) {
+	w.Checker.recordFault("cut " + ip)
 	for _, other := range w.Processes {
 		if other.IP == ip {
 			continue
 		}
-		for _, way := range [][2]string{{ip, other.IP}, {other.IP, ip}} {
+		for _, direction := range [][2]string{{ip, other.IP}, {other.IP, ip}} {
 			if cut {
-				w.Net.Cut(way[0], way[1], false)
+				w.Net.Cut(direction[0], direction[1], false)
 			} else {
-				w.Net.Heal(way[0], way[1])
+				w.Net.Heal(direction[0], direction[1])
 			}
 		}
 	}
--- a/sim/system/zonepower_test.go
+++ b/sim/system/zonepower_test.go
@@ -22,28 +22,28 @@
 		}
 		is.Equal(len(stores), 2)
 		var refused int
-		during(w, 14*time.Second, func() {
+		runWithFaults(w, 14*time.Second, func() {
 			for _, p := range stores {
 				is.NoErr(p.LosePower())
 			}
 			time.Sleep(2 * time.Second) // sessions have ended
 			from := time.Now()
 			time.Sleep(4 * time.Second)
-			refused = w.Judge.notAccepted(plainRoute.Backend, from, time.Now())
+			refused = w.Checker.notAccepted(plainRoute.Backend, from, time.Now())
 			is.NoErr(startEach(stores))
 			time.Sleep(seconds(bounds.CatchUpS))
-			is.True(w.whole(w.Net.Host(operatorIP)))
+			is.True(w.fullyReplicated(w.Net.Host(operatorIP)))
 		})
 		is.Equal(refused, 0)
-		is.Equal(w.Judge.Figures().Open, 0)
+		is.Equal(w.Checker.Figures().Open, 0)
 	})
 }
 
 // notAccepted counts the tries for a service that were sent in a span and answered otherwise than with 202.
-func (j *Judge) notAccepted(service string, from, to time.Time) (count int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+func (ch *Checker) notAccepted(service string, from, to time.Time) (count int) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		if m.service == service && m.sent.After(from) && m.sent.Before(to) && m.status != 0 && m.accepted.IsZero() {
 			count++
 		}
