--- a/sim/system/abandon_test.go
+++ b/sim/system/abandon_test.go
@@ -12,9 +12,9 @@
 	"liftgauge/internal/protocol"
 )
 
-// TestPartitionsBeginAnewOnceTheirDisksAreGivenUp loses two of four stores for good, one more than F: the partitions that lay on both rest until the operator
+// TestPartitionsRestartEmptyAfterAbandonment loses two of four stores for good, one more than F: the partitions that lay on both rest until the operator
 // gives the disks up, and take and deliver messages then.
-func TestPartitionsBeginAnewOnceTheirDisksAreGivenUp(t *testing.T) {
+func TestPartitionsRestartEmptyAfterAbandonment(t *testing.T) {
 	play(t, Options{Seed: 33, Stores: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		time.Sleep(bounds.Contact()) // the first table is there
--- a/sim/system/controlfaults_test.go
+++ b/sim/system/controlfaults_test.go
@@ -53,9 +53,9 @@
 	is.True(history.Linearizable())
 }
 
-// TestOrderIsTakenOnceHoweverOftenItIsSent loses every answer to an order, sends it unchanged to every process, through a change of primary and after
+// TestResentOrderIsAppliedOnce loses every answer to an order, sends it unchanged to every process, through a change of primary and after
 // ten and a hundred later versions, and after the loss of a disk: it is acknowledged for good, and never again in force.
-func TestOrderIsTakenOnceHoweverOftenItIsSent(t *testing.T) {
+func TestResentOrderIsAppliedOnce(t *testing.T) {
 	play(t, Options{Seed: 12, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		controls := w.ByRole(protocol.RoleControl)
@@ -95,9 +95,9 @@
 	})
 }
 
-// TestMemberThatMissedHundredsOfChanges is away while 300 changes are made, in each of the ways in which it may be, and has all of them
+// TestMemberCatchesUpOnHundredsOfChanges is away while 300 changes are made, in each of the ways in which it may be, and has all of them
 // once it counts as whole: the others go then.
-func TestMemberThatMissedHundredsOfChanges(t *testing.T) {
+func TestMemberCatchesUpOnHundredsOfChanges(t *testing.T) {
 	ways := map[string]func(w *World, p *Process) (back func() error){
 		"without power": func(_ *World, p *Process) func() error {
 			_ = p.LosePower()
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestPlannedEndAndALossLeaveAMajority ends a process of control as planned, for good, and takes another's power as soon as it has ended: a set of
+// TestMajorityRemainsAfterPlannedShutdownAndLoss ends a process of control as planned, for good, and takes another's power as soon as it has ended: a set of
 // four witnesses has no majority then, unless the one that left was taken out of it before.
-func TestPlannedEndAndALossLeaveAMajority(t *testing.T) {
+func TestMajorityRemainsAfterPlannedShutdownAndLoss(t *testing.T) {
 	for _, which := range []string{"the primary", "another"} {
 		t.Run(which, func(t *testing.T) {
 			play(t, Options{Seed: 15, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
@@ -169,14 +169,14 @@
 	}
 }
 
-// TestOrdersGoOnWhileADiskOfControlStalls stalls the disk of one process of control for longer than an operator waits. The process still votes and
+// TestOrdersContinueWhileControlDiskStalls stalls the disk of one process of control for longer than an operator waits. The process still votes and
 // answers, so nobody else would leave it out.
-func TestOrdersGoOnWhileADiskOfControlStalls(t *testing.T) {
+func TestOrdersContinueWhileControlDiskStalls(t *testing.T) {
 	playDiskFault(t, 17, virtualdisk.Fault{Stalled: true})
 }
 
-// TestOrdersGoOnWhileADiskOfControlRefuses is the same with a disk that refuses all writes.
-func TestOrdersGoOnWhileADiskOfControlRefuses(t *testing.T) {
+// TestOrdersContinueWhileControlDiskFails is the same with a disk that refuses all writes.
+func TestOrdersContinueWhileControlDiskFails(t *testing.T) {
 	playDiskFault(t, 18, virtualdisk.Fault{WriteError: errors.New("the disk is full")})
 }
 
@@ -212,9 +212,9 @@
 	}
 }
 
-// TestPrimaryOfControlCutOffFromTheStores cuts control's primary off from all stores, while the other processes of control hear them, and it hears those:
+// TestControlPrimaryCutOffFromStores cuts control's primary off from all stores, while the other processes of control hear them, and it hears those:
 // no election follows by itself, and without a hand-over all stores would lose their sessions, and all messages be refused, for as long as the cut lasts.
-func TestPrimaryOfControlCutOffFromTheStores(t *testing.T) {
+func TestControlPrimaryCutOffFromStores(t *testing.T) {
 	play(t, Options{Seed: 19, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		primary := w.controlPrimary()
@@ -230,9 +230,9 @@
 	})
 }
 
-// TestControlIsWholeWithinCatchUp takes the disks of two processes of control one after the other, the second as soon as the first counts as whole,
+// TestControlFullyReplicatedWithinCatchUp takes the disks of two processes of control one after the other, the second as soon as the first counts as whole,
 // and measures how long the group takes to survive F losses again: all processes are witnesses and F+2 of them members, none behind.
-func TestControlIsWholeWithinCatchUp(t *testing.T) {
+func TestControlFullyReplicatedWithinCatchUp(t *testing.T) {
 	for _, o := range []Options{
 		{Control: 3, Machines: 1}, {Control: 4, Machines: 1}, {Control: 5, Machines: 1}, {Control: 5, Machines: 2},
 		{Control: 6, Machines: 2}, {Control: 9, Machines: 2},
--- a/sim/system/controllosses_test.go
+++ b/sim/system/controllosses_test.go
@@ -75,9 +75,9 @@
 	pacedWithin = time.Second
 )
 
-// TestControlBearsLosses takes F processes of control at once, the primary among them, from each number of processes that has 2F+1 or more. Orders are
+// TestControlToleratesLosses takes F processes of control at once, the primary among them, from each number of processes that has 2F+1 or more. Orders are
 // taken, rate-limited services are served and sessions stay meanwhile; after a loss of all power nothing is forgotten.
-func TestControlBearsLosses(t *testing.T) {
+func TestControlToleratesLosses(t *testing.T) {
 	sizes := []Options{{Control: 3, Machines: 1}, {Control: 6, Machines: 2}, {Control: 4, Machines: 1}, {Control: 5, Machines: 2}}
 	for _, o := range sizes[:controlSizes] {
 		o.Seed, o.Edges, o.Stores = 23, 6, 4
@@ -123,9 +123,9 @@
 	is.Equal(w.Checker.Figures().Open, 0)
 }
 
-// TestControlWithoutAMajorityGoesOnWhenItIsBack takes a majority of control's processes away, more than any F allows: traffic without a rate goes on,
+// TestControlResumesWhenMajorityReturns takes a majority of control's processes away, more than any F allows: traffic without a rate goes on,
 // no order gets a clear answer, and all goes on once they are back.
-func TestControlWithoutAMajorityGoesOnWhenItIsBack(t *testing.T) {
+func TestControlResumesWhenMajorityReturns(t *testing.T) {
 	for _, processes := range []int{3, 6, 4, 5}[:controlSizes] {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
 			t.Parallel()
--- a/sim/system/lastdisk_test.go
+++ b/sim/system/lastdisk_test.go
@@ -19,9 +19,9 @@
 // secondLosses are how long after the view with one member the second loss comes. All are within the time that a repair takes.
 var secondLosses = []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond}
 
-// TestLastMembersDiskIsLost takes the power of one store, and after the failover, while the third store is being made equal, the disk of the
+// TestDiskOfLastMemberIsLost takes the power of one store, and after the failover, while the third store is being made equal, the disk of the
 // other: what was acknowledged before is on the first disk, what was acknowledged since on the third.
-func TestLastMembersDiskIsLost(t *testing.T) {
+func TestDiskOfLastMemberIsLost(t *testing.T) {
 	playSecondLosses(t, 60, func(w *World, lose func() error) error {
 		first := w.ByRole(protocol.RoleStore)[0]
 		failed := errors.Join(first.LosePower(), lose())
@@ -30,9 +30,9 @@
 	})
 }
 
-// TestDiskIsLostBesideAStoreThatIsApart cuts the link between two stores, and takes the disk of one when views do without the other: that one is not
+// TestDiskLossWhileAnotherStoreIsCutOff cuts the link between two stores, and takes the disk of one when views do without the other: that one is not
 // to drop its records before there are enough copies elsewhere.
-func TestDiskIsLostBesideAStoreThatIsApart(t *testing.T) {
+func TestDiskLossWhileAnotherStoreIsCutOff(t *testing.T) {
 	playSecondLosses(t, 70, func(w *World, lose func() error) error {
 		stores := w.ByRole(protocol.RoleStore)
 		w.eachPair(stores[:1], stores[1:2], func(a, b string) {
--- a/sim/system/lostpush_test.go
+++ b/sim/system/lostpush_test.go
@@ -17,10 +17,10 @@
 	return rpc.Kind(binary.LittleEndian.Uint16(datagram[kindAt:])) == protocol.KindItems
 }
 
-// TestPrimaryThatPushesMissHearsOfItsViews loses all pushes to one store, as the random choice of their targets does now and then, and all digests to it
+// TestPrimaryLearnsItsViewsWithoutPushes loses all pushes to one store, as the random choice of their targets does now and then, and all digests to it
 // but those of stores. Another store is lost and returns, and gets partitions that the first one leads: it has to hear of their views from the stores
 // that share them, or its clients wait for a store that has left the partition.
-func TestPrimaryThatPushesMissHearsOfItsViews(t *testing.T) {
+func TestPrimaryLearnsItsViewsWithoutPushes(t *testing.T) {
 	const (
 		missed         = "10.0.3.2"
 		ordinaryAccept = 30 * time.Millisecond // five times what one takes here
--- a/sim/system/norace_test.go
+++ b/sim/system/norace_test.go
@@ -7,6 +7,6 @@
 	days      = 6  // drawn
 	crashes   = 40 // points of each role
 	faultDays = 2  // of each fault alone
-	// controlSizes of the groups of TestControlBearsLosses
+	// controlSizes of the groups of TestControlToleratesLosses
 	controlSizes = 4
 )
--- a/sim/system/race_test.go
+++ b/sim/system/race_test.go
@@ -8,6 +8,6 @@
 	days      = 1
 	crashes   = 2
 	faultDays = 1 // of each fault alone
-	// controlSizes of the groups of TestControlBearsLosses: the smallest and the largest. Plain runs play all of them.
+	// controlSizes of the groups of TestControlToleratesLosses: the smallest and the largest. Plain runs play all of them.
 	controlSizes = 2
 )
--- a/sim/system/regress_test.go
+++ b/sim/system/regress_test.go
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestJudgeSeesAVersionGoBack: an incarnation that had a version and has no route of it later breaks CONFIG; another incarnation, or one that answers
+// TestCheckerDetectsVersionRollback: an incarnation that had a version and has no route of it later breaks CONFIG; another incarnation, or one that answers
 // what it was asked before, does not.
-func TestJudgeSeesAVersionGoBack(t *testing.T) {
+func TestCheckerDetectsVersionRollback(t *testing.T) {
 	is := is.New(t)
 	ch := newChecker()
 	now := time.Now()
@@ -71,8 +71,8 @@
 	is.Equal(ch.Violations()[0].Rule, "CONFIG")
 }
 
-// TestJudgeSeesARequestCutByAPlannedEnd plays the cases of LOST around planned work.
-func TestJudgeSeesARequestCutByAPlannedEnd(t *testing.T) {
+// TestCheckerDetectsRequestAbortedByPlannedShutdown plays the cases of LOST around planned work.
+func TestCheckerDetectsRequestAbortedByPlannedShutdown(t *testing.T) {
 	slack := time.Duration(bounds.LossSlackMs * float64(time.Millisecond))
 	start := time.Now()
 	for name, c := range map[string]struct {
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestJudgeComparesCutsBesideAConfiguration: what is cut beside a configuration counts where the dispatcher cuts over three times as often as otherwise, and
+// TestCheckerComparesAbortsDuringConfigChanges: what is cut beside a configuration counts where the dispatcher cuts over three times as often as otherwise, and
 // not after seven tenths of a request's time.
-func TestJudgeComparesCutsBesideAConfiguration(t *testing.T) {
+func TestCheckerComparesAbortsDuringConfigChanges(t *testing.T) {
 	start := time.Now()
 	for name, c := range map[string]struct {
 		otherCuts int
--- a/sim/system/system_test.go
+++ b/sim/system/system_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestCalm(t *testing.T) {
+func TestAllMessagesSucceedOnceWithoutFaults(t *testing.T) {
 	play(t, Options{Seed: 1}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		traffic(w, 20*time.Second)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestStoreLostForGood(t *testing.T) {
+func TestStoreLostPermanently(t *testing.T) {
 	play(t, Options{Seed: 3, Stores: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		stores := w.ByRole(protocol.RoleStore)
@@ -99,7 +99,7 @@
 	})
 }
 
-func TestPrimaryOfControlCutOffWithOrdersRacing(t *testing.T) {
+func TestIsolatedControlPrimaryWithRacingOrders(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint("cut off ", i+1), func(t *testing.T) {
 			play(t, Options{Seed: 4}, func(t *testing.T, w *World) {
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestAllPowerLostRightAfterAnAccept(t *testing.T) {
+func TestPowerLossRightAfterAccept(t *testing.T) {
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			play(t, Options{Seed: seed}, func(t *testing.T, w *World) {
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestAllPowerLostRightAfterAnAcknowledgement(t *testing.T) {
+func TestPowerLossRightAfterAcknowledgement(t *testing.T) {
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			play(t, Options{Seed: seed}, func(t *testing.T, w *World) {
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestRolledRestartOfStores(t *testing.T) {
+func TestRollingRestartOfStores(t *testing.T) {
 	play(t, Options{Seed: 5}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		runWithFaults(w, 16*time.Second, func() {
@@ -183,7 +183,7 @@
 	})
 }
 
-func TestRolledRestartOfDispatchers(t *testing.T) {
+func TestRollingRestartOfDispatchers(t *testing.T) {
 	play(t, Options{Seed: 6}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		runWithFaults(w, 16*time.Second, func() {
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestDrainAndDroppedRoute(t *testing.T) {
+func TestDrainAndRemovedRoute(t *testing.T) {
 	play(t, Options{Seed: 7}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		runWithFaults(w, 12*time.Second, func() {
@@ -213,9 +213,9 @@
 	})
 }
 
-// TestStoreThatOnlyDispatchersReach cuts a store off from control and from all stores, while three dispatchers still reach it: it may not
+// TestStoreReachableOnlyByDispatchers cuts a store off from control and from all stores, while three dispatchers still reach it: it may not
 // act as a primary any more, although it cannot know of its successors.
-func TestStoreThatOnlyDispatchersReach(t *testing.T) {
+func TestStoreReachableOnlyByDispatchers(t *testing.T) {
 	play(t, Options{Seed: 8, Edges: 6}, func(t *testing.T, w *World) {
 		store := w.ByRole(protocol.RoleStore)[0]
 		others := append(w.ByRole(protocol.RoleStore)[1:], w.ByRole(protocol.RoleControl)...)
@@ -242,9 +242,9 @@
 	})
 }
 
-// TestStoreAloneWithADispatcher cuts a store and a dispatcher off together. The store has many messages that become due while its
+// TestStoreIsolatedTogetherWithADispatcher cuts a store and a dispatcher off together. The store has many messages that become due while its
 // successors, on the other side, hand them out; without leases both would.
-func TestStoreAloneWithADispatcher(t *testing.T) {
+func TestStoreIsolatedTogetherWithADispatcher(t *testing.T) {
 	play(t, Options{Seed: 11, Edges: 4}, func(t *testing.T, w *World) {
 		store, alone := w.ByRole(protocol.RoleStore)[0].IP, w.ByRole(protocol.RoleDispatcher)[3].IP
 		cut := func(change func(from, to string)) {
@@ -281,7 +281,7 @@
 	})
 }
 
-func TestPairOfControlCutWithOrdersRacing(t *testing.T) {
+func TestCutBetweenControlProcessesWithRacingOrders(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint("pair ", i+1), func(t *testing.T) {
 			play(t, Options{Seed: 9}, func(t *testing.T, w *World) {
--- a/sim/system/zonepower_test.go
+++ b/sim/system/zonepower_test.go
@@ -9,9 +9,9 @@
 	"liftgauge/internal/protocol"
 )
 
-// TestStoresOfAZoneWithoutPower takes the power of all stores of a zone, more than FaultTolerance allows, where the copies of each partition lie in one zone:
+// TestPowerLossOfAllStoresOfAZone takes the power of all stores of a zone, more than FaultTolerance allows, where the copies of each partition lie in one zone:
 // messages without a key go to other zones meanwhile, and what was acknowledged is there and delivered once the zone is back.
-func TestStoresOfAZoneWithoutPower(t *testing.T) {
+func TestPowerLossOfAllStoresOfAZone(t *testing.T) {
 	play(t, Options{Seed: 31, Stores: 6}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		var stores []*Process
