--- a/sim/system/abandon_test.go
+++ b/sim/system/abandon_test.go
@@ -12,14 +12,14 @@
 	"liftgauge/internal/protocol"
 )
 
-// TestPartitionsRestartEmptyAfterAbandonment loses two of four stores for good, one more than F: the partitions that lay on both rest until the operator
-// gives the disks up, and take and deliver messages then.
+// TestPartitionsRestartEmptyAfterAbandonment permanently loses two of four stores, one more than F: the partitions with copies on both are
+// unavailable until the operator abandons the disks, and accept and deliver messages after that.
 func TestPartitionsRestartEmptyAfterAbandonment(t *testing.T) {
 	play(t, Options{Seed: 33, Stores: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		time.Sleep(bounds.Contact()) // the first table is there
+		time.Sleep(bounds.Contact()) // the first partition table exists
 		stores := w.ByRole(protocol.RoleStore)
-		lost := []*Process{stores[0], stores[3]} // in one zone, where copies lie that no loss of a zone has to spare
+		lost := []*Process{stores[0], stores[3]} // both in one zone, which may hold all copies of a partition
 		for _, p := range lost {
 			is.NoErr(p.LosePower())
 			p.Wipe()
--- a/sim/system/clients.go
+++ b/sim/system/clients.go
@@ -114,7 +114,7 @@
 	watch := &requestWatch{}
 	w.Checker.recordSend(m)
 	response, body, err := exchange(newClient(host, clientTimeout), watch.watch(request))
-	if wrote, whole := watch.written(); whole && w.ctx.Err() == nil {
+	if wrote, complete := watch.written(); complete && w.ctx.Err() == nil {
 		w.Checker.recordAttempt(abortedRequest{id: m.id, dispatcher: to.Name, sent: m.sent, wrote: wrote, at: time.Now()}, err != nil && !isTimeout(err))
 	}
 	if err != nil {
--- a/sim/system/controlfaults_test.go
+++ b/sim/system/controlfaults_test.go
@@ -15,11 +15,11 @@
 	"liftgauge/sim/system/virtualdisk"
 )
 
-// lostAnswers is how many of ten answers to orders are lost beside the faults of control.
+// lostAnswers is how many of ten responses to orders are lost in TestControlFaults.
 const lostAnswers = 3
 
-// TestControlFaults plays each of the worst faults of control while operators race, lose answers and read: what they saw is linearizable,
-// every read is new enough, and traffic recovers.
+// TestControlFaults injects each of controlFaults while concurrent operators send orders, lose responses and read: the history is linearizable, no
+// read is stale for longer than ConfigApplyMs, and traffic recovers.
 func TestControlFaults(t *testing.T) {
 	playEach(t, controlFaults, func(t *testing.T, f fault, seed uint64) {
 		o := Options{Seed: seed, Control: 4, Edges: 4}
@@ -53,8 +53,8 @@
 	is.True(history.Linearizable())
 }
 
-// TestResentOrderIsAppliedOnce loses every answer to an order, sends it unchanged to every process, through a change of primary and after
-// ten and a hundred later versions, and after the loss of a disk: it is acknowledged for good, and never again in force.
+// TestResentOrderIsAppliedOnce loses the first responses to an order, and sends it again unchanged: to every process, after a change of primary, after
+// 10 and 100 later versions, and after the loss of a disk and of all power. It is acknowledged each time, but never applied again.
 func TestResentOrderIsAppliedOnce(t *testing.T) {
 	play(t, Options{Seed: 12, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestMemberCatchesUpOnHundredsOfChanges is away while 300 changes are made, in each of the ways in which it may be, and has all of them
-// once it counts as whole: the others go then.
+// TestMemberCatchesUpOnHundredsOfChanges makes 300 changes while a member is without power, isolated or restarted with an empty disk. After CatchUpS
+// the member must have all of them: another member loses its disk then.
 func TestMemberCatchesUpOnHundredsOfChanges(t *testing.T) {
 	ways := map[string]func(w *World, p *Process) (back func() error){
 		"without power": func(_ *World, p *Process) func() error {
@@ -136,7 +136,7 @@
 				}
 				is.NoErr(back())
 				time.Sleep(seconds(bounds.CatchUpS))
-				is.NoErr(others[1].LosePower()) // the one that was away is needed now
+				is.NoErr(others[1].LosePower()) // the member that was away is needed for a majority now
 				others[1].Wipe()
 				w.Operator.ReadBack(5 * time.Second)
 				is.NoErr(others[1].Start())
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestMajorityRemainsAfterPlannedShutdownAndLoss ends a process of control as planned, for good, and takes another's power as soon as it has ended: a set of
-// four witnesses has no majority then, unless the one that left was taken out of it before.
+// TestMajorityRemainsAfterPlannedShutdownAndLoss shuts a control process down as planned and permanently, and takes another's power right after that:
+// of four witnesses there is no majority left then, unless the departed one was removed from the set before.
 func TestMajorityRemainsAfterPlannedShutdownAndLoss(t *testing.T) {
 	for _, which := range []string{"the primary", "another"} {
 		t.Run(which, func(t *testing.T) {
@@ -169,20 +169,20 @@
 	}
 }
 
-// TestOrdersContinueWhileControlDiskStalls stalls the disk of one process of control for longer than an operator waits. The process still votes and
-// answers, so nobody else would leave it out.
+// TestOrdersContinueWhileControlDiskStalls stalls the disk of one control process for longer than an operator waits. The process still votes and
+// responds, so its peers have no reason to exclude it.
 func TestOrdersContinueWhileControlDiskStalls(t *testing.T) {
 	playDiskFault(t, 17, virtualdisk.Fault{Stalled: true})
 }
 
-// TestOrdersContinueWhileControlDiskFails is the same with a disk that refuses all writes.
+// TestOrdersContinueWhileControlDiskFails does the same with a disk whose writes all fail.
 func TestOrdersContinueWhileControlDiskFails(t *testing.T) {
 	playDiskFault(t, 18, virtualdisk.Fault{WriteError: errors.New("the disk is full")})
 }
 
-// playDiskFault has the disk of control's primary, and of another process, in trouble for longer than an operator waits: every order is taken in time, and
-// control is whole again afterwards.
-func playDiskFault(t *testing.T, seed uint64, trouble virtualdisk.Fault) {
+// playDiskFault gives the disk of control's primary, or of another control process, a fault for longer than an operator waits: every order is applied
+// in time, and control is fully replicated again afterwards.
+func playDiskFault(t *testing.T, seed uint64, state virtualdisk.Fault) {
 	const span, within = 9 * time.Second, 4 * time.Second
 	for _, processes := range []int{3, 4} {
 		for _, which := range []string{"the primary", "another"} {
@@ -195,7 +195,7 @@
 						p = w.others(p)[0]
 					}
 					w.Checker.recordFault("disk trouble of " + p.Name)
-					p.disk.SetFault(trouble)
+					p.disk.SetFault(state)
 					begun := time.Now()
 					for revision := 5; time.Since(begun) < span; revision++ {
 						status, err := w.Operator.Replace(revision, w.Operator.Document(revision+1, fifoRoute, plainRoute, pacedRoute), within)
@@ -212,8 +212,8 @@
 	}
 }
 
-// TestControlPrimaryCutOffFromStores cuts control's primary off from all stores, while the other processes of control hear them, and it hears those:
-// no election follows by itself, and without a hand-over all stores would lose their sessions, and all messages be refused, for as long as the cut lasts.
+// TestControlPrimaryCutOffFromStores cuts control's primary off from all stores, while the other control processes reach both the stores and the
+// primary. That causes no election, and unless the primary hands over, all stores lose their sessions and all messages are refused during the cut.
 func TestControlPrimaryCutOffFromStores(t *testing.T) {
 	play(t, Options{Seed: 19, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
@@ -225,13 +225,13 @@
 			is.True(w.fullyReplicated(w.Net.Host(operatorIP)))
 		})
 		f := w.Checker.Figures()
-		is.True(f.Refused+f.Unanswered < f.Sent/8) // those of the dispatcher beside it, which is cut off as well; without, a third of all
+		is.True(f.Refused+f.Unanswered < f.Sent/8) // only those of the dispatcher on the same machine, which is cut off as well; without a hand-over, a third of all
 		is.Equal(f.Open, 0)
 	})
 }
 
-// TestControlFullyReplicatedWithinCatchUp takes the disks of two processes of control one after the other, the second as soon as the first counts as whole,
-// and measures how long the group takes to survive F losses again: all processes are witnesses and F+2 of them members, none behind.
+// TestControlFullyReplicatedWithinCatchUp empties the disks of control processes one after another, each as soon as the group is complete again, and
+// measures how long the group takes until it tolerates F losses again: all processes are witnesses, F+2 of them members, and none is behind.
 func TestControlFullyReplicatedWithinCatchUp(t *testing.T) {
 	for _, o := range []Options{
 		{Control: 3, Machines: 1}, {Control: 4, Machines: 1}, {Control: 5, Machines: 1}, {Control: 5, Machines: 2},
--- a/sim/system/controllosses_test.go
+++ b/sim/system/controllosses_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// controlLoss takes F processes of control at once and brings them back after a while.
+// controlLoss takes F control processes down and brings them back after a while.
 type controlLoss struct {
 	name string
 	play func(w *World, lost []*Process, away time.Duration) error
@@ -27,7 +27,7 @@
 		var failed error
 		for _, p := range lost {
 			failed = errors.Join(failed, w.restartWithEmptyDisk(p))
-			time.Sleep(500 * time.Millisecond) // less than CatchUpS: the one before still counts as lost
+			time.Sleep(500 * time.Millisecond) // shorter than CatchUpS: the previous one still counts as lost
 		}
 		return failed
 	}},
@@ -68,15 +68,15 @@
 
 const (
 	lossLasts = 9 * time.Second
-	// electedWithin is the time that a change of control's primary may take, and pacing wait for, after F processes are lost.
+	// electedWithin is the time within which control must have a primary after the loss of F processes; rate-limited services may stall meanwhile.
 	electedWithin = 3 * time.Second
 	orderWithin   = 4 * time.Second
 	// pacedWithin is the time that a message of a rate-limited service may wait for its run while control has a primary.
 	pacedWithin = time.Second
 )
 
-// TestControlToleratesLosses takes F processes of control at once, the primary among them, from each number of processes that has 2F+1 or more. Orders are
-// taken, rate-limited services are served and sessions stay meanwhile; after a loss of all power nothing is forgotten.
+// TestControlToleratesLosses loses F control processes at once, the primary among them, in groups of at least 2F+1 processes. Meanwhile orders are
+// applied, rate-limited services are served and sessions are kept; after a power loss of all machines nothing is lost.
 func TestControlToleratesLosses(t *testing.T) {
 	sizes := []Options{{Control: 3, Machines: 1}, {Control: 6, Machines: 2}, {Control: 4, Machines: 1}, {Control: 5, Machines: 2}}
 	for _, o := range sizes[:controlSizes] {
@@ -112,7 +112,7 @@
 		}
 		is.NoErr(<-played)
 		late := w.Checker.startedLate("svc-c", begun.Add(electedWithin), begun.Add(lossLasts), pacedWithin)
-		is.Equal(late, 0) // rate-limited services go on
+		is.Equal(late, 0) // rate-limited services continue
 		time.Sleep(seconds(bounds.CatchUpS))
 		is.True(w.controlFullyReplicated())
 	})
@@ -123,8 +123,8 @@
 	is.Equal(w.Checker.Figures().Open, 0)
 }
 
-// TestControlResumesWhenMajorityReturns takes a majority of control's processes away, more than any F allows: traffic without a rate goes on,
-// no order gets a clear answer, and all goes on once they are back.
+// TestControlResumesWhenMajorityReturns takes the power of at least half of the control processes, more than any F allows: traffic without a rate
+// limit continues, no order gets a definite response, and everything resumes once they are back.
 func TestControlResumesWhenMajorityReturns(t *testing.T) {
 	for _, processes := range []int{3, 6, 4, 5}[:controlSizes] {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// startedLate counts the messages of a service that were sent in a span and accepted, and whose run began later than within after that.
+// startedLate counts the messages of a service that were sent in a span and accepted, and whose run started later than within after they were due.
 func (ch *Checker) startedLate(service string, from, to time.Time, within time.Duration) (count int) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
--- a/sim/system/crash_test.go
+++ b/sim/system/crash_test.go
@@ -13,7 +13,7 @@
 	"liftgauge/sim/system/virtualdisk"
 )
 
-// crashPoints is how many crash points of each role's run are played, evenly spread. -system.crashpoints 0 plays every one.
+// crashPoints is how many crash points are tested for each role, evenly spread over its run; 0 tests all of them.
 var crashPoints = flag.Int("system.crashpoints", crashes, "crash points of TestCrashPoints for each role; 0 for all")
 
 const (
@@ -21,8 +21,8 @@
 	crashTraffic = 2 * time.Second
 )
 
-// TestCrashPoints has one process lose power before or after each operation of its disk, from the founding of the system on; what was
-// written and not synced then is kept, torn or lost. It comes back on that disk, and all that was acknowledged holds.
+// TestCrashPoints makes one process lose power before or after an operation of its disk, from the first start of the system on. Writes that were
+// not synced are kept, torn or lost. The process restarts on that disk, and everything that was acknowledged must still hold.
 func TestCrashPoints(t *testing.T) {
 	for _, role := range []protocol.Role{protocol.RoleControl, protocol.RoleStore} {
 		t.Run(role.String(), func(t *testing.T) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// playCrash plays a short day with traffic and a change of configuration, on which the first process of a role crashes; at 0 it does not.
-// It returns how many crash points the process passed.
+// playCrash runs the system with traffic and a configuration change while the first process of a role crashes at a crash point; at 0 it does not
+// crash. It returns how many crash points the process passed.
 func playCrash(t *testing.T, role protocol.Role, at int) (points int) {
 	var crash *virtualdisk.Crash
 	day := func(t *testing.T, w *World) {
@@ -75,7 +75,7 @@
 	return points
 }
 
-// crashOnce cuts the power of a process at its crash point, and starts it again.
+// crashOnce makes a process lose power at its crash point, and starts it again.
 func crashOnce(t *testing.T, w *World, p *Process, crash *virtualdisk.Crash) {
 	select {
 	case <-w.ctx.Done():
--- a/sim/system/faults_test.go
+++ b/sim/system/faults_test.go
@@ -12,7 +12,7 @@
 
 var faultSeeds = flag.Int("system.faultseeds", faultDays, "days of TestFaultsAlone for each fault")
 
-// playEach plays each fault with as many seeds as are asked for, side by side.
+// playEach plays each fault with each seed, in parallel.
 func playEach(t *testing.T, list []fault, play func(t *testing.T, f fault, seed uint64)) {
 	for _, f := range list {
 		for i := range *faultSeeds {
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestFaultsAlone plays each fault by itself, twice on a day.
+// TestFaultsAlone injects each kind of fault by itself, twice in a run.
 func TestFaultsAlone(t *testing.T) {
 	playEach(t, faults, func(t *testing.T, f fault, seed uint64) {
 		play(t, Options{Seed: seed}, func(t *testing.T, w *World) {
--- a/sim/system/foundanew_test.go
+++ b/sim/system/foundanew_test.go
@@ -15,7 +15,7 @@
 	"liftgauge/internal/recovery"
 )
 
-// foundAnew carries out liftgauge recover --found, and starts the founder again when it has ended.
+// foundAnew performs liftgauge recover --found, and restarts the founder after it has exited.
 func (w *World) foundAnew(o recovery.Options, file []byte) (*recovery.Plan, error) {
 	ctx, cancel := context.WithTimeout(w.ctx, time.Minute)
 	defer cancel()
@@ -49,9 +49,9 @@
 	return plan, err
 }
 
-// TestControlIsFoundedAnewUnderTraffic takes the disks of a majority of control, or of all of it, while messages come. Control is founded anew
-// by the operator's command: nothing that has a copy is lost, nothing runs twice in calm, orders of keys are kept, configurations that were taken are
-// in force, and all of that outlives a loss of all power.
+// TestControlIsFoundedAnewUnderTraffic loses the disks of a majority of the control processes, or of all, during traffic. After the operator's
+// command has founded control anew, nothing that has a copy is lost, no message runs twice without a fault, the order within keys is kept and applied
+// configurations are in force. All of that survives a power loss of all machines.
 func TestControlIsFoundedAnewUnderTraffic(t *testing.T) {
 	survivors := map[string]func(w *World) []*Process{
 		"the primary":   func(w *World) []*Process { return []*Process{w.controlPrimary()} },
@@ -79,7 +79,7 @@
 		is.NoErr(loseDisks(lost))
 		time.Sleep(time.Second)
 		is.NoErr(startEach(lost))
-		time.Sleep(2 * time.Second) // they hear of the newest state
+		time.Sleep(2 * time.Second) // they receive the newest state
 		plan, err := w.foundAnew(recovery.Options{}, nil)
 		is.NoErr(err)
 		if err != nil {
@@ -91,7 +91,7 @@
 		is.Equal(status, http.StatusOK)
 		time.Sleep(seconds(bounds.CatchUpS))
 		is.True(w.controlFullyReplicated())
-		// A store is lost as before: partitions get other primaries by the new control.
+		// The new control handles the loss of a store: partitions get other primaries.
 		is.NoErr(w.restartWithEmptyDisk(w.ByRole(protocol.RoleStore)[0]))
 		time.Sleep(seconds(bounds.CatchUpS))
 		is.True(w.fullyReplicated(w.Net.Host(operatorIP)))
@@ -102,7 +102,7 @@
 	is.Equal(w.Checker.Figures().Open, 0)
 }
 
-// TestNothingIsFoundedWhileControlWorks has the command refused at each moment of a store's and a control process's loss within F.
+// TestNothingIsFoundedWhileControlWorks checks that the command is refused at any time after the loss of one control process, which is within F.
 func TestNothingIsFoundedWhileControlWorks(t *testing.T) {
 	play(t, Options{Seed: 32}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
--- a/sim/system/history_test.go
+++ b/sim/system/history_test.go
@@ -10,7 +10,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// historyOf records calls that follow one another, a second each.
+// historyOf returns a history of consecutive calls, one second each, from pairs of a call and its response.
 func historyOf(calls ...any) *History {
 	h := &History{}
 	now := time.Now()
@@ -22,7 +22,7 @@
 			h.read(now.Add(time.Duration(i-len(calls))*time.Second), calls[i+1].(readResponse))
 		}
 	}
-	for i := range h.calls { // each ends before the next begins
+	for i := range h.calls { // each call ends before the next begins
 		if h.calls[i].Output != (orderResponse{}) {
 			h.calls[i].Return = h.calls[i].Call + int64(time.Second)
 		}
@@ -30,7 +30,7 @@
 	return h
 }
 
-// TestHistoryModel has histories of a system that keeps its promises, and of one that breaks one of them.
+// TestHistoryModel checks histories that keep the guarantees of the configuration, and histories that violate one of them.
 func TestHistoryModel(t *testing.T) {
 	first, second := orderCall{0, 1, "first"}, orderCall{1, 2, "second"}
 	rival := orderCall{1, 2, "rival"}
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestOrdersAreLinearizable has three operators race and two readers ask, while control processes are cut off, killed and frozen.
+// TestOrdersAreLinearizable runs three concurrent operators and two readers while control processes are isolated and killed.
 func TestOrdersAreLinearizable(t *testing.T) {
 	for seed := range uint64(seeds) {
 		var history *History
@@ -72,7 +72,7 @@
 	}
 }
 
-// race runs operators, readers and faults for a time.
+// race runs operators, readers and faults for a span.
 func race(t *testing.T, w *World, lasting time.Duration) {
 	end := time.Now().Add(lasting)
 	controls := w.ByRole(protocol.RoleControl)
@@ -88,10 +88,10 @@
 		}
 		time.Sleep(2 * time.Second)
 	}
-	time.Sleep(5 * time.Second) // the last calls end
+	time.Sleep(5 * time.Second) // the last calls complete
 }
 
-// raceOrders has three operators race and two readers ask as long as it goes on.
+// raceOrders starts three concurrent operators and two readers, which stop once goesOn returns false.
 func raceOrders(w *World, goesOn func() bool) {
 	controls := w.ByRole(protocol.RoleControl)
 	for operator := range 3 {
@@ -99,7 +99,7 @@
 			for round := 0; goesOn(); round++ {
 				base := w.Operator.Newest().Revision
 				next := w.Operator.Document(base+1+(operator+round)%3, fifoRoute, plainRoute, pacedRoute)
-				next.Limits.IdleTimeoutMs += 1000*operator + round // no two are the same
+				next.Limits.IdleTimeoutMs += 1000*operator + round // no two documents are equal
 				_, _ = w.Operator.Replace(base, next, 4*time.Second)
 				time.Sleep(time.Duration(100+70*operator) * time.Millisecond)
 			}
--- a/sim/system/lastdisk_test.go
+++ b/sim/system/lastdisk_test.go
@@ -13,14 +13,14 @@
 	"liftgauge/internal/protocol"
 )
 
-// mergedMessage is what control logs when it has a partition put together.
+// mergedMessage is what control logs when it has a partition merged from the copies that remain.
 const mergedMessage = "control: the disks of all members of a partition are lost; it is put together from what others hold"
 
-// secondLosses are how long after the view with one member the second loss comes. All are within the time that a repair takes.
+// secondLosses are the delays between the view with one member and the second loss. All are shorter than a repair.
 var secondLosses = []time.Duration{0, 10 * time.Millisecond, 30 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond}
 
-// TestDiskOfLastMemberIsLost takes the power of one store, and after the failover, while the third store is being made equal, the disk of the
-// other: what was acknowledged before is on the first disk, what was acknowledged since on the third.
+// TestDiskOfLastMemberIsLost takes the power of one store and then, after the failover and while the third store is being repaired, the disk of
+// the second: messages acknowledged before the failover are on the first disk, those acknowledged since on the third.
 func TestDiskOfLastMemberIsLost(t *testing.T) {
 	playSecondLosses(t, 60, func(w *World, lose func() error) error {
 		first := w.ByRole(protocol.RoleStore)[0]
@@ -30,8 +30,8 @@
 	})
 }
 
-// TestDiskLossWhileAnotherStoreIsCutOff cuts the link between two stores, and takes the disk of one when views do without the other: that one is not
-// to drop its records before there are enough copies elsewhere.
+// TestDiskLossWhileAnotherStoreIsCutOff cuts the link between two stores, and loses the disk of one when views exclude the other: the excluded one
+// must not drop its records before there are enough copies elsewhere.
 func TestDiskLossWhileAnotherStoreIsCutOff(t *testing.T) {
 	playSecondLosses(t, 70, func(w *World, lose func() error) error {
 		stores := w.ByRole(protocol.RoleStore)
@@ -49,8 +49,8 @@
 	})
 }
 
-// playSecondLosses plays a first loss with a second one: lose waits for views that lack copies, and replaces the disk of the second store. Nothing may be
-// lost, and every partition must be whole in time.
+// playSecondLosses plays a first loss with a second one: lose waits until views lack copies, and then replaces the disk of the second store. Nothing
+// may be lost, and every partition must have all its copies in time.
 func playSecondLosses(t *testing.T, seed uint64, first func(w *World, lose func() error) error) {
 	merges := 0
 	for i, wait := range secondLosses {
@@ -72,6 +72,6 @@
 			merges += logs.FilterMessage(mergedMessage).Len()
 		})
 	}
-	t.Logf("%d partitions put together", merges)
-	is.New(t).True(merges > 0) // else the second loss came too late
+	t.Logf("%d partitions merged", merges)
+	is.New(t).True(merges > 0) // otherwise the second loss came too late
 }
--- a/sim/system/lostpush_test.go
+++ b/sim/system/lostpush_test.go
@@ -11,19 +11,19 @@
 	"liftgauge/internal/rpc"
 )
 
-// itemsDatagram tells whether a datagram is a push of items: after magic and checksum stands its kind.
+// itemsDatagram reports whether a datagram is a push of items. Its kind follows magic and checksum.
 func itemsDatagram(datagram []byte) bool {
 	const kindAt = 8
 	return rpc.Kind(binary.LittleEndian.Uint16(datagram[kindAt:])) == protocol.KindItems
 }
 
-// TestPrimaryLearnsItsViewsWithoutPushes loses all pushes to one store, as the random choice of their targets does now and then, and all digests to it
-// but those of stores. Another store is lost and returns, and gets partitions that the first one leads: it has to hear of their views from the stores
-// that share them, or its clients wait for a store that has left the partition.
+// TestPrimaryLearnsItsViewsWithoutPushes drops all pushes to one store, as the random choice of push targets occasionally does, and all digests to
+// it but those of other stores. Another store is killed and returns, and joins partitions that the first one leads. The first one must learn their
+// views from the stores that share them, or its clients wait for a store that has been removed from the partition.
 func TestPrimaryLearnsItsViewsWithoutPushes(t *testing.T) {
 	const (
 		missed         = "10.0.3.2"
-		ordinaryAccept = 30 * time.Millisecond // five times what one takes here
+		ordinaryAccept = 30 * time.Millisecond // five times the usual time here
 	)
 	stores := map[string]bool{"10.0.1.2": true, "10.0.2.2": true}
 	o := Options{Seed: 22}
--- a/sim/system/race_test.go
+++ b/sim/system/race_test.go
@@ -2,12 +2,12 @@
 
 package system
 
-// The race detector makes runs several times as long: there are fewer of the drawn ones.
+// The race detector makes runs several times as long, so there are fewer random ones.
 const (
 	seeds     = 1
 	days      = 1
 	crashes   = 2
-	faultDays = 1 // of each fault alone
-	// controlSizes of the groups of TestControlToleratesLosses: the smallest and the largest. Plain runs play all of them.
+	faultDays = 1 // seeds of each fault in playEach
+	// controlSizes is the number of group sizes in TestControlToleratesLosses: the smallest and the largest. Runs without the detector test all.
 	controlSizes = 2
 )
--- a/sim/system/recovery.go
+++ b/sim/system/recovery.go
@@ -27,18 +27,18 @@
 // MeasureRecovery causes a loss during traffic, and measures what clients and the partition table show for a span after it. traffic calls its
 // argument to cause the loss, and returns when all its messages have had time to end.
 func (w *World) MeasureRecovery(name string, span time.Duration, traffic func(loss func()), loss func() error) (r Recovery, err error) {
-	var begin, whole time.Time
+	var lossAt, lastIncomplete time.Time
 	traffic(func() {
-		begin = time.Now()
+		lossAt = time.Now()
 		polled := make(chan time.Time)
-		w.running.Go(func() { polled <- w.lastUnderReplicated(begin.Add(span)) })
+		w.running.Go(func() { polled <- w.lastUnderReplicated(lossAt.Add(span)) })
 		err = loss()
-		whole = <-polled
+		lastIncomplete = <-polled
 	})
-	r = w.Checker.measureRecovery(begin, begin.Add(span))
+	r = w.Checker.measureRecovery(lossAt, lossAt.Add(span))
 	r.Loss = name
-	if !whole.IsZero() {
-		r.Whole = whole.Sub(begin).Seconds()
+	if !lastIncomplete.IsZero() {
+		r.Whole = lastIncomplete.Sub(lossAt).Seconds()
 	}
 	return r, err
 }
--- a/sim/system/recovery_test.go
+++ b/sim/system/recovery_test.go
@@ -11,10 +11,10 @@
 	"liftgauge/internal/protocol"
 )
 
-// recoverySpan is watched after each loss. It is longer than CatchUpS and any bound of a failover.
+// recoverySpan is the time measured after each loss. It is longer than CatchUpS and the limit of any failover.
 const recoverySpan = 8 * time.Second
 
-// losses are what docs/recovery.md tells the times of. Each returns when what was lost is back, if it comes back.
+// losses are those whose recovery times docs/recovery.md states. Each returns when what was lost is back.
 var losses = []struct {
 	name                         string
 	accepting, delivering, whole time.Duration // at most
@@ -37,7 +37,7 @@
 		}
 		return backAfter(time.Second, lose, w.ByRole(protocol.RoleStore)[2])
 	}},
-	{"all machines of a zone without power for 3 s", 3200 * time.Millisecond, // until its own dispatcher is ready again
+	{"all machines of a zone without power for 3 s", 3200 * time.Millisecond, // until the dispatcher of that zone is ready again
 		3 * time.Second, 5 * time.Second, func(w *World) error {
 			return backAfter(3*time.Second, (*Process).LosePower, w.inZone("zone-1")...)
 		}},
@@ -46,7 +46,7 @@
 	}},
 }
 
-// backAfter loses processes and starts them again.
+// backAfter takes processes down and starts them again after a pause.
 func backAfter(down time.Duration, lose func(*Process) error, processes ...*Process) (err error) {
 	for _, p := range processes {
 		err = errors.Join(err, lose(p))
@@ -67,14 +67,15 @@
 	return found
 }
 
-// TestRecoveryTimes measures each loss, and logs a line of JSON for it. In virtual time only net, disks and timers take time, no processor.
+// TestRecoveryTimes measures the recovery from each loss, and logs it as a line of JSON. In virtual time only network, disks and timers take time,
+// not the processor.
 func TestRecoveryTimes(t *testing.T) {
 	for i, loss := range losses {
 		t.Run(loss.name, func(t *testing.T) {
 			play(t, Options{Seed: uint64(20 + i)}, func(t *testing.T, w *World) {
 				is := is.NewRelaxed(t)
-				beside := func(lose func()) { runWithFaults(w, recoverySpan+3*time.Second, lose) }
-				r, err := w.MeasureRecovery(loss.name, recoverySpan, beside, func() error { return loss.lose(w) })
+				withLoss := func(lose func()) { runWithFaults(w, recoverySpan+3*time.Second, lose) }
+				r, err := w.MeasureRecovery(loss.name, recoverySpan, withLoss, func() error { return loss.lose(w) })
 				is.NoErr(err)
 				line, err := json.Marshal(r)
 				is.NoErr(err)
--- a/sim/system/regress_test.go
+++ b/sim/system/regress_test.go
@@ -11,8 +11,8 @@
 	"liftgauge/internal/protocol"
 )
 
-// TestConfigurationNeverGoesBack gives a version every 0.4 s, each with a route of its own, and asks all dispatchers for the newest again and again while
-// control's primary is cut off, killed and loses its disk, and a dispatcher starts anew: no incarnation goes back.
+// TestConfigurationNeverGoesBack applies a version every 0.4 s, each with a route of its own, and probes all dispatchers for the newest routes while
+// control's primary is isolated, killed and loses its disk, and a dispatcher restarts: no incarnation goes back to an earlier version.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	play(t, Options{Seed: 34}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
@@ -51,8 +51,8 @@
 	})
 }
 
-// TestCheckerDetectsVersionRollback: an incarnation that had a version and has no route of it later breaks CONFIG; another incarnation, or one that answers
-// what it was asked before, does not.
+// TestCheckerDetectsVersionRollback checks that an incarnation that had a version and later lacks its route violates CONFIG, and that another
+// incarnation, or a response to an earlier request, does not.
 func TestCheckerDetectsVersionRollback(t *testing.T) {
 	is := is.New(t)
 	ch := newChecker()
@@ -71,14 +71,14 @@
 	is.Equal(ch.Violations()[0].Rule, "CONFIG")
 }
 
-// TestCheckerDetectsRequestAbortedByPlannedShutdown plays the cases of LOST around planned work.
+// TestCheckerDetectsRequestAbortedByPlannedShutdown checks the cases of LOST around planned shutdowns.
 func TestCheckerDetectsRequestAbortedByPlannedShutdown(t *testing.T) {
 	slack := time.Duration(bounds.LossSlackMs * float64(time.Millisecond))
 	start := time.Now()
 	for name, c := range map[string]struct {
 		dispatcher string
-		held       time.Duration // from the last byte to the cut
-		after      time.Duration // from SIGTERM to the cut
+		held       time.Duration // from the last byte of the request to the abort
+		after      time.Duration // from SIGTERM to the abort
 		trouble    bool
 		lost       bool
 	}{
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestCheckerComparesAbortsDuringConfigChanges: what is cut beside a configuration counts where the dispatcher cuts over three times as often as otherwise, and
-// not after seven tenths of a request's time.
+// TestCheckerComparesAbortsDuringConfigChanges checks that aborted requests during a configuration change violate LOST if the dispatcher aborts more
+// than three times as often as otherwise, and not after seven tenths of a request's time.
 func TestCheckerComparesAbortsDuringConfigChanges(t *testing.T) {
 	start := time.Now()
 	for name, c := range map[string]struct {
--- a/sim/system/storefaults_test.go
+++ b/sim/system/storefaults_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestStoreFaults plays each of the worst faults of stores beside traffic: nothing that was acknowledged is lost, and every partition is whole again
-// in time.
+// TestStoreFaults injects each of storeFaults during traffic: nothing that was acknowledged is lost, and every partition has all its copies again in
+// time.
 func TestStoreFaults(t *testing.T) {
 	playEach(t, storeFaults, func(t *testing.T, f fault, seed uint64) {
 		o := Options{Seed: seed, Stores: 4, Machines: 1}
--- a/sim/system/system_test.go
+++ b/sim/system/system_test.go
@@ -17,13 +17,13 @@
 	"liftgauge/sim/system/virtualnet"
 )
 
-// play runs a test of a system in a bubble: started, with a configuration, and judged at the end. during is what happens meanwhile, and
-// has to last at least as long as the traffic that it starts.
+// play runs a test in a bubble, on a system that is started and has a configuration, and reports all violations at the end. during is the body of the
+// test; it must not return before the traffic that it starts.
 func play(t *testing.T, o Options, during func(t *testing.T, w *World)) {
 	playPrepared(t, o, func(*World) {}, during)
 }
 
-// playPrepared is play with something to do before any process starts.
+// playPrepared is like play, but calls prepare before any process starts.
 func playPrepared(t *testing.T, o Options, prepare func(w *World), during func(t *testing.T, w *World)) {
 	o.Folder = t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -55,8 +55,8 @@
 		traffic(w, 20*time.Second)
 		f := w.Checker.Figures()
 		is.True(f.Accepted > 500)
-		is.Equal(f.Open, 0)    // all that was accepted has ended
-		is.Equal(f.Repeats, 0) // and ran to success once
+		is.Equal(f.Open, 0)    // every accepted message has ended
+		is.Equal(f.Repeats, 0) // and succeeded only once
 		is.Equal(f.Refused+f.Unanswered, 0)
 	})
 }
@@ -77,7 +77,7 @@
 				runWithFaults(w, 12*time.Second, func() {
 					for _, p := range w.ByRole(role) {
 						kill(t, p, time.Second)
-						time.Sleep(4 * time.Second) // the copies are whole again
+						time.Sleep(4 * time.Second) // all copies are complete again
 					}
 				})
 				is.New(t).Equal(w.Checker.Figures().Open, 0)
@@ -93,7 +93,7 @@
 		runWithFaults(w, 12*time.Second, func() {
 			is.NoErr(stores[0].LosePower())
 			time.Sleep(bounds.Contact() + 2*time.Second)
-			is.NoErr(stores[1].LosePower()) // what the first one held has its copies again
+			is.NoErr(stores[1].LosePower()) // the data of the first one has been copied elsewhere
 		})
 		is.Equal(w.Checker.Figures().Open, 0)
 	})
@@ -119,7 +119,7 @@
 							won++
 						}
 					}
-					is.New(t).Equal(won, 1) // exactly one; the judge sees to it that it is the one in force
+					is.New(t).Equal(won, 1) // exactly one wins; the checker checks that it is the one in force
 					time.Sleep(time.Second)
 					w.SetIsolated(w.ByRole(protocol.RoleControl)[i].IP, false)
 				})
@@ -179,7 +179,7 @@
 		})
 		f := w.Checker.Figures()
 		is.Equal(f.Open, 0)
-		is.Equal(f.Repeats, 0) // a planned end excuses nothing
+		is.Equal(f.Repeats, 0) // a planned shutdown does not excuse repeats
 	})
 }
 
@@ -213,8 +213,8 @@
 	})
 }
 
-// TestStoreReachableOnlyByDispatchers cuts a store off from control and from all stores, while three dispatchers still reach it: it may not
-// act as a primary any more, although it cannot know of its successors.
+// TestStoreReachableOnlyByDispatchers cuts a store off from control and from all stores, while three dispatchers still reach it: it must stop
+// acting as a primary, although it cannot learn of its successors.
 func TestStoreReachableOnlyByDispatchers(t *testing.T) {
 	play(t, Options{Seed: 8, Edges: 6}, func(t *testing.T, w *World) {
 		store := w.ByRole(protocol.RoleStore)[0]
@@ -238,12 +238,12 @@
 		f := w.Checker.Figures()
 		is := is.NewRelaxed(t)
 		is.Equal(f.Open, 0)
-		is.Equal(f.Repeats, 0) // the rule excuses these, the leases prevent them
+		is.Equal(f.Repeats, 0) // the rule allows these after a fault, but the leases prevent them
 	})
 }
 
 // TestStoreIsolatedTogetherWithADispatcher cuts a store and a dispatcher off together. The store has many messages that become due while its
-// successors, on the other side, hand them out; without leases both would.
+// successors, on the other side, deliver them; without leases both would deliver them.
 func TestStoreIsolatedTogetherWithADispatcher(t *testing.T) {
 	play(t, Options{Seed: 11, Edges: 4}, func(t *testing.T, w *World) {
 		store, alone := w.ByRole(protocol.RoleStore)[0].IP, w.ByRole(protocol.RoleDispatcher)[3].IP
@@ -271,7 +271,7 @@
 		f := w.Checker.Figures()
 		is := is.NewRelaxed(t)
 		is.Equal(f.Open, 0)
-		// What the store still hands out by its leases is run again elsewhere, as nothing can be recorded; nothing may be after them.
+		// What the store still delivers under its leases runs again elsewhere, as no result can be recorded. After the leases it must not deliver anything.
 		const lease, run = 600 * time.Millisecond, 100 * time.Millisecond
 		for _, m := range w.Checker.repeatedSuccesses() {
 			if after := m.succeeded.Sub(cutAt); after > lease+run {
@@ -302,7 +302,7 @@
 						})
 					}
 					first, second := <-results, <-results
-					is.NewRelaxed(t).True((first == 0) != (second == 0)) // one of them wins
+					is.NewRelaxed(t).True((first == 0) != (second == 0)) // exactly one wins
 					base = max(base, first, second)
 					time.Sleep(300 * time.Millisecond)
 				}
@@ -312,7 +312,7 @@
 	}
 }
 
-// TestFramesWithUnknownFields plays every process against later versions of all others, which add fields at the end.
+// TestFramesWithUnknownFields simulates that all peers of each process run a later version, which adds fields at the end of frames.
 func TestFramesWithUnknownFields(t *testing.T) {
 	o := Options{Seed: 10}
 	o.Net.RewriteFrame = func(_, _ string, frame []byte) []byte {
@@ -341,7 +341,7 @@
 	dayCount  = flag.Int("system.days", days, "days of TestDays")
 )
 
-// TestDays plays days drawn by seeds; liftlab system runs it longer.
+// TestDays plays a random Day for each seed; liftlab system runs more of them.
 func TestDays(t *testing.T) {
 	for i := range *dayCount {
 		seed := *firstSeed + uint64(i)
@@ -349,7 +349,7 @@
 			t.Parallel()
 			folder, machines := t.TempDir(), 1
 			if seed%3 == 0 {
-				machines = 2 // may be lost at a time
+				machines = 2 // machines may be lost at a time
 			}
 			synctest.Test(t, func(t *testing.T) {
 				w, err := NewWorld(Options{Seed: seed, Folder: folder, Machines: machines, Net: virtualnet.Options{Loss: 0.01}})
--- a/sim/system/virtualnet/net.go
+++ b/sim/system/virtualnet/net.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Reset breaks all connections between two machines on both sides.
+// Reset resets all connections between two machines on both sides.
 func (n *Net) Reset(a, b string) {
 	for _, p := range n.matchingPairs(func(p *pair) bool {
 		return p.dialerIP == a && p.acceptorIP == b || p.dialerIP == b && p.acceptorIP == a
--- a/sim/system/zonepower_test.go
+++ b/sim/system/zonepower_test.go
@@ -9,8 +9,8 @@
 	"liftgauge/internal/protocol"
 )
 
-// TestPowerLossOfAllStoresOfAZone takes the power of all stores of a zone, more than FaultTolerance allows, where the copies of each partition lie in one zone:
-// messages without a key go to other zones meanwhile, and what was acknowledged is there and delivered once the zone is back.
+// TestPowerLossOfAllStoresOfAZone makes all stores of a zone lose power, more than FaultTolerance allows, where all copies of a partition are in one
+// zone: messages without a key go to other zones meanwhile, and acknowledged messages are delivered once the zone is back.
 func TestPowerLossOfAllStoresOfAZone(t *testing.T) {
 	play(t, Options{Seed: 31, Stores: 6}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
@@ -26,7 +26,7 @@
 			for _, p := range stores {
 				is.NoErr(p.LosePower())
 			}
-			time.Sleep(2 * time.Second) // sessions have ended
+			time.Sleep(2 * time.Second) // sessions have expired
 			from := time.Now()
 			time.Sleep(4 * time.Second)
 			refused = w.Checker.notAccepted(plainRoute.Backend, from, time.Now())
@@ -39,7 +39,7 @@
 	})
 }
 
-// notAccepted counts the tries for a service that were sent in a span and answered otherwise than with 202.
+// notAccepted counts the attempts for a service that were sent in a span and got a response other than 202.
 func (ch *Checker) notAccepted(service string, from, to time.Time) (count int) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
