--- a/sim/system/clients.go
+++ b/sim/system/clients.go
@@ -37,7 +37,7 @@
 	sending := 0
 	limit := time.Now().Add(span)
 	for i := 0; time.Now().Before(limit) && w.ctx.Err() == nil; i++ {
-		c := &client{world: w, host: host, traffic: t, name: fmt.Sprintf("%s-%d", name, i), pick: random.IntN(1 << 20)}
+		c := &client{world: w, host: host, traffic: t, name: fmt.Sprintf("%s-%d", name, i), firstDispatcher: random.IntN(1 << 20)}
 		if t.Keys > 0 {
 			c.key = fmt.Sprintf("%s-key-%d", name, random.IntN(t.Keys))
 		}
@@ -58,19 +58,19 @@
 
 // client sends one message, in up to clientAttempts attempts. The checker treats each attempt as a message of its own.
 type client struct {
-	world   *World
-	host    *virtualnet.Host
-	traffic Traffic
-	name    string
-	key     string
-	delay   time.Duration
-	pick    int
+	world           *World
+	host            *virtualnet.Host
+	traffic         Traffic
+	name            string
+	key             string
+	delay           time.Duration
+	firstDispatcher int
 }
 
 func (c *client) send() {
 	for attempt := range clientAttempts {
 		status, pause := c.attempt(attempt)
-		if !refusal(status) {
+		if !isRefusal(status) {
 			return
 		}
 		time.Sleep(min(pause, time.Second))
@@ -94,7 +94,7 @@
 	if c.delay > 0 {
 		header.Set("X-Delay-Ms", fmt.Sprint(c.delay.Milliseconds()))
 	}
-	response := c.world.submit(c.host, dispatchers[(c.pick+n)%len(dispatchers)], m, header)
+	response := c.world.submit(c.host, dispatchers[(c.firstDispatcher+n)%len(dispatchers)], m, header)
 	if response == nil {
 		return 0, 0
 	}
@@ -121,14 +121,14 @@
 		return nil
 	}
 	if response.StatusCode == http.StatusAccepted {
-		if named := response.Header.Get("X-Message-Id"); named != "" {
-			m.name = named
+		if assigned := response.Header.Get("X-Message-Id"); assigned != "" {
+			m.assignedID = assigned
 		} else {
-			m.name = m.id
+			m.assignedID = m.id
 		}
 	}
-	if echoed := response.Header.Get("X-Request-Id"); echoed != "" && echoed != m.id {
-		w.Checker.reportViolation("MIXED", "%s got the response to %s: %s", m.id, echoed, body)
+	if echoedID := response.Header.Get("X-Request-Id"); echoedID != "" && echoedID != m.id {
+		w.Checker.reportViolation("MIXED", "%s got the response to %s: %s", m.id, echoedID, body)
 	}
 	w.Checker.recordResponse(m, response.StatusCode, string(body))
 	return response
@@ -194,7 +194,7 @@
 	for attempt := range 12 {
 		dispatchers := w.ByRole(protocol.RoleDispatcher)
 		address := hostPort(dispatchers[attempt%len(dispatchers)].IP, frontendPort)
-		status, body = w.get(host, "http://"+address+path+m.name)
+		status, body = w.get(host, "http://"+address+path+m.assignedID)
 		switch status {
 		case http.StatusOK:
 			return status, body
--- a/sim/system/controllosses_test.go
+++ b/sim/system/controllosses_test.go
@@ -31,7 +31,7 @@
 		}
 		return failed
 	}},
-	{"dark", func(w *World, lost []*Process, away time.Duration) error {
+	{"without power", func(w *World, lost []*Process, away time.Duration) error {
 		var failed error
 		for _, p := range lost {
 			failed = errors.Join(failed, p.LosePower())
--- a/sim/system/faults.go
+++ b/sim/system/faults.go
@@ -104,26 +104,26 @@
 }
 
 // claim returns a random process that no other fault has claimed. There must be one.
-func (h *processClaims) claim(random *rand.Rand, among []*Process) *Process {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *processClaims) claim(random *rand.Rand, among []*Process) *Process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for {
 		p := among[random.IntN(len(among))]
-		if h.processes[p] {
+		if c.processes[p] {
 			continue
 		}
-		if h.processes == nil {
-			h.processes = map[*Process]bool{}
+		if c.processes == nil {
+			c.processes = map[*Process]bool{}
 		}
-		h.processes[p] = true
+		c.processes[p] = true
 		return p
 	}
 }
 
-func (h *processClaims) release(p *Process) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.processes, p)
+func (c *processClaims) release(p *Process) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.processes, p)
 }
 
 // loseTemporarily takes one of the given processes down for a random time, and returns when it has caught up after its restart.
--- a/sim/system/history.go
+++ b/sim/system/history.go
@@ -103,18 +103,18 @@
 // order returns the possible states after an order that got the given status; none if that status is not allowed.
 func (s registerState) order(call orderCall, status int) []any {
 	applied := strings.Contains(digestEnd+s.applied, digestEnd+digest(call.body))
-	fits := call.base == s.revision && call.revision > s.revision
+	valid := call.base == s.revision && call.revision > s.revision
 	after := registerState{revision: call.revision, body: call.body, applied: s.applied + digest(call.body)}
 	switch {
 	case status == http.StatusOK && applied:
 		return []any{s}
-	case status == http.StatusOK && fits:
+	case status == http.StatusOK && valid:
 		return []any{after}
 	case status == http.StatusPreconditionFailed && !applied && call.base != s.revision:
 		return []any{s}
 	case status == http.StatusBadRequest && !applied && call.revision <= s.revision:
 		return []any{s}
-	case status == 0 && fits && !applied:
+	case status == 0 && valid && !applied:
 		return []any{s, after}
 	case status == 0:
 		return []any{s}
--- a/sim/system/history_test.go
+++ b/sim/system/history_test.go
@@ -34,24 +34,24 @@
 func TestHistoryModel(t *testing.T) {
 	first, second := orderCall{0, 1, "first"}, orderCall{1, 2, "second"}
 	rival := orderCall{1, 2, "rival"}
-	yes, other, invalid, unclear := orderResponse{200}, orderResponse{412}, orderResponse{400}, orderResponse{}
+	acknowledged, preconditionFailed, badRequest, noResponse := orderResponse{200}, orderResponse{412}, orderResponse{400}, orderResponse{}
 	for name, c := range map[string]struct {
-		calls []any
-		fits  bool
+		calls        []any
+		linearizable bool
 	}{
-		"one after another":             {[]any{first, yes, second, yes, readCall{}, readResponse{2, "second"}}, true},
-		"taken is taken for good":       {[]any{first, yes, second, yes, first, yes}, true},
-		"one of two wins":               {[]any{first, yes, second, yes, rival, other}, true},
-		"unclear, in force":             {[]any{first, yes, second, unclear, readCall{}, readResponse{2, "second"}}, true},
-		"unclear, not in force":         {[]any{first, yes, second, unclear, rival, yes, readCall{}, readResponse{2, "rival"}}, true},
-		"not higher":                    {[]any{first, yes, orderCall{1, 1, "again"}, invalid}, true},
-		"both of two win":               {[]any{first, yes, second, yes, rival, yes}, false},
-		"an acknowledged one is lost":   {[]any{first, yes, second, yes, readCall{}, readResponse{1, "first"}}, false},
-		"a refused one is in force":     {[]any{first, yes, second, other, readCall{}, readResponse{2, "second"}}, false},
-		"a taken one is refused":        {[]any{first, yes, second, yes, first, other}, false},
-		"an unclear one comes and goes": {[]any{first, yes, second, unclear, readCall{}, readResponse{2, "second"}, readCall{}, readResponse{1, "first"}}, false},
+		"consecutive orders":                         {[]any{first, acknowledged, second, acknowledged, readCall{}, readResponse{2, "second"}}, true},
+		"an applied order stays acknowledged":        {[]any{first, acknowledged, second, acknowledged, first, acknowledged}, true},
+		"one of two rivals wins":                     {[]any{first, acknowledged, second, acknowledged, rival, preconditionFailed}, true},
+		"no response, in force":                      {[]any{first, acknowledged, second, noResponse, readCall{}, readResponse{2, "second"}}, true},
+		"no response, not in force":                  {[]any{first, acknowledged, second, noResponse, rival, acknowledged, readCall{}, readResponse{2, "rival"}}, true},
+		"revision not higher":                        {[]any{first, acknowledged, orderCall{1, 1, "again"}, badRequest}, true},
+		"both rivals win":                            {[]any{first, acknowledged, second, acknowledged, rival, acknowledged}, false},
+		"an acknowledged order is lost":              {[]any{first, acknowledged, second, acknowledged, readCall{}, readResponse{1, "first"}}, false},
+		"a rejected order is in force":               {[]any{first, acknowledged, second, preconditionFailed, readCall{}, readResponse{2, "second"}}, false},
+		"an applied order is rejected":               {[]any{first, acknowledged, second, acknowledged, first, preconditionFailed}, false},
+		"an order without a response is rolled back": {[]any{first, acknowledged, second, noResponse, readCall{}, readResponse{2, "second"}, readCall{}, readResponse{1, "first"}}, false},
 	} {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(historyOf(c.calls...).Linearizable(), c.fits) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(historyOf(c.calls...).Linearizable(), c.linearizable) })
 	}
 }
 
@@ -91,12 +91,12 @@
 	time.Sleep(5 * time.Second) // the last calls complete
 }
 
-// raceOrders starts three concurrent operators and two readers, which stop once goesOn returns false.
-func raceOrders(w *World, goesOn func() bool) {
+// raceOrders starts three concurrent operators and two readers, which stop once running returns false.
+func raceOrders(w *World, running func() bool) {
 	controls := w.ByRole(protocol.RoleControl)
 	for operator := range 3 {
 		w.running.Go(func() {
-			for round := 0; goesOn(); round++ {
+			for round := 0; running(); round++ {
 				base := w.Operator.Newest().Revision
 				next := w.Operator.Document(base+1+(operator+round)%3, fifoRoute, plainRoute, pacedRoute)
 				next.Limits.IdleTimeoutMs += 1000*operator + round // no two documents are equal
@@ -107,7 +107,7 @@
 	}
 	for reader := range 2 {
 		w.running.Go(func() {
-			for i := reader; goesOn(); i++ {
+			for i := reader; running(); i++ {
 				w.Operator.Read(hostPort(controls[i%len(controls)].IP, controlPort))
 				time.Sleep(150 * time.Millisecond)
 			}
--- a/sim/system/judge.go
+++ b/sim/system/judge.go
@@ -42,7 +42,7 @@
 // message is one attempt of a client and what was observed of it.
 type message struct {
 	id, key, service, prefix string
-	name                     string // message ID given by the system
+	assignedID               string // message ID given by the system
 	fifo                     bool
 	maxAttempts              int
 	timeout, delay           time.Duration
@@ -114,13 +114,13 @@
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	m.status = status
-	if took := time.Since(m.sent); refusal(status) || took > acceptWithin {
+	if took := time.Since(m.sent); isRefusal(status) || took > acceptWithin {
 		ch.refusedOrLate = append(ch.refusedOrLate, fmt.Sprintf("%v %s: %d after %v %s", m.sent.Sub(ch.start), m.id, status, took, strings.TrimSpace(text)))
 	}
 	if status == http.StatusAccepted {
 		m.accepted = time.Now()
 	}
-	if refusal(status) && m.runs > 0 {
+	if isRefusal(status) && m.runs > 0 {
 		ch.addViolation("REFUSED", "%s was answered %d and had run", m.id, status)
 	}
 	if at, dropped := ch.dropped[m.prefix]; status == http.StatusAccepted && dropped && m.sent.After(at.Add(bounds.ConfigApply())) {
@@ -128,7 +128,7 @@
 	}
 }
 
-func refusal(status int) bool {
+func isRefusal(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -154,8 +154,8 @@
 
 // Limits of the checks of a run's start: a message must not run again after so many failures, and may start so long before its delay has passed.
 const (
-	failuresOfBudget = 3 // times MaxAttempts
-	earlySlack       = 200 * time.Millisecond
+	budgetFactor = 3 // times MaxAttempts
+	earlySlack   = 200 * time.Millisecond
 )
 
 // recordStart records that a worker starts to run a message, and checks the run. It returns nil for a message that no client sent.
@@ -177,10 +177,10 @@
 		ch.addViolation("UNASKED", "%s ran with the ordering key %q, not %q", id, key, m.key)
 	case now.Before(m.sent.Add(m.delay - bounds.Earliest() - earlySlack)):
 		ch.addViolation("ORDER", "%s begins %v before its delay is over", id, m.sent.Add(m.delay).Sub(now))
-	case m.failed >= failuresOfBudget*m.maxAttempts:
+	case m.failed >= budgetFactor*m.maxAttempts:
 		ch.addViolation("BUDGET", "%s runs again after it has failed %d times", id, m.failed)
 	}
-	if refusal(m.status) {
+	if isRefusal(m.status) {
 		ch.addViolation("REFUSED", "%s was answered %d and runs", id, m.status)
 	}
 	if !m.succeeded.IsZero() && ch.noFaultBetween(m.succeeded.Add(-bounds.Contact()), now) {
--- a/sim/system/operator.go
+++ b/sim/system/operator.go
@@ -170,8 +170,8 @@
 		controls := o.world.ByRole(protocol.RoleControl)
 		body, err := o.describe(hostPort(controls[i%len(controls)].IP, controlPort))
 		if err == nil {
-			if revision, again, ok := o.decode(body); ok {
-				o.world.Checker.checkReadBack(revision, again)
+			if revision, encoded, ok := o.decode(body); ok {
+				o.world.Checker.checkReadBack(revision, encoded)
 			}
 			return
 		}
@@ -187,14 +187,14 @@
 	if err != nil {
 		return
 	}
-	if revision, again, ok := o.decode(body); ok {
-		o.History.read(began, readResponse{revision: revision, body: again})
+	if revision, encoded, ok := o.decode(body); ok {
+		o.History.read(began, readResponse{revision: revision, body: encoded})
 		o.world.Checker.checkRead(began, revision)
 	}
 }
 
 // decode parses a configuration that was read, and encodes it as the operator does.
-func (o *Operator) decode(body []byte) (revision int, again string, ok bool) {
+func (o *Operator) decode(body []byte) (revision int, encoded string, ok bool) {
 	var d Document
 	if err := json.Unmarshal(body, &d); err != nil {
 		o.world.Checker.reportViolation("CONFIG", "the configuration that was read cannot be decoded: %v", err)
--- a/sim/system/regress_test.go
+++ b/sim/system/regress_test.go
@@ -79,21 +79,21 @@
 		dispatcher string
 		held       time.Duration // from the last byte of the request to the abort
 		after      time.Duration // from SIGTERM to the abort
-		trouble    bool
+		fault      bool
 		lost       bool
 	}{
-		"held and cut":                {"edge-1", slack + time.Millisecond, time.Second, false, true},
-		"cut at once":                 {"edge-1", slack, time.Second, false, false},
-		"by another dispatcher":       {"edge-2", time.Second, time.Second, false, false},
-		"long after the end":          {"edge-1", time.Second, bounds.Grace() + shutdownSlack, false, false},
-		"before the SIGTERM":          {"edge-1", time.Second, -time.Millisecond, false, false},
-		"beside an unplanned trouble": {"edge-1", time.Second, time.Second, true, false},
+		"held and aborted":          {"edge-1", slack + time.Millisecond, time.Second, false, true},
+		"aborted immediately":       {"edge-1", slack, time.Second, false, false},
+		"by another dispatcher":     {"edge-2", time.Second, time.Second, false, false},
+		"long after the SIGTERM":    {"edge-1", time.Second, bounds.Grace() + shutdownSlack, false, false},
+		"before the SIGTERM":        {"edge-1", time.Second, -time.Millisecond, false, false},
+		"during an unplanned fault": {"edge-1", time.Second, time.Second, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ch := newChecker()
 			ch.shutdowns = []plannedShutdown{{"edge-1", start}}
-			if c.trouble {
+			if c.fault {
 				ch.faultTimes = []time.Time{start}
 			}
 			at := start.Add(c.after)
@@ -109,25 +109,25 @@
 func TestCheckerComparesAbortsDuringConfigChanges(t *testing.T) {
 	start := time.Now()
 	for name, c := range map[string]struct {
-		otherCuts int
-		held      time.Duration
-		lost      int
+		otherAborts int
+		held        time.Duration
+		lost        int
 	}{
-		"none otherwise":     {0, time.Second, 2},
-		"as often otherwise": {2, time.Second, 0},
-		"late":               {0, clientTimeout * lateShareTenths / 10, 0},
+		"no aborts otherwise": {0, time.Second, 2},
+		"as often otherwise":  {2, time.Second, 0},
+		"late in the request": {0, clientTimeout * lateShareTenths / 10, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ch := newChecker()
 			ch.configSentAt, ch.configAckedAt = []time.Time{start}, []time.Time{start}
-			one := func(at time.Time, aborted bool) {
+			attempt := func(at time.Time, aborted bool) {
 				ch.recordAttempt(abortedRequest{id: "m", dispatcher: "edge-1", sent: at.Add(-c.held), wrote: at.Add(-c.held), at: at}, aborted)
 			}
 			far := start.Add(time.Hour)
 			for n := range 10 {
-				one(start.Add(2*time.Second), n < 2)
-				one(far, n < c.otherCuts)
+				attempt(start.Add(2*time.Second), n < 2)
+				attempt(far, n < c.otherAborts)
 			}
 			ch.checkAborted()
 			is.Equal(len(ch.Violations()), c.lost)
--- a/sim/system/virtualnet/packet.go
+++ b/sim/system/virtualnet/packet.go
@@ -77,12 +77,12 @@
 	n.mu.Unlock()
 	if !lost {
 		d := datagram{from: p.at, data: append([]byte(nil), b...)}
-		time.AfterFunc(delay, func() { n.arrive(to, d) })
+		time.AfterFunc(delay, func() { n.deliver(to, d) })
 	}
 	return len(b), nil
 }
 
-func (n *Net) arrive(to netip.AddrPort, d datagram) {
+func (n *Net) deliver(to netip.AddrPort, d datagram) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if p := n.packets[to.String()]; p != nil {
