--- a/sim/system/abandon_test.go
+++ b/sim/system/abandon_test.go
@@ -12,20 +12,20 @@
 	"liftgauge/internal/protocol"
 )
 
-// TestPartitionsBeginAnewOnceTheirDisksAreGivenUp loses two of four stores for good, one more than F: the partitions that lay on both rest until the operator
-// gives the disks up, and take and deliver messages then.
-func TestPartitionsBeginAnewOnceTheirDisksAreGivenUp(t *testing.T) {
+// TestPartitionsRestartEmptyAfterAbandonment permanently loses two of four stores, one more than F: the partitions with copies on both are
+// unavailable until the operator abandons the disks, and accept and deliver messages after that.
+func TestPartitionsRestartEmptyAfterAbandonment(t *testing.T) {
 	play(t, Options{Seed: 33, Stores: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		time.Sleep(bounds.Contact()) // the first table is there
-		stores := w.Of(protocol.RoleStore)
-		lost := []*Process{stores[0], stores[3]} // in one zone, where copies lie that no loss of a zone has to spare
+		time.Sleep(bounds.Contact()) // the first partition table exists
+		stores := w.ByRole(protocol.RoleStore)
+		lost := []*Process{stores[0], stores[3]} // both in one zone, which may hold all copies of a partition
 		for _, p := range lost {
 			is.NoErr(p.LosePower())
 			p.Wipe()
 		}
 		time.Sleep(2 * time.Second)
-		client := operator.New([]string{at(w.controlPrimary().IP, controlPort)}, &http.Transport{DialContext: w.Net.Host(operatorIP).DialContext, DisableKeepAlives: true})
+		client := operator.New([]string{hostPort(w.controlPrimary().IP, controlPort)}, &http.Transport{DialContext: w.Net.Host(operatorIP).DialContext, DisableKeepAlives: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		status, err := client.Status(ctx)
@@ -41,7 +41,7 @@
 		is.Equal(status.Partitions.Waiting, 0)
 		is.Equal(status.Partitions.Short, 0)
 		traffic(w, 10*time.Second)
-		is.Equal(w.Judge.Figures().Open, 0)
-		is.Equal(w.Judge.Figures().Refused, 0)
+		is.Equal(w.Checker.Figures().Open, 0)
+		is.Equal(w.Checker.Figures().Refused, 0)
 	})
 }
--- a/sim/system/controlfaults.go
+++ b/sim/system/controlfaults.go
@@ -11,20 +11,21 @@
 	"liftgauge/internal/statuspage"
 )
 
-// longCut is how long the control side is cut in the worst of its faults.
+// longCut is the duration of the longest cut between control processes.
 const longCut = 20 * time.Second
 
-// controlFaults are the worst things for the control side, beside operators and readers. Other losses overlap with those of disks.
+// controlFaults are the worst faults for the control processes, to be injected while operators change and read the configuration. Unlike in
+// faults, lost disks coincide with other losses.
 var controlFaults = []fault{
 	{"halves", func(w *World, random *rand.Rand) error {
 		controls := w.shuffled(protocol.RoleControl, random)
 		half := len(controls) / 2
-		w.separate(controls[:half], controls[half:], 6*time.Second)
+		w.cutBetween(controls[:half], controls[half:], 6*time.Second)
 		return nil
 	}},
 	{"primary cut off for long", func(w *World, random *rand.Rand) error {
 		primary := w.controlPrimary()
-		w.separate([]*Process{primary}, w.others(primary), longCut)
+		w.cutBetween([]*Process{primary}, w.others(primary), longCut)
 		return nil
 	}},
 	{"primary cut off one way", func(w *World, random *rand.Rand) error {
@@ -36,11 +37,11 @@
 		time.Sleep(5 * time.Second)
 		return nil
 	}},
-	{"behind", (*World).leaveBehind},
+	{"behind", (*World).leaveControlStale},
 	{"replaced one after the other", func(w *World, random *rand.Rand) error {
 		controls := w.shuffled(protocol.RoleControl, random)
 		for _, p := range append(controls, controls...) {
-			if err := w.replaceDisk(p); err != nil {
+			if err := w.replaceDiskAndCatchUp(p); err != nil {
 				return err
 			}
 		}
@@ -48,7 +49,7 @@
 	}},
 	{"primary replaced again and again", func(w *World, random *rand.Rand) error {
 		for range 4 {
-			if err := w.replaceDisk(w.controlPrimary()); err != nil {
+			if err := w.replaceDiskAndCatchUp(w.controlPrimary()); err != nil {
 				return err
 			}
 		}
@@ -57,7 +58,7 @@
 	{"all killed", func(w *World, random *rand.Rand) error {
 		var failed error
 		for range 3 {
-			for _, p := range w.Of(protocol.RoleControl) {
+			for _, p := range w.ByRole(protocol.RoleControl) {
 				failed = errors.Join(failed, p.Kill())
 			}
 			time.Sleep(300 * time.Millisecond)
@@ -68,7 +69,7 @@
 	}},
 	{"a disk lost while all others are dark", func(w *World, random *rand.Rand) error {
 		controls := w.shuffled(protocol.RoleControl, random)
-		time.Sleep(time.Duration(random.Int64N(int64(400 * time.Millisecond)))) // after some order
+		time.Sleep(time.Duration(random.Int64N(int64(400 * time.Millisecond)))) // at a random moment relative to the orders
 		var failed error
 		for _, p := range w.Processes {
 			failed = errors.Join(failed, p.LosePower())
@@ -83,19 +84,19 @@
 	}},
 }
 
-// leaveBehind cuts a member off while changes are made, then takes the disk of another and the power of the rest, and joins the cut: the one
-// that is behind is among the first that come back.
-func (w *World) leaveBehind(random *rand.Rand) error {
+// leaveControlStale cuts a member off while changes are made, then empties the disk of another and takes the power of the rest, and heals the cut,
+// so that the stale member is among the first that are available again.
+func (w *World) leaveControlStale(random *rand.Rand) error {
 	controls := w.shuffled(protocol.RoleControl, random)
-	behind, replaced, dark := controls[0], controls[1], controls[2:]
-	w.CutOff(behind.IP, true)
-	time.Sleep(4 * time.Second) // changes go on meanwhile
+	behind, replaced, unpowered := controls[0], controls[1], controls[2:]
+	w.SetIsolated(behind.IP, true)
+	time.Sleep(4 * time.Second) // changes continue meanwhile
 	failed := replaced.LosePower()
 	replaced.Wipe()
-	for _, p := range dark {
+	for _, p := range unpowered {
 		failed = errors.Join(failed, p.LosePower())
 	}
-	w.CutOff(behind.IP, false)
+	w.SetIsolated(behind.IP, false)
 	failed = errors.Join(failed, replaced.Start())
 	time.Sleep(2 * time.Second)
 	failed = errors.Join(failed, w.StartAll())
@@ -103,31 +104,31 @@
 	return failed
 }
 
-// replaceDisk takes a process's disk, starts it with an empty one, and returns when it counts as whole again.
-func (w *World) replaceDisk(p *Process) error {
-	failed := w.emptyDisk(p)
+// replaceDiskAndCatchUp restarts a process with an empty disk and waits for CatchUpS, within which it must have caught up.
+func (w *World) replaceDiskAndCatchUp(p *Process) error {
+	failed := w.restartWithEmptyDisk(p)
 	time.Sleep(seconds(bounds.CatchUpS))
 	return failed
 }
 
-// emptyDisk takes a process's disk and starts it with an empty one.
-func (w *World) emptyDisk(p *Process) error {
+// restartWithEmptyDisk makes a process lose power and disk, and starts it with an empty disk.
+func (w *World) restartWithEmptyDisk(p *Process) error {
 	failed := p.LosePower()
 	p.Wipe()
 	time.Sleep(500 * time.Millisecond)
 	return errors.Join(failed, p.Start())
 }
 
-// separate cuts all links between two groups of machines for a while.
-func (w *World) separate(some, others []*Process, span time.Duration) {
+// cutBetween cuts all links between two groups of machines for a span.
+func (w *World) cutBetween(some, others []*Process, span time.Duration) {
 	w.eachPair(some, others, func(a, b string) {
-		w.Judge.trouble("cut between " + a + " and " + b)
+		w.Checker.recordFault("cut between " + a + " and " + b)
 		w.Net.Cut(a, b, false)
 		w.Net.Cut(b, a, false)
 	})
 	time.Sleep(span)
 	w.eachPair(some, others, func(a, b string) {
-		w.Judge.trouble("joined " + a + " and " + b)
+		w.Checker.recordFault("joined " + a + " and " + b)
 		w.Net.Heal(a, b)
 		w.Net.Heal(b, a)
 	})
@@ -143,19 +144,19 @@
 	}
 }
 
-// shuffled lists the processes of a role in a drawn order.
+// shuffled returns the processes of a role in random order.
 func (w *World) shuffled(role protocol.Role, random *rand.Rand) []*Process {
-	list := w.Of(role)
+	list := w.ByRole(role)
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
 
-// controlPrimary is the control process that is the active primary; where none is, the first one.
+// controlPrimary returns the control process that is the active primary, or the first one if there is none.
 func (w *World) controlPrimary() *Process {
 	host := w.Net.Host(operatorIP)
-	controls := w.Of(protocol.RoleControl)
+	controls := w.ByRole(protocol.RoleControl)
 	for _, p := range controls {
-		_, body := w.get(host, "http://"+at(p.IP, controlPort)+"/status")
+		_, body := w.get(host, "http://"+hostPort(p.IP, controlPort)+"/status")
 		var page struct{ Active bool }
 		if json.Unmarshal([]byte(body), &page) == nil && page.Active {
 			return p
@@ -164,15 +165,15 @@
 	return controls[0]
 }
 
-// controlIsWhole tells whether the active primary has all control processes, each with its present disk, as witnesses, F+2 of them as members, and
-// nobody behind.
-func (w *World) controlIsWhole() bool {
+// controlFullyReplicated reports whether the active primary has all control processes, each with its current disk, as witnesses, F+2 of them as
+// members, and none as learner or blocked.
+func (w *World) controlFullyReplicated() bool {
 	host := w.Net.Host(operatorIP)
-	controls := w.Of(protocol.RoleControl)
+	controls := w.ByRole(protocol.RoleControl)
 	var present []string
 	var active statuspage.Page
 	for _, p := range controls {
-		_, body := w.get(host, "http://"+at(p.IP, controlPort)+"/status")
+		_, body := w.get(host, "http://"+hostPort(p.IP, controlPort)+"/status")
 		var page statuspage.Page
 		if json.Unmarshal([]byte(body), &page) != nil {
 			return false
@@ -188,7 +189,7 @@
 	return slices.Equal(present, active.Witnesses) && len(active.Members) == members && len(active.Learners)+len(active.Blocked) == 0
 }
 
-// others lists the processes of the same role.
+// others returns the other processes of the same role.
 func (w *World) others(p *Process) []*Process {
-	return slices.DeleteFunc(w.Of(p.Role), func(other *Process) bool { return other == p })
+	return slices.DeleteFunc(w.ByRole(p.Role), func(other *Process) bool { return other == p })
 }
--- a/sim/system/controlfaults_test.go
+++ b/sim/system/controlfaults_test.go
@@ -15,11 +15,11 @@
 	"liftgauge/sim/system/virtualdisk"
 )
 
-// lostAnswers is how many of ten answers to orders are lost beside the faults of control.
+// lostAnswers is how many of ten responses to orders are lost in TestControlFaults.
 const lostAnswers = 3
 
-// TestControlFaults plays each of the worst faults of control while operators race, lose answers and read: what they saw is linearizable,
-// every read is new enough, and traffic recovers.
+// TestControlFaults injects each of controlFaults while concurrent operators send orders, lose responses and read: the history is linearizable, no
+// read is stale for longer than ConfigApplyMs, and traffic recovers.
 func TestControlFaults(t *testing.T) {
 	playEach(t, controlFaults, func(t *testing.T, f fault, seed uint64) {
 		o := Options{Seed: seed, Control: 4, Edges: 4}
@@ -36,7 +36,7 @@
 		is := is.NewRelaxed(t)
 		history = &w.Operator.History
 		var answers, ended atomic.Int64
-		w.Operator.LoseAnswer = func() bool { return answers.Add(1)%10 < lostAnswers }
+		w.Operator.LoseResponse = func() bool { return answers.Add(1)%10 < lostAnswers }
 		raceOrders(w, func() bool { return ended.Load() == 0 })
 		time.Sleep(2 * time.Second)
 		is.NoErr(f.play(w, rand.New(rand.NewPCG(o.Seed, hash(f.name)))))
@@ -45,7 +45,7 @@
 		ended.Store(1)
 		time.Sleep(seconds(bounds.RecoveryS) - 2*time.Second)
 		w.Send(Traffic{Route: plainRoute, Every: 40 * time.Millisecond}, 2*time.Second, "after")
-		w.Judge.recovered(back)
+		w.Checker.checkRecovered(back)
 		time.Sleep(2 * time.Second)
 	})
 	is := is.New(t)
@@ -53,12 +53,12 @@
 	is.True(history.Linearizable())
 }
 
-// TestOrderIsTakenOnceHoweverOftenItIsSent loses every answer to an order, sends it unchanged to every process, through a change of primary and after
-// ten and a hundred later versions, and after the loss of a disk: it is acknowledged for good, and never again in force.
-func TestOrderIsTakenOnceHoweverOftenItIsSent(t *testing.T) {
+// TestResentOrderIsAppliedOnce loses the first responses to an order, and sends it again unchanged: to every process, after a change of primary, after
+// 10 and 100 later versions, and after the loss of a disk and of all power. It is acknowledged each time, but never applied again.
+func TestResentOrderIsAppliedOnce(t *testing.T) {
 	play(t, Options{Seed: 12, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
-		controls := w.Of(protocol.RoleControl)
+		controls := w.ByRole(protocol.RoleControl)
 		first := w.Operator.Document(7, fifoRoute, plainRoute, pacedRoute)
 		rival := first
 		rival.Limits.IdleTimeoutMs++ // other content under the same number
@@ -71,7 +71,7 @@
 			is.Equal(status, http.StatusPreconditionFailed)
 		}
 		var answers atomic.Int64
-		w.Operator.LoseAnswer = func() bool { return answers.Add(1) <= int64(len(controls)) }
+		w.Operator.LoseResponse = func() bool { return answers.Add(1) <= int64(len(controls)) }
 		again()
 		revision := 7
 		change := func(count int) {
@@ -87,7 +87,7 @@
 		kill(t, w.controlPrimary(), 300*time.Millisecond)
 		again()
 		change(100)
-		is.NoErr(w.replaceDisk(w.controlPrimary()))
+		is.NoErr(w.replaceDiskAndCatchUp(w.controlPrimary()))
 		again()
 		is.NoErr(w.losePowerEverywhere())
 		again()
@@ -95,18 +95,18 @@
 	})
 }
 
-// TestMemberThatMissedHundredsOfChanges is away while 300 changes are made, in each of the ways in which it may be, and has all of them
-// once it counts as whole: the others go then.
-func TestMemberThatMissedHundredsOfChanges(t *testing.T) {
+// TestMemberCatchesUpOnHundredsOfChanges makes 300 changes while a member is without power, isolated or restarted with an empty disk. After CatchUpS
+// the member must have all of them: another member loses its disk then.
+func TestMemberCatchesUpOnHundredsOfChanges(t *testing.T) {
 	ways := map[string]func(w *World, p *Process) (back func() error){
 		"without power": func(_ *World, p *Process) func() error {
 			_ = p.LosePower()
 			return p.Start
 		},
 		"cut off": func(w *World, p *Process) func() error {
-			w.CutOff(p.IP, true)
+			w.SetIsolated(p.IP, true)
 			return func() error {
-				w.CutOff(p.IP, false)
+				w.SetIsolated(p.IP, false)
 				return nil
 			}
 		},
@@ -136,7 +136,7 @@
 				}
 				is.NoErr(back())
 				time.Sleep(seconds(bounds.CatchUpS))
-				is.NoErr(others[1].LosePower()) // the one that was away is needed now
+				is.NoErr(others[1].LosePower()) // the member that was away is needed for a majority now
 				others[1].Wipe()
 				w.Operator.ReadBack(5 * time.Second)
 				is.NoErr(others[1].Start())
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestPlannedEndAndALossLeaveAMajority ends a process of control as planned, for good, and takes another's power as soon as it has ended: a set of
-// four witnesses has no majority then, unless the one that left was taken out of it before.
-func TestPlannedEndAndALossLeaveAMajority(t *testing.T) {
+// TestMajorityRemainsAfterPlannedShutdownAndLoss shuts a control process down as planned and permanently, and takes another's power right after that:
+// of four witnesses there is no majority left then, unless the departed one was removed from the set before.
+func TestMajorityRemainsAfterPlannedShutdownAndLoss(t *testing.T) {
 	for _, which := range []string{"the primary", "another"} {
 		t.Run(which, func(t *testing.T) {
 			play(t, Options{Seed: 15, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
@@ -169,20 +169,20 @@
 	}
 }
 
-// TestOrdersGoOnWhileADiskOfControlStalls stalls the disk of one process of control for longer than an operator waits. The process still votes and
-// answers, so nobody else would leave it out.
-func TestOrdersGoOnWhileADiskOfControlStalls(t *testing.T) {
-	playDiskTrouble(t, 17, virtualdisk.Trouble{Stalled: true})
+// TestOrdersContinueWhileControlDiskStalls stalls the disk of one control process for longer than an operator waits. The process still votes and
+// responds, so its peers have no reason to exclude it.
+func TestOrdersContinueWhileControlDiskStalls(t *testing.T) {
+	playDiskFault(t, 17, virtualdisk.Fault{Stalled: true})
 }
 
-// TestOrdersGoOnWhileADiskOfControlRefuses is the same with a disk that refuses all writes.
-func TestOrdersGoOnWhileADiskOfControlRefuses(t *testing.T) {
-	playDiskTrouble(t, 18, virtualdisk.Trouble{Refusal: errors.New("the disk is full")})
+// TestOrdersContinueWhileControlDiskFails does the same with a disk whose writes all fail.
+func TestOrdersContinueWhileControlDiskFails(t *testing.T) {
+	playDiskFault(t, 18, virtualdisk.Fault{WriteError: errors.New("the disk is full")})
 }
 
-// playDiskTrouble has the disk of control's primary, and of another process, in trouble for longer than an operator waits: every order is taken in time, and
-// control is whole again afterwards.
-func playDiskTrouble(t *testing.T, seed uint64, trouble virtualdisk.Trouble) {
+// playDiskFault gives the disk of control's primary, or of another control process, a fault for longer than an operator waits: every order is applied
+// in time, and control is fully replicated again afterwards.
+func playDiskFault(t *testing.T, seed uint64, state virtualdisk.Fault) {
 	const span, within = 9 * time.Second, 4 * time.Second
 	for _, processes := range []int{3, 4} {
 		for _, which := range []string{"the primary", "another"} {
@@ -194,8 +194,8 @@
 					if which == "another" {
 						p = w.others(p)[0]
 					}
-					w.Judge.trouble("disk trouble of " + p.Name)
-					p.disk.SetTrouble(trouble)
+					w.Checker.recordFault("disk trouble of " + p.Name)
+					p.disk.SetFault(state)
 					begun := time.Now()
 					for revision := 5; time.Since(begun) < span; revision++ {
 						status, err := w.Operator.Replace(revision, w.Operator.Document(revision+1, fifoRoute, plainRoute, pacedRoute), within)
@@ -203,36 +203,36 @@
 						is.Equal(status, http.StatusOK)
 						time.Sleep(500 * time.Millisecond)
 					}
-					p.disk.SetTrouble(virtualdisk.Trouble{})
+					p.disk.SetFault(virtualdisk.Fault{})
 					time.Sleep(bounds.Contact())
-					is.True(w.controlIsWhole())
+					is.True(w.controlFullyReplicated())
 				})
 			})
 		}
 	}
 }
 
-// TestPrimaryOfControlCutOffFromTheStores cuts control's primary off from all stores, while the other processes of control hear them, and it hears those:
-// no election follows by itself, and without a hand-over all stores would lose their sessions, and all messages be refused, for as long as the cut lasts.
-func TestPrimaryOfControlCutOffFromTheStores(t *testing.T) {
+// TestControlPrimaryCutOffFromStores cuts control's primary off from all stores, while the other control processes reach both the stores and the
+// primary. That causes no election, and unless the primary hands over, all stores lose their sessions and all messages are refused during the cut.
+func TestControlPrimaryCutOffFromStores(t *testing.T) {
 	play(t, Options{Seed: 19, Control: 4, Edges: 4}, func(t *testing.T, w *World) {
 		is := is.NewRelaxed(t)
 		primary := w.controlPrimary()
-		during(w, 14*time.Second, func() {
+		runWithFaults(w, 14*time.Second, func() {
 			time.Sleep(4 * time.Second)
-			w.separate([]*Process{primary}, w.Of(protocol.RoleStore), 5*time.Second)
+			w.cutBetween([]*Process{primary}, w.ByRole(protocol.RoleStore), 5*time.Second)
 			time.Sleep(bounds.Contact())
-			is.True(w.whole(w.Net.Host(operatorIP)))
+			is.True(w.fullyReplicated(w.Net.Host(operatorIP)))
 		})
-		f := w.Judge.Figures()
-		is.True(f.Refused+f.Unanswered < f.Sent/8) // those of the dispatcher beside it, which is cut off as well; without, a third of all
+		f := w.Checker.Figures()
+		is.True(f.Refused+f.Unanswered < f.Sent/8) // only those of the dispatcher on the same machine, which is cut off as well; without a hand-over, a third of all
 		is.Equal(f.Open, 0)
 	})
 }
 
-// TestControlIsWholeWithinCatchUp takes the disks of two processes of control one after the other, the second as soon as the first counts as whole,
-// and measures how long the group takes to survive F losses again: all processes are witnesses and F+2 of them members, none behind.
-func TestControlIsWholeWithinCatchUp(t *testing.T) {
+// TestControlFullyReplicatedWithinCatchUp empties the disks of control processes one after another, each as soon as the group is complete again, and
+// measures how long the group takes until it tolerates F losses again: all processes are witnesses, F+2 of them members, and none is behind.
+func TestControlFullyReplicatedWithinCatchUp(t *testing.T) {
 	for _, o := range []Options{
 		{Control: 3, Machines: 1}, {Control: 4, Machines: 1}, {Control: 5, Machines: 1}, {Control: 5, Machines: 2},
 		{Control: 6, Machines: 2}, {Control: 9, Machines: 2},
@@ -252,11 +252,11 @@
 					time.Sleep(500 * time.Millisecond)
 					is.NoErr(p.Start())
 					back := time.Now()
-					for !w.controlIsWhole() && time.Since(back) < 2*seconds(bounds.CatchUpS) {
-						time.Sleep(wholePoll)
+					for !w.controlFullyReplicated() && time.Since(back) < 2*seconds(bounds.CatchUpS) {
+						time.Sleep(replicationPoll)
 					}
 					took := time.Since(back)
-					t.Logf("WHOLE %d processes, F %d, %s: %v after its return", o.Control, o.Machines, which, took.Round(wholePoll))
+					t.Logf("WHOLE %d processes, F %d, %s: %v after its return", o.Control, o.Machines, which, took.Round(replicationPoll))
 					is.True(took <= seconds(bounds.CatchUpS))
 				}
 			})
--- a/sim/system/controllosses_test.go
+++ b/sim/system/controllosses_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// controlLoss takes F processes of control at once and brings them back after a while.
+// controlLoss takes F control processes down and brings them back after a while.
 type controlLoss struct {
 	name string
 	play func(w *World, lost []*Process, away time.Duration) error
@@ -26,12 +26,12 @@
 	{"disks one after the other", func(w *World, lost []*Process, _ time.Duration) error {
 		var failed error
 		for _, p := range lost {
-			failed = errors.Join(failed, w.emptyDisk(p))
-			time.Sleep(500 * time.Millisecond) // less than CatchUpS: the one before still counts as lost
+			failed = errors.Join(failed, w.restartWithEmptyDisk(p))
+			time.Sleep(500 * time.Millisecond) // shorter than CatchUpS: the previous one still counts as lost
 		}
 		return failed
 	}},
-	{"dark", func(w *World, lost []*Process, away time.Duration) error {
+	{"without power", func(w *World, lost []*Process, away time.Duration) error {
 		var failed error
 		for _, p := range lost {
 			failed = errors.Join(failed, p.LosePower())
@@ -41,11 +41,11 @@
 	}},
 	{"cut off", func(w *World, lost []*Process, away time.Duration) error {
 		for _, p := range lost {
-			w.CutOff(p.IP, true)
+			w.SetIsolated(p.IP, true)
 		}
 		time.Sleep(away)
 		for _, p := range lost {
-			w.CutOff(p.IP, false)
+			w.SetIsolated(p.IP, false)
 		}
 		return nil
 	}},
@@ -68,16 +68,16 @@
 
 const (
 	lossLasts = 9 * time.Second
-	// electedWithin is the time that a change of control's primary may take, and pacing wait for, after F processes are lost.
+	// electedWithin is the time within which control must have a primary after the loss of F processes; rate-limited services may stall meanwhile.
 	electedWithin = 3 * time.Second
 	orderWithin   = 4 * time.Second
 	// pacedWithin is the time that a message of a rate-limited service may wait for its run while control has a primary.
 	pacedWithin = time.Second
 )
 
-// TestControlBearsLosses takes F processes of control at once, the primary among them, from each number of processes that has 2F+1 or more. Orders are
-// taken, rate-limited services are served and sessions stay meanwhile; after a loss of all power nothing is forgotten.
-func TestControlBearsLosses(t *testing.T) {
+// TestControlToleratesLosses loses F control processes at once, the primary among them, in groups of at least 2F+1 processes. Meanwhile orders are
+// applied, rate-limited services are served and sessions are kept; after a power loss of all machines nothing is lost.
+func TestControlToleratesLosses(t *testing.T) {
 	sizes := []Options{{Control: 3, Machines: 1}, {Control: 6, Machines: 2}, {Control: 4, Machines: 1}, {Control: 5, Machines: 2}}
 	for _, o := range sizes[:controlSizes] {
 		o.Seed, o.Edges, o.Stores = 23, 6, 4
@@ -101,7 +101,7 @@
 		is.Equal(status, http.StatusOK)
 		revision++
 	}
-	during(w, lossLasts+4*time.Second, func() {
+	runWithFaults(w, lossLasts+4*time.Second, func() {
 		change()
 		begun := time.Now()
 		played := make(chan error)
@@ -111,28 +111,28 @@
 			change()
 		}
 		is.NoErr(<-played)
-		late := w.Judge.begunLate("svc-c", begun.Add(electedWithin), begun.Add(lossLasts), pacedWithin)
-		is.Equal(late, 0) // rate-limited services go on
+		late := w.Checker.startedLate("svc-c", begun.Add(electedWithin), begun.Add(lossLasts), pacedWithin)
+		is.Equal(late, 0) // rate-limited services continue
 		time.Sleep(seconds(bounds.CatchUpS))
-		is.True(w.controlIsWhole())
+		is.True(w.controlFullyReplicated())
 	})
 	change()
 	is.NoErr(w.losePowerEverywhere())
 	time.Sleep(bounds.Contact())
 	is.Equal(w.Operator.Newest().Revision, revision)
-	is.Equal(w.Judge.Figures().Open, 0)
+	is.Equal(w.Checker.Figures().Open, 0)
 }
 
-// TestControlWithoutAMajorityGoesOnWhenItIsBack takes a majority of control's processes away, more than any F allows: traffic without a rate goes on,
-// no order gets a clear answer, and all goes on once they are back.
-func TestControlWithoutAMajorityGoesOnWhenItIsBack(t *testing.T) {
+// TestControlResumesWhenMajorityReturns takes the power of at least half of the control processes, more than any F allows: traffic without a rate
+// limit continues, no order gets a definite response, and everything resumes once they are back.
+func TestControlResumesWhenMajorityReturns(t *testing.T) {
 	for _, processes := range []int{3, 6, 4, 5}[:controlSizes] {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
 			t.Parallel()
 			play(t, Options{Seed: 24, Control: processes, Edges: 6, Stores: 4}, func(t *testing.T, w *World) {
 				is := is.NewRelaxed(t)
 				lost := w.shuffled(w.controlPrimary().Role, rand.New(rand.NewPCG(24, uint64(processes))))[:(processes+1)/2]
-				during(w, lossLasts+4*time.Second, func() {
+				runWithFaults(w, lossLasts+4*time.Second, func() {
 					begun := time.Now()
 					for _, p := range lost {
 						is.NoErr(p.LosePower())
@@ -141,25 +141,25 @@
 					document := w.Operator.Document(6, fifoRoute, plainRoute, pacedRoute)
 					status, err := w.Operator.Replace(5, document, orderWithin)
 					is.True(err != nil || status >= http.StatusInternalServerError) // not decided
-					is.Equal(w.Judge.begunLate("svc-b", begun.Add(electedWithin), time.Now().Add(-2*pacedWithin), pacedWithin), 0)
+					is.Equal(w.Checker.startedLate("svc-b", begun.Add(electedWithin), time.Now().Add(-2*pacedWithin), pacedWithin), 0)
 					is.NoErr(startEach(lost))
 					status, err = w.Operator.Replace(5, document, 2*orderWithin)
 					is.NoErr(err)
 					is.Equal(status, http.StatusOK)
 					time.Sleep(bounds.Contact())
-					is.True(w.controlIsWhole())
+					is.True(w.controlFullyReplicated())
 				})
-				is.Equal(w.Judge.Figures().Open, 0)
+				is.Equal(w.Checker.Figures().Open, 0)
 			})
 		})
 	}
 }
 
-// begunLate counts the messages of a service that were sent in a span and accepted, and whose run began later than within after that.
-func (j *Judge) begunLate(service string, from, to time.Time, within time.Duration) (count int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+// startedLate counts the messages of a service that were sent in a span and accepted, and whose run started later than within after they were due.
+func (ch *Checker) startedLate(service string, from, to time.Time, within time.Duration) (count int) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		if m.service != service || m.sent.Before(from) || m.sent.After(to) || m.accepted.IsZero() {
 			continue
 		}
--- a/sim/system/faults.go
+++ b/sim/system/faults.go
@@ -11,8 +11,8 @@
 	"liftgauge/sim/system/virtualdisk"
 )
 
-// fault does one thing to the system and undoes it. Of disks it loses no more at a time than FaultTolerance allows; those in faults lose no more
-// than one machine.
+// fault injects one fault into the system and undoes it. It never loses more disks at a time than FaultTolerance allows; those in faults lose at
+// most one machine.
 type fault struct {
 	name string
 	play func(w *World, random *rand.Rand) error
@@ -20,50 +20,50 @@
 
 const (
 	longestFault = 3 * time.Second
-	slowSync     = 120 * time.Millisecond // more than a sync of a disk in order takes
+	slowSync     = 120 * time.Millisecond // longer than a sync of a healthy disk takes
 )
 
-// faults are all that days are made of.
+// faults are those that Day chooses from.
 var faults = []fault{
 	{"kill", func(w *World, random *rand.Rand) error {
-		return w.lose(w.Processes, random, (*Process).Kill)
+		return w.loseTemporarily(w.Processes, random, (*Process).Kill)
 	}},
 	{"power", func(w *World, random *rand.Rand) error {
-		return w.lose(w.Processes, random, (*Process).LosePower)
+		return w.loseTemporarily(w.Processes, random, (*Process).LosePower)
 	}},
 	{"planned end", func(w *World, random *rand.Rand) error {
-		return w.lose(w.Processes, random, func(p *Process) error {
+		return w.loseTemporarily(w.Processes, random, func(p *Process) error {
 			_, _, err := p.Terminate()
 			return err
 		})
 	}},
 	{"disk lost", func(w *World, random *rand.Rand) error {
-		return w.lose(w.withDisk(), random, func(p *Process) error {
+		return w.loseTemporarily(w.withDisk(), random, func(p *Process) error {
 			err := p.LosePower()
 			p.Wipe()
 			return err
 		})
 	}},
 	{"cut off", func(w *World, random *rand.Rand) error {
-		p := w.any(random)
-		w.CutOff(p.IP, true)
-		time.Sleep(faultSpan(random))
-		w.CutOff(p.IP, false)
+		p := w.randomProcess(random)
+		w.SetIsolated(p.IP, true)
+		time.Sleep(faultDuration(random))
+		w.SetIsolated(p.IP, false)
 		return nil
 	}},
 	{"link cut", func(w *World, random *rand.Rand) error {
-		w.cutPair(w.any(random).IP, w.any(random).IP, random.IntN(2) == 0, false, faultSpan(random))
+		w.cutPair(w.randomProcess(random).IP, w.randomProcess(random).IP, random.IntN(2) == 0, false, faultDuration(random))
 		return nil
 	}},
 	{"link reset", func(w *World, random *rand.Rand) error {
-		w.cutPair(w.any(random).IP, w.any(random).IP, random.IntN(2) == 0, true, faultSpan(random))
+		w.cutPair(w.randomProcess(random).IP, w.randomProcess(random).IP, random.IntN(2) == 0, true, faultDuration(random))
 		return nil
 	}},
-	{"disk stalls", diskFault(virtualdisk.Trouble{Stalled: true})},
-	{"disk slow", diskFault(virtualdisk.Trouble{Slower: slowSync})},
-	{"disk full", diskFault(virtualdisk.Trouble{Refusal: syscall.ENOSPC})},
-	{"disk refuses", diskFault(virtualdisk.Trouble{Refusal: syscall.EIO})},
-	{"disk refuses once", diskFault(virtualdisk.Trouble{Refusal: syscall.EIO, Once: true})},
+	{"disk stalls", diskFault(virtualdisk.Fault{Stalled: true})},
+	{"disk slow", diskFault(virtualdisk.Fault{ExtraSyncTime: slowSync})},
+	{"disk full", diskFault(virtualdisk.Fault{WriteError: syscall.ENOSPC})},
+	{"disk refuses", diskFault(virtualdisk.Fault{WriteError: syscall.EIO})},
+	{"disk refuses once", diskFault(virtualdisk.Fault{WriteError: syscall.EIO, Once: true})},
 	{"configuration", func(w *World, random *rand.Rand) error {
 		newest := w.Operator.Newest()
 		next := newest
@@ -72,88 +72,90 @@
 		return err
 	}},
 	{"worker leaves", func(w *World, random *rand.Rand) error {
-		w.Platform.Drain(w.Platform.Workers("svc-b")[random.IntN(2)]) // half of them stay
+		w.Platform.Drain(w.Platform.Workers("svc-b")[random.IntN(2)]) // the other half of the workers stays
 		return nil
 	}},
 	{"list away", func(w *World, random *rand.Rand) error {
 		w.Platform.SetDown(true)
-		time.Sleep(faultSpan(random))
+		time.Sleep(faultDuration(random))
 		w.Platform.SetDown(false)
 		return nil
 	}},
 }
 
-func faultSpan(random *rand.Rand) time.Duration {
+func faultDuration(random *rand.Rand) time.Duration {
 	return time.Duration(random.Int64N(int64(longestFault)))
 }
 
-// any draws a process.
-func (w *World) any(random *rand.Rand) *Process { return w.Processes[random.IntN(len(w.Processes))] }
+// randomProcess returns a random process.
+func (w *World) randomProcess(random *rand.Rand) *Process {
+	return w.Processes[random.IntN(len(w.Processes))]
+}
 
-// withDisk lists the processes that keep state.
+// withDisk returns the processes that have a disk.
 func (w *World) withDisk() []*Process {
-	return append(w.Of(protocol.RoleControl), w.Of(protocol.RoleStore)...)
+	return append(w.ByRole(protocol.RoleControl), w.ByRole(protocol.RoleStore)...)
 }
 
-// held is the set of processes that faults have hold of: no two lose the same one at a time.
-type held struct {
+// processClaims is the set of processes that faults are acting on, so that no two faults act on the same process at a time.
+type processClaims struct {
 	mu        sync.Mutex
 	processes map[*Process]bool
 }
 
-// take draws a process that no other fault has hold of. There must be one.
-func (h *held) take(random *rand.Rand, among []*Process) *Process {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// claim returns a random process that no other fault has claimed. There must be one.
+func (c *processClaims) claim(random *rand.Rand, among []*Process) *Process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for {
 		p := among[random.IntN(len(among))]
-		if h.processes[p] {
+		if c.processes[p] {
 			continue
 		}
-		if h.processes == nil {
-			h.processes = map[*Process]bool{}
+		if c.processes == nil {
+			c.processes = map[*Process]bool{}
 		}
-		h.processes[p] = true
+		c.processes[p] = true
 		return p
 	}
 }
 
-func (h *held) release(p *Process) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.processes, p)
+func (c *processClaims) release(p *Process) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.processes, p)
 }
 
-// lose loses one of some processes for a while, and returns when it counts as back.
-func (w *World) lose(among []*Process, random *rand.Rand, how func(p *Process) error) error {
-	p := w.taken.take(random, among)
-	defer w.taken.release(p)
+// loseTemporarily takes one of the given processes down for a random time, and returns when it has caught up after its restart.
+func (w *World) loseTemporarily(among []*Process, random *rand.Rand, how func(p *Process) error) error {
+	p := w.claimed.claim(random, among)
+	defer w.claimed.release(p)
 	err := how(p)
-	time.Sleep(faultSpan(random))
+	time.Sleep(faultDuration(random))
 	err = errors.Join(err, p.Start())
-	w.catchUp(p)
+	w.awaitCatchUp(p)
 	return err
 }
 
-// catchUp waits until a process counts as whole again.
-func (w *World) catchUp(p *Process) {
+// awaitCatchUp waits until a restarted store must have caught up.
+func (w *World) awaitCatchUp(p *Process) {
 	if p.Role == protocol.RoleStore {
 		time.Sleep(seconds(bounds.CatchUpS))
 	}
 }
 
-// diskFault is a fault of one disk for a while.
-func diskFault(trouble virtualdisk.Trouble) func(w *World, random *rand.Rand) error {
+// diskFault returns a fault that affects one disk for a random time.
+func diskFault(state virtualdisk.Fault) func(w *World, random *rand.Rand) error {
 	return func(w *World, random *rand.Rand) error {
-		p := w.taken.take(random, w.withDisk())
-		defer w.taken.release(p)
+		p := w.claimed.claim(random, w.withDisk())
+		defer w.claimed.release(p)
 		disk := p.disk
-		w.Judge.trouble("disk of " + p.Name + "/" + p.Role.String())
-		disk.SetTrouble(trouble)
-		time.Sleep(faultSpan(random))
-		w.Judge.trouble("disk in order again")
-		disk.SetTrouble(virtualdisk.Trouble{})
-		w.catchUp(p)
+		w.Checker.recordFault("disk of " + p.Name + "/" + p.Role.String())
+		disk.SetFault(state)
+		time.Sleep(faultDuration(random))
+		w.Checker.recordFault("disk in order again")
+		disk.SetFault(virtualdisk.Fault{})
+		w.awaitCatchUp(p)
 		return nil
 	}
 }
--- a/sim/system/platform.go
+++ b/sim/system/platform.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Service describes a service and its workers.
+// Service describes a simulated service and its workers.
 type Service struct {
 	Name    string
 	Workers int
-	Rate    float64 // RatePerS, 0 for none; such a service is a single endpoint that is on no list
+	Rate    float64 // RatePerS, 0 for none; a rate-limited service has a single endpoint, which is not on the worker list
 	Run     time.Duration
-	// FailEvery makes every so many runs of the service fail with 500; 0 for none.
+	// FailEvery makes every FailEvery-th run of a worker fail with 500; 0 for none.
 	FailEvery int
 }
 
-// Platform is the list of workers, and the workers.
+// Platform simulates the platform: its worker list and the workers.
 type Platform struct {
 	world   *World
 	mu      sync.Mutex
@@ -36,8 +36,8 @@
 	platform             *Platform
 	service              Service
 	slots                chan struct{}
-	draining             time.Time // when the list showed it
-	gone                 bool
+	draining             time.Time // when the list first showed it as draining
+	removed              bool
 	count                int
 }
 
@@ -78,7 +78,7 @@
 		p.mu.Lock()
 		n := len(p.workers) + 1
 		w := &Worker{
-			ID: fmt.Sprintf("i-%s-%d", s.Name, i+1), Service: s.Name, Address: at(fmt.Sprintf("10.8.%d.%d", n/250, n%250+1), 8080), platform: p,
+			ID: fmt.Sprintf("i-%s-%d", s.Name, i+1), Service: s.Name, Address: hostPort(fmt.Sprintf("10.8.%d.%d", n/250, n%250+1), 8080), platform: p,
 			service: s, slots: make(chan struct{}, workerCapacity),
 		}
 		p.workers = append(p.workers, w)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Workers are all workers of a service.
+// Workers returns all workers of a service.
 func (p *Platform) Workers(service string) []*Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,14 +103,14 @@
 	return found
 }
 
-// Drain has the list show a worker as draining; it ends by itself a good while after DrainMs.
+// Drain makes the list show a worker as draining.
 func (p *Platform) Drain(w *Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w.draining = time.Now()
 }
 
-// SetDown makes the list fail.
+// SetDown sets whether requests for the worker list fail with 500.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 		NextPageToken *string
 	}{Instances: []instance{}}
 	for i, worker := range p.workers {
-		if worker.service.Rate > 0 || worker.gone {
+		if worker.service.Rate > 0 || worker.removed {
 			continue
 		}
 		state := "ready"
@@ -148,7 +148,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// ServeHTTP is a worker.
+// ServeHTTP runs one request as a worker does, and records it with the checker.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	rw.Header().Set("X-Instance-Id", w.ID)
@@ -161,13 +161,13 @@
 	if err != nil {
 		return
 	}
-	judge := w.platform.world.Judge
-	judge.arrive(w.Service, w.service.Rate)
+	checker := w.platform.world.Checker
+	checker.recordArrival(w.Service, w.service.Rate)
 	if expected := r.Header.Get("X-Expect-Instance"); expected != "" && expected != w.ID {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.judgeDrain(id)
+	w.checkDrain(id)
 	select {
 	case w.slots <- struct{}{}:
 		defer func() { <-w.slots }()
@@ -177,13 +177,13 @@
 		return
 	}
 	begin := time.Now()
-	m := judge.begin(id, w.Service, r.RequestURI, r.Header.Get("X-Ordering-Key"), string(body))
+	m := checker.recordStart(id, w.Service, r.RequestURI, r.Header.Get("X-Ordering-Key"), string(body))
 	if m == nil {
 		return
 	}
 	run := w.service.Run/2 + time.Duration(hash(id)%uint64(w.service.Run+1))
-	if !w.work(r, run) {
-		return // nobody waits any more: the work is dropped
+	if !w.simulateRun(r, run) {
+		return // the caller disconnected: the run is abandoned
 	}
 	status, count := w.outcome()
 	signature := fmt.Sprintf("%s.%d", id, hash(w.ID+strconv.Itoa(count)))
@@ -192,27 +192,27 @@
 	}
 	rw.WriteHeader(status)
 	_, _ = io.WriteString(rw, "done "+id)
-	judge.finish(m, status, signature, time.Since(begin))
+	checker.recordCompletion(m, status, signature, time.Since(begin))
 }
 
-func (w *Worker) judgeDrain(id string) {
+func (w *Worker) checkDrain(id string) {
 	w.platform.mu.Lock()
 	draining := w.draining
 	w.platform.mu.Unlock()
-	j := w.platform.world.Judge
+	ch := w.platform.world.Checker
 	now := time.Now()
 	if draining.IsZero() || now.Sub(draining) <= bounds.Drain() {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.calm(draining.Add(-bounds.Contact()), now) {
-		j.breach("DRAIN", "%s got %s %v after the list showed it draining", w.ID, id, now.Sub(draining))
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	if ch.noFaultBetween(draining.Add(-bounds.Contact()), now) {
+		ch.addViolation("DRAIN", "%s got %s %v after the list showed it draining", w.ID, id, now.Sub(draining))
 	}
 }
 
-// work takes its time; it is false if the connection ends meanwhile.
-func (w *Worker) work(r *http.Request, run time.Duration) bool {
+// simulateRun waits for the duration of a run. It returns false if the connection closes meanwhile.
+func (w *Worker) simulateRun(r *http.Request, run time.Duration) bool {
 	timer := time.NewTimer(run)
 	defer timer.Stop()
 	select {
@@ -223,7 +223,7 @@
 	}
 }
 
-// outcome decides how a run ends, and counts it.
+// outcome counts a run and returns its status.
 func (w *Worker) outcome() (status, count int) {
 	w.platform.mu.Lock()
 	defer w.platform.mu.Unlock()
--- a/sim/system/recovery.go
+++ b/sim/system/recovery.go
@@ -9,59 +9,59 @@
 	"liftgauge/sim/system/virtualnet"
 )
 
-// Recovery is how long a loss was felt, in seconds from the loss on.
+// Recovery is how long a loss had effects, in seconds since the loss.
 type Recovery struct {
 	Loss       string
-	Accepting  float64 // until the last try was sent that a dispatcher answered, but not with a 202 within acceptWithin
-	Delivering float64 // until the last message was sent whose run came later than deliverWithin after its 202
-	Whole      float64 // until the last moment at which a partition had fewer equal copies than it should
+	Accepting  float64 // until the last attempt was sent that got a response, but no 202 within acceptWithin
+	Delivering float64 // until the last message was sent whose run started later than deliverWithin after its 202 and delay
+	Whole      float64 // until the last moment at which a partition lacked copies
 }
 
-// What clients take for usual.
+// Response times that count as unaffected, and the interval of polling the partition table.
 const (
-	acceptWithin  = 100 * time.Millisecond
-	deliverWithin = 500 * time.Millisecond
-	wholePoll     = 20 * time.Millisecond
+	acceptWithin    = 100 * time.Millisecond
+	deliverWithin   = 500 * time.Millisecond
+	replicationPoll = 20 * time.Millisecond
 )
 
-// MeasureRecovery has a loss happen beside traffic, and measures what clients and the table of partitions show for a span after it.
-// traffic returns when all its messages have had time to end.
+// MeasureRecovery causes a loss during traffic, and measures what clients and the partition table show for a span after it. traffic calls its
+// argument to cause the loss, and returns when all its messages have had time to end.
 func (w *World) MeasureRecovery(name string, span time.Duration, traffic func(loss func()), loss func() error) (r Recovery, err error) {
-	var begin, whole time.Time
+	var lossAt, lastIncomplete time.Time
 	traffic(func() {
-		begin = time.Now()
+		lossAt = time.Now()
 		polled := make(chan time.Time)
-		w.running.Go(func() { polled <- w.lastNotWhole(begin.Add(span)) })
+		w.running.Go(func() { polled <- w.lastUnderReplicated(lossAt.Add(span)) })
 		err = loss()
-		whole = <-polled
+		lastIncomplete = <-polled
 	})
-	r = w.Judge.recovery(begin, begin.Add(span))
+	r = w.Checker.measureRecovery(lossAt, lossAt.Add(span))
 	r.Loss = name
-	if !whole.IsZero() {
-		r.Whole = whole.Sub(begin).Seconds()
+	if !lastIncomplete.IsZero() {
+		r.Whole = lastIncomplete.Sub(lossAt).Seconds()
 	}
 	return r, err
 }
 
-// lastNotWhole asks control until a time, and returns the last moment at which copies were missing, or nobody could tell.
-func (w *World) lastNotWhole(until time.Time) (last time.Time) {
+// lastUnderReplicated polls control until a time, and returns the last moment at which copies were missing or no primary answered.
+func (w *World) lastUnderReplicated(until time.Time) (last time.Time) {
 	host := w.Net.Host(operatorIP)
 	for time.Now().Before(until) {
-		if !w.whole(host) {
+		if !w.fullyReplicated(host) {
 			last = time.Now()
 		}
-		time.Sleep(wholePoll)
+		time.Sleep(replicationPoll)
 	}
 	return last
 }
 
-// whole tells whether the active primary's table has all copies.
-func (w *World) whole(host *virtualnet.Host) bool {
-	for _, p := range w.Of(protocol.RoleControl) {
+// fullyReplicated reports whether all partitions have all copies according to the active primary.
+func (w *World) fullyReplicated(host *virtualnet.Host) bool {
+	for _, p := range w.ByRole(protocol.RoleControl) {
 		if !p.Up() {
 			continue
 		}
-		status, body := w.get(host, "http://"+at(p.IP, controlPort)+"/status")
+		status, body := w.get(host, "http://"+hostPort(p.IP, controlPort)+"/status")
 		var page struct {
 			Active     bool
 			Partitions struct{ Count, Short int }
@@ -74,11 +74,11 @@
 	return false
 }
 
-// recovery looks at the messages that were sent in a span.
-func (j *Judge) recovery(from, to time.Time) (r Recovery) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+// measureRecovery evaluates the messages that were sent in a span.
+func (ch *Checker) measureRecovery(from, to time.Time) (r Recovery) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		if m.sent.Before(from) || m.sent.After(to) {
 			continue
 		}
@@ -94,19 +94,19 @@
 	return r
 }
 
-// awaitShort waits until the active primary's table lacks copies.
-func (w *World) awaitShort(within time.Duration) {
+// awaitUnderReplicated waits until a partition lacks copies or time is up.
+func (w *World) awaitUnderReplicated(within time.Duration) {
 	host := w.Net.Host(operatorIP)
-	for limit := time.Now().Add(within); time.Now().Before(limit) && w.whole(host); {
-		time.Sleep(wholePoll / 2)
+	for limit := time.Now().Add(within); time.Now().Before(limit) && w.fullyReplicated(host); {
+		time.Sleep(replicationPoll / 2)
 	}
 }
 
-// slowestAccept is the longest time to the 202 of a message that was sent after a moment.
-func (j *Judge) slowestAccept(after time.Time) (slowest time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, m := range j.messages {
+// slowestAccept returns the longest time to a 202 among the messages that were sent after a moment.
+func (ch *Checker) slowestAccept(after time.Time) (slowest time.Duration) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	for _, m := range ch.messages {
 		if m.sent.After(after) && !m.accepted.IsZero() {
 			slowest = max(slowest, m.accepted.Sub(m.sent))
 		}
--- a/sim/system/virtualdisk/disk.go
+++ b/sim/system/virtualdisk/disk.go
@@ -1,6 +1,6 @@
-// Package virtualdisk is a disk for package recordlog that keeps account of what is durable. Its files are the system's; nothing is
-// synced for real. After a loss of power each write since the last sync is present, absent or torn, one by one, files whose names were
-// never synced may be gone, and removed ones may be back.
+// Package virtualdisk provides a disk for package recordlog that tracks which data is durable. It uses files of the operating system but never
+// syncs them. After a power loss each write since the last sync is independently present, absent or torn, files whose names were never synced
+// may be missing, and removed files may reappear.
 package virtualdisk
 
 import (
@@ -18,15 +18,15 @@
 	"liftgauge/internal/recordlog"
 )
 
-// ErrPower is the error of everything after Stop.
+// ErrPower is the error of every operation after Stop.
 var ErrPower = errors.New("virtualdisk: the machine is off")
 
-// Options are a disk's figures.
+// Options configure a disk.
 type Options struct {
-	Sync time.Duration // how long a sync of a file takes; a sync moves the virtual clock
-	// SkipSync makes syncs of files forget to make anything durable; it is a mutant.
+	Sync time.Duration // duration of a sync of a file, during which the virtual clock advances
+	// SkipSync makes syncs of files leave data non-durable, which is for mutation tests.
 	SkipSync bool
-	// Crash is where the disk stops; it may be nil.
+	// Crash determines the crash point at which the disk stops; it may be nil.
 	Crash *Crash
 }
 
@@ -36,38 +36,38 @@
 	options Options
 
 	stopped chan struct{} // closed once the disk is off
-	health  *health
+	faults  *faultState
 
-	mu      sync.Mutex
-	off     bool
-	files   map[string]*file
-	removed map[string][]byte // durable content of removed files whose removal is not durable
-	named   map[string]bool   // files and folders whose names are durable
+	mu           sync.Mutex
+	off          bool
+	files        map[string]*fileState
+	removed      map[string][]byte // durable content of removed files whose removal is not durable
+	durableNames map[string]bool   // files and folders whose names are durable
 }
 
-// file is what is known of a file.
-type file struct {
-	durable int64
-	writes  []int64 // ends of the writes after the last sync
-	before  []byte  // content before a cut that is not durable
+// fileState is what of a file is durable.
+type fileState struct {
+	durable        int64
+	writes         []int64 // end offsets of the writes since the last sync
+	beforeTruncate []byte  // content before a truncation that is not durable
 }
 
 var _ recordlog.Disk = (*Disk)(nil)
 
 // New returns the disk of a process whose folder holds what Keep or LosePower left there, all of it durable.
 func New(folder string, o Options) (*Disk, error) {
-	d := &Disk{options: o, stopped: make(chan struct{}), health: newHealth(), files: map[string]*file{}, removed: map[string][]byte{}, named: map[string]bool{}}
+	d := &Disk{options: o, stopped: make(chan struct{}), faults: newFaultState(), files: map[string]*fileState{}, removed: map[string][]byte{}, durableNames: map[string]bool{}}
 	err := filepath.WalkDir(folder, func(path string, e fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		d.named[path] = true
+		d.durableNames[path] = true
 		if e.IsDir() {
 			return nil
 		}
 		info, err := e.Info()
 		if err == nil {
-			d.files[path] = &file{durable: info.Size()}
+			d.files[path] = &fileState{durable: info.Size()}
 		}
 		return err
 	})
@@ -91,19 +91,19 @@
 
 // do carries out an operation between two crash points.
 func (d *Disk) do(operation func() error) error {
-	d.awaitFlow()
-	if d.crashes() {
+	d.awaitNotStalled()
+	if d.passCrashPoint() {
 		return ErrPower
 	}
 	err := d.locked(operation)
-	if d.crashes() {
+	if d.passCrashPoint() {
 		return ErrPower
 	}
 	return err
 }
 
-// crashes passes a crash point. It returns true, once the disk is off, if that is the one to stop at.
-func (d *Disk) crashes() bool {
+// passCrashPoint passes a crash point. If that is the one to stop at, it returns true once the disk is off.
+func (d *Disk) passCrashPoint() bool {
 	if d.options.Crash == nil || !d.options.Crash.pass() {
 		return false
 	}
@@ -120,14 +120,14 @@
 	return operation()
 }
 
-func (d *Disk) file(path string) *file {
+func (d *Disk) file(path string) *fileState {
 	if d.files[path] == nil {
-		d.files[path] = &file{}
+		d.files[path] = &fileState{}
 	}
 	return d.files[path]
 }
 
-// observe notes what was written in a journal's folder. The library syncs each file that it leaves.
+// observe records the writes to a journal's folder. The journal library syncs each segment when it starts the next one.
 func (d *Disk) observe(folder string) {
 	entries, _ := os.ReadDir(folder)
 	for i, e := range entries {
@@ -145,21 +145,21 @@
 			f.writes = append(f.writes, info.Size())
 		}
 		if i < len(entries)-1 {
-			d.synced(path)
+			d.markSynced(path)
 		}
 	}
 }
 
-func (d *Disk) synced(path string) {
+func (d *Disk) markSynced(path string) {
 	if info, err := os.Stat(path); err == nil && !d.options.SkipSync {
-		d.files[path] = &file{durable: info.Size()}
+		d.files[path] = &fileState{durable: info.Size()}
 	}
 }
 
 // CreateJournal implements recordlog.Disk.
 func (d *Disk) CreateJournal(folder string, segmentBytes int64) (j recordlog.Journal, err error) {
 	err = d.do(func() error {
-		if err := d.health.refusal(); err != nil {
+		if err := d.faults.writeError(); err != nil {
 			return err
 		}
 		j, err = d.SystemDisk.CreateJournal(folder, segmentBytes)
@@ -174,9 +174,9 @@
 
 // SyncFile implements recordlog.Disk.
 func (d *Disk) SyncFile(path string) error {
-	d.syncing()
+	d.awaitSync()
 	return d.do(func() error {
-		d.synced(path)
+		d.markSynced(path)
 		return nil
 	})
 }
@@ -191,7 +191,7 @@
 		}
 		entries, err := os.ReadDir(path)
 		for _, e := range entries {
-			d.named[filepath.Join(path, e.Name())] = true
+			d.durableNames[filepath.Join(path, e.Name())] = true
 		}
 		return err
 	})
@@ -205,8 +205,8 @@
 			return err
 		}
 		f := d.file(path)
-		if f.before == nil {
-			f.before = before
+		if f.beforeTruncate == nil {
+			f.beforeTruncate = before
 		}
 		f.durable = min(f.durable, size)
 		f.writes = slices.DeleteFunc(f.writes, func(end int64) bool { return end > size })
@@ -228,15 +228,15 @@
 				d.removed[name] = content[:min(d.file(name).durable, int64(len(content)))]
 			}
 			delete(d.files, name)
-			delete(d.named, name)
+			delete(d.durableNames, name)
 			return nil
 		})
-		delete(d.named, path)
+		delete(d.durableNames, path)
 		return os.RemoveAll(path)
 	})
 }
 
-// journal passes writes to the system's files and notes them.
+// journal passes writes to the operating system's files and records them.
 type journal struct {
 	recordlog.Journal
 	disk   *Disk
@@ -246,7 +246,7 @@
 // WriteBatch implements recordlog.Journal.
 func (j *journal) WriteBatch(b *wal.Batch) error {
 	return j.disk.do(func() error {
-		if err := j.disk.health.refusal(); err != nil {
+		if err := j.disk.faults.writeError(); err != nil {
 			return err
 		}
 		err := j.Journal.WriteBatch(b)
@@ -257,21 +257,23 @@
 
 // Sync implements recordlog.Journal.
 func (j *journal) Sync() error {
-	j.disk.syncing()
+	j.disk.awaitSync()
 	return j.disk.do(func() error {
 		entries, err := os.ReadDir(j.folder)
 		if err == nil && len(entries) > 0 {
-			j.disk.synced(filepath.Join(j.folder, entries[len(entries)-1].Name()))
+			j.disk.markSynced(filepath.Join(j.folder, entries[len(entries)-1].Name()))
 		}
 		return err
 	})
 }
 
-// Keep copies the folder of a stopped process to a new one, as it is after the process was killed: nothing written is lost.
-func (d *Disk) Keep(folder, to string) error { return d.copy(folder, to, nil) }
+// CopyAfterKill copies the folder of a stopped process to a new one, as it is after a kill: everything written is kept.
+func (d *Disk) CopyAfterKill(folder, to string) error { return d.copy(folder, to, nil) }
 
-// LosePower copies the folder of a stopped process to a new one, as it may be after a loss of power.
-func (d *Disk) LosePower(folder, to string, r *rand.Rand) error { return d.copy(folder, to, r) }
+// CopyAfterPowerLoss copies the folder of a stopped process to a new one, as it may be after a power loss.
+func (d *Disk) CopyAfterPowerLoss(folder, to string, r *rand.Rand) error {
+	return d.copy(folder, to, r)
+}
 
 func (d *Disk) copy(folder, to string, r *rand.Rand) error {
 	d.mu.Lock()
@@ -280,7 +282,7 @@
 	if err := os.MkdirAll(to, 0o750); err != nil {
 		return err
 	}
-	wipe := r != nil && r.IntN(4) == 0
+	loseUnsynced := r != nil && r.IntN(4) == 0
 	err := filepath.WalkDir(folder, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
 			return err
@@ -291,14 +293,14 @@
 		}
 		if r != nil {
 			f := d.file(path)
-			named := d.named[path] && d.named[filepath.Dir(path)]
+			named := d.durableNames[path] && d.durableNames[filepath.Dir(path)]
 			switch {
-			case !named && (wipe || r.IntN(2) == 0):
+			case !named && (loseUnsynced || r.IntN(2) == 0):
 				return nil
-			case f.before != nil && r.IntN(2) == 0:
-				content = f.before
+			case f.beforeTruncate != nil && r.IntN(2) == 0:
+				content = f.beforeTruncate
 			default:
-				content = tear(content, f, wipe, r)
+				content = tear(content, f, loseUnsynced, r)
 			}
 		}
 		return write(folder, to, path, content)
@@ -329,8 +331,8 @@
 	return os.WriteFile(target, content, 0o640)
 }
 
-// tear decides for each write after the last sync what is left of it.
-func tear(content []byte, f *file, wipe bool, r *rand.Rand) []byte {
+// tear returns the content of a file after a power loss: each write since the last sync is kept, lost or torn.
+func tear(content []byte, f *fileState, loseUnsynced bool, r *rand.Rand) []byte {
 	durable := min(f.durable, int64(len(content)))
 	kept := append(slices.Clone(content[:durable]), make([]byte, int64(len(content))-durable)...)
 	start, last := durable, durable
@@ -339,7 +341,7 @@
 		start = to
 		choice := r.IntN(4)
 		switch {
-		case wipe || choice == 0 || to <= from:
+		case loseUnsynced || choice == 0 || to <= from:
 			continue
 		case choice == 1:
 			to = from + r.Int64N(to-from+1)
--- a/sim/system/virtualnet/packet.go
+++ b/sim/system/virtualnet/packet.go
@@ -10,10 +10,10 @@
 	"liftgauge/internal/network"
 )
 
-// packetQueue is how many datagrams wait to be read before more are dropped.
+// packetQueue is the number of unread datagrams that a socket holds before it drops more.
 const packetQueue = 256
 
-// packetConn is a socket for datagrams.
+// packetConn is a datagram socket.
 type packetConn struct {
 	host   *Host
 	at     netip.AddrPort
@@ -70,19 +70,19 @@
 	n := p.host.net
 	n.mu.Lock()
 	lost := n.link(p.host.ip, to.Addr().String()).cut || n.random.Float64() < n.options.Loss
-	if n.options.Lose != nil {
-		lost = lost || n.options.Lose(p.host.ip, to.Addr().String(), b)
+	if n.options.DropDatagram != nil {
+		lost = lost || n.options.DropDatagram(p.host.ip, to.Addr().String(), b)
 	}
 	delay := n.delay()
 	n.mu.Unlock()
 	if !lost {
 		d := datagram{from: p.at, data: append([]byte(nil), b...)}
-		time.AfterFunc(delay, func() { n.arrive(to, d) })
+		time.AfterFunc(delay, func() { n.deliver(to, d) })
 	}
 	return len(b), nil
 }
 
-func (n *Net) arrive(to netip.AddrPort, d datagram) {
+func (n *Net) deliver(to netip.AddrPort, d datagram) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if p := n.packets[to.String()]; p != nil {
