--- a/internal/roles/store/accept.go
+++ b/internal/roles/store/accept.go
@@ -15,8 +15,8 @@
 	maxPendingBytes = 16 << 20
 	fullRetryAfter  = 500 * time.Millisecond
 	busyRetryAfter  = 100 * time.Millisecond
-	// spareFor is how long dispatchers should rather hand messages to others, after one for a service whose window is full here.
-	spareFor = 500 * time.Millisecond
+	// backlogRetryAfter is how long dispatchers should rather hand messages to others, after one for a service whose window is full here.
+	backlogRetryAfter = 500 * time.Millisecond
 )
 
 // answer is the reply function of a call.
@@ -44,7 +44,7 @@
 	case p == nil || !p.leading:
 		replyAccept(reply, protocol.AcceptNotPrimary, 0)
 	case p.knows(m.ID):
-		p.acceptKnown(reply)
+		p.acceptDuplicate(reply)
 	case p.pending[m.ID] != nil:
 		p.pending[m.ID].answers = append(p.pending[m.ID].answers, reply)
 	default:
@@ -58,9 +58,9 @@
 	return ended || p.store.queue.Has(p.number, id)
 }
 
-// acceptKnown answers for a message that has a record already. The primary that wrote it may have ended before the others had it, so the
+// acceptDuplicate answers for a message that has a record already. The primary that wrote it may have ended before the others had it, so the
 // answer waits until all that is here is on enough disks.
-func (p *partition) acceptKnown(reply answer) {
+func (p *partition) acceptDuplicate(reply answer) {
 	p.replica.AwaitCommit(func(err error) {
 		status := protocol.AcceptStored
 		if err != nil {
@@ -117,7 +117,7 @@
 			s.bodies.put(messageKey{p.number, id}, records[0].Value)
 			retryAfter = 0
 			if s.queue.Backlogged(service) {
-				retryAfter = spareFor
+				retryAfter = backlogRetryAfter
 			}
 		}
 		for _, reply := range accept.answers {
--- a/internal/roles/store/daemon_test.go
+++ b/internal/roles/store/daemon_test.go
@@ -153,7 +153,7 @@
 	table := c.view(1, 2)
 	second.await(func(s *store) bool { return s.partitions[0].leading })
 	var wait, now int64
-	second.on(func(s *store) { wait, now = int64(s.partitions[0].leaseWait(s.now())), int64(s.now()) })
+	second.on(func(s *store) { wait, now = int64(s.partitions[0].earlierLeasesUntil(s.now())), int64(s.now()) })
 	is.True(wait > 0) // what was promised to the first one
 	_, err := d.lookup(second, 0, "m1")
 	is.True(err != nil || now >= wait)
@@ -244,7 +244,7 @@
 		Members: []string{first.member(), c.stores[1].member()}, Learners: []string{third.member()}})
 	var offers []protocol.PromotionOffer
 	c.control.await(func() bool {
-		offers = c.control.beats[first.node().Key].Offers
+		offers = c.control.heartbeats[first.node().Key].Offers
 		return len(offers) > 0
 	})
 	is.Equal(offers, []protocol.PromotionOffer{{Partition: 0, Epoch: 2, Learner: third.member()}})
@@ -337,26 +337,26 @@
 	})
 	first.on(func(s *store) {
 		s.storage.begin() // a sync that does not come back
-		s.storage.progress -= 2 * stallAfter
+		s.storage.lastProgress -= 2 * stallTimeout
 	})
 	first.await(func(s *store) bool { return s.stalled })
 	is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptFull)
 	m := message("m1", "plain", "")
 	first.on(func(s *store) { // as if accepted before, and due now
 		s.bodies.put(messageKey{0, "m1"}, bodyRecord(&m))
-		before := handedOut(s)
+		before := inFlight(s)
 		s.queue.Add(s.now(), queue.Entry{ID: "m1", Host: m.Host, URI: m.URI, Sequence: 2, ExpiresIn: time.Minute})
-		s.handOut()
+		s.sendDeliveries()
 		is.True(s.stalled)
-		is.Equal(handedOut(s), before)
+		is.Equal(inFlight(s), before)
 	})
 	first.on(func(s *store) { s.storage.end(nil) })
 	m1 := d.next()
 	is.Equal(m1.ID, "m1")
 }
 
-// handedOut counts the deliveries that are out at dispatchers.
-func handedOut(s *store) int {
+// inFlight counts the deliveries that are out at dispatchers.
+func inFlight(s *store) int {
 	out := 0
 	for _, service := range s.queue.Stats() {
 		out += service.InFlight
@@ -462,12 +462,12 @@
 	table := c.view(1, 0)
 	second.await(func(s *store) bool {
 		p := s.partitions[0]
-		p.helloBy = s.now() + time.Hour // however slow this machine is
+		p.helloDeadline = s.now() + time.Hour // however slow this machine is
 		return p.leading && p.mayAct(s.now())
 	})
 	second.await(func(s *store) bool { return s.queue.Has(0, "m1") && len(s.queue.Stats()) == 0 })
 	d.hello(second, table, held(&m1))
-	second.await(func(s *store) bool { return s.partitions[0].greeted })
+	second.await(func(s *store) bool { return s.partitions[0].hellosComplete })
 	is.NoErr(d.result(second, &m1, protocol.OutcomeSucceeded))
 	is.Equal(len(d.deliveries), 0)
 }
--- a/internal/roles/store/deliver.go
+++ b/internal/roles/store/deliver.go
@@ -9,39 +9,39 @@
 	"liftgauge/queue"
 )
 
-// deliverBatch bounds the hand-outs between two looks at what else has happened.
-const deliverBatch = 64
+// deliveryBatch bounds the hand-outs between two looks at what else has happened.
+const deliveryBatch = 64
 
-// openPartitions lets the queue hand out of the partitions that this store may act for, and returns until when that is sure.
-func (s *store) openPartitions(now time.Duration) time.Duration {
+// updateOpenPartitions lets the queue hand out of the partitions that this store may act for, and returns until when that is sure.
+func (s *store) updateOpenPartitions(now time.Duration) time.Duration {
 	sure := queue.Never
 	for _, p := range s.partitions {
 		if !p.leading {
 			continue
 		}
-		open := p.mayHandOut(now)
+		open := p.mayDeliver(now)
 		s.queue.SetOpen(now, p.number, open)
 		if open {
 			sure = min(sure, p.leasesUntil())
 			continue
 		}
-		if until := p.leaseWait(now); until > 0 {
+		if until := p.earlierLeasesUntil(now); until > 0 {
 			s.wakeAt(until)
 		}
-		if !p.greeted && now < p.helloBy {
-			s.wakeAt(p.helloBy)
+		if !p.hellosComplete && now < p.helloDeadline {
+			s.wakeAt(p.helloDeadline)
 		}
 	}
 	return sure
 }
 
-// handOut sends what can go, and reports whether more may be ready.
-func (s *store) handOut() bool {
+// sendDeliveries sends what can go, and reports whether more may be ready.
+func (s *store) sendDeliveries() bool {
 	sure := time.Duration(0)
-	for range deliverBatch {
+	for range deliveryBatch {
 		now := s.now()
 		if now >= sure {
-			sure = s.openPartitions(now)
+			sure = s.updateOpenPartitions(now)
 		}
 		d, found := s.queue.Next(now)
 		if !found {
@@ -67,7 +67,7 @@
 	}
 	m := protocol.Deliver{
 		Partition: d.Partition, Epoch: d.Epoch, ID: d.ID, Attempt: d.Attempt, RequestID: kept.RequestID, Method: kept.Method,
-		Host: d.Host, URI: d.URI, Key: d.Key, Headers: kept.Headers, Configuration: s.newestConfiguration(d.Revision),
+		Host: d.Host, URI: d.URI, Key: d.Key, Headers: kept.Headers, Configuration: s.requiredConfiguration(d.Revision),
 		DueFor: d.DueFor, ExpiresIn: d.ExpiresIn, FailedAttempts: uint32(d.Failed), Body: kept.Body,
 	}
 	if err := to.conn.Notify(protocol.KindDeliver, m.Append(nil)); err != nil {
@@ -87,8 +87,8 @@
 	return kept, err
 }
 
-// newestConfiguration is the configuration that a dispatcher must have at least to deliver a message.
-func (s *store) newestConfiguration(accepted queue.Revision) protocol.ItemVersion {
+// requiredConfiguration is the configuration that a dispatcher must have at least to deliver a message.
+func (s *store) requiredConfiguration(accepted queue.Revision) protocol.ItemVersion {
 	version := protocol.ItemVersion{Term: accepted.Term, Number: accepted.Number}
 	if version.Less(s.configurationVersion) {
 		return s.configurationVersion
--- a/internal/roles/store/diskwatch.go
+++ b/internal/roles/store/diskwatch.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// stallAfter is how long the disk may take for a sync before the store stops acting as primary, and asks to be left out. A store is
+	// stallTimeout is how long the disk may take for a sync before the store stops acting as primary, and asks to be left out. A store is
 	// to be out of its partitions within a second, with the round over control.
-	stallAfter = 450 * time.Millisecond
-	// refusedFor is how long a refused write counts if no other is tried.
-	refusedFor = time.Second
+	stallTimeout = 450 * time.Millisecond
+	// refusalExpiry is how long a refused write counts if no other is tried.
+	refusalExpiry = time.Second
 )
 
 // watchedStorage tells when the disk does not finish what it was given. A store whose disk stalls cannot record what becomes of a
@@ -21,10 +21,10 @@
 	replication.Storage
 	steady func() time.Duration
 
-	mu          sync.Mutex
-	outstanding int
-	progress    time.Duration // when something was last finished, or begun after a rest
-	refused     time.Duration // when the disk last refused a write; 0 once one has succeeded
+	mu           sync.Mutex
+	outstanding  int
+	lastProgress time.Duration // when something was last finished, or begun after a rest
+	refused      time.Duration // when the disk last refused a write; 0 once one has succeeded
 }
 
 func newWatchedStorage(storage replication.Storage, steady func() time.Duration) *watchedStorage {
@@ -46,7 +46,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.outstanding == 0 {
-		w.progress = w.steady()
+		w.lastProgress = w.steady()
 	}
 	w.outstanding++
 }
@@ -55,10 +55,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outstanding--
-	w.progress = w.steady()
+	w.lastProgress = w.steady()
 	w.refused = 0
 	if err != nil {
-		w.refused = w.progress
+		w.refused = w.lastProgress
 	}
 }
 
@@ -66,12 +66,12 @@
 func (w *watchedStorage) paused(gap time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress += gap
+	w.lastProgress += gap
 }
 
 // stalled reports whether the disk has finished nothing for too long, or refuses writes.
 func (w *watchedStorage) stalled(now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.outstanding > 0 && now-w.progress > stallAfter || w.refused != 0 && now-w.refused < refusedFor
+	return w.outstanding > 0 && now-w.lastProgress > stallTimeout || w.refused != 0 && now-w.refused < refusalExpiry
 }
--- a/internal/roles/store/expiry.go
+++ b/internal/roles/store/expiry.go
@@ -11,8 +11,8 @@
 const (
 	// statusSlack is added to the time for which states of ended messages are kept.
 	statusSlack = 5 * time.Second
-	// forgetBatch bounds the messages that one write forgets.
-	forgetBatch = 256
+	// expiryBatch bounds the messages that one write forgets.
+	expiryBatch = 256
 )
 
 // endedMessage is a message whose state is still kept.
@@ -21,7 +21,7 @@
 	endedAt int64
 }
 
-func (p *partition) noteEnded(id string, endedAt int64) {
+func (p *partition) addEnded(id string, endedAt int64) {
 	if _, known := p.ended[id]; known {
 		return
 	}
@@ -35,15 +35,15 @@
 	})
 }
 
-// forgetEnded deletes the records of messages that have ended long enough ago.
-func (p *partition) forgetEnded(cluster int64) {
+// expireEnded deletes the records of messages that have ended long enough ago.
+func (p *partition) expireEnded(cluster int64) {
 	if !p.leading {
 		return
 	}
 	before := cluster - int64(p.store.settings.Bounds.Status()+statusSlack)
 	var records []replication.Record
 	var forgotten []endedMessage
-	for len(p.endedOrder) > 0 && len(forgotten) < forgetBatch && p.endedOrder[0].endedAt < before {
+	for len(p.endedOrder) > 0 && len(forgotten) < expiryBatch && p.endedOrder[0].endedAt < before {
 		one := p.endedOrder[0]
 		p.endedOrder = p.endedOrder[1:]
 		forgotten = append(forgotten, one)
--- a/internal/roles/store/fake_test.go
+++ b/internal/roles/store/fake_test.go
@@ -24,16 +24,16 @@
 	t     *testing.T
 	agent *agent.Agent
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	nodes   map[string]protocol.Node
-	beats   map[string]protocol.Heartbeat
-	leaves  []protocol.Leave
-	number  map[protocol.ItemKind]uint64
+	mu         sync.Mutex
+	changed    *sync.Cond
+	nodes      map[string]protocol.Node
+	heartbeats map[string]protocol.Heartbeat
+	leaves     []protocol.Leave
+	number     map[protocol.ItemKind]uint64
 }
 
 func startControl(t *testing.T) *fakeControl {
-	c := &fakeControl{t: t, nodes: map[string]protocol.Node{}, beats: map[string]protocol.Heartbeat{}, number: map[protocol.ItemKind]uint64{}}
+	c := &fakeControl{t: t, nodes: map[string]protocol.Node{}, heartbeats: map[string]protocol.Heartbeat{}, number: map[protocol.ItemKind]uint64{}}
 	c.changed = sync.NewCond(&c.mu)
 	settings := &nodeconfig.Settings{NodeName: "control-1", Ip: "127.0.0.1", Zone: "a", Region: "r"}
 	a, err := agent.Start(agent.Options{
@@ -60,7 +60,7 @@
 		var m protocol.Heartbeat
 		if m.Decode(body) == nil && c.agent != nil {
 			c.nodes[m.Node.Key] = m.Node
-			c.beats[m.Node.Key] = m
+			c.heartbeats[m.Node.Key] = m
 		}
 		answer := protocol.HeartbeatReply{Accepted: true, ClusterTime: time.Now().UnixNano()}
 		reply(answer.Append(nil), nil)
@@ -242,7 +242,7 @@
 	s.t.Helper()
 	s.await(func(s *store) bool {
 		p := s.partitions[partition]
-		return p != nil && p.leading && p.mayHandOut(s.now())
+		return p != nil && p.leading && p.mayDeliver(s.now())
 	})
 }
 
@@ -254,8 +254,8 @@
 	deliveries chan protocol.Deliver
 }
 
-// patience is never spent by a test that passes.
-const patience = 30 * time.Second
+// testTimeout is never spent by a test that passes.
+const testTimeout = 30 * time.Second
 
 // next returns the next delivery.
 func (d *fakeDispatcher) next() protocol.Deliver {
@@ -263,7 +263,7 @@
 	select {
 	case m := <-d.deliveries:
 		return m
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		d.t.Fatal("no delivery came")
 		return protocol.Deliver{}
 	}
--- a/internal/roles/store/identity.go
+++ b/internal/roles/store/identity.go
@@ -11,7 +11,7 @@
 
 const (
 	identityKey   = "identity"
-	diskIDLength  = 8
+	diskIDBytes   = 8
 	recordsFolder = "records"
 )
 
@@ -24,7 +24,7 @@
 	if found {
 		return nodeName + "/" + string(record.Value), nil
 	}
-	id := make([]byte, diskIDLength)
+	id := make([]byte, diskIDBytes)
 	rand.Read(id) // never fails
 	value := []byte(hex.EncodeToString(id))
 	done := make(chan error, 1)
--- a/internal/roles/store/lease.go
+++ b/internal/roles/store/lease.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	leaseDuration = 600 * time.Millisecond
-	leaseEvery    = 150 * time.Millisecond
-	leaseRetry    = 20 * time.Millisecond // after a refusal
+	leaseDuration   = 600 * time.Millisecond
+	leaseInterval   = 150 * time.Millisecond
+	leaseRetryDelay = 20 * time.Millisecond // after a refusal
 )
 
 var errLease = errors.New("store: malformed lease request; run the same version on both stores")
@@ -120,8 +120,8 @@
 	}
 }
 
-// raiseAll refuses requests of all that act by a table older than version.
-func (g *grants) raiseAll(version protocol.ItemVersion) {
+// fenceAll refuses requests of all that act by a table older than version.
+func (g *grants) fenceAll(version protocol.ItemVersion) {
 	if g.floor.Less(version) {
 		g.floor = version
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// standingAll returns all promises, as seen by who takes a partition over by a table without knowing from whom.
-func (g *grants) standingAll(table protocol.ItemVersion) []standing {
+// leasesOfAll returns all promises, as seen by who takes a partition over by a table without knowing from whom.
+func (g *grants) leasesOfAll(table protocol.ItemVersion) []standing {
 	all := []standing{{until: g.unknownUntil}}
 	for member, one := range g.byMember {
 		all = append(all, standing{member: member, until: one.until, table: table})
@@ -143,8 +143,8 @@
 	return all
 }
 
-// standingOf returns the promise to a member, as seen by who takes a partition over from it by a table.
-func (g *grants) standingOf(member string, table protocol.ItemVersion) []standing {
+// leasesOf returns the promise to a member, as seen by who takes a partition over from it by a table.
+func (g *grants) leasesOf(member string, table protocol.ItemVersion) []standing {
 	until := g.unknownUntil
 	if one := g.byMember[member]; one != nil {
 		until = max(until, one.until)
@@ -155,15 +155,15 @@
 // latest returns when the last of some promises is over, at the latest; 0 if none stands any more.
 func (g *grants) latest(now time.Duration, promises []standing) (until time.Duration) {
 	for _, p := range promises {
-		if now < p.until && !g.isOver(now, &p) {
+		if now < p.until && !g.hasEnded(now, &p) {
 			until = max(until, p.until)
 		}
 	}
 	return until
 }
 
-// isOver tells whether a promise is over before its time: the member acts by the newer table, gave the lease back, or its process has ended.
-func (g *grants) isOver(now time.Duration, p *standing) bool {
+// hasEnded tells whether a promise is over before its time: the member acts by the newer table, gave the lease back, or its process has ended.
+func (g *grants) hasEnded(now time.Duration, p *standing) bool {
 	one := g.byMember[p.member]
 	if p.member == "" || one == nil {
 		return false
--- a/internal/roles/store/lease_test.go
+++ b/internal/roles/store/lease_test.go
@@ -13,56 +13,56 @@
 
 func number(n uint64) protocol.ItemVersion { return protocol.ItemVersion{Term: 1, Number: n} }
 
-func askFrom(member string, incarnation, table uint64) *leaseRequest {
+func requestFrom(member string, incarnation, table uint64) *leaseRequest {
 	return &leaseRequest{Incarnation: incarnation, Table: number(table),
 		LeaseRequest: protocol.LeaseRequest{From: member, To: "b", Duration: leaseDuration}}
 }
 
 // until is when the promise to a member is over, for a successor whose table the member does not know.
 func until(g *grants, now time.Duration, member string) time.Duration {
-	return g.latest(now, g.standingOf(member, number(1<<40)))
+	return g.latest(now, g.leasesOf(member, number(1<<40)))
 }
 
 func TestNoLeaseBeforeAPartitionTableIsKnown(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(0)
-	is.True(!g.request(0, askFrom("a", 1, 5)))
-	g.raiseAll(number(5))
-	is.True(!g.request(0, askFrom("a", 1, 4)))
-	is.True(g.request(0, askFrom("a", 1, 5)))
+	is.True(!g.request(0, requestFrom("a", 1, 5)))
+	g.fenceAll(number(5))
+	is.True(!g.request(0, requestFrom("a", 1, 4)))
+	is.True(g.request(0, requestFrom("a", 1, 5)))
 }
 
 func TestLeaseIsRefusedByTheTableThatTookThePartition(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(0)
-	g.raiseAll(number(1))
-	is.True(g.request(700*ms, askFrom("a", 1, 1)))
+	g.fenceAll(number(1))
+	is.True(g.request(700*ms, requestFrom("a", 1, 1)))
 	is.Equal(until(g, 700*ms, "a"), 1300*ms)
 	g.raise("a", number(2))
-	is.True(!g.request(800*ms, askFrom("a", 1, 1))) // it may not know yet
+	is.True(!g.request(800*ms, requestFrom("a", 1, 1))) // it may not know yet
 	is.Equal(until(g, 800*ms, "a"), 1300*ms)
-	is.True(g.request(800*ms, askFrom("c", 1, 1)))
-	is.True(g.request(900*ms, askFrom("a", 1, 2)))
+	is.True(g.request(800*ms, requestFrom("c", 1, 1)))
+	is.True(g.request(900*ms, requestFrom("a", 1, 2)))
 }
 
 func TestPromisesOfAnEarlierProcessAreWaitedFor(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(2 * time.Second)
 	is.Equal(until(g, 2*time.Second, "a"), 2*time.Second+leaseDuration)
-	is.Equal(g.latest(2*time.Second, g.standingAll(number(1))), 2*time.Second+leaseDuration)
+	is.Equal(g.latest(2*time.Second, g.leasesOfAll(number(1))), 2*time.Second+leaseDuration)
 }
 
 func TestReleaseAndEndOfTheProcessEndALease(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(-time.Minute)
-	g.raiseAll(number(1))
-	is.True(g.request(0, askFrom("a", 1, 1)))
-	released := askFrom("a", 1, 1)
+	g.fenceAll(number(1))
+	is.True(g.request(0, requestFrom("a", 1, 1)))
+	released := requestFrom("a", 1, 1)
 	released.Release = true
 	is.True(!g.request(10*ms, released))
 	is.Equal(until(g, 9*ms, "a"), 10*ms)
 	is.Equal(until(g, 10*ms, "a"), time.Duration(0))
-	is.True(g.request(20*ms, askFrom("a", 2, 1)))
+	is.True(g.request(20*ms, requestFrom("a", 2, 1)))
 	g.ended("a", 1) // an earlier process than the one with the lease
 	is.Equal(until(g, 20*ms, "a"), 620*ms)
 	g.ended("a", 2)
@@ -72,36 +72,36 @@
 func TestPromiseIsOverOnceItsMemberActsByTheNewTable(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(-time.Minute)
-	g.raiseAll(number(1))
-	is.True(g.request(0, askFrom("a", 1, 1)))
+	g.fenceAll(number(1))
+	is.True(g.request(0, requestFrom("a", 1, 1)))
 	g.raise("a", number(3))
-	taken := g.standingOf("a", number(3))
-	taken = append(taken, g.standingAll(number(3))...)
+	taken := g.leasesOf("a", number(3))
+	taken = append(taken, g.leasesOfAll(number(3))...)
 	is.Equal(g.latest(50*ms, taken), leaseDuration)
-	g.heard(askFrom("a", 1, 2)) // newer, but not yet the one that took the partition
-	g.heard(askFrom("c", 1, 3)) // another member
+	g.heard(requestFrom("a", 1, 2)) // newer, but not yet the one that took the partition
+	g.heard(requestFrom("c", 1, 3)) // another member
 	is.Equal(g.latest(50*ms, taken), leaseDuration)
-	g.heard(askFrom("a", 1, 3))
+	g.heard(requestFrom("a", 1, 3))
 	is.Equal(g.latest(50*ms, taken), time.Duration(0))
-	g.heard(askFrom("a", 1, 1)) // a request that was under way for long takes nothing back
+	g.heard(requestFrom("a", 1, 1)) // a request that was under way for long takes nothing back
 	is.Equal(g.latest(50*ms, taken), time.Duration(0))
 }
 
 func TestPromiseOfAnUnknownProcessStandsWhateverTheMemberKnows(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(time.Second)
-	g.raiseAll(number(1))
-	is.True(g.request(time.Second, askFrom("a", 1, 1)))
+	g.fenceAll(number(1))
+	is.True(g.request(time.Second, requestFrom("a", 1, 1)))
 	g.ended("a", 1) // this one ended, but the store's earlier process may have granted to another
-	is.Equal(g.latest(time.Second, g.standingOf("a", number(3))), time.Second+leaseDuration)
-	g.heard(askFrom("a", 2, 3))
-	is.Equal(g.latest(time.Second, g.standingOf("a", number(3))), time.Duration(0))
-	is.Equal(g.latest(time.Second, g.standingAll(number(3))), time.Second+leaseDuration) // it may have been anybody
+	is.Equal(g.latest(time.Second, g.leasesOf("a", number(3))), time.Second+leaseDuration)
+	g.heard(requestFrom("a", 2, 3))
+	is.Equal(g.latest(time.Second, g.leasesOf("a", number(3))), time.Duration(0))
+	is.Equal(g.latest(time.Second, g.leasesOfAll(number(3))), time.Second+leaseDuration) // it may have been anybody
 }
 
 func TestLeaseRequestKeepsItsFields(t *testing.T) {
 	is := is.New(t)
-	request := askFrom("machine-1/0a", 1<<63, 77)
+	request := requestFrom("machine-1/0a", 1<<63, 77)
 	request.Sequence, request.Release = 9, true
 	var got leaseRequest
 	encoded := request.append(nil)
--- a/internal/roles/store/partition.go
+++ b/internal/roles/store/partition.go
@@ -19,14 +19,14 @@
 	sequenceBits = 40
 	// attemptBits are the bits of a hand-out's number below those of the epoch, so that two primaries never use the same number.
 	attemptBits = 12
-	// helloWait is how long a new primary waits to hear from all live dispatchers what they hold, when the one before was lost.
-	helloWait = 500 * time.Millisecond
-	// plannedHelloWait is the same when the one before is a member still, or lives: nothing was lost, and nothing shall run twice.
-	plannedHelloWait = 1500 * time.Millisecond
-	// blockedFor is how long members may hold up writes before the log says so.
-	blockedFor = 300 * time.Millisecond
-	// slowWrite is the age of the oldest write from which on no more messages are accepted: others have faster partitions.
-	slowWrite = 250 * time.Millisecond
+	// helloTimeout is how long a new primary waits to hear from all live dispatchers what they hold, when the one before was lost.
+	helloTimeout = 500 * time.Millisecond
+	// plannedHelloTimeout is the same when the one before is a member still, or lives: nothing was lost, and nothing shall run twice.
+	plannedHelloTimeout = 1500 * time.Millisecond
+	// blockedLogDelay is how long members may hold up writes before the log says so.
+	blockedLogDelay = 300 * time.Millisecond
+	// slowWriteAge is the age of the oldest write from which on no more messages are accepted: others have faster partitions.
+	slowWriteAge = 250 * time.Millisecond
 )
 
 // partition is this store's part in one partition.
@@ -42,20 +42,20 @@
 	planned  bool // the primary before is a member of the view, or lives
 
 	// Of the primary:
-	leading       bool // active in an epoch, and not deposed since
-	epoch         uint64
-	promised      []standing    // to the primary before
-	helloBy       time.Duration // dispatchers are not waited for any longer
-	greeted       bool          // all dispatchers have said what they hold
-	sequence      uint64
-	offers        []string // learners that are equal, in the epoch of the view
-	pending       map[string]*pendingAccept
-	endings       map[string]*ending
-	ended         map[string]int64 // when messages ended that are still known, cluster time
-	endedOrder    []endedMessage
-	writes        []time.Duration // when each write that is not done was begun
-	blockedSince  time.Duration   // writes are held up; 0 for not
-	blockedLogged bool
+	leading        bool // active in an epoch, and not deposed since
+	epoch          uint64
+	promised       []standing    // to the primary before
+	helloDeadline  time.Duration // dispatchers are not waited for any longer
+	hellosComplete bool          // all dispatchers have said what they hold
+	sequence       uint64
+	offers         []string // learners that are equal, in the epoch of the view
+	pending        map[string]*pendingAccept
+	endings        map[string]*ending
+	ended          map[string]int64 // when messages ended that are still known, cluster time
+	endedOrder     []endedMessage
+	writes         []time.Duration // when each write that is not done was begun
+	blockedSince   time.Duration   // writes are held up; 0 for not
+	blockedLogged  bool
 }
 
 func groupOf(partition uint32) uint32 { return groupBase + partition }
@@ -70,17 +70,17 @@
 		return nil, err
 	}
 	p.replica = replica
-	p.forgetMessages()
+	p.clearMessages()
 	s.partitions[number] = p
 	return p, nil
 }
 
-// helloWait returns how long to wait for dispatchers.
-func (p *partition) helloWait() time.Duration {
+// helloTimeout returns how long to wait for dispatchers.
+func (p *partition) helloTimeout() time.Duration {
 	if p.planned {
-		return plannedHelloWait
+		return plannedHelloTimeout
 	}
-	return helloWait
+	return helloTimeout
 }
 
 // lead goes on as primary in a later epoch. Dispatchers that know it drop what bears a lower one.
@@ -88,11 +88,11 @@
 	s := p.store
 	s.queue.SetEpoch(p.number, p.view.Epoch)
 	for _, one := range s.sessions {
-		s.giveUpUnlisted(now, one, p)
+		s.requeueUnlisted(now, one, p)
 	}
 }
 
-func (p *partition) forgetMessages() {
+func (p *partition) clearMessages() {
 	p.pending = map[string]*pendingAccept{}
 	p.endings = map[string]*ending{}
 	p.ended = map[string]int64{}
@@ -109,7 +109,7 @@
 	}
 	p.leading = true
 	s.queue.SetEpoch(p.number, epoch)
-	p.helloBy, p.greeted = now+p.helloWait(), false
+	p.helloDeadline, p.hellosComplete = now+p.helloTimeout(), false
 	if err := p.rebuild(now); err != nil {
 		s.logger.Error("records of a partition cannot be read; it is not served by this store",
 			zap.Uint32("partition", p.number), zap.Error(err))
@@ -117,7 +117,7 @@
 		p.leading = false
 		return
 	}
-	s.applyHeld(now, p.number)
+	s.markHeld(now, p.number)
 	s.logger.Info("primary of a partition", zap.Uint32("partition", p.number), zap.Uint64("epoch", epoch),
 		zap.Int("messages", s.queue.Len(p.number)))
 }
@@ -129,7 +129,7 @@
 	p.store.queue.Drop(p.number)
 	p.store.bodies.drop(p.number)
 	p.refuseEndings()
-	p.forgetMessages()
+	p.clearMessages()
 }
 
 // Offer implements replication.Events.
@@ -156,7 +156,7 @@
 			p.sequence = max(p.sequence, state.Sequence)
 		}
 		if state.ended() {
-			p.noteEnded(id, state.EndedAt)
+			p.addEnded(id, state.EndedAt)
 			return true
 		}
 		s.queue.Add(now, p.entry(id, &state, cluster))
@@ -197,11 +197,11 @@
 
 // mayAct reports whether this store may hand out messages of the partition and answer for their states.
 func (p *partition) mayAct(now time.Duration) bool {
-	return p.leading && p.leaseWait(now) == 0 && p.leasesUntil() > now
+	return p.leading && p.earlierLeasesUntil(now) == 0 && p.leasesUntil() > now
 }
 
-// leaseWait returns when what was promised to the primary before is over at the latest; 0 if it is.
-func (p *partition) leaseWait(now time.Duration) time.Duration {
+// earlierLeasesUntil returns when what was promised to the primary before is over at the latest; 0 if it is.
+func (p *partition) earlierLeasesUntil(now time.Duration) time.Duration {
 	if len(p.promised) == 0 {
 		return 0
 	}
@@ -226,15 +226,15 @@
 	return until
 }
 
-// mayHandOut reports whether deliveries may go out, and until when that is sure without another look.
-func (p *partition) mayHandOut(now time.Duration) bool {
+// mayDeliver reports whether deliveries may go out, and until when that is sure without another look.
+func (p *partition) mayDeliver(now time.Duration) bool {
 	if !p.mayAct(now) || p.store.stalled {
 		return false
 	}
-	if !p.greeted {
-		p.greeted = now >= p.helloBy || p.store.allGreeted(p.table)
+	if !p.hellosComplete {
+		p.hellosComplete = now >= p.helloDeadline || p.store.allHellosReceived(p.table)
 	}
-	return p.greeted
+	return p.hellosComplete
 }
 
 // write replicates records; writes are done in the order in which they were begun.
@@ -248,18 +248,18 @@
 
 // slow reports whether writes take too long for another message to be accepted.
 func (p *partition) slow(now time.Duration) bool {
-	return len(p.writes) > 0 && now-p.writes[0] > slowWrite
+	return len(p.writes) > 0 && now-p.writes[0] > slowWriteAge
 }
 
-// watchBlocked logs once when members hold up writes for long: control has not left them out yet.
-func (p *partition) watchBlocked(now time.Duration) {
+// logBlockedWrites logs once when members hold up writes for long: control has not left them out yet.
+func (p *partition) logBlockedWrites(now time.Duration) {
 	blocked := p.replica.BlockingPeers()
 	switch {
 	case !p.leading || len(blocked) == 0:
 		p.blockedSince, p.blockedLogged = 0, false
 	case p.blockedSince == 0:
 		p.blockedSince = now
-	case now-p.blockedSince > blockedFor && !p.blockedLogged:
+	case now-p.blockedSince > blockedLogDelay && !p.blockedLogged:
 		p.blockedLogged = true
 		p.store.logger.Warn("writes wait for members that are not equal", zap.Uint32("partition", p.number),
 			zap.Strings("members", blocked))
--- a/internal/roles/store/peer.go
+++ b/internal/roles/store/peer.go
@@ -26,18 +26,18 @@
 	dialing bool
 	arrived *rpc.Conn // the connection that the peer's frames last came on; carries replies
 
-	incarnation  uint64        // by the node table
-	leaseUntil   time.Duration // the peer has promised not to act in this store's place
-	leaseAsked   time.Duration
-	leasePending bool
-	answered     time.Duration // when the peer last answered, or was first wanted
-	sequence     uint64
+	incarnation      uint64        // by the node table
+	leaseUntil       time.Duration // the peer has promised not to act in this store's place
+	lastLeaseRequest time.Duration
+	leasePending     bool
+	answered         time.Duration // when the peer last answered, or was first wanted
+	sequence         uint64
 }
 
 func (s *store) peer(member string) *peer {
 	one := s.peers[member]
 	if one == nil {
-		one = &peer{member: member, leaseAsked: -leaseEvery}
+		one = &peer{member: member, lastLeaseRequest: -leaseInterval}
 		s.peers[member] = one
 	}
 	return one
@@ -110,7 +110,7 @@
 		s.loop.post(func() { s.peerLost(one, conn) })
 	}()
 	if one.wanted {
-		s.askLease(s.now(), one)
+		s.requestLease(s.now(), one)
 	}
 	for _, p := range s.sorted() {
 		p.syncLinks()
@@ -206,12 +206,12 @@
 	p.replica.Receive(frame.From, message)
 }
 
-// askLease asks a peer for its promise.
-func (s *store) askLease(now time.Duration, one *peer) {
+// requestLease asks a peer for its promise.
+func (s *store) requestLease(now time.Duration, one *peer) {
 	if one.conn == nil || one.leasePending {
 		return
 	}
-	one.leasePending, one.leaseAsked = true, now
+	one.leasePending, one.lastLeaseRequest = true, now
 	one.sequence++
 	request := leaseRequest{Incarnation: s.agent.Node().Incarnation, Table: s.table, LeaseRequest: protocol.LeaseRequest{
 		From: s.member, To: one.member, Sequence: one.sequence, Duration: leaseDuration,
@@ -221,11 +221,11 @@
 		ctx, cancel := context.WithTimeout(context.Background(), leaseDuration)
 		defer cancel()
 		answer, err := conn.Call(ctx, protocol.KindLease, body)
-		s.loop.post(func() { s.leaseAnswered(one, now, answer, err) })
+		s.loop.post(func() { s.handleLeaseReply(one, now, answer, err) })
 	}()
 }
 
-func (s *store) leaseAnswered(one *peer, asked time.Duration, answer []byte, err error) {
+func (s *store) handleLeaseReply(one *peer, asked time.Duration, answer []byte, err error) {
 	one.leasePending = false
 	var reply protocol.LeaseReply
 	if err != nil || reply.Decode(answer) != nil {
@@ -234,7 +234,7 @@
 	one.answered = s.now()
 	if !reply.Granted { // one of the two has not seen the other's partition table yet
 		if one.wanted {
-			time.AfterFunc(leaseRetry, func() { s.loop.post(func() { s.askLease(s.now(), one) }) })
+			time.AfterFunc(leaseRetryDelay, func() { s.loop.post(func() { s.requestLease(s.now(), one) }) })
 		}
 		return
 	}
@@ -244,8 +244,8 @@
 // renewLeases asks all peers whose promise was not asked for lately.
 func (s *store) renewLeases(now time.Duration) {
 	for _, one := range s.peers {
-		if one.wanted && now-one.leaseAsked >= leaseEvery {
-			s.askLease(now, one)
+		if one.wanted && now-one.lastLeaseRequest >= leaseInterval {
+			s.requestLease(now, one)
 		}
 	}
 }
@@ -273,7 +273,7 @@
 	if request.To == s.member {
 		s.grants.heard(&request)
 	}
-	if request.To == s.member && (request.Release || !s.tableBehind()) {
+	if request.To == s.member && (request.Release || !s.tableOutdated()) {
 		answer.Granted = s.grants.request(s.now(), &request)
 	}
 	reply(answer.Append(nil), nil)
--- a/internal/roles/store/result.go
+++ b/internal/roles/store/result.go
@@ -144,7 +144,7 @@
 			return
 		case err == nil:
 			delete(p.endings, id)
-			p.noteEnded(id, e.state.EndedAt)
+			p.addEnded(id, e.state.EndedAt)
 			s.queue.ConfirmEnd(s.now(), p.number, id)
 		}
 		for _, reply := range e.answers {
--- a/internal/roles/store/run.go
+++ b/internal/roles/store/run.go
@@ -99,7 +99,7 @@
 	}
 	s.storage = newWatchedStorage(log, s.agent.Steady)
 	s.grants = newGrants(s.now())
-	if err := s.openRecorded(); err != nil {
+	if err := s.openRecordedPartitions(); err != nil {
 		s.agent.Close()
 		return nil, multierr.Append(err, log.Close())
 	}
@@ -134,7 +134,7 @@
 		case <-timer.C:
 		case <-ended:
 			ended = nil
-			s.beginClosing()
+			s.beginShutdown()
 		case <-s.closing.done:
 			return
 		}
--- a/internal/roles/store/session.go
+++ b/internal/roles/store/session.go
@@ -39,7 +39,7 @@
 		one = &session{name: name, key: m.Dispatcher, incarnation: m.Incarnation}
 		s.sessions[name] = one
 	}
-	one.table, one.held = m.Table, holdings(m.Held)
+	one.table, one.held = m.Table, convertHeld(m.Held)
 	if one.conn == c {
 		for _, h := range one.held {
 			s.queue.MarkHeld(now, h.Partition, h.ID, h.Attempt, name)
@@ -47,14 +47,14 @@
 		s.queue.Resume(name, m.Zone)
 		if s.queue.HasInFlight(name) {
 			for _, p := range s.sorted() {
-				s.giveUpUnlisted(now, one, p)
+				s.requeueUnlisted(now, one, p)
 			}
 		}
 	} else {
 		s.greet(c, one, m.Zone)
-		s.listSessions(now, s.view)
+		s.reconcileSessions(now, s.view)
 	}
-	s.queue.SetSlots(name, slotsOf(m.Windows))
+	s.queue.SetSlots(name, slotsByService(m.Windows))
 }
 
 // greet begins a new connection of a dispatcher: what was sent on the one before and is not held never arrived.
@@ -70,7 +70,7 @@
 	s.windowsStale = true
 }
 
-func holdings(held []protocol.HeldDelivery) []queue.HeldDelivery {
+func convertHeld(held []protocol.HeldDelivery) []queue.HeldDelivery {
 	list := make([]queue.HeldDelivery, 0, len(held))
 	for _, h := range held {
 		list = append(list, queue.HeldDelivery{Partition: h.Partition, ID: h.ID, Attempt: h.Attempt})
@@ -78,14 +78,14 @@
 	return list
 }
 
-// giveUpUnlisted compares what a dispatcher said by the present epoch of a partition with what was handed out to it.
-func (s *store) giveUpUnlisted(now time.Duration, one *session, p *partition) {
+// requeueUnlisted compares what a dispatcher said by the present epoch of a partition with what was handed out to it.
+func (s *store) requeueUnlisted(now time.Duration, one *session, p *partition) {
 	if p.leading && p.view.Primary == s.member && !one.table.Less(p.table) {
 		s.queue.RequeueUnlisted(now, one.name, p.number, p.view.Epoch, one.held)
 	}
 }
 
-func slotsOf(windows []protocol.ServiceWindow) map[string]int {
+func slotsByService(windows []protocol.ServiceWindow) map[string]int {
 	if len(windows) == 0 {
 		return nil
 	}
@@ -122,8 +122,8 @@
 	return found && one.listed && node.Incarnation != one.incarnation
 }
 
-// listSessions compares the sessions with the node table.
-func (s *store) listSessions(now time.Duration, view *agent.View) {
+// reconcileSessions compares the sessions with the node table.
+func (s *store) reconcileSessions(now time.Duration, view *agent.View) {
 	for name, one := range s.sessions {
 		node, found := view.NodeByKey(one.key)
 		if found && node.Incarnation == one.incarnation {
@@ -140,8 +140,8 @@
 	}
 }
 
-// allGreeted reports whether every live dispatcher has said what it holds by a partition table as new as version.
-func (s *store) allGreeted(version protocol.ItemVersion) bool {
+// allHellosReceived reports whether every live dispatcher has said what it holds by a partition table as new as version.
+func (s *store) allHellosReceived(version protocol.ItemVersion) bool {
 	for node := range s.view.Each(protocol.RoleDispatcher) {
 		one := s.sessions[sessionName(node.Key, node.Incarnation)]
 		if one == nil || one.table.Less(version) {
@@ -151,8 +151,8 @@
 	return true
 }
 
-// applyHeld tells the queue what dispatchers have said that they hold of a partition.
-func (s *store) applyHeld(now time.Duration, partition uint32) {
+// markHeld tells the queue what dispatchers have said that they hold of a partition.
+func (s *store) markHeld(now time.Duration, partition uint32) {
 	for _, one := range s.sessions {
 		for _, h := range one.held {
 			if h.Partition == partition {
--- a/internal/roles/store/shutdown.go
+++ b/internal/roles/store/shutdown.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// handOverFor is how long a store that ends waits for control to make others primary.
-	handOverFor = 3 * time.Second
-	// farewellFor bounds the last words to control and to other stores, and how long this store still takes writes of others after that.
-	farewellFor = 500 * time.Millisecond
+	// handoverTimeout is how long a store that ends waits for control to make others primary.
+	handoverTimeout = 3 * time.Second
+	// leaveTimeout bounds the last words to control and to other stores, and how long this store still takes writes of others after that.
+	leaveTimeout = 500 * time.Millisecond
 )
 
 // closing is the state of a planned end.
@@ -22,27 +22,27 @@
 	done     chan struct{} // closed when the loop may end
 }
 
-// beginClosing announces the end: control makes other stores primary of what this one leads.
-func (s *store) beginClosing() {
+// beginShutdown announces the end: control makes other stores primary of what this one leads.
+func (s *store) beginShutdown() {
 	now := s.now()
-	wait := min(handOverFor, max(0, s.settings.Bounds.Grace()-2*farewellFor))
+	wait := min(handoverTimeout, max(0, s.settings.Bounds.Grace()-2*leaveTimeout))
 	s.closing.begun, s.closing.by = true, now+wait
 	s.logger.Info("ending: partitions are handed over")
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
 		_ = s.agent.Leave(ctx, false) // without control the time decides
-		s.loop.post(func() { s.advanceClosing(s.now()) })
+		s.loop.post(func() { s.advanceShutdown(s.now()) })
 	}()
 }
 
-// advanceClosing goes on with a planned end as far as it can.
-func (s *store) advanceClosing(now time.Duration) {
+// advanceShutdown goes on with a planned end as far as it can.
+func (s *store) advanceShutdown(now time.Duration) {
 	switch {
 	case !s.closing.begun || s.closing.over:
 	case !s.closing.farewell:
 		if !s.leads() || now >= s.closing.by {
-			s.sayFarewell()
+			s.leaveCluster()
 		}
 	case s.closing.left && (!s.included() || now >= s.closing.by):
 		s.closing.over = true
@@ -50,8 +50,8 @@
 	}
 }
 
-// sayFarewell stops what this store still leads, gives back its leases and ends its session.
-func (s *store) sayFarewell() {
+// leaveCluster stops what this store still leads, gives back its leases and ends its session.
+func (s *store) leaveCluster() {
 	s.closing.farewell = true
 	for _, p := range s.sorted() {
 		if p.leading {
@@ -59,14 +59,14 @@
 			p.Deposed(p.epoch)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), farewellFor)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	s.releaseLeases(ctx)
 	go func() {
 		defer cancel()
 		_ = s.agent.Leave(ctx, true) // otherwise the session expires by itself
 		s.loop.post(func() {
-			s.closing.left, s.closing.by = true, s.now()+farewellFor
-			s.advanceClosing(s.now())
+			s.closing.left, s.closing.by = true, s.now()+leaveTimeout
+			s.advanceShutdown(s.now())
 		})
 	}()
 }
--- a/internal/roles/store/state.go
+++ b/internal/roles/store/state.go
@@ -34,13 +34,13 @@
 	Counted       []uint32 // the hand-outs whose failure is in Attempts, the last mostCounted of them
 }
 
-// mostCounted bounds Counted. A dispatcher repeats the outcome of a hand-out only until it is answered, so the last ones are enough.
-const mostCounted = 8
+// maxCountedDeliveries bounds Counted. A dispatcher repeats the outcome of a hand-out only until it is answered, so the last ones are enough.
+const maxCountedDeliveries = 8
 
 // count notes a failed hand-out.
 func (s *messageState) count(attempt uint32) {
 	s.Counted = append(s.Counted, attempt)
-	s.Counted = s.Counted[max(0, len(s.Counted)-mostCounted):]
+	s.Counted = s.Counted[max(0, len(s.Counted)-maxCountedDeliveries):]
 }
 
 func bodyKey(id string) string  { return bodyPrefix + id }
@@ -103,7 +103,7 @@
 		return nil
 	}
 	length, n := binary.Uvarint(b)
-	if n <= 0 || length > mostCounted {
+	if n <= 0 || length > maxCountedDeliveries {
 		return errState
 	}
 	b = b[n:]
--- a/internal/roles/store/state_test.go
+++ b/internal/roles/store/state_test.go
@@ -20,7 +20,7 @@
 			Attempts:      rapid.Uint64().Draw(t, "attempts"),
 			Configuration: protocol.ItemVersion{Term: rapid.Uint64().Draw(t, "term"), Number: rapid.Uint64().Draw(t, "number")},
 			Host:          text.Draw(t, "host"), URI: text.Draw(t, "uri"), Key: text.Draw(t, "key"), Signature: text.Draw(t, "signature"),
-			Counted: rapid.SliceOfN(rapid.Uint32(), 1, mostCounted).Draw(t, "counted"),
+			Counted: rapid.SliceOfN(rapid.Uint32(), 1, maxCountedDeliveries).Draw(t, "counted"),
 		}
 		encoded := state.append(nil)
 		var got messageState
@@ -43,11 +43,11 @@
 func TestCountedHandOutsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var state messageState
-	for attempt := range uint32(mostCounted + 3) {
+	for attempt := range uint32(maxCountedDeliveries + 3) {
 		state.count(attempt)
 	}
-	is.Equal(len(state.Counted), mostCounted)
-	is.Equal(state.Counted[mostCounted-1], uint32(mostCounted+2)) // the last ones are kept
+	is.Equal(len(state.Counted), maxCountedDeliveries)
+	is.Equal(state.Counted[maxCountedDeliveries-1], uint32(maxCountedDeliveries+2)) // the last ones are kept
 }
 
 func FuzzStateRecord(f *testing.F) {
--- a/internal/roles/store/store.go
+++ b/internal/roles/store/store.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// tickEvery is the pace of leases and of the care for what hangs.
-	tickEvery   = leaseEvery
-	pauseAfter  = 2 * tickEvery // a longer gap between steps means that this process stood still
-	dialTimeout = time.Second
+	// tickInterval is the pace of leases and of the care for what hangs.
+	tickInterval   = leaseInterval
+	pauseThreshold = 2 * tickInterval // a longer gap between steps means that this process stood still
+	dialTimeout    = time.Second
 )
 
 var errNoBody = errors.New("store: a queued message has no body record; it is waited for until its retention is over")
@@ -107,13 +107,13 @@
 	nodes := s.view.NodesVersion != view.NodesVersion
 	workers := s.view.WorkersVersion != view.WorkersVersion
 	s.view = view
-	if err := s.takeConfiguration(view); err != nil {
+	if err := s.applyConfiguration(view); err != nil {
 		s.logger.Error("the configuration cannot be read; the one before goes on", zap.Error(err))
 	}
-	s.takeTable(view)
+	s.applyPartitionTable(view)
 	if nodes {
 		s.syncPeers()
-		s.listSessions(s.now(), view)
+		s.reconcileSessions(s.now(), view)
 	}
 	s.windowsStale = s.windowsStale || nodes || workers
 }
@@ -122,16 +122,16 @@
 func (s *store) step() time.Duration {
 	now := s.now()
 	s.wake = queue.Never
-	s.watchPause(now)
-	s.watchDisk(now)
+	s.detectPause(now)
+	s.checkDisk(now)
 	if now >= s.nextTick {
 		s.tick(now)
 	}
 	if s.windowsStale {
-		s.setWindows()
+		s.updateWindows()
 	}
 	s.writeEnds(now)
-	if s.handOut() {
+	if s.sendDeliveries() {
 		return now
 	}
 	return min(s.wake, s.queue.NextWake(), s.nextTick)
@@ -146,9 +146,9 @@
 	}
 }
 
-// watchPause takes a time in which this process stood still off the patience with others.
-func (s *store) watchPause(now time.Duration) {
-	if gap := now - s.lastStep; s.lastStep > 0 && gap > pauseAfter {
+// detectPause takes a time in which this process stood still off the patience with others.
+func (s *store) detectPause(now time.Duration) {
+	if gap := now - s.lastStep; s.lastStep > 0 && gap > pauseThreshold {
 		s.storage.paused(gap)
 		for _, one := range s.peers {
 			one.answered += gap
@@ -157,8 +157,8 @@
 	s.lastStep = now
 }
 
-// watchDisk stops hand-outs and accepts while the disk finishes nothing.
-func (s *store) watchDisk(now time.Duration) {
+// checkDisk stops hand-outs and accepts while the disk finishes nothing.
+func (s *store) checkDisk(now time.Duration) {
 	stalled := s.storage.stalled(now)
 	if stalled != s.stalled {
 		s.logger.Warn("the disk stalls, or goes on after it; nothing is handed out or accepted meanwhile", zap.Bool("stalled", stalled))
@@ -168,15 +168,15 @@
 
 // tick renews leases and looks after what hangs.
 func (s *store) tick(now time.Duration) {
-	s.nextTick = now + tickEvery
+	s.nextTick = now + tickInterval
 	s.renewLeases(now)
 	cluster := s.clusterNow()
 	for _, p := range s.sorted() {
 		p.replica.Tick(now)
-		p.watchBlocked(now)
-		p.forgetEnded(cluster)
+		p.logBlockedWrites(now)
+		p.expireEnded(cluster)
 	}
 	s.retryDrops()
 	s.writeReport()
-	s.advanceClosing(now)
+	s.advanceShutdown(now)
 }
--- a/internal/roles/store/table.go
+++ b/internal/roles/store/table.go
@@ -11,8 +11,8 @@
 	"liftgauge/replication"
 )
 
-// takeTable installs the views of a newer partition table.
-func (s *store) takeTable(view *agent.View) {
+// applyPartitionTable installs the views of a newer partition table.
+func (s *store) applyPartitionTable(view *agent.View) {
 	version := view.PartitionsVersion
 	if !s.table.Less(version) {
 		return
@@ -20,7 +20,7 @@
 	first := s.table == (protocol.ItemVersion{})
 	s.table = version
 	if first {
-		s.grants.raiseAll(version)
+		s.grants.fenceAll(version)
 	}
 	successors, changed := map[string]bool{}, map[string]bool{}
 	for index := range view.Partitions.Partitions {
@@ -29,20 +29,20 @@
 		if p != nil && p.leading && v.Primary != s.member {
 			successors[v.Primary] = true
 		}
-		if s.concernsPrimary(v, p) {
+		if s.shouldNotifyPrimary(v, p) {
 			changed[v.Primary] = true
 		}
-		s.takeView(v, version)
+		s.installView(v, version)
 	}
-	s.tellPrimaries(view, changed)
+	s.notifyPrimaries(view, changed)
 	s.syncPeers()
 	for member := range successors {
-		s.askLease(s.now(), s.peer(member)) // tells it that this store acts by the new table
+		s.requestLease(s.now(), s.peer(member)) // tells it that this store acts by the new table
 	}
 }
 
-// concernsPrimary tells whether another store is the primary of a view that is news to this one, which is in it or holds the partition.
-func (s *store) concernsPrimary(v *protocol.PartitionView, held *partition) bool {
+// shouldNotifyPrimary tells whether another store is the primary of a view that is news to this one, which is in it or holds the partition.
+func (s *store) shouldNotifyPrimary(v *protocol.PartitionView, held *partition) bool {
 	if v.Primary == s.member {
 		return false
 	}
@@ -52,9 +52,9 @@
 	return v.Epoch > held.view.Epoch
 }
 
-// tellPrimaries has the primaries of changed partitions hear of the table: a primary that does not know its view yet waits for members that have left
+// notifyPrimaries has the primaries of changed partitions hear of the table: a primary that does not know its view yet waits for members that have left
 // it, and takes nothing over.
-func (s *store) tellPrimaries(view *agent.View, members map[string]bool) {
+func (s *store) notifyPrimaries(view *agent.View, members map[string]bool) {
 	var addresses []string
 	for member := range members {
 		if node, found := view.NodeByMember(member); found {
@@ -66,8 +66,8 @@
 	}
 }
 
-// takeView installs the view of one partition if it is newer than what is known.
-func (s *store) takeView(v *protocol.PartitionView, version protocol.ItemVersion) {
+// installView installs the view of one partition if it is newer than what is known.
+func (s *store) installView(v *protocol.PartitionView, version protocol.ItemVersion) {
 	p := s.partitions[v.Partition]
 	included := v.Includes(s.member)
 	if p == nil {
@@ -106,15 +106,15 @@
 	known := p.view.Epoch+1 == next.Epoch && p.view.Epoch > 0
 	switch {
 	case !known:
-		s.grants.raiseAll(version)
-		p.promised = s.grants.standingAll(version)
+		s.grants.fenceAll(version)
+		p.promised = s.grants.leasesOfAll(version)
 	case before == s.member || before == next.Primary:
 		return
 	default:
 		s.grants.raise(before, version)
 		p.promised = nil
 		if !slices.Contains(next.Members, before) {
-			p.promised = s.grants.standingOf(before, version)
+			p.promised = s.grants.leasesOf(before, version)
 		}
 	}
 }
@@ -125,8 +125,8 @@
 	return found && member != ""
 }
 
-// tableBehind reports whether some partition has joined an epoch that the partition table does not show yet.
-func (s *store) tableBehind() bool {
+// tableOutdated reports whether some partition has joined an epoch that the partition table does not show yet.
+func (s *store) tableOutdated() bool {
 	for _, p := range s.partitions {
 		if p.replica.JoinedEpoch() > p.view.Epoch {
 			return true
@@ -161,8 +161,8 @@
 	}
 }
 
-// openRecorded opens the partitions that the disk has records of, so that they are dropped if the table does not name this store.
-func (s *store) openRecorded() error {
+// openRecordedPartitions opens the partitions that the disk has records of, so that they are dropped if the table does not name this store.
+func (s *store) openRecordedPartitions() error {
 	for _, group := range s.log.Groups() {
 		if group < groupBase {
 			continue
--- a/internal/roles/store/trouble_test.go
+++ b/internal/roles/store/trouble_test.go
@@ -29,15 +29,15 @@
 	is.True(!disk.stalled(now + time.Hour)) // nothing is to be done
 	disk.Append(1, nil, nil)
 	disk.Append(1, nil, nil)
-	is.True(!disk.stalled(now + stallAfter))
-	is.True(disk.stalled(now + stallAfter + 1))
+	is.True(!disk.stalled(now + stallTimeout))
+	is.True(disk.stalled(now + stallTimeout + 1))
 
-	now += stallAfter
+	now += stallTimeout
 	held.done[0](nil) // a slow disk is not a stalled one
-	is.True(!disk.stalled(now + stallAfter))
+	is.True(!disk.stalled(now + stallTimeout))
 	disk.paused(time.Hour) // nor is one of a process that stood still
 	is.True(!disk.stalled(now + time.Hour))
-	is.True(disk.stalled(now + time.Hour + stallAfter + 1))
+	is.True(disk.stalled(now + time.Hour + stallTimeout + 1))
 	held.done[1](nil)
 	is.True(!disk.stalled(now + 2*time.Hour))
 }
@@ -49,7 +49,7 @@
 	disk.Append(1, nil, nil)
 	held.done[0](errors.New("no space left on device"))
 	is.True(disk.stalled(now))
-	is.True(!disk.stalled(now + refusedFor)) // nobody has tried since
+	is.True(!disk.stalled(now + refusalExpiry)) // nobody has tried since
 	disk.Append(1, nil, nil)
 	is.True(disk.stalled(now))
 	held.done[1](nil)
@@ -65,13 +65,13 @@
 	defer thaw()
 	reportedBySecond := -1
 	c.control.await(func() bool {
-		stuck := c.control.beats[first.node().Key].UnreachablePeers
-		reportedBySecond = len(c.control.beats[second.node().Key].UnreachablePeers)
+		stuck := c.control.heartbeats[first.node().Key].UnreachablePeers
+		reportedBySecond = len(c.control.heartbeats[second.node().Key].UnreachablePeers)
 		return len(stuck) == 1 && stuck[0] == second.member()
 	})
 	is.Equal(reportedBySecond, 0) // it leads nothing
 	c.view(0, 2)
-	c.control.await(func() bool { return len(c.control.beats[first.node().Key].UnreachablePeers) == 0 })
+	c.control.await(func() bool { return len(c.control.heartbeats[first.node().Key].UnreachablePeers) == 0 })
 	thaw()
 }
 
@@ -80,7 +80,7 @@
 	c := startCluster(t, 2)
 	c.stores[0].on(func(s *store) {
 		paused := s.now() + time.Hour
-		s.watchPause(paused)
+		s.detectPause(paused)
 		is.Equal(s.unreachable(paused), nil)
 		is.Equal(s.unreachable(paused+2*unreachableAfter), []string{c.stores[1].member()})
 	})
@@ -105,7 +105,7 @@
 	})
 	is.Equal(accept("m1").RetryAfter, time.Duration(0))
 	m1 := d.next()
-	is.Equal(accept("m2").RetryAfter, spareFor) // one is out, one waits
+	is.Equal(accept("m2").RetryAfter, backlogRetryAfter) // one is out, one waits
 	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded))
 	d.next()
 	is.Equal(accept("m2").RetryAfter, time.Duration(0)) // it is known
--- a/internal/roles/store/windows.go
+++ b/internal/roles/store/windows.go
@@ -84,8 +84,8 @@
 	return queue.Window{Total: each * max(1, len(owners)), PerDispatcher: each, Owners: owners}
 }
 
-// setWindows sets the windows of all services anew.
-func (s *store) setWindows() {
+// updateWindows sets the windows of all services anew.
+func (s *store) updateWindows() {
 	s.windowsStale = false
 	if s.configuration == nil {
 		return
@@ -109,8 +109,8 @@
 	}, true
 }
 
-// takeConfiguration follows a newer configuration.
-func (s *store) takeConfiguration(view *agent.View) error {
+// applyConfiguration follows a newer configuration.
+func (s *store) applyConfiguration(view *agent.View) error {
 	if !s.configurationVersion.Less(view.ConfigurationVersion) {
 		return nil
 	}
--- a/internal/roles/store/windows_test.go
+++ b/internal/roles/store/windows_test.go
@@ -12,7 +12,7 @@
 	"liftgauge/replication"
 )
 
-func someFleet() *fleet {
+func testFleet() *fleet {
 	ownership := &placement.Ownership{}
 	ownership.SetDispatchers([]string{"e1", "e2", "e3", "e4"})
 	return &fleet{
@@ -23,7 +23,7 @@
 
 func TestWindowsFollowTheCapacity(t *testing.T) {
 	is := is.New(t)
-	f := someFleet()
+	f := testFleet()
 	is.Equal(f.window(&configuration.Service{Name: "big"}), queue.Window{Total: 41, PerDispatcher: 21})
 	is.Equal(f.window(&configuration.Service{Name: "small"}), queue.Window{Total: 4, PerDispatcher: 2})
 	is.Equal(f.window(&configuration.Service{Name: "unlisted"}), queue.Window{Total: 4, PerDispatcher: 2})
@@ -33,7 +33,7 @@
 
 func TestWindowsOfPlacedServices(t *testing.T) {
 	is := is.New(t)
-	f := someFleet()
+	f := testFleet()
 	slow := f.window(&configuration.Service{Name: "slow", Static: "10.0.0.1:80", RatePerS: 39})
 	is.Equal(len(slow.Owners), 1)
 	is.Equal(slow.Total, 4) // 0.4 s of the rate, shared by four stores
@@ -62,12 +62,12 @@
 	is.True(!w.stalled(time.Hour)) // nothing is outstanding
 	w.Append(1, nil, nil)
 	w.Append(1, nil, nil)
-	is.True(!w.stalled(stallAfter))
-	is.True(w.stalled(stallAfter + 1))
-	now = stallAfter
+	is.True(!w.stalled(stallTimeout))
+	is.True(w.stalled(stallTimeout + 1))
+	now = stallTimeout
 	disk.done[0](nil)
-	is.True(!w.stalled(stallAfter + 1)) // it goes on, if slowly
-	is.True(w.stalled(2*stallAfter + 1))
+	is.True(!w.stalled(stallTimeout + 1)) // it goes on, if slowly
+	is.True(w.stalled(2*stallTimeout + 1))
 	disk.done[1](nil)
 	is.True(!w.stalled(time.Hour))
 }
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -35,12 +35,12 @@
 	},
 	{
 		Promise: "a new primary waits for the dispatchers' Hello", File: "internal/roles/store/partition.go",
-		Old: "return p.greeted\n", New: "return true\n",
+		Old: "return p.hellosComplete\n", New: "return true\n",
 		Package: "./internal/roles/store",
 	},
 	{
 		Promise: "a primary acts only by its leases", File: "internal/roles/store/partition.go",
-		Old: "return p.leading && p.leaseWait(now) == 0 && p.leasesUntil() > now", New: "return p.leading",
+		Old: "return p.leading && p.earlierLeasesUntil(now) == 0 && p.leasesUntil() > now", New: "return p.leading",
 	},
 	{
 		Promise: "a message that is known is not accepted again", File: "internal/roles/store/accept.go",
