--- a/internal/roles/store/accept.go
+++ b/internal/roles/store/accept.go
@@ -19,21 +19,21 @@
 	backlogRetryAfter = 500 * time.Millisecond
 )
 
-// answer is the reply function of a call.
-type answer func(body []byte, err error)
+// replyFunc is the reply function of a call.
+type replyFunc func(body []byte, err error)
 
 // pendingAccept is a message whose acceptance is being written, and all who wait for it.
 type pendingAccept struct {
-	answers []answer
+	replies []replyFunc
 }
 
-func replyAccept(reply answer, status protocol.AcceptStatus, retryAfter time.Duration) {
+func replyAccept(reply replyFunc, status protocol.AcceptStatus, retryAfter time.Duration) {
 	m := protocol.AcceptReply{Status: status, RetryAfter: retryAfter}
 	reply(m.Append(nil), nil)
 }
 
 // receiveAccept stores a message. A clear no is only ever answered when nothing was written.
-func (s *store) receiveAccept(body []byte, reply answer) {
+func (s *store) receiveAccept(body []byte, reply replyFunc) {
 	var m protocol.Accept
 	if err := m.Decode(body); err != nil {
 		reply(nil, rpc.Errorf(protocol.CodeInvalid, "%v", err))
@@ -43,24 +43,24 @@
 	switch {
 	case p == nil || !p.leading:
 		replyAccept(reply, protocol.AcceptNotPrimary, 0)
-	case p.knows(m.ID):
+	case p.hasMessage(m.ID):
 		p.acceptDuplicate(reply)
 	case p.pending[m.ID] != nil:
-		p.pending[m.ID].answers = append(p.pending[m.ID].answers, reply)
+		p.pending[m.ID].replies = append(p.pending[m.ID].replies, reply)
 	default:
 		s.acceptNew(p, &m, reply)
 	}
 }
 
-// knows reports whether a message has been accepted, by this primary or by one before.
-func (p *partition) knows(id string) bool {
+// hasMessage reports whether a message has been accepted, by this primary or by one before.
+func (p *partition) hasMessage(id string) bool {
 	_, ended := p.ended[id]
 	return ended || p.store.queue.Has(p.number, id)
 }
 
 // acceptDuplicate answers for a message that has a record already. The primary that wrote it may have ended before the others had it, so the
 // answer waits until all that is here is on enough disks.
-func (p *partition) acceptDuplicate(reply answer) {
+func (p *partition) acceptDuplicate(reply replyFunc) {
 	p.replica.AwaitCommit(func(err error) {
 		status := protocol.AcceptStored
 		if err != nil {
@@ -70,9 +70,9 @@
 	})
 }
 
-func (s *store) acceptNew(p *partition, m *protocol.Accept, reply answer) {
+func (s *store) acceptNew(p *partition, m *protocol.Accept, reply replyFunc) {
 	switch {
-	case s.stalled || s.configuration == nil || p.slow(s.now()) || s.pendingBytes+len(m.Body) > maxPendingBytes:
+	case s.diskStalled || s.configuration == nil || p.writesSlow(s.now()) || s.pendingBytes+len(m.Body) > maxPendingBytes:
 		replyAccept(reply, protocol.AcceptFull, busyRetryAfter)
 		return
 	case s.log.Full():
@@ -92,13 +92,13 @@
 	s.writeAccept(p, m, &state, route.Service, reply)
 }
 
-func (s *store) writeAccept(p *partition, m *protocol.Accept, state *messageState, service string, reply answer) {
+func (s *store) writeAccept(p *partition, m *protocol.Accept, state *messageState, service string, reply replyFunc) {
 	id, size := m.ID, len(m.Body)
 	records := []replication.Record{
 		{Key: bodyKey(id), Value: bodyRecord(m)},
 		{Key: stateKey(id), Value: state.append(nil)},
 	}
-	accept := &pendingAccept{answers: []answer{reply}}
+	accept := &pendingAccept{replies: []replyFunc{reply}}
 	p.pending[id] = accept
 	s.pendingBytes += size
 	p.write(records, func(err error) {
@@ -120,7 +120,7 @@
 				retryAfter = backlogRetryAfter
 			}
 		}
-		for _, reply := range accept.answers {
+		for _, reply := range accept.replies {
 			replyAccept(reply, status, retryAfter)
 		}
 	})
@@ -128,6 +128,6 @@
 
 // bodyRecord is the request as it arrived, without what the state record has.
 func bodyRecord(m *protocol.Accept) []byte {
-	kept := protocol.Accept{RequestID: m.RequestID, Method: m.Method, Headers: m.Headers, Body: m.Body}
-	return kept.Append(nil)
+	request := protocol.Accept{RequestID: m.RequestID, Method: m.Method, Headers: m.Headers, Body: m.Body}
+	return request.Append(nil)
 }
--- a/internal/roles/store/daemon_test.go
+++ b/internal/roles/store/daemon_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestBackupRefusesWithoutDoingAnything(t *testing.T) {
+func TestBackupRefusesWithoutSideEffects(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	backup, d := c.stores[1], c.dispatcher
@@ -72,7 +72,7 @@
 	is.Equal(d.accept(c.stores[0], message("m1", "elsewhere", "")), protocol.AcceptNoRoute)
 }
 
-func TestKeyIsHeldUntilTheHeadHasEnded(t *testing.T) {
+func TestKeyIsBlockedUntilItsFirstMessageHasEnded(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	primary, d := c.stores[0], c.dispatcher
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestNewPrimaryWaitsForWhatDispatchersHold(t *testing.T) {
+func TestNewPrimaryDoesNotRedeliverHeldMessages(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -142,7 +142,7 @@
 	is.Equal(again.FailedAttempts, uint32(1))
 }
 
-func TestFrozenPrimaryThatWakesActsNoMore(t *testing.T) {
+func TestFrozenPrimaryDoesNotActAfterResuming(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -179,7 +179,7 @@
 	is.Equal(found.State, protocol.StateSucceeded)
 }
 
-func TestRestartOnTheSameDiskGoesOn(t *testing.T) {
+func TestRestartOnTheSameDiskKeepsMessages(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -210,7 +210,7 @@
 	is.Equal(m3.ID, "m3")
 }
 
-func TestPlannedEndHandsOver(t *testing.T) {
+func TestPlannedShutdownHandsOver(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -231,7 +231,7 @@
 	is.NoErr(d.result(second, &m1, protocol.OutcomeSucceeded))
 }
 
-func TestLearnerIsOfferedAndCanLead(t *testing.T) {
+func TestLearnerIsOfferedAndCanBecomePrimary(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, third, d := c.stores[0], c.stores[2], c.dispatcher
@@ -261,7 +261,7 @@
 	is.Equal(m3.ID, "m3")
 }
 
-func TestStoreThatIsLeftOutForgetsThePartition(t *testing.T) {
+func TestRemovedMemberDropsThePartition(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	is.Equal(c.dispatcher.accept(c.stores[0], message("m1", "plain", "")), protocol.AcceptStored)
@@ -270,7 +270,7 @@
 	c.stores[1].await(func(s *store) bool { return s.partitions[0] == nil && len(s.log.Groups()) == 1 })
 }
 
-func TestDroppedRouteEndsItsMessages(t *testing.T) {
+func TestRemovedRouteEndsItsMessages(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -284,7 +284,7 @@
 	is.Equal(found.State, protocol.StateDeadLetter)
 }
 
-func TestStatesAreForgottenInTime(t *testing.T) {
+func TestStatesOfEndedMessagesExpire(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -307,7 +307,7 @@
 	is.True(!found.Found)
 }
 
-func TestReconnectingDispatcherGetsWhatNeverArrived(t *testing.T) {
+func TestReconnectingDispatcherReceivesLostDeliveries(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -323,7 +323,7 @@
 	is.Equal(len(d.deliveries), 0)
 }
 
-func TestStalledDiskStopsHandOutsAndAccepts(t *testing.T) {
+func TestStalledDiskStopsDeliveriesAndAccepts(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -339,7 +339,7 @@
 		s.storage.begin() // a sync that does not come back
 		s.storage.lastProgress -= 2 * stallTimeout
 	})
-	first.await(func(s *store) bool { return s.stalled })
+	first.await(func(s *store) bool { return s.diskStalled })
 	is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptFull)
 	m := message("m1", "plain", "")
 	first.on(func(s *store) { // as if accepted before, and due now
@@ -347,7 +347,7 @@
 		before := inFlight(s)
 		s.queue.Add(s.now(), queue.Entry{ID: "m1", Host: m.Host, URI: m.URI, Sequence: 2, ExpiresIn: time.Minute})
 		s.sendDeliveries()
-		is.True(s.stalled)
+		is.True(s.diskStalled)
 		is.Equal(inFlight(s), before)
 	})
 	first.on(func(s *store) { s.storage.end(nil) })
@@ -364,7 +364,7 @@
 	return out
 }
 
-func TestPrimaryWithoutLeasesHandsOutNothing(t *testing.T) {
+func TestPrimaryWithoutLeasesDeliversNothing(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -387,7 +387,7 @@
 	is.Equal(m1.ID, "m1")
 }
 
-func TestWriteOfUnknownFateIsNeverRefused(t *testing.T) {
+func TestWriteOfUnknownOutcomeIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, d := c.stores[0], c.dispatcher
@@ -399,10 +399,10 @@
 	}
 	first.await(func(s *store) bool {
 		pending := s.partitions[0].pending["m1"]
-		return pending != nil && len(pending.answers) == 2
+		return pending != nil && len(pending.replies) == 2
 	})
 	// While the write hangs, another message is refused at once, and nothing of it is written.
-	first.await(func(s *store) bool { return s.partitions[0].slow(s.now()) })
+	first.await(func(s *store) bool { return s.partitions[0].writesSlow(s.now()) })
 	is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptFull)
 	first.on(func(s *store) {
 		_, found, err := s.partitions[0].state("m2")
@@ -416,7 +416,7 @@
 
 // A store that has a message on its disk alone, from before its restart, says that it has it once another disk has it too: its own may be lost
 // next.
-func TestKnownMessageIsAnsweredOnceEnoughDisksHaveIt(t *testing.T) {
+func TestDuplicateIsConfirmedOnceEnoughDisksHaveIt(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first := c.stores[0]
@@ -437,7 +437,7 @@
 	c.view(0) // alone
 	first.await(func(s *store) bool {
 		p := s.partitions[0]
-		return p != nil && p.leading && p.knows("m1")
+		return p != nil && p.leading && p.hasMessage("m1")
 	})
 	answers := make(chan protocol.AcceptStatus, 1)
 	first.on(func(s *store) {
@@ -453,7 +453,7 @@
 	is.Equal(<-answers, protocol.AcceptUnknown)
 }
 
-func TestNewPrimaryWaitsForTheHelloByItsTable(t *testing.T) {
+func TestNewPrimaryWaitsForHelloWithItsTable(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -472,7 +472,7 @@
 	is.Equal(len(d.deliveries), 0)
 }
 
-func TestNoLeaseForAnEarlierPrimaryThatMayNotKnow(t *testing.T) {
+func TestNoLeaseForEarlierPrimaryWithOldTable(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second := c.stores[0], c.stores[1]
@@ -501,7 +501,7 @@
 	is.True(!behind)
 }
 
-func TestDeliveryThatWasDroppedForItsEpochGoesOutAgain(t *testing.T) {
+func TestDeliveryDroppedForItsEpochIsRedelivered(t *testing.T) {
 	for _, helloFirst := range []bool{false, true} {
 		is := is.New(t)
 		c := startCluster(t, 2)
@@ -512,7 +512,9 @@
 		next := protocol.ItemVersion{Term: 1, Number: 2}
 		if helloFirst { // the dispatcher knows the table before the store does
 			d.hello(first, next, held(&m2))
-			first.await(func(s *store) bool { return s.sessions[sessionName(d.node.Key, d.node.Incarnation)].table == next })
+			first.await(func(s *store) bool {
+				return s.sessions[sessionName(d.node.Key, d.node.Incarnation)].tableVersion == next
+			})
 			is.Equal(c.view(0, 1), next)
 		} else {
 			is.Equal(c.view(0, 1), next)
@@ -528,7 +530,7 @@
 }
 
 // A message ends by its dropped route, and the outcome of a hand-out that was given up comes before that end is begun to be written.
-func TestOutcomeOfAMessageThatHasJustEndedIsAnswered(t *testing.T) {
+func TestOutcomeOfJustEndedMessageIsAnswered(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
--- a/internal/roles/store/deliver.go
+++ b/internal/roles/store/deliver.go
@@ -14,7 +14,7 @@
 
 // updateOpenPartitions lets the queue hand out of the partitions that this store may act for, and returns until when that is sure.
 func (s *store) updateOpenPartitions(now time.Duration) time.Duration {
-	sure := queue.Never
+	validUntil := queue.Never
 	for _, p := range s.partitions {
 		if !p.leading {
 			continue
@@ -22,7 +22,7 @@
 		open := p.mayDeliver(now)
 		s.queue.SetOpen(now, p.number, open)
 		if open {
-			sure = min(sure, p.leasesUntil())
+			validUntil = min(validUntil, p.leasesUntil())
 			continue
 		}
 		if until := p.earlierLeasesUntil(now); until > 0 {
@@ -32,16 +32,16 @@
 			s.wakeAt(p.helloDeadline)
 		}
 	}
-	return sure
+	return validUntil
 }
 
 // sendDeliveries sends what can go, and reports whether more may be ready.
 func (s *store) sendDeliveries() bool {
-	sure := time.Duration(0)
+	validUntil := time.Duration(0)
 	for range deliveryBatch {
 		now := s.now()
-		if now >= sure {
-			sure = s.updateOpenPartitions(now)
+		if now >= validUntil {
+			validUntil = s.updateOpenPartitions(now)
 		}
 		d, found := s.queue.Next(now)
 		if !found {
@@ -54,37 +54,37 @@
 
 // deliver sends one delivery. If it cannot be sent, the connection is broken and its end gives the message back.
 func (s *store) deliver(now time.Duration, d *queue.Delivery) {
-	p, to := s.partitions[d.Partition], s.sessions[d.Dispatcher]
-	if to == nil || to.conn == nil {
+	p, sess := s.partitions[d.Partition], s.sessions[d.Dispatcher]
+	if sess == nil || sess.conn == nil {
 		s.queue.DispatcherDisconnected(now, d.Dispatcher, false)
 		return
 	}
-	kept, err := s.takeBody(p, d.ID)
+	request, err := s.takeBody(p, d.ID)
 	if err != nil {
 		s.logger.Error("the body of a message cannot be read", zap.String("id", d.ID), zap.Error(err))
 		s.queue.Outcome(now, d.Partition, d.ID, d.Attempt, queue.Unclear, 0)
 		return
 	}
 	m := protocol.Deliver{
-		Partition: d.Partition, Epoch: d.Epoch, ID: d.ID, Attempt: d.Attempt, RequestID: kept.RequestID, Method: kept.Method,
-		Host: d.Host, URI: d.URI, Key: d.Key, Headers: kept.Headers, Configuration: s.requiredConfiguration(d.Revision),
-		DueFor: d.DueFor, ExpiresIn: d.ExpiresIn, FailedAttempts: uint32(d.Failed), Body: kept.Body,
+		Partition: d.Partition, Epoch: d.Epoch, ID: d.ID, Attempt: d.Attempt, RequestID: request.RequestID, Method: request.Method,
+		Host: d.Host, URI: d.URI, Key: d.Key, Headers: request.Headers, Configuration: s.requiredConfiguration(d.Revision),
+		DueFor: d.DueFor, ExpiresIn: d.ExpiresIn, FailedAttempts: uint32(d.Failed), Body: request.Body,
 	}
-	if err := to.conn.Notify(protocol.KindDeliver, m.Append(nil)); err != nil {
-		to.conn.Close()
+	if err := sess.conn.Notify(protocol.KindDeliver, m.Append(nil)); err != nil {
+		sess.conn.Close()
 	}
 }
 
 // takeBody returns the body of a message from memory if it has not been handed out before, else from disk.
-func (s *store) takeBody(p *partition, id string) (kept protocol.Accept, err error) {
+func (s *store) takeBody(p *partition, id string) (request protocol.Accept, err error) {
 	if record, found := s.bodies.take(messageKey{p.number, id}); found {
-		return kept, kept.Decode(record)
+		return request, request.Decode(record)
 	}
-	kept, found, err := p.body(id)
+	request, found, err := p.body(id)
 	if err == nil && !found {
 		err = errNoBody
 	}
-	return kept, err
+	return request, err
 }
 
 // requiredConfiguration is the configuration that a dispatcher must have at least to deliver a message.
--- a/internal/roles/store/diskwatch.go
+++ b/internal/roles/store/diskwatch.go
@@ -24,7 +24,7 @@
 	mu           sync.Mutex
 	outstanding  int
 	lastProgress time.Duration // when something was last finished, or begun after a rest
-	refused      time.Duration // when the disk last refused a write; 0 once one has succeeded
+	lastRefusal  time.Duration // when the disk last refused a write; 0 once one has succeeded
 }
 
 func newWatchedStorage(storage replication.Storage, steady func() time.Duration) *watchedStorage {
@@ -56,14 +56,14 @@
 	defer w.mu.Unlock()
 	w.outstanding--
 	w.lastProgress = w.steady()
-	w.refused = 0
+	w.lastRefusal = 0
 	if err != nil {
-		w.refused = w.lastProgress
+		w.lastRefusal = w.lastProgress
 	}
 }
 
-// paused says that this process stood still for a time, in which the disk could not show that it finishes anything.
-func (w *watchedStorage) paused(gap time.Duration) {
+// excludePause says that this process stood still for a time, in which the disk could not show that it finishes anything.
+func (w *watchedStorage) excludePause(gap time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastProgress += gap
@@ -73,5 +73,5 @@
 func (w *watchedStorage) stalled(now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.outstanding > 0 && now-w.lastProgress > stallTimeout || w.refused != 0 && now-w.refused < refusalExpiry
+	return w.outstanding > 0 && now-w.lastProgress > stallTimeout || w.lastRefusal != 0 && now-w.lastRefusal < refusalExpiry
 }
--- a/internal/roles/store/expiry.go
+++ b/internal/roles/store/expiry.go
@@ -36,21 +36,21 @@
 }
 
 // expireEnded deletes the records of messages that have ended long enough ago.
-func (p *partition) expireEnded(cluster int64) {
+func (p *partition) expireEnded(clusterNow int64) {
 	if !p.leading {
 		return
 	}
-	before := cluster - int64(p.store.settings.Bounds.Status()+statusSlack)
+	cutoff := clusterNow - int64(p.store.settings.Bounds.Status()+statusSlack)
 	var records []replication.Record
-	var forgotten []endedMessage
-	for len(p.endedOrder) > 0 && len(forgotten) < expiryBatch && p.endedOrder[0].endedAt < before {
-		one := p.endedOrder[0]
+	var expired []endedMessage
+	for len(p.endedOrder) > 0 && len(expired) < expiryBatch && p.endedOrder[0].endedAt < cutoff {
+		message := p.endedOrder[0]
 		p.endedOrder = p.endedOrder[1:]
-		forgotten = append(forgotten, one)
-		records = append(records, replication.Record{Key: stateKey(one.id), Deleted: true},
-			replication.Record{Key: bodyKey(one.id), Deleted: true})
+		expired = append(expired, message)
+		records = append(records, replication.Record{Key: stateKey(message.id), Deleted: true},
+			replication.Record{Key: bodyKey(message.id), Deleted: true})
 	}
-	if len(forgotten) == 0 {
+	if len(expired) == 0 {
 		return
 	}
 	p.write(records, func(err error) {
@@ -58,11 +58,11 @@
 			return
 		}
 		if err != nil {
-			p.endedOrder = slices.Concat(forgotten, p.endedOrder)
+			p.endedOrder = slices.Concat(expired, p.endedOrder)
 			return
 		}
-		for _, one := range forgotten {
-			delete(p.ended, one.id)
+		for _, message := range expired {
+			delete(p.ended, message.id)
 		}
 	})
 }
--- a/internal/roles/store/fake_test.go
+++ b/internal/roles/store/fake_test.go
@@ -194,17 +194,17 @@
 func (s *testStore) await(condition func(*store) bool) {
 	s.t.Helper()
 	met := make(chan struct{})
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if condition(s.store) {
 			close(met)
 			return
 		}
 		s.mu.Lock()
-		s.observers = append(s.observers, look)
+		s.observers = append(s.observers, check)
 		s.mu.Unlock()
 	}
-	s.store.loop.post(look)
+	s.store.loop.post(check)
 	<-met
 }
 
@@ -226,9 +226,9 @@
 // kill ends the process without any farewell.
 func (s *testStore) kill() {
 	s.store.loop.post(func() {
-		if !s.store.closing.over {
-			s.store.closing.over = true
-			close(s.store.closing.done)
+		if !s.store.shutdown.finished {
+			s.store.shutdown.finished = true
+			close(s.store.shutdown.done)
 		}
 	})
 	s.cancel()
--- a/internal/roles/store/lease.go
+++ b/internal/roles/store/lease.go
@@ -57,7 +57,7 @@
 // grants is what this store has promised to others.
 type grants struct {
 	unknownUntil time.Duration        // promises of an earlier process of this store may stand until then
-	floor        protocol.ItemVersion // requests that act by an older partition table are refused, whoever asks
+	minTable     protocol.ItemVersion // requests that act by an older partition table are refused, whoever asks
 	byMember     map[string]*grant
 }
 
@@ -65,13 +65,13 @@
 type grant struct {
 	incarnation uint64
 	until       time.Duration
-	fence       protocol.ItemVersion // as floor, for this member alone
-	knows       protocol.ItemVersion // the newest partition table that its requests acted by
+	minTable    protocol.ItemVersion // as floor, for this member alone
+	latestTable protocol.ItemVersion // the newest partition table that its requests acted by
 }
 
-// standing is a promise that a new primary waits for: that of a member that was, or may have been, primary before. It is over at its time,
+// earlierLease is a promise that a new primary waits for: that of a member that was, or may have been, primary before. It is over at its time,
 // or as soon as the member is known to act by the table that took the partition from it.
-type standing struct {
+type earlierLease struct {
 	member string // empty for one to an unknown member
 	until  time.Duration
 	table  protocol.ItemVersion
@@ -82,91 +82,91 @@
 }
 
 func (g *grants) of(member string) *grant {
-	one := g.byMember[member]
-	if one == nil {
-		one = &grant{}
-		g.byMember[member] = one
+	found := g.byMember[member]
+	if found == nil {
+		found = &grant{}
+		g.byMember[member] = found
 	}
-	return one
+	return found
 }
 
-// heard notes which table a member acts by. What a process knows never goes back, and a member has one process at a time.
-func (g *grants) heard(r *leaseRequest) {
-	if one := g.of(r.From); one.knows.Less(r.Table) {
-		one.knows = r.Table
+// recordTable notes which table a member acts by. What a process knows never goes back, and a member has one process at a time.
+func (g *grants) recordTable(r *leaseRequest) {
+	if grant := g.of(r.From); grant.latestTable.Less(r.Table) {
+		grant.latestTable = r.Table
 	}
 }
 
 // request grants or refuses a lease, or takes back a released one.
 func (g *grants) request(now time.Duration, r *leaseRequest) bool {
-	one := g.of(r.From)
+	grant := g.of(r.From)
 	if r.Release {
-		if one.incarnation == r.Incarnation {
-			one.until = now
+		if grant.incarnation == r.Incarnation {
+			grant.until = now
 		}
 		return false
 	}
-	if g.floor == (protocol.ItemVersion{}) || r.Table.Less(g.floor) || r.Table.Less(one.fence) {
+	if g.minTable == (protocol.ItemVersion{}) || r.Table.Less(g.minTable) || r.Table.Less(grant.minTable) {
 		return false
 	}
-	one.incarnation, one.until = r.Incarnation, max(one.until, now+min(r.Duration, leaseDuration))
+	grant.incarnation, grant.until = r.Incarnation, max(grant.until, now+min(r.Duration, leaseDuration))
 	return true
 }
 
-// raise refuses requests from a member that acts by a table older than version.
-func (g *grants) raise(member string, version protocol.ItemVersion) {
-	if one := g.of(member); one.fence.Less(version) {
-		one.fence = version
+// fenceMember refuses requests from a member that acts by a table older than version.
+func (g *grants) fenceMember(member string, version protocol.ItemVersion) {
+	if grant := g.of(member); grant.minTable.Less(version) {
+		grant.minTable = version
 	}
 }
 
 // fenceAll refuses requests of all that act by a table older than version.
 func (g *grants) fenceAll(version protocol.ItemVersion) {
-	if g.floor.Less(version) {
-		g.floor = version
+	if g.minTable.Less(version) {
+		g.minTable = version
 	}
 }
 
-// ended says that a process has ended: its lease is void.
-func (g *grants) ended(member string, incarnation uint64) {
-	if one := g.byMember[member]; one != nil && one.incarnation == incarnation {
-		one.until = 0
+// processEnded says that a process has processEnded: its lease is void.
+func (g *grants) processEnded(member string, incarnation uint64) {
+	if grant := g.byMember[member]; grant != nil && grant.incarnation == incarnation {
+		grant.until = 0
 	}
 }
 
 // leasesOfAll returns all promises, as seen by who takes a partition over by a table without knowing from whom.
-func (g *grants) leasesOfAll(table protocol.ItemVersion) []standing {
-	all := []standing{{until: g.unknownUntil}}
-	for member, one := range g.byMember {
-		all = append(all, standing{member: member, until: one.until, table: table})
+func (g *grants) leasesOfAll(table protocol.ItemVersion) []earlierLease {
+	all := []earlierLease{{until: g.unknownUntil}}
+	for member, grant := range g.byMember {
+		all = append(all, earlierLease{member: member, until: grant.until, table: table})
 	}
 	return all
 }
 
 // leasesOf returns the promise to a member, as seen by who takes a partition over from it by a table.
-func (g *grants) leasesOf(member string, table protocol.ItemVersion) []standing {
+func (g *grants) leasesOf(member string, table protocol.ItemVersion) []earlierLease {
 	until := g.unknownUntil
-	if one := g.byMember[member]; one != nil {
-		until = max(until, one.until)
+	if grant := g.byMember[member]; grant != nil {
+		until = max(until, grant.until)
 	}
-	return []standing{{member: member, until: until, table: table}}
+	return []earlierLease{{member: member, until: until, table: table}}
 }
 
-// latest returns when the last of some promises is over, at the latest; 0 if none stands any more.
-func (g *grants) latest(now time.Duration, promises []standing) (until time.Duration) {
-	for _, p := range promises {
-		if now < p.until && !g.hasEnded(now, &p) {
-			until = max(until, p.until)
+// latestExpiry returns when the last of some promises is over, at the latestExpiry; 0 if none stands any more.
+func (g *grants) latestExpiry(now time.Duration, leases []earlierLease) (until time.Duration) {
+	for _, lease := range leases {
+		if now < lease.until && !g.hasEnded(now, &lease) {
+			until = max(until, lease.until)
 		}
 	}
 	return until
 }
 
 // hasEnded tells whether a promise is over before its time: the member acts by the newer table, gave the lease back, or its process has ended.
-func (g *grants) hasEnded(now time.Duration, p *standing) bool {
-	one := g.byMember[p.member]
-	if p.member == "" || one == nil {
+func (g *grants) hasEnded(now time.Duration, lease *earlierLease) bool {
+	grant := g.byMember[lease.member]
+	if lease.member == "" || grant == nil {
 		return false
 	}
-	return !one.knows.Less(p.table) || now >= max(g.unknownUntil, one.until)
+	return !grant.latestTable.Less(lease.table) || now >= max(g.unknownUntil, grant.until)
 }
--- a/internal/roles/store/lease_test.go
+++ b/internal/roles/store/lease_test.go
@@ -11,51 +11,51 @@
 
 const ms = time.Millisecond
 
-func number(n uint64) protocol.ItemVersion { return protocol.ItemVersion{Term: 1, Number: n} }
+func tableVersion(n uint64) protocol.ItemVersion { return protocol.ItemVersion{Term: 1, Number: n} }
 
 func requestFrom(member string, incarnation, table uint64) *leaseRequest {
-	return &leaseRequest{Incarnation: incarnation, Table: number(table),
+	return &leaseRequest{Incarnation: incarnation, Table: tableVersion(table),
 		LeaseRequest: protocol.LeaseRequest{From: member, To: "b", Duration: leaseDuration}}
 }
 
 // until is when the promise to a member is over, for a successor whose table the member does not know.
 func until(g *grants, now time.Duration, member string) time.Duration {
-	return g.latest(now, g.leasesOf(member, number(1<<40)))
+	return g.latestExpiry(now, g.leasesOf(member, tableVersion(1<<40)))
 }
 
-func TestNoLeaseBeforeAPartitionTableIsKnown(t *testing.T) {
+func TestNoLeaseBeforeAPartitionTableIsInstalled(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(0)
 	is.True(!g.request(0, requestFrom("a", 1, 5)))
-	g.fenceAll(number(5))
+	g.fenceAll(tableVersion(5))
 	is.True(!g.request(0, requestFrom("a", 1, 4)))
 	is.True(g.request(0, requestFrom("a", 1, 5)))
 }
 
-func TestLeaseIsRefusedByTheTableThatTookThePartition(t *testing.T) {
+func TestLeaseIsRefusedUntilTheMemberUsesTheNewTable(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(0)
-	g.fenceAll(number(1))
+	g.fenceAll(tableVersion(1))
 	is.True(g.request(700*ms, requestFrom("a", 1, 1)))
 	is.Equal(until(g, 700*ms, "a"), 1300*ms)
-	g.raise("a", number(2))
+	g.fenceMember("a", tableVersion(2))
 	is.True(!g.request(800*ms, requestFrom("a", 1, 1))) // it may not know yet
 	is.Equal(until(g, 800*ms, "a"), 1300*ms)
 	is.True(g.request(800*ms, requestFrom("c", 1, 1)))
 	is.True(g.request(900*ms, requestFrom("a", 1, 2)))
 }
 
-func TestPromisesOfAnEarlierProcessAreWaitedFor(t *testing.T) {
+func TestLeasesOfAnEarlierProcessAreWaitedFor(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(2 * time.Second)
 	is.Equal(until(g, 2*time.Second, "a"), 2*time.Second+leaseDuration)
-	is.Equal(g.latest(2*time.Second, g.leasesOfAll(number(1))), 2*time.Second+leaseDuration)
+	is.Equal(g.latestExpiry(2*time.Second, g.leasesOfAll(tableVersion(1))), 2*time.Second+leaseDuration)
 }
 
 func TestReleaseAndEndOfTheProcessEndALease(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(-time.Minute)
-	g.fenceAll(number(1))
+	g.fenceAll(tableVersion(1))
 	is.True(g.request(0, requestFrom("a", 1, 1)))
 	released := requestFrom("a", 1, 1)
 	released.Release = true
@@ -63,43 +63,43 @@
 	is.Equal(until(g, 9*ms, "a"), 10*ms)
 	is.Equal(until(g, 10*ms, "a"), time.Duration(0))
 	is.True(g.request(20*ms, requestFrom("a", 2, 1)))
-	g.ended("a", 1) // an earlier process than the one with the lease
+	g.processEnded("a", 1) // an earlier process than the one with the lease
 	is.Equal(until(g, 20*ms, "a"), 620*ms)
-	g.ended("a", 2)
+	g.processEnded("a", 2)
 	is.Equal(until(g, 20*ms, "a"), time.Duration(0))
 }
 
-func TestPromiseIsOverOnceItsMemberActsByTheNewTable(t *testing.T) {
+func TestLeaseEndsOnceTheMemberUsesTheNewTable(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(-time.Minute)
-	g.fenceAll(number(1))
+	g.fenceAll(tableVersion(1))
 	is.True(g.request(0, requestFrom("a", 1, 1)))
-	g.raise("a", number(3))
-	taken := g.leasesOf("a", number(3))
-	taken = append(taken, g.leasesOfAll(number(3))...)
-	is.Equal(g.latest(50*ms, taken), leaseDuration)
-	g.heard(requestFrom("a", 1, 2)) // newer, but not yet the one that took the partition
-	g.heard(requestFrom("c", 1, 3)) // another member
-	is.Equal(g.latest(50*ms, taken), leaseDuration)
-	g.heard(requestFrom("a", 1, 3))
-	is.Equal(g.latest(50*ms, taken), time.Duration(0))
-	g.heard(requestFrom("a", 1, 1)) // a request that was under way for long takes nothing back
-	is.Equal(g.latest(50*ms, taken), time.Duration(0))
+	g.fenceMember("a", tableVersion(3))
+	taken := g.leasesOf("a", tableVersion(3))
+	taken = append(taken, g.leasesOfAll(tableVersion(3))...)
+	is.Equal(g.latestExpiry(50*ms, taken), leaseDuration)
+	g.recordTable(requestFrom("a", 1, 2)) // newer, but not yet the one that took the partition
+	g.recordTable(requestFrom("c", 1, 3)) // another member
+	is.Equal(g.latestExpiry(50*ms, taken), leaseDuration)
+	g.recordTable(requestFrom("a", 1, 3))
+	is.Equal(g.latestExpiry(50*ms, taken), time.Duration(0))
+	g.recordTable(requestFrom("a", 1, 1)) // a request that was under way for long takes nothing back
+	is.Equal(g.latestExpiry(50*ms, taken), time.Duration(0))
 }
 
-func TestPromiseOfAnUnknownProcessStandsWhateverTheMemberKnows(t *testing.T) {
+func TestLeaseOfAnUnknownProcessIsWaitedForWhateverTheMemberUses(t *testing.T) {
 	is := is.New(t)
 	g := newGrants(time.Second)
-	g.fenceAll(number(1))
+	g.fenceAll(tableVersion(1))
 	is.True(g.request(time.Second, requestFrom("a", 1, 1)))
-	g.ended("a", 1) // this one ended, but the store's earlier process may have granted to another
-	is.Equal(g.latest(time.Second, g.leasesOf("a", number(3))), time.Second+leaseDuration)
-	g.heard(requestFrom("a", 2, 3))
-	is.Equal(g.latest(time.Second, g.leasesOf("a", number(3))), time.Duration(0))
-	is.Equal(g.latest(time.Second, g.leasesOfAll(number(3))), time.Second+leaseDuration) // it may have been anybody
+	g.processEnded("a", 1) // this one ended, but the store's earlier process may have granted to another
+	is.Equal(g.latestExpiry(time.Second, g.leasesOf("a", tableVersion(3))), time.Second+leaseDuration)
+	g.recordTable(requestFrom("a", 2, 3))
+	is.Equal(g.latestExpiry(time.Second, g.leasesOf("a", tableVersion(3))), time.Duration(0))
+	is.Equal(g.latestExpiry(time.Second, g.leasesOfAll(tableVersion(3))), time.Second+leaseDuration) // it may have been anybody
 }
 
-func TestLeaseRequestKeepsItsFields(t *testing.T) {
+func TestLeaseRequestRoundTrip(t *testing.T) {
 	is := is.New(t)
 	request := requestFrom("machine-1/0a", 1<<63, 77)
 	request.Sequence, request.Release = 9, true
--- a/internal/roles/store/lookup.go
+++ b/internal/roles/store/lookup.go
@@ -6,7 +6,7 @@
 )
 
 // receiveLookup answers for the state of a message, if this store surely is the one to know it.
-func (s *store) receiveLookup(body []byte, reply answer) {
+func (s *store) receiveLookup(body []byte, reply replyFunc) {
 	var m protocol.Lookup
 	if err := m.Decode(body); err != nil {
 		reply(nil, rpc.Errorf(protocol.CodeInvalid, "%v", err))
@@ -34,11 +34,11 @@
 	if !m.WantBody || state.State == protocol.StateSucceeded {
 		return answer, nil
 	}
-	kept, found, err := p.body(m.ID)
+	request, found, err := p.body(m.ID)
 	if err != nil {
 		return nil, err
 	}
-	answer.Body, answer.HasBody = kept.Body, found
+	answer.Body, answer.HasBody = request.Body, found
 	return answer, nil
 }
 
@@ -53,11 +53,11 @@
 }
 
 // body reads the body record of a message.
-func (p *partition) body(id string) (kept protocol.Accept, found bool, err error) {
+func (p *partition) body(id string) (request protocol.Accept, found bool, err error) {
 	record, found, err := p.store.storage.Get(groupOf(p.number), bodyKey(id))
 	if err != nil || !found {
-		return kept, false, err
+		return request, false, err
 	}
-	err = kept.Decode(record.Value)
-	return kept, err == nil, err
+	err = request.Decode(record.Value)
+	return request, err == nil, err
 }
--- a/internal/roles/store/partition.go
+++ b/internal/roles/store/partition.go
@@ -31,29 +31,29 @@
 
 // partition is this store's part in one partition.
 type partition struct {
-	store   *store
-	number  uint32
-	replica *replication.Replica
-	view    protocol.PartitionView // by the newest partition table that named this store
-	table   protocol.ItemVersion   // of the table that view came with
-	links   map[string]*rpc.Conn   // the connections that the replica was told of
+	store        *store
+	number       uint32
+	replica      *replication.Replica
+	view         protocol.PartitionView // by the newest partition table that named this store
+	tableVersion protocol.ItemVersion   // of the table that view came with
+	links        map[string]*rpc.Conn   // the connections that the replica was told of
 
-	dropping bool
-	planned  bool // the primary before is a member of the view, or lives
+	dropping        bool
+	plannedTakeover bool // the primary before is a member of the view, or lives
 
 	// Of the primary:
 	leading        bool // active in an epoch, and not deposed since
 	epoch          uint64
-	promised       []standing    // to the primary before
-	helloDeadline  time.Duration // dispatchers are not waited for any longer
-	hellosComplete bool          // all dispatchers have said what they hold
+	earlierLeases  []earlierLease // to the primary before
+	helloDeadline  time.Duration  // dispatchers are not waited for any longer
+	hellosComplete bool           // all dispatchers have said what they hold
 	sequence       uint64
 	offers         []string // learners that are equal, in the epoch of the view
 	pending        map[string]*pendingAccept
 	endings        map[string]*ending
 	ended          map[string]int64 // when messages ended that are still known, cluster time
 	endedOrder     []endedMessage
-	writes         []time.Duration // when each write that is not done was begun
+	writeStarts    []time.Duration // when each write that is not done was begun
 	blockedSince   time.Duration   // writes are held up; 0 for not
 	blockedLogged  bool
 }
@@ -77,18 +77,18 @@
 
 // helloTimeout returns how long to wait for dispatchers.
 func (p *partition) helloTimeout() time.Duration {
-	if p.planned {
+	if p.plannedTakeover {
 		return plannedHelloTimeout
 	}
 	return helloTimeout
 }
 
-// lead goes on as primary in a later epoch. Dispatchers that know it drop what bears a lower one.
-func (p *partition) lead(now time.Duration) {
+// continueLeading goes on as primary in a later epoch. Dispatchers that know it drop what bears a lower one.
+func (p *partition) continueLeading(now time.Duration) {
 	s := p.store
 	s.queue.SetEpoch(p.number, p.view.Epoch)
-	for _, one := range s.sessions {
-		s.requeueUnlisted(now, one, p)
+	for _, sess := range s.sessions {
+		s.requeueUnlisted(now, sess, p)
 	}
 }
 
@@ -141,7 +141,7 @@
 // rebuild fills the queue from the records.
 func (p *partition) rebuild(now time.Duration) (failure error) {
 	s := p.store
-	cluster := s.clusterNow()
+	clusterNow := s.clusterNow()
 	s.log.Each(groupOf(p.number), func(key string, _ uint64, value []byte) bool {
 		id, isState := stateID(key)
 		if !isState {
@@ -159,7 +159,7 @@
 			p.addEnded(id, state.EndedAt)
 			return true
 		}
-		s.queue.Add(now, p.entry(id, &state, cluster))
+		s.queue.Add(now, p.entry(id, &state, clusterNow))
 		return true
 	})
 	p.sortEnded()
@@ -177,15 +177,15 @@
 	return state.decode(value)
 }
 
-func (p *partition) entry(id string, state *messageState, cluster int64) queue.Entry {
+func (p *partition) entry(id string, state *messageState, clusterNow int64) queue.Entry {
 	return queue.Entry{
 		Partition: p.number, ID: id, Key: state.Key, Host: state.Host, URI: state.URI, Sequence: state.Sequence,
 		Revision:          revisionOf(state.Configuration),
-		DueIn:             time.Duration(state.DueAt - cluster),
-		ExpiresIn:         time.Duration(state.ExpiresAt - cluster),
+		DueIn:             time.Duration(state.DueAt - clusterNow),
+		ExpiresIn:         time.Duration(state.ExpiresAt - clusterNow),
 		Attempts:          int(state.Attempts),
 		LastAttempt:       uint32(p.epoch) << attemptBits,
-		CountedDeliveries: state.Counted,
+		CountedDeliveries: state.CountedDeliveries,
 	}
 }
 
@@ -202,12 +202,12 @@
 
 // earlierLeasesUntil returns when what was promised to the primary before is over at the latest; 0 if it is.
 func (p *partition) earlierLeasesUntil(now time.Duration) time.Duration {
-	if len(p.promised) == 0 {
+	if len(p.earlierLeases) == 0 {
 		return 0
 	}
-	until := p.store.grants.latest(now, p.promised)
+	until := p.store.grants.latestExpiry(now, p.earlierLeases)
 	if until == 0 {
-		p.promised = nil
+		p.earlierLeases = nil
 	}
 	return until
 }
@@ -228,27 +228,27 @@
 
 // mayDeliver reports whether deliveries may go out, and until when that is sure without another look.
 func (p *partition) mayDeliver(now time.Duration) bool {
-	if !p.mayAct(now) || p.store.stalled {
+	if !p.mayAct(now) || p.store.diskStalled {
 		return false
 	}
 	if !p.hellosComplete {
-		p.hellosComplete = now >= p.helloDeadline || p.store.allHellosReceived(p.table)
+		p.hellosComplete = now >= p.helloDeadline || p.store.allHellosReceived(p.tableVersion)
 	}
 	return p.hellosComplete
 }
 
 // write replicates records; writes are done in the order in which they were begun.
 func (p *partition) write(records []replication.Record, done func(error)) {
-	p.writes = append(p.writes, p.store.now())
+	p.writeStarts = append(p.writeStarts, p.store.now())
 	p.replica.Write(records, func(err error) {
-		p.writes = p.writes[1:]
+		p.writeStarts = p.writeStarts[1:]
 		done(err)
 	})
 }
 
-// slow reports whether writes take too long for another message to be accepted.
-func (p *partition) slow(now time.Duration) bool {
-	return len(p.writes) > 0 && now-p.writes[0] > slowWriteAge
+// writesSlow reports whether writes take too long for another message to be accepted.
+func (p *partition) writesSlow(now time.Duration) bool {
+	return len(p.writeStarts) > 0 && now-p.writeStarts[0] > slowWriteAge
 }
 
 // logBlockedWrites logs once when members hold up writes for long: control has not left them out yet.
--- a/internal/roles/store/peer.go
+++ b/internal/roles/store/peer.go
@@ -21,26 +21,26 @@
 type peer struct {
 	member  string
 	address string
-	wanted  bool      // this store is primary of something that the peer has a part in
+	needed  bool      // this store is primary of something that the peer has a part in
 	conn    *rpc.Conn // dialed; carries what a primary sends
 	dialing bool
-	arrived *rpc.Conn // the connection that the peer's frames last came on; carries replies
+	inbound *rpc.Conn // the connection that the peer's frames last came on; carries replies
 
 	incarnation      uint64        // by the node table
 	leaseUntil       time.Duration // the peer has promised not to act in this store's place
 	lastLeaseRequest time.Duration
 	leasePending     bool
-	answered         time.Duration // when the peer last answered, or was first wanted
+	lastAnswer       time.Duration // when the peer last answered, or was first wanted
 	sequence         uint64
 }
 
 func (s *store) peer(member string) *peer {
-	one := s.peers[member]
-	if one == nil {
-		one = &peer{member: member, lastLeaseRequest: -leaseInterval}
-		s.peers[member] = one
+	found := s.peers[member]
+	if found == nil {
+		found = &peer{member: member, lastLeaseRequest: -leaseInterval}
+		s.peers[member] = found
 	}
-	return one
+	return found
 }
 
 // syncPeers finds out which stores are needed, dials them, and tells the replicas of new and lost connections.
@@ -58,78 +58,78 @@
 	for member := range wanted {
 		s.peer(member)
 	}
-	for _, one := range s.peers {
-		if !one.wanted {
-			one.answered = s.now() // not asked until now
+	for _, peer := range s.peers {
+		if !peer.needed {
+			peer.lastAnswer = s.now() // not asked until now
 		}
-		one.wanted = wanted[one.member]
-		if node, found := s.view.NodeByMember(one.member); found {
-			s.takePeerNode(one, node)
+		peer.needed = wanted[peer.member]
+		if node, found := s.view.NodeByMember(peer.member); found {
+			s.takePeerNode(peer, node)
 		}
-		s.dialPeer(one)
+		s.dialPeer(peer)
 	}
-	for _, p := range s.sorted() {
+	for _, p := range s.sortedPartitions() {
 		p.syncLinks()
 	}
 	s.renewLeases(s.now())
 }
 
 // takePeerNode notes the address of a peer, and that an earlier process of it has ended.
-func (s *store) takePeerNode(one *peer, node protocol.Node) {
-	if one.incarnation != node.Incarnation {
-		s.grants.ended(one.member, one.incarnation)
-		one.incarnation = node.Incarnation
+func (s *store) takePeerNode(peer *peer, node protocol.Node) {
+	if peer.incarnation != node.Incarnation {
+		s.grants.processEnded(peer.member, peer.incarnation)
+		peer.incarnation = node.Incarnation
 	}
-	one.address = node.Address
+	peer.address = node.Address
 }
 
 // dialPeer opens the connection to a peer if it is needed and not there.
-func (s *store) dialPeer(one *peer) {
-	if !one.wanted || one.conn != nil || one.dialing || one.address == "" {
+func (s *store) dialPeer(peer *peer) {
+	if !peer.needed || peer.conn != nil || peer.dialing || peer.address == "" {
 		return
 	}
-	one.dialing = true
-	address := one.address
+	peer.dialing = true
+	address := peer.address
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		defer cancel()
 		conn, err := s.agent.Pool().Get(ctx, address)
-		s.loop.post(func() { s.dialed(one, conn, err) })
+		s.loop.post(func() { s.dialed(peer, conn, err) })
 	}()
 }
 
-func (s *store) dialed(one *peer, conn *rpc.Conn, err error) {
-	one.dialing = false
+func (s *store) dialed(peer *peer, conn *rpc.Conn, err error) {
+	peer.dialing = false
 	if err != nil {
-		one.redial(s)
+		peer.redial(s)
 		return
 	}
-	one.conn = conn
+	peer.conn = conn
 	go func() {
 		<-conn.Done()
-		s.loop.post(func() { s.peerLost(one, conn) })
+		s.loop.post(func() { s.peerLost(peer, conn) })
 	}()
-	if one.wanted {
-		s.requestLease(s.now(), one)
+	if peer.needed {
+		s.requestLease(s.now(), peer)
 	}
-	for _, p := range s.sorted() {
+	for _, p := range s.sortedPartitions() {
 		p.syncLinks()
 	}
 }
 
-func (one *peer) redial(s *store) {
-	time.AfterFunc(redialEvery, func() { s.loop.post(func() { s.dialPeer(one) }) })
+func (p *peer) redial(s *store) {
+	time.AfterFunc(redialEvery, func() { s.loop.post(func() { s.dialPeer(p) }) })
 }
 
-func (s *store) peerLost(one *peer, conn *rpc.Conn) {
-	if one.conn != conn {
+func (s *store) peerLost(peer *peer, conn *rpc.Conn) {
+	if peer.conn != conn {
 		return
 	}
-	one.conn = nil
-	for _, p := range s.sorted() {
+	peer.conn = nil
+	for _, p := range s.sortedPartitions() {
 		p.syncLinks()
 	}
-	one.redial(s)
+	peer.redial(s)
 }
 
 // syncLinks tells the replica which of its peers are connected.
@@ -167,10 +167,10 @@
 
 // send carries a message of the replica: replies on the connection that the other side opened, everything else on the own one.
 func (p *partition) send(to string, m replication.Message) {
-	one := p.store.peer(to)
-	conn := one.conn
+	peer := p.store.peer(to)
+	conn := peer.conn
 	if replication.IsReply(m) {
-		conn = one.arrived
+		conn = peer.inbound
 	}
 	if conn == nil {
 		return
@@ -191,7 +191,7 @@
 		return
 	}
 	if !replication.IsReply(message) {
-		s.peer(frame.From).arrived = c
+		s.peer(frame.From).inbound = c
 	}
 	number := frame.Group - groupBase
 	p := s.partitions[number]
@@ -207,45 +207,45 @@
 }
 
 // requestLease asks a peer for its promise.
-func (s *store) requestLease(now time.Duration, one *peer) {
-	if one.conn == nil || one.leasePending {
+func (s *store) requestLease(now time.Duration, peer *peer) {
+	if peer.conn == nil || peer.leasePending {
 		return
 	}
-	one.leasePending, one.lastLeaseRequest = true, now
-	one.sequence++
-	request := leaseRequest{Incarnation: s.agent.Node().Incarnation, Table: s.table, LeaseRequest: protocol.LeaseRequest{
-		From: s.member, To: one.member, Sequence: one.sequence, Duration: leaseDuration,
+	peer.leasePending, peer.lastLeaseRequest = true, now
+	peer.sequence++
+	request := leaseRequest{Incarnation: s.agent.Node().Incarnation, Table: s.tableVersion, LeaseRequest: protocol.LeaseRequest{
+		From: s.member, To: peer.member, Sequence: peer.sequence, Duration: leaseDuration,
 	}}
-	conn, body := one.conn, request.append(nil)
+	conn, body := peer.conn, request.append(nil)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), leaseDuration)
 		defer cancel()
 		answer, err := conn.Call(ctx, protocol.KindLease, body)
-		s.loop.post(func() { s.handleLeaseReply(one, now, answer, err) })
+		s.loop.post(func() { s.handleLeaseReply(peer, now, answer, err) })
 	}()
 }
 
-func (s *store) handleLeaseReply(one *peer, asked time.Duration, answer []byte, err error) {
-	one.leasePending = false
+func (s *store) handleLeaseReply(peer *peer, asked time.Duration, answer []byte, err error) {
+	peer.leasePending = false
 	var reply protocol.LeaseReply
 	if err != nil || reply.Decode(answer) != nil {
 		return
 	}
-	one.answered = s.now()
+	peer.lastAnswer = s.now()
 	if !reply.Granted { // one of the two has not seen the other's partition table yet
-		if one.wanted {
-			time.AfterFunc(leaseRetryDelay, func() { s.loop.post(func() { s.requestLease(s.now(), one) }) })
+		if peer.needed {
+			time.AfterFunc(leaseRetryDelay, func() { s.loop.post(func() { s.requestLease(s.now(), peer) }) })
 		}
 		return
 	}
-	one.leaseUntil = max(one.leaseUntil, asked+leaseDuration)
+	peer.leaseUntil = max(peer.leaseUntil, asked+leaseDuration)
 }
 
 // renewLeases asks all peers whose promise was not asked for lately.
 func (s *store) renewLeases(now time.Duration) {
-	for _, one := range s.peers {
-		if one.wanted && now-one.lastLeaseRequest >= leaseInterval {
-			s.requestLease(now, one)
+	for _, peer := range s.peers {
+		if peer.needed && now-peer.lastLeaseRequest >= leaseInterval {
+			s.requestLease(now, peer)
 		}
 	}
 }
@@ -253,9 +253,9 @@
 // unreachable returns the stores that this one shares partitions with as their primary and that have not answered for long, in order.
 func (s *store) unreachable(now time.Duration) []string {
 	var members []string
-	for _, one := range s.peers {
-		if one.wanted && now-one.answered > unreachableAfter {
-			members = append(members, one.member)
+	for _, peer := range s.peers {
+		if peer.needed && now-peer.lastAnswer > unreachableAfter {
+			members = append(members, peer.member)
 		}
 	}
 	slices.Sort(members)
@@ -271,7 +271,7 @@
 	}
 	answer := protocol.LeaseReply{Sequence: request.Sequence}
 	if request.To == s.member {
-		s.grants.heard(&request)
+		s.grants.recordTable(&request)
 	}
 	if request.To == s.member && (request.Release || !s.tableOutdated()) {
 		answer.Granted = s.grants.request(s.now(), &request)
@@ -281,15 +281,15 @@
 
 // releaseLeases gives back what was granted to this store, for a planned end.
 func (s *store) releaseLeases(ctx context.Context) {
-	for _, one := range s.peers {
-		one.leaseUntil = 0
-		if one.conn == nil {
+	for _, peer := range s.peers {
+		peer.leaseUntil = 0
+		if peer.conn == nil {
 			continue
 		}
-		request := leaseRequest{Incarnation: s.agent.Node().Incarnation, Table: s.table, LeaseRequest: protocol.LeaseRequest{
-			From: s.member, To: one.member, Release: true,
+		request := leaseRequest{Incarnation: s.agent.Node().Incarnation, Table: s.tableVersion, LeaseRequest: protocol.LeaseRequest{
+			From: s.member, To: peer.member, Release: true,
 		}}
-		conn, body := one.conn, request.append(nil)
+		conn, body := peer.conn, request.append(nil)
 		go func() { _, _ = conn.Call(ctx, protocol.KindLease, body) }()
 	}
 }
--- a/internal/roles/store/report.go
+++ b/internal/roles/store/report.go
@@ -8,19 +8,19 @@
 
 // report is what the heartbeats say. The loop writes it, the agent's goroutine reads it.
 type report struct {
-	mu      sync.Mutex
-	offers  []protocol.PromotionOffer
-	primary uint32
-	full    bool
-	stuck   []string
-	stalled bool
+	mu            sync.Mutex
+	offers        []protocol.PromotionOffer
+	partitionsLed uint32
+	diskFull      bool
+	unreachable   []string
+	diskStalled   bool
 }
 
 // writeReport sums up the state for the next heartbeats.
 func (s *store) writeReport() {
 	var offers []protocol.PromotionOffer
 	primary := uint32(0)
-	for _, p := range s.sorted() {
+	for _, p := range s.sortedPartitions() {
 		if !p.leading {
 			continue
 		}
@@ -31,14 +31,14 @@
 	}
 	s.report.mu.Lock()
 	defer s.report.mu.Unlock()
-	s.report.offers, s.report.primary, s.report.full = offers, primary, s.log.Full()
-	s.report.stuck, s.report.stalled = s.unreachable(s.now()), s.stalled
+	s.report.offers, s.report.partitionsLed, s.report.diskFull = offers, primary, s.log.Full()
+	s.report.unreachable, s.report.diskStalled = s.unreachable(s.now()), s.diskStalled
 }
 
 // fill completes a heartbeat.
 func (r *report) fill(h *protocol.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h.Offers, h.PartitionsLed, h.DiskFull = r.offers, r.primary, r.full
-	h.UnreachablePeers, h.DiskStalled = r.stuck, r.stalled
+	h.Offers, h.PartitionsLed, h.DiskFull = r.offers, r.partitionsLed, r.diskFull
+	h.UnreachablePeers, h.DiskStalled = r.unreachable, r.diskStalled
 }
--- a/internal/roles/store/result.go
+++ b/internal/roles/store/result.go
@@ -18,7 +18,7 @@
 // ending is the end of a message that is being written, and all who wait for it.
 type ending struct {
 	state   messageState
-	answers []answer
+	replies []replyFunc
 }
 
 var outcomes = map[protocol.Outcome]queue.Outcome{
@@ -35,7 +35,7 @@
 }
 
 // receiveResult takes in the outcome of a delivery, and answers once it is durable.
-func (s *store) receiveResult(body []byte, reply answer) {
+func (s *store) receiveResult(body []byte, reply replyFunc) {
 	var m protocol.Result
 	if err := m.Decode(body); err != nil {
 		reply(nil, rpc.Errorf(protocol.CodeInvalid, "%v", err))
@@ -65,7 +65,7 @@
 }
 
 // joinEnding answers once the end of a message is durable. The message may have ended within this batch of events.
-func (s *store) joinEnding(p *partition, id string, reply answer) {
+func (s *store) joinEnding(p *partition, id string, reply replyFunc) {
 	if p.endings[id] == nil {
 		s.writeEnds(s.now())
 	}
@@ -74,25 +74,25 @@
 		reply(nil, notPrimary(p.number))
 		return
 	}
-	e.answers = append(e.answers, reply)
+	e.replies = append(e.replies, reply)
 }
 
 // writeAttempts records the number of failed attempts, and which hand-out the last of them was: its dispatcher may not hear the answer, and
 // report it to the next primary again.
-func (p *partition) writeAttempts(t queue.Transition, attempt uint32, reply answer) {
+func (p *partition) writeAttempts(t queue.Transition, attempt uint32, reply replyFunc) {
 	state, found, err := p.state(t.ID)
 	if err != nil || !found {
 		reply(nil, rpc.Errorf(protocol.CodeUnavailable, "state of %s cannot be read: %v", t.ID, err))
 		return
 	}
 	state.Attempts = uint64(t.Attempts)
-	state.count(attempt)
+	state.countFailure(attempt)
 	p.write([]replication.Record{{Key: stateKey(t.ID), Value: state.append(nil)}}, func(err error) {
 		replyWritten(reply, p.number, err)
 	})
 }
 
-func replyWritten(reply answer, partition uint32, err error) {
+func replyWritten(reply replyFunc, partition uint32, err error) {
 	switch {
 	case err == nil:
 		reply(nil, nil)
@@ -104,7 +104,7 @@
 }
 
 // end writes the end of a message. reply may be nil.
-func (p *partition) end(t queue.Transition, signature string, reply answer) {
+func (p *partition) end(t queue.Transition, signature string, reply replyFunc) {
 	state, found, err := p.state(t.ID)
 	if err != nil || !found {
 		p.store.logger.Error("a message ends whose state cannot be read", zap.String("id", t.ID), zap.Error(err))
@@ -116,7 +116,7 @@
 	state.Attempts, state.EndedAt = uint64(t.Attempts), p.store.clusterNow()
 	e := &ending{state: state}
 	if reply != nil {
-		e.answers = append(e.answers, reply)
+		e.replies = append(e.replies, reply)
 	}
 	p.endings[t.ID] = e
 	p.store.bodies.take(messageKey{p.number, t.ID})
@@ -147,19 +147,19 @@
 			p.addEnded(id, e.state.EndedAt)
 			s.queue.ConfirmEnd(s.now(), p.number, id)
 		}
-		for _, reply := range e.answers {
+		for _, reply := range e.replies {
 			replyWritten(reply, p.number, err)
 		}
-		e.answers = nil
+		e.replies = nil
 	})
 }
 
 // refuseEndings answers those who wait for an end that a new primary has to decide.
 func (p *partition) refuseEndings() {
 	for _, e := range p.endings {
-		for _, reply := range e.answers {
+		for _, reply := range e.replies {
 			reply(nil, notPrimary(p.number))
 		}
-		e.answers = nil
+		e.replies = nil
 	}
 }
--- a/internal/roles/store/run.go
+++ b/internal/roles/store/run.go
@@ -51,15 +51,15 @@
 	}
 	defer func() { err = multierr.Append(err, s.log.Close()) }()
 	defer s.agent.Close()
-	watching, stopWatching := context.WithCancel(ctx)
+	watchContext, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
 	if o.settings.File != "" {
-		go s.watchSettings(watching)
+		go s.watchSettings(watchContext)
 	}
 	if o.started != nil {
 		o.started(s)
 	}
-	s.agent.Subscribe(func(view *agent.View, _ []protocol.ItemKind) { s.loop.post(func() { s.changed(view) }) })
+	s.agent.Subscribe(func(view *agent.View, _ []protocol.ItemKind) { s.loop.post(func() { s.viewChanged(view) }) })
 	s.runLoop(ctx)
 	return nil
 }
@@ -86,12 +86,12 @@
 	s := &store{
 		settings: o.settings, logger: o.logger, loop: newEventLoop(), log: log, member: member, view: &agent.View{},
 		partitions: map[uint32]*partition{}, peers: map[string]*peer{}, sessions: map[string]*session{},
-		bodies: newBodyCache(bodyCacheBytes), closing: closing{done: make(chan struct{})}, afterStep: o.afterStep,
+		bodies: newBodyCache(bodyCacheBytes), shutdown: shutdown{done: make(chan struct{})}, afterStep: o.afterStep,
 	}
 	s.queue = queue.New(queue.Options{Match: s.matchRoute, Zone: o.settings.Zone})
 	s.agent, err = agent.Start(agent.Options{
 		Settings: o.settings, Role: protocol.RoleStore, Member: member, Logger: o.logger, ListenAddress: o.listenAddress,
-		Handle: s.handle, Report: s.report.fill, OnClose: s.lost,
+		Handle: s.handle, Report: s.report.fill, OnClose: s.handleClose,
 		RPC: rpc.Options{Network: o.environment.Network},
 	})
 	if err != nil {
@@ -127,15 +127,15 @@
 func (s *store) runLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	ended := ctx.Done()
+	cancelled := ctx.Done()
 	for {
 		select {
 		case <-s.loop.signal:
 		case <-timer.C:
-		case <-ended:
-			ended = nil
+		case <-cancelled:
+			cancelled = nil
 			s.beginShutdown()
-		case <-s.closing.done:
+		case <-s.shutdown.done:
 			return
 		}
 		s.loop.runPending()
--- a/internal/roles/store/shutdown.go
+++ b/internal/roles/store/shutdown.go
@@ -12,21 +12,21 @@
 	leaveTimeout = 500 * time.Millisecond
 )
 
-// closing is the state of a planned end.
-type closing struct {
-	begun    bool
-	by       time.Duration // no longer than that for the phase that lasts
-	farewell bool          // this store leads nothing any more, and its session is being ended
-	left     bool          // the session has ended; others still need to learn not to wait for this store
-	over     bool
-	done     chan struct{} // closed when the loop may end
+// shutdown is the state of a planned end.
+type shutdown struct {
+	started      bool
+	deadline     time.Duration // no longer than that for the phase that lasts
+	leaving      bool          // this store leads nothing any more, and its session is being ended
+	sessionEnded bool          // the session has ended; others still need to learn not to wait for this store
+	finished     bool
+	done         chan struct{} // closed when the loop may end
 }
 
 // beginShutdown announces the end: control makes other stores primary of what this one leads.
 func (s *store) beginShutdown() {
 	now := s.now()
 	wait := min(handoverTimeout, max(0, s.settings.Bounds.Grace()-2*leaveTimeout))
-	s.closing.begun, s.closing.by = true, now+wait
+	s.shutdown.started, s.shutdown.deadline = true, now+wait
 	s.logger.Info("ending: partitions are handed over")
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -39,21 +39,21 @@
 // advanceShutdown goes on with a planned end as far as it can.
 func (s *store) advanceShutdown(now time.Duration) {
 	switch {
-	case !s.closing.begun || s.closing.over:
-	case !s.closing.farewell:
-		if !s.leads() || now >= s.closing.by {
+	case !s.shutdown.started || s.shutdown.finished:
+	case !s.shutdown.leaving:
+		if !s.leadsAny() || now >= s.shutdown.deadline {
 			s.leaveCluster()
 		}
-	case s.closing.left && (!s.included() || now >= s.closing.by):
-		s.closing.over = true
-		close(s.closing.done)
+	case s.shutdown.sessionEnded && (!s.inAnyView() || now >= s.shutdown.deadline):
+		s.shutdown.finished = true
+		close(s.shutdown.done)
 	}
 }
 
 // leaveCluster stops what this store still leads, gives back its leases and ends its session.
 func (s *store) leaveCluster() {
-	s.closing.farewell = true
-	for _, p := range s.sorted() {
+	s.shutdown.leaving = true
+	for _, p := range s.sortedPartitions() {
 		if p.leading {
 			p.replica.Close()
 			p.Deposed(p.epoch)
@@ -65,14 +65,14 @@
 		defer cancel()
 		_ = s.agent.Leave(ctx, true) // otherwise the session expires by itself
 		s.loop.post(func() {
-			s.closing.left, s.closing.by = true, s.now()+leaveTimeout
+			s.shutdown.sessionEnded, s.shutdown.deadline = true, s.now()+leaveTimeout
 			s.advanceShutdown(s.now())
 		})
 	}()
 }
 
-// included reports whether the partition table still names this store as a member or learner of anything.
-func (s *store) included() bool {
+// inAnyView reports whether the partition table still names this store as a member or learner of anything.
+func (s *store) inAnyView() bool {
 	for _, p := range s.partitions {
 		if p.replica.View().Includes(s.member) {
 			return true
--- a/internal/roles/store/state.go
+++ b/internal/roles/store/state.go
@@ -19,28 +19,28 @@
 
 // messageState is the value of a message's state record.
 type messageState struct {
-	State         protocol.MessageState
-	Sequence      uint64 // epoch of the accept << sequenceBits | number
-	AcceptedAt    int64  // times are cluster time, nanoseconds since 1970
-	DueAt         int64
-	ExpiresAt     int64
-	EndedAt       int64
-	Attempts      uint64 // that failed
-	Configuration protocol.ItemVersion
-	Host          string
-	URI           string
-	Key           string
-	Signature     string
-	Counted       []uint32 // the hand-outs whose failure is in Attempts, the last mostCounted of them
+	State             protocol.MessageState
+	Sequence          uint64 // epoch of the accept << sequenceBits | number
+	AcceptedAt        int64  // times are cluster time, nanoseconds since 1970
+	DueAt             int64
+	ExpiresAt         int64
+	EndedAt           int64
+	Attempts          uint64 // that failed
+	Configuration     protocol.ItemVersion
+	Host              string
+	URI               string
+	Key               string
+	Signature         string
+	CountedDeliveries []uint32 // the hand-outs whose failure is in Attempts, the last mostCounted of them
 }
 
 // maxCountedDeliveries bounds Counted. A dispatcher repeats the outcome of a hand-out only until it is answered, so the last ones are enough.
 const maxCountedDeliveries = 8
 
-// count notes a failed hand-out.
-func (s *messageState) count(attempt uint32) {
-	s.Counted = append(s.Counted, attempt)
-	s.Counted = s.Counted[max(0, len(s.Counted)-maxCountedDeliveries):]
+// countFailure notes a failed hand-out.
+func (s *messageState) countFailure(attempt uint32) {
+	s.CountedDeliveries = append(s.CountedDeliveries, attempt)
+	s.CountedDeliveries = s.CountedDeliveries[max(0, len(s.CountedDeliveries)-maxCountedDeliveries):]
 }
 
 func bodyKey(id string) string  { return bodyPrefix + id }
@@ -62,8 +62,8 @@
 		b = binary.AppendUvarint(b, uint64(len(text)))
 		b = append(b, text...)
 	}
-	b = binary.AppendUvarint(b, uint64(len(s.Counted)))
-	for _, attempt := range s.Counted {
+	b = binary.AppendUvarint(b, uint64(len(s.CountedDeliveries)))
+	for _, attempt := range s.CountedDeliveries {
 		b = binary.AppendUvarint(b, uint64(attempt))
 	}
 	return b
@@ -112,7 +112,7 @@
 		if n <= 0 {
 			return errState
 		}
-		s.Counted, b = append(s.Counted, uint32(attempt)), b[n:]
+		s.CountedDeliveries, b = append(s.CountedDeliveries, uint32(attempt)), b[n:]
 	}
 	return nil
 }
--- a/internal/roles/store/state_test.go
+++ b/internal/roles/store/state_test.go
@@ -10,7 +10,7 @@
 	"liftgauge/internal/protocol"
 )
 
-func TestStateRecordKeepsItsFields(t *testing.T) {
+func TestStateRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 60, 200)
 		state := messageState{
@@ -20,7 +20,7 @@
 			Attempts:      rapid.Uint64().Draw(t, "attempts"),
 			Configuration: protocol.ItemVersion{Term: rapid.Uint64().Draw(t, "term"), Number: rapid.Uint64().Draw(t, "number")},
 			Host:          text.Draw(t, "host"), URI: text.Draw(t, "uri"), Key: text.Draw(t, "key"), Signature: text.Draw(t, "signature"),
-			Counted: rapid.SliceOfN(rapid.Uint32(), 1, maxCountedDeliveries).Draw(t, "counted"),
+			CountedDeliveries: rapid.SliceOfN(rapid.Uint32(), 1, maxCountedDeliveries).Draw(t, "counted"),
 		}
 		encoded := state.append(nil)
 		var got messageState
@@ -28,7 +28,7 @@
 			t.Fatalf("%+v became %+v (%v)", state, got, err)
 		}
 		earlier := state
-		earlier.Counted = nil
+		earlier.CountedDeliveries = nil
 		whole := len(earlier.append(nil)) - 1 // a record of a version that did not know Counted: valid, without it
 		if err := got.decode(encoded[:whole]); err != nil || !reflect.DeepEqual(got, earlier) {
 			t.Fatalf("the earlier form of %+v became %+v (%v)", state, got, err)
@@ -40,14 +40,14 @@
 	})
 }
 
-func TestCountedHandOutsAreBounded(t *testing.T) {
+func TestCountedDeliveriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var state messageState
 	for attempt := range uint32(maxCountedDeliveries + 3) {
-		state.count(attempt)
+		state.countFailure(attempt)
 	}
-	is.Equal(len(state.Counted), maxCountedDeliveries)
-	is.Equal(state.Counted[maxCountedDeliveries-1], uint32(maxCountedDeliveries+2)) // the last ones are kept
+	is.Equal(len(state.CountedDeliveries), maxCountedDeliveries)
+	is.Equal(state.CountedDeliveries[maxCountedDeliveries-1], uint32(maxCountedDeliveries+2)) // the last ones are kept
 }
 
 func FuzzStateRecord(f *testing.F) {
--- a/internal/roles/store/store.go
+++ b/internal/roles/store/store.go
@@ -36,7 +36,7 @@
 	member   string
 
 	view                 *agent.View
-	table                protocol.ItemVersion // of the partition table that is installed
+	tableVersion         protocol.ItemVersion // of the partition table that is installed
 	configuration        *configuration.Configuration
 	configurationVersion protocol.ItemVersion
 	windowsStale         bool
@@ -49,13 +49,13 @@
 	grants       *grants
 	bodies       *bodyCache
 	pendingBytes int
-	stalled      bool // the disk does not finish what it was given
-	wake         time.Duration
+	diskStalled  bool // the disk does not finish what it was given
+	nextWake     time.Duration
 	nextTick     time.Duration
 	lastStep     time.Duration
 
-	report  report
-	closing closing
+	report   report
+	shutdown shutdown
 
 	afterStep func()
 }
@@ -65,7 +65,7 @@
 func (s *store) clusterNow() int64 { return s.agent.ClusterTime().UnixNano() }
 
 // wakeAt has the loop run again at a time.
-func (s *store) wakeAt(at time.Duration) { s.wake = min(s.wake, at) }
+func (s *store) wakeAt(at time.Duration) { s.nextWake = min(s.nextWake, at) }
 
 // handle takes a frame on the read goroutine of a connection and posts it.
 func (s *store) handle(c *rpc.Conn, kind rpc.Kind, body []byte, reply func([]byte, error)) {
@@ -73,7 +73,7 @@
 }
 
 // receive takes a frame on the loop.
-func (s *store) receive(c *rpc.Conn, kind rpc.Kind, body []byte, reply answer) {
+func (s *store) receive(c *rpc.Conn, kind rpc.Kind, body []byte, reply replyFunc) {
 	switch kind {
 	case protocol.KindReplication:
 		s.receiveReplication(c, body)
@@ -102,8 +102,8 @@
 	}
 }
 
-// changed takes a newer state of what everybody knows.
-func (s *store) changed(view *agent.View) {
+// viewChanged takes a newer state of what everybody knows.
+func (s *store) viewChanged(view *agent.View) {
 	nodes := s.view.NodesVersion != view.NodesVersion
 	workers := s.view.WorkersVersion != view.WorkersVersion
 	s.view = view
@@ -121,7 +121,7 @@
 // step does what is due after a batch of events, and returns when to run again at the latest.
 func (s *store) step() time.Duration {
 	now := s.now()
-	s.wake = queue.Never
+	s.nextWake = queue.Never
 	s.detectPause(now)
 	s.checkDisk(now)
 	if now >= s.nextTick {
@@ -134,7 +134,7 @@
 	if s.sendDeliveries() {
 		return now
 	}
-	return min(s.wake, s.queue.NextWake(), s.nextTick)
+	return min(s.nextWake, s.queue.NextWake(), s.nextTick)
 }
 
 // writeEnds begins to write the ends of messages that have ended by their retention or by the configuration.
@@ -149,9 +149,9 @@
 // detectPause takes a time in which this process stood still off the patience with others.
 func (s *store) detectPause(now time.Duration) {
 	if gap := now - s.lastStep; s.lastStep > 0 && gap > pauseThreshold {
-		s.storage.paused(gap)
-		for _, one := range s.peers {
-			one.answered += gap
+		s.storage.excludePause(gap)
+		for _, peer := range s.peers {
+			peer.lastAnswer += gap
 		}
 	}
 	s.lastStep = now
@@ -160,21 +160,21 @@
 // checkDisk stops hand-outs and accepts while the disk finishes nothing.
 func (s *store) checkDisk(now time.Duration) {
 	stalled := s.storage.stalled(now)
-	if stalled != s.stalled {
+	if stalled != s.diskStalled {
 		s.logger.Warn("the disk stalls, or goes on after it; nothing is handed out or accepted meanwhile", zap.Bool("stalled", stalled))
 	}
-	s.stalled = stalled
+	s.diskStalled = stalled
 }
 
 // tick renews leases and looks after what hangs.
 func (s *store) tick(now time.Duration) {
 	s.nextTick = now + tickInterval
 	s.renewLeases(now)
-	cluster := s.clusterNow()
-	for _, p := range s.sorted() {
+	clusterNow := s.clusterNow()
+	for _, p := range s.sortedPartitions() {
 		p.replica.Tick(now)
 		p.logBlockedWrites(now)
-		p.expireEnded(cluster)
+		p.expireEnded(clusterNow)
 	}
 	s.retryDrops()
 	s.writeReport()
--- a/internal/roles/store/table.go
+++ b/internal/roles/store/table.go
@@ -14,11 +14,11 @@
 // applyPartitionTable installs the views of a newer partition table.
 func (s *store) applyPartitionTable(view *agent.View) {
 	version := view.PartitionsVersion
-	if !s.table.Less(version) {
+	if !s.tableVersion.Less(version) {
 		return
 	}
-	first := s.table == (protocol.ItemVersion{})
-	s.table = version
+	first := s.tableVersion == (protocol.ItemVersion{})
+	s.tableVersion = version
 	if first {
 		s.grants.fenceAll(version)
 	}
@@ -82,15 +82,15 @@
 		p = created
 	}
 	if v.Epoch > p.view.Epoch {
-		p.planned = slices.Contains(v.Members, p.view.Primary) || s.lives(p.view.Primary)
+		p.plannedTakeover = slices.Contains(v.Members, p.view.Primary) || s.isLive(p.view.Primary)
 		s.fenceEarlierPrimary(p, v, version)
-		p.view, p.table = *v, version
+		p.view, p.tableVersion = *v, version
 		p.offers, p.blockedSince = nil, 0
 		p.replica.Install(replication.View{
 			Epoch: v.Epoch, Primary: v.Primary, Members: v.Members, Learners: v.Learners, Sources: v.Sources,
 		})
 		if p.leading && v.Primary == s.member {
-			p.lead(s.now())
+			p.continueLeading(s.now())
 		}
 	}
 	if !included && v.Epoch >= p.view.Epoch {
@@ -102,25 +102,25 @@
 // knows the new table, and this store waits until the last one is over, or until the one before is known to know that table. Members of the
 // new view have joined it before it is active.
 func (s *store) fenceEarlierPrimary(p *partition, next *protocol.PartitionView, version protocol.ItemVersion) {
-	before := p.view.Primary
+	previous := p.view.Primary
 	known := p.view.Epoch+1 == next.Epoch && p.view.Epoch > 0
 	switch {
 	case !known:
 		s.grants.fenceAll(version)
-		p.promised = s.grants.leasesOfAll(version)
-	case before == s.member || before == next.Primary:
+		p.earlierLeases = s.grants.leasesOfAll(version)
+	case previous == s.member || previous == next.Primary:
 		return
 	default:
-		s.grants.raise(before, version)
-		p.promised = nil
-		if !slices.Contains(next.Members, before) {
-			p.promised = s.grants.leasesOf(before, version)
+		s.grants.fenceMember(previous, version)
+		p.earlierLeases = nil
+		if !slices.Contains(next.Members, previous) {
+			p.earlierLeases = s.grants.leasesOf(previous, version)
 		}
 	}
 }
 
-// lives reports whether a member has a session, as far as this store knows.
-func (s *store) lives(member string) bool {
+// isLive reports whether a member has a session, as far as this store knows.
+func (s *store) isLive(member string) bool {
 	_, found := s.view.NodeByMember(member)
 	return found && member != ""
 }
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// leads reports whether the partition table names this store primary of anything.
-func (s *store) leads() bool {
+// leadsAny reports whether the partition table names this store primary of anything.
+func (s *store) leadsAny() bool {
 	for _, p := range s.partitions {
 		if p.view.Primary == s.member {
 			return true
@@ -184,8 +184,8 @@
 	return false
 }
 
-// sorted returns the partitions in order of their numbers.
-func (s *store) sorted() []*partition {
+// sortedPartitions returns the partitions in order of their numbers.
+func (s *store) sortedPartitions() []*partition {
 	all := make([]*partition, 0, len(s.partitions))
 	for _, number := range slices.Sorted(maps.Keys(s.partitions)) {
 		all = append(all, s.partitions[number])
--- a/internal/roles/store/trouble_test.go
+++ b/internal/roles/store/trouble_test.go
@@ -22,7 +22,7 @@
 	h.done = append(h.done, done)
 }
 
-func TestDiskThatFinishesNothingIsStalled(t *testing.T) {
+func TestDiskThatCompletesNothingIsStalled(t *testing.T) {
 	is := is.New(t)
 	held, now := &heldStorage{}, time.Minute
 	disk := newWatchedStorage(held, func() time.Duration { return now })
@@ -35,14 +35,14 @@
 	now += stallTimeout
 	held.done[0](nil) // a slow disk is not a stalled one
 	is.True(!disk.stalled(now + stallTimeout))
-	disk.paused(time.Hour) // nor is one of a process that stood still
+	disk.excludePause(time.Hour) // nor is one of a process that stood still
 	is.True(!disk.stalled(now + time.Hour))
 	is.True(disk.stalled(now + time.Hour + stallTimeout + 1))
 	held.done[1](nil)
 	is.True(!disk.stalled(now + 2*time.Hour))
 }
 
-func TestDiskThatRefusesWritesIsAsBadAsAStalledOne(t *testing.T) {
+func TestDiskThatFailsWritesCountsAsStalled(t *testing.T) {
 	is := is.New(t)
 	held, now := &heldStorage{}, time.Minute
 	disk := newWatchedStorage(held, func() time.Duration { return now })
@@ -56,7 +56,7 @@
 	is.True(!disk.stalled(now))
 }
 
-func TestStoreThatAnswersNothingIsReported(t *testing.T) {
+func TestUnresponsiveStoreIsReported(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second := c.stores[0], c.stores[1]
@@ -75,7 +75,7 @@
 	thaw()
 }
 
-func TestOwnPauseIsNotHeldAgainstOthers(t *testing.T) {
+func TestPauseOfThisProcessIsNotCountedAgainstPeers(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	c.stores[0].on(func(s *store) {
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestStoreWithABacklogAsksToBeSpared(t *testing.T) {
+func TestStoreWithABacklogSetsRetryAfter(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
--- a/internal/roles/store/windows.go
+++ b/internal/roles/store/windows.go
@@ -28,7 +28,7 @@
 	dispatchers int // that take part
 	ownership   *placement.Ownership
 	sessions    map[string]string
-	nearby      int // dispatchers of the own zone
+	sameZone    int // dispatchers of the own zone
 	capacity    map[string]int
 }
 
@@ -44,7 +44,7 @@
 		keys = append(keys, node.Key)
 		f.sessions[node.Key] = sessionName(node.Key, node.Incarnation)
 		if node.Zone == s.settings.Zone {
-			f.nearby++
+			f.sameZone++
 		}
 	}
 	f.dispatchers = len(keys)
@@ -64,7 +64,7 @@
 		return f.ownedWindow(service, owners)
 	}
 	total := max(minWindow, int(math.Ceil(overcommit*float64(f.capacity[service.Name])/float64(f.stores))))
-	spread := f.nearby
+	spread := f.sameZone
 	if spread == 0 {
 		spread = max(1, f.dispatchers)
 	}
--- a/internal/roles/store/windows_test.go
+++ b/internal/roles/store/windows_test.go
@@ -16,7 +16,7 @@
 	ownership := &placement.Ownership{}
 	ownership.SetDispatchers([]string{"e1", "e2", "e3", "e4"})
 	return &fleet{
-		stores: 4, dispatchers: 4, ownership: ownership, nearby: 2, capacity: map[string]int{"big": 108, "small": 2},
+		stores: 4, dispatchers: 4, ownership: ownership, sameZone: 2, capacity: map[string]int{"big": 108, "small": 2},
 		sessions: map[string]string{"e1": "e1#1", "e2": "e2#1", "e3": "e3#1", "e4": "e4#1"},
 	}
 }
@@ -27,7 +27,7 @@
 	is.Equal(f.window(&configuration.Service{Name: "big"}), queue.Window{Total: 41, PerDispatcher: 21})
 	is.Equal(f.window(&configuration.Service{Name: "small"}), queue.Window{Total: 4, PerDispatcher: 2})
 	is.Equal(f.window(&configuration.Service{Name: "unlisted"}), queue.Window{Total: 4, PerDispatcher: 2})
-	f.nearby = 0
+	f.sameZone = 0
 	is.Equal(f.window(&configuration.Service{Name: "big"}).PerDispatcher, 11)
 }
 
@@ -54,7 +54,7 @@
 	d.done = append(d.done, done)
 }
 
-func TestDiskStallsWhenNothingIsFinished(t *testing.T) {
+func TestDiskStallsWhenNoWriteCompletes(t *testing.T) {
 	is := is.New(t)
 	now := time.Duration(0)
 	disk := &heldDisk{}
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -34,7 +34,7 @@
 	{"inline-bodies", "hands out a body from memory", edit("internal/roles/store/bodies.go",
 		"if _, known := c.bodies[key]; known || c.bytes+len(body) > c.limit {", "if _, known := c.bodies[key]; known || c.bytes+len(body) >= 0 {")},
 	{"early-lease-end", "ends a lease once its holder is known to act by the newer table, or gave it back", edit("internal/roles/store/lease.go",
-		"return !one.knows.Less(p.table) || now >= max(g.unknownUntil, one.until)", "return false")},
+		"return !grant.latestTable.Less(lease.table) || now >= max(g.unknownUntil, grant.until)", "return false")},
 
 	// The accept of a message.
 	{"own-zone-partitions", "stores a message without a key in a partition of the own zone", edit("internal/roles/dispatcher/directory/directory.go",
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -44,12 +44,12 @@
 	},
 	{
 		Promise: "a message that is known is not accepted again", File: "internal/roles/store/accept.go",
-		Old: "case p.knows(m.ID):", New: "case false:",
+		Old: "case p.hasMessage(m.ID):", New: "case false:",
 		Package: "./internal/roles/store",
 	},
 	{
 		Promise: "failed attempts are kept", File: "internal/roles/store/result.go",
-		Old: "state.Attempts = uint64(t.Attempts)\n\tstate.count(attempt)", New: "state.count(attempt)",
+		Old: "state.Attempts = uint64(t.Attempts)\n\tstate.countFailure(attempt)", New: "state.countFailure(attempt)",
 		Package: "./internal/roles/store",
 	},
 	{
@@ -226,8 +226,8 @@
 	},
 	{
 		Promise: "a lease covers only what the newest table says", File: "internal/roles/store/lease.go",
-		Old:     "r.Table.Less(g.floor) || r.Table.Less(one.fence)",
-		New:     "r.Table.Less(g.floor)",
+		Old:     "r.Table.Less(g.minTable) || r.Table.Less(grant.minTable)",
+		New:     "r.Table.Less(g.minTable)",
 		Package: "./internal/roles/store",
 	},
 	{
