--- a/internal/roles/store/accept.go
+++ b/internal/roles/store/accept.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// maxPendingBytes bounds the bodies whose writes are under way.
+	// maxPendingBytes limits the total size of bodies whose writes are pending.
 	maxPendingBytes = 16 << 20
 	fullRetryAfter  = 500 * time.Millisecond
 	busyRetryAfter  = 100 * time.Millisecond
-	// backlogRetryAfter is how long dispatchers should rather hand messages to others, after one for a service whose window is full here.
+	// backlogRetryAfter is how long dispatchers should prefer other stores after storing a message here for a service whose window is full.
 	backlogRetryAfter = 500 * time.Millisecond
 )
 
-// replyFunc is the reply function of a call.
+// replyFunc replies to a call.
 type replyFunc func(body []byte, err error)
 
-// pendingAccept is a message whose acceptance is being written, and all who wait for it.
+// pendingAccept is a message whose records are being written, with the calls that wait for the write.
 type pendingAccept struct {
 	replies []replyFunc
 }
@@ -32,7 +32,7 @@
 	reply(m.Append(nil), nil)
 }
 
-// receiveAccept stores a message. A clear no is only ever answered when nothing was written.
+// receiveAccept stores a message. It is refused with a definite status only if nothing was written.
 func (s *store) receiveAccept(body []byte, reply replyFunc) {
 	var m protocol.Accept
 	if err := m.Decode(body); err != nil {
@@ -52,14 +52,14 @@
 	}
 }
 
-// hasMessage reports whether a message has been accepted, by this primary or by one before.
+// hasMessage reports whether a message has been accepted by this or an earlier primary.
 func (p *partition) hasMessage(id string) bool {
 	_, ended := p.ended[id]
 	return ended || p.store.queue.Has(p.number, id)
 }
 
-// acceptDuplicate answers for a message that has a record already. The primary that wrote it may have ended before the others had it, so the
-// answer waits until all that is here is on enough disks.
+// acceptDuplicate answers for a message that already has a record. The primary that wrote it may have failed before the backups had it, so
+// the answer waits until all local records are on enough disks.
 func (p *partition) acceptDuplicate(reply replyFunc) {
 	p.replica.AwaitCommit(func(err error) {
 		status := protocol.AcceptStored
@@ -126,7 +126,7 @@
 	})
 }
 
-// bodyRecord is the request as it arrived, without what the state record has.
+// bodyRecord returns the value of the body record: the request as it arrived, without the fields that are in the state record.
 func bodyRecord(m *protocol.Accept) []byte {
 	request := protocol.Accept{RequestID: m.RequestID, Method: m.Method, Headers: m.Headers, Body: m.Body}
 	return request.Append(nil)
--- a/internal/roles/store/bodies.go
+++ b/internal/roles/store/bodies.go
@@ -1,16 +1,16 @@
 package store
 
-// bodyCacheBytes bounds the bodies that are kept in memory until their first hand-out.
+// bodyCacheBytes limits the size of the body records that are kept in memory until their first delivery.
 const bodyCacheBytes = 8 << 20
 
-// messageKey names a message.
+// messageKey identifies a message.
 type messageKey struct {
 	partition uint32
 	id        string
 }
 
-// bodyCache keeps the body records of messages that have not been handed out yet, up to a number of bytes. What does not fit is read
-// from the disk when it is handed out.
+// bodyCache keeps the body records of messages that have not been delivered yet, up to a limit in bytes. Records that do not fit are read
+// from disk at delivery.
 type bodyCache struct {
 	bytes  int
 	limit  int
@@ -29,7 +29,7 @@
 	c.bytes += len(body)
 }
 
-// take returns the body and forgets it.
+// take returns the body record and removes it from the cache.
 func (c *bodyCache) take(key messageKey) ([]byte, bool) {
 	body, found := c.bodies[key]
 	if found {
@@ -39,7 +39,7 @@
 	return body, found
 }
 
-// drop forgets all bodies of a partition.
+// drop removes all body records of a partition.
 func (c *bodyCache) drop(partition uint32) {
 	for key := range c.bodies {
 		if key.partition == partition {
--- a/internal/roles/store/daemon_test.go
+++ b/internal/roles/store/daemon_test.go
@@ -12,7 +12,7 @@
 	"liftgauge/queue"
 )
 
-// code returns why a call was refused.
+// code returns the error code of a refused call, 0 for other errors and nil.
 func code(err error) uint16 {
 	var refused *rpc.RemoteError
 	if errors.As(err, &refused) {
@@ -39,7 +39,7 @@
 	is.Equal(string(found.Body), "body of m1")
 
 	is.NoErr(d.result(primary, &m, protocol.OutcomeSucceeded))
-	is.NoErr(d.result(primary, &m, protocol.OutcomeSucceeded)) // again, its answer was lost
+	is.NoErr(d.result(primary, &m, protocol.OutcomeSucceeded)) // repeated, as after a lost reply
 	is.Equal(d.accept(primary, message("m1", "plain", "")), protocol.AcceptStored)
 	found, err = d.lookup(primary, 0, "m1")
 	is.NoErr(err)
@@ -120,8 +120,8 @@
 	is.Equal(m2.ID, "m2")
 }
 
-// TestFailureIsCountedOnceAcrossPrimaries has a dispatcher report a failed hand-out whose answer it does not hear: the store dies right after it
-// has written it. The dispatcher lists it in its Hello to the next primary, and reports it again.
+// TestFailureIsCountedOnceAcrossPrimaries has the store crash right after it has recorded a failed delivery, so that the dispatcher does not receive
+// the reply. The dispatcher lists the delivery in its Hello to the next primary and reports it again: it must not be counted twice.
 func TestFailureIsCountedOnceAcrossPrimaries(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -135,7 +135,7 @@
 	second.await(func(s *store) bool { return s.partitions[0].leading })
 	is.NoErr(d.result(second, &m1, protocol.OutcomeFailed))
 	again := d.next()
-	for again.Epoch < 2 { // the first store may have given it out once more before it died
+	for again.Epoch < 2 { // the first store may have delivered it again before it crashed
 		again = d.next()
 	}
 	is.Equal(again.ID, "m1")
@@ -154,7 +154,7 @@
 	second.await(func(s *store) bool { return s.partitions[0].leading })
 	var wait, now int64
 	second.on(func(s *store) { wait, now = int64(s.partitions[0].earlierLeasesUntil(s.now())), int64(s.now()) })
-	is.True(wait > 0) // what was promised to the first one
+	is.True(wait > 0) // for the lease granted to the first store
 	_, err := d.lookup(second, 0, "m1")
 	is.True(err != nil || now >= wait)
 	d.hello(second, table)
@@ -166,8 +166,8 @@
 	late := make(chan error, 3)
 	go func() { late <- d.result(first, &m1, protocol.OutcomeFailed) }()
 	thaw()
-	is.True(code(<-late) != 0)        // the frozen one cannot record it
-	first.await(func(s *store) bool { // by then it may have dropped the partition, which it is not part of any more
+	is.True(code(<-late) != 0)        // the frozen store cannot record it
+	first.await(func(s *store) bool { // it may have dropped the partition already, which it is no longer a member of
 		p := s.partitions[0]
 		return p == nil || !p.mayAct(s.now())
 	})
@@ -250,7 +250,7 @@
 	is.Equal(offers, []protocol.PromotionOffer{{Partition: 0, Epoch: 2, Learner: third.member()}})
 	c.view(0, 1, 2)
 	first.await(func(s *store) bool { return s.partitions[0].epoch == 3 })
-	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // the queue went on through both epochs
+	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // the queue was kept through both epochs
 	m2 := d.next()
 	is.Equal(m2.ID, "m2")
 	table := c.view(2, 0, 1)
@@ -319,7 +319,7 @@
 	again := d.next()
 	is.Equal(again.ID, m1.ID)
 	is.NoErr(d.result(first, &m2, protocol.OutcomeSucceeded))
-	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // it had arrived after all
+	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // it had arrived before the disconnect
 	is.Equal(len(d.deliveries), 0)
 }
 
@@ -336,7 +336,7 @@
 		return s.storage.outstanding == 0
 	})
 	first.on(func(s *store) {
-		s.storage.begin() // a sync that does not come back
+		s.storage.begin() // a sync that does not complete
 		s.storage.lastProgress -= 2 * stallTimeout
 	})
 	first.await(func(s *store) bool { return s.diskStalled })
@@ -355,7 +355,7 @@
 	is.Equal(m1.ID, "m1")
 }
 
-// inFlight counts the deliveries that are out at dispatchers.
+// inFlight counts the deliveries that dispatchers hold.
 func inFlight(s *store) int {
 	out := 0
 	for _, service := range s.queue.Stats() {
@@ -377,7 +377,7 @@
 		s.queue.Add(s.now(), queue.Entry{ID: "m1", Host: m.Host, URI: m.URI, Sequence: 1, ExpiresIn: time.Minute})
 	})
 	first.await(func(s *store) bool {
-		is.Equal(len(s.queue.Stats()), 0) // neither ready nor out
+		is.Equal(len(s.queue.Stats()), 0) // neither ready nor in flight
 		return s.queue.Has(0, "m1")
 	})
 	_, err := d.lookup(first, 0, "m1")
@@ -401,7 +401,7 @@
 		pending := s.partitions[0].pending["m1"]
 		return pending != nil && len(pending.replies) == 2
 	})
-	// While the write hangs, another message is refused at once, and nothing of it is written.
+	// While the write is blocked, another message is refused at once without writing anything.
 	first.await(func(s *store) bool { return s.partitions[0].writesSlow(s.now()) })
 	is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptFull)
 	first.on(func(s *store) {
@@ -414,8 +414,8 @@
 	is.Equal(<-statuses, protocol.AcceptUnknown)
 }
 
-// A store that has a message on its disk alone, from before its restart, says that it has it once another disk has it too: its own may be lost
-// next.
+// A store that restarted with a message only on its own disk confirms the message once another disk has it too, since its own disk may be
+// lost next.
 func TestDuplicateIsConfirmedOnceEnoughDisksHaveIt(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
@@ -426,7 +426,7 @@
 	first.on(func(s *store) { s.receiveAccept(m.Append(nil), func([]byte, error) {}) })
 	synced := make(chan struct{})
 	first.on(func(s *store) {
-		s.storage.Append(groupOf(99), nil, func(error) { close(synced) }) // behind the write of the message
+		s.storage.Append(groupOf(99), nil, func(error) { close(synced) }) // completes after the write of the message
 	})
 	<-synced
 	first.kill()
@@ -449,7 +449,7 @@
 		})
 	})
 	is.Equal(len(answers), 0)
-	c.view(1) // another takes over, without the message
+	c.view(1) // another store takes over without the message
 	is.Equal(<-answers, protocol.AcceptUnknown)
 }
 
@@ -462,7 +462,7 @@
 	table := c.view(1, 0)
 	second.await(func(s *store) bool {
 		p := s.partitions[0]
-		p.helloDeadline = s.now() + time.Hour // however slow this machine is
+		p.helloDeadline = s.now() + time.Hour // never reached, even on a slow machine
 		return p.leading && p.mayAct(s.now())
 	})
 	second.await(func(s *store) bool { return s.queue.Has(0, "m1") && len(s.queue.Stats()) == 0 })
@@ -492,7 +492,7 @@
 		old = ask(s, protocol.ItemVersion{Term: 1, Number: 1})
 		present = ask(s, table)
 		p := s.partitions[0]
-		p.view.Epoch-- // a partition has joined an epoch that the table does not show yet
+		p.view.Epoch-- // as if a partition had joined an epoch that the table does not contain yet
 		behind = ask(s, table)
 		p.view.Epoch++
 	})
@@ -510,7 +510,7 @@
 		is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptStored)
 		m1, m2 := d.next(), d.next()
 		next := protocol.ItemVersion{Term: 1, Number: 2}
-		if helloFirst { // the dispatcher knows the table before the store does
+		if helloFirst { // the dispatcher receives the table before the store does
 			d.hello(first, next, held(&m2))
 			first.await(func(s *store) bool {
 				return s.sessions[sessionName(d.node.Key, d.node.Incarnation)].tableVersion == next
@@ -529,7 +529,7 @@
 	}
 }
 
-// A message ends by its dropped route, and the outcome of a hand-out that was given up comes before that end is begun to be written.
+// A message ends because its route was removed. The outcome of its last delivery arrives before the write of that end has been started.
 func TestOutcomeOfJustEndedMessageIsAnswered(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
--- a/internal/roles/store/deliver.go
+++ b/internal/roles/store/deliver.go
@@ -9,10 +9,10 @@
 	"liftgauge/queue"
 )
 
-// deliveryBatch bounds the hand-outs between two looks at what else has happened.
+// deliveryBatch limits the deliveries between two batches of events.
 const deliveryBatch = 64
 
-// updateOpenPartitions lets the queue hand out of the partitions that this store may act for, and returns until when that is sure.
+// updateOpenPartitions opens the queue for the partitions that this store may deliver from, and returns until when that is certain.
 func (s *store) updateOpenPartitions(now time.Duration) time.Duration {
 	validUntil := queue.Never
 	for _, p := range s.partitions {
@@ -35,7 +35,7 @@
 	return validUntil
 }
 
-// sendDeliveries sends what can go, and reports whether more may be ready.
+// sendDeliveries sends up to deliveryBatch deliveries and reports whether more may be ready.
 func (s *store) sendDeliveries() bool {
 	validUntil := time.Duration(0)
 	for range deliveryBatch {
@@ -52,7 +52,7 @@
 	return true
 }
 
-// deliver sends one delivery. If it cannot be sent, the connection is broken and its end gives the message back.
+// deliver sends one delivery. If sending fails, the connection is closed, and the close returns the message to the queue.
 func (s *store) deliver(now time.Duration, d *queue.Delivery) {
 	p, sess := s.partitions[d.Partition], s.sessions[d.Dispatcher]
 	if sess == nil || sess.conn == nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// takeBody returns the body of a message from memory if it has not been handed out before, else from disk.
+// takeBody returns the request of a message from the cache, which it leaves, or else from disk.
 func (s *store) takeBody(p *partition, id string) (request protocol.Accept, err error) {
 	if record, found := s.bodies.take(messageKey{p.number, id}); found {
 		return request, request.Decode(record)
@@ -87,7 +87,7 @@
 	return request, err
 }
 
-// requiredConfiguration is the configuration that a dispatcher must have at least to deliver a message.
+// requiredConfiguration returns the oldest configuration that a dispatcher may use to deliver a message.
 func (s *store) requiredConfiguration(accepted queue.Revision) protocol.ItemVersion {
 	version := protocol.ItemVersion{Term: accepted.Term, Number: accepted.Number}
 	if version.Less(s.configurationVersion) {
--- a/internal/roles/store/diskwatch.go
+++ b/internal/roles/store/diskwatch.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// stallTimeout is how long the disk may take for a sync before the store stops acting as primary, and asks to be left out. A store is
-	// to be out of its partitions within a second, with the round over control.
+	// stallTimeout is how long the disk may complete nothing before the store stops acting as primary and reports the stall, so that control
+	// excludes it. The exclusion, including the round trip to control, should take less than a second.
 	stallTimeout = 450 * time.Millisecond
-	// refusalExpiry is how long a refused write counts if no other is tried.
+	// refusalExpiry is how long a failed write counts if no other write is attempted.
 	refusalExpiry = time.Second
 )
 
-// watchedStorage tells when the disk does not finish what it was given. A store whose disk stalls cannot record what becomes of a
-// message, and must not hand out more.
+// watchedStorage detects that the disk does not complete writes. A store whose disk stalls cannot record the outcome of a delivery, and
+// must not send more.
 type watchedStorage struct {
 	replication.Storage
 	steady func() time.Duration
 
 	mu           sync.Mutex
 	outstanding  int
-	lastProgress time.Duration // when something was last finished, or begun after a rest
-	lastRefusal  time.Duration // when the disk last refused a write; 0 once one has succeeded
+	lastProgress time.Duration // when a write last completed, or was started while none was pending
+	lastRefusal  time.Duration // when a write last failed; 0 after one has succeeded
 }
 
 func newWatchedStorage(storage replication.Storage, steady func() time.Duration) *watchedStorage {
@@ -62,14 +62,14 @@
 	}
 }
 
-// excludePause says that this process stood still for a time, in which the disk could not show that it finishes anything.
+// excludePause does not count a pause of this process as time without progress of the disk.
 func (w *watchedStorage) excludePause(gap time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastProgress += gap
 }
 
-// stalled reports whether the disk has finished nothing for too long, or refuses writes.
+// stalled reports whether the disk has completed nothing for stallTimeout although writes are pending, or fails writes.
 func (w *watchedStorage) stalled(now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/roles/store/expiry.go
+++ b/internal/roles/store/expiry.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// statusSlack is added to the time for which states of ended messages are kept.
+	// statusSlack is added to the configured time for which the states of ended messages are kept.
 	statusSlack = 5 * time.Second
-	// expiryBatch bounds the messages that one write forgets.
+	// expiryBatch limits the messages whose records one write deletes.
 	expiryBatch = 256
 )
 
-// endedMessage is a message whose state is still kept.
+// endedMessage is an ended message whose state is still kept.
 type endedMessage struct {
 	id      string
 	endedAt int64
@@ -35,7 +35,7 @@
 	})
 }
 
-// expireEnded deletes the records of messages that have ended long enough ago.
+// expireEnded deletes the records of messages whose status retention has passed.
 func (p *partition) expireEnded(clusterNow int64) {
 	if !p.leading {
 		return
--- a/internal/roles/store/fake_test.go
+++ b/internal/roles/store/fake_test.go
@@ -19,7 +19,7 @@
 	"liftgauge/internal/rpc"
 )
 
-// fakeControl answers heartbeats, and publishes what the test says. Nothing ends by itself: no session expires.
+// fakeControl answers heartbeats, and publishes tables on request of the test. Sessions never expire.
 type fakeControl struct {
 	t     *testing.T
 	agent *agent.Agent
@@ -76,7 +76,7 @@
 	c.changed.Broadcast()
 }
 
-// await waits for a condition on what has arrived.
+// await waits for a condition on the received messages.
 func (c *fakeControl) await(condition func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +136,7 @@
 	return r
 }
 
-// testStore is one real store daemon.
+// testStore runs one real store process in the test.
 type testStore struct {
 	t        *testing.T
 	name     string
@@ -179,7 +179,7 @@
 	return s
 }
 
-// observe runs the conditions that somebody waits for.
+// observe runs the checks of pending calls of await.
 func (s *testStore) observe() {
 	s.mu.Lock()
 	observers := s.observers
@@ -223,7 +223,7 @@
 	return sync.OnceFunc(func() { close(release) })
 }
 
-// kill ends the process without any farewell.
+// kill stops the store without a planned shutdown.
 func (s *testStore) kill() {
 	s.store.loop.post(func() {
 		if !s.store.shutdown.finished {
@@ -246,7 +246,7 @@
 	})
 }
 
-// fakeDispatcher is a dispatcher of its own on plain connections.
+// fakeDispatcher is a dispatcher that the test controls, on plain connections.
 type fakeDispatcher struct {
 	t          *testing.T
 	node       protocol.Node
@@ -254,7 +254,7 @@
 	deliveries chan protocol.Deliver
 }
 
-// testTimeout is never spent by a test that passes.
+// testTimeout is not reached by a test that passes.
 const testTimeout = 30 * time.Second
 
 // next returns the next delivery.
@@ -264,7 +264,7 @@
 	case m := <-d.deliveries:
 		return m
 	case <-time.After(testTimeout):
-		d.t.Fatal("no delivery came")
+		d.t.Fatal("no delivery arrived")
 		return protocol.Deliver{}
 	}
 }
@@ -356,7 +356,7 @@
 	}
 }
 
-// cluster is a control, some stores and a dispatcher, with one partition that the first store leads and the second backs up.
+// cluster has a control process, some stores and a dispatcher, with one partition whose primary is the first store and whose backup is the second.
 type cluster struct {
 	control    *fakeControl
 	stores     []*testStore
@@ -380,7 +380,7 @@
 	return c
 }
 
-// awaitNodes waits until control knows the present process of each store, and publishes them.
+// awaitNodes waits until control has received a heartbeat of the present process of each store, and publishes the node table.
 func (c *cluster) awaitNodes() {
 	c.control.await(func() bool {
 		for _, s := range c.stores {
--- a/internal/roles/store/identity.go
+++ b/internal/roles/store/identity.go
@@ -15,7 +15,7 @@
 	recordsFolder = "records"
 )
 
-// loadMember returns the name of the member that the disk belongs to, and draws a new one on an empty disk.
+// loadMember returns the member name that belongs to the disk, and generates a random disk id on an empty disk.
 func loadMember(storage replication.Storage, nodeName string) (string, error) {
 	record, found, err := storage.Get(replication.LocalGroup, identityKey)
 	if err != nil {
--- a/internal/roles/store/lease.go
+++ b/internal/roles/store/lease.go
@@ -17,8 +17,9 @@
 
 var errLease = errors.New("store: malformed lease request; run the same version on both stores")
 
-// leaseRequest is the body of a KindLease call: the request itself, the process that asks, and the partition table that it acts by.
-// A lease covers only what that table says: the grantor refuses when it knows that a newer table took a partition from the asker.
+// leaseRequest is the body of a KindLease call: the request itself, the requesting process, and the partition table that it uses.
+// A lease covers only the partitions that the table assigns to the requester: the grantor refuses if it has a newer table that took a
+// partition away from the requester.
 type leaseRequest struct {
 	protocol.LeaseRequest
 	Incarnation uint64
@@ -54,25 +55,25 @@
 	return nil
 }
 
-// grants is what this store has promised to others.
+// grants are the leases that this store has granted to others.
 type grants struct {
-	unknownUntil time.Duration        // promises of an earlier process of this store may stand until then
-	minTable     protocol.ItemVersion // requests that act by an older partition table are refused, whoever asks
+	unknownUntil time.Duration        // leases granted by an earlier process of this store may be valid until then
+	minTable     protocol.ItemVersion // requests of any member that uses an older partition table are refused
 	byMember     map[string]*grant
 }
 
-// grant is the promise to one member.
+// grant is the lease of one member.
 type grant struct {
 	incarnation uint64
 	until       time.Duration
-	minTable    protocol.ItemVersion // as floor, for this member alone
-	latestTable protocol.ItemVersion // the newest partition table that its requests acted by
+	minTable    protocol.ItemVersion // as grants.minTable, for this member only
+	latestTable protocol.ItemVersion // the newest partition table in its requests
 }
 
-// earlierLease is a promise that a new primary waits for: that of a member that was, or may have been, primary before. It is over at its time,
-// or as soon as the member is known to act by the table that took the partition from it.
+// earlierLease is a lease that a new primary waits for: that of a member that was, or may have been, the previous primary. It ends when it
+// expires, or as soon as the member has shown that it uses the table that took the partition away from it.
 type earlierLease struct {
-	member string // empty for one to an unknown member
+	member string // empty if the member is unknown
 	until  time.Duration
 	table  protocol.ItemVersion
 }
@@ -90,14 +91,14 @@
 	return found
 }
 
-// recordTable notes which table a member acts by. What a process knows never goes back, and a member has one process at a time.
+// recordTable records which table a member uses. A process never returns to an older table, and a member has one process at a time.
 func (g *grants) recordTable(r *leaseRequest) {
 	if grant := g.of(r.From); grant.latestTable.Less(r.Table) {
 		grant.latestTable = r.Table
 	}
 }
 
-// request grants or refuses a lease, or takes back a released one.
+// request grants or refuses a lease, or ends a released one.
 func (g *grants) request(now time.Duration, r *leaseRequest) bool {
 	grant := g.of(r.From)
 	if r.Release {
@@ -113,28 +114,28 @@
 	return true
 }
 
-// fenceMember refuses requests from a member that acts by a table older than version.
+// fenceMember makes requests of a member that uses a table older than version fail.
 func (g *grants) fenceMember(member string, version protocol.ItemVersion) {
 	if grant := g.of(member); grant.minTable.Less(version) {
 		grant.minTable = version
 	}
 }
 
-// fenceAll refuses requests of all that act by a table older than version.
+// fenceAll makes requests of all members that use a table older than version fail.
 func (g *grants) fenceAll(version protocol.ItemVersion) {
 	if g.minTable.Less(version) {
 		g.minTable = version
 	}
 }
 
-// processEnded says that a process has processEnded: its lease is void.
+// processEnded voids the lease of a process that has ended.
 func (g *grants) processEnded(member string, incarnation uint64) {
 	if grant := g.byMember[member]; grant != nil && grant.incarnation == incarnation {
 		grant.until = 0
 	}
 }
 
-// leasesOfAll returns all promises, as seen by who takes a partition over by a table without knowing from whom.
+// leasesOfAll returns the leases of all members, for a takeover by a table where the previous primary is unknown.
 func (g *grants) leasesOfAll(table protocol.ItemVersion) []earlierLease {
 	all := []earlierLease{{until: g.unknownUntil}}
 	for member, grant := range g.byMember {
@@ -143,7 +144,7 @@
 	return all
 }
 
-// leasesOf returns the promise to a member, as seen by who takes a partition over from it by a table.
+// leasesOf returns the lease of a member, for a takeover from it by a table.
 func (g *grants) leasesOf(member string, table protocol.ItemVersion) []earlierLease {
 	until := g.unknownUntil
 	if grant := g.byMember[member]; grant != nil {
@@ -152,7 +153,7 @@
 	return []earlierLease{{member: member, until: until, table: table}}
 }
 
-// latestExpiry returns when the last of some promises is over, at the latestExpiry; 0 if none stands any more.
+// latestExpiry returns when the last of some leases expires; 0 if all have ended.
 func (g *grants) latestExpiry(now time.Duration, leases []earlierLease) (until time.Duration) {
 	for _, lease := range leases {
 		if now < lease.until && !g.hasEnded(now, &lease) {
@@ -162,7 +163,7 @@
 	return until
 }
 
-// hasEnded tells whether a promise is over before its time: the member acts by the newer table, gave the lease back, or its process has ended.
+// hasEnded reports whether a lease has ended early: the member uses the newer table, released the lease, or its process has ended.
 func (g *grants) hasEnded(now time.Duration, lease *earlierLease) bool {
 	grant := g.byMember[lease.member]
 	if lease.member == "" || grant == nil {
--- a/internal/roles/store/lease_test.go
+++ b/internal/roles/store/lease_test.go
@@ -18,7 +18,7 @@
 		LeaseRequest: protocol.LeaseRequest{From: member, To: "b", Duration: leaseDuration}}
 }
 
-// until is when the promise to a member is over, for a successor whose table the member does not know.
+// until returns when the lease of a member expires, for a takeover by a table that the member has not received.
 func until(g *grants, now time.Duration, member string) time.Duration {
 	return g.latestExpiry(now, g.leasesOf(member, tableVersion(1<<40)))
 }
@@ -39,7 +39,7 @@
 	is.True(g.request(700*ms, requestFrom("a", 1, 1)))
 	is.Equal(until(g, 700*ms, "a"), 1300*ms)
 	g.fenceMember("a", tableVersion(2))
-	is.True(!g.request(800*ms, requestFrom("a", 1, 1))) // it may not know yet
+	is.True(!g.request(800*ms, requestFrom("a", 1, 1))) // it may not have the new table yet
 	is.Equal(until(g, 800*ms, "a"), 1300*ms)
 	is.True(g.request(800*ms, requestFrom("c", 1, 1)))
 	is.True(g.request(900*ms, requestFrom("a", 1, 2)))
@@ -79,11 +79,11 @@
 	taken = append(taken, g.leasesOfAll(tableVersion(3))...)
 	is.Equal(g.latestExpiry(50*ms, taken), leaseDuration)
 	g.recordTable(requestFrom("a", 1, 2)) // newer, but not yet the one that took the partition
-	g.recordTable(requestFrom("c", 1, 3)) // another member
+	g.recordTable(requestFrom("c", 1, 3)) // a different member
 	is.Equal(g.latestExpiry(50*ms, taken), leaseDuration)
 	g.recordTable(requestFrom("a", 1, 3))
 	is.Equal(g.latestExpiry(50*ms, taken), time.Duration(0))
-	g.recordTable(requestFrom("a", 1, 1)) // a request that was under way for long takes nothing back
+	g.recordTable(requestFrom("a", 1, 1)) // a delayed request with an older table has no effect
 	is.Equal(g.latestExpiry(50*ms, taken), time.Duration(0))
 }
 
@@ -92,11 +92,11 @@
 	g := newGrants(time.Second)
 	g.fenceAll(tableVersion(1))
 	is.True(g.request(time.Second, requestFrom("a", 1, 1)))
-	g.processEnded("a", 1) // this one ended, but the store's earlier process may have granted to another
+	g.processEnded("a", 1) // this process ended, but an earlier process of the store may have granted a lease to another one
 	is.Equal(g.latestExpiry(time.Second, g.leasesOf("a", tableVersion(3))), time.Second+leaseDuration)
 	g.recordTable(requestFrom("a", 2, 3))
 	is.Equal(g.latestExpiry(time.Second, g.leasesOf("a", tableVersion(3))), time.Duration(0))
-	is.Equal(g.latestExpiry(time.Second, g.leasesOfAll(tableVersion(3))), time.Second+leaseDuration) // it may have been anybody
+	is.Equal(g.latestExpiry(time.Second, g.leasesOfAll(tableVersion(3))), time.Second+leaseDuration) // the previous primary is unknown
 }
 
 func TestLeaseRequestRoundTrip(t *testing.T) {
--- a/internal/roles/store/lookup.go
+++ b/internal/roles/store/lookup.go
@@ -5,7 +5,7 @@
 	"liftgauge/internal/rpc"
 )
 
-// receiveLookup answers for the state of a message, if this store surely is the one to know it.
+// receiveLookup answers with the state of a message if this store certainly is the acting primary.
 func (s *store) receiveLookup(body []byte, reply replyFunc) {
 	var m protocol.Lookup
 	if err := m.Decode(body); err != nil {
--- a/internal/roles/store/loop.go
+++ b/internal/roles/store/loop.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// eventLoop is the queue of what the owner of the state has to do. Its methods may be called from any goroutine.
+// eventLoop is the queue of functions that the goroutine that owns the state has to run. Its methods may be called from any goroutine.
 type eventLoop struct {
 	mu      sync.Mutex
 	pending []func()
@@ -11,7 +11,7 @@
 
 func newEventLoop() *eventLoop { return &eventLoop{signal: make(chan struct{}, 1)} }
 
-// post adds a function to be run on the loop, later and in order.
+// post queues a function to be run on the loop, in order.
 func (l *eventLoop) post(f func()) {
 	l.mu.Lock()
 	l.pending = append(l.pending, f)
@@ -22,7 +22,7 @@
 	}
 }
 
-// runPending runs what has been posted so far.
+// runPending runs the functions that have been posted so far.
 func (l *eventLoop) runPending() {
 	l.mu.Lock()
 	batch := l.pending
--- a/internal/roles/store/partition.go
+++ b/internal/roles/store/partition.go
@@ -13,48 +13,49 @@
 )
 
 const (
-	// groupBase is the replication group of partition 0.
+	// groupBase is the number of the replication group of partition 0.
 	groupBase = 1000
-	// sequenceBits are the bits of a sequence number below the epoch.
+	// sequenceBits is the number of bits of a sequence number below the epoch.
 	sequenceBits = 40
-	// attemptBits are the bits of a hand-out's number below those of the epoch, so that two primaries never use the same number.
+	// attemptBits is the number of bits of an attempt number below the epoch, so that two primaries never use the same number.
 	attemptBits = 12
-	// helloTimeout is how long a new primary waits to hear from all live dispatchers what they hold, when the one before was lost.
+	// helloTimeout is how long a new primary waits for the Hello of all live dispatchers if the previous primary was lost.
 	helloTimeout = 500 * time.Millisecond
-	// plannedHelloTimeout is the same when the one before is a member still, or lives: nothing was lost, and nothing shall run twice.
+	// plannedHelloTimeout is the same if the previous primary is still a member or has a session: nothing was lost, so no message
+	// should run twice.
 	plannedHelloTimeout = 1500 * time.Millisecond
-	// blockedLogDelay is how long members may hold up writes before the log says so.
+	// blockedLogDelay is how long members may block writes before a warning is logged.
 	blockedLogDelay = 300 * time.Millisecond
-	// slowWriteAge is the age of the oldest write from which on no more messages are accepted: others have faster partitions.
+	// slowWriteAge is the age of the oldest pending write above which no more messages are accepted: other partitions are faster.
 	slowWriteAge = 250 * time.Millisecond
 )
 
-// partition is this store's part in one partition.
+// partition is this store's replica of one partition and, while it is primary, the state of its messages.
 type partition struct {
 	store        *store
 	number       uint32
 	replica      *replication.Replica
-	view         protocol.PartitionView // by the newest partition table that named this store
-	tableVersion protocol.ItemVersion   // of the table that view came with
-	links        map[string]*rpc.Conn   // the connections that the replica was told of
+	view         protocol.PartitionView // from the newest partition table that changed it
+	tableVersion protocol.ItemVersion   // of the table that contained view
+	links        map[string]*rpc.Conn   // connections by member that the replica was notified of
 
 	dropping        bool
-	plannedTakeover bool // the primary before is a member of the view, or lives
+	plannedTakeover bool // the previous primary is a member of the view or has a session
 
-	// Of the primary:
-	leading        bool // active in an epoch, and not deposed since
+	// Used by the primary:
+	leading        bool // active in an epoch and not deposed since
 	epoch          uint64
-	earlierLeases  []earlierLease // to the primary before
-	helloDeadline  time.Duration  // dispatchers are not waited for any longer
-	hellosComplete bool           // all dispatchers have said what they hold
+	earlierLeases  []earlierLease // granted to the previous primary, as far as they may be valid
+	helloDeadline  time.Duration  // the primary stops waiting for dispatchers at this time
+	hellosComplete bool           // all dispatchers have sent their Hello, or the deadline has passed
 	sequence       uint64
-	offers         []string // learners that are equal, in the epoch of the view
+	offers         []string // learners that are in sync in the epoch of the view
 	pending        map[string]*pendingAccept
 	endings        map[string]*ending
-	ended          map[string]int64 // when messages ended that are still known, cluster time
+	ended          map[string]int64 // end times of the ended messages whose state is kept, cluster time
 	endedOrder     []endedMessage
-	writeStarts    []time.Duration // when each write that is not done was begun
-	blockedSince   time.Duration   // writes are held up; 0 for not
+	writeStarts    []time.Duration // start time of each pending write, oldest first
+	blockedSince   time.Duration   // since when writes are blocked; 0 if they are not
 	blockedLogged  bool
 }
 
@@ -75,7 +76,7 @@
 	return p, nil
 }
 
-// helloTimeout returns how long to wait for dispatchers.
+// helloTimeout returns how long a new primary waits for the Hello of dispatchers.
 func (p *partition) helloTimeout() time.Duration {
 	if p.plannedTakeover {
 		return plannedHelloTimeout
@@ -83,7 +84,8 @@
 	return helloTimeout
 }
 
-// continueLeading goes on as primary in a later epoch. Dispatchers that know it drop what bears a lower one.
+// continueLeading keeps this store primary in a later epoch. Dispatchers that have received the epoch drop deliveries of earlier ones,
+// which are requeued here.
 func (p *partition) continueLeading(now time.Duration) {
 	s := p.store
 	s.queue.SetEpoch(p.number, p.view.Epoch)
@@ -99,7 +101,7 @@
 	p.endedOrder = nil
 }
 
-// Active implements replication.Events. A primary that goes on in a later epoch keeps its queue.
+// Active implements replication.Events. A primary that stays primary in a later epoch keeps its queue.
 func (p *partition) Active(epoch uint64) {
 	s := p.store
 	now := s.now()
@@ -111,14 +113,14 @@
 	s.queue.SetEpoch(p.number, epoch)
 	p.helloDeadline, p.hellosComplete = now+p.helloTimeout(), false
 	if err := p.rebuild(now); err != nil {
-		s.logger.Error("records of a partition cannot be read; it is not served by this store",
+		s.logger.Error("records of a partition cannot be read; this store does not serve it",
 			zap.Uint32("partition", p.number), zap.Error(err))
 		s.queue.Drop(p.number)
 		p.leading = false
 		return
 	}
 	s.markHeld(now, p.number)
-	s.logger.Info("primary of a partition", zap.Uint32("partition", p.number), zap.Uint64("epoch", epoch),
+	s.logger.Info("became primary of a partition", zap.Uint32("partition", p.number), zap.Uint64("epoch", epoch),
 		zap.Int("messages", s.queue.Len(p.number)))
 }
 
@@ -138,7 +140,7 @@
 // Applied implements replication.Events.
 func (p *partition) Applied([]replication.Record) {}
 
-// rebuild fills the queue from the records.
+// rebuild fills the queue from the state records.
 func (p *partition) rebuild(now time.Duration) (failure error) {
 	s := p.store
 	clusterNow := s.clusterNow()
@@ -189,18 +191,19 @@
 	}
 }
 
-// nextSequence draws the place of a message in the order of acceptance.
+// nextSequence returns the next sequence number, which orders messages by acceptance.
 func (p *partition) nextSequence() uint64 {
 	p.sequence = max(p.sequence, p.epoch<<sequenceBits) + 1
 	return p.sequence
 }
 
-// mayAct reports whether this store may hand out messages of the partition and answer for their states.
+// mayAct reports whether this store may deliver messages of the partition and answer lookups: it is primary, holds the leases of the other
+// members, and the leases that it granted to the previous primary have ended.
 func (p *partition) mayAct(now time.Duration) bool {
 	return p.leading && p.earlierLeasesUntil(now) == 0 && p.leasesUntil() > now
 }
 
-// earlierLeasesUntil returns when what was promised to the primary before is over at the latest; 0 if it is.
+// earlierLeasesUntil returns when the last lease granted to the previous primary expires; 0 if all have ended.
 func (p *partition) earlierLeasesUntil(now time.Duration) time.Duration {
 	if len(p.earlierLeases) == 0 {
 		return 0
@@ -212,7 +215,7 @@
 	return until
 }
 
-// leasesUntil returns when the first of the leases that the partition needs is over.
+// leasesUntil returns when the first of the leases that the partition needs expires.
 func (p *partition) leasesUntil() time.Duration {
 	until := queue.Never
 	view := p.replica.View()
@@ -226,7 +229,7 @@
 	return until
 }
 
-// mayDeliver reports whether deliveries may go out, and until when that is sure without another look.
+// mayDeliver reports whether deliveries may be sent now.
 func (p *partition) mayDeliver(now time.Duration) bool {
 	if !p.mayAct(now) || p.store.diskStalled {
 		return false
@@ -237,7 +240,7 @@
 	return p.hellosComplete
 }
 
-// write replicates records; writes are done in the order in which they were begun.
+// write replicates records; writes complete in the order in which they were started.
 func (p *partition) write(records []replication.Record, done func(error)) {
 	p.writeStarts = append(p.writeStarts, p.store.now())
 	p.replica.Write(records, func(err error) {
@@ -246,12 +249,12 @@
 	})
 }
 
-// writesSlow reports whether writes take too long for another message to be accepted.
+// writesSlow reports whether writes take too long to accept another message.
 func (p *partition) writesSlow(now time.Duration) bool {
 	return len(p.writeStarts) > 0 && now-p.writeStarts[0] > slowWriteAge
 }
 
-// logBlockedWrites logs once when members hold up writes for long: control has not left them out yet.
+// logBlockedWrites logs once if members block writes for blockedLogDelay: control has not excluded them yet.
 func (p *partition) logBlockedWrites(now time.Duration) {
 	blocked := p.replica.BlockingPeers()
 	switch {
@@ -261,7 +264,7 @@
 		p.blockedSince = now
 	case now-p.blockedSince > blockedLogDelay && !p.blockedLogged:
 		p.blockedLogged = true
-		p.store.logger.Warn("writes wait for members that are not equal", zap.Uint32("partition", p.number),
+		p.store.logger.Warn("writes are blocked by members that are not in sync", zap.Uint32("partition", p.number),
 			zap.Strings("members", blocked))
 	}
 }
--- a/internal/roles/store/peer.go
+++ b/internal/roles/store/peer.go
@@ -10,27 +10,27 @@
 	"liftgauge/replication"
 )
 
-// redialEvery is the pause between attempts to reach another store.
+// redialEvery is the pause between attempts to connect to another store.
 const redialEvery = 50 * time.Millisecond
 
-// unreachableAfter is how long a store may leave requests for leases unanswered before control is told. It is shorter than a session's
-// expiry by what the round over control takes.
+// unreachableAfter is how long a store may leave lease requests unanswered before it is reported to control. It is shorter than the
+// session expiry by the time of the round trip to control.
 const unreachableAfter = 700 * time.Millisecond
 
 // peer is another store that shares partitions with this one.
 type peer struct {
 	member  string
 	address string
-	needed  bool      // this store is primary of something that the peer has a part in
-	conn    *rpc.Conn // dialed; carries what a primary sends
+	needed  bool      // this store is primary of a partition that the peer is a member or learner of
+	conn    *rpc.Conn // dialed by this store; carries what it sends as primary
 	dialing bool
-	inbound *rpc.Conn // the connection that the peer's frames last came on; carries replies
+	inbound *rpc.Conn // the connection on which the peer last sent a frame; carries replies
 
-	incarnation      uint64        // by the node table
-	leaseUntil       time.Duration // the peer has promised not to act in this store's place
+	incarnation      uint64        // from the node table
+	leaseUntil       time.Duration // end of the lease granted by the peer
 	lastLeaseRequest time.Duration
 	leasePending     bool
-	lastAnswer       time.Duration // when the peer last answered, or was first wanted
+	lastAnswer       time.Duration // when the peer last answered, or was first needed
 	sequence         uint64
 }
 
@@ -43,26 +43,26 @@
 	return found
 }
 
-// syncPeers finds out which stores are needed, dials them, and tells the replicas of new and lost connections.
+// syncPeers determines which stores are needed, dials them, and notifies the replicas of new and lost connections.
 func (s *store) syncPeers() {
-	wanted := map[string]bool{}
+	needed := map[string]bool{}
 	for _, p := range s.partitions {
 		if view := p.replica.View(); view.Primary == s.member {
 			for _, members := range [][]string{view.Members, view.Learners} {
 				for _, member := range members {
-					wanted[member] = member != s.member
+					needed[member] = member != s.member
 				}
 			}
 		}
 	}
-	for member := range wanted {
+	for member := range needed {
 		s.peer(member)
 	}
 	for _, peer := range s.peers {
 		if !peer.needed {
-			peer.lastAnswer = s.now() // not asked until now
+			peer.lastAnswer = s.now() // sent no request until now
 		}
-		peer.needed = wanted[peer.member]
+		peer.needed = needed[peer.member]
 		if node, found := s.view.NodeByMember(peer.member); found {
 			s.takePeerNode(peer, node)
 		}
@@ -74,7 +74,7 @@
 	s.renewLeases(s.now())
 }
 
-// takePeerNode notes the address of a peer, and that an earlier process of it has ended.
+// takePeerNode records the address of a peer, and voids the lease of an earlier process of it.
 func (s *store) takePeerNode(peer *peer, node protocol.Node) {
 	if peer.incarnation != node.Incarnation {
 		s.grants.processEnded(peer.member, peer.incarnation)
@@ -83,7 +83,7 @@
 	peer.address = node.Address
 }
 
-// dialPeer opens the connection to a peer if it is needed and not there.
+// dialPeer opens the connection to a peer if it is needed and does not exist.
 func (s *store) dialPeer(peer *peer) {
 	if !peer.needed || peer.conn != nil || peer.dialing || peer.address == "" {
 		return
@@ -132,7 +132,7 @@
 	peer.redial(s)
 }
 
-// syncLinks tells the replica which of its peers are connected.
+// syncLinks notifies the replica which of its peers are connected.
 func (p *partition) syncLinks() {
 	view := p.replica.View()
 	for _, members := range [][]string{view.Members, view.Learners} {
@@ -165,7 +165,7 @@
 	}
 }
 
-// send carries a message of the replica: replies on the connection that the other side opened, everything else on the own one.
+// send sends a message of the replica: replies on the connection that the peer opened, everything else on the one dialed by this store.
 func (p *partition) send(to string, m replication.Message) {
 	peer := p.store.peer(to)
 	conn := peer.conn
@@ -176,10 +176,10 @@
 		return
 	}
 	frame := protocol.ReplicationFrame{Group: groupOf(p.number), From: p.store.member, To: to, Body: m.Append(nil)}
-	_ = conn.Notify(protocol.KindReplication, frame.Append(nil)) // a broken connection begins anew
+	_ = conn.Notify(protocol.KindReplication, frame.Append(nil)) // a broken connection is dialed again
 }
 
-// receiveReplication takes a frame of another store. A group that is not known yet is opened: its primary may be ahead of the table.
+// receiveReplication handles a frame of another store. A join for an unknown group opens it: its primary may have a newer table.
 func (s *store) receiveReplication(c *rpc.Conn, body []byte) {
 	var frame protocol.ReplicationFrame
 	if err := frame.Decode(body); err != nil || frame.To != s.member || frame.Group < groupBase {
@@ -206,7 +206,7 @@
 	p.replica.Receive(frame.From, message)
 }
 
-// requestLease asks a peer for its promise.
+// requestLease requests a lease from a peer.
 func (s *store) requestLease(now time.Duration, peer *peer) {
 	if peer.conn == nil || peer.leasePending {
 		return
@@ -232,7 +232,7 @@
 		return
 	}
 	peer.lastAnswer = s.now()
-	if !reply.Granted { // one of the two has not seen the other's partition table yet
+	if !reply.Granted { // one of the two has not received the other's partition table yet
 		if peer.needed {
 			time.AfterFunc(leaseRetryDelay, func() { s.loop.post(func() { s.requestLease(s.now(), peer) }) })
 		}
@@ -241,7 +241,7 @@
 	peer.leaseUntil = max(peer.leaseUntil, asked+leaseDuration)
 }
 
-// renewLeases asks all peers whose promise was not asked for lately.
+// renewLeases requests leases from all needed peers whose last request is at least leaseInterval old.
 func (s *store) renewLeases(now time.Duration) {
 	for _, peer := range s.peers {
 		if peer.needed && now-peer.lastLeaseRequest >= leaseInterval {
@@ -250,7 +250,7 @@
 	}
 }
 
-// unreachable returns the stores that this one shares partitions with as their primary and that have not answered for long, in order.
+// unreachable returns the members or learners of this store's partitions that have not answered for unreachableAfter, in order.
 func (s *store) unreachable(now time.Duration) []string {
 	var members []string
 	for _, peer := range s.peers {
@@ -262,7 +262,7 @@
 	return members
 }
 
-// grantLease answers another store's request.
+// grantLease answers a lease request of another store.
 func (s *store) grantLease(body []byte, reply func([]byte, error)) {
 	var request leaseRequest
 	if err := request.decode(body); err != nil {
@@ -279,7 +279,7 @@
 	reply(answer.Append(nil), nil)
 }
 
-// releaseLeases gives back what was granted to this store, for a planned end.
+// releaseLeases releases the leases that were granted to this store, for a planned shutdown.
 func (s *store) releaseLeases(ctx context.Context) {
 	for _, peer := range s.peers {
 		peer.leaseUntil = 0
--- a/internal/roles/store/report.go
+++ b/internal/roles/store/report.go
@@ -6,7 +6,7 @@
 	"liftgauge/internal/protocol"
 )
 
-// report is what the heartbeats say. The loop writes it, the agent's goroutine reads it.
+// report holds what this store adds to heartbeats. The loop writes it, the agent's goroutine reads it.
 type report struct {
 	mu            sync.Mutex
 	offers        []protocol.PromotionOffer
@@ -16,7 +16,7 @@
 	diskStalled   bool
 }
 
-// writeReport sums up the state for the next heartbeats.
+// writeReport updates the report for the next heartbeats.
 func (s *store) writeReport() {
 	var offers []protocol.PromotionOffer
 	primary := uint32(0)
@@ -35,7 +35,7 @@
 	s.report.unreachable, s.report.diskStalled = s.unreachable(s.now()), s.diskStalled
 }
 
-// fill completes a heartbeat.
+// fill copies the report into a heartbeat.
 func (r *report) fill(h *protocol.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/roles/store/result.go
+++ b/internal/roles/store/result.go
@@ -12,10 +12,10 @@
 	"liftgauge/replication"
 )
 
-// writeRetry is the pause before a write that the own disk refused is tried again.
+// writeRetry is the pause before a write that the local disk failed is attempted again.
 const writeRetry = 200 * time.Millisecond
 
-// ending is the end of a message that is being written, and all who wait for it.
+// ending is the final state of a message that is being written, with the calls that wait for the write.
 type ending struct {
 	state   messageState
 	replies []replyFunc
@@ -34,7 +34,7 @@
 	return rpc.Errorf(protocol.CodeNotPrimary, "not the primary of partition %d", partition)
 }
 
-// receiveResult takes in the outcome of a delivery, and answers once it is durable.
+// receiveResult handles the outcome of a delivery and replies once it is durable.
 func (s *store) receiveResult(body []byte, reply replyFunc) {
 	var m protocol.Result
 	if err := m.Decode(body); err != nil {
@@ -54,7 +54,7 @@
 	t := s.queue.Outcome(s.now(), m.Partition, m.ID, m.Attempt, outcome, m.RetryAfter)
 	switch t.Action {
 	case queue.Ignore, queue.Unknown:
-		reply(nil, nil) // nothing to write: counted before, ended, or it goes out again
+		reply(nil, nil) // nothing to write: counted before, ended, or delivered again
 	case queue.AlreadyEnding:
 		s.joinEnding(p, m.ID, reply)
 	case queue.Record:
@@ -64,7 +64,7 @@
 	}
 }
 
-// joinEnding answers once the end of a message is durable. The message may have ended within this batch of events.
+// joinEnding replies once the end of a message is durable. If the message has ended within this batch of events, its write is started first.
 func (s *store) joinEnding(p *partition, id string, reply replyFunc) {
 	if p.endings[id] == nil {
 		s.writeEnds(s.now())
@@ -77,8 +77,8 @@
 	e.replies = append(e.replies, reply)
 }
 
-// writeAttempts records the number of failed attempts, and which hand-out the last of them was: its dispatcher may not hear the answer, and
-// report it to the next primary again.
+// writeAttempts records the number of failed attempts and the number of the last one: its dispatcher may not receive the reply, and report
+// it again to the next primary.
 func (p *partition) writeAttempts(t queue.Transition, attempt uint32, reply replyFunc) {
 	state, found, err := p.state(t.ID)
 	if err != nil || !found {
@@ -103,11 +103,11 @@
 	}
 }
 
-// end writes the end of a message. reply may be nil.
+// end writes the final state of a message. reply may be nil.
 func (p *partition) end(t queue.Transition, signature string, reply replyFunc) {
 	state, found, err := p.state(t.ID)
 	if err != nil || !found {
-		p.store.logger.Error("a message ends whose state cannot be read", zap.String("id", t.ID), zap.Error(err))
+		p.store.logger.Error("the state of an ending message cannot be read", zap.String("id", t.ID), zap.Error(err))
 	}
 	state.State, state.Signature = protocol.StateDeadLetter, ""
 	if t.State == queue.Done {
@@ -123,7 +123,8 @@
 	p.writeEnd(t.ID, e)
 }
 
-// writeEnd writes until it is durable or this store is not the primary any more. The body of a dead letter can still be asked for.
+// writeEnd writes the final state, and retries until it is durable or this store is no longer primary. The body of a dead letter is kept,
+// since lookups may request it.
 func (p *partition) writeEnd(id string, e *ending) {
 	records := []replication.Record{{Key: stateKey(id), Value: e.state.append(nil)}}
 	if e.state.State == protocol.StateSucceeded {
@@ -154,7 +155,7 @@
 	})
 }
 
-// refuseEndings answers those who wait for an end that a new primary has to decide.
+// refuseEndings replies "not primary" to the calls that wait for an end, which the new primary has to decide.
 func (p *partition) refuseEndings() {
 	for _, e := range p.endings {
 		for _, reply := range e.replies {
--- a/internal/roles/store/run.go
+++ b/internal/roles/store/run.go
@@ -24,7 +24,7 @@
 // diskShare is the part of the machine's disk that the records may use.
 const diskShare = 0.9
 
-// options are what a store runs with.
+// options are the parameters of run.
 type options struct {
 	settings      *nodeconfig.Settings
 	logger        *zap.Logger
@@ -34,12 +34,12 @@
 	afterStep     func()         // called on the loop after each step, for tests
 }
 
-// Run runs the store role until the context ends, and then hands over and returns.
+// Run runs the store role until the context is cancelled, then hands its partitions over and returns.
 func Run(ctx context.Context, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	return RunIn(ctx, roles.Environment{}, settings, logger)
 }
 
-// RunIn is Run in an environment.
+// RunIn is Run with the given disk and network.
 func RunIn(ctx context.Context, e roles.Environment, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	return run(ctx, options{settings: settings, logger: logger, environment: e})
 }
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// open opens the disk and starts the agent.
+// open opens the record log and starts the agent.
 func open(o options) (*store, error) {
 	if o.settings.DataDir == "" {
 		return nil, errors.New("a store needs a disk: set DataDir in the settings file, or run this role on storage machines only")
@@ -73,7 +73,7 @@
 		DiskBytes: int64(diskShare * float64(o.settings.Limits.DiskMb) * (1 << 20)),
 		Disk:      o.environment.Disk,
 		Logger:    o.logger,
-		OnError:   func(err error) { o.logger.Warn("the disk refused a write", zap.Error(err)) },
+		OnError:   func(err error) { o.logger.Warn("disk write failed", zap.Error(err)) },
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "open the records; check the disk under DataDir")
@@ -106,14 +106,14 @@
 	return s, nil
 }
 
-// watchSettings follows the settings file.
+// watchSettings applies changes of the settings file, also on SIGHUP.
 func (s *store) watchSettings(ctx context.Context) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
 	nodeconfig.Watch(ctx, s.settings.File, s.settings, hangup, func(settings *nodeconfig.Settings, err error) {
 		if err != nil {
-			s.logger.Warn("the new settings are not valid; the ones before go on", zap.Error(err))
+			s.logger.Warn("the new settings are not valid; the previous ones stay in use", zap.Error(err))
 			return
 		}
 		s.loop.post(func() {
@@ -123,7 +123,7 @@
 	})
 }
 
-// runLoop runs the event loop until a planned end is over.
+// runLoop runs the event loop until a planned shutdown is finished.
 func (s *store) runLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/roles/store/session.go
+++ b/internal/roles/store/session.go
@@ -10,22 +10,22 @@
 	"liftgauge/queue"
 )
 
-// session is one process of a dispatcher.
+// session is the state of one dispatcher process.
 type session struct {
-	name         string // in the queue
-	key          string // of the node
+	name         string // the dispatcher's name in the queue
+	key          string // key of the node
 	incarnation  uint64
 	conn         *rpc.Conn // nil while it is not connected
 	tableVersion protocol.ItemVersion
-	held         []queue.HeldDelivery // by the last Hello
-	listed       bool                 // the node table has shown this incarnation
+	held         []queue.HeldDelivery // according to the last Hello
+	listed       bool                 // the node table has contained this incarnation
 }
 
 func sessionName(key string, incarnation uint64) string {
 	return key + "#" + strconv.FormatUint(incarnation, 16)
 }
 
-// receiveHello opens or renews the flow of deliveries on a connection.
+// receiveHello starts or renews deliveries on a connection.
 func (s *store) receiveHello(c *rpc.Conn, body []byte) {
 	var m protocol.Hello
 	if err := m.Decode(body); err != nil {
@@ -57,7 +57,7 @@
 	s.queue.SetSlots(name, slotsByService(m.Windows))
 }
 
-// attachConnection begins a new connection of a dispatcher: what was sent on the one before and is not held never arrived.
+// attachConnection sets the connection of a dispatcher. Deliveries that were sent on the previous one and are not held never arrived.
 func (s *store) attachConnection(c *rpc.Conn, sess *session, zone string) {
 	now := s.now()
 	if old := sess.conn; old != nil {
@@ -78,7 +78,7 @@
 	return list
 }
 
-// requeueUnlisted compares what a dispatcher said by the present epoch of a partition with what was handed out to it.
+// requeueUnlisted requeues the deliveries of a partition that the dispatcher does not hold, if its Hello was based on the present epoch.
 func (s *store) requeueUnlisted(now time.Duration, sess *session, p *partition) {
 	if p.leading && p.view.Primary == s.member && !sess.tableVersion.Less(p.tableVersion) {
 		s.queue.RequeueUnlisted(now, sess.name, p.number, p.view.Epoch, sess.held)
@@ -103,10 +103,10 @@
 	}
 }
 
-// handleClose is told of each connection that ended, on any goroutine.
+// handleClose is called for each closed connection, on any goroutine.
 func (s *store) handleClose(c *rpc.Conn, _ error) { s.loop.post(func() { s.connectionClosed(c) }) }
 
-// connectionClosed takes note of a lost dispatcher.
+// connectionClosed handles the lost connection of a dispatcher.
 func (s *store) connectionClosed(c *rpc.Conn) {
 	sess, ok := c.Tag().(*session)
 	if !ok || sess.conn != c {
@@ -116,13 +116,14 @@
 	s.queue.DispatcherDisconnected(s.now(), sess.name, s.processReplaced(sess, s.view))
 }
 
-// processReplaced reports whether the process of a session is known to have ended: the node table shows a later process of the same node.
+// processReplaced reports whether the process of a session is known to have ended: the node table contains a later process of the same node.
 func (s *store) processReplaced(sess *session, view *agent.View) bool {
 	node, found := view.NodeByKey(sess.key)
 	return found && sess.listed && node.Incarnation != sess.incarnation
 }
 
-// reconcileSessions compares the sessions with the node table.
+// reconcileSessions compares the sessions with the node table: it returns the deliveries of replaced processes to the queue and removes
+// disconnected sessions that the table does not contain.
 func (s *store) reconcileSessions(now time.Duration, view *agent.View) {
 	for name, sess := range s.sessions {
 		node, found := view.NodeByKey(sess.key)
@@ -140,7 +141,7 @@
 	}
 }
 
-// allHellosReceived reports whether every live dispatcher has said what it holds by a partition table as new as version.
+// allHellosReceived reports whether every live dispatcher has sent a Hello that is based on a partition table at least as new as version.
 func (s *store) allHellosReceived(version protocol.ItemVersion) bool {
 	for node := range s.view.Each(protocol.RoleDispatcher) {
 		sess := s.sessions[sessionName(node.Key, node.Incarnation)]
@@ -151,7 +152,7 @@
 	return true
 }
 
-// markHeld tells the queue what dispatchers have said that they hold of a partition.
+// markHeld marks the deliveries of a partition as held that dispatchers listed in their last Hello.
 func (s *store) markHeld(now time.Duration, partition uint32) {
 	for _, sess := range s.sessions {
 		for _, h := range sess.held {
--- a/internal/roles/store/shutdown.go
+++ b/internal/roles/store/shutdown.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// handoverTimeout is how long a store that ends waits for control to make others primary.
+	// handoverTimeout is how long a store that shuts down waits for control to make other stores primary.
 	handoverTimeout = 3 * time.Second
-	// leaveTimeout bounds the last words to control and to other stores, and how long this store still takes writes of others after that.
+	// leaveTimeout limits the final calls to control and to other stores, and how long this store accepts replicated writes after that.
 	leaveTimeout = 500 * time.Millisecond
 )
 
-// shutdown is the state of a planned end.
+// shutdown is the state of a planned shutdown.
 type shutdown struct {
 	started      bool
-	deadline     time.Duration // no longer than that for the phase that lasts
-	leaving      bool          // this store leads nothing any more, and its session is being ended
-	sessionEnded bool          // the session has ended; others still need to learn not to wait for this store
+	deadline     time.Duration // the present phase ends at this time at the latest
+	leaving      bool          // this store leads no partition any more, and its session is being ended
+	sessionEnded bool          // the session has ended; the other stores still have to receive views without this store
 	finished     bool
-	done         chan struct{} // closed when the loop may end
+	done         chan struct{} // closed when the loop may return
 }
 
-// beginShutdown announces the end: control makes other stores primary of what this one leads.
+// beginShutdown announces the shutdown: control makes other stores primary of the partitions that this one leads.
 func (s *store) beginShutdown() {
 	now := s.now()
 	wait := min(handoverTimeout, max(0, s.settings.Bounds.Grace()-2*leaveTimeout))
 	s.shutdown.started, s.shutdown.deadline = true, now+wait
-	s.logger.Info("ending: partitions are handed over")
+	s.logger.Info("shutting down: handing partitions over")
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
-		_ = s.agent.Leave(ctx, false) // without control the time decides
+		_ = s.agent.Leave(ctx, false) // without control the deadline ends this phase
 		s.loop.post(func() { s.advanceShutdown(s.now()) })
 	}()
 }
 
-// advanceShutdown goes on with a planned end as far as it can.
+// advanceShutdown moves a planned shutdown to its next phase if the present one is complete or has reached its deadline.
 func (s *store) advanceShutdown(now time.Duration) {
 	switch {
 	case !s.shutdown.started || s.shutdown.finished:
@@ -50,7 +50,7 @@
 	}
 }
 
-// leaveCluster stops what this store still leads, gives back its leases and ends its session.
+// leaveCluster stops leading the remaining partitions, releases the leases of this store and ends its session.
 func (s *store) leaveCluster() {
 	s.shutdown.leaving = true
 	for _, p := range s.sortedPartitions() {
@@ -63,7 +63,7 @@
 	s.releaseLeases(ctx)
 	go func() {
 		defer cancel()
-		_ = s.agent.Leave(ctx, true) // otherwise the session expires by itself
+		_ = s.agent.Leave(ctx, true) // if this fails, the session expires
 		s.loop.post(func() {
 			s.shutdown.sessionEnded, s.shutdown.deadline = true, s.now()+leaveTimeout
 			s.advanceShutdown(s.now())
@@ -71,7 +71,7 @@
 	}()
 }
 
-// inAnyView reports whether the partition table still names this store as a member or learner of anything.
+// inAnyView reports whether this store is still a member or learner in the view of any of its partitions.
 func (s *store) inAnyView() bool {
 	for _, p := range s.partitions {
 		if p.replica.View().Includes(s.member) {
--- a/internal/roles/store/state.go
+++ b/internal/roles/store/state.go
@@ -20,24 +20,25 @@
 // messageState is the value of a message's state record.
 type messageState struct {
 	State             protocol.MessageState
-	Sequence          uint64 // epoch of the accept << sequenceBits | number
+	Sequence          uint64 // epoch of the accept << sequenceBits | counter
 	AcceptedAt        int64  // times are cluster time, nanoseconds since 1970
 	DueAt             int64
 	ExpiresAt         int64
 	EndedAt           int64
-	Attempts          uint64 // that failed
+	Attempts          uint64 // failed ones only
 	Configuration     protocol.ItemVersion
 	Host              string
 	URI               string
 	Key               string
 	Signature         string
-	CountedDeliveries []uint32 // the hand-outs whose failure is in Attempts, the last mostCounted of them
+	CountedDeliveries []uint32 // attempt numbers of the last maxCountedDeliveries deliveries counted in Attempts
 }
 
-// maxCountedDeliveries bounds Counted. A dispatcher repeats the outcome of a hand-out only until it is answered, so the last ones are enough.
+// maxCountedDeliveries limits CountedDeliveries. A dispatcher repeats the outcome of a delivery only until it is answered, so the
+// most recent ones suffice.
 const maxCountedDeliveries = 8
 
-// countFailure notes a failed hand-out.
+// countFailure adds a failed delivery to CountedDeliveries.
 func (s *messageState) countFailure(attempt uint32) {
 	s.CountedDeliveries = append(s.CountedDeliveries, attempt)
 	s.CountedDeliveries = s.CountedDeliveries[max(0, len(s.CountedDeliveries)-maxCountedDeliveries):]
@@ -46,10 +47,10 @@
 func bodyKey(id string) string  { return bodyPrefix + id }
 func stateKey(id string) string { return statePrefix + id }
 
-// stateID returns the id of the message that a record is the state of.
+// stateID returns the message id from the key of a state record; false for other records.
 func stateID(key string) (string, bool) { return strings.CutPrefix(key, statePrefix) }
 
-// append appends the encoded state to b. Fields may be added at the end.
+// append appends the encoded state to b. Later versions may add fields at the end.
 func (s *messageState) append(b []byte) []byte {
 	b = append(b, stateFormat, byte(s.State))
 	for _, number := range []uint64{
@@ -69,7 +70,7 @@
 	return b
 }
 
-// decode decodes a state; bytes behind the last known field are ignored.
+// decode decodes a state; bytes after the last known field are ignored.
 func (s *messageState) decode(b []byte) error {
 	if len(b) < 2 || b[0] != stateFormat {
 		return errState
@@ -97,7 +98,7 @@
 	return s.decodeCounted(b)
 }
 
-// decodeCounted decodes the last field, before which records of earlier versions end.
+// decodeCounted decodes CountedDeliveries, which records of earlier versions do not have.
 func (s *messageState) decodeCounted(b []byte) error {
 	if len(b) == 0 {
 		return nil
--- a/internal/roles/store/state_test.go
+++ b/internal/roles/store/state_test.go
@@ -25,17 +25,17 @@
 		encoded := state.append(nil)
 		var got messageState
 		if err := got.decode(append(encoded, 7)); err != nil || !reflect.DeepEqual(got, state) {
-			t.Fatalf("%+v became %+v (%v)", state, got, err)
+			t.Fatalf("%+v decoded as %+v (%v)", state, got, err)
 		}
 		earlier := state
 		earlier.CountedDeliveries = nil
-		whole := len(earlier.append(nil)) - 1 // a record of a version that did not know Counted: valid, without it
+		whole := len(earlier.append(nil)) - 1 // a record of a version without CountedDeliveries: valid, without them
 		if err := got.decode(encoded[:whole]); err != nil || !reflect.DeepEqual(got, earlier) {
-			t.Fatalf("the earlier form of %+v became %+v (%v)", state, got, err)
+			t.Fatalf("the earlier form of %+v decoded as %+v (%v)", state, got, err)
 		}
 		cut := rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")
 		if cut != whole && new(messageState).decode(encoded[:cut]) == nil {
-			t.Fatalf("a record cut at %d of %d is taken", cut, len(encoded))
+			t.Fatalf("a record truncated to %d of %d bytes was decoded without an error", cut, len(encoded))
 		}
 	})
 }
@@ -47,7 +47,7 @@
 		state.countFailure(attempt)
 	}
 	is.Equal(len(state.CountedDeliveries), maxCountedDeliveries)
-	is.Equal(state.CountedDeliveries[maxCountedDeliveries-1], uint32(maxCountedDeliveries+2)) // the last ones are kept
+	is.Equal(state.CountedDeliveries[maxCountedDeliveries-1], uint32(maxCountedDeliveries+2)) // the most recent ones are kept
 }
 
 func FuzzStateRecord(f *testing.F) {
--- a/internal/roles/store/store.go
+++ b/internal/roles/store/store.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// tickInterval is the pace of leases and of the care for what hangs.
+	// tickInterval is the interval at which leases are renewed and stalled operations are checked.
 	tickInterval   = leaseInterval
-	pauseThreshold = 2 * tickInterval // a longer gap between steps means that this process stood still
+	pauseThreshold = 2 * tickInterval // a longer gap between steps means that this process was paused
 	dialTimeout    = time.Second
 )
 
-var errNoBody = errors.New("store: a queued message has no body record; it is waited for until its retention is over")
+var errNoBody = errors.New("store: a queued message has no body record; delivery is retried until its retention expires")
 
-// store is the state of the role. Apart from what is said to be safe for others, it belongs to the event loop.
+// store is the state of the role. Only the event loop may use it, except for parts that are documented as safe for other goroutines.
 type store struct {
 	settings *nodeconfig.Settings
 	logger   *zap.Logger
@@ -36,7 +36,7 @@
 	member   string
 
 	view                 *agent.View
-	tableVersion         protocol.ItemVersion // of the partition table that is installed
+	tableVersion         protocol.ItemVersion // of the installed partition table
 	configuration        *configuration.Configuration
 	configurationVersion protocol.ItemVersion
 	windowsStale         bool
@@ -49,7 +49,7 @@
 	grants       *grants
 	bodies       *bodyCache
 	pendingBytes int
-	diskStalled  bool // the disk does not finish what it was given
+	diskStalled  bool // the disk does not complete writes, or refuses them
 	nextWake     time.Duration
 	nextTick     time.Duration
 	lastStep     time.Duration
@@ -64,15 +64,15 @@
 
 func (s *store) clusterNow() int64 { return s.agent.ClusterTime().UnixNano() }
 
-// wakeAt has the loop run again at a time.
+// wakeAt makes the loop run again at the given time or earlier.
 func (s *store) wakeAt(at time.Duration) { s.nextWake = min(s.nextWake, at) }
 
-// handle takes a frame on the read goroutine of a connection and posts it.
+// handle is called on the read goroutine of a connection and posts the frame to the loop.
 func (s *store) handle(c *rpc.Conn, kind rpc.Kind, body []byte, reply func([]byte, error)) {
 	s.loop.post(func() { s.receive(c, kind, body, reply) })
 }
 
-// receive takes a frame on the loop.
+// receive handles a frame on the loop.
 func (s *store) receive(c *rpc.Conn, kind rpc.Kind, body []byte, reply replyFunc) {
 	switch kind {
 	case protocol.KindReplication:
@@ -102,13 +102,13 @@
 	}
 }
 
-// viewChanged takes a newer state of what everybody knows.
+// viewChanged applies a newer version of the shared cluster state.
 func (s *store) viewChanged(view *agent.View) {
 	nodes := s.view.NodesVersion != view.NodesVersion
 	workers := s.view.WorkersVersion != view.WorkersVersion
 	s.view = view
 	if err := s.applyConfiguration(view); err != nil {
-		s.logger.Error("the configuration cannot be read; the one before goes on", zap.Error(err))
+		s.logger.Error("the configuration cannot be read; the previous one stays in use", zap.Error(err))
 	}
 	s.applyPartitionTable(view)
 	if nodes {
@@ -118,7 +118,7 @@
 	s.windowsStale = s.windowsStale || nodes || workers
 }
 
-// step does what is due after a batch of events, and returns when to run again at the latest.
+// step does the work that is due after a batch of events and returns the latest time at which it must run again.
 func (s *store) step() time.Duration {
 	now := s.now()
 	s.nextWake = queue.Never
@@ -137,7 +137,7 @@
 	return min(s.nextWake, s.queue.NextWake(), s.nextTick)
 }
 
-// writeEnds begins to write the ends of messages that have ended by their retention or by the configuration.
+// writeEnds starts writing the final states of messages that ended because of their retention or a configuration change.
 func (s *store) writeEnds(now time.Duration) {
 	for _, t := range s.queue.Advance(now) {
 		if p := s.partitions[t.Partition]; p != nil && p.leading {
@@ -146,7 +146,7 @@
 	}
 }
 
-// detectPause takes a time in which this process stood still off the patience with others.
+// detectPause detects that this process was paused and does not count the pause against the time-outs of the disk and of peers.
 func (s *store) detectPause(now time.Duration) {
 	if gap := now - s.lastStep; s.lastStep > 0 && gap > pauseThreshold {
 		s.storage.excludePause(gap)
@@ -157,16 +157,16 @@
 	s.lastStep = now
 }
 
-// checkDisk stops hand-outs and accepts while the disk finishes nothing.
+// checkDisk stops deliveries and accepts while the disk completes no writes.
 func (s *store) checkDisk(now time.Duration) {
 	stalled := s.storage.stalled(now)
 	if stalled != s.diskStalled {
-		s.logger.Warn("the disk stalls, or goes on after it; nothing is handed out or accepted meanwhile", zap.Bool("stalled", stalled))
+		s.logger.Warn("disk stall state changed; while stalled, the store delivers and accepts no messages", zap.Bool("stalled", stalled))
 	}
 	s.diskStalled = stalled
 }
 
-// tick renews leases and looks after what hangs.
+// tick renews leases, drives the replicas and retries what is still incomplete.
 func (s *store) tick(now time.Duration) {
 	s.nextTick = now + tickInterval
 	s.renewLeases(now)
--- a/internal/roles/store/table.go
+++ b/internal/roles/store/table.go
@@ -11,7 +11,7 @@
 	"liftgauge/replication"
 )
 
-// applyPartitionTable installs the views of a newer partition table.
+// applyPartitionTable installs the views of a newer partition table and notifies the stores that depend on it.
 func (s *store) applyPartitionTable(view *agent.View) {
 	version := view.PartitionsVersion
 	if !s.tableVersion.Less(version) {
@@ -37,11 +37,12 @@
 	s.notifyPrimaries(view, changed)
 	s.syncPeers()
 	for member := range successors {
-		s.requestLease(s.now(), s.peer(member)) // tells it that this store acts by the new table
+		s.requestLease(s.now(), s.peer(member)) // shows the new primary that this store uses the new table
 	}
 }
 
-// shouldNotifyPrimary tells whether another store is the primary of a view that is news to this one, which is in it or holds the partition.
+// shouldNotifyPrimary reports whether another store is the primary of a view that is new to this store and that includes this store
+// or a partition that it holds.
 func (s *store) shouldNotifyPrimary(v *protocol.PartitionView, held *partition) bool {
 	if v.Primary == s.member {
 		return false
@@ -52,8 +53,8 @@
 	return v.Epoch > held.view.Epoch
 }
 
-// notifyPrimaries has the primaries of changed partitions hear of the table: a primary that does not know its view yet waits for members that have left
-// it, and takes nothing over.
+// notifyPrimaries notifies the primaries of changed partitions of the table: a primary that has not received its view yet waits for members that
+// were removed from it, and does not take over.
 func (s *store) notifyPrimaries(view *agent.View, members map[string]bool) {
 	var addresses []string
 	for member := range members {
@@ -66,7 +67,7 @@
 	}
 }
 
-// installView installs the view of one partition if it is newer than what is known.
+// installView installs the view of one partition if it is newer than the installed one.
 func (s *store) installView(v *protocol.PartitionView, version protocol.ItemVersion) {
 	p := s.partitions[v.Partition]
 	included := v.Includes(s.member)
@@ -98,9 +99,9 @@
 	}
 }
 
-// fenceEarlierPrimary makes sure that whoever was primary before does not act any more when this store does: it gets no lease before it
-// knows the new table, and this store waits until the last one is over, or until the one before is known to know that table. Members of the
-// new view have joined it before it is active.
+// fenceEarlierPrimary makes sure that the previous primary no longer acts when this store does: this store grants it no lease until it uses
+// the new table, and waits until its last lease has expired or it has shown that it uses that table. Members of the new view need no such
+// wait, since they have joined the view before it becomes active.
 func (s *store) fenceEarlierPrimary(p *partition, next *protocol.PartitionView, version protocol.ItemVersion) {
 	previous := p.view.Primary
 	known := p.view.Epoch+1 == next.Epoch && p.view.Epoch > 0
@@ -119,13 +120,13 @@
 	}
 }
 
-// isLive reports whether a member has a session, as far as this store knows.
+// isLive reports whether the node table shows a session of a member.
 func (s *store) isLive(member string) bool {
 	_, found := s.view.NodeByMember(member)
 	return found && member != ""
 }
 
-// tableOutdated reports whether some partition has joined an epoch that the partition table does not show yet.
+// tableOutdated reports whether a replica has joined an epoch that the installed partition table does not contain yet.
 func (s *store) tableOutdated() bool {
 	for _, p := range s.partitions {
 		if p.replica.JoinedEpoch() > p.view.Epoch {
@@ -135,7 +136,7 @@
 	return false
 }
 
-// dropPartition removes a partition that this store is no longer part of.
+// dropPartition deletes a partition that this store is no longer a member or learner of.
 func (s *store) dropPartition(p *partition) {
 	if p.dropping {
 		return
@@ -144,7 +145,7 @@
 	p.replica.Drop(func(err error) {
 		p.dropping = false
 		if err != nil {
-			return // it became a member again, or the disk refused: the next table or tick decides
+			return // it became a member again, or the disk failed: the next table or tick decides
 		}
 		if s.partitions[p.number] == p {
 			delete(s.partitions, p.number)
@@ -152,7 +153,7 @@
 	})
 }
 
-// retryDrops drops what could not be dropped before.
+// retryDrops tries again to drop partitions whose drop has failed.
 func (s *store) retryDrops() {
 	for _, p := range s.partitions {
 		if p.view.Epoch > 0 && p.replica.View().Epoch == p.view.Epoch && !p.view.Includes(s.member) {
@@ -161,7 +162,8 @@
 	}
 }
 
-// openRecordedPartitions opens the partitions that the disk has records of, so that they are dropped if the table does not name this store.
+// openRecordedPartitions opens the partitions that have records on the disk, so that they are dropped if the partition table does not
+// include this store.
 func (s *store) openRecordedPartitions() error {
 	for _, group := range s.log.Groups() {
 		if group < groupBase {
@@ -174,7 +176,7 @@
 	return nil
 }
 
-// leadsAny reports whether the partition table names this store primary of anything.
+// leadsAny reports whether the partition table has this store as primary of any partition.
 func (s *store) leadsAny() bool {
 	for _, p := range s.partitions {
 		if p.view.Primary == s.member {
@@ -184,7 +186,7 @@
 	return false
 }
 
-// sortedPartitions returns the partitions in order of their numbers.
+// sortedPartitions returns the partitions in order of number.
 func (s *store) sortedPartitions() []*partition {
 	all := make([]*partition, 0, len(s.partitions))
 	for _, number := range slices.Sorted(maps.Keys(s.partitions)) {
--- a/internal/roles/store/trouble_test.go
+++ b/internal/roles/store/trouble_test.go
@@ -12,7 +12,7 @@
 	"liftgauge/replication"
 )
 
-// heldStorage keeps the done functions of what it is given.
+// heldStorage keeps the done functions of writes for the test to call.
 type heldStorage struct {
 	replication.Storage
 	done []func(error)
@@ -26,7 +26,7 @@
 	is := is.New(t)
 	held, now := &heldStorage{}, time.Minute
 	disk := newWatchedStorage(held, func() time.Duration { return now })
-	is.True(!disk.stalled(now + time.Hour)) // nothing is to be done
+	is.True(!disk.stalled(now + time.Hour)) // nothing is pending
 	disk.Append(1, nil, nil)
 	disk.Append(1, nil, nil)
 	is.True(!disk.stalled(now + stallTimeout))
@@ -35,7 +35,7 @@
 	now += stallTimeout
 	held.done[0](nil) // a slow disk is not a stalled one
 	is.True(!disk.stalled(now + stallTimeout))
-	disk.excludePause(time.Hour) // nor is one of a process that stood still
+	disk.excludePause(time.Hour) // nor is the disk of a process that was paused
 	is.True(!disk.stalled(now + time.Hour))
 	is.True(disk.stalled(now + time.Hour + stallTimeout + 1))
 	held.done[1](nil)
@@ -49,7 +49,7 @@
 	disk.Append(1, nil, nil)
 	held.done[0](errors.New("no space left on device"))
 	is.True(disk.stalled(now))
-	is.True(!disk.stalled(now + refusalExpiry)) // nobody has tried since
+	is.True(!disk.stalled(now + refusalExpiry)) // no write was attempted since
 	disk.Append(1, nil, nil)
 	is.True(disk.stalled(now))
 	held.done[1](nil)
@@ -65,11 +65,11 @@
 	defer thaw()
 	reportedBySecond := -1
 	c.control.await(func() bool {
-		stuck := c.control.heartbeats[first.node().Key].UnreachablePeers
+		unreachable := c.control.heartbeats[first.node().Key].UnreachablePeers
 		reportedBySecond = len(c.control.heartbeats[second.node().Key].UnreachablePeers)
-		return len(stuck) == 1 && stuck[0] == second.member()
+		return len(unreachable) == 1 && unreachable[0] == second.member()
 	})
-	is.Equal(reportedBySecond, 0) // it leads nothing
+	is.Equal(reportedBySecond, 0) // it is not primary of any partition
 	c.view(0, 2)
 	c.control.await(func() bool { return len(c.control.heartbeats[first.node().Key].UnreachablePeers) == 0 })
 	thaw()
@@ -105,8 +105,8 @@
 	})
 	is.Equal(accept("m1").RetryAfter, time.Duration(0))
 	m1 := d.next()
-	is.Equal(accept("m2").RetryAfter, backlogRetryAfter) // one is out, one waits
+	is.Equal(accept("m2").RetryAfter, backlogRetryAfter) // one is in flight, one waits
 	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded))
 	d.next()
-	is.Equal(accept("m2").RetryAfter, time.Duration(0)) // it is known
+	is.Equal(accept("m2").RetryAfter, time.Duration(0)) // it has been stored before
 }
--- a/internal/roles/store/windows.go
+++ b/internal/roles/store/windows.go
@@ -13,22 +13,22 @@
 
 const (
 	minWindow = 4
-	// overcommit is how many times the capacity of a service may be out, so that no worker waits for a store.
+	// overcommit is the ratio of deliveries in flight to the capacity of a service, so that no worker waits for a store.
 	overcommit = 1.5
-	// ownerWindow is what may be out at each dispatcher that a service is placed on.
+	// ownerWindow is the limit of deliveries in flight to each dispatcher that a service is placed on.
 	ownerWindow    = 16
 	minOwnerWindow = 2
-	// pacedAhead is how much of a rate-limited service's work may wait at the dispatchers that pace it.
+	// pacedAhead is how much work of a rate-limited service, in time at its rate, may wait at the dispatchers that pace it.
 	pacedAhead = 400 * time.Millisecond
 )
 
-// fleet is what windows depend on.
+// fleet is the part of the cluster state that windows depend on.
 type fleet struct {
 	stores      int
-	dispatchers int // that take part
+	dispatchers int // that are not leaving
 	ownership   *placement.Ownership
 	sessions    map[string]string
-	sameZone    int // dispatchers of the own zone
+	sameZone    int // dispatchers in the zone of this store
 	capacity    map[string]int
 }
 
@@ -57,7 +57,7 @@
 	return f
 }
 
-// window reckons what this store may have out for a service.
+// window computes the limits of this store's deliveries in flight for a service.
 func (f *fleet) window(service *configuration.Service) queue.Window {
 	owners := placement.OwnerCount(service.RatePerS, service.Static != "")
 	if owners > 0 {
@@ -84,7 +84,7 @@
 	return queue.Window{Total: each * max(1, len(owners)), PerDispatcher: each, Owners: owners}
 }
 
-// updateWindows sets the windows of all services anew.
+// updateWindows recomputes the windows of all services.
 func (s *store) updateWindows() {
 	s.windowsStale = false
 	if s.configuration == nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// matchRoute is the queue's look at the configuration.
+// matchRoute finds the route of a message for the queue.
 func (s *store) matchRoute(host, uri string) (queue.Route, bool) {
 	route, found := s.configuration.Match(host, uri)
 	if !found {
@@ -109,7 +109,7 @@
 	}, true
 }
 
-// applyConfiguration follows a newer configuration.
+// applyConfiguration applies a newer configuration.
 func (s *store) applyConfiguration(view *agent.View) error {
 	if !s.configurationVersion.Less(view.ConfigurationVersion) {
 		return nil
--- a/internal/roles/store/windows_test.go
+++ b/internal/roles/store/windows_test.go
@@ -44,7 +44,7 @@
 	is.Equal(f.window(&configuration.Service{Name: "slow", RatePerS: 39}).Owners, []string{})
 }
 
-// heldDisk calls back when the test says.
+// heldDisk keeps the done functions of writes for the test to call.
 type heldDisk struct {
 	replication.Storage
 	done []func(error)
@@ -59,14 +59,14 @@
 	now := time.Duration(0)
 	disk := &heldDisk{}
 	w := newWatchedStorage(disk, func() time.Duration { return now })
-	is.True(!w.stalled(time.Hour)) // nothing is outstanding
+	is.True(!w.stalled(time.Hour)) // nothing is pending
 	w.Append(1, nil, nil)
 	w.Append(1, nil, nil)
 	is.True(!w.stalled(stallTimeout))
 	is.True(w.stalled(stallTimeout + 1))
 	now = stallTimeout
 	disk.done[0](nil)
-	is.True(!w.stalled(stallTimeout + 1)) // it goes on, if slowly
+	is.True(!w.stalled(stallTimeout + 1)) // it is slow but makes progress
 	is.True(w.stalled(2*stallTimeout + 1))
 	disk.done[1](nil)
 	is.True(!w.stalled(time.Hour))
