--- a/internal/serve/north/conn.go
+++ b/internal/serve/north/conn.go
@@ -118,7 +118,7 @@
 	default:
 		_, err = c.r.Peek(1)
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) && !sock.Quiet(c.Conn) { // it came as the read ended
+	if errors.Is(err, os.ErrDeadlineExceeded) && !sock.Idle(c.Conn) { // it came as the read ended
 		c.SetReadDeadline(time.Now().Add(readLimit))
 		_, err = c.r.Peek(1)
 	}
--- a/internal/serve/north/crossings_test.go
+++ b/internal/serve/north/crossings_test.go
@@ -133,7 +133,7 @@
 		} else { // it is there
 			raw.(*net.TCPConn).SetReadDeadline(time.Time{})
 			sys, _ := raw.(*net.TCPConn).SyscallConn()
-			sys.Read(func(uintptr) bool { return !sock.Quiet(raw) })
+			sys.Read(func(uintptr) bool { return !sock.Idle(raw) })
 		}
 		s.mu.Lock()
 		c.shut()
--- a/internal/serve/north/north.go
+++ b/internal/serve/north/north.go
@@ -186,7 +186,7 @@
 // shutIdle closes the idle connections, under the lock.
 func (s *Server) shutIdle() {
 	for c := range s.conns {
-		if c.idle && !c.closed && sock.Quiet(c.Conn) { // else a request has come
+		if c.idle && !c.closed && sock.Idle(c.Conn) { // else a request has come
 			c.shut()
 		}
 	}
@@ -365,7 +365,7 @@
 	var oldest *conn
 	for c := range s.conns {
 		fresh := c.used == 0 && s.Now()-c.since < time.Second // its request is on the way
-		if c.idle && !c.closed && !fresh && (oldest == nil || c.since < oldest.since) && sock.Quiet(c.Conn) {
+		if c.idle && !c.closed && !fresh && (oldest == nil || c.since < oldest.since) && sock.Idle(c.Conn) {
 			oldest = c
 		}
 	}
--- a/internal/serve/south/pool.go
+++ b/internal/serve/south/pool.go
@@ -84,7 +84,7 @@
 			return p.connect(ctx, to, age)
 		}
 		// Nothing of the request is written yet, so to pass by a broken connection repeats nothing.
-		if p.Now()-c.idle < p.idleFor && sock.Quiet(c.Conn) {
+		if p.Now()-c.idle < p.idleFor && sock.Idle(c.Conn) {
 			c.SetDeadline(time.Time{})
 			c.kept = true
 			return c, nil
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -18,8 +18,8 @@
 const (
 	magic  = "liftgauge control snapshot\n"
 	format = 1
-	// MostBytes bounds a snapshot: a configuration of 15 MB with its partition table and orders is far below it.
-	MostBytes = 256 << 20
+	// MaxBytes bounds a snapshot: a configuration of 15 MB with its partition table and orders is far below it.
+	MaxBytes = 256 << 20
 
 	checksumBytes = 4
 )
@@ -91,13 +91,13 @@
 	return s, nil
 }
 
-// Read reads a file of at most MostBytes.
+// Read reads a file of at most MaxBytes.
 func Read(r io.Reader) (*Snapshot, error) {
-	file, err := io.ReadAll(io.LimitReader(r, MostBytes+1))
+	file, err := io.ReadAll(io.LimitReader(r, MaxBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "reading the snapshot")
 	}
-	if len(file) > MostBytes {
+	if len(file) > MaxBytes {
 		return nil, ErrNotASnapshot
 	}
 	return Decode(file)
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// Quiet reports, without waiting and beside any reader, whether a connection is open and nothing has come on it that
+// Idle reports, without waiting and beside any reader, whether a connection is open and nothing has come on it that
 // is still to be read. A connection that cannot be looked at counts as quiet.
-func Quiet(c net.Conn) bool {
+func Idle(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !Quiet(near) {
+	if !Idle(near) {
 		t.Error("an open connection is not quiet")
 	}
 	if _, err := far.Write([]byte("ab")); err != nil {
@@ -32,14 +32,14 @@
 	if _, err := near.Read(make([]byte, 1)); err != nil { // the bytes have come
 		t.Fatal(err)
 	}
-	if Quiet(near) {
+	if Idle(near) {
 		t.Error("quiet with a byte to read")
 	}
 	far.Close()
 	if _, err := io.Copy(io.Discard, near); err != nil { // the close has come
 		t.Fatal(err)
 	}
-	if Quiet(near) {
+	if Idle(near) {
 		t.Error("quiet though closed by the other side")
 	}
 }
