--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -1,4 +1,4 @@
-// Package instances calls the platform's list of workers, and writes it in the form in which processes tell each other of it.
+// Package instances fetches the platform's list of workers, and converts it to the form that processes exchange.
 package instances
 
 import (
@@ -15,15 +15,15 @@
 )
 
 const (
-	// CallTimeout bounds one call to the platform.
+	// CallTimeout limits one call to the platform.
 	CallTimeout = time.Second
-	// largestPage is how many bytes of one answer are read.
-	largestPage = 8 << 20
-	path        = "/instances"
-	tokenQuery  = "PageToken"
+	// maxPageBytes is the number of bytes that are read of one response.
+	maxPageBytes = 8 << 20
+	path         = "/instances"
+	tokenQuery   = "PageToken"
 )
 
-// Fetch asks the platform at an address, host and port, for the page of a token; an empty token is that of the first page.
+// Fetch requests a page of the list from the platform at address (HOST:PORT); an empty token requests the first page.
 func Fetch(ctx context.Context, client *http.Client, address, token string) (status int, body []byte, err error) {
 	target := url.URL{Scheme: "http", Host: address, Path: path}
 	if token != "" {
@@ -33,18 +33,18 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "CloudApi.Address makes no URL: correct it in the settings")
+		return 0, nil, errors.Wrap(err, "CloudApi.Address does not form a valid URL: correct it in the settings")
 	}
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(response.Body, largestPage))
+	body, err = io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	return response.StatusCode, body, err
 }
 
-// Entries returns the workers of a list. That a worker is slow from its start is not told: dispatchers do not send less to it.
+// Entries returns the workers of a list. It omits that a worker is slow after its start, since dispatchers do not send less to it.
 func Entries(list *workerlist.List) []protocol.Worker {
 	entries := make([]protocol.Worker, 0, len(list.Workers))
 	for i := range list.Workers {
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -14,7 +14,7 @@
 	"liftgauge/workerlist"
 )
 
-func TestFetchNamesThePage(t *testing.T) {
+func TestFetchRequestsThePageOfTheToken(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusTeapot)
@@ -33,13 +33,13 @@
 
 func TestEntriesAreTheWorkersOfTheList(t *testing.T) {
 	is := is.New(t)
-	const began = 7 * time.Second
+	const started = 7 * time.Second
 	reader := workerlist.NewReader(workerlist.Options{})
-	request, _, ok := reader.Next(began)
+	request, _, ok := reader.Next(started)
 	is.True(ok)
 	body := `{"Instances":[{"Id":"a","Backend":"b","Address":"h:1","Zone":"z","Revision":"v","Capacity":3,"State":"draining","ColdRemainingMs":1500},
 		{"Id":"w","Backend":"b","Address":"h:2","Zone":"z","Capacity":6,"State":"ready","ColdRemainingMs":0}],"NextPageToken":null}`
-	complete, changed, err := reader.Answer(began+time.Millisecond, request, http.StatusOK, []byte(body))
+	complete, changed, err := reader.Answer(started+time.Millisecond, request, http.StatusOK, []byte(body))
 	is.NoErr(err)
 	is.True(complete && changed)
 	list := reader.List()
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,6 +1,6 @@
-// Package network is the sockets that a process of the system uses, so that its own model can put other ones in their place.
+// Package network abstracts the sockets that a process of the system uses, so that the simulation of the system can replace them.
 //
-// A nil Network stands for the sockets of the operating system wherever one is taken.
+// Wherever a Network is a parameter or option, nil means the sockets of the operating system.
 package network
 
 import (
@@ -37,7 +37,7 @@
 	return n.Listen(address)
 }
 
-// Client returns a client for calls over n with a limit of their time.
+// Client returns an HTTP client whose calls go over n and have a timeout.
 func Client(n Network, timeout time.Duration) *http.Client {
 	client := &http.Client{Timeout: timeout}
 	if n != nil {
--- a/internal/roles/environment.go
+++ b/internal/roles/environment.go
@@ -1,4 +1,4 @@
-// Package roles holds what the roles of the system have in common beside the agent.
+// Package roles contains what the roles of the system share besides the agent.
 package roles
 
 import (
@@ -6,8 +6,8 @@
 	"liftgauge/internal/recordlog"
 )
 
-// Environment is what a process uses of the machine that it runs on. The zero Environment is the real machine; the project's model of
-// the system puts its own parts in. Time needs no part of it: the model runs in a bubble of testing/synctest.
+// Environment is the network and disk that a process uses. The zero Environment is the real machine; the simulation of the system
+// provides its own. Time is not part of it: the simulation runs in a testing/synctest bubble.
 type Environment struct {
 	Network network.Network // nil for the system's sockets
 	Disk    recordlog.Disk  // nil for the system's files
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot is the file format of a copy of control's state: the records of control's group with where and when they were read.
+// Package snapshot defines the file format of a copy of control's state: the records of control's group, and where and when they were read.
 //
-// A file begins with magic and a format number, then a body of fields in the encoding of encoding/binary, and closes with a CRC-32C of all before.
+// A file begins with magic and a format number, then a body of fields in the encoding of encoding/binary, and ends with a CRC-32C of all preceding bytes.
 package snapshot
 
 import (
@@ -18,13 +18,13 @@
 const (
 	magic  = "liftgauge control snapshot\n"
 	format = 1
-	// MaxBytes bounds a snapshot: a configuration of 15 MB with its partition table and orders is far below it.
+	// MaxBytes limits the size of a snapshot: a configuration of 15 MB with its partition table and orders is far smaller.
 	MaxBytes = 256 << 20
 
 	checksumBytes = 4
 )
 
-// The errors of Decode. Each names the remedy.
+// The errors of Decode. Each text contains the remedy.
 var (
 	ErrNotASnapshot = errors.New("this is no snapshot of control: make one with liftgauge snapshot > FILE")
 	ErrDamaged      = errors.New("the snapshot is cut off or damaged: take another copy of the file")
@@ -35,7 +35,7 @@
 
 // Snapshot is the state of control's group.
 type Snapshot struct {
-	Node       string // key of the process that it was read at
+	Node       string // key of the process that it was read from
 	TakenAt    time.Time
 	Epoch      uint64 // of the view
 	Generation uint64
@@ -43,7 +43,7 @@
 	Records    []replication.Record
 }
 
-// Encode returns the file.
+// Encode returns the contents of the snapshot file.
 func (s *Snapshot) Encode() []byte {
 	b := append([]byte(magic), format)
 	b = appendText(b, []byte(s.Node))
@@ -57,15 +57,15 @@
 		b = binary.AppendUvarint(b, r.Version)
 		b = appendText(b, r.Value)
 	}
-	return checked(b)
+	return appendChecksum(b)
 }
 
-// checked appends the checksum of a body.
-func checked(body []byte) []byte {
+// appendChecksum appends the checksum of body to it.
+func appendChecksum(body []byte) []byte {
 	return binary.BigEndian.AppendUint32(body, crc32.Checksum(body, castagnoli))
 }
 
-// Decode reads a file.
+// Decode decodes the contents of a snapshot file.
 func Decode(file []byte) (*Snapshot, error) {
 	if !bytes.HasPrefix(file, []byte(magic)) {
 		return nil, ErrNotASnapshot
@@ -80,7 +80,7 @@
 	if body[len(magic)] > format {
 		return nil, ErrNewerFormat
 	}
-	f := fields{rest: body[len(magic)+1:]}
+	f := fieldReader{rest: body[len(magic)+1:]}
 	s := &Snapshot{Node: string(f.text()), TakenAt: time.UnixMilli(f.signed()), Epoch: f.number(), Generation: f.number(), Confirmed: f.number() != 0}
 	for range f.count() {
 		s.Records = append(s.Records, replication.Record{Key: string(f.text()), Version: f.number(), Value: f.text()})
@@ -91,7 +91,7 @@
 	return s, nil
 }
 
-// Read reads a file of at most MaxBytes.
+// Read reads and decodes a snapshot of at most MaxBytes.
 func Read(r io.Reader) (*Snapshot, error) {
 	file, err := io.ReadAll(io.LimitReader(r, MaxBytes+1))
 	if err != nil {
@@ -114,13 +114,13 @@
 	return append(binary.AppendUvarint(b, uint64(len(text))), text...)
 }
 
-// fields takes fields off the body of a file. After the first that does not fit, bad is set and all others are zero.
-type fields struct {
+// fieldReader reads fields from the body of a file. After the first malformed field, bad is set and all later fields are zero.
+type fieldReader struct {
 	rest []byte
 	bad  bool
 }
 
-func (f *fields) take(size int) {
+func (f *fieldReader) take(size int) {
 	if size <= 0 {
 		f.rest, f.bad = nil, true
 		return
@@ -128,20 +128,20 @@
 	f.rest = f.rest[size:]
 }
 
-func (f *fields) number() uint64 {
+func (f *fieldReader) number() uint64 {
 	n, size := binary.Uvarint(f.rest)
 	f.take(size)
 	return n
 }
 
-func (f *fields) signed() int64 {
+func (f *fieldReader) signed() int64 {
 	n, size := binary.Varint(f.rest)
 	f.take(size)
 	return n
 }
 
-// count reads the length of a list whose elements take a byte at least.
-func (f *fields) count() uint64 {
+// count reads the length of a list whose elements take at least one byte each.
+func (f *fieldReader) count() uint64 {
 	n := f.number()
 	if n > uint64(len(f.rest)) {
 		f.rest, f.bad = nil, true
@@ -150,7 +150,7 @@
 	return n
 }
 
-func (f *fields) text() []byte {
+func (f *fieldReader) text() []byte {
 	n := f.count()
 	text := f.rest[:n:n]
 	f.rest = f.rest[n:]
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -11,21 +11,21 @@
 	"liftgauge/replication"
 )
 
-func someSnapshot() *Snapshot {
+func testSnapshot() *Snapshot {
 	return &Snapshot{Node: "edge-1/control", TakenAt: time.UnixMilli(1_764_000_000_000), Epoch: 7, Generation: 2, Confirmed: true,
 		Records: []replication.Record{{Key: "config/current", Version: 9, Value: []byte(`{"Revision":1}`)}, {Key: "founded", Version: 3, Value: []byte{64}}}}
 }
 
 func TestSnapshotRoundTrip(t *testing.T) {
 	is := is.New(t)
-	read, err := Read(bytes.NewReader(someSnapshot().Encode()))
+	read, err := Read(bytes.NewReader(testSnapshot().Encode()))
 	is.NoErr(err)
-	is.Equal(read, someSnapshot())
+	is.Equal(read, testSnapshot())
 }
 
 func TestDamagedSnapshotsAreRefused(t *testing.T) {
 	is := is.New(t)
-	file := someSnapshot().Encode()
+	file := testSnapshot().Encode()
 	for at := range file {
 		damaged := bytes.Clone(file)
 		damaged[at] ^= 0x10
@@ -38,18 +38,18 @@
 	is.True(errors.Is(err, ErrNotASnapshot))
 }
 
-func TestLaterFormatIsRefused(t *testing.T) {
+func TestNewerFormatIsRefused(t *testing.T) {
 	is := is.New(t)
 	body := append([]byte(magic), format+1)
-	_, err := Decode(checked(body))
+	_, err := Decode(appendChecksum(body))
 	is.True(errors.Is(err, ErrNewerFormat))
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(someSnapshot().Encode()[len(magic):])
+	f.Add(testSnapshot().Encode()[len(magic):])
 	f.Add([]byte{format, 0, 0, 0, 0, 0, 200, 1})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := Decode(checked(append([]byte(magic), body...)))
+		s, err := Decode(appendChecksum(append([]byte(magic), body...)))
 		if err != nil {
 			return
 		}
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock looks at open connections.
+// Package sock inspects open connections.
 package sock
 
 import (
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// Idle reports, without waiting and beside any reader, whether a connection is open and nothing has come on it that
-// is still to be read. A connection that cannot be looked at counts as quiet.
+// Idle reports, without blocking and while another goroutine may read, whether a connection is open and has no unread data.
+// A connection that has no file descriptor counts as idle.
 func Idle(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -17,12 +17,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	// Control, not Read: that would wait for a reader to finish.
+	idle := false
+	// Control rather than Read, which would wait for a concurrent reader to finish.
 	err = rc.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EINTR
+		idle = err == syscall.EAGAIN || err == syscall.EINTR
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestQuiet guards two closes. A send on a connection that the host has closed would count as perhaps run; and an idle
-// client's connection must not be closed on a request that has come and is not read yet.
-func TestQuiet(t *testing.T) {
+// TestIdle covers the two uses of Idle: a request sent on a connection that the host has closed would have an unknown outcome, and the
+// connection of an idle client must not be closed if a request has arrived that is not read yet.
+func TestIdle(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,22 +24,22 @@
 		t.Fatal(err)
 	}
 	if !Idle(near) {
-		t.Error("an open connection is not quiet")
+		t.Error("an open connection without data is not idle")
 	}
 	if _, err := far.Write([]byte("ab")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := near.Read(make([]byte, 1)); err != nil { // the bytes have come
+	if _, err := near.Read(make([]byte, 1)); err != nil { // the bytes have arrived
 		t.Fatal(err)
 	}
 	if Idle(near) {
-		t.Error("quiet with a byte to read")
+		t.Error("idle with a byte to read")
 	}
 	far.Close()
-	if _, err := io.Copy(io.Discard, near); err != nil { // the close has come
+	if _, err := io.Copy(io.Discard, near); err != nil { // the close has arrived
 		t.Fatal(err)
 	}
 	if Idle(near) {
-		t.Error("quiet though closed by the other side")
+		t.Error("idle although closed by the other side")
 	}
 }
