--- a/internal/roles/store/accept.go
+++ b/internal/roles/store/accept.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// maxPendingBytes bounds the bodies whose writes are under way.
+	// maxPendingBytes limits the total size of bodies whose writes are pending.
 	maxPendingBytes = 16 << 20
 	fullRetryAfter  = 500 * time.Millisecond
 	busyRetryAfter  = 100 * time.Millisecond
-	// spareFor is how long dispatchers should rather hand messages to others, after one for a service whose window is full here.
-	spareFor = 500 * time.Millisecond
+	// backlogRetryAfter is how long dispatchers should prefer other stores after storing a message here for a service whose window is full.
+	backlogRetryAfter = 500 * time.Millisecond
 )
 
-// answer is the reply function of a call.
-type answer func(body []byte, err error)
+// replyFunc replies to a call.
+type replyFunc func(body []byte, err error)
 
-// pendingAccept is a message whose acceptance is being written, and all who wait for it.
+// pendingAccept is a message whose records are being written, with the calls that wait for the write.
 type pendingAccept struct {
-	answers []answer
+	replies []replyFunc
 }
 
-func replyAccept(reply answer, status protocol.AcceptStatus, retryAfter time.Duration) {
+func replyAccept(reply replyFunc, status protocol.AcceptStatus, retryAfter time.Duration) {
 	m := protocol.AcceptReply{Status: status, RetryAfter: retryAfter}
 	reply(m.Append(nil), nil)
 }
 
-// receiveAccept stores a message. A clear no is only ever answered when nothing was written.
-func (s *store) receiveAccept(body []byte, reply answer) {
+// receiveAccept stores a message. It is refused with a definite status only if nothing was written.
+func (s *store) receiveAccept(body []byte, reply replyFunc) {
 	var m protocol.Accept
 	if err := m.Decode(body); err != nil {
 		reply(nil, rpc.Errorf(protocol.CodeInvalid, "%v", err))
@@ -43,24 +43,24 @@
 	switch {
 	case p == nil || !p.leading:
 		replyAccept(reply, protocol.AcceptNotPrimary, 0)
-	case p.knows(m.ID):
-		p.acceptKnown(reply)
+	case p.hasMessage(m.ID):
+		p.acceptDuplicate(reply)
 	case p.pending[m.ID] != nil:
-		p.pending[m.ID].answers = append(p.pending[m.ID].answers, reply)
+		p.pending[m.ID].replies = append(p.pending[m.ID].replies, reply)
 	default:
 		s.acceptNew(p, &m, reply)
 	}
 }
 
-// knows reports whether a message has been accepted, by this primary or by one before.
-func (p *partition) knows(id string) bool {
+// hasMessage reports whether a message has been accepted by this or an earlier primary.
+func (p *partition) hasMessage(id string) bool {
 	_, ended := p.ended[id]
 	return ended || p.store.queue.Has(p.number, id)
 }
 
-// acceptKnown answers for a message that has a record already. The primary that wrote it may have ended before the others had it, so the
-// answer waits until all that is here is on enough disks.
-func (p *partition) acceptKnown(reply answer) {
+// acceptDuplicate answers for a message that already has a record. The primary that wrote it may have failed before the backups had it, so
+// the answer waits until all local records are on enough disks.
+func (p *partition) acceptDuplicate(reply replyFunc) {
 	p.replica.AwaitCommit(func(err error) {
 		status := protocol.AcceptStored
 		if err != nil {
@@ -70,9 +70,9 @@
 	})
 }
 
-func (s *store) acceptNew(p *partition, m *protocol.Accept, reply answer) {
+func (s *store) acceptNew(p *partition, m *protocol.Accept, reply replyFunc) {
 	switch {
-	case s.stalled || s.configuration == nil || p.slow(s.now()) || s.pendingBytes+len(m.Body) > maxPendingBytes:
+	case s.diskStalled || s.configuration == nil || p.writesSlow(s.now()) || s.pendingBytes+len(m.Body) > maxPendingBytes:
 		replyAccept(reply, protocol.AcceptFull, busyRetryAfter)
 		return
 	case s.log.Full():
@@ -92,13 +92,13 @@
 	s.writeAccept(p, m, &state, route.Service, reply)
 }
 
-func (s *store) writeAccept(p *partition, m *protocol.Accept, state *messageState, service string, reply answer) {
+func (s *store) writeAccept(p *partition, m *protocol.Accept, state *messageState, service string, reply replyFunc) {
 	id, size := m.ID, len(m.Body)
 	records := []replication.Record{
 		{Key: bodyKey(id), Value: bodyRecord(m)},
 		{Key: stateKey(id), Value: state.append(nil)},
 	}
-	accept := &pendingAccept{answers: []answer{reply}}
+	accept := &pendingAccept{replies: []replyFunc{reply}}
 	p.pending[id] = accept
 	s.pendingBytes += size
 	p.write(records, func(err error) {
@@ -117,17 +117,17 @@
 			s.bodies.put(messageKey{p.number, id}, records[0].Value)
 			retryAfter = 0
 			if s.queue.Backlogged(service) {
-				retryAfter = spareFor
+				retryAfter = backlogRetryAfter
 			}
 		}
-		for _, reply := range accept.answers {
+		for _, reply := range accept.replies {
 			replyAccept(reply, status, retryAfter)
 		}
 	})
 }
 
-// bodyRecord is the request as it arrived, without what the state record has.
+// bodyRecord returns the value of the body record: the request as it arrived, without the fields that are in the state record.
 func bodyRecord(m *protocol.Accept) []byte {
-	kept := protocol.Accept{RequestID: m.RequestID, Method: m.Method, Headers: m.Headers, Body: m.Body}
-	return kept.Append(nil)
+	request := protocol.Accept{RequestID: m.RequestID, Method: m.Method, Headers: m.Headers, Body: m.Body}
+	return request.Append(nil)
 }
--- a/internal/roles/store/daemon_test.go
+++ b/internal/roles/store/daemon_test.go
@@ -12,7 +12,7 @@
 	"liftgauge/queue"
 )
 
-// code returns why a call was refused.
+// code returns the error code of a refused call, 0 for other errors and nil.
 func code(err error) uint16 {
 	var refused *rpc.RemoteError
 	if errors.As(err, &refused) {
@@ -39,7 +39,7 @@
 	is.Equal(string(found.Body), "body of m1")
 
 	is.NoErr(d.result(primary, &m, protocol.OutcomeSucceeded))
-	is.NoErr(d.result(primary, &m, protocol.OutcomeSucceeded)) // again, its answer was lost
+	is.NoErr(d.result(primary, &m, protocol.OutcomeSucceeded)) // repeated, as after a lost reply
 	is.Equal(d.accept(primary, message("m1", "plain", "")), protocol.AcceptStored)
 	found, err = d.lookup(primary, 0, "m1")
 	is.NoErr(err)
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestBackupRefusesWithoutDoingAnything(t *testing.T) {
+func TestBackupRefusesWithoutSideEffects(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	backup, d := c.stores[1], c.dispatcher
@@ -72,7 +72,7 @@
 	is.Equal(d.accept(c.stores[0], message("m1", "elsewhere", "")), protocol.AcceptNoRoute)
 }
 
-func TestKeyIsHeldUntilTheHeadHasEnded(t *testing.T) {
+func TestKeyIsBlockedUntilItsFirstMessageHasEnded(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	primary, d := c.stores[0], c.dispatcher
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestNewPrimaryWaitsForWhatDispatchersHold(t *testing.T) {
+func TestNewPrimaryDoesNotRedeliverHeldMessages(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -120,8 +120,8 @@
 	is.Equal(m2.ID, "m2")
 }
 
-// TestFailureIsCountedOnceAcrossPrimaries has a dispatcher report a failed hand-out whose answer it does not hear: the store dies right after it
-// has written it. The dispatcher lists it in its Hello to the next primary, and reports it again.
+// TestFailureIsCountedOnceAcrossPrimaries has the store crash right after it has recorded a failed delivery, so that the dispatcher does not receive
+// the reply. The dispatcher lists the delivery in its Hello to the next primary and reports it again: it must not be counted twice.
 func TestFailureIsCountedOnceAcrossPrimaries(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
@@ -135,14 +135,14 @@
 	second.await(func(s *store) bool { return s.partitions[0].leading })
 	is.NoErr(d.result(second, &m1, protocol.OutcomeFailed))
 	again := d.next()
-	for again.Epoch < 2 { // the first store may have given it out once more before it died
+	for again.Epoch < 2 { // the first store may have delivered it again before it crashed
 		again = d.next()
 	}
 	is.Equal(again.ID, "m1")
 	is.Equal(again.FailedAttempts, uint32(1))
 }
 
-func TestFrozenPrimaryThatWakesActsNoMore(t *testing.T) {
+func TestFrozenPrimaryDoesNotActAfterResuming(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -153,8 +153,8 @@
 	table := c.view(1, 2)
 	second.await(func(s *store) bool { return s.partitions[0].leading })
 	var wait, now int64
-	second.on(func(s *store) { wait, now = int64(s.partitions[0].leaseWait(s.now())), int64(s.now()) })
-	is.True(wait > 0) // what was promised to the first one
+	second.on(func(s *store) { wait, now = int64(s.partitions[0].earlierLeasesUntil(s.now())), int64(s.now()) })
+	is.True(wait > 0) // for the lease granted to the first store
 	_, err := d.lookup(second, 0, "m1")
 	is.True(err != nil || now >= wait)
 	d.hello(second, table)
@@ -166,8 +166,8 @@
 	late := make(chan error, 3)
 	go func() { late <- d.result(first, &m1, protocol.OutcomeFailed) }()
 	thaw()
-	is.True(code(<-late) != 0)        // the frozen one cannot record it
-	first.await(func(s *store) bool { // by then it may have dropped the partition, which it is not part of any more
+	is.True(code(<-late) != 0)        // the frozen store cannot record it
+	first.await(func(s *store) bool { // it may have dropped the partition already, which it is no longer a member of
 		p := s.partitions[0]
 		return p == nil || !p.mayAct(s.now())
 	})
@@ -179,7 +179,7 @@
 	is.Equal(found.State, protocol.StateSucceeded)
 }
 
-func TestRestartOnTheSameDiskGoesOn(t *testing.T) {
+func TestRestartOnTheSameDiskKeepsMessages(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -210,7 +210,7 @@
 	is.Equal(m3.ID, "m3")
 }
 
-func TestPlannedEndHandsOver(t *testing.T) {
+func TestPlannedShutdownHandsOver(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -231,7 +231,7 @@
 	is.NoErr(d.result(second, &m1, protocol.OutcomeSucceeded))
 }
 
-func TestLearnerIsOfferedAndCanLead(t *testing.T) {
+func TestLearnerIsOfferedAndCanBecomePrimary(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, third, d := c.stores[0], c.stores[2], c.dispatcher
@@ -244,13 +244,13 @@
 		Members: []string{first.member(), c.stores[1].member()}, Learners: []string{third.member()}})
 	var offers []protocol.PromotionOffer
 	c.control.await(func() bool {
-		offers = c.control.beats[first.node().Key].Offers
+		offers = c.control.heartbeats[first.node().Key].Offers
 		return len(offers) > 0
 	})
 	is.Equal(offers, []protocol.PromotionOffer{{Partition: 0, Epoch: 2, Learner: third.member()}})
 	c.view(0, 1, 2)
 	first.await(func(s *store) bool { return s.partitions[0].epoch == 3 })
-	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // the queue went on through both epochs
+	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // the queue was kept through both epochs
 	m2 := d.next()
 	is.Equal(m2.ID, "m2")
 	table := c.view(2, 0, 1)
@@ -261,7 +261,7 @@
 	is.Equal(m3.ID, "m3")
 }
 
-func TestStoreThatIsLeftOutForgetsThePartition(t *testing.T) {
+func TestRemovedMemberDropsThePartition(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	is.Equal(c.dispatcher.accept(c.stores[0], message("m1", "plain", "")), protocol.AcceptStored)
@@ -270,7 +270,7 @@
 	c.stores[1].await(func(s *store) bool { return s.partitions[0] == nil && len(s.log.Groups()) == 1 })
 }
 
-func TestDroppedRouteEndsItsMessages(t *testing.T) {
+func TestRemovedRouteEndsItsMessages(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -284,7 +284,7 @@
 	is.Equal(found.State, protocol.StateDeadLetter)
 }
 
-func TestStatesAreForgottenInTime(t *testing.T) {
+func TestStatesOfEndedMessagesExpire(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -307,7 +307,7 @@
 	is.True(!found.Found)
 }
 
-func TestReconnectingDispatcherGetsWhatNeverArrived(t *testing.T) {
+func TestReconnectingDispatcherReceivesLostDeliveries(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -319,11 +319,11 @@
 	again := d.next()
 	is.Equal(again.ID, m1.ID)
 	is.NoErr(d.result(first, &m2, protocol.OutcomeSucceeded))
-	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // it had arrived after all
+	is.NoErr(d.result(first, &m1, protocol.OutcomeSucceeded)) // it had arrived before the disconnect
 	is.Equal(len(d.deliveries), 0)
 }
 
-func TestStalledDiskStopsHandOutsAndAccepts(t *testing.T) {
+func TestStalledDiskStopsDeliveriesAndAccepts(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -336,27 +336,27 @@
 		return s.storage.outstanding == 0
 	})
 	first.on(func(s *store) {
-		s.storage.begin() // a sync that does not come back
-		s.storage.progress -= 2 * stallAfter
+		s.storage.begin() // a sync that does not complete
+		s.storage.lastProgress -= 2 * stallTimeout
 	})
-	first.await(func(s *store) bool { return s.stalled })
+	first.await(func(s *store) bool { return s.diskStalled })
 	is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptFull)
 	m := message("m1", "plain", "")
 	first.on(func(s *store) { // as if accepted before, and due now
 		s.bodies.put(messageKey{0, "m1"}, bodyRecord(&m))
-		before := handedOut(s)
+		before := inFlight(s)
 		s.queue.Add(s.now(), queue.Entry{ID: "m1", Host: m.Host, URI: m.URI, Sequence: 2, ExpiresIn: time.Minute})
-		s.handOut()
-		is.True(s.stalled)
-		is.Equal(handedOut(s), before)
+		s.sendDeliveries()
+		is.True(s.diskStalled)
+		is.Equal(inFlight(s), before)
 	})
 	first.on(func(s *store) { s.storage.end(nil) })
 	m1 := d.next()
 	is.Equal(m1.ID, "m1")
 }
 
-// handedOut counts the deliveries that are out at dispatchers.
-func handedOut(s *store) int {
+// inFlight counts the deliveries that dispatchers hold.
+func inFlight(s *store) int {
 	out := 0
 	for _, service := range s.queue.Stats() {
 		out += service.InFlight
@@ -364,7 +364,7 @@
 	return out
 }
 
-func TestPrimaryWithoutLeasesHandsOutNothing(t *testing.T) {
+func TestPrimaryWithoutLeasesDeliversNothing(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
@@ -377,7 +377,7 @@
 		s.queue.Add(s.now(), queue.Entry{ID: "m1", Host: m.Host, URI: m.URI, Sequence: 1, ExpiresIn: time.Minute})
 	})
 	first.await(func(s *store) bool {
-		is.Equal(len(s.queue.Stats()), 0) // neither ready nor out
+		is.Equal(len(s.queue.Stats()), 0) // neither ready nor in flight
 		return s.queue.Has(0, "m1")
 	})
 	_, err := d.lookup(first, 0, "m1")
@@ -387,7 +387,7 @@
 	is.Equal(m1.ID, "m1")
 }
 
-func TestWriteOfUnknownFateIsNeverRefused(t *testing.T) {
+func TestWriteOfUnknownOutcomeIsNotRefused(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, d := c.stores[0], c.dispatcher
@@ -399,10 +399,10 @@
 	}
 	first.await(func(s *store) bool {
 		pending := s.partitions[0].pending["m1"]
-		return pending != nil && len(pending.answers) == 2
+		return pending != nil && len(pending.replies) == 2
 	})
-	// While the write hangs, another message is refused at once, and nothing of it is written.
-	first.await(func(s *store) bool { return s.partitions[0].slow(s.now()) })
+	// While the write is blocked, another message is refused at once without writing anything.
+	first.await(func(s *store) bool { return s.partitions[0].writesSlow(s.now()) })
 	is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptFull)
 	first.on(func(s *store) {
 		_, found, err := s.partitions[0].state("m2")
@@ -414,9 +414,9 @@
 	is.Equal(<-statuses, protocol.AcceptUnknown)
 }
 
-// A store that has a message on its disk alone, from before its restart, says that it has it once another disk has it too: its own may be lost
-// next.
-func TestKnownMessageIsAnsweredOnceEnoughDisksHaveIt(t *testing.T) {
+// A store that restarted with a message only on its own disk confirms the message once another disk has it too, since its own disk may be
+// lost next.
+func TestDuplicateIsConfirmedOnceEnoughDisksHaveIt(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first := c.stores[0]
@@ -426,7 +426,7 @@
 	first.on(func(s *store) { s.receiveAccept(m.Append(nil), func([]byte, error) {}) })
 	synced := make(chan struct{})
 	first.on(func(s *store) {
-		s.storage.Append(groupOf(99), nil, func(error) { close(synced) }) // behind the write of the message
+		s.storage.Append(groupOf(99), nil, func(error) { close(synced) }) // completes after the write of the message
 	})
 	<-synced
 	first.kill()
@@ -437,7 +437,7 @@
 	c.view(0) // alone
 	first.await(func(s *store) bool {
 		p := s.partitions[0]
-		return p != nil && p.leading && p.knows("m1")
+		return p != nil && p.leading && p.hasMessage("m1")
 	})
 	answers := make(chan protocol.AcceptStatus, 1)
 	first.on(func(s *store) {
@@ -449,11 +449,11 @@
 		})
 	})
 	is.Equal(len(answers), 0)
-	c.view(1) // another takes over, without the message
+	c.view(1) // another store takes over without the message
 	is.Equal(<-answers, protocol.AcceptUnknown)
 }
 
-func TestNewPrimaryWaitsForTheHelloByItsTable(t *testing.T) {
+func TestNewPrimaryWaitsForHelloWithItsTable(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, second, d := c.stores[0], c.stores[1], c.dispatcher
@@ -462,17 +462,17 @@
 	table := c.view(1, 0)
 	second.await(func(s *store) bool {
 		p := s.partitions[0]
-		p.helloBy = s.now() + time.Hour // however slow this machine is
+		p.helloDeadline = s.now() + time.Hour // never reached, even on a slow machine
 		return p.leading && p.mayAct(s.now())
 	})
 	second.await(func(s *store) bool { return s.queue.Has(0, "m1") && len(s.queue.Stats()) == 0 })
 	d.hello(second, table, held(&m1))
-	second.await(func(s *store) bool { return s.partitions[0].greeted })
+	second.await(func(s *store) bool { return s.partitions[0].hellosComplete })
 	is.NoErr(d.result(second, &m1, protocol.OutcomeSucceeded))
 	is.Equal(len(d.deliveries), 0)
 }
 
-func TestNoLeaseForAnEarlierPrimaryThatMayNotKnow(t *testing.T) {
+func TestNoLeaseForEarlierPrimaryWithOldTable(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
 	first, second := c.stores[0], c.stores[1]
@@ -492,7 +492,7 @@
 		old = ask(s, protocol.ItemVersion{Term: 1, Number: 1})
 		present = ask(s, table)
 		p := s.partitions[0]
-		p.view.Epoch-- // a partition has joined an epoch that the table does not show yet
+		p.view.Epoch-- // as if a partition had joined an epoch that the table does not contain yet
 		behind = ask(s, table)
 		p.view.Epoch++
 	})
@@ -501,7 +501,7 @@
 	is.True(!behind)
 }
 
-func TestDeliveryThatWasDroppedForItsEpochGoesOutAgain(t *testing.T) {
+func TestDeliveryDroppedForItsEpochIsRedelivered(t *testing.T) {
 	for _, helloFirst := range []bool{false, true} {
 		is := is.New(t)
 		c := startCluster(t, 2)
@@ -510,9 +510,11 @@
 		is.Equal(d.accept(first, message("m2", "plain", "")), protocol.AcceptStored)
 		m1, m2 := d.next(), d.next()
 		next := protocol.ItemVersion{Term: 1, Number: 2}
-		if helloFirst { // the dispatcher knows the table before the store does
+		if helloFirst { // the dispatcher receives the table before the store does
 			d.hello(first, next, held(&m2))
-			first.await(func(s *store) bool { return s.sessions[sessionName(d.node.Key, d.node.Incarnation)].table == next })
+			first.await(func(s *store) bool {
+				return s.sessions[sessionName(d.node.Key, d.node.Incarnation)].tableVersion == next
+			})
 			is.Equal(c.view(0, 1), next)
 		} else {
 			is.Equal(c.view(0, 1), next)
@@ -527,8 +529,8 @@
 	}
 }
 
-// A message ends by its dropped route, and the outcome of a hand-out that was given up comes before that end is begun to be written.
-func TestOutcomeOfAMessageThatHasJustEndedIsAnswered(t *testing.T) {
+// A message ends because its route was removed. The outcome of its last delivery arrives before the write of that end has been started.
+func TestOutcomeOfJustEndedMessageIsAnswered(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 2)
 	first, d := c.stores[0], c.dispatcher
--- a/internal/roles/store/diskwatch.go
+++ b/internal/roles/store/diskwatch.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// stallAfter is how long the disk may take for a sync before the store stops acting as primary, and asks to be left out. A store is
-	// to be out of its partitions within a second, with the round over control.
-	stallAfter = 450 * time.Millisecond
-	// refusedFor is how long a refused write counts if no other is tried.
-	refusedFor = time.Second
+	// stallTimeout is how long the disk may complete nothing before the store stops acting as primary and reports the stall, so that control
+	// excludes it. The exclusion, including the round trip to control, should take less than a second.
+	stallTimeout = 450 * time.Millisecond
+	// refusalExpiry is how long a failed write counts if no other write is attempted.
+	refusalExpiry = time.Second
 )
 
-// watchedStorage tells when the disk does not finish what it was given. A store whose disk stalls cannot record what becomes of a
-// message, and must not hand out more.
+// watchedStorage detects that the disk does not complete writes. A store whose disk stalls cannot record the outcome of a delivery, and
+// must not send more.
 type watchedStorage struct {
 	replication.Storage
 	steady func() time.Duration
 
-	mu          sync.Mutex
-	outstanding int
-	progress    time.Duration // when something was last finished, or begun after a rest
-	refused     time.Duration // when the disk last refused a write; 0 once one has succeeded
+	mu           sync.Mutex
+	outstanding  int
+	lastProgress time.Duration // when a write last completed, or was started while none was pending
+	lastRefusal  time.Duration // when a write last failed; 0 after one has succeeded
 }
 
 func newWatchedStorage(storage replication.Storage, steady func() time.Duration) *watchedStorage {
@@ -46,7 +46,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.outstanding == 0 {
-		w.progress = w.steady()
+		w.lastProgress = w.steady()
 	}
 	w.outstanding++
 }
@@ -55,23 +55,23 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.outstanding--
-	w.progress = w.steady()
-	w.refused = 0
+	w.lastProgress = w.steady()
+	w.lastRefusal = 0
 	if err != nil {
-		w.refused = w.progress
+		w.lastRefusal = w.lastProgress
 	}
 }
 
-// paused says that this process stood still for a time, in which the disk could not show that it finishes anything.
-func (w *watchedStorage) paused(gap time.Duration) {
+// excludePause does not count a pause of this process as time without progress of the disk.
+func (w *watchedStorage) excludePause(gap time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress += gap
+	w.lastProgress += gap
 }
 
-// stalled reports whether the disk has finished nothing for too long, or refuses writes.
+// stalled reports whether the disk has completed nothing for stallTimeout although writes are pending, or fails writes.
 func (w *watchedStorage) stalled(now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.outstanding > 0 && now-w.progress > stallAfter || w.refused != 0 && now-w.refused < refusedFor
+	return w.outstanding > 0 && now-w.lastProgress > stallTimeout || w.lastRefusal != 0 && now-w.lastRefusal < refusalExpiry
 }
--- a/internal/roles/store/fake_test.go
+++ b/internal/roles/store/fake_test.go
@@ -19,21 +19,21 @@
 	"liftgauge/internal/rpc"
 )
 
-// fakeControl answers heartbeats, and publishes what the test says. Nothing ends by itself: no session expires.
+// fakeControl answers heartbeats, and publishes tables on request of the test. Sessions never expire.
 type fakeControl struct {
 	t     *testing.T
 	agent *agent.Agent
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	nodes   map[string]protocol.Node
-	beats   map[string]protocol.Heartbeat
-	leaves  []protocol.Leave
-	number  map[protocol.ItemKind]uint64
+	mu         sync.Mutex
+	changed    *sync.Cond
+	nodes      map[string]protocol.Node
+	heartbeats map[string]protocol.Heartbeat
+	leaves     []protocol.Leave
+	number     map[protocol.ItemKind]uint64
 }
 
 func startControl(t *testing.T) *fakeControl {
-	c := &fakeControl{t: t, nodes: map[string]protocol.Node{}, beats: map[string]protocol.Heartbeat{}, number: map[protocol.ItemKind]uint64{}}
+	c := &fakeControl{t: t, nodes: map[string]protocol.Node{}, heartbeats: map[string]protocol.Heartbeat{}, number: map[protocol.ItemKind]uint64{}}
 	c.changed = sync.NewCond(&c.mu)
 	settings := &nodeconfig.Settings{NodeName: "control-1", Ip: "127.0.0.1", Zone: "a", Region: "r"}
 	a, err := agent.Start(agent.Options{
@@ -60,7 +60,7 @@
 		var m protocol.Heartbeat
 		if m.Decode(body) == nil && c.agent != nil {
 			c.nodes[m.Node.Key] = m.Node
-			c.beats[m.Node.Key] = m
+			c.heartbeats[m.Node.Key] = m
 		}
 		answer := protocol.HeartbeatReply{Accepted: true, ClusterTime: time.Now().UnixNano()}
 		reply(answer.Append(nil), nil)
@@ -76,7 +76,7 @@
 	c.changed.Broadcast()
 }
 
-// await waits for a condition on what has arrived.
+// await waits for a condition on the received messages.
 func (c *fakeControl) await(condition func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +136,7 @@
 	return r
 }
 
-// testStore is one real store daemon.
+// testStore runs one real store process in the test.
 type testStore struct {
 	t        *testing.T
 	name     string
@@ -179,7 +179,7 @@
 	return s
 }
 
-// observe runs the conditions that somebody waits for.
+// observe runs the checks of pending calls of await.
 func (s *testStore) observe() {
 	s.mu.Lock()
 	observers := s.observers
@@ -194,17 +194,17 @@
 func (s *testStore) await(condition func(*store) bool) {
 	s.t.Helper()
 	met := make(chan struct{})
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if condition(s.store) {
 			close(met)
 			return
 		}
 		s.mu.Lock()
-		s.observers = append(s.observers, look)
+		s.observers = append(s.observers, check)
 		s.mu.Unlock()
 	}
-	s.store.loop.post(look)
+	s.store.loop.post(check)
 	<-met
 }
 
@@ -223,12 +223,12 @@
 	return sync.OnceFunc(func() { close(release) })
 }
 
-// kill ends the process without any farewell.
+// kill stops the store without a planned shutdown.
 func (s *testStore) kill() {
 	s.store.loop.post(func() {
-		if !s.store.closing.over {
-			s.store.closing.over = true
-			close(s.store.closing.done)
+		if !s.store.shutdown.finished {
+			s.store.shutdown.finished = true
+			close(s.store.shutdown.done)
 		}
 	})
 	s.cancel()
@@ -242,11 +242,11 @@
 	s.t.Helper()
 	s.await(func(s *store) bool {
 		p := s.partitions[partition]
-		return p != nil && p.leading && p.mayHandOut(s.now())
+		return p != nil && p.leading && p.mayDeliver(s.now())
 	})
 }
 
-// fakeDispatcher is a dispatcher of its own on plain connections.
+// fakeDispatcher is a dispatcher that the test controls, on plain connections.
 type fakeDispatcher struct {
 	t          *testing.T
 	node       protocol.Node
@@ -254,8 +254,8 @@
 	deliveries chan protocol.Deliver
 }
 
-// patience is never spent by a test that passes.
-const patience = 30 * time.Second
+// testTimeout is not reached by a test that passes.
+const testTimeout = 30 * time.Second
 
 // next returns the next delivery.
 func (d *fakeDispatcher) next() protocol.Deliver {
@@ -263,8 +263,8 @@
 	select {
 	case m := <-d.deliveries:
 		return m
-	case <-time.After(patience):
-		d.t.Fatal("no delivery came")
+	case <-time.After(testTimeout):
+		d.t.Fatal("no delivery arrived")
 		return protocol.Deliver{}
 	}
 }
@@ -356,7 +356,7 @@
 	}
 }
 
-// cluster is a control, some stores and a dispatcher, with one partition that the first store leads and the second backs up.
+// cluster has a control process, some stores and a dispatcher, with one partition whose primary is the first store and whose backup is the second.
 type cluster struct {
 	control    *fakeControl
 	stores     []*testStore
@@ -380,7 +380,7 @@
 	return c
 }
 
-// awaitNodes waits until control knows the present process of each store, and publishes them.
+// awaitNodes waits until control has received a heartbeat of the present process of each store, and publishes the node table.
 func (c *cluster) awaitNodes() {
 	c.control.await(func() bool {
 		for _, s := range c.stores {
--- a/internal/roles/store/identity.go
+++ b/internal/roles/store/identity.go
@@ -11,11 +11,11 @@
 
 const (
 	identityKey   = "identity"
-	diskIDLength  = 8
+	diskIDBytes   = 8
 	recordsFolder = "records"
 )
 
-// loadMember returns the name of the member that the disk belongs to, and draws a new one on an empty disk.
+// loadMember returns the member name that belongs to the disk, and generates a random disk id on an empty disk.
 func loadMember(storage replication.Storage, nodeName string) (string, error) {
 	record, found, err := storage.Get(replication.LocalGroup, identityKey)
 	if err != nil {
@@ -24,7 +24,7 @@
 	if found {
 		return nodeName + "/" + string(record.Value), nil
 	}
-	id := make([]byte, diskIDLength)
+	id := make([]byte, diskIDBytes)
 	rand.Read(id) // never fails
 	value := []byte(hex.EncodeToString(id))
 	done := make(chan error, 1)
--- a/internal/roles/store/lease.go
+++ b/internal/roles/store/lease.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	leaseDuration = 600 * time.Millisecond
-	leaseEvery    = 150 * time.Millisecond
-	leaseRetry    = 20 * time.Millisecond // after a refusal
+	leaseDuration   = 600 * time.Millisecond
+	leaseInterval   = 150 * time.Millisecond
+	leaseRetryDelay = 20 * time.Millisecond // after a refusal
 )
 
 var errLease = errors.New("store: malformed lease request; run the same version on both stores")
 
-// leaseRequest is the body of a KindLease call: the request itself, the process that asks, and the partition table that it acts by.
-// A lease covers only what that table says: the grantor refuses when it knows that a newer table took a partition from the asker.
+// leaseRequest is the body of a KindLease call: the request itself, the requesting process, and the partition table that it uses.
+// A lease covers only the partitions that the table assigns to the requester: the grantor refuses if it has a newer table that took a
+// partition away from the requester.
 type leaseRequest struct {
 	protocol.LeaseRequest
 	Incarnation uint64
@@ -54,25 +55,25 @@
 	return nil
 }
 
-// grants is what this store has promised to others.
+// grants are the leases that this store has granted to others.
 type grants struct {
-	unknownUntil time.Duration        // promises of an earlier process of this store may stand until then
-	floor        protocol.ItemVersion // requests that act by an older partition table are refused, whoever asks
+	unknownUntil time.Duration        // leases granted by an earlier process of this store may be valid until then
+	minTable     protocol.ItemVersion // requests of any member that uses an older partition table are refused
 	byMember     map[string]*grant
 }
 
-// grant is the promise to one member.
+// grant is the lease of one member.
 type grant struct {
 	incarnation uint64
 	until       time.Duration
-	fence       protocol.ItemVersion // as floor, for this member alone
-	knows       protocol.ItemVersion // the newest partition table that its requests acted by
+	minTable    protocol.ItemVersion // as grants.minTable, for this member only
+	latestTable protocol.ItemVersion // the newest partition table in its requests
 }
 
-// standing is a promise that a new primary waits for: that of a member that was, or may have been, primary before. It is over at its time,
-// or as soon as the member is known to act by the table that took the partition from it.
-type standing struct {
-	member string // empty for one to an unknown member
+// earlierLease is a lease that a new primary waits for: that of a member that was, or may have been, the previous primary. It ends when it
+// expires, or as soon as the member has shown that it uses the table that took the partition away from it.
+type earlierLease struct {
+	member string // empty if the member is unknown
 	until  time.Duration
 	table  protocol.ItemVersion
 }
@@ -82,91 +83,91 @@
 }
 
 func (g *grants) of(member string) *grant {
-	one := g.byMember[member]
-	if one == nil {
-		one = &grant{}
-		g.byMember[member] = one
+	found := g.byMember[member]
+	if found == nil {
+		found = &grant{}
+		g.byMember[member] = found
 	}
-	return one
+	return found
 }
 
-// heard notes which table a member acts by. What a process knows never goes back, and a member has one process at a time.
-func (g *grants) heard(r *leaseRequest) {
-	if one := g.of(r.From); one.knows.Less(r.Table) {
-		one.knows = r.Table
+// recordTable records which table a member uses. A process never returns to an older table, and a member has one process at a time.
+func (g *grants) recordTable(r *leaseRequest) {
+	if grant := g.of(r.From); grant.latestTable.Less(r.Table) {
+		grant.latestTable = r.Table
 	}
 }
 
-// request grants or refuses a lease, or takes back a released one.
+// request grants or refuses a lease, or ends a released one.
 func (g *grants) request(now time.Duration, r *leaseRequest) bool {
-	one := g.of(r.From)
+	grant := g.of(r.From)
 	if r.Release {
-		if one.incarnation == r.Incarnation {
-			one.until = now
+		if grant.incarnation == r.Incarnation {
+			grant.until = now
 		}
 		return false
 	}
-	if g.floor == (protocol.ItemVersion{}) || r.Table.Less(g.floor) || r.Table.Less(one.fence) {
+	if g.minTable == (protocol.ItemVersion{}) || r.Table.Less(g.minTable) || r.Table.Less(grant.minTable) {
 		return false
 	}
-	one.incarnation, one.until = r.Incarnation, max(one.until, now+min(r.Duration, leaseDuration))
+	grant.incarnation, grant.until = r.Incarnation, max(grant.until, now+min(r.Duration, leaseDuration))
 	return true
 }
 
-// raise refuses requests from a member that acts by a table older than version.
-func (g *grants) raise(member string, version protocol.ItemVersion) {
-	if one := g.of(member); one.fence.Less(version) {
-		one.fence = version
+// fenceMember makes requests of a member that uses a table older than version fail.
+func (g *grants) fenceMember(member string, version protocol.ItemVersion) {
+	if grant := g.of(member); grant.minTable.Less(version) {
+		grant.minTable = version
 	}
 }
 
-// raiseAll refuses requests of all that act by a table older than version.
-func (g *grants) raiseAll(version protocol.ItemVersion) {
-	if g.floor.Less(version) {
-		g.floor = version
+// fenceAll makes requests of all members that use a table older than version fail.
+func (g *grants) fenceAll(version protocol.ItemVersion) {
+	if g.minTable.Less(version) {
+		g.minTable = version
 	}
 }
 
-// ended says that a process has ended: its lease is void.
-func (g *grants) ended(member string, incarnation uint64) {
-	if one := g.byMember[member]; one != nil && one.incarnation == incarnation {
-		one.until = 0
+// processEnded voids the lease of a process that has ended.
+func (g *grants) processEnded(member string, incarnation uint64) {
+	if grant := g.byMember[member]; grant != nil && grant.incarnation == incarnation {
+		grant.until = 0
 	}
 }
 
-// standingAll returns all promises, as seen by who takes a partition over by a table without knowing from whom.
-func (g *grants) standingAll(table protocol.ItemVersion) []standing {
-	all := []standing{{until: g.unknownUntil}}
-	for member, one := range g.byMember {
-		all = append(all, standing{member: member, until: one.until, table: table})
+// leasesOfAll returns the leases of all members, for a takeover by a table where the previous primary is unknown.
+func (g *grants) leasesOfAll(table protocol.ItemVersion) []earlierLease {
+	all := []earlierLease{{until: g.unknownUntil}}
+	for member, grant := range g.byMember {
+		all = append(all, earlierLease{member: member, until: grant.until, table: table})
 	}
 	return all
 }
 
-// standingOf returns the promise to a member, as seen by who takes a partition over from it by a table.
-func (g *grants) standingOf(member string, table protocol.ItemVersion) []standing {
+// leasesOf returns the lease of a member, for a takeover from it by a table.
+func (g *grants) leasesOf(member string, table protocol.ItemVersion) []earlierLease {
 	until := g.unknownUntil
-	if one := g.byMember[member]; one != nil {
-		until = max(until, one.until)
+	if grant := g.byMember[member]; grant != nil {
+		until = max(until, grant.until)
 	}
-	return []standing{{member: member, until: until, table: table}}
+	return []earlierLease{{member: member, until: until, table: table}}
 }
 
-// latest returns when the last of some promises is over, at the latest; 0 if none stands any more.
-func (g *grants) latest(now time.Duration, promises []standing) (until time.Duration) {
-	for _, p := range promises {
-		if now < p.until && !g.isOver(now, &p) {
-			until = max(until, p.until)
+// latestExpiry returns when the last of some leases expires; 0 if all have ended.
+func (g *grants) latestExpiry(now time.Duration, leases []earlierLease) (until time.Duration) {
+	for _, lease := range leases {
+		if now < lease.until && !g.hasEnded(now, &lease) {
+			until = max(until, lease.until)
 		}
 	}
 	return until
 }
 
-// isOver tells whether a promise is over before its time: the member acts by the newer table, gave the lease back, or its process has ended.
-func (g *grants) isOver(now time.Duration, p *standing) bool {
-	one := g.byMember[p.member]
-	if p.member == "" || one == nil {
+// hasEnded reports whether a lease has ended early: the member uses the newer table, released the lease, or its process has ended.
+func (g *grants) hasEnded(now time.Duration, lease *earlierLease) bool {
+	grant := g.byMember[lease.member]
+	if lease.member == "" || grant == nil {
 		return false
 	}
-	return !one.knows.Less(p.table) || now >= max(g.unknownUntil, one.until)
+	return !grant.latestTable.Less(lease.table) || now >= max(g.unknownUntil, grant.until)
 }
--- a/internal/roles/store/partition.go
+++ b/internal/roles/store/partition.go
@@ -13,49 +13,50 @@
 )
 
 const (
-	// groupBase is the replication group of partition 0.
+	// groupBase is the number of the replication group of partition 0.
 	groupBase = 1000
-	// sequenceBits are the bits of a sequence number below the epoch.
+	// sequenceBits is the number of bits of a sequence number below the epoch.
 	sequenceBits = 40
-	// attemptBits are the bits of a hand-out's number below those of the epoch, so that two primaries never use the same number.
+	// attemptBits is the number of bits of an attempt number below the epoch, so that two primaries never use the same number.
 	attemptBits = 12
-	// helloWait is how long a new primary waits to hear from all live dispatchers what they hold, when the one before was lost.
-	helloWait = 500 * time.Millisecond
-	// plannedHelloWait is the same when the one before is a member still, or lives: nothing was lost, and nothing shall run twice.
-	plannedHelloWait = 1500 * time.Millisecond
-	// blockedFor is how long members may hold up writes before the log says so.
-	blockedFor = 300 * time.Millisecond
-	// slowWrite is the age of the oldest write from which on no more messages are accepted: others have faster partitions.
-	slowWrite = 250 * time.Millisecond
+	// helloTimeout is how long a new primary waits for the Hello of all live dispatchers if the previous primary was lost.
+	helloTimeout = 500 * time.Millisecond
+	// plannedHelloTimeout is the same if the previous primary is still a member or has a session: nothing was lost, so no message
+	// should run twice.
+	plannedHelloTimeout = 1500 * time.Millisecond
+	// blockedLogDelay is how long members may block writes before a warning is logged.
+	blockedLogDelay = 300 * time.Millisecond
+	// slowWriteAge is the age of the oldest pending write above which no more messages are accepted: other partitions are faster.
+	slowWriteAge = 250 * time.Millisecond
 )
 
-// partition is this store's part in one partition.
+// partition is this store's replica of one partition and, while it is primary, the state of its messages.
 type partition struct {
-	store   *store
-	number  uint32
-	replica *replication.Replica
-	view    protocol.PartitionView // by the newest partition table that named this store
-	table   protocol.ItemVersion   // of the table that view came with
-	links   map[string]*rpc.Conn   // the connections that the replica was told of
+	store        *store
+	number       uint32
+	replica      *replication.Replica
+	view         protocol.PartitionView // from the newest partition table that changed it
+	tableVersion protocol.ItemVersion   // of the table that contained view
+	links        map[string]*rpc.Conn   // connections by member that the replica was notified of
 
-	dropping bool
-	planned  bool // the primary before is a member of the view, or lives
+	dropping        bool
+	plannedTakeover bool // the previous primary is a member of the view or has a session
 
-	// Of the primary:
-	leading       bool // active in an epoch, and not deposed since
-	epoch         uint64
-	promised      []standing    // to the primary before
-	helloBy       time.Duration // dispatchers are not waited for any longer
-	greeted       bool          // all dispatchers have said what they hold
-	sequence      uint64
-	offers        []string // learners that are equal, in the epoch of the view
-	pending       map[string]*pendingAccept
-	endings       map[string]*ending
-	ended         map[string]int64 // when messages ended that are still known, cluster time
-	endedOrder    []endedMessage
-	writes        []time.Duration // when each write that is not done was begun
-	blockedSince  time.Duration   // writes are held up; 0 for not
-	blockedLogged bool
+	// Used by the primary:
+	leading        bool // active in an epoch and not deposed since
+	epoch          uint64
+	earlierLeases  []earlierLease // granted to the previous primary, as far as they may be valid
+	helloDeadline  time.Duration  // the primary stops waiting for dispatchers at this time
+	hellosComplete bool           // all dispatchers have sent their Hello, or the deadline has passed
+	sequence       uint64
+	offers         []string // learners that are in sync in the epoch of the view
+	pending        map[string]*pendingAccept
+	endings        map[string]*ending
+	ended          map[string]int64 // end times of the ended messages whose state is kept, cluster time
+	endedOrder     []endedMessage
+	writeStarts    []time.Duration // start time of each pending write, oldest first
+	blockedSince   time.Duration   // since when writes are blocked; 0 if they are not
+	blockedLogged  bool
 }
 
 func groupOf(partition uint32) uint32 { return groupBase + partition }
@@ -70,36 +71,37 @@
 		return nil, err
 	}
 	p.replica = replica
-	p.forgetMessages()
+	p.clearMessages()
 	s.partitions[number] = p
 	return p, nil
 }
 
-// helloWait returns how long to wait for dispatchers.
-func (p *partition) helloWait() time.Duration {
-	if p.planned {
-		return plannedHelloWait
+// helloTimeout returns how long a new primary waits for the Hello of dispatchers.
+func (p *partition) helloTimeout() time.Duration {
+	if p.plannedTakeover {
+		return plannedHelloTimeout
 	}
-	return helloWait
+	return helloTimeout
 }
 
-// lead goes on as primary in a later epoch. Dispatchers that know it drop what bears a lower one.
-func (p *partition) lead(now time.Duration) {
+// continueLeading keeps this store primary in a later epoch. Dispatchers that have received the epoch drop deliveries of earlier ones,
+// which are requeued here.
+func (p *partition) continueLeading(now time.Duration) {
 	s := p.store
 	s.queue.SetEpoch(p.number, p.view.Epoch)
-	for _, one := range s.sessions {
-		s.giveUpUnlisted(now, one, p)
+	for _, sess := range s.sessions {
+		s.requeueUnlisted(now, sess, p)
 	}
 }
 
-func (p *partition) forgetMessages() {
+func (p *partition) clearMessages() {
 	p.pending = map[string]*pendingAccept{}
 	p.endings = map[string]*ending{}
 	p.ended = map[string]int64{}
 	p.endedOrder = nil
 }
 
-// Active implements replication.Events. A primary that goes on in a later epoch keeps its queue.
+// Active implements replication.Events. A primary that stays primary in a later epoch keeps its queue.
 func (p *partition) Active(epoch uint64) {
 	s := p.store
 	now := s.now()
@@ -109,16 +111,16 @@
 	}
 	p.leading = true
 	s.queue.SetEpoch(p.number, epoch)
-	p.helloBy, p.greeted = now+p.helloWait(), false
+	p.helloDeadline, p.hellosComplete = now+p.helloTimeout(), false
 	if err := p.rebuild(now); err != nil {
-		s.logger.Error("records of a partition cannot be read; it is not served by this store",
+		s.logger.Error("records of a partition cannot be read; this store does not serve it",
 			zap.Uint32("partition", p.number), zap.Error(err))
 		s.queue.Drop(p.number)
 		p.leading = false
 		return
 	}
-	s.applyHeld(now, p.number)
-	s.logger.Info("primary of a partition", zap.Uint32("partition", p.number), zap.Uint64("epoch", epoch),
+	s.markHeld(now, p.number)
+	s.logger.Info("became primary of a partition", zap.Uint32("partition", p.number), zap.Uint64("epoch", epoch),
 		zap.Int("messages", s.queue.Len(p.number)))
 }
 
@@ -129,7 +131,7 @@
 	p.store.queue.Drop(p.number)
 	p.store.bodies.drop(p.number)
 	p.refuseEndings()
-	p.forgetMessages()
+	p.clearMessages()
 }
 
 // Offer implements replication.Events.
@@ -138,10 +140,10 @@
 // Applied implements replication.Events.
 func (p *partition) Applied([]replication.Record) {}
 
-// rebuild fills the queue from the records.
+// rebuild fills the queue from the state records.
 func (p *partition) rebuild(now time.Duration) (failure error) {
 	s := p.store
-	cluster := s.clusterNow()
+	clusterNow := s.clusterNow()
 	s.log.Each(groupOf(p.number), func(key string, _ uint64, value []byte) bool {
 		id, isState := stateID(key)
 		if !isState {
@@ -156,10 +158,10 @@
 			p.sequence = max(p.sequence, state.Sequence)
 		}
 		if state.ended() {
-			p.noteEnded(id, state.EndedAt)
+			p.addEnded(id, state.EndedAt)
 			return true
 		}
-		s.queue.Add(now, p.entry(id, &state, cluster))
+		s.queue.Add(now, p.entry(id, &state, clusterNow))
 		return true
 	})
 	p.sortEnded()
@@ -177,42 +179,43 @@
 	return state.decode(value)
 }
 
-func (p *partition) entry(id string, state *messageState, cluster int64) queue.Entry {
+func (p *partition) entry(id string, state *messageState, clusterNow int64) queue.Entry {
 	return queue.Entry{
 		Partition: p.number, ID: id, Key: state.Key, Host: state.Host, URI: state.URI, Sequence: state.Sequence,
 		Revision:          revisionOf(state.Configuration),
-		DueIn:             time.Duration(state.DueAt - cluster),
-		ExpiresIn:         time.Duration(state.ExpiresAt - cluster),
+		DueIn:             time.Duration(state.DueAt - clusterNow),
+		ExpiresIn:         time.Duration(state.ExpiresAt - clusterNow),
 		Attempts:          int(state.Attempts),
 		LastAttempt:       uint32(p.epoch) << attemptBits,
-		CountedDeliveries: state.Counted,
+		CountedDeliveries: state.CountedDeliveries,
 	}
 }
 
-// nextSequence draws the place of a message in the order of acceptance.
+// nextSequence returns the next sequence number, which orders messages by acceptance.
 func (p *partition) nextSequence() uint64 {
 	p.sequence = max(p.sequence, p.epoch<<sequenceBits) + 1
 	return p.sequence
 }
 
-// mayAct reports whether this store may hand out messages of the partition and answer for their states.
+// mayAct reports whether this store may deliver messages of the partition and answer lookups: it is primary, holds the leases of the other
+// members, and the leases that it granted to the previous primary have ended.
 func (p *partition) mayAct(now time.Duration) bool {
-	return p.leading && p.leaseWait(now) == 0 && p.leasesUntil() > now
+	return p.leading && p.earlierLeasesUntil(now) == 0 && p.leasesUntil() > now
 }
 
-// leaseWait returns when what was promised to the primary before is over at the latest; 0 if it is.
-func (p *partition) leaseWait(now time.Duration) time.Duration {
-	if len(p.promised) == 0 {
+// earlierLeasesUntil returns when the last lease granted to the previous primary expires; 0 if all have ended.
+func (p *partition) earlierLeasesUntil(now time.Duration) time.Duration {
+	if len(p.earlierLeases) == 0 {
 		return 0
 	}
-	until := p.store.grants.latest(now, p.promised)
+	until := p.store.grants.latestExpiry(now, p.earlierLeases)
 	if until == 0 {
-		p.promised = nil
+		p.earlierLeases = nil
 	}
 	return until
 }
 
-// leasesUntil returns when the first of the leases that the partition needs is over.
+// leasesUntil returns when the first of the leases that the partition needs expires.
 func (p *partition) leasesUntil() time.Duration {
 	until := queue.Never
 	view := p.replica.View()
@@ -226,42 +229,42 @@
 	return until
 }
 
-// mayHandOut reports whether deliveries may go out, and until when that is sure without another look.
-func (p *partition) mayHandOut(now time.Duration) bool {
-	if !p.mayAct(now) || p.store.stalled {
+// mayDeliver reports whether deliveries may be sent now.
+func (p *partition) mayDeliver(now time.Duration) bool {
+	if !p.mayAct(now) || p.store.diskStalled {
 		return false
 	}
-	if !p.greeted {
-		p.greeted = now >= p.helloBy || p.store.allGreeted(p.table)
+	if !p.hellosComplete {
+		p.hellosComplete = now >= p.helloDeadline || p.store.allHellosReceived(p.tableVersion)
 	}
-	return p.greeted
+	return p.hellosComplete
 }
 
-// write replicates records; writes are done in the order in which they were begun.
+// write replicates records; writes complete in the order in which they were started.
 func (p *partition) write(records []replication.Record, done func(error)) {
-	p.writes = append(p.writes, p.store.now())
+	p.writeStarts = append(p.writeStarts, p.store.now())
 	p.replica.Write(records, func(err error) {
-		p.writes = p.writes[1:]
+		p.writeStarts = p.writeStarts[1:]
 		done(err)
 	})
 }
 
-// slow reports whether writes take too long for another message to be accepted.
-func (p *partition) slow(now time.Duration) bool {
-	return len(p.writes) > 0 && now-p.writes[0] > slowWrite
+// writesSlow reports whether writes take too long to accept another message.
+func (p *partition) writesSlow(now time.Duration) bool {
+	return len(p.writeStarts) > 0 && now-p.writeStarts[0] > slowWriteAge
 }
 
-// watchBlocked logs once when members hold up writes for long: control has not left them out yet.
-func (p *partition) watchBlocked(now time.Duration) {
+// logBlockedWrites logs once if members block writes for blockedLogDelay: control has not excluded them yet.
+func (p *partition) logBlockedWrites(now time.Duration) {
 	blocked := p.replica.BlockingPeers()
 	switch {
 	case !p.leading || len(blocked) == 0:
 		p.blockedSince, p.blockedLogged = 0, false
 	case p.blockedSince == 0:
 		p.blockedSince = now
-	case now-p.blockedSince > blockedFor && !p.blockedLogged:
+	case now-p.blockedSince > blockedLogDelay && !p.blockedLogged:
 		p.blockedLogged = true
-		p.store.logger.Warn("writes wait for members that are not equal", zap.Uint32("partition", p.number),
+		p.store.logger.Warn("writes are blocked by members that are not in sync", zap.Uint32("partition", p.number),
 			zap.Strings("members", blocked))
 	}
 }
--- a/internal/roles/store/run.go
+++ b/internal/roles/store/run.go
@@ -24,7 +24,7 @@
 // diskShare is the part of the machine's disk that the records may use.
 const diskShare = 0.9
 
-// options are what a store runs with.
+// options are the parameters of run.
 type options struct {
 	settings      *nodeconfig.Settings
 	logger        *zap.Logger
@@ -34,12 +34,12 @@
 	afterStep     func()         // called on the loop after each step, for tests
 }
 
-// Run runs the store role until the context ends, and then hands over and returns.
+// Run runs the store role until the context is cancelled, then hands its partitions over and returns.
 func Run(ctx context.Context, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	return RunIn(ctx, roles.Environment{}, settings, logger)
 }
 
-// RunIn is Run in an environment.
+// RunIn is Run with the given disk and network.
 func RunIn(ctx context.Context, e roles.Environment, settings *nodeconfig.Settings, logger *zap.Logger) error {
 	return run(ctx, options{settings: settings, logger: logger, environment: e})
 }
@@ -51,20 +51,20 @@
 	}
 	defer func() { err = multierr.Append(err, s.log.Close()) }()
 	defer s.agent.Close()
-	watching, stopWatching := context.WithCancel(ctx)
+	watchContext, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
 	if o.settings.File != "" {
-		go s.watchSettings(watching)
+		go s.watchSettings(watchContext)
 	}
 	if o.started != nil {
 		o.started(s)
 	}
-	s.agent.Subscribe(func(view *agent.View, _ []protocol.ItemKind) { s.loop.post(func() { s.changed(view) }) })
+	s.agent.Subscribe(func(view *agent.View, _ []protocol.ItemKind) { s.loop.post(func() { s.viewChanged(view) }) })
 	s.runLoop(ctx)
 	return nil
 }
 
-// open opens the disk and starts the agent.
+// open opens the record log and starts the agent.
 func open(o options) (*store, error) {
 	if o.settings.DataDir == "" {
 		return nil, errors.New("a store needs a disk: set DataDir in the settings file, or run this role on storage machines only")
@@ -73,7 +73,7 @@
 		DiskBytes: int64(diskShare * float64(o.settings.Limits.DiskMb) * (1 << 20)),
 		Disk:      o.environment.Disk,
 		Logger:    o.logger,
-		OnError:   func(err error) { o.logger.Warn("the disk refused a write", zap.Error(err)) },
+		OnError:   func(err error) { o.logger.Warn("disk write failed", zap.Error(err)) },
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "open the records; check the disk under DataDir")
@@ -86,12 +86,12 @@
 	s := &store{
 		settings: o.settings, logger: o.logger, loop: newEventLoop(), log: log, member: member, view: &agent.View{},
 		partitions: map[uint32]*partition{}, peers: map[string]*peer{}, sessions: map[string]*session{},
-		bodies: newBodyCache(bodyCacheBytes), closing: closing{done: make(chan struct{})}, afterStep: o.afterStep,
+		bodies: newBodyCache(bodyCacheBytes), shutdown: shutdown{done: make(chan struct{})}, afterStep: o.afterStep,
 	}
 	s.queue = queue.New(queue.Options{Match: s.matchRoute, Zone: o.settings.Zone})
 	s.agent, err = agent.Start(agent.Options{
 		Settings: o.settings, Role: protocol.RoleStore, Member: member, Logger: o.logger, ListenAddress: o.listenAddress,
-		Handle: s.handle, Report: s.report.fill, OnClose: s.lost,
+		Handle: s.handle, Report: s.report.fill, OnClose: s.handleClose,
 		RPC: rpc.Options{Network: o.environment.Network},
 	})
 	if err != nil {
@@ -99,21 +99,21 @@
 	}
 	s.storage = newWatchedStorage(log, s.agent.Steady)
 	s.grants = newGrants(s.now())
-	if err := s.openRecorded(); err != nil {
+	if err := s.openRecordedPartitions(); err != nil {
 		s.agent.Close()
 		return nil, multierr.Append(err, log.Close())
 	}
 	return s, nil
 }
 
-// watchSettings follows the settings file.
+// watchSettings applies changes of the settings file, also on SIGHUP.
 func (s *store) watchSettings(ctx context.Context) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
 	nodeconfig.Watch(ctx, s.settings.File, s.settings, hangup, func(settings *nodeconfig.Settings, err error) {
 		if err != nil {
-			s.logger.Warn("the new settings are not valid; the ones before go on", zap.Error(err))
+			s.logger.Warn("the new settings are not valid; the previous ones stay in use", zap.Error(err))
 			return
 		}
 		s.loop.post(func() {
@@ -123,19 +123,19 @@
 	})
 }
 
-// runLoop runs the event loop until a planned end is over.
+// runLoop runs the event loop until a planned shutdown is finished.
 func (s *store) runLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	ended := ctx.Done()
+	cancelled := ctx.Done()
 	for {
 		select {
 		case <-s.loop.signal:
 		case <-timer.C:
-		case <-ended:
-			ended = nil
-			s.beginClosing()
-		case <-s.closing.done:
+		case <-cancelled:
+			cancelled = nil
+			s.beginShutdown()
+		case <-s.shutdown.done:
 			return
 		}
 		s.loop.runPending()
--- a/internal/roles/store/session.go
+++ b/internal/roles/store/session.go
@@ -10,22 +10,22 @@
 	"liftgauge/queue"
 )
 
-// session is one process of a dispatcher.
+// session is the state of one dispatcher process.
 type session struct {
-	name        string // in the queue
-	key         string // of the node
-	incarnation uint64
-	conn        *rpc.Conn // nil while it is not connected
-	table       protocol.ItemVersion
-	held        []queue.HeldDelivery // by the last Hello
-	listed      bool                 // the node table has shown this incarnation
+	name         string // the dispatcher's name in the queue
+	key          string // key of the node
+	incarnation  uint64
+	conn         *rpc.Conn // nil while it is not connected
+	tableVersion protocol.ItemVersion
+	held         []queue.HeldDelivery // according to the last Hello
+	listed       bool                 // the node table has contained this incarnation
 }
 
 func sessionName(key string, incarnation uint64) string {
 	return key + "#" + strconv.FormatUint(incarnation, 16)
 }
 
-// receiveHello opens or renews the flow of deliveries on a connection.
+// receiveHello starts or renews deliveries on a connection.
 func (s *store) receiveHello(c *rpc.Conn, body []byte) {
 	var m protocol.Hello
 	if err := m.Decode(body); err != nil {
@@ -34,43 +34,43 @@
 	}
 	now := s.now()
 	name := sessionName(m.Dispatcher, m.Incarnation)
-	one := s.sessions[name]
-	if one == nil {
-		one = &session{name: name, key: m.Dispatcher, incarnation: m.Incarnation}
-		s.sessions[name] = one
+	sess := s.sessions[name]
+	if sess == nil {
+		sess = &session{name: name, key: m.Dispatcher, incarnation: m.Incarnation}
+		s.sessions[name] = sess
 	}
-	one.table, one.held = m.Table, holdings(m.Held)
-	if one.conn == c {
-		for _, h := range one.held {
+	sess.tableVersion, sess.held = m.Table, convertHeld(m.Held)
+	if sess.conn == c {
+		for _, h := range sess.held {
 			s.queue.MarkHeld(now, h.Partition, h.ID, h.Attempt, name)
 		}
 		s.queue.Resume(name, m.Zone)
 		if s.queue.HasInFlight(name) {
-			for _, p := range s.sorted() {
-				s.giveUpUnlisted(now, one, p)
+			for _, p := range s.sortedPartitions() {
+				s.requeueUnlisted(now, sess, p)
 			}
 		}
 	} else {
-		s.greet(c, one, m.Zone)
-		s.listSessions(now, s.view)
+		s.attachConnection(c, sess, m.Zone)
+		s.reconcileSessions(now, s.view)
 	}
-	s.queue.SetSlots(name, slotsOf(m.Windows))
+	s.queue.SetSlots(name, slotsByService(m.Windows))
 }
 
-// greet begins a new connection of a dispatcher: what was sent on the one before and is not held never arrived.
-func (s *store) greet(c *rpc.Conn, one *session, zone string) {
+// attachConnection sets the connection of a dispatcher. Deliveries that were sent on the previous one and are not held never arrived.
+func (s *store) attachConnection(c *rpc.Conn, sess *session, zone string) {
 	now := s.now()
-	if old := one.conn; old != nil {
+	if old := sess.conn; old != nil {
 		old.Close()
-		s.queue.DispatcherDisconnected(now, one.name, false)
+		s.queue.DispatcherDisconnected(now, sess.name, false)
 	}
-	one.conn = c
-	c.SetTag(one)
-	s.queue.Hello(now, one.name, zone, one.held)
+	sess.conn = c
+	c.SetTag(sess)
+	s.queue.Hello(now, sess.name, zone, sess.held)
 	s.windowsStale = true
 }
 
-func holdings(held []protocol.HeldDelivery) []queue.HeldDelivery {
+func convertHeld(held []protocol.HeldDelivery) []queue.HeldDelivery {
 	list := make([]queue.HeldDelivery, 0, len(held))
 	for _, h := range held {
 		list = append(list, queue.HeldDelivery{Partition: h.Partition, ID: h.ID, Attempt: h.Attempt})
@@ -78,14 +78,14 @@
 	return list
 }
 
-// giveUpUnlisted compares what a dispatcher said by the present epoch of a partition with what was handed out to it.
-func (s *store) giveUpUnlisted(now time.Duration, one *session, p *partition) {
-	if p.leading && p.view.Primary == s.member && !one.table.Less(p.table) {
-		s.queue.RequeueUnlisted(now, one.name, p.number, p.view.Epoch, one.held)
+// requeueUnlisted requeues the deliveries of a partition that the dispatcher does not hold, if its Hello was based on the present epoch.
+func (s *store) requeueUnlisted(now time.Duration, sess *session, p *partition) {
+	if p.leading && p.view.Primary == s.member && !sess.tableVersion.Less(p.tableVersion) {
+		s.queue.RequeueUnlisted(now, sess.name, p.number, p.view.Epoch, sess.held)
 	}
 }
 
-func slotsOf(windows []protocol.ServiceWindow) map[string]int {
+func slotsByService(windows []protocol.ServiceWindow) map[string]int {
 	if len(windows) == 0 {
 		return nil
 	}
@@ -98,65 +98,66 @@
 
 // receivePause stops deliveries on a connection.
 func (s *store) receivePause(c *rpc.Conn) {
-	if one, ok := c.Tag().(*session); ok && one.conn == c {
-		s.queue.Pause(one.name)
+	if sess, ok := c.Tag().(*session); ok && sess.conn == c {
+		s.queue.Pause(sess.name)
 	}
 }
 
-// lost is told of each connection that ended, on any goroutine.
-func (s *store) lost(c *rpc.Conn, _ error) { s.loop.post(func() { s.connectionClosed(c) }) }
+// handleClose is called for each closed connection, on any goroutine.
+func (s *store) handleClose(c *rpc.Conn, _ error) { s.loop.post(func() { s.connectionClosed(c) }) }
 
-// connectionClosed takes note of a lost dispatcher.
+// connectionClosed handles the lost connection of a dispatcher.
 func (s *store) connectionClosed(c *rpc.Conn) {
-	one, ok := c.Tag().(*session)
-	if !ok || one.conn != c {
+	sess, ok := c.Tag().(*session)
+	if !ok || sess.conn != c {
 		return
 	}
-	one.conn = nil
-	s.queue.DispatcherDisconnected(s.now(), one.name, s.replaced(one, s.view))
+	sess.conn = nil
+	s.queue.DispatcherDisconnected(s.now(), sess.name, s.processReplaced(sess, s.view))
 }
 
-// replaced reports whether the process of a session is known to have ended: the node table shows a later process of the same node.
-func (s *store) replaced(one *session, view *agent.View) bool {
-	node, found := view.NodeByKey(one.key)
-	return found && one.listed && node.Incarnation != one.incarnation
+// processReplaced reports whether the process of a session is known to have ended: the node table contains a later process of the same node.
+func (s *store) processReplaced(sess *session, view *agent.View) bool {
+	node, found := view.NodeByKey(sess.key)
+	return found && sess.listed && node.Incarnation != sess.incarnation
 }
 
-// listSessions compares the sessions with the node table.
-func (s *store) listSessions(now time.Duration, view *agent.View) {
-	for name, one := range s.sessions {
-		node, found := view.NodeByKey(one.key)
-		if found && node.Incarnation == one.incarnation {
-			one.listed = true
+// reconcileSessions compares the sessions with the node table: it returns the deliveries of replaced processes to the queue and removes
+// disconnected sessions that the table does not contain.
+func (s *store) reconcileSessions(now time.Duration, view *agent.View) {
+	for name, sess := range s.sessions {
+		node, found := view.NodeByKey(sess.key)
+		if found && node.Incarnation == sess.incarnation {
+			sess.listed = true
 			continue
 		}
-		ended := s.replaced(one, view)
+		ended := s.processReplaced(sess, view)
 		if ended {
 			s.queue.DispatcherDisconnected(now, name, true)
 		}
-		if one.conn == nil && (ended || !found) {
+		if sess.conn == nil && (ended || !found) {
 			delete(s.sessions, name)
 		}
 	}
 }
 
-// allGreeted reports whether every live dispatcher has said what it holds by a partition table as new as version.
-func (s *store) allGreeted(version protocol.ItemVersion) bool {
+// allHellosReceived reports whether every live dispatcher has sent a Hello that is based on a partition table at least as new as version.
+func (s *store) allHellosReceived(version protocol.ItemVersion) bool {
 	for node := range s.view.Each(protocol.RoleDispatcher) {
-		one := s.sessions[sessionName(node.Key, node.Incarnation)]
-		if one == nil || one.table.Less(version) {
+		sess := s.sessions[sessionName(node.Key, node.Incarnation)]
+		if sess == nil || sess.tableVersion.Less(version) {
 			return false
 		}
 	}
 	return true
 }
 
-// applyHeld tells the queue what dispatchers have said that they hold of a partition.
-func (s *store) applyHeld(now time.Duration, partition uint32) {
-	for _, one := range s.sessions {
-		for _, h := range one.held {
+// markHeld marks the deliveries of a partition as held that dispatchers listed in their last Hello.
+func (s *store) markHeld(now time.Duration, partition uint32) {
+	for _, sess := range s.sessions {
+		for _, h := range sess.held {
 			if h.Partition == partition {
-				s.queue.MarkHeld(now, h.Partition, h.ID, h.Attempt, one.name)
+				s.queue.MarkHeld(now, h.Partition, h.ID, h.Attempt, sess.name)
 			}
 		}
 	}
--- a/internal/roles/store/table.go
+++ b/internal/roles/store/table.go
@@ -11,16 +11,16 @@
 	"liftgauge/replication"
 )
 
-// takeTable installs the views of a newer partition table.
-func (s *store) takeTable(view *agent.View) {
+// applyPartitionTable installs the views of a newer partition table and notifies the stores that depend on it.
+func (s *store) applyPartitionTable(view *agent.View) {
 	version := view.PartitionsVersion
-	if !s.table.Less(version) {
+	if !s.tableVersion.Less(version) {
 		return
 	}
-	first := s.table == (protocol.ItemVersion{})
-	s.table = version
+	first := s.tableVersion == (protocol.ItemVersion{})
+	s.tableVersion = version
 	if first {
-		s.grants.raiseAll(version)
+		s.grants.fenceAll(version)
 	}
 	successors, changed := map[string]bool{}, map[string]bool{}
 	for index := range view.Partitions.Partitions {
@@ -29,20 +29,21 @@
 		if p != nil && p.leading && v.Primary != s.member {
 			successors[v.Primary] = true
 		}
-		if s.concernsPrimary(v, p) {
+		if s.shouldNotifyPrimary(v, p) {
 			changed[v.Primary] = true
 		}
-		s.takeView(v, version)
+		s.installView(v, version)
 	}
-	s.tellPrimaries(view, changed)
+	s.notifyPrimaries(view, changed)
 	s.syncPeers()
 	for member := range successors {
-		s.askLease(s.now(), s.peer(member)) // tells it that this store acts by the new table
+		s.requestLease(s.now(), s.peer(member)) // shows the new primary that this store uses the new table
 	}
 }
 
-// concernsPrimary tells whether another store is the primary of a view that is news to this one, which is in it or holds the partition.
-func (s *store) concernsPrimary(v *protocol.PartitionView, held *partition) bool {
+// shouldNotifyPrimary reports whether another store is the primary of a view that is new to this store and that includes this store
+// or a partition that it holds.
+func (s *store) shouldNotifyPrimary(v *protocol.PartitionView, held *partition) bool {
 	if v.Primary == s.member {
 		return false
 	}
@@ -52,9 +53,9 @@
 	return v.Epoch > held.view.Epoch
 }
 
-// tellPrimaries has the primaries of changed partitions hear of the table: a primary that does not know its view yet waits for members that have left
-// it, and takes nothing over.
-func (s *store) tellPrimaries(view *agent.View, members map[string]bool) {
+// notifyPrimaries notifies the primaries of changed partitions of the table: a primary that has not received its view yet waits for members that
+// were removed from it, and does not take over.
+func (s *store) notifyPrimaries(view *agent.View, members map[string]bool) {
 	var addresses []string
 	for member := range members {
 		if node, found := view.NodeByMember(member); found {
@@ -66,8 +67,8 @@
 	}
 }
 
-// takeView installs the view of one partition if it is newer than what is known.
-func (s *store) takeView(v *protocol.PartitionView, version protocol.ItemVersion) {
+// installView installs the view of one partition if it is newer than the installed one.
+func (s *store) installView(v *protocol.PartitionView, version protocol.ItemVersion) {
 	p := s.partitions[v.Partition]
 	included := v.Includes(s.member)
 	if p == nil {
@@ -82,15 +83,15 @@
 		p = created
 	}
 	if v.Epoch > p.view.Epoch {
-		p.planned = slices.Contains(v.Members, p.view.Primary) || s.lives(p.view.Primary)
+		p.plannedTakeover = slices.Contains(v.Members, p.view.Primary) || s.isLive(p.view.Primary)
 		s.fenceEarlierPrimary(p, v, version)
-		p.view, p.table = *v, version
+		p.view, p.tableVersion = *v, version
 		p.offers, p.blockedSince = nil, 0
 		p.replica.Install(replication.View{
 			Epoch: v.Epoch, Primary: v.Primary, Members: v.Members, Learners: v.Learners, Sources: v.Sources,
 		})
 		if p.leading && v.Primary == s.member {
-			p.lead(s.now())
+			p.continueLeading(s.now())
 		}
 	}
 	if !included && v.Epoch >= p.view.Epoch {
@@ -98,35 +99,35 @@
 	}
 }
 
-// fenceEarlierPrimary makes sure that whoever was primary before does not act any more when this store does: it gets no lease before it
-// knows the new table, and this store waits until the last one is over, or until the one before is known to know that table. Members of the
-// new view have joined it before it is active.
+// fenceEarlierPrimary makes sure that the previous primary no longer acts when this store does: this store grants it no lease until it uses
+// the new table, and waits until its last lease has expired or it has shown that it uses that table. Members of the new view need no such
+// wait, since they have joined the view before it becomes active.
 func (s *store) fenceEarlierPrimary(p *partition, next *protocol.PartitionView, version protocol.ItemVersion) {
-	before := p.view.Primary
+	previous := p.view.Primary
 	known := p.view.Epoch+1 == next.Epoch && p.view.Epoch > 0
 	switch {
 	case !known:
-		s.grants.raiseAll(version)
-		p.promised = s.grants.standingAll(version)
-	case before == s.member || before == next.Primary:
+		s.grants.fenceAll(version)
+		p.earlierLeases = s.grants.leasesOfAll(version)
+	case previous == s.member || previous == next.Primary:
 		return
 	default:
-		s.grants.raise(before, version)
-		p.promised = nil
-		if !slices.Contains(next.Members, before) {
-			p.promised = s.grants.standingOf(before, version)
+		s.grants.fenceMember(previous, version)
+		p.earlierLeases = nil
+		if !slices.Contains(next.Members, previous) {
+			p.earlierLeases = s.grants.leasesOf(previous, version)
 		}
 	}
 }
 
-// lives reports whether a member has a session, as far as this store knows.
-func (s *store) lives(member string) bool {
+// isLive reports whether the node table shows a session of a member.
+func (s *store) isLive(member string) bool {
 	_, found := s.view.NodeByMember(member)
 	return found && member != ""
 }
 
-// tableBehind reports whether some partition has joined an epoch that the partition table does not show yet.
-func (s *store) tableBehind() bool {
+// tableOutdated reports whether a replica has joined an epoch that the installed partition table does not contain yet.
+func (s *store) tableOutdated() bool {
 	for _, p := range s.partitions {
 		if p.replica.JoinedEpoch() > p.view.Epoch {
 			return true
@@ -135,7 +136,7 @@
 	return false
 }
 
-// dropPartition removes a partition that this store is no longer part of.
+// dropPartition deletes a partition that this store is no longer a member or learner of.
 func (s *store) dropPartition(p *partition) {
 	if p.dropping {
 		return
@@ -144,7 +145,7 @@
 	p.replica.Drop(func(err error) {
 		p.dropping = false
 		if err != nil {
-			return // it became a member again, or the disk refused: the next table or tick decides
+			return // it became a member again, or the disk failed: the next table or tick decides
 		}
 		if s.partitions[p.number] == p {
 			delete(s.partitions, p.number)
@@ -152,7 +153,7 @@
 	})
 }
 
-// retryDrops drops what could not be dropped before.
+// retryDrops tries again to drop partitions whose drop has failed.
 func (s *store) retryDrops() {
 	for _, p := range s.partitions {
 		if p.view.Epoch > 0 && p.replica.View().Epoch == p.view.Epoch && !p.view.Includes(s.member) {
@@ -161,8 +162,9 @@
 	}
 }
 
-// openRecorded opens the partitions that the disk has records of, so that they are dropped if the table does not name this store.
-func (s *store) openRecorded() error {
+// openRecordedPartitions opens the partitions that have records on the disk, so that they are dropped if the partition table does not
+// include this store.
+func (s *store) openRecordedPartitions() error {
 	for _, group := range s.log.Groups() {
 		if group < groupBase {
 			continue
@@ -174,8 +176,8 @@
 	return nil
 }
 
-// leads reports whether the partition table names this store primary of anything.
-func (s *store) leads() bool {
+// leadsAny reports whether the partition table has this store as primary of any partition.
+func (s *store) leadsAny() bool {
 	for _, p := range s.partitions {
 		if p.view.Primary == s.member {
 			return true
@@ -184,8 +186,8 @@
 	return false
 }
 
-// sorted returns the partitions in order of their numbers.
-func (s *store) sorted() []*partition {
+// sortedPartitions returns the partitions in order of number.
+func (s *store) sortedPartitions() []*partition {
 	all := make([]*partition, 0, len(s.partitions))
 	for _, number := range slices.Sorted(maps.Keys(s.partitions)) {
 		all = append(all, s.partitions[number])
--- a/internal/roles/store/windows.go
+++ b/internal/roles/store/windows.go
@@ -13,22 +13,22 @@
 
 const (
 	minWindow = 4
-	// overcommit is how many times the capacity of a service may be out, so that no worker waits for a store.
+	// overcommit is the ratio of deliveries in flight to the capacity of a service, so that no worker waits for a store.
 	overcommit = 1.5
-	// ownerWindow is what may be out at each dispatcher that a service is placed on.
+	// ownerWindow is the limit of deliveries in flight to each dispatcher that a service is placed on.
 	ownerWindow    = 16
 	minOwnerWindow = 2
-	// pacedAhead is how much of a rate-limited service's work may wait at the dispatchers that pace it.
+	// pacedAhead is how much work of a rate-limited service, in time at its rate, may wait at the dispatchers that pace it.
 	pacedAhead = 400 * time.Millisecond
 )
 
-// fleet is what windows depend on.
+// fleet is the part of the cluster state that windows depend on.
 type fleet struct {
 	stores      int
-	dispatchers int // that take part
+	dispatchers int // that are not leaving
 	ownership   *placement.Ownership
 	sessions    map[string]string
-	nearby      int // dispatchers of the own zone
+	sameZone    int // dispatchers in the zone of this store
 	capacity    map[string]int
 }
 
@@ -44,7 +44,7 @@
 		keys = append(keys, node.Key)
 		f.sessions[node.Key] = sessionName(node.Key, node.Incarnation)
 		if node.Zone == s.settings.Zone {
-			f.nearby++
+			f.sameZone++
 		}
 	}
 	f.dispatchers = len(keys)
@@ -57,14 +57,14 @@
 	return f
 }
 
-// window reckons what this store may have out for a service.
+// window computes the limits of this store's deliveries in flight for a service.
 func (f *fleet) window(service *configuration.Service) queue.Window {
 	owners := placement.OwnerCount(service.RatePerS, service.Static != "")
 	if owners > 0 {
 		return f.ownedWindow(service, owners)
 	}
 	total := max(minWindow, int(math.Ceil(overcommit*float64(f.capacity[service.Name])/float64(f.stores))))
-	spread := f.nearby
+	spread := f.sameZone
 	if spread == 0 {
 		spread = max(1, f.dispatchers)
 	}
@@ -84,8 +84,8 @@
 	return queue.Window{Total: each * max(1, len(owners)), PerDispatcher: each, Owners: owners}
 }
 
-// setWindows sets the windows of all services anew.
-func (s *store) setWindows() {
+// updateWindows recomputes the windows of all services.
+func (s *store) updateWindows() {
 	s.windowsStale = false
 	if s.configuration == nil {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// matchRoute is the queue's look at the configuration.
+// matchRoute finds the route of a message for the queue.
 func (s *store) matchRoute(host, uri string) (queue.Route, bool) {
 	route, found := s.configuration.Match(host, uri)
 	if !found {
@@ -109,8 +109,8 @@
 	}, true
 }
 
-// takeConfiguration follows a newer configuration.
-func (s *store) takeConfiguration(view *agent.View) error {
+// applyConfiguration applies a newer configuration.
+func (s *store) applyConfiguration(view *agent.View) error {
 	if !s.configurationVersion.Less(view.ConfigurationVersion) {
 		return nil
 	}
