--- a/cmd/liftlab/ablate.go
+++ b/cmd/liftlab/ablate.go
@@ -40,7 +40,7 @@
 }
 
 func ablate(name, root, to string) error {
-	m, err := ablation.Named(name)
+	m, err := ablation.Find(name)
 	if err != nil {
 		return err
 	}
--- a/cmd/liftlab/mutants.go
+++ b/cmd/liftlab/mutants.go
@@ -27,7 +27,7 @@
 }
 
 func playMutants(cmd *cobra.Command, root string, patience time.Duration, names []string) error {
-	chosen, err := mutants.Named(mutants.System, names)
+	chosen, err := mutants.Select(mutants.System, names)
 	if err != nil {
 		return err
 	}
--- a/cmd/liftlab/sitevariant.go
+++ b/cmd/liftlab/sitevariant.go
@@ -17,7 +17,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if name == "" || len(args) == 0 {
 				for _, v := range sitevariant.All() {
-					fmt.Fprintf(cmd.OutOrStdout(), "%-18s %s\n", v.Name, v.About)
+					fmt.Fprintf(cmd.OutOrStdout(), "%-18s %s\n", v.Name, v.Description)
 				}
 				return nil
 			}
--- a/cmd/liftlab/trialday.go
+++ b/cmd/liftlab/trialday.go
@@ -28,7 +28,7 @@
 			for _, kind := range known {
 				site[kind] = true
 			}
-			o.Known = func(kind string) bool { return site[kind] }
+			o.Supported = func(kind string) bool { return site[kind] }
 			if err := os.MkdirAll(folder, 0o755); err != nil {
 				return err
 			}
--- a/lab/ablation/ablation.go
+++ b/lab/ablation/ablation.go
@@ -17,8 +17,8 @@
 	Edits   []sourcecopy.Edit
 }
 
-// Named returns a mechanism of the list.
-func Named(name string) (Mechanism, error) {
+// Find returns a mechanism of the list.
+func Find(name string) (Mechanism, error) {
 	at := slices.IndexFunc(Mechanisms, func(m Mechanism) bool { return m.Name == name })
 	if at < 0 {
 		return Mechanism{}, errors.Newf("there is no mechanism %q: liftlab ablate lists them", name)
--- a/lab/ablation/ablation_test.go
+++ b/lab/ablation/ablation_test.go
@@ -32,7 +32,7 @@
 
 func TestWrite(t *testing.T) {
 	is := is.New(t)
-	m, err := Named("overcommit")
+	m, err := Find("overcommit")
 	is.NoErr(err)
 	to := t.TempDir()
 	is.NoErr(m.Write(root, to))
@@ -43,6 +43,6 @@
 	is.Equal(string(changed), string(want))
 	_, err = os.Stat(filepath.Join(to, "deploy", "system.toml"))
 	is.NoErr(err) // the copy can be built and deployed
-	_, err = Named("no such mechanism")
+	_, err = Find("no such mechanism")
 	is.True(err != nil)
 }
--- a/lab/mutants/mutants.go
+++ b/lab/mutants/mutants.go
@@ -41,8 +41,8 @@
 // ErrBuild means that a mutant does not compile.
 var ErrBuild = errors.New("mutants: the changed sources do not compile: mend the mutant")
 
-// Named returns the mutants of the promises that are named, or all if none is.
-func Named(all []Mutant, promises []string) ([]Mutant, error) {
+// Select returns the mutants of the promises that are named, or all if none is.
+func Select(all []Mutant, promises []string) ([]Mutant, error) {
 	if len(promises) == 0 {
 		return all, nil
 	}
--- a/lab/mutants/mutants_test.go
+++ b/lab/mutants/mutants_test.go
@@ -33,13 +33,13 @@
 func TestNamed(t *testing.T) {
 	is := is.New(t)
 	all := []Mutant{{Promise: "a"}, {Promise: "b"}}
-	found, err := Named(all, nil)
+	found, err := Select(all, nil)
 	is.NoErr(err)
 	is.Equal(found, all)
-	found, err = Named(all, []string{"b"})
+	found, err = Select(all, []string{"b"})
 	is.NoErr(err)
 	is.Equal(found, all[1:])
-	_, err = Named(all, []string{"c"})
+	_, err = Select(all, []string{"c"})
 	is.True(err != nil)
 }
 
--- a/lab/sitevariant/sitevariant.go
+++ b/lab/sitevariant/sitevariant.go
@@ -17,9 +17,9 @@
 
 // Variant is a named change of a deployment.
 type Variant struct {
-	Name  string
-	About string
-	apply func(site)
+	Name        string
+	Description string
+	apply       func(site)
 }
 
 // All returns the variants in a fixed order.
--- a/lab/trialday/trialday.go
+++ b/lab/trialday/trialday.go
@@ -142,11 +142,11 @@
 
 // Options say what a day may hold.
 type Options struct {
-	Only     []string // kinds; empty: all that the site knows
-	Known    func(kind string) bool
-	Troubles int     // drawn entries; each kind may come more than once
-	LengthS  float64 // of the traffic
-	Closing  bool
+	Only      []string // kinds; empty: all that the site knows
+	Supported func(kind string) bool
+	Troubles  int     // drawn entries; each kind may come more than once
+	LengthS   float64 // of the traffic
+	Closing   bool
 }
 
 // Draw returns the day of a seed.
@@ -154,7 +154,7 @@
 	r := rand.New(rand.NewPCG(seed, 7))
 	var usable []template
 	for _, t := range templates() {
-		if (len(o.Only) == 0 || slices.Contains(o.Only, t.kind)) && (t.needs == "" || o.Known(t.kind)) {
+		if (len(o.Only) == 0 || slices.Contains(o.Only, t.kind)) && (t.needs == "" || o.Supported(t.kind)) {
 			usable = append(usable, t)
 		}
 	}
--- a/lab/trialday/trialday_test.go
+++ b/lab/trialday/trialday_test.go
@@ -12,7 +12,7 @@
 
 func TestSameSeedSameDay(t *testing.T) {
 	is := is.New(t)
-	o := Options{Known: all, Troubles: 5, LengthS: 30, Closing: true}
+	o := Options{Supported: all, Troubles: 5, LengthS: 30, Closing: true}
 	is.Equal(Draw(7, o).TOML(), Draw(7, o).TOML())
 	is.True(Draw(7, o).TOML() != Draw(8, o).TOML())
 }
@@ -21,7 +21,7 @@
 	is := is.New(t)
 	for seed := range uint64(200) {
 		var day map[string]any
-		text := Draw(seed, Options{Known: all, Troubles: 6, LengthS: 30, Closing: true}).TOML()
+		text := Draw(seed, Options{Supported: all, Troubles: 6, LengthS: 30, Closing: true}).TOML()
 		is.NoErr(toml.Unmarshal([]byte(text), &day))
 		plan, faults := day["plan"].([]any), day["faults"].([]any)
 		is.Equal(len(plan)+len(faults), 6)
@@ -35,7 +35,7 @@
 func TestKindsAskedForCome(t *testing.T) {
 	is := is.New(t)
 	for _, kind := range Kinds() {
-		day := Draw(3, Options{Only: []string{kind}, Known: all, Troubles: 2, LengthS: 30})
+		day := Draw(3, Options{Only: []string{kind}, Supported: all, Troubles: 2, LengthS: 30})
 		is.Equal(len(day.Plan)+len(day.Faults), 2)
 		is.Equal(strings.Count(day.TOML(), `"`+kind+`"`), 2)
 	}
@@ -45,6 +45,6 @@
 	is := is.New(t)
 	none := func(string) bool { return false }
 	for seed := range uint64(100) {
-		is.True(!strings.Contains(Draw(seed, Options{Known: none, Troubles: 6, LengthS: 30}).TOML(), "retire"))
+		is.True(!strings.Contains(Draw(seed, Options{Supported: none, Troubles: 6, LengthS: 30}).TOML(), "retire"))
 	}
 }
