--- a/lab/ablation/ablation.go
+++ b/lab/ablation/ablation.go
@@ -1,5 +1,5 @@
-// Package ablation makes copies of the sources in which one mechanism of the ingest and dispatch service is switched off, so that what it is worth can
-// be measured: the copy is played against the sources on the same days and seeds. docs/kpr-rounds.md has the results.
+// Package ablation makes copies of the sources in which one mechanism of the ingest and dispatch service is disabled, to measure what the
+// mechanism contributes: the copy is compared with the original on the same days and seeds. docs/kpr-rounds.md has the results.
 package ablation
 
 import (
@@ -13,20 +13,20 @@
 // Mechanism is a rule or a constant by which the service decides something.
 type Mechanism struct {
 	Name    string
-	Purpose string // what it is believed to do
+	Purpose string // its intended effect
 	Edits   []sourcecopy.Edit
 }
 
-// Find returns a mechanism of the list.
+// Find returns the mechanism with the given name.
 func Find(name string) (Mechanism, error) {
-	at := slices.IndexFunc(Mechanisms, func(m Mechanism) bool { return m.Name == name })
-	if at < 0 {
-		return Mechanism{}, errors.Newf("there is no mechanism %q: liftlab ablate lists them", name)
+	index := slices.IndexFunc(Mechanisms, func(m Mechanism) bool { return m.Name == name })
+	if index < 0 {
+		return Mechanism{}, errors.Newf("unknown mechanism %q: run liftlab ablate for a list", name)
 	}
-	return Mechanisms[at], nil
+	return Mechanisms[index], nil
 }
 
-// Write copies the sources at root into a folder, with the mechanism switched off.
+// Write copies the sources at root into a folder, with the mechanism disabled.
 func (m Mechanism) Write(root, to string) error {
-	return errors.Wrapf(sourcecopy.Make(root, to, m.Edits...), "switching off %s", m.Name)
+	return errors.Wrapf(sourcecopy.Make(root, to, m.Edits...), "disable %s", m.Name)
 }
--- a/lab/ablation/ablation_test.go
+++ b/lab/ablation/ablation_test.go
@@ -12,7 +12,7 @@
 
 const root = "../.."
 
-// TestListIsUpToDate: each mechanism still has something to switch off, what is left is Go, and no name stands twice.
+// TestListIsUpToDate checks that each edit still applies to the sources and leaves valid Go syntax, and that no name is listed twice.
 func TestListIsUpToDate(t *testing.T) {
 	is := is.NewRelaxed(t)
 	seen := map[string]bool{}
--- a/lab/ablation/mechanisms.go
+++ b/lab/ablation/mechanisms.go
@@ -2,9 +2,9 @@
 
 import "liftgauge/lab/sourcecopy"
 
-// Mechanisms are those of the path of a message, and of what brings it back after a loss.
+// Mechanisms lists the mechanisms on the path of a message and those of recovery after a loss.
 var Mechanisms = []Mechanism{
-	// The choice of a worker.
+	// Worker selection.
 	{"interleaved-period", "spreads the turns of a worker evenly over the period", edit("balance/balance.go",
 		"place := (2*j + 1) * n / (2 * q)", "place := min(n-1, 0*j)")},
 	{"dispatcher-offset", "keeps dispatchers from choosing the same worker at the same time", edit("balance/balance.go",
@@ -36,7 +36,7 @@
 	{"early-lease-end", "ends a lease once its holder is known to act by the newer table, or gave it back", edit("internal/roles/store/lease.go",
 		"return !grant.latestTable.Less(lease.table) || now >= max(g.unknownUntil, grant.until)", "return false")},
 
-	// The accept of a message.
+	// Acceptance of a message.
 	{"own-zone-partitions", "stores a message without a key in a partition of the own zone", edit("internal/roles/dispatcher/directory/directory.go",
 		"case node.Zone == d.self.Zone:\n\t\treturn 0", "case false:\n\t\treturn 0")},
 	{"spare-full-stores", "prefers other stores to one whose window for the service is full", edit("internal/roles/store/accept.go",
@@ -73,6 +73,6 @@
 		"collectorPercent   = 75", "collectorPercent   = 100")},
 }
 
-func edit(file, old, changed string) []sourcecopy.Edit {
-	return []sourcecopy.Edit{{File: file, Old: old, New: changed}}
+func edit(file, old, replacement string) []sourcecopy.Edit {
+	return []sourcecopy.Edit{{File: file, Old: old, New: replacement}}
 }
--- a/lab/mutants/mutants_test.go
+++ b/lab/mutants/mutants_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	root     = "../.."
-	patience = time.Minute // of runs that take a second or two
+	root    = "../.."
+	timeout = time.Minute // a run takes a second or two
 )
 
-// TestListIsUpToDate: each mutant still has something to change, and no promise stands twice.
+// TestListIsUpToDate checks that the text of each mutant still occurs in the sources and that no promise is listed twice.
 func TestListIsUpToDate(t *testing.T) {
 	is := is.NewRelaxed(t)
 	seen := map[string]bool{}
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestNamed(t *testing.T) {
+func TestSelect(t *testing.T) {
 	is := is.New(t)
 	all := []Mutant{{Promise: "a"}, {Promise: "b"}}
 	found, err := Select(all, nil)
@@ -43,16 +43,16 @@
 	is.True(err != nil)
 }
 
-func TestRead(t *testing.T) {
+func TestParseOutput(t *testing.T) {
 	is := is.New(t)
 	output := []byte("--- FAIL: TestDays (1.00s)\n    --- FAIL: TestDays/seed_1 (1.00s)\n" +
 		"        system_test.go:360: LOST at 3s: a\n        system_test.go:360: ORDER at 4s: b\n        system_test.go:360: LOST at 5s: c\nFAIL\n")
-	is.Equal(read(output, false), Result{Caught: true, Test: "TestDays", Rules: []string{"LOST", "ORDER"}})
-	is.Equal(read([]byte("ok  \tp\t1s\n"), true), Result{})
-	is.Equal(read([]byte("panic: test timed out after 1m0s\n"), false), Result{Caught: true})
+	is.Equal(parseOutput(output, false), Result{Caught: true, Test: "TestDays", Rules: []string{"LOST", "ORDER"}})
+	is.Equal(parseOutput([]byte("ok  \tp\t1s\n"), true), Result{})
+	is.Equal(parseOutput([]byte("panic: test timed out after 1m0s\n"), false), Result{Caught: true})
 }
 
-// TestRun plays a mutant of a module of its own.
+// TestRun runs mutants of a small module that the test creates.
 func TestRun(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -66,8 +66,8 @@
 		is.NoErr(os.MkdirAll(filepath.Dir(path), 0o700))
 		is.NoErr(os.WriteFile(path, []byte(content), 0o600))
 	}
-	run := func(old, by string) (Result, error) {
-		return Run(t.Context(), folder, patience, Mutant{Promise: "p", File: "a.go", Old: old, New: by, Package: "."})
+	run := func(old, replacement string) (Result, error) {
+		return Run(t.Context(), folder, timeout, Mutant{Promise: "p", File: "a.go", Old: old, New: replacement, Package: "."})
 	}
 	r, err := run("a + b", "a - b")
 	is.NoErr(err)
@@ -80,5 +80,5 @@
 	is.True(errors.Is(err, ErrBuild))
 	content, err := os.ReadFile(filepath.Join(folder, "a.go"))
 	is.NoErr(err)
-	is.True(string(content) != "") // the sources themselves are as they were
+	is.True(string(content) != "") // the original sources are unchanged
 }
--- a/lab/mutants/recovery.go
+++ b/lab/mutants/recovery.go
@@ -1,7 +1,7 @@
 package mutants
 
-// recoveryPromises are the promises of founding control anew.
-var recoveryPromises = []Mutant{
+// recoveryMutants break the guarantees of recovering control after the loss of its majority.
+var recoveryMutants = []Mutant{
 	{
 		Promise: "a primary of an earlier generation is told of the present one", File: "replication/primarystate.go",
 		Old: "if m.Epoch < installed.Epoch && installed.Generation > 0 {", New: "if false {",
--- a/lab/mutants/system.go
+++ b/lab/mutants/system.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// SystemPackage is the package whose tests are to catch the mutants of System.
+// SystemPackage is the package whose tests must catch the mutants of System, unless a mutant names another.
 const SystemPackage = "./sim/system"
 
-// System are the promises of the ingest and dispatch service.
-var System = slices.Concat(messagePromises, recoveryPromises)
+// System lists the mutants of the ingest and dispatch service.
+var System = slices.Concat(messageMutants, recoveryMutants)
 
-// messagePromises are those of messages, views and tables.
-var messagePromises = []Mutant{
+// messageMutants break the guarantees of messages, views and partition tables.
+var messageMutants = []Mutant{
 	{
 		Promise: "a write is on disk before it is done", File: "internal/recordlog/writer.go",
 		Old: "if err := w.journal.Sync(); err != nil {\n\t\treturn err\n\t}\n\tif len(w.filled) == 0 {", New: "if len(w.filled) == 0 {",
--- a/lab/sourcecopy/sourcecopy.go
+++ b/lab/sourcecopy/sourcecopy.go
@@ -1,4 +1,4 @@
-// Package sourcecopy makes copies of the project's sources with changes of text in them, for tools that compare a version with a changed one.
+// Package sourcecopy copies the project's sources with text replacements applied, for tools that compare a modified version with the original.
 package sourcecopy
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Edit is one change of one file.
+// Edit is a text replacement in one file.
 type Edit struct {
-	File     string // from the root of the sources
-	Old, New string // Old stands once in the file
+	File     string // path relative to the root of the sources
+	Old, New string // Old occurs exactly once in the file
 }
 
-// ErrStale means that the text of an Edit does not stand once in its file.
-var ErrStale = errors.New("sourcecopy: the text to change is not there once: bring the edit up to the sources")
+// ErrStale is returned for an Edit whose old text does not occur exactly once in its file.
+var ErrStale = errors.New("sourcecopy: the text to replace does not occur exactly once: update the edit to match the sources")
 
-// Make copies what a build of the sources at root needs into a folder, and makes the edits there, one after the other. Nothing is copied where an edit
-// cannot be made.
+// Make copies the files that a build of the sources at root needs into a folder and applies the edits there, in order. Nothing is copied if
+// an edit cannot be applied.
 func Make(root, to string, edits ...Edit) error {
 	changed := map[string][]byte{}
 	for _, e := range edits {
@@ -43,29 +43,29 @@
 	return nil
 }
 
-// Apply returns the content of the edit's file with the change made.
+// Apply returns the content of the edit's file with the edit applied.
 func (e Edit) Apply(root string) ([]byte, error) { return e.apply(root, nil) }
 
-// apply is Apply on a content that earlier edits have changed; nil for that of the file.
+// apply is Apply on content that earlier edits have changed; nil stands for the content of the file.
 func (e Edit) apply(root string, content []byte) ([]byte, error) {
 	if content == nil {
 		var err error
 		if content, err = os.ReadFile(filepath.Join(root, e.File)); err != nil {
-			return nil, errors.Wrap(err, "reading the file to change")
+			return nil, errors.Wrap(err, "read the file to edit")
 		}
 	}
 	if count := bytes.Count(content, []byte(e.Old)); count != 1 {
-		return nil, errors.Wrapf(ErrStale, "%s, %q stands %d times", e.File, e.Old, count)
+		return nil, errors.Wrapf(ErrStale, "%s: %q occurs %d times", e.File, e.Old, count)
 	}
 	return bytes.Replace(content, []byte(e.Old), []byte(e.New), 1), nil
 }
 
-// notCopied are folders that no build needs.
-var notCopied = []string{"bin", "docs", "journal", "target"}
+// excludedFolders are folders that no build needs.
+var excludedFolders = []string{"bin", "docs", "journal", "target"}
 
-// copySources copies what a build of the sources needs.
+// copySources copies the files that a build needs; hidden files and links are left out.
 func copySources(root, to string) error {
-	return filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
+	return filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -76,14 +76,14 @@
 		switch {
 		case name == ".":
 			return nil
-		case strings.HasPrefix(e.Name(), ".") || slices.Contains(notCopied, name):
-			if e.IsDir() {
+		case strings.HasPrefix(entry.Name(), ".") || slices.Contains(excludedFolders, name):
+			if entry.IsDir() {
 				return filepath.SkipDir
 			}
 			return nil
-		case e.IsDir():
+		case entry.IsDir():
 			return os.MkdirAll(filepath.Join(to, name), 0o750)
-		case !e.Type().IsRegular():
+		case !entry.Type().IsRegular():
 			return nil
 		}
 		content, err := os.ReadFile(path)
--- a/lab/trialday/trialday.go
+++ b/lab/trialday/trialday.go
@@ -1,5 +1,5 @@
-// Package trialday draws days of trouble for the bench of the system: each kind of trouble alone, in pairs, or in mixes, at times
-// drawn from a seed. A day is written in the form of a day of a site file.
+// Package trialday generates random fault scenarios ("days") for the system's bench: faults of one kind, of two kinds or of a mix of kinds, at
+// times drawn from a seed. A day is written in the format of a day in a site file.
 package trialday
 
 import (
@@ -9,64 +9,64 @@
 	"strings"
 )
 
-// Day is one drawn day.
+// Day is a generated scenario.
 type Day struct {
 	Name     string
 	Seed     uint64
 	Plan     []Entry
 	Faults   []Entry
-	Closing  string // an inline table, or empty
+	Closing  string // the fault at the end of the day as an inline table, or empty
 	Contents []string
 }
 
-// Entry is one trouble at a time.
+// Entry is a fault or a planned operation at a point in time.
 type Entry struct {
-	At     float64
+	At     float64 // seconds from the start of the day
 	Fields string
 }
 
-// template draws the fields of one kind of trouble.
+// template generates the fields of one kind of fault or planned operation.
 type template struct {
 	kind    string
 	planned bool
-	needs   string // a contract that the site must name, or empty
+	needs   string // a contract that the site must list, or empty
 	draw    func(r *rand.Rand) string
 }
 
 func pick(r *rand.Rand, options ...string) string { return options[r.IntN(len(options))] }
 
-// between draws a number with one decimal.
-func between(r *rand.Rand, least, most float64) string {
-	return fmt.Sprintf("%.1f", least+r.Float64()*(most-least))
+// between draws a number between lowest and highest and formats it with one decimal.
+func between(r *rand.Rand, lowest, highest float64) string {
+	return fmt.Sprintf("%.1f", lowest+r.Float64()*(highest-lowest))
 }
 
-// machines draws which machines a trouble strikes.
+// machines draws the machines that a fault affects.
 func machines(r *rand.Rand) string {
 	return pick(r, `on = "store", count = 1`, `on = "core", count = 1`, `share = 0.2`)
 }
 
 func templates() []template {
-	lasting := func(kind, hows string, least, most float64) template {
+	nodeFault := func(kind, variants string, lowest, highest float64) template {
 		return template{kind: kind, draw: func(r *rand.Rand) string {
-			return fmt.Sprintf(`%s, how = %q, for_s = %s`, machines(r), pick(r, strings.Split(hows, "|")...), between(r, least, most))
+			return fmt.Sprintf(`%s, how = %q, for_s = %s`, machines(r), pick(r, strings.Split(variants, "|")...), between(r, lowest, highest))
 		}}
 	}
-	service := func(kind, hows, x string) template {
+	workerFault := func(kind, variants, extraFields string) template {
 		return template{kind: kind, draw: func(r *rand.Rand) string {
-			return fmt.Sprintf(`share = %s, how = %q, for_s = %s%s`, between(r, 0.1, 0.5), pick(r, strings.Split(hows, "|")...), between(r, 3, 8), x)
+			return fmt.Sprintf(`share = %s, how = %q, for_s = %s%s`, between(r, 0.1, 0.5), pick(r, strings.Split(variants, "|")...), between(r, 3, 8), extraFields)
 		}}
 	}
-	change := func(kind, fields string) template {
+	plannedChange := func(kind, fields string) template {
 		return template{kind: kind, planned: true, draw: func(*rand.Rand) string { return fields }}
 	}
 	return []template{
-		service("srv_crash", "|dark|gone|all|dark all", ""),
-		service("srv_slow", "|all", ", x = 8.0"),
-		service("answer_lost", "|reset", ", x = 0.04"),
-		service("garble", "|extra|extra late", ", x = 0.03"),
-		lasting("node_kill", "|power|leader|race drain|hard", 1.5, 4),
-		lasting("node_freeze", "", 1, 4),
-		lasting("node_slow", "", 2, 5),
+		workerFault("srv_crash", "|dark|gone|all|dark all", ""),
+		workerFault("srv_slow", "|all", ", x = 8.0"),
+		workerFault("answer_lost", "|reset", ", x = 0.04"),
+		workerFault("garble", "|extra|extra late", ", x = 0.03"),
+		nodeFault("node_kill", "|power|leader|race drain|hard", 1.5, 4),
+		nodeFault("node_freeze", "", 1, 4),
+		nodeFault("node_slow", "", 2, 5),
 		{kind: "herd_kill", draw: func(r *rand.Rand) string {
 			return pick(r, `share = 0.5, for_s = 1.0`, `share = 0.5, for_s = 1.0, how = "power"`, `on = "core", for_s = 1.0`, `on = "core", for_s = 1.0, how = "power"`, `how = "taken power", for_s = 0.8`)
 		}},
@@ -105,12 +105,12 @@
 		{kind: "roll_term", planned: true, draw: func(r *rand.Rand) string {
 			return fmt.Sprintf(`%s, gap_s = 1.2, how = %q`, pick(r, `share = 0.4`, `on = "store", count = 2`, `on = "core", count = 2`), pick(r, "", "busy"))
 		}},
-		change("hup", `share = 0.5, gap_s = 1.5`),
-		change("config_change", `how = "idle"`),
-		change("config_change", `how = "route"`),
-		change("config_change", `how = "timeout"`),
-		change("config_race", `count = 2, gap_s = 1.0`),
-		change("seed_turnover", ``),
+		plannedChange("hup", `share = 0.5, gap_s = 1.5`),
+		plannedChange("config_change", `how = "idle"`),
+		plannedChange("config_change", `how = "route"`),
+		plannedChange("config_change", `how = "timeout"`),
+		plannedChange("config_race", `count = 2, gap_s = 1.0`),
+		plannedChange("seed_turnover", ``),
 		{kind: "bad_config", planned: true, draw: func(r *rand.Rand) string {
 			return fmt.Sprintf(`count = 3, gap_s = 0.7, how = %q`, pick(r, "cut_short", "unknown_service", "same_place", "no_timeout", "old_version", "same_version"))
 		}},
@@ -129,7 +129,7 @@
 	}
 }
 
-// Kinds lists the kinds of trouble that days are drawn from.
+// Kinds lists the kinds of faults and planned operations that days are generated from.
 func Kinds() []string {
 	var names []string
 	for _, t := range templates() {
@@ -140,16 +140,16 @@
 	return names
 }
 
-// Options say what a day may hold.
+// Options limit what a day contains.
 type Options struct {
-	Only      []string // kinds; empty: all that the site knows
+	Only      []string // kinds to draw from; empty means all that the site supports
 	Supported func(kind string) bool
-	Troubles  int     // drawn entries; each kind may come more than once
-	LengthS   float64 // of the traffic
+	Troubles  int     // number of entries; a kind may occur more than once
+	LengthS   float64 // duration of the traffic, in seconds
 	Closing   bool
 }
 
-// Draw returns the day of a seed.
+// Draw generates the day of a seed.
 func Draw(seed uint64, o Options) Day {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var usable []template
@@ -161,16 +161,16 @@
 	day := Day{Name: fmt.Sprintf("trial-%d", seed), Seed: seed}
 	for n := range o.Troubles {
 		t := usable[r.IntN(len(usable))]
-		if n < len(o.Only) { // each kind that was asked for comes at least once
-			of := slices.DeleteFunc(slices.Clone(usable), func(t template) bool { return t.kind != o.Only[n] })
-			if len(of) > 0 {
-				t = of[r.IntN(len(of))]
+		if n < len(o.Only) { // each kind in Only is drawn at least once
+			candidates := slices.DeleteFunc(slices.Clone(usable), func(t template) bool { return t.kind != o.Only[n] })
+			if len(candidates) > 0 {
+				t = candidates[r.IntN(len(candidates))]
 			}
 		}
 		at := 2 + r.Float64()*max(1, o.LengthS-10)
 		fields := fmt.Sprintf("kind = %q", t.kind)
-		if more := t.draw(r); more != "" {
-			fields += ", " + more
+		if drawn := t.draw(r); drawn != "" {
+			fields += ", " + drawn
 		}
 		entry := Entry{At: at, Fields: fields}
 		day.Contents = append(day.Contents, fields)
@@ -188,7 +188,7 @@
 	return day
 }
 
-// TOML returns the day in the form of a day of a site file.
+// TOML returns the day in the format of a day in a site file.
 func (d Day) TOML() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nslot = \"trouble\"\nseed = %d\none = 1.0\nzero = 0.5\ngoal = { floor = 0.2 }\nlabels = []\n", d.Name, d.Seed)
--- a/lab/trialday/trialday_test.go
+++ b/lab/trialday/trialday_test.go
@@ -8,43 +8,43 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-func all(string) bool { return true }
+func supportsAll(string) bool { return true }
 
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedGivesSameDay(t *testing.T) {
 	is := is.New(t)
-	o := Options{Supported: all, Troubles: 5, LengthS: 30, Closing: true}
+	o := Options{Supported: supportsAll, Troubles: 5, LengthS: 30, Closing: true}
 	is.Equal(Draw(7, o).TOML(), Draw(7, o).TOML())
 	is.True(Draw(7, o).TOML() != Draw(8, o).TOML())
 }
 
-func TestDaysDecode(t *testing.T) {
+func TestDaysAreValidTOML(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(200) {
 		var day map[string]any
-		text := Draw(seed, Options{Supported: all, Troubles: 6, LengthS: 30, Closing: true}).TOML()
+		text := Draw(seed, Options{Supported: supportsAll, Troubles: 6, LengthS: 30, Closing: true}).TOML()
 		is.NoErr(toml.Unmarshal([]byte(text), &day))
 		plan, faults := day["plan"].([]any), day["faults"].([]any)
 		is.Equal(len(plan)+len(faults), 6)
 		for _, entry := range append(plan, faults...) {
 			at := entry.(map[string]any)["at"].(float64)
-			is.True(at >= 2 && at <= 22) // the last trouble leaves time to recover before the end
+			is.True(at >= 2 && at <= 22) // after the last entry there is time to recover before the end
 		}
 	}
 }
 
-func TestKindsAskedForCome(t *testing.T) {
+func TestRequestedKindsAreDrawn(t *testing.T) {
 	is := is.New(t)
 	for _, kind := range Kinds() {
-		day := Draw(3, Options{Only: []string{kind}, Supported: all, Troubles: 2, LengthS: 30})
+		day := Draw(3, Options{Only: []string{kind}, Supported: supportsAll, Troubles: 2, LengthS: 30})
 		is.Equal(len(day.Plan)+len(day.Faults), 2)
 		is.Equal(strings.Count(day.TOML(), `"`+kind+`"`), 2)
 	}
 }
 
-func TestKindsThatTheSiteDoesNotKnowStayOut(t *testing.T) {
+func TestUnsupportedKindsAreNotDrawn(t *testing.T) {
 	is := is.New(t)
-	none := func(string) bool { return false }
+	supportsNone := func(string) bool { return false }
 	for seed := range uint64(100) {
-		is.True(!strings.Contains(Draw(seed, Options{Supported: none, Troubles: 6, LengthS: 30}).TOML(), "retire"))
+		is.True(!strings.Contains(Draw(seed, Options{Supported: supportsNone, Troubles: 6, LengthS: 30}).TOML(), "retire"))
 	}
 }
