--- a/lab/sitevariant/changes.go
+++ b/lab/sitevariant/changes.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// tables returns a list of tables of a site, or nothing.
+// tables returns the list of tables under a key, or nil if there is none.
 func tables(s site, key string) []site {
 	list, _ := s[key].([]any)
 	var out []site
@@ -14,7 +14,7 @@
 	return out
 }
 
-// setTables replaces a list of tables.
+// setTables replaces the list of tables under a key.
 func setTables(s site, key string, list []site) {
 	out := make([]any, len(list))
 	for i, table := range list {
@@ -23,7 +23,7 @@
 	s[key] = out
 }
 
-// scale multiplies the named numbers of a table where they stand.
+// scale multiplies the numbers under the given keys. Missing keys are skipped, and integers stay at least 1.
 func scale(table site, factor float64, keys ...string) {
 	for _, key := range keys {
 		switch n := table[key].(type) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// subtable returns a table within a table; a missing one is empty and not attached.
+// subtable returns the table under a key. If there is none it returns an empty table that is not part of s.
 func subtable(s site, key string) site {
 	if table, ok := s[key].(site); ok {
 		return table
@@ -56,27 +56,27 @@
 	classes := tables(s, "classes")[:1]
 	name, service := classes[0]["name"].(string), classes[0]["service"]
 	setTables(s, "classes", classes)
-	only := func(t site) bool { return t["name"] == service }
-	setTables(s, "services", slices.DeleteFunc(tables(s, "services"), func(t site) bool { return !only(t) }))
-	narrow := func(traffic []site) {
+	isKept := func(t site) bool { return t["name"] == service }
+	setTables(s, "services", slices.DeleteFunc(tables(s, "services"), func(t site) bool { return !isKept(t) }))
+	restrictTraffic := func(traffic []site) {
 		for _, t := range traffic {
 			t["mix"] = site{name: 10.0}
 			scale(t, 0.5, "per_s")
 		}
 	}
-	narrow(tables(s, "traffic"))
+	restrictTraffic(tables(s, "traffic"))
 	for _, day := range tables(s, "day") {
-		narrow(tables(day, "traffic"))
+		restrictTraffic(tables(day, "traffic"))
 		delete(day, "floor_classes")
 		for _, list := range []string{"plan", "faults"} {
-			setTables(day, list, slices.DeleteFunc(tables(day, list), func(t site) bool { return outside(t, name, service) }))
+			setTables(day, list, slices.DeleteFunc(tables(day, list), func(t site) bool { return concernsOther(t, name, service) }))
 		}
 	}
-	setTables(s, "troubles", slices.DeleteFunc(tables(s, "troubles"), func(t site) bool { return outside(t, name, service) }))
+	setTables(s, "troubles", slices.DeleteFunc(tables(s, "troubles"), func(t site) bool { return concernsOther(t, name, service) }))
 }
 
-// outside tells whether a trouble names another service or kind of request.
-func outside(trouble site, class string, service any) bool {
+// concernsOther reports whether a trouble names a service or a kind of request other than the given ones.
+func concernsOther(trouble site, class string, service any) bool {
 	if c, named := trouble["class"]; named && c != class {
 		return true
 	}
@@ -84,12 +84,12 @@
 	return ok && named != service
 }
 
-func ordered(s site) []site {
+func orderedClasses(s site) []site {
 	return slices.DeleteFunc(tables(s, "classes"), func(c site) bool { return subtable(c, "ingest")["ordered"] != true })
 }
 
 func unordered(s site) {
-	for _, class := range ordered(s) {
+	for _, class := range orderedClasses(s) {
 		delete(subtable(class, "ingest"), "ordered")
 		delete(class, "things")
 		delete(class, "skew")
@@ -97,7 +97,7 @@
 }
 
 func hotKey(s site) {
-	for _, class := range ordered(s) {
+	for _, class := range orderedClasses(s) {
 		class["things"], class["skew"] = int64(60), 0.9
 	}
 }
@@ -149,16 +149,16 @@
 func threeZones(s site) {
 	zones := tables(s, "zones")
 	last := zones[len(zones)-1]["name"]
-	inLast := func(t site) bool { return t["zone"] == last }
+	inLastZone := func(t site) bool { return t["zone"] == last }
 	setTables(s, "zones", zones[:len(zones)-1])
 	for _, list := range []string{"machines", "traffic"} {
-		setTables(s, list, slices.DeleteFunc(tables(s, list), inLast))
+		setTables(s, list, slices.DeleteFunc(tables(s, list), inLastZone))
 	}
 	for _, service := range tables(s, "services") {
-		setTables(service, "servers", slices.DeleteFunc(tables(service, "servers"), inLast))
+		setTables(service, "servers", slices.DeleteFunc(tables(service, "servers"), inLastZone))
 	}
 	for _, day := range tables(s, "day") {
-		setTables(day, "traffic", slices.DeleteFunc(tables(day, "traffic"), inLast))
+		setTables(day, "traffic", slices.DeleteFunc(tables(day, "traffic"), inLastZone))
 	}
 }
 
@@ -184,7 +184,7 @@
 
 func twiceDispatchers(s site) { scaleDispatchers(s, 2) }
 
-// scaleDispatchers changes how many front machines without a disk there are.
+// scaleDispatchers multiplies the number of front machines that only dispatch: they have no disk and are not marked as counted.
 func scaleDispatchers(s site, factor float64) {
 	for _, machine := range tables(s, "machines") {
 		if machine["class"] == "front" && machine["counted"] != true {
@@ -193,22 +193,22 @@
 	}
 }
 
-// machineLosses are the kinds of trouble whose count is of machines that are lost for a while or for good.
+// machineLosses are the kinds of trouble whose count is the number of machines that are lost temporarily or permanently.
 var machineLosses = []any{"node_kill", "core_cut", "after_ack_wipe", "wipe_after_ack", "node_slow"}
 
 func oneLoss(s site) {
 	subtable(s, "tolerate")["machines"] = int64(1)
-	atMostOne := func(troubles []site) {
+	limitToOne := func(troubles []site) {
 		for _, trouble := range troubles {
 			if _, counted := trouble["count"]; counted && slices.Contains(machineLosses, trouble["kind"]) {
 				trouble["count"] = int64(1)
 			}
 		}
 	}
-	atMostOne(tables(s, "troubles"))
+	limitToOne(tables(s, "troubles"))
 	for _, day := range tables(s, "day") {
-		atMostOne(tables(day, "plan"))
-		atMostOne(tables(day, "faults"))
+		limitToOne(tables(day, "plan"))
+		limitToOne(tables(day, "faults"))
 	}
 }
 
--- a/lab/sitevariant/sitevariant.go
+++ b/lab/sitevariant/sitevariant.go
@@ -1,6 +1,6 @@
-// Package sitevariant makes further deployments of a site file for the bench of the system: the same deployment with other figures.
+// Package sitevariant generates variants of a site file for the system's bench: the same deployment with some values changed.
 //
-// A site file belongs to the bench and is not part of this repository; what is kept here are the changes alone.
+// Site files belong to the bench and are not part of this repository, which holds only the changes.
 package sitevariant
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// site is a decoded site file; the bench's fields that no variant touches pass through unchanged.
+// site is a decoded site file or a table in it. Fields that no variant changes are written back as they were read.
 type site = map[string]any
 
-// Variant is a named change of a deployment.
+// Variant is a named change to a deployment.
 type Variant struct {
 	Name        string
 	Description string
@@ -45,17 +45,18 @@
 	}
 }
 
-// Find returns the variant of a name.
+// Find returns the variant with the given name.
 func Find(name string) (Variant, error) {
 	variants := All()
 	at := slices.IndexFunc(variants, func(v Variant) bool { return v.Name == name })
 	if at < 0 {
-		return Variant{}, errors.Newf("no variant %q; list them with an empty --variant", name)
+		return Variant{}, errors.Newf("unknown variant %q: leave --variant empty for a list", name)
 	}
 	return variants[at], nil
 }
 
-// Write makes a folder with the changed site file beside the other files of its folder that the bench reads.
+// Write creates a folder with the variant's site file and a copy of wire.json, which the bench reads from the same folder, and returns the
+// path of the site file.
 func Write(source string, v Variant, folder string) (string, error) {
 	text, err := os.ReadFile(source)
 	if err != nil {
@@ -66,20 +67,20 @@
 		return "", errors.Wrapf(err, "%s", filepath.Base(source))
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return "", errors.Wrap(err, "make the folder of the variant")
+		return "", errors.Wrap(err, "create the folder of the variant")
 	}
 	wire, err := os.ReadFile(filepath.Join(filepath.Dir(source), "wire.json"))
 	if err != nil {
-		return "", errors.Wrap(err, "read the wire beside the site file")
+		return "", errors.Wrap(err, "read wire.json beside the site file")
 	}
 	if err := os.WriteFile(filepath.Join(folder, "wire.json"), wire, 0o644); err != nil {
-		return "", errors.Wrap(err, "write the wire")
+		return "", errors.Wrap(err, "write wire.json")
 	}
 	target := filepath.Join(folder, v.Name+".toml")
-	return target, errors.Wrap(os.WriteFile(target, changed, 0o644), "write the variant")
+	return target, errors.Wrap(os.WriteFile(target, changed, 0o644), "write the site file of the variant")
 }
 
-// Apply returns the text of a site file with the variant's change.
+// Apply returns the text of a site file with the variant applied.
 func Apply(text []byte, v Variant) ([]byte, error) {
 	s := site{}
 	if err := toml.Unmarshal(text, &s); err != nil {
--- a/lab/sitevariant/sitevariant_test.go
+++ b/lab/sitevariant/sitevariant_test.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-const small = `
+const smallSite = `
 length_s = 30.0
 zones = [{ name = "a" }, { name = "b" }]
 machines = [
@@ -39,12 +39,12 @@
 traffic = [{ zone = "b", per_s = 5.0, mix = { x = 1, y = 1 } }]
 `
 
-func changed(t *testing.T, name string) site {
+func applyVariant(t *testing.T, name string) site {
 	t.Helper()
 	is := is.New(t)
 	v, err := Find(name)
 	is.NoErr(err)
-	text, err := Apply([]byte(small), v)
+	text, err := Apply([]byte(smallSite), v)
 	is.NoErr(err)
 	s := site{}
 	is.NoErr(toml.Unmarshal(text, &s))
@@ -54,37 +54,37 @@
 func TestEveryVariantChangesTheSite(t *testing.T) {
 	is := is.New(t)
 	original := site{}
-	is.NoErr(toml.Unmarshal([]byte(small), &original))
+	is.NoErr(toml.Unmarshal([]byte(smallSite), &original))
 	plain, err := toml.Marshal(original)
 	is.NoErr(err)
 	for _, v := range All() {
-		text, err := Apply([]byte(small), v)
+		text, err := Apply([]byte(smallSite), v)
 		is.NoErr(err)
-		is.True(string(text) != string(plain)) // a variant that changes nothing is none
+		is.True(string(text) != string(plain)) // each variant must change something
 	}
 }
 
-func TestOneServiceLeavesNoTraceOfOthers(t *testing.T) {
+func TestOneServiceRemovesOtherServices(t *testing.T) {
 	is := is.New(t)
-	s := changed(t, "one-service")
+	s := applyVariant(t, "one-service")
 	is.Equal(len(tables(s, "services")), 1)
-	is.Equal(len(tables(s, "troubles")), 2) // a crash of its workers and one of a store; not the poison of the other
+	is.Equal(len(tables(s, "troubles")), 2) // the crash of its workers and that of a store remain; the poison message of the other class is removed
 	day := tables(s, "day")[0]
 	is.Equal(len(tables(day, "faults")), 0)
 	is.Equal(len(subtable(tables(day, "traffic")[0], "mix")), 1)
 }
 
-func TestThreeZonesDropsTheLast(t *testing.T) {
+func TestThreeZonesRemovesLastZone(t *testing.T) {
 	is := is.New(t)
-	s := changed(t, "three-zones")
+	s := applyVariant(t, "three-zones")
 	is.Equal(len(tables(s, "zones")), 1)
 	is.Equal(len(tables(s, "machines")), 3)
 	is.Equal(len(tables(s, "traffic")), 1)
 }
 
-func TestTwoStoresAZone(t *testing.T) {
+func TestTwoStoresPerZone(t *testing.T) {
 	is := is.New(t)
-	s := changed(t, "two-stores-a-zone")
+	s := applyVariant(t, "two-stores-a-zone")
 	is.Equal(subtable(s, "tolerate")["machines"], int64(2))
 	is.Equal(storeMachines(s)[0]["count"], int64(2))
 }
@@ -92,23 +92,23 @@
 func TestDispatchersAreScaledAndControlIsNot(t *testing.T) {
 	is := is.New(t)
 	for name, count := range map[string]int64{"half-dispatchers": 4, "twice-dispatchers": 16} {
-		machines := tables(changed(t, name), "machines")
+		machines := tables(applyVariant(t, name), "machines")
 		is.Equal(machines[0]["count"], int64(1))
 		is.Equal(machines[1]["count"], count)
 	}
 }
 
-func TestOneLossTakesOneMachineAtATime(t *testing.T) {
+func TestOneLossLimitsTroublesToOneMachine(t *testing.T) {
 	is := is.New(t)
-	s := changed(t, "one-loss")
+	s := applyVariant(t, "one-loss")
 	is.Equal(subtable(s, "tolerate")["machines"], int64(1))
 	is.Equal(tables(s, "troubles")[2]["count"], int64(1))
 }
 
-func TestWriteTakesTheWireAlong(t *testing.T) {
+func TestWriteCopiesWireFile(t *testing.T) {
 	is := is.New(t)
 	source := t.TempDir()
-	is.NoErr(os.WriteFile(filepath.Join(source, "site.toml"), []byte(small), 0o644))
+	is.NoErr(os.WriteFile(filepath.Join(source, "site.toml"), []byte(smallSite), 0o644))
 	is.NoErr(os.WriteFile(filepath.Join(source, "wire.json"), []byte("{}"), 0o644))
 	v, err := Find("distant")
 	is.NoErr(err)
--- a/lab/systemdemo/clients.go
+++ b/lab/systemdemo/clients.go
@@ -16,40 +16,40 @@
 	hostname      = "demo.example"
 	clientTimeout = 2 * time.Second
 	bodyBytes     = 2000
-	keys          = 20
+	orderingKeys  = 20
 )
 
-// configurationBody is what the operator gives: one route that keeps the order of keys, one that does not.
+// configurationBody is the configuration that the operator submits: a route that delivers the messages of a key in order and one that does not.
 var configurationBody = fmt.Appendf(nil, `{"Revision":1,"Routes":[
 {"Name":"orders","Hostname":%[1]q,"PathPrefix":"/orders/","Type":"async","TimeoutMs":2000,"TargetLatencyMs":80,"Backend":%[2]q,"MaxAttempts":6,"Fifo":true,"RetentionS":600,"TargetStartMs":600},
 {"Name":"readings","Hostname":%[1]q,"PathPrefix":"/readings/","Type":"async","TimeoutMs":2000,"TargetLatencyMs":80,"Backend":%[2]q,"MaxAttempts":6,"Fifo":false,"RetentionS":600,"TargetStartMs":600}],
 "Services":[{"Name":%[2]q,"HealthCheckPath":"/health","MaxConnections":64,"RatePerS":0,"Static":null}],
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":262144,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`, hostname, workersService)
 
-// clients hand in messages and remember which were accepted.
+// clients sends messages and records which were accepted.
 type clients struct {
 	targets []string // Frontend addresses
 	client  *http.Client
 
 	mutex    sync.Mutex
 	sent     int
-	refused  int // a promise that the message was not taken
-	unknown  int // no answer, or one that promises nothing
+	refused  int // responses that guarantee that the message was not accepted
+	unknown  int // no response, or one that leaves the outcome open
 	accepted []string
 }
 
 func newClients(dispatchers []*machine) *clients {
 	c := &clients{client: &http.Client{Timeout: clientTimeout}}
 	for _, m := range dispatchers {
-		c.targets = append(c.targets, at(m.ip, frontendPort))
+		c.targets = append(c.targets, hostPort(m.ip, frontendPort))
 	}
 	return c
 }
 
-// run sends messages at a rate until the context ends, and returns once all have an answer.
+// run sends messages at a rate until the context ends, and returns when each has a response or has failed.
 func (c *clients) run(ctx context.Context, perSecond int) {
-	var open sync.WaitGroup
-	defer open.Wait()
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
 	for n := 0; ; n++ {
@@ -57,26 +57,27 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			open.Go(func() { c.send(n) })
+			pending.Go(func() { c.send(n) })
 		}
 	}
 }
 
-// send hands in a message. Where nobody listens, as at a dispatcher that was killed, the next one is tried: nothing was sent yet.
+// send sends a message to the first dispatcher that accepts the connection. A refused connection, as from a dispatcher that was killed, is
+// safe to retry elsewhere, since nothing was sent.
 func (c *clients) send(n int) {
 	id := fmt.Sprintf("demo-%d", n)
 	status := 0
 	for i := range c.targets {
 		var err error
-		if status, err = c.try(n, id, c.targets[(n+i)%len(c.targets)]); !errors.Is(err, syscall.ECONNREFUSED) {
+		if status, err = c.sendTo(n, id, c.targets[(n+i)%len(c.targets)]); !errors.Is(err, syscall.ECONNREFUSED) {
 			break
 		}
 	}
-	c.answered(id, status)
+	c.recordResponse(id, status)
 }
 
-// try hands a message to one dispatcher. Every second message has an ordering key.
-func (c *clients) try(n int, id, target string) (status int, err error) {
+// sendTo sends a message to one dispatcher. Every second message has an ordering key.
+func (c *clients) sendTo(n int, id, target string) (status int, err error) {
 	keyed := n%2 == 0
 	path := "/readings/"
 	if keyed {
@@ -89,7 +90,7 @@
 	request.Host = hostname
 	request.Header.Set("X-Request-Id", id)
 	if keyed {
-		request.Header.Set("X-Ordering-Key", fmt.Sprint(n/2%keys))
+		request.Header.Set("X-Ordering-Key", fmt.Sprint(n/2%orderingKeys))
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-func (c *clients) answered(id string, status int) {
+func (c *clients) recordResponse(id string, status int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.sent++
@@ -112,19 +113,19 @@
 	}
 }
 
-// figures returns the counts so far.
-func (c *clients) figures() (sent, accepted, refused, unknown int) {
+// counts returns the numbers of messages so far.
+func (c *clients) counts() (sent, accepted, refused, unknown int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.sent, len(c.accepted), c.refused, c.unknown
 }
 
-// missing counts the accepted messages that have not run.
-func (c *clients) missing(s *standIns) (count int) {
+// countMissing counts the accepted messages that have not run.
+func (c *clients) countMissing(p *fakePlatform) (count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, id := range c.accepted {
-		if !s.hasRun(id) {
+		if !p.hasRun(id) {
 			count++
 		}
 	}
--- a/lab/systemdemo/demo.go
+++ b/lab/systemdemo/demo.go
@@ -1,5 +1,5 @@
-// Package systemdemo shows the whole system on loopback: real processes of three zones, stand-ins for the platform's list, the workers, the
-// operator and the clients, and now and then a process that is killed and comes back.
+// Package systemdemo runs the whole system on loopback: real processes in three zones, a fake platform with its worker list and workers, an
+// operator and clients. Optionally it kills and restarts processes or upgrades them one by one.
 package systemdemo
 
 import (
@@ -17,36 +17,36 @@
 )
 
 const (
-	openWithin   = 15 * time.Second // until the first configuration is taken and all dispatchers are ready
-	endWithin    = 15 * time.Second // until all that was accepted has run
-	pollEvery    = 50 * time.Millisecond
-	firstFault   = 4 * time.Second
-	faultEvery   = 7 * time.Second
-	faultLasting = 2 * time.Second
+	startupTimeout    = 15 * time.Second // until the first configuration is accepted and all dispatchers are ready
+	completionTimeout = 15 * time.Second // until all accepted messages have run
+	pollInterval      = 50 * time.Millisecond
+	firstFaultDelay   = 4 * time.Second
+	faultInterval     = 7 * time.Second
+	faultDuration     = 2 * time.Second
 )
 
-// Options say what to show.
+// Options configures a demonstration.
 type Options struct {
 	Binary    string        // the liftgauge program
-	PerSecond int           // messages
-	For       time.Duration // of traffic; 0 until the context ends
+	PerSecond int           // messages sent per second
+	For       time.Duration // duration of the traffic; 0 means until the context ends
 	Faults    bool
-	Upgrade   *Upgrade // instead of faults; nil for none
+	Upgrade   *Upgrade // replaces the faults; nil for none
 	Folder    string   // for settings, data and logs; empty for one that is removed at the end
 	Out       io.Writer
-	Live      bool // the line is written over itself
+	Live      bool // overwrite the progress line instead of adding lines
 }
 
-// Summary is what was seen.
+// Summary is the result of a demonstration.
 type Summary struct {
 	Sent, Accepted, Refused, Unknown int
-	Missing                          int // accepted and not run in the end
+	Missing                          int // accepted but not run by the end
 	Again                            int // ran more than once
 	Faults                           []string
 }
 
-// Run starts the system, sends traffic and tells each second what happens. An error means that it could not be shown, or that an accepted
-// message has not run.
+// Run starts the system, sends traffic and prints progress every second. It returns an error if the demonstration could not run or an accepted
+// message has not run by the end.
 func Run(ctx context.Context, o Options) (*Summary, error) {
 	if o.Folder == "" {
 		folder, err := os.MkdirTemp("", "liftgauge-demo")
@@ -56,63 +56,64 @@
 		defer os.RemoveAll(folder)
 		o.Folder = folder
 	}
-	s, err := startStandIns()
+	platform, err := startFakePlatform()
 	if err != nil {
 		return nil, err
 	}
-	defer s.close()
-	d := &demo{options: o, standIns: s, machines: layout(o.Folder)}
+	defer platform.close()
+	d := &demo{options: o, platform: platform, machines: layout(o.Folder)}
 	defer d.stop()
-	if err := d.open(ctx); err != nil {
+	if err := d.startSystem(ctx); err != nil {
 		return nil, err
 	}
-	return d.play(ctx)
+	return d.run(ctx)
 }
 
-// demo is a system that runs.
+// demo is a running system.
 type demo struct {
 	options  Options
-	standIns *standIns
+	platform *fakePlatform
 	machines []*machine
 	faults   []string
 }
 
-// open starts all processes and gives the first configuration.
-func (d *demo) open(ctx context.Context) error {
+// startSystem starts all processes and submits the first configuration.
+func (d *demo) startSystem(ctx context.Context) error {
 	var seeds []string
 	for _, m := range ofRole(d.machines, "control") {
-		seeds = append(seeds, at(m.ip, controlPlanePort))
+		seeds = append(seeds, hostPort(m.ip, controlPlanePort))
 	}
 	for _, m := range d.machines {
-		if err := m.writeSettings(seeds, d.standIns.list); err != nil {
+		if err := m.writeSettings(seeds, d.platform.listAddress); err != nil {
 			return err
 		}
 		if err := m.start(d.options.Binary); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, openWithin)
+	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
-	if err := giveConfiguration(ctx, seeds); err != nil {
-		return errors.Wrapf(err, "the system did not open; its logs are in %s", d.options.Folder)
+	if err := submitConfiguration(ctx, seeds); err != nil {
+		return errors.Wrapf(err, "the system did not start; its logs are in %s", d.options.Folder)
 	}
 	for _, m := range ofRole(d.machines, "dispatcher") {
-		if err := awaitReady(ctx, at(m.ip, readinessPort)); err != nil {
+		if err := awaitReady(ctx, hostPort(m.ip, readinessPort)); err != nil {
 			return errors.Wrapf(err, "%s; its log is in %s", m.name, d.options.Folder)
 		}
 	}
 	fmt.Fprintf(d.options.Out, "%d processes run in 3 zones on loopback. Try, while it runs:\n", len(d.machines))
 	fmt.Fprintf(d.options.Out, "  liftgauge status --control %s\n", strings.Join(seeds, ","))
-	front := at(ofRole(d.machines, "dispatcher")[0].ip, frontendPort)
+	front := hostPort(ofRole(d.machines, "dispatcher")[0].ip, frontendPort)
 	fmt.Fprintf(d.options.Out, "  curl -i http://%s/readings/1 -H 'Host: %s' -H 'X-Request-Id: mine-1' -d 'level 3'\n", front, hostname)
 	return nil
 }
 
-// giveConfiguration sends the first configuration until it is taken.
-func giveConfiguration(ctx context.Context, seeds []string) error {
+// submitConfiguration sends the first configuration until it is accepted.
+func submitConfiguration(ctx context.Context, seeds []string) error {
 	client := &http.Client{Timeout: time.Second}
-	for try := 0; ; try++ {
-		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+seeds[try%len(seeds)]+"/config/replace", strings.NewReader(string(configurationBody)))
+	for attempt := 0; ; attempt++ {
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+seeds[attempt%len(seeds)]+"/config/replace",
+			strings.NewReader(string(configurationBody)))
 		if err != nil {
 			return err
 		}
@@ -123,11 +124,11 @@
 				return nil
 			}
 			if response.StatusCode < http.StatusInternalServerError {
-				return errors.Newf("the first configuration was answered %s", response.Status)
+				return errors.Newf("the first configuration was rejected with status %s", response.Status)
 			}
 		}
-		if err := pause(ctx, pollEvery); err != nil {
-			return errors.Wrap(err, "the first configuration was not taken")
+		if err := pause(ctx, pollInterval); err != nil {
+			return errors.Wrap(err, "the first configuration was not accepted")
 		}
 	}
 }
@@ -145,7 +146,7 @@
 				return nil
 			}
 		}
-		if err := pause(ctx, pollEvery); err != nil {
+		if err := pause(ctx, pollInterval); err != nil {
 			return errors.Wrap(err, "not ready")
 		}
 	}
@@ -162,8 +163,8 @@
 	}
 }
 
-// play sends traffic with faults beside it, and waits until all that was accepted has run.
-func (d *demo) play(ctx context.Context) (*Summary, error) {
+// run sends traffic while it injects faults, then waits until all accepted messages have run.
+func (d *demo) run(ctx context.Context) (*Summary, error) {
 	traffic, stop := context.WithCancel(ctx)
 	if d.options.For > 0 {
 		traffic, stop = context.WithTimeout(ctx, d.options.For)
@@ -176,33 +177,33 @@
 		c.run(traffic, d.options.PerSecond)
 	}()
 	faultErr := make(chan error, 1)
-	go func() { faultErr <- d.breakThings(traffic) }()
-	d.tell(traffic, c)
+	go func() { faultErr <- d.injectFaults(traffic) }()
+	d.printProgress(traffic, c)
 	<-sent
 	if err := <-faultErr; err != nil {
 		return nil, err
 	}
-	return d.sumUp(c)
+	return d.summarize(c)
 }
 
-// breakThings kills one process after the other and starts it again, until the context ends.
-func (d *demo) breakThings(ctx context.Context) error {
+// injectFaults kills and restarts one process of each role in turn, or performs the upgrade if one is requested, until the context ends.
+func (d *demo) injectFaults(ctx context.Context) error {
 	switch {
 	case d.options.Upgrade != nil:
 		return d.upgrade(ctx, d.options.Upgrade)
 	case !d.options.Faults:
 		return nil
 	}
-	wait := firstFault
+	wait := firstFaultDelay
 	for _, role := range []string{"store", "control", "dispatcher"} {
 		for _, m := range ofRole(d.machines, role)[:1] {
 			if pause(ctx, wait) != nil {
 				return nil
 			}
-			wait = faultEvery - faultLasting
+			wait = faultInterval - faultDuration
 			d.faults = append(d.faults, "killed "+m.name)
 			m.kill()
-			_ = pause(ctx, faultLasting)
+			_ = pause(ctx, faultDuration)
 			if err := m.start(d.options.Binary); err != nil {
 				return err
 			}
@@ -211,28 +212,28 @@
 	return nil
 }
 
-// tell prints a line a second.
-func (d *demo) tell(ctx context.Context, c *clients) {
+// printProgress prints a progress line every second.
+func (d *demo) printProgress(ctx context.Context, c *clients) {
 	end := "\n"
 	if d.options.Live {
 		end = "\r"
 	}
 	for second := 1; pause(ctx, time.Second) == nil; second++ {
-		sent, accepted, refused, unknown := c.figures()
-		ran, again := d.standIns.counts()
+		sent, accepted, refused, unknown := c.counts()
+		ran, again := d.platform.counts()
 		fmt.Fprintf(d.options.Out, "%3d s  sent %d, accepted %d, refused %d, no answer %d, ran %d, again %d  %-24s%s",
 			second, sent, accepted, refused, unknown, ran, again, d.primary(), end)
 	}
 	fmt.Fprintln(d.options.Out)
 }
 
-// primary names control's primary as the first process that answers knows it.
+// primary returns a label with control's primary, according to the first control process that answers.
 func (d *demo) primary() string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second/2)
 	defer cancel()
 	var addresses []string
 	for _, m := range ofRole(d.machines, "control") {
-		addresses = append(addresses, at(m.ip, controlPlanePort))
+		addresses = append(addresses, hostPort(m.ip, controlPlanePort))
 	}
 	status, err := operator.New(addresses, nil).Status(ctx)
 	if err != nil {
@@ -242,22 +243,22 @@
 	return "primary " + name
 }
 
-// sumUp waits for what was accepted.
-func (d *demo) sumUp(c *clients) (*Summary, error) {
-	limit := time.Now().Add(endWithin)
-	for c.missing(d.standIns) > 0 && time.Now().Before(limit) {
-		time.Sleep(pollEvery)
+// summarize waits until all accepted messages have run or the timeout expires, and returns the result.
+func (d *demo) summarize(c *clients) (*Summary, error) {
+	deadline := time.Now().Add(completionTimeout)
+	for c.countMissing(d.platform) > 0 && time.Now().Before(deadline) {
+		time.Sleep(pollInterval)
 	}
-	r := &Summary{Missing: c.missing(d.standIns), Faults: d.faults}
-	r.Sent, r.Accepted, r.Refused, r.Unknown = c.figures()
-	_, r.Again = d.standIns.counts()
-	if r.Missing > 0 {
-		return r, errors.Newf("%d of %d accepted messages have not run", r.Missing, r.Accepted)
+	summary := &Summary{Missing: c.countMissing(d.platform), Faults: d.faults}
+	summary.Sent, summary.Accepted, summary.Refused, summary.Unknown = c.counts()
+	_, summary.Again = d.platform.counts()
+	if summary.Missing > 0 {
+		return summary, errors.Newf("%d of %d accepted messages have not run", summary.Missing, summary.Accepted)
 	}
-	return r, nil
+	return summary, nil
 }
 
-// stop kills what still runs.
+// stop kills the processes that are still running.
 func (d *demo) stop() {
 	for _, m := range d.machines {
 		m.kill()
--- a/lab/systemdemo/demo_test.go
+++ b/lab/systemdemo/demo_test.go
@@ -35,37 +35,37 @@
 	is.True(route.Fifo)
 }
 
-func TestClientsCountAnswersAndFindWhatIsMissing(t *testing.T) {
+func TestClientsCountResponsesAndMissingMessages(t *testing.T) {
 	is := is.New(t)
 	status := http.StatusAccepted
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 	defer front.Close()
-	gone := httptest.NewServer(nil)
-	gone.Close() // nobody listens there: the next one is asked
-	c := &clients{client: front.Client(), targets: []string{gone.Listener.Addr().String(), front.Listener.Addr().String()}}
-	for n, answer := range []int{202, 202, 503, 504} {
-		status = answer
+	closed := httptest.NewServer(nil)
+	closed.Close() // connections are refused, so clients use the next target
+	c := &clients{client: front.Client(), targets: []string{closed.Listener.Addr().String(), front.Listener.Addr().String()}}
+	for n, response := range []int{202, 202, 503, 504} {
+		status = response
 		c.send(n)
 	}
-	sent, accepted, refused, unknown := c.figures()
+	sent, accepted, refused, unknown := c.counts()
 	is.Equal([]int{sent, accepted, refused, unknown}, []int{4, 2, 1, 1})
-	s, err := startStandIns()
+	platform, err := startFakePlatform()
 	is.NoErr(err)
-	defer s.close()
-	is.Equal(c.missing(s), 2)
-	s.began("demo-0")
-	s.began("demo-0")
-	is.Equal(c.missing(s), 1)
-	ran, again := s.counts()
+	defer platform.close()
+	is.Equal(c.countMissing(platform), 2)
+	platform.recordRun("demo-0")
+	platform.recordRun("demo-0")
+	is.Equal(c.countMissing(platform), 1)
+	ran, again := platform.counts()
 	is.Equal([]int{ran, again}, []int{1, 1})
 }
 
-func TestProgramThatCannotBeStartedIsReported(t *testing.T) {
+func TestMissingProgramIsReported(t *testing.T) {
 	is := is.New(t)
 	m := layout(t.TempDir())[0]
 	is.NoErr(m.writeSettings(nil, "127.0.0.1:1"))
 	is.True(m.start(filepath.Join(t.TempDir(), "none")) != nil)
-	m.kill() // nothing runs: nothing happens
+	m.kill() // has no effect, since no process is running
 }
 
 func TestUpgradeSequence(t *testing.T) {
--- a/lab/systemdemo/fakeplatform.go
+++ b/lab/systemdemo/fakeplatform.go
@@ -12,73 +12,75 @@
 )
 
 const (
-	workers        = 6
+	workerCount    = 6
 	workerCapacity = 8
-	workerRun      = 20 * time.Millisecond
+	workerRunTime  = 20 * time.Millisecond
 	workersService = "gaugebook-demo"
 )
 
-// standIns are the platform's list of workers, and the workers, which count what they run.
-type standIns struct {
-	servers []*http.Server
-	list    string // address
-	entries []listEntry
+// fakePlatform serves the platform's worker list and the workers, which record the messages that they run.
+type fakePlatform struct {
+	servers     []*http.Server
+	listAddress string
+	entries     []listEntry
 
-	mutex sync.Mutex
-	runs  map[string]int       // by request id
-	first map[string]time.Time // when each began first
+	mutex    sync.Mutex
+	runs     map[string]int       // number of runs by request id
+	firstRun map[string]time.Time // start of the first run by request id
 }
 
+// listEntry is a worker in the JSON encoding of the worker list.
 type listEntry struct {
 	Id, Backend, Address, Zone, Revision, State string
 	Capacity, ColdRemainingMs                   int
 }
 
-func startStandIns() (*standIns, error) {
-	s := &standIns{runs: map[string]int{}, first: map[string]time.Time{}}
-	for i := range workers {
+func startFakePlatform() (*fakePlatform, error) {
+	p := &fakePlatform{runs: map[string]int{}, firstRun: map[string]time.Time{}}
+	for i := range workerCount {
 		id := fmt.Sprintf("worker-%d", i+1)
-		address, err := s.serve(s.worker(id))
+		address, err := p.serve(p.worker(id))
 		if err != nil {
-			s.close()
+			p.close()
 			return nil, err
 		}
-		s.entries = append(s.entries, listEntry{Id: id, Backend: workersService, Address: address,
+		p.entries = append(p.entries, listEntry{Id: id, Backend: workersService, Address: address,
 			Zone: fmt.Sprintf("zone-%d", i%zones+1), Revision: "v1", State: "ready", Capacity: workerCapacity})
 	}
 	var err error
-	s.list, err = s.serve(http.HandlerFunc(s.serveList))
+	p.listAddress, err = p.serve(http.HandlerFunc(p.serveList))
 	if err != nil {
-		s.close()
+		p.close()
 	}
-	return s, err
+	return p, err
 }
 
-// serve serves on a free port of the loopback.
-func (s *standIns) serve(h http.Handler) (address string, err error) {
+// serve starts an HTTP server on a free loopback port.
+func (p *fakePlatform) serve(h http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "listen for a stand-in")
+		return "", errors.Wrap(err, "listen for the fake platform")
 	}
 	server := &http.Server{Handler: h}
-	s.servers = append(s.servers, server)
+	p.servers = append(p.servers, server)
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
 
-func (s *standIns) close() {
-	for _, server := range s.servers {
+func (p *fakePlatform) close() {
+	for _, server := range p.servers {
 		_ = server.Close()
 	}
 }
 
-func (s *standIns) serveList(w http.ResponseWriter, _ *http.Request) {
+func (p *fakePlatform) serveList(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"Instances": s.entries, "NextPageToken": nil})
+	_ = json.NewEncoder(w).Encode(map[string]any{"Instances": p.entries, "NextPageToken": nil})
 }
 
-// worker runs each message for a moment and stamps it.
-func (s *standIns) worker(id string) http.Handler {
+// worker returns a handler that simulates a worker: it takes workerRunTime per message, signs the response and rejects messages beyond its
+// capacity.
+func (p *fakePlatform) worker(id string) http.Handler {
 	slots := make(chan struct{}, workerCapacity)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Instance-Id", id)
@@ -95,36 +97,36 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		s.began(request)
-		time.Sleep(workerRun)
+		p.recordRun(request)
+		time.Sleep(workerRunTime)
 		w.Header().Set("X-Response-Signature", id+"."+request)
 		_, _ = w.Write([]byte("done"))
 	})
 }
 
-func (s *standIns) began(request string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.runs[request]++; s.runs[request] == 1 {
-		s.first[request] = time.Now()
+func (p *fakePlatform) recordRun(request string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.runs[request]++; p.runs[request] == 1 {
+		p.firstRun[request] = time.Now()
 	}
 }
 
 // counts returns how many messages have run, and how many of them more than once.
-func (s *standIns) counts() (ran, again int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, n := range s.runs {
+func (p *fakePlatform) counts() (ran, again int) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	for _, n := range p.runs {
 		if n > 1 {
 			again++
 		}
 	}
-	return len(s.runs), again
+	return len(p.runs), again
 }
 
-// hasRun tells whether a message has run.
-func (s *standIns) hasRun(request string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.runs[request] > 0
+// hasRun reports whether a message has run at least once.
+func (p *fakePlatform) hasRun(request string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.runs[request] > 0
 }
--- a/lab/systemdemo/machines.go
+++ b/lab/systemdemo/machines.go
@@ -25,18 +25,18 @@
 	zones             = 3
 )
 
-// machine is one process of the system on its loopback address, through its lives.
+// machine is one process of the system with its own loopback address. It keeps its settings and data across restarts.
 type machine struct {
 	role    string // the subcommand
 	name    string
 	ip      string
 	zone    string
-	file    string // its settings
-	data    string // empty without a disk
+	file    string // path of its settings
+	data    string // data folder; empty without a disk
 	command *exec.Cmd
-	ended   chan struct{}
-	binary  string // that it was started with last
-	started bool   // its settings were written for a first start
+	exited  chan struct{}
+	binary  string // program of the last start
+	started bool   // settings have been written before, so Bootstrap is false from now on
 }
 
 // layout returns the machines of the demonstration: in each of three zones a dispatcher, a control process and a store.
@@ -56,7 +56,7 @@
 	return machines
 }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
 
 // ofRole lists the machines of a role.
 func ofRole(machines []*machine, role string) (found []*machine) {
@@ -69,10 +69,10 @@
 }
 
 // writeSettings writes the settings file of a machine.
-func (m *machine) writeSettings(seeds []string, list string) error {
-	serves := map[string]string{"control": nodeconfig.ServesControl, "store": nodeconfig.ServesStorage, "dispatcher": nodeconfig.ServesEdge}
+func (m *machine) writeSettings(seeds []string, listAddress string) error {
+	servesByRole := map[string]string{"control": nodeconfig.ServesControl, "store": nodeconfig.ServesStorage, "dispatcher": nodeconfig.ServesEdge}
 	var b strings.Builder
-	fmt.Fprintf(&b, "NodeName = %q\nServes = [%q]\nIp = %q\nZone = %q\nRegion = \"loopback\"\n", m.name, serves[m.role], m.ip, m.zone)
+	fmt.Fprintf(&b, "NodeName = %q\nServes = [%q]\nIp = %q\nZone = %q\nRegion = \"loopback\"\n", m.name, servesByRole[m.role], m.ip, m.zone)
 	fmt.Fprintf(&b, "InternalPortRange = [%d, %d]\nSeedNodes = [\"%s\"]\nBootstrap = %v\n", firstInternalPort, lastInternalPort, strings.Join(seeds, `","`), !m.started)
 	m.started = true
 	if m.data != "" {
@@ -88,15 +88,15 @@
 	b.WriteString("[BindAddresses]\n")
 	switch m.role {
 	case "control":
-		fmt.Fprintf(&b, "ControlPlane = %q\n", at(m.ip, controlPlanePort))
+		fmt.Fprintf(&b, "ControlPlane = %q\n", hostPort(m.ip, controlPlanePort))
 	case "dispatcher":
-		fmt.Fprintf(&b, "Frontend = %q\nReadiness = %q\n", at(m.ip, frontendPort), at(m.ip, readinessPort))
+		fmt.Fprintf(&b, "Frontend = %q\nReadiness = %q\n", hostPort(m.ip, frontendPort), hostPort(m.ip, readinessPort))
 	}
-	fmt.Fprintf(&b, "[Limits]\nMemoryMb = 284\nDiskMb = 256\n[FaultTolerance]\nMachines = 1\n[CloudApi]\nAddress = %q\nRatePerS = 47.0\nMaxLagMs = 800\n", list)
+	fmt.Fprintf(&b, "[Limits]\nMemoryMb = 284\nDiskMb = 256\n[FaultTolerance]\nMachines = 1\n[CloudApi]\nAddress = %q\nRatePerS = 47.0\nMaxLagMs = 800\n", listAddress)
 	return os.WriteFile(m.file, []byte(b.String()), 0o600)
 }
 
-// start starts the process. What it logs goes to a file beside its settings.
+// start starts the process. Its output is appended to a log file beside its settings.
 func (m *machine) start(binary string) error {
 	logs, err := os.OpenFile(strings.TrimSuffix(m.file, ".toml")+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -109,25 +109,25 @@
 	if err := command.Start(); err != nil {
 		return errors.Wrapf(err, "start %s %s", binary, m.role)
 	}
-	ended := make(chan struct{})
-	m.command, m.ended, m.binary = command, ended, binary
+	exited := make(chan struct{})
+	m.command, m.exited, m.binary = command, exited, binary
 	go func() {
 		_ = command.Wait()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// end ends the process as planned, and kills it where that takes too long. It tells whether it ended by itself.
-func (m *machine) end(within time.Duration) bool {
+// shutDown asks the process to terminate and kills it after the timeout. It reports whether the process exited in time.
+func (m *machine) shutDown(timeout time.Duration) bool {
 	if m.command == nil {
 		return true
 	}
 	_ = m.command.Process.Signal(syscall.SIGTERM)
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-m.ended:
+	case <-m.exited:
 		m.command = nil
 		return true
 	case <-timer.C:
@@ -136,7 +136,7 @@
 	}
 }
 
-// loseDisk empties the disk of a machine whose process is down.
+// loseDisk empties the data folder of a machine whose process is not running.
 func (m *machine) loseDisk() error {
 	if err := os.RemoveAll(m.data); err != nil {
 		return err
@@ -144,12 +144,12 @@
 	return os.MkdirAll(m.data, 0o750)
 }
 
-// kill ends the process at once, and waits for its end.
+// kill sends SIGKILL to the process and waits until it has exited.
 func (m *machine) kill() {
 	if m.command == nil {
 		return
 	}
 	_ = m.command.Process.Signal(syscall.SIGKILL)
-	<-m.ended
+	<-m.exited
 	m.command = nil
 }
--- a/lab/systemdemo/upgrade.go
+++ b/lab/systemdemo/upgrade.go
@@ -8,24 +8,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Upgrade rolls the processes of a running system, one by one, from the program that they were started with to another, which may be an older one.
+// Upgrade is a rolling upgrade: the processes of a running system are restarted one by one with another version of the program, which may be an
+// older one.
 type Upgrade struct {
-	Binary string // of the version to roll to
-	// Order names the roles in the order in which they are rolled; none for all of a zone, then those of the next.
+	Binary string // program of the target version
+	// Order lists the roles in the order in which they are upgraded. If it is empty, the zones are upgraded one after the other.
 	Order []string
-	// LoseDisk has a store lose its disk when half of all processes are rolled.
+	// LoseDisk makes a store lose its disk when half of the processes have been upgraded.
 	LoseDisk bool
 }
 
 const (
-	rollPause  = 1500 * time.Millisecond // between two processes
-	rollWithin = 8 * time.Second         // for a planned end
+	upgradePause    = 1500 * time.Millisecond // between two processes
+	shutdownTimeout = 8 * time.Second         // for a planned shutdown
 )
 
-// errRoll means that a process did not end as planned.
-var errRoll = errors.New("a process did not end as planned: see its log")
+// errShutdown is returned if a process did not exit within shutdownTimeout.
+var errShutdown = errors.New("process did not shut down in time: see its log")
 
-// sequence lists the machines in the order in which they are rolled.
+// sequence returns the machines in the order in which they are upgraded.
 func (u *Upgrade) sequence(machines []*machine) ([]*machine, error) {
 	if len(u.Order) == 0 {
 		return machines, nil
@@ -34,7 +35,7 @@
 	for _, role := range u.Order {
 		found := ofRole(machines, role)
 		if len(found) == 0 {
-			return nil, errors.Newf("there is no role %q: want control, store, dispatcher", role)
+			return nil, errors.Newf("unknown role %q: want control, store or dispatcher", role)
 		}
 		if slices.Contains(sequence, found[0]) {
 			return nil, errors.Newf("the order names %s twice", role)
@@ -47,13 +48,13 @@
 	return sequence, nil
 }
 
-// upgrade rolls all processes while traffic goes on.
+// upgrade restarts all processes with the target version while traffic continues.
 func (d *demo) upgrade(ctx context.Context, u *Upgrade) error {
 	sequence, err := u.sequence(d.machines)
 	if err != nil {
 		return err
 	}
-	if pause(ctx, firstFault) != nil {
+	if pause(ctx, firstFaultDelay) != nil {
 		return nil
 	}
 	for n, m := range sequence {
@@ -62,21 +63,21 @@
 				return err
 			}
 		}
-		if !m.end(rollWithin) {
-			return errors.Wrap(errRoll, m.name)
+		if !m.shutDown(shutdownTimeout) {
+			return errors.Wrap(errShutdown, m.name)
 		}
 		if err := m.start(u.Binary); err != nil {
 			return err
 		}
 		d.faults = append(d.faults, "rolled "+m.name)
-		if pause(ctx, rollPause) != nil {
-			return errors.New("the traffic ended before all processes were rolled: give --for more time")
+		if pause(ctx, upgradePause) != nil {
+			return errors.New("the traffic ended before all processes were upgraded: use a longer --for")
 		}
 	}
 	return nil
 }
 
-// replaceDisk has the first store lose its disk, and come back as the version that it was.
+// replaceDisk kills the first store, empties its disk and restarts it with the version that it was running.
 func (d *demo) replaceDisk(ctx context.Context) error {
 	m := ofRole(d.machines, "store")[0]
 	m.kill()
@@ -84,9 +85,9 @@
 		return err
 	}
 	d.faults = append(d.faults, "lost the disk of "+m.name)
-	_ = pause(ctx, faultLasting)
+	_ = pause(ctx, faultDuration)
 	if err := m.start(m.binary); err != nil {
 		return err
 	}
-	return pause(ctx, 2*faultLasting)
+	return pause(ctx, 2*faultDuration)
 }
