--- a/internal/roles/store/daemon_test.go
+++ b/internal/roles/store/daemon_test.go
@@ -120,8 +120,9 @@
 	is.Equal(m2.ID, "m2")
 }
 
-// TestFailureIsCountedOnceAcrossPrimaries has the store crash right after it has recorded a failed delivery, so that the dispatcher does not
-// receive the reply. The dispatcher lists the delivery in its Hello to the next primary and reports it again: it must not be counted twice.
+// TestFailureIsCountedOnceAcrossPrimaries has the store crash right after it has recorded a failed delivery, so that the dispatcher does
+// not receive the reply. The dispatcher lists the delivery in its Hello to the next primary and reports it again: it must not be counted
+// twice.
 func TestFailureIsCountedOnceAcrossPrimaries(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, 3)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -116,8 +116,8 @@
 	return append(binary.AppendUvarint(b, uint64(len(text))), text...)
 }
 
-// fields reads fields from the body of a file in sequence. After the first field that is malformed, invalid is set and all further fields are
-// zero.
+// fields reads fields from the body of a file in sequence. After the first field that is malformed, invalid is set and all further fields
+// are zero.
 type fields struct {
 	rest    []byte
 	invalid bool
--- a/lab/sitevariant/sitevariant_test.go
+++ b/lab/sitevariant/sitevariant_test.go
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	s := applyVariant(t, "one-service")
 	is.Equal(len(tables(s, "services")), 1)
-	is.Equal(len(tables(s, "troubles")), 2) // the crash of its workers and that of a store remain; the poison message of the other class is removed
+	is.Equal(len(tables(s, "troubles")), 2) // the worker crash and the store crash remain; the poison of the other class is removed
 	day := tables(s, "day")[0]
 	is.Equal(len(tables(day, "faults")), 0)
 	is.Equal(len(subtable(tables(day, "traffic")[0], "mix")), 1)
--- a/lab/sourcecopy/sourcecopy.go
+++ b/lab/sourcecopy/sourcecopy.go
@@ -1,4 +1,5 @@
-// Package sourcecopy copies the project's sources with text replacements applied, for tools that compare a modified version with the original.
+// Package sourcecopy copies the project's sources with text replacements applied, for tools that compare a modified version with the
+// original.
 package sourcecopy
 
 import (
--- a/lab/systemdemo/clients.go
+++ b/lab/systemdemo/clients.go
@@ -19,7 +19,8 @@
 	orderingKeys  = 20
 )
 
-// configurationBody is the configuration that the operator submits: a route that delivers the messages of a key in order and one that does not.
+// configurationBody is the configuration that the operator submits: a route that delivers the messages of a key in order and one that
+// does not.
 var configurationBody = fmt.Appendf(nil, `{"Revision":1,"Routes":[
 {"Name":"orders","Hostname":%[1]q,"PathPrefix":"/orders/","Type":"async","TimeoutMs":2000,"TargetLatencyMs":80,"Backend":%[2]q,"MaxAttempts":6,"Fifo":true,"RetentionS":600,"TargetStartMs":600},
 {"Name":"readings","Hostname":%[1]q,"PathPrefix":"/readings/","Type":"async","TimeoutMs":2000,"TargetLatencyMs":80,"Backend":%[2]q,"MaxAttempts":6,"Fifo":false,"RetentionS":600,"TargetStartMs":600}],
--- a/lab/systemdemo/demo.go
+++ b/lab/systemdemo/demo.go
@@ -45,8 +45,8 @@
 	Faults                           []string
 }
 
-// Run starts the system, sends traffic and prints progress every second. It returns an error if the demonstration could not run or an accepted
-// message has not run by the end.
+// Run starts the system, sends traffic and prints progress every second. It returns an error if the demonstration could not run or an
+// accepted message has not run by the end.
 func Run(ctx context.Context, o Options) (*Summary, error) {
 	if o.Folder == "" {
 		folder, err := os.MkdirTemp("", "liftgauge-demo")
--- a/lab/systemdemo/upgrade.go
+++ b/lab/systemdemo/upgrade.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Upgrade is a rolling upgrade: the processes of a running system are restarted one by one with another version of the program, which may be an
-// older one.
+// Upgrade is a rolling upgrade: the processes of a running system are restarted one by one with another version of the program, which may
+// be an older one.
 type Upgrade struct {
 	Binary string // program of the target version
 	// Order lists the roles in the order in which they are upgraded. If it is empty, the zones are upgraded one after the other.
--- a/lab/trialday/trialday.go
+++ b/lab/trialday/trialday.go
@@ -1,5 +1,5 @@
-// Package trialday generates random fault scenarios ("days") for the system's bench: faults of one kind, of two kinds or of a mix of kinds, at
-// times drawn from a seed. A day is written in the format of a day in a site file.
+// Package trialday generates random fault scenarios ("days") for the system's bench: faults of one kind, of two kinds or of a mix of
+// kinds, at times drawn from a seed. A day is written in the format of a day in a site file.
 package trialday
 
 import (
