--- a/cmd/liftlab/ablate.go
+++ b/cmd/liftlab/ablate.go
@@ -12,43 +12,43 @@
 )
 
 func ablateCommand() *cobra.Command {
-	var root, to string
+	var root, folder string
 	cmd := &cobra.Command{
 		Use:   "ablate [MECHANISM --to FOLDER]",
 		Short: "Write a copy of the sources with one mechanism of the service switched off, to measure what it is worth",
 		Long: "Without a name it lists the mechanisms. With one it copies the sources into a folder, which is made, and switches the mechanism off there:\n" +
 			"play the copy against the sources on the same days and seeds.",
 		Args: cobra.MaximumNArgs(1),
-		RunE: func(cmd *cobra.Command, names []string) error {
-			if len(names) == 0 {
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if len(args) == 0 {
 				return listMechanisms(cmd)
 			}
-			return ablate(names[0], root, to)
+			return ablate(args[0], root, folder)
 		},
 	}
 	cmd.Flags().StringVar(&root, "root", ".", "folder of the sources")
-	cmd.Flags().StringVar(&to, "to", "", "folder for the copy; it must not exist yet")
+	cmd.Flags().StringVar(&folder, "to", "", "folder for the copy; it must not exist yet")
 	return cmd
 }
 
 func listMechanisms(cmd *cobra.Command) error {
-	w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
-	for _, m := range ablation.Mechanisms {
-		fmt.Fprintf(w, "%s\t%s\n", m.Name, m.Purpose)
+	table := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', 0)
+	for _, mechanism := range ablation.Mechanisms {
+		fmt.Fprintf(table, "%s\t%s\n", mechanism.Name, mechanism.Purpose)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-func ablate(name, root, to string) error {
-	m, err := ablation.Named(name)
+func ablate(name, root, folder string) error {
+	mechanism, err := ablation.Named(name)
 	if err != nil {
 		return err
 	}
-	if to == "" {
+	if folder == "" {
 		return errors.New("--to is missing: name a folder for the copy")
 	}
-	if err := os.Mkdir(to, 0o755); err != nil {
+	if err := os.Mkdir(folder, 0o755); err != nil {
 		return errors.Wrap(err, "making the folder for the copy: name one that does not exist yet, in one that does")
 	}
-	return m.Write(root, to)
+	return mechanism.Write(root, folder)
 }
--- a/cmd/liftlab/capture.go
+++ b/cmd/liftlab/capture.go
@@ -20,98 +20,98 @@
 
 func captureCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "capture", Short: "Look at captured load, cut it and put it together; files are never changed"}
-	cmd.AddCommand(captureShow(), captureStats(), captureCut(), captureMerge())
+	cmd.AddCommand(captureShowCommand(), captureStatsCommand(), captureCutCommand(), captureMergeCommand())
 	return cmd
 }
 
 // readCapture hands every record of a file that can be read to a function.
-func readCapture(path string, each func(*capture.Reader, capture.Record) error) (*capture.Reader, error) {
-	f, err := os.Open(path)
+func readCapture(path string, handle func(*capture.Reader, capture.Record) error) (*capture.Reader, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	r, err := capture.NewReader(f)
+	defer file.Close()
+	reader, err := capture.NewReader(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	defer r.Close()
+	defer reader.Close()
 	for {
-		rec, err := r.Next()
+		record, err := reader.Next()
 		if err == io.EOF {
-			return r, nil
+			return reader, nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		if err := each(r, rec); err != nil {
+		if err := handle(reader, record); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // faults says what of a file could not be read, or was never written.
-func faults(path string, r *capture.Reader) string {
-	var all []string
-	if r.Dropped > 0 {
-		all = append(all, fmt.Sprint(r.Dropped, " records were dropped when it was written"))
+func readProblems(path string, reader *capture.Reader) string {
+	var problems []string
+	if reader.Dropped > 0 {
+		problems = append(problems, fmt.Sprint(reader.Dropped, " records were dropped when it was written"))
 	}
-	if r.Damaged > 0 {
-		all = append(all, fmt.Sprint(r.Damaged, " damaged blocks passed by"))
+	if reader.Damaged > 0 {
+		problems = append(problems, fmt.Sprint(reader.Damaged, " damaged blocks passed by"))
 	}
-	if r.Truncated {
-		all = append(all, "it is cut off inside a block")
+	if reader.Truncated {
+		problems = append(problems, "it is cut off inside a block")
 	}
-	if len(all) == 0 {
+	if len(problems) == 0 {
 		return ""
 	}
-	return path + ": " + strings.Join(all, "; ")
+	return path + ": " + strings.Join(problems, "; ")
 }
 
-var ends = [...]string{capture.Failed: "failed", capture.Served: "served", capture.BackOff: "back-off", capture.ClientLeft: "left"}
+var outcomeNames = [...]string{capture.Failed: "failed", capture.Served: "served", capture.BackOff: "back-off", capture.ClientLeft: "left"}
 
-func endOf(e uint8) string {
-	if int(e) < len(ends) {
-		return ends[e]
+func outcomeName(outcome uint8) string {
+	if int(outcome) < len(outcomeNames) {
+		return outcomeNames[outcome]
 	}
-	return fmt.Sprint("end ", e)
+	return fmt.Sprint("end ", outcome)
 }
 
-func captureShow() *cobra.Command {
-	most := 0
+func captureShowCommand() *cobra.Command {
+	limit := 0
 	cmd := &cobra.Command{
 		Use: "show FILE", Short: "Print the records, a line of JSON each", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := bufio.NewWriter(cmd.OutOrStdout())
 			defer out.Flush()
-			enough, n := errors.New("enough"), 0
-			r, err := readCapture(args[0], func(r *capture.Reader, rec capture.Record) error {
-				class := fmt.Sprint(rec.Class)
-				if rec.Class >= 0 && rec.Class < len(r.Header.Classes) {
-					class = r.Header.Classes[rec.Class]
+			errLimitReached, printed := errors.New("enough"), 0
+			reader, err := readCapture(args[0], func(reader *capture.Reader, record capture.Record) error {
+				class := fmt.Sprint(record.Class)
+				if record.Class >= 0 && record.Class < len(reader.Header.Classes) {
+					class = reader.Header.Classes[record.Class]
 				}
-				text, err := json.Marshal(map[string]any{"arrived": time.Unix(0, rec.Arrived).UTC(), "class": class, "key": fmt.Sprintf("%016x", rec.Key),
-					"hint_ms": float64(rec.Hint) / 1e6, "slots": rec.Slots, "zone": rec.Zone, "tenant": rec.Tenant, "patience_ms": float64(rec.Timeout) / 1e6,
-					"again": rec.Retry, "end": endOf(rec.Outcome), "took_ms": float64(rec.Duration) / 1e6, "attempts": rec.Attempts})
+				line, err := json.Marshal(map[string]any{"arrived": time.Unix(0, record.Arrived).UTC(), "class": class, "key": fmt.Sprintf("%016x", record.Key),
+					"hint_ms": float64(record.Hint) / 1e6, "slots": record.Slots, "zone": record.Zone, "tenant": record.Tenant, "patience_ms": float64(record.Timeout) / 1e6,
+					"again": record.Retry, "end": outcomeName(record.Outcome), "took_ms": float64(record.Duration) / 1e6, "attempts": record.Attempts})
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(out, "%s\n", text)
-				if n++; most > 0 && n >= most {
-					return enough
+				fmt.Fprintf(out, "%s\n", line)
+				if printed++; limit > 0 && printed >= limit {
+					return errLimitReached
 				}
 				return nil
 			})
-			if errors.Is(err, enough) {
+			if errors.Is(err, errLimitReached) {
 				return nil
 			}
-			if err == nil && faults(args[0], r) != "" {
-				fmt.Fprintln(cmd.ErrOrStderr(), faults(args[0], r))
+			if err == nil && readProblems(args[0], reader) != "" {
+				fmt.Fprintln(cmd.ErrOrStderr(), readProblems(args[0], reader))
 			}
 			return err
 		},
 	}
-	cmd.Flags().IntVar(&most, "most", 0, "records to print; 0 for all")
+	cmd.Flags().IntVar(&limit, "most", 0, "records to print; 0 for all")
 	return cmd
 }
 
@@ -128,39 +128,39 @@
 	Attempts float64 `json:"attempts"` // for each message
 }
 
-func captureStats() *cobra.Command {
+func captureStatsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "stats FILE...", Short: "Count and time what files hold, by class; the last line is JSON", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			type sums struct {
+			type classTotals struct {
 				classStats
-				took, run *hdrhistogram.Histogram
-				attempts  int64
+				latency, runTime *hdrhistogram.Histogram
+				attempts         int64
 			}
-			all := map[string]*sums{}
+			byClass := map[string]*classTotals{}
 			first, last := int64(1<<62), int64(0)
-			dropped, damaged, cut := int64(0), 0, 0
+			dropped, damaged, truncated := int64(0), 0, 0
 			for _, path := range args {
-				r, err := readCapture(path, func(r *capture.Reader, rec capture.Record) error {
-					class := fmt.Sprint(rec.Class)
-					if rec.Class >= 0 && rec.Class < len(r.Header.Classes) {
-						class = r.Header.Classes[rec.Class]
+				reader, err := readCapture(path, func(reader *capture.Reader, record capture.Record) error {
+					class := fmt.Sprint(record.Class)
+					if record.Class >= 0 && record.Class < len(reader.Header.Classes) {
+						class = reader.Header.Classes[record.Class]
 					}
-					s := all[class]
-					if s == nil {
-						s = &sums{took: hdrhistogram.New(1, 3600_000_000, 3), run: hdrhistogram.New(1, 3600_000_000, 3)}
-						s.Class, all[class] = class, s
+					totals := byClass[class]
+					if totals == nil {
+						totals = &classTotals{latency: hdrhistogram.New(1, 3600_000_000, 3), runTime: hdrhistogram.New(1, 3600_000_000, 3)}
+						totals.Class, byClass[class] = class, totals
 					}
-					s.Records++
-					first, last = min(first, rec.Arrived), max(last, rec.Arrived)
-					s.attempts += int64(len(rec.Attempts))
-					if rec.Outcome == capture.Served {
-						s.Served++
-						s.took.RecordValue(max(1, rec.Duration/1000))
+					totals.Records++
+					first, last = min(first, record.Arrived), max(last, record.Arrived)
+					totals.attempts += int64(len(record.Attempts))
+					if record.Outcome == capture.Served {
+						totals.Served++
+						totals.latency.RecordValue(max(1, record.Duration/1000))
 					}
-					for _, a := range rec.Attempts {
-						if a.Status == uint8(balance.OK) && a.Began >= 0 && a.Ended >= a.Began {
-							s.run.RecordValue(max(1, (a.Ended-a.Began)/1000))
+					for _, attempt := range record.Attempts {
+						if attempt.Status == uint8(balance.OK) && attempt.Began >= 0 && attempt.Ended >= attempt.Began {
+							totals.runTime.RecordValue(max(1, (attempt.Ended-attempt.Began)/1000))
 						}
 					}
 					return nil
@@ -168,39 +168,39 @@
 				if err != nil {
 					return err
 				}
-				if text := faults(path, r); text != "" {
+				if text := readProblems(path, reader); text != "" {
 					fmt.Fprintln(cmd.ErrOrStderr(), text)
 				}
-				dropped, damaged = dropped+r.Dropped, damaged+r.Damaged
-				if r.Truncated {
-					cut++
+				dropped, damaged = dropped+reader.Dropped, damaged+reader.Damaged
+				if reader.Truncated {
+					truncated++
 				}
 			}
 			var lines []classStats
-			for _, s := range all {
-				s.Rate = float64(s.Records) / max(float64(last-first)/1e9, 1)
-				s.P50, s.P99 = float64(s.took.ValueAtPercentile(50))/1000, float64(s.took.ValueAtPercentile(99))/1000
-				s.RunP50, s.RunP99 = float64(s.run.ValueAtPercentile(50))/1000, float64(s.run.ValueAtPercentile(99))/1000
-				s.Attempts = float64(s.attempts) / float64(max(s.Records, 1))
-				lines = append(lines, s.classStats)
+			for _, totals := range byClass {
+				totals.Rate = float64(totals.Records) / max(float64(last-first)/1e9, 1)
+				totals.P50, totals.P99 = float64(totals.latency.ValueAtPercentile(50))/1000, float64(totals.latency.ValueAtPercentile(99))/1000
+				totals.RunP50, totals.RunP99 = float64(totals.runTime.ValueAtPercentile(50))/1000, float64(totals.runTime.ValueAtPercentile(99))/1000
+				totals.Attempts = float64(totals.attempts) / float64(max(totals.Records, 1))
+				lines = append(lines, totals.classStats)
 			}
 			slices.SortFunc(lines, func(a, b classStats) int { return strings.Compare(a.Class, b.Class) })
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%-28s %9s %9s %8s %9s %9s %9s %9s %8s\n", "class", "records", "served", "per s", "p50 ms", "p99 ms", "run p50", "run p99", "attempts")
-			for _, l := range lines {
-				fmt.Fprintf(out, "%-28s %9d %9d %8.1f %9.1f %9.1f %9.1f %9.1f %8.2f\n", l.Class, l.Records, l.Served, l.Rate, l.P50, l.P99, l.RunP50, l.RunP99, l.Attempts)
+			for _, line := range lines {
+				fmt.Fprintf(out, "%-28s %9d %9d %8.1f %9.1f %9.1f %9.1f %9.1f %8.2f\n", line.Class, line.Records, line.Served, line.Rate, line.P50, line.P99, line.RunP50, line.RunP99, line.Attempts)
 			}
-			return lastLine(cmd, map[string]any{"classes": lines, "dropped": dropped, "damaged_blocks": damaged, "cut_files": cut})
+			return printReport(cmd, map[string]any{"classes": lines, "dropped": dropped, "damaged_blocks": damaged, "cut_files": truncated})
 		},
 	}
 }
 
-func captureCut() *cobra.Command {
+func captureCutCommand() *cobra.Command {
 	var from, to time.Duration
 	cmd := &cobra.Command{
 		Use: "cut IN OUT", Short: "Copy the records that arrived within a time, counted from the first", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return rewrite(cmd, args[:1], args[1], nil, from, to)
+			return copyRecords(cmd, args[:1], args[1], nil, from, to)
 		},
 	}
 	cmd.Flags().DurationVar(&from, "from", 0, "from here on")
@@ -208,7 +208,7 @@
 	return cmd
 }
 
-func captureMerge() *cobra.Command {
+func captureMergeCommand() *cobra.Command {
 	var shifts []string
 	cmd := &cobra.Command{
 		Use: "merge OUT IN...", Short: "Put several dispatchers' files together, in the order of arrivals",
@@ -216,16 +216,16 @@
 			"to the times of that dispatcher.",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			by := map[string]time.Duration{}
-			for _, s := range shifts {
-				name, value, ok := strings.Cut(s, "=")
-				d, err := time.ParseDuration(value)
+			shiftByDispatcher := map[string]time.Duration{}
+			for _, argument := range shifts {
+				name, value, ok := strings.Cut(argument, "=")
+				shift, err := time.ParseDuration(value)
 				if !ok || err != nil {
-					return fmt.Errorf("--shift %s: want NAME=TIME, such as n1=-300ms", s)
+					return fmt.Errorf("--shift %s: want NAME=TIME, such as n1=-300ms", argument)
 				}
-				by[name] = d
+				shiftByDispatcher[name] = shift
 			}
-			return rewrite(cmd, args[1:], args[0], by, 0, 1<<62)
+			return copyRecords(cmd, args[1:], args[0], shiftByDispatcher, 0, 1<<62)
 		},
 	}
 	cmd.Flags().StringArrayVar(&shifts, "shift", nil, "NAME=TIME, added to the times of a dispatcher")
@@ -233,47 +233,47 @@
 }
 
 // rewrite reads files and writes what arrived within a time to a new one.
-func rewrite(cmd *cobra.Command, in []string, out string, shift map[string]time.Duration, from, to time.Duration) error {
-	var all []capture.Record
-	var head capture.Header
-	for i, path := range in {
-		same := true
-		r, err := readCapture(path, func(r *capture.Reader, rec capture.Record) error {
-			rec.Arrived += int64(shift[r.Header.Name])
-			all = append(all, rec)
+func copyRecords(cmd *cobra.Command, inputs []string, output string, shiftByDispatcher map[string]time.Duration, from, to time.Duration) error {
+	var records []capture.Record
+	var header capture.Header
+	for i, path := range inputs {
+		compatible := true
+		reader, err := readCapture(path, func(reader *capture.Reader, record capture.Record) error {
+			record.Arrived += int64(shiftByDispatcher[reader.Header.Name])
+			records = append(records, record)
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		if text := faults(path, r); text != "" {
+		if text := readProblems(path, reader); text != "" {
 			fmt.Fprintln(cmd.ErrOrStderr(), text)
 		}
 		if i == 0 {
-			head = r.Header
+			header = reader.Header
 		} else {
-			same = slices.Equal(head.Classes, r.Header.Classes) && slices.Equal(head.Zones, r.Header.Zones) && slices.Equal(head.Kinds, r.Header.Kinds)
-			head.Name, head.Boot = "merged", ""
+			compatible = slices.Equal(header.Classes, reader.Header.Classes) && slices.Equal(header.Zones, reader.Header.Zones) && slices.Equal(header.Kinds, reader.Header.Kinds)
+			header.Name, header.Boot = "merged", ""
 		}
-		if !same {
-			return fmt.Errorf("%s: its classes, stations or kinds are not those of %s", path, in[0])
+		if !compatible {
+			return fmt.Errorf("%s: its classes, stations or kinds are not those of %s", path, inputs[0])
 		}
 	}
-	slices.SortStableFunc(all, func(a, b capture.Record) int { return int(min(max(a.Arrived-b.Arrived, -1), 1)) })
-	if len(all) > 0 {
-		first := all[0].Arrived
-		all = slices.DeleteFunc(all, func(r capture.Record) bool {
-			at := time.Duration(r.Arrived - first)
-			return at < from || at >= to
+	slices.SortStableFunc(records, func(a, b capture.Record) int { return int(min(max(a.Arrived-b.Arrived, -1), 1)) })
+	if len(records) > 0 {
+		first := records[0].Arrived
+		records = slices.DeleteFunc(records, func(r capture.Record) bool {
+			offset := time.Duration(r.Arrived - first)
+			return offset < from || offset >= to
 		})
 	}
-	f, err := os.OpenFile(out, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640) // never over a file that is there
+	file, err := os.OpenFile(output, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640) // never over a file that is there
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(capture.Create(f, head, all), f.Close()); err != nil {
+	if err := errors.Join(capture.Create(file, header, records), file.Close()); err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%s: %d records\n", out, len(all))
+	fmt.Fprintf(cmd.OutOrStdout(), "%s: %d records\n", output, len(records))
 	return nil
 }
--- a/cmd/liftlab/cluster.go
+++ b/cmd/liftlab/cluster.go
@@ -10,7 +10,7 @@
 )
 
 func clusterCommand() *cobra.Command {
-	var c lab.ClusterConfig
+	var config lab.ClusterConfig
 	var list bool
 	cmd := &cobra.Command{
 		Use:   "cluster SCENARIO|FILE.cue",
@@ -22,43 +22,43 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if list || len(args) == 0 {
 				for _, name := range lab.Scenarios() {
-					s, err := lab.LoadScenario(name)
+					scenario, err := lab.LoadScenario(name)
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(cmd.OutOrStdout(), "%-16s %s\n", name, s.Means)
+					fmt.Fprintf(cmd.OutOrStdout(), "%-16s %s\n", name, scenario.Means)
 				}
 				return nil
 			}
-			s, err := lab.LoadScenario(args[0])
+			scenario, err := lab.LoadScenario(args[0])
 			if err != nil {
 				return err
 			}
-			c.Scenario, c.Say = s, cmd.OutOrStdout()
-			r, err := lab.RunCluster(cmd.Context(), c)
+			config.Scenario, config.Say = scenario, cmd.OutOrStdout()
+			report, err := lab.RunCluster(cmd.Context(), config)
 			if err != nil {
 				return err
 			}
-			if err := lastLine(cmd, r); err != nil {
+			if err := printReport(cmd, report); err != nil {
 				return err
 			}
-			if !r.Held {
-				return fmt.Errorf("%d breaches, the first at %s", len(r.Breaches), r.Breaches[0])
+			if !report.Held {
+				return fmt.Errorf("%d breaches, the first at %s", len(report.Breaches), report.Breaches[0])
 			}
 			return nil
 		},
 	}
-	f := cmd.Flags()
-	f.BoolVar(&list, "list", false, "list the scenarios that come with the program")
-	f.IntVar(&c.Processes, "processes", 0, "how many dispatchers, 2 to 60; 0: as the scenario says")
-	f.Uint64Var(&c.Seed, "seed", 1, "of who is meant, and of what gets lost")
-	f.StringVar(&c.Logs, "logs", "", "a folder for the dispatchers' logs")
-	f.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
+	flags := cmd.Flags()
+	flags.BoolVar(&list, "list", false, "list the scenarios that come with the program")
+	flags.IntVar(&config.Processes, "processes", 0, "how many dispatchers, 2 to 60; 0: as the scenario says")
+	flags.Uint64Var(&config.Seed, "seed", 1, "of who is meant, and of what gets lost")
+	flags.StringVar(&config.Logs, "logs", "", "a folder for the dispatchers' logs")
+	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
 	return cmd
 }
 
 func memberCostCommand() *cobra.Command {
-	c := lab.MemberCostConfig{}
+	config := lab.MemberCostConfig{}
 	cmd := &cobra.Command{
 		Use:   "member-cost",
 		Short: "Measure what membership costs one daemon in a fleet: memory, CPU, latency, also while spoilt datagrams come",
@@ -66,19 +66,19 @@
 			"datagrams come that are none of the protocol's. The last line is JSON. Compare within one run.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c.Say = cmd.OutOrStdout()
-			r, err := lab.RunMemberCost(cmd.Context(), c)
+			config.Say = cmd.OutOrStdout()
+			report, err := lab.RunMemberCost(cmd.Context(), config)
 			if err != nil {
 				return err
 			}
-			return lastLine(cmd, r)
+			return printReport(cmd, report)
 		},
 	}
-	f := cmd.Flags()
-	f.IntVar(&c.Members, "members", 300, "of the fleet, 2 to 1000")
-	f.DurationVar(&c.Length, "length", 15*time.Second, "of each part")
-	f.IntVar(&c.Flood, "flood", 10000, "spoilt datagrams a second; 0: none")
-	f.Uint64Var(&c.Seed, "seed", 1, "of what is sent")
-	f.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
+	flags := cmd.Flags()
+	flags.IntVar(&config.Members, "members", 300, "of the fleet, 2 to 1000")
+	flags.DurationVar(&config.Length, "length", 15*time.Second, "of each part")
+	flags.IntVar(&config.Flood, "flood", 10000, "spoilt datagrams a second; 0: none")
+	flags.Uint64Var(&config.Seed, "seed", 1, "of what is sent")
+	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
 	return cmd
 }
--- a/cmd/liftlab/fleet.go
+++ b/cmd/liftlab/fleet.go
@@ -47,9 +47,9 @@
 	Margin      float64 `json:"cold_rule_margin"`  // what was left of the rule's budget where it was nearest; 1: all of it
 	Duplicates  int64   `json:"unsafe_jobs_run_twice"`
 
-	zones [][]sim.ZoneSecond
-	boxes []sim.BoxResult
-	took  time.Duration
+	zones   [][]sim.ZoneSecond
+	boxes   []sim.BoxResult
+	elapsed time.Duration
 }
 
 type fleetClass struct {
@@ -63,7 +63,7 @@
 }
 
 // membersTake is how long membership takes from a death to a view: seven in ten of 300 killed at once, by "liftlab members".
-const membersTake = 7 * time.Second
+const membershipDelay = 7 * time.Second
 
 // fleetTotal is what days of one kind and policy have in common.
 type fleetTotal struct {
@@ -82,7 +82,7 @@
 }
 
 // fleetSet is what is to be played.
-type fleetSet struct {
+type fleetRuns struct {
 	site                 *site.Site
 	days, policies       []string
 	dispatchers, workers int
@@ -90,12 +90,12 @@
 }
 
 func fleetCommand() *cobra.Command {
-	var s fleetSet
+	var set fleetRuns
 	var seed uint64
 	var seeds int
 	var day, policy string
 	var zones bool
-	var from string
+	var siteName string
 	cmd := &cobra.Command{
 		Use:   "fleet",
 		Short: "Play days of many dispatchers and workers in virtual time, and count",
@@ -112,113 +112,113 @@
 				return fmt.Errorf("--seeds %d: want 1 to 10000", seeds)
 			}
 			var err error
-			if s.site, err = site.Load(from); err != nil {
+			if set.site, err = site.Load(siteName); err != nil {
 				return err
 			}
-			switch s.days = strings.Split(day, ","); day {
+			switch set.days = strings.Split(day, ","); day {
 			case "all":
-				s.days = site.FleetDays
+				set.days = site.FleetDays
 			case "own":
-				s.days = site.SiteDays
+				set.days = site.SiteDays
 			}
-			for _, d := range s.days { // a fleet's days have no size of their own
+			for _, d := range set.days { // a fleet's days have no size of their own
 				if slices.Contains(site.FleetDays, d) {
-					s.dispatchers, s.workers = cmp.Or(s.dispatchers, 80), cmp.Or(s.workers, 60)
+					set.dispatchers, set.workers = cmp.Or(set.dispatchers, 80), cmp.Or(set.workers, 60)
 				}
 			}
-			if s.policies = strings.Split(policy, ","); policy == "all" {
-				s.policies = sim.PolicyNames
+			if set.policies = strings.Split(policy, ","); policy == "all" {
+				set.policies = sim.PolicyNames
 			}
-			for _, p := range s.policies {
+			for _, p := range set.policies {
 				if sim.PolicyByName(p) == nil {
 					return fmt.Errorf("policy %q: want all or some of %s", p, strings.Join(sim.PolicyNames, ", "))
 				}
 			}
 			for i := range seeds {
-				s.seeds = append(s.seeds, seed+uint64(i))
+				set.seeds = append(set.seeds, seed+uint64(i))
 			}
-			all, err := s.play()
+			reports, err := set.playAll()
 			if err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
-			if len(all) == 1 {
-				all[0].print(out)
+			if len(reports) == 1 {
+				reports[0].print(out)
 				if zones {
-					all[0].printZones(out)
+					reports[0].printZones(out)
 				}
-				return lastLine(cmd, all[0])
+				return printReport(cmd, reports[0])
 			}
 			if zones {
-				for i := range all {
-					fmt.Fprintf(out, "%s, %s, seed %d\n", all[i].Day, all[i].Policy, all[i].Seed)
-					all[i].printZones(out)
+				for i := range reports {
+					fmt.Fprintf(out, "%s, %s, seed %d\n", reports[i].Day, reports[i].Policy, reports[i].Seed)
+					reports[i].printZones(out)
 				}
 			}
-			return lastLine(cmd, map[string]any{"dispatchers": s.dispatchers, "workers": s.workers, "days": s.table(out, all), "runs": all})
+			return printReport(cmd, map[string]any{"dispatchers": set.dispatchers, "workers": set.workers, "days": set.table(out, reports), "runs": reports})
 		},
 	}
-	f := cmd.Flags()
-	f.Uint64Var(&seed, "seed", 1, "of the draw; the first of several")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds to play")
-	f.StringVar(&from, "site", "trinidad", "a site file, or one of "+strings.Join(site.Names, ", "))
-	f.IntVar(&s.dispatchers, "dispatchers", 0, fmt.Sprintf("dispatchers, 1 to %d; 0: 80, on a site's own days as its file says", site.MaxDispatchers))
-	f.IntVar(&s.workers, "workers", 0, fmt.Sprintf("workers, as many as zones to %d; 0: 60, or as the site's file says", site.MaxBoxes))
-	f.StringVar(&day, "day", "zone", "all, own, or some of "+strings.Join(slices.Concat(site.FleetDays, site.SiteDays), ", "))
-	f.StringVar(&policy, "policy", "module", "all, or some of "+strings.Join(sim.PolicyNames, ", "))
-	f.BoolVar(&zones, "zones", false, "show what happened by zone and second")
+	flags := cmd.Flags()
+	flags.Uint64Var(&seed, "seed", 1, "of the draw; the first of several")
+	flags.IntVar(&seeds, "seeds", 1, "how many seeds to play")
+	flags.StringVar(&siteName, "site", "trinidad", "a site file, or one of "+strings.Join(site.Names, ", "))
+	flags.IntVar(&set.dispatchers, "dispatchers", 0, fmt.Sprintf("dispatchers, 1 to %d; 0: 80, on a site's own days as its file says", site.MaxDispatchers))
+	flags.IntVar(&set.workers, "workers", 0, fmt.Sprintf("workers, as many as zones to %d; 0: 60, or as the site's file says", site.MaxBoxes))
+	flags.StringVar(&day, "day", "zone", "all, own, or some of "+strings.Join(slices.Concat(site.FleetDays, site.SiteDays), ", "))
+	flags.StringVar(&policy, "policy", "module", "all, or some of "+strings.Join(sim.PolicyNames, ", "))
+	flags.BoolVar(&zones, "zones", false, "show what happened by zone and second")
 	return cmd
 }
 
 // play plays all days, as many side by side as there are cores. Each is a run of its own: the order has no part in it.
-func (s *fleetSet) play() ([]fleetReport, error) {
-	all := make([]fleetReport, len(s.days)*len(s.policies)*len(s.seeds))
-	var g errgroup.Group
-	g.SetLimit(runtime.GOMAXPROCS(0))
+func (set *fleetRuns) playAll() ([]fleetReport, error) {
+	reports := make([]fleetReport, len(set.days)*len(set.policies)*len(set.seeds))
+	var group errgroup.Group
+	group.SetLimit(runtime.GOMAXPROCS(0))
 	i := 0
-	for _, day := range s.days {
-		if _, err := s.site.Day(day, s.dispatchers, s.workers, 1); err != nil {
+	for _, day := range set.days {
+		if _, err := set.site.Day(day, set.dispatchers, set.workers, 1); err != nil {
 			return nil, err
 		}
-		for _, policy := range s.policies {
-			for _, seed := range s.seeds {
-				r := &all[i]
+		for _, policy := range set.policies {
+			for _, seed := range set.seeds {
+				report := &reports[i]
 				i++
-				g.Go(func() (err error) {
-					*r, err = playFleet(s.site, day, policy, s.dispatchers, s.workers, seed)
+				group.Go(func() (err error) {
+					*report, err = playDay(set.site, day, policy, set.dispatchers, set.workers, seed)
 					return err
 				})
 			}
 		}
 	}
-	return all, g.Wait()
+	return reports, group.Wait()
 }
 
-func playFleet(from *site.Site, day, policy string, dispatchers, workers int, seed uint64) (fleetReport, error) {
-	w, err := from.Day(day, dispatchers, workers, seed)
+func playDay(deployment *site.Site, day, policy string, dispatchers, workers int, seed uint64) (fleetReport, error) {
+	world, err := deployment.Day(day, dispatchers, workers, seed)
 	if err != nil {
 		return fleetReport{}, err
 	}
-	if w.Policy = sim.PolicyByName(policy); policy == "members" {
-		w.MembershipDelay = membersTake
+	if world.Policy = sim.PolicyByName(policy); policy == "members" {
+		world.MembershipDelay = membershipDelay
 	}
-	began := time.Now()
-	r := sim.Run(w, seed)
-	f := fleetReport{Site: from.Name, Day: day, Policy: policy, Seed: seed, Dispatchers: len(w.Dispatchers), Workers: len(r.Boxes), G: r.G, Wasted: r.Wasted, Jobs: len(w.Arrivals), Service: r.Service,
-		Worst: r.Worst, Attempts: r.Attempts * 100 / int64(max(len(w.Arrivals), 1)), Crossings: r.Crossings, Connections: r.Connections,
-		MostConns: r.MostConnects, Probes: r.Probes, MostProbes: r.MostProbes, Lists: r.Lists, ListsLate: r.ListsLate,
-		MostLists: r.MostLists, Unlisted: r.Unlisted.Seconds(), Falls: r.Falls, Breaches: r.Breaches, Margin: r.Margin, Duplicates: r.Duplicates,
-		zones: r.Zones, boxes: r.Boxes, took: time.Since(began)}
-	for i, c := range r.Classes {
-		f.Classes = append(f.Classes, fleetClass{w.Classes[i].Name, c.Offered, c.InTime, c.Late, c.Refused, c.Failed, c.Lost})
+	started := time.Now()
+	result := sim.Run(world, seed)
+	report := fleetReport{Site: deployment.Name, Day: day, Policy: policy, Seed: seed, Dispatchers: len(world.Dispatchers), Workers: len(result.Boxes), G: result.G, Wasted: result.Wasted, Jobs: len(world.Arrivals), Service: result.Service,
+		Worst: result.Worst, Attempts: result.Attempts * 100 / int64(max(len(world.Arrivals), 1)), Crossings: result.Crossings, Connections: result.Connections,
+		MostConns: result.MostConnects, Probes: result.Probes, MostProbes: result.MostProbes, Lists: result.Lists, ListsLate: result.ListsLate,
+		MostLists: result.MostLists, Unlisted: result.Unlisted.Seconds(), Falls: result.Falls, Breaches: result.Breaches, Margin: result.Margin, Duplicates: result.Duplicates,
+		zones: result.Zones, boxes: result.Boxes, elapsed: time.Since(started)}
+	for i, c := range result.Classes {
+		report.Classes = append(report.Classes, fleetClass{world.Classes[i].Name, c.Offered, c.InTime, c.Late, c.Refused, c.Failed, c.Lost})
 	}
-	return f, nil
+	return report, nil
 }
 
 // print tells of one day.
 func (f *fleetReport) print(out io.Writer) {
 	fmt.Fprintf(out, "%s, %s, %d dispatchers, %d workers, seed %d: %d jobs in %v\n", f.Day, f.Policy, f.Dispatchers, f.Workers, f.Seed, f.Jobs,
-		f.took.Round(time.Millisecond))
+		f.elapsed.Round(time.Millisecond))
 	fmt.Fprintf(out, "G %.3f, service %.3f, worst window %.3f, wasted %.3f, attempts a job %.2f, to other zones %d\n", f.G, f.Service, f.Worst, f.Wasted, float64(f.Attempts)/100, f.Crossings)
 	for _, c := range f.Classes {
 		fmt.Fprintf(out, "%-14s %5d offered, %5d in time, %4d late, %4d refused, %4d failed, %4d lost\n", c.Name, c.Offered, c.InTime, c.Late,
@@ -235,66 +235,66 @@
 	if len(f.zones) == 0 {
 		return
 	}
-	size := make([]int, len(f.zones[0]))
+	workersInZone := make([]int, len(f.zones[0]))
 	for _, b := range f.boxes {
-		size[b.Station]++
+		workersInZone[b.Station]++
 	}
-	fmt.Fprintf(out, "by second and zone (%v workers): sent, waited over 0.2 s, running a worker, left\n", size)
+	fmt.Fprintf(out, "by second and zone (%v workers): sent, waited over 0.2 s, running a worker, left\n", workersInZone)
 	for t, row := range f.zones {
 		fmt.Fprintf(out, "%3d s", t)
 		for z, c := range row {
-			fmt.Fprintf(out, " | %4d %3d%% %4.2f %3d", c.Sent, 100*c.Waited/max(c.Sent, 1), c.Running/float64(max(size[z], 1)), c.Left)
+			fmt.Fprintf(out, " | %4d %3d%% %4.2f %3d", c.Sent, 100*c.Waited/max(c.Sent, 1), c.Running/float64(max(workersInZone[z], 1)), c.Left)
 		}
 		fmt.Fprintln(out)
 	}
 }
 
 // table tells of each day and policy over all seeds.
-func (s *fleetSet) table(out io.Writer, all []fleetReport) []fleetTotal {
-	random := map[string]float64{}
+func (set *fleetRuns) table(out io.Writer, reports []fleetReport) []fleetTotal {
+	randomService := map[string]float64{}
 	key := func(f *fleetReport) string { return fmt.Sprint(f.Day, " ", f.Seed) }
-	for i := range all {
-		if all[i].Policy == "random" {
-			random[key(&all[i])] = all[i].Service
+	for i := range reports {
+		if reports[i].Policy == "random" {
+			randomService[key(&reports[i])] = reports[i].Service
 		}
 	}
-	size := fmt.Sprintf("%d dispatchers, %d workers", s.dispatchers, s.workers)
-	if s.dispatchers == 0 {
+	size := fmt.Sprintf("%d dispatchers, %d workers", set.dispatchers, set.workers)
+	if set.dispatchers == 0 {
 		size = "dispatchers and workers as the site has them"
 	}
-	fmt.Fprintf(out, "%s: %s, seeds %d to %d\n", s.site.Name, size, s.seeds[0], s.seeds[len(s.seeds)-1])
+	fmt.Fprintf(out, "%s: %s, seeds %d to %d\n", set.site.Name, size, set.seeds[0], set.seeds[len(set.seeds)-1])
 	fmt.Fprintf(out, "%-8s %-12s %8s %8s %8s %10s %7s %9s %7s  %s\n", "day", "policy", "G", "service", "lowest", "crossings", "pushed", "breaches", "margin", "seeds below random")
 	var totals []fleetTotal
-	for _, day := range s.days {
-		for _, policy := range s.policies {
-			t := fleetTotal{Day: day, Policy: policy, Lowest: 1, Margin: 1}
-			for i := range all {
-				f := &all[i]
-				if f.Day != day || f.Policy != policy {
+	for _, day := range set.days {
+		for _, policy := range set.policies {
+			total := fleetTotal{Day: day, Policy: policy, Lowest: 1, Margin: 1}
+			for i := range reports {
+				report := &reports[i]
+				if report.Day != day || report.Policy != policy {
 					continue
 				}
-				t.Seeds++
-				t.Service += f.Service
-				t.G += f.G
-				t.Crossed += float64(f.Crossings) / float64(max(f.Jobs, 1))
-				t.Breaches += f.Breaches
-				t.Falls += f.Falls
-				t.Lowest, t.Margin = min(t.Lowest, f.Service), min(t.Margin, f.Margin)
-				if r, ok := random[key(f)]; ok && f.Service < r {
-					t.BelowRandom = append(t.BelowRandom, f.Seed)
+				total.Seeds++
+				total.Service += report.Service
+				total.G += report.G
+				total.Crossed += float64(report.Crossings) / float64(max(report.Jobs, 1))
+				total.Breaches += report.Breaches
+				total.Falls += report.Falls
+				total.Lowest, total.Margin = min(total.Lowest, report.Service), min(total.Margin, report.Margin)
+				if service, ok := randomService[key(report)]; ok && report.Service < service {
+					total.BelowRandom = append(total.BelowRandom, report.Seed)
 				}
 			}
-			t.Service /= float64(max(t.Seeds, 1))
-			t.G /= float64(max(t.Seeds, 1))
-			t.Crossed /= float64(max(t.Seeds, 1))
+			total.Service /= float64(max(total.Seeds, 1))
+			total.G /= float64(max(total.Seeds, 1))
+			total.Crossed /= float64(max(total.Seeds, 1))
 			below := "-"
-			if len(t.BelowRandom) > 0 {
-				below = strings.Trim(fmt.Sprint(t.BelowRandom), "[]")
-			} else if slices.Contains(s.policies, "random") {
+			if len(total.BelowRandom) > 0 {
+				below = strings.Trim(fmt.Sprint(total.BelowRandom), "[]")
+			} else if slices.Contains(set.policies, "random") {
 				below = "none"
 			}
-			fmt.Fprintf(out, "%-8s %-12s %8.3f %8.3f %8.3f %10.3f %7d %9d %7.2f  %s\n", t.Day, t.Policy, t.G, t.Service, t.Lowest, t.Crossed, t.Falls, t.Breaches, t.Margin, below)
-			totals = append(totals, t)
+			fmt.Fprintf(out, "%-8s %-12s %8.3f %8.3f %8.3f %10.3f %7d %9d %7.2f  %s\n", total.Day, total.Policy, total.G, total.Service, total.Lowest, total.Crossed, total.Falls, total.Breaches, total.Margin, below)
+			totals = append(totals, total)
 		}
 	}
 	return totals
--- a/cmd/liftlab/fleetlog.go
+++ b/cmd/liftlab/fleetlog.go
@@ -16,7 +16,7 @@
 
 func fleetLogCommand() *cobra.Command {
 	var message string
-	var warm, step time.Duration
+	var warmWithin, step time.Duration
 	cmd := &cobra.Command{
 		Use:   "fleet-log DIR",
 		Short: "Count the debug logs of many dispatchers, or follow one message through them",
@@ -30,24 +30,24 @@
 			} else if !info.IsDir() {
 				return fmt.Errorf("%s is no folder", dir)
 			}
-			if warm < 0 || step < 100*time.Millisecond {
-				return fmt.Errorf("--warm-within %v, --step %v: want no less than 0 and 100ms", warm, step)
+			if warmWithin < 0 || step < 100*time.Millisecond {
+				return fmt.Errorf("--warm-within %v, --step %v: want no less than 0 and 100ms", warmWithin, step)
 			}
 			if message != "" {
 				return follow(out, dir, message)
 			}
-			c, err := fleetlog.Count(os.DirFS(dir), warm, step)
+			counts, err := fleetlog.Count(os.DirFS(dir), warmWithin, step)
 			if err != nil {
 				return fmt.Errorf("%s: %w", dir, err)
 			}
-			printCounts(out, c)
-			return lastLine(cmd, c)
+			printCounts(out, counts)
+			return printReport(cmd, counts)
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&message, "message", "", "show all lines about the message with this id, in the order of time")
-	f.DurationVar(&warm, "warm-within", 8*time.Second, "how long a host is cold after its start")
-	f.DurationVar(&step, "step", 2*time.Second, "length of a row of the table")
+	flags := cmd.Flags()
+	flags.StringVar(&message, "message", "", "show all lines about the message with this id, in the order of time")
+	flags.DurationVar(&warmWithin, "warm-within", 8*time.Second, "how long a host is cold after its start")
+	flags.DurationVar(&step, "step", 2*time.Second, "length of a row of the table")
 	return cmd
 }
 
@@ -65,41 +65,41 @@
 	return nil
 }
 
-func printCounts(out io.Writer, c *fleetlog.Counts) {
-	fmt.Fprintf(out, "%d attempts of %d dispatchers in %v, %d waited over %v; hosts used by zone %v\n", c.Attempts, c.Dispatchers,
-		c.Span.Round(time.Millisecond), c.Late, fleetlog.LateStartThreshold, c.HostsByZone)
+func printCounts(out io.Writer, counts *fleetlog.Counts) {
+	fmt.Fprintf(out, "%d attempts of %d dispatchers in %v, %d waited over %v; hosts used by zone %v\n", counts.Attempts, counts.Dispatchers,
+		counts.Span.Round(time.Millisecond), counts.Late, fleetlog.LateStartThreshold, counts.HostsByZone)
 	fmt.Fprintf(out, "attempts ended:")
-	for _, s := range slices.SortedFunc(maps.Keys(c.Statuses), func(a, b string) int { return c.Statuses[b] - c.Statuses[a] }) {
-		fmt.Fprintf(out, " %s %d", s, c.Statuses[s])
+	for _, s := range slices.SortedFunc(maps.Keys(counts.Statuses), func(a, b string) int { return counts.Statuses[b] - counts.Statuses[a] }) {
+		fmt.Fprintf(out, " %s %d", s, counts.Statuses[s])
 	}
-	fmt.Fprintf(out, "\nmessages by attempts: %v, without an answer %d\n", c.MessagesByAttempts, c.Unanswered)
-	answers := []string{"failed", "served", "back-off answer"}
-	for _, o := range c.Outcomes {
-		if o.Kind >= 0 && o.Kind < len(answers) {
-			fmt.Fprintf(out, "class %d %s: %d\n", o.Class, answers[o.Kind], o.Messages)
+	fmt.Fprintf(out, "\nmessages by attempts: %v, without an answer %d\n", counts.MessagesByAttempts, counts.Unanswered)
+	outcomeNames := []string{"failed", "served", "back-off answer"}
+	for _, outcome := range counts.Outcomes {
+		if outcome.Kind >= 0 && outcome.Kind < len(outcomeNames) {
+			fmt.Fprintf(out, "class %d %s: %d\n", outcome.Class, outcomeNames[outcome.Kind], outcome.Messages)
 		}
 	}
-	fmt.Fprintf(out, "to cold hosts: %d attempts, %d at one within 2 s at most\n", c.Cold, c.MaxColdPerHost)
-	fmt.Fprintf(out, "by time and zone %v: sent, waited, running a host\n", c.Zones)
-	for i, row := range c.Times {
-		fmt.Fprintf(out, "%6v", time.Duration(i)*c.Step)
+	fmt.Fprintf(out, "to cold hosts: %d attempts, %d at one within 2 s at most\n", counts.Cold, counts.MaxColdPerHost)
+	fmt.Fprintf(out, "by time and zone %v: sent, waited, running a host\n", counts.Zones)
+	for i, row := range counts.Times {
+		fmt.Fprintf(out, "%6v", time.Duration(i)*counts.Step)
 		for _, z := range row {
 			fmt.Fprintf(out, " | %4d %3d%% %4.2f", z.Sent, 100*z.Waited/max(z.Sent, 1), z.Running)
 		}
 		fmt.Fprintln(out)
 	}
-	for _, s := range c.Spreads {
+	for _, s := range counts.Spreads {
 		fmt.Fprintf(out, "zone %d kind %d: %d hosts, attempts a host %d / %d / %d (least, median, most)\n", s.Zone, s.Kind, s.Hosts, s.Least, s.Median, s.Most)
 	}
-	fmt.Fprintf(out, "dispatchers by most used zone %v, sent outside it %.3f\n", c.HomeZones, c.OutsideHomeZone)
-	if c.Unrecognized+c.Orphans+len(c.Truncated)+len(c.Foreign) > 0 {
-		fmt.Fprintf(out, "passed over: %d lines of other kinds, %d starts and ends without a send", c.Unrecognized, c.Orphans)
-		for _, x := range []struct {
-			what  string
-			files []string
-		}{{"cut off", c.Truncated}, {"of other programs", c.Foreign}} {
-			if len(x.files) > 0 {
-				fmt.Fprintf(out, ", %d files %s (%s)", len(x.files), x.what, strings.Join(x.files[:min(3, len(x.files))], " "))
+	fmt.Fprintf(out, "dispatchers by most used zone %v, sent outside it %.3f\n", counts.HomeZones, counts.OutsideHomeZone)
+	if counts.Unrecognized+counts.Orphans+len(counts.Truncated)+len(counts.Foreign) > 0 {
+		fmt.Fprintf(out, "passed over: %d lines of other kinds, %d starts and ends without a send", counts.Unrecognized, counts.Orphans)
+		for _, skipped := range []struct {
+			reason string
+			files  []string
+		}{{"cut off", counts.Truncated}, {"of other programs", counts.Foreign}} {
+			if len(skipped.files) > 0 {
+				fmt.Fprintf(out, ", %d files %s (%s)", len(skipped.files), skipped.reason, strings.Join(skipped.files[:min(3, len(skipped.files))], " "))
 			}
 		}
 		fmt.Fprintln(out)
--- a/cmd/liftlab/main.go
+++ b/cmd/liftlab/main.go
@@ -20,13 +20,13 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "liftlab:", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:               "liftlab",
 		Short:             "The workbench of liftgauge: demonstrations and measurements on loopback",
@@ -39,16 +39,16 @@
 }
 
 // beside is the daemon's binary where it is built together with this one.
-func beside() string {
-	self, err := os.Executable()
+func defaultDaemonPath() string {
+	executable, err := os.Executable()
 	if err != nil {
 		return "liftgauge"
 	}
-	return filepath.Join(filepath.Dir(self), "liftgauge")
+	return filepath.Join(filepath.Dir(executable), "liftgauge")
 }
 
 // lastLine prints a report as the last line.
-func lastLine(cmd *cobra.Command, report any) error {
+func printReport(cmd *cobra.Command, report any) error {
 	text, err := json.Marshal(report)
 	if err != nil {
 		return err
@@ -58,31 +58,31 @@
 }
 
 func demoCommand() *cobra.Command {
-	c := lab.DemoConfig{}
+	config := lab.DemoConfig{}
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Start hosts, workers, discovery, load and the daemon on loopback, and watch",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if c.Hosts < 1 || c.Workers < 0 || c.Clients < 1 {
+			if config.Hosts < 1 || config.Workers < 0 || config.Clients < 1 {
 				return fmt.Errorf("want a host and a client at least")
 			}
-			c.Out, c.Stderr, c.Live = cmd.OutOrStdout(), cmd.ErrOrStderr(), lab.Terminal(os.Stdout)
-			return lab.Demo(cmd.Context(), c)
+			config.Out, config.Stderr, config.Live = cmd.OutOrStdout(), cmd.ErrOrStderr(), lab.Terminal(os.Stdout)
+			return lab.Demo(cmd.Context(), config)
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
-	f.IntVar(&c.Hosts, "hosts", 8, "HTTP hosts")
-	f.IntVar(&c.Workers, "workers", 8, "Gearman workers")
-	f.IntVar(&c.Clients, "clients", 8, "clients of each kind")
-	f.StringVar(&c.Capture, "capture", "", "a folder into which the daemon captures the load")
-	f.DurationVar(&c.For, "for", 0, "how long; 0 until Ctrl-C")
+	flags := cmd.Flags()
+	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
+	flags.IntVar(&config.Hosts, "hosts", 8, "HTTP hosts")
+	flags.IntVar(&config.Workers, "workers", 8, "Gearman workers")
+	flags.IntVar(&config.Clients, "clients", 8, "clients of each kind")
+	flags.StringVar(&config.Capture, "capture", "", "a folder into which the daemon captures the load")
+	flags.DurationVar(&config.For, "for", 0, "how long; 0 until Ctrl-C")
 	return cmd
 }
 
 func overheadCommand() *cobra.Command {
-	c := lab.OverheadConfig{}
+	config := lab.OverheadConfig{}
 	cmd := &cobra.Command{
 		Use:   "overhead",
 		Short: "Measure CPU, latency and memory of the daemon under full load, beside a plain reverse proxy",
@@ -91,42 +91,42 @@
 			"hosts. The last line is JSON.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c.Stderr = cmd.ErrOrStderr()
-			if len(c.Memory) == 0 || len(c.Bodies) == 0 || c.Hosts < 1 || c.Clients < 1 || c.Rounds < 1 {
+			config.Stderr = cmd.ErrOrStderr()
+			if len(config.Memory) == 0 || len(config.Bodies) == 0 || config.Hosts < 1 || config.Clients < 1 || config.Rounds < 1 {
 				return fmt.Errorf("want at least one of each of limits, body sizes, hosts, clients and rounds")
 			}
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%-14s %6s %7s %8s %8s %7s %8s %8s %8s %8s %8s\n", "program", "MB", "body", "jobs/s", "us/job", "p50 ms", "p99 ms",
 				"peak MB", "served", "refused", "failed")
-			report, err := lab.Overhead(cmd.Context(), c, func(m lab.Measured) {
+			report, err := lab.Overhead(cmd.Context(), config, func(m lab.Measured) {
 				fmt.Fprintf(out, "%-14s %6d %7d %8.0f %8.1f %7.2f %8.2f %8.1f %8d %8d %8d\n", m.Program, m.MemoryMB, m.Body, m.Rate, m.CPUMicros,
 					m.P50, m.P99, m.PeakMB, m.Served, m.Refused, m.Failed+m.Broken)
 			})
 			if err != nil {
 				return err
 			}
-			return lastLine(cmd, report)
+			return printReport(cmd, report)
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
-	f.IntSliceVar(&c.Memory, "memory", []int{24, 64, 192}, "limits of the daemon's memory, in MB")
-	f.IntSliceVar(&c.Bodies, "bodies", []int{200, 60000}, "sizes of the jobs' bodies, in bytes")
-	f.IntVar(&c.Result, "result", 200, "size of the results, in bytes; -1 sends the body back")
-	f.IntVar(&c.Hosts, "hosts", 64, "stand-in hosts")
-	f.DurationVar(&c.Job, "job", 2*time.Millisecond, "how long a job runs")
-	f.IntVar(&c.Clients, "clients", 64, "clients that always have the next job ready")
-	f.IntVar(&c.Sockets, "sockets", 1024, "the daemon's limit of descriptors")
-	f.DurationVar(&c.Patience, "patience", 5*time.Second, "how long a client waits")
-	f.DurationVar(&c.Warm, "warm", time.Second, "load before each measurement")
-	f.DurationVar(&c.Length, "length", 5*time.Second, "length of each measurement")
-	f.BoolVar(&c.Capture, "capture", false, "measure the daemon with capture on as well")
-	f.IntVar(&c.Rounds, "rounds", 1, "how often all is measured")
+	flags := cmd.Flags()
+	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
+	flags.IntSliceVar(&config.Memory, "memory", []int{24, 64, 192}, "limits of the daemon's memory, in MB")
+	flags.IntSliceVar(&config.Bodies, "bodies", []int{200, 60000}, "sizes of the jobs' bodies, in bytes")
+	flags.IntVar(&config.Result, "result", 200, "size of the results, in bytes; -1 sends the body back")
+	flags.IntVar(&config.Hosts, "hosts", 64, "stand-in hosts")
+	flags.DurationVar(&config.Job, "job", 2*time.Millisecond, "how long a job runs")
+	flags.IntVar(&config.Clients, "clients", 64, "clients that always have the next job ready")
+	flags.IntVar(&config.Sockets, "sockets", 1024, "the daemon's limit of descriptors")
+	flags.DurationVar(&config.Patience, "patience", 5*time.Second, "how long a client waits")
+	flags.DurationVar(&config.Warm, "warm", time.Second, "load before each measurement")
+	flags.DurationVar(&config.Length, "length", 5*time.Second, "length of each measurement")
+	flags.BoolVar(&config.Capture, "capture", false, "measure the daemon with capture on as well")
+	flags.IntVar(&config.Rounds, "rounds", 1, "how often all is measured")
 	return cmd
 }
 
 func gearmanCommand() *cobra.Command {
-	c := lab.GearmanConfig{}
+	config := lab.GearmanConfig{}
 	cmd := &cobra.Command{
 		Use:   "gearman",
 		Short: "Mix Gearman and HTTP clients, workers and hosts that fail, count runs and answers, and measure",
@@ -135,41 +135,41 @@
 			"itself, and at last many idle workers with many queued jobs. The last line is JSON.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c.Stderr = cmd.ErrOrStderr()
-			if c.Jobs < 0 || c.Each < 1 || c.Clients < 2 || c.Workers < 1 || c.Hosts < 1 {
+			config.Stderr = cmd.ErrOrStderr()
+			if config.Jobs < 0 || config.Each < 1 || config.Clients < 2 || config.Workers < 1 || config.Hosts < 1 {
 				return fmt.Errorf("want two clients, a worker, a host and a job at least")
 			}
-			report, err := lab.Gearman(cmd.Context(), c)
+			report, err := lab.Gearman(cmd.Context(), config)
 			if err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%d jobs, %d served, %d failed, %d left by their clients; %d drops; %d duplicates, %d lost, %d answered twice\n", report.Jobs,
 				report.Served, report.Failed, report.Left, report.Drops, report.Duplicates, report.Lost, report.Twice)
-			for _, p := range report.Pairs {
-				fmt.Fprintf(out, "%-18s %7.0f jobs/s %8.1f us/job  p50 %6.2f ms  p99 %6.2f ms  %d of %d served\n", p.Name, p.Rate, p.CPUMicros, p.P50, p.P99,
-					p.Served, p.Jobs)
+			for _, pair := range report.Pairs {
+				fmt.Fprintf(out, "%-18s %7.0f jobs/s %8.1f us/job  p50 %6.2f ms  p99 %6.2f ms  %d of %d served\n", pair.Name, pair.Rate, pair.CPUMicros, pair.P50, pair.P99,
+					pair.Served, pair.Jobs)
 			}
-			if l := report.Large; l != nil {
-				fmt.Fprintf(out, "%d workers and %d queued jobs (%d taken): peak %.1f MB of %d, %.1f MB with the workers alone\n", l.Workers, l.Queued,
-					l.Accepted, l.PeakMB, c.Memory, l.IdleMB)
+			if large := report.Large; large != nil {
+				fmt.Fprintf(out, "%d workers and %d queued jobs (%d taken): peak %.1f MB of %d, %.1f MB with the workers alone\n", large.Workers, large.Queued,
+					large.Accepted, large.PeakMB, config.Memory, large.IdleMB)
 			}
-			return lastLine(cmd, report)
+			return printReport(cmd, report)
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
-	f.Uint64Var(&c.Seed, "seed", 1, "of clients, drops and leaves")
-	f.IntVar(&c.Jobs, "jobs", 20000, "jobs of the mixed part")
-	f.IntVar(&c.Each, "each", 20000, "jobs of each way in the measured part")
-	f.IntVar(&c.Clients, "clients", 32, "clients; in the mixed part half of them speak Gearman")
-	f.IntVar(&c.Workers, "workers", 32, "Gearman workers")
-	f.IntVar(&c.Hosts, "hosts", 16, "HTTP hosts")
-	f.Float64Var(&c.Drops, "drops", 0.01, "share of runs at which a worker drops its connection")
-	f.Float64Var(&c.Leaves, "leaves", 0.02, "share of Gearman clients' jobs whose client leaves early")
-	f.IntVar(&c.Memory, "memory", 64, "the daemon's limit of memory, in MB")
-	f.IntVar(&c.Idle, "idle", 1000, "workers of the large part; 0 leaves it out")
-	f.IntVar(&c.Queued, "queued", 10000, "queued jobs of 1 KiB of the large part")
+	flags := cmd.Flags()
+	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
+	flags.Uint64Var(&config.Seed, "seed", 1, "of clients, drops and leaves")
+	flags.IntVar(&config.Jobs, "jobs", 20000, "jobs of the mixed part")
+	flags.IntVar(&config.Each, "each", 20000, "jobs of each way in the measured part")
+	flags.IntVar(&config.Clients, "clients", 32, "clients; in the mixed part half of them speak Gearman")
+	flags.IntVar(&config.Workers, "workers", 32, "Gearman workers")
+	flags.IntVar(&config.Hosts, "hosts", 16, "HTTP hosts")
+	flags.Float64Var(&config.Drops, "drops", 0.01, "share of runs at which a worker drops its connection")
+	flags.Float64Var(&config.Leaves, "leaves", 0.02, "share of Gearman clients' jobs whose client leaves early")
+	flags.IntVar(&config.Memory, "memory", 64, "the daemon's limit of memory, in MB")
+	flags.IntVar(&config.Idle, "idle", 1000, "workers of the large part; 0 leaves it out")
+	flags.IntVar(&config.Queued, "queued", 10000, "queued jobs of 1 KiB of the large part")
 	return cmd
 }
 
--- a/cmd/liftlab/main_test.go
+++ b/cmd/liftlab/main_test.go
@@ -12,31 +12,31 @@
 )
 
 // run runs a command and returns what it prints.
-func run(args ...string) (out, errs string, err error) {
-	cmd := root()
-	var o, e bytes.Buffer
-	cmd.SetOut(&o)
-	cmd.SetErr(&e)
+func runCommand(args ...string) (out, errOut string, err error) {
+	cmd := rootCommand()
+	var stdout, stderr bytes.Buffer
+	cmd.SetOut(&stdout)
+	cmd.SetErr(&stderr)
 	cmd.SetArgs(args)
 	err = cmd.Execute()
-	return o.String(), e.String(), err
+	return stdout.String(), stderr.String(), err
 }
 
 // file writes a capture of a dispatcher whose clock is off by so many nanoseconds.
-func file(t *testing.T, dir, name string, n int, off int64, h capture.Header) string {
+func writeCapture(t *testing.T, dir, name string, records int, clockOffset int64, header capture.Header) string {
 	t.Helper()
-	var all []capture.Record
-	for i := range n {
-		all = append(all, capture.Record{Arrived: 1e18 + int64(i)*1e8 + off, Class: i % 2, Timeout: 5e9, Outcome: capture.Served, Duration: 2e8,
+	var content []capture.Record
+	for i := range records {
+		content = append(content, capture.Record{Arrived: 1e18 + int64(i)*1e8 + clockOffset, Class: i % 2, Timeout: 5e9, Outcome: capture.Served, Duration: 2e8,
 			Attempts: []capture.Attempt{{Host: "s-1", Began: 1e7, Ended: 1e8, Status: 1, Age: -1}}})
 	}
-	h.Name = name
-	var b bytes.Buffer
-	if err := capture.Create(&b, h, all); err != nil {
+	header.Name = name
+	var encoded bytes.Buffer
+	if err := capture.Create(&encoded, header, content); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, name+capture.Extension)
-	if err := os.WriteFile(path, b.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(path, encoded.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -47,29 +47,29 @@
 func TestCapture(t *testing.T) {
 	dir := t.TempDir()
 	h := capture.Header{Classes: []string{"reading", "warning"}}
-	a, b := file(t, dir, "n0", 50, 0, h), file(t, dir, "n1", 50, 3e8+5e7, h)
+	a, b := writeCapture(t, dir, "n0", 50, 0, h), writeCapture(t, dir, "n1", 50, 3e8+5e7, h)
 	before, _ := os.ReadFile(b)
 	all, part := filepath.Join(dir, "all"), filepath.Join(dir, "part")
-	if out, _, err := run("capture", "merge", "--shift", "n1=-300ms", all, a, b); err != nil || !strings.Contains(out, "100 records") {
+	if out, _, err := runCommand("capture", "merge", "--shift", "n1=-300ms", all, a, b); err != nil || !strings.Contains(out, "100 records") {
 		t.Fatal(out, err)
 	}
-	if out, _, err := run("capture", "cut", "--from", "1s", "--to", "2s", all, part); err != nil || !strings.Contains(out, "20 records") {
+	if out, _, err := runCommand("capture", "cut", "--from", "1s", "--to", "2s", all, part); err != nil || !strings.Contains(out, "20 records") {
 		t.Error(out, err)
 	}
-	out, _, err := run("capture", "show", "--most", "4", all)
+	out, _, err := runCommand("capture", "show", "--most", "4", all)
 	if lines := strings.Split(strings.TrimSpace(out), "\n"); err != nil || len(lines) != 4 || !strings.Contains(lines[1], ".05Z") || !strings.Contains(lines[2], ".1Z") {
 		t.Error(out, err)
 	}
 	if after, _ := os.ReadFile(b); !bytes.Equal(before, after) {
 		t.Error("reading changed a file")
 	}
-	if _, _, err := run("capture", "merge", all, a, b); err == nil {
+	if _, _, err := runCommand("capture", "merge", all, a, b); err == nil {
 		t.Error("written over a file that was there")
 	}
 	if err := os.Truncate(a, int64(len(before)-7)); err != nil {
 		t.Fatal(err)
 	}
-	out, errs, err := run("capture", "stats", a, b)
+	out, errs, err := runCommand("capture", "stats", a, b)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	var report struct {
 		Classes []classStats
@@ -78,11 +78,11 @@
 	if json.Unmarshal([]byte(lines[len(lines)-1]), &report); err != nil || report.Cut != 1 || !strings.Contains(errs, "cut off") || len(report.Classes) != 2 {
 		t.Error(out, errs, err)
 	}
-	other := file(t, dir, "n2", 5, 0, capture.Header{Classes: []string{"another"}})
-	if _, _, err := run("capture", "merge", filepath.Join(dir, "x"), b, other); err == nil || !strings.Contains(err.Error(), "are not those of") {
+	other := writeCapture(t, dir, "n2", 5, 0, capture.Header{Classes: []string{"another"}})
+	if _, _, err := runCommand("capture", "merge", filepath.Join(dir, "x"), b, other); err == nil || !strings.Contains(err.Error(), "are not those of") {
 		t.Errorf("files of other classes were put together: %v", err)
 	}
-	if _, _, err := run("capture", "stats", os.DevNull); err == nil {
+	if _, _, err := runCommand("capture", "stats", os.DevNull); err == nil {
 		t.Error("no capture file was taken for one")
 	}
 }
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		for _, command := range [][]string{{"check", path}, {"plan", path, "--least", "2", "--most", "2", "--json", "--html", path + ".html"}} {
-			out, _, err := run(command...)
+			out, _, err := runCommand(command...)
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
 				t.Errorf("%s: %v, want %q", command[0], err, c.want)
 			}
@@ -116,8 +116,8 @@
 
 // TestFleet: a day of a fleet ends with its counts in JSON, the same each time; bad values are refused in one line.
 func TestFleet(t *testing.T) {
-	last := func() string {
-		out, _, err := run("fleet", "--day", "join", "--dispatchers", "10", "--workers", "10", "--seed", "3")
+	lastLine := func() string {
+		out, _, err := runCommand("fleet", "--day", "join", "--dispatchers", "10", "--workers", "10", "--seed", "3")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -125,13 +125,13 @@
 		return lines[len(lines)-1]
 	}
 	var r fleetReport
-	text := last()
-	if err := json.Unmarshal([]byte(text), &r); err != nil || r.Jobs == 0 || r.Lists < 10 || r.Dispatchers != 10 || text != last() {
+	text := lastLine()
+	if err := json.Unmarshal([]byte(text), &r); err != nil || r.Jobs == 0 || r.Lists < 10 || r.Dispatchers != 10 || text != lastLine() {
 		t.Errorf("%v: %s", err, text)
 	}
 	for _, bad := range [][]string{{"--day", "feast"}, {"--dispatchers", "-1"}, {"--workers", "-1"}, {"--seed", "x"}, {"--seeds", "0"},
 		{"--policy", "best"}, {"--day", "calm,"}, {"--dispatchers", "1001"}, {"more"}} {
-		if _, _, err := run(append([]string{"fleet"}, bad...)...); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, _, err := runCommand(append([]string{"fleet"}, bad...)...); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", bad, err)
 		}
 	}
@@ -139,7 +139,7 @@
 
 // TestFleetTable: days, policies and seeds played side by side make a table; the last line has every run.
 func TestFleetTable(t *testing.T) {
-	out, _, err := run("fleet", "--day", "calm,split", "--policy", "module,random", "--dispatchers", "10", "--workers", "10", "--seeds", "2", "--zones")
+	out, _, err := runCommand("fleet", "--day", "calm,split", "--policy", "module,random", "--dispatchers", "10", "--workers", "10", "--seeds", "2", "--zones")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,18 +178,18 @@
 	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, _, err := run("fleet-log", dir)
+	out, _, err := runCommand("fleet-log", dir)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	var c struct{ Attempts, Waited int }
 	if json.Unmarshal([]byte(lines[len(lines)-1]), &c); err != nil || c.Attempts != 1 || c.Waited != 1 || !strings.Contains(out, "class 0 served: 1") {
 		t.Error(err, out)
 	}
-	if out, _, err := run("fleet-log", dir, "--message", "a1"); err != nil || strings.Count(out, "n0\t") != 4 {
+	if out, _, err := runCommand("fleet-log", dir, "--message", "a1"); err != nil || strings.Count(out, "n0\t") != 4 {
 		t.Error(err, out)
 	}
 	for _, bad := range [][]string{{}, {t.TempDir()}, {filepath.Join(dir, "none")}, {filepath.Join(dir, "n0.log")}, {dir, "--message", "b"}, {dir, "--step", "0s"},
 		{dir, "--warm-within", "-1s"}, {dir, dir}} {
-		if _, _, err := run(append([]string{"fleet-log"}, bad...)...); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, _, err := runCommand(append([]string{"fleet-log"}, bad...)...); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v: %v", bad, err)
 		}
 	}
--- a/cmd/liftlab/members.go
+++ b/cmd/liftlab/members.go
@@ -24,10 +24,10 @@
 func membersCommand() *cobra.Command {
 	var sizes, faults, policies string
 	var seed uint64
-	var seeds, jobs int
+	var seeds, parallel int
 	var length time.Duration
-	names := func(all []struct{ Name, Means string }) (text string) {
-		for _, n := range all {
+	describe := func(entries []struct{ Name, Means string }) (text string) {
+		for _, n := range entries {
 			text += fmt.Sprintf("  %-13s %s\n", n.Name, n.Means)
 		}
 		return text
@@ -36,15 +36,15 @@
 		Use:   "members",
 		Short: "play the membership of fleets of up to 1,000 dispatchers in virtual time, under faults",
 		Long: "The real membership module runs in each simulated dispatcher; only the net and the processes are played. Runs go side by side and\n" +
-			"make a table; the last line is JSON.\n\nFaults:\n" + names(members.Faults) + "\nPolicies:\n" + names(members.Policies),
+			"make a table; the last line is JSON.\n\nFaults:\n" + describe(members.Faults) + "\nPolicies:\n" + describe(members.Policies),
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var configs []members.Config
-			pick := func(text string, all []struct{ Name, Means string }) (list []string) {
+			selected := func(text string, entries []struct{ Name, Means string }) (list []string) {
 				if text != "all" {
 					return strings.Split(text, ",")
 				}
-				for _, n := range all {
+				for _, n := range entries {
 					list = append(list, n.Name)
 				}
 				return list
@@ -54,46 +54,46 @@
 				if err != nil {
 					return fmt.Errorf("--sizes: want numbers, have %q", size)
 				}
-				for _, f := range pick(faults, members.Faults) {
-					for _, p := range pick(policies, members.Policies) {
+				for _, fault := range selected(faults, members.Faults) {
+					for _, policy := range selected(policies, members.Policies) {
 						for s := range seeds {
-							configs = append(configs, members.Config{Members: n, Seed: seed + uint64(s), Fault: f, Policy: p, Length: length})
+							configs = append(configs, members.Config{Members: n, Seed: seed + uint64(s), Fault: fault, Policy: policy, Length: length})
 						}
 					}
 				}
 			}
 			results := make([]members.Result, len(configs))
 			errs := make([]error, len(configs))
-			room := make(chan struct{}, max(1, jobs))
-			var all sync.WaitGroup
+			slots := make(chan struct{}, max(1, parallel))
+			var group sync.WaitGroup
 			for i, c := range configs {
-				all.Go(func() {
-					room <- struct{}{}
-					defer func() { <-room }()
+				group.Go(func() {
+					slots <- struct{}{}
+					defer func() { <-slots }()
 					results[i], errs[i] = members.Run(c)
 				})
 			}
-			all.Wait()
+			group.Wait()
 			if i := slices.IndexFunc(errs, func(err error) bool { return err != nil }); i >= 0 {
 				return errs[i]
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', tabwriter.AlignRight)
-			fmt.Fprintln(w, "members\tfault\tpolicy\tseed\tfalse\tknown ms\tworst\tmissed\tviews\tsettled ms\tB/s\tmost\tout\tagreed\tout of touch\t")
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 0, 2, ' ', tabwriter.AlignRight)
+			fmt.Fprintln(table, "members\tfault\tpolicy\tseed\tfalse\tknown ms\tworst\tmissed\tviews\tsettled ms\tB/s\tmost\tout\tagreed\tout of touch\t")
 			for _, r := range results {
-				fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%.0f\t%.0f\t%d\t%d\t%.0f\t%.0f\t%.0f\t%d\t%v\t%d\t\n", r.Members, r.Fault, r.Policy, r.Seed, r.False, r.KnownMedianMS, r.KnownWorstMS,
+				fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%d\t%.0f\t%.0f\t%d\t%d\t%.0f\t%.0f\t%.0f\t%d\t%v\t%d\t\n", r.Members, r.Fault, r.Policy, r.Seed, r.False, r.KnownMedianMS, r.KnownWorstMS,
 					r.Undetected, r.Views, r.SettledMS, r.BytesMean, r.BytesWorst, r.InAndOut, r.Agreed, r.NotInTouch)
 			}
-			w.Flush()
+			table.Flush()
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(membersReport{results})
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&sizes, "sizes", "10,100", "how many members, with commas between")
-	f.StringVar(&faults, "fault", "all", "all, or some of those above")
-	f.StringVar(&policies, "policy", "member", "all, or some of those above")
-	f.Uint64Var(&seed, "seed", 1, "of the draw; the first of several")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds to play")
-	f.DurationVar(&length, "length", time.Minute, "from the fault on")
-	f.IntVar(&jobs, "jobs", runtime.NumCPU(), "runs side by side")
+	flags := cmd.Flags()
+	flags.StringVar(&sizes, "sizes", "10,100", "how many members, with commas between")
+	flags.StringVar(&faults, "fault", "all", "all, or some of those above")
+	flags.StringVar(&policies, "policy", "member", "all, or some of those above")
+	flags.Uint64Var(&seed, "seed", 1, "of the draw; the first of several")
+	flags.IntVar(&seeds, "seeds", 1, "how many seeds to play")
+	flags.DurationVar(&length, "length", time.Minute, "from the fault on")
+	flags.IntVar(&parallel, "jobs", runtime.NumCPU(), "runs side by side")
 	return cmd
 }
--- a/cmd/liftlab/plan.go
+++ b/cmd/liftlab/plan.go
@@ -35,9 +35,9 @@
 }
 
 func planCommand() *cobra.Command {
-	p := plan.Planner{}
+	planner := plan.Planner{}
 	var html string
-	var captured []string
+	var captureFiles []string
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "plan FLEET.cue",
@@ -46,82 +46,82 @@
 			"decided. The last line is JSON with --json. Ctrl-C prints what is known so far, as partial.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			f, err := plan.LoadFleet(args[0], len(captured) > 0)
+			fleet, err := plan.LoadFleet(args[0], len(captureFiles) > 0)
 			if err != nil {
 				return err
 			}
-			if p.MinDays < 2 || p.MaxDays < p.MinDays {
+			if planner.MinDays < 2 || planner.MaxDays < planner.MinDays {
 				return errors.New("want two days at least, and no fewer at most")
 			}
 			out := cmd.OutOrStdout()
-			var fitted []string
-			if len(captured) > 0 {
-				if fitted, err = useCaptured(f, captured); err != nil {
+			var notes []string
+			if len(captureFiles) > 0 {
+				if notes, err = fitCapturedLoad(fleet, captureFiles); err != nil {
 					return err
 				}
 			}
-			p.Fleet = f
+			planner.Fleet = fleet
 			var bar *mpb.Bar
 			progress := mpb.NewWithContext(context.WithoutCancel(cmd.Context()), mpb.WithOutput(io.Discard))
 			if lab.Terminal(os.Stderr) {
 				progress = mpb.New(mpb.WithOutput(os.Stderr))
 			}
 			bar = progress.AddSpinner(0, mpb.PrependDecorators(decor.Name("planning "), decor.CurrentNoUnit("%d questions answered")))
-			p.OnOutcome = func(plan.Outcome) { bar.Increment() }
-			a, err := p.Plan(cmd.Context())
+			planner.OnOutcome = func(plan.Outcome) { bar.Increment() }
+			answer, err := planner.Plan(cmd.Context())
 			bar.SetTotal(-1, true)
 			progress.Wait()
 			if err != nil {
 				return err
 			}
-			a.Fitted = fitted
-			a.Text(out, f)
+			answer.Fitted = notes
+			answer.Text(out, fleet)
 			if html != "" {
 				file, err := os.Create(html)
 				if err != nil {
 					return err
 				}
-				if err := errors.Join(a.HTML(file, f), file.Close()); err != nil {
+				if err := errors.Join(answer.HTML(file, fleet), file.Close()); err != nil {
 					return err
 				}
 			}
 			if asJSON {
-				return lastLine(cmd, a)
+				return printReport(cmd, answer)
 			}
 			return nil
 		},
 	}
 	cmd.AddCommand(verifyCommand(), speedCommand())
-	fl := cmd.Flags()
-	fl.Uint64Var(&p.Seed, "seed", 1, "of the days; the same seed gives the same plan")
-	fl.IntVar(&p.MinDays, "least", 8, "days for each question at first")
-	fl.IntVar(&p.MaxDays, "most", 64, "and at most")
-	fl.StringVar(&html, "html", "", "write the plan as a page to this file")
-	fl.StringSliceVar(&captured, "captured", nil, "capture files in place of the fleet file's load")
-	fl.BoolVar(&asJSON, "json", false, "print the plan as JSON, as the last line")
+	flags := cmd.Flags()
+	flags.Uint64Var(&planner.Seed, "seed", 1, "of the days; the same seed gives the same plan")
+	flags.IntVar(&planner.MinDays, "least", 8, "days for each question at first")
+	flags.IntVar(&planner.MaxDays, "most", 64, "and at most")
+	flags.StringVar(&html, "html", "", "write the plan as a page to this file")
+	flags.StringSliceVar(&captureFiles, "captured", nil, "capture files in place of the fleet file's load")
+	flags.BoolVar(&asJSON, "json", false, "print the plan as JSON, as the last line")
 	return cmd
 }
 
 func verifyCommand() *cobra.Command {
-	c := lab.VerifyConfig{}
+	config := lab.VerifyConfig{}
 	cmd := &cobra.Command{
 		Use:   "verify",
 		Short: "Draw fleets and loads, forecast each, play it on loopback, and compare; the last line is JSON",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c.Stderr = cmd.ErrOrStderr()
-			if c.Cases < 1 || c.Length < time.Second {
+			config.Stderr = cmd.ErrOrStderr()
+			if config.Cases < 1 || config.Length < time.Second {
 				return errors.New("want at least one case and a second")
 			}
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%4s %5s %8s %6s %17s %17s %19s %19s %15s %7s  %s\n", "case", "boxes", "jobs/s", "load", "reading in time", "warning in time", "p50 ms", "p99 ms",
 				"utilisation", "error", "largest of")
-			report, err := lab.Verify(cmd.Context(), c, func(x lab.Case) {
+			report, err := lab.Verify(cmd.Context(), config, func(x lab.Case) {
 				f, s := x.Forecast, x.Seen
 				fmt.Fprintf(out, "%4d %5d %8.1f %6.2f %8.3f %8.3f %8.3f %8.3f %9.1f %9.1f %9.1f %9.1f %7.3f %7.3f %6.1f%%  %s\n", x.Number, x.Boxes, x.Rate, x.Load,
 					f.InTime["gauge-reading"], s.InTime["gauge-reading"], f.InTime["send-warning"], s.InTime["send-warning"], f.P50, s.P50, f.P99, s.P99,
 					f.Utilisation, s.Utilisation, 100*x.Error, x.Of)
-				if c.Ramp {
+				if config.Ramp {
 					fmt.Fprintf(out, "%4s gives way at %.2f of its cores, seen at %.2f\n", "", x.Tip, x.TipSeen)
 				}
 			})
@@ -129,17 +129,17 @@
 				return err
 			}
 			fmt.Fprintf(out, "%d of %d within 10%%, %d within 20%%; p99 within 20%% in %d\n", report.Within10, report.Count, report.Within20, report.P99In20)
-			return lastLine(cmd, report)
+			return printReport(cmd, report)
 		},
 	}
-	fl := cmd.Flags()
-	fl.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
-	fl.Uint64Var(&c.Seed, "seed", 1, "of what is drawn")
-	fl.IntVar(&c.Cases, "cases", 20, "fleets and loads to draw")
-	fl.IntVar(&c.Beside, "beside", 4, "cases to play at a time")
-	fl.DurationVar(&c.Length, "length", 20*time.Second, "of each case's load")
-	fl.BoolVar(&c.Ramp, "ramp", false, "raise the load of each case until it gives way, too")
-	fl.IntVar(&c.Days, "days", 5, "emulated runs of each forecast")
+	flags := cmd.Flags()
+	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
+	flags.Uint64Var(&config.Seed, "seed", 1, "of what is drawn")
+	flags.IntVar(&config.Cases, "cases", 20, "fleets and loads to draw")
+	flags.IntVar(&config.Beside, "beside", 4, "cases to play at a time")
+	flags.DurationVar(&config.Length, "length", 20*time.Second, "of each case's load")
+	flags.BoolVar(&config.Ramp, "ramp", false, "raise the load of each case until it gives way, too")
+	flags.IntVar(&config.Days, "days", 5, "emulated runs of each forecast")
 	return cmd
 }
 
@@ -159,47 +159,47 @@
 			if err != nil {
 				return err
 			}
-			return lastLine(cmd, map[string]any{"runs": all})
+			return printReport(cmd, map[string]any{"runs": all})
 		},
 	}
-	fl := cmd.Flags()
-	fl.IntSliceVar(&boxes, "boxes", []int{20, 200, 2000}, "numbers of boxes")
-	fl.IntSliceVar(&dispatchers, "dispatchers", []int{3, 30, 300}, "numbers of dispatchers")
-	fl.DurationVar(&length, "length", 20*time.Second, "of each day")
+	flags := cmd.Flags()
+	flags.IntSliceVar(&boxes, "boxes", []int{20, 200, 2000}, "numbers of boxes")
+	flags.IntSliceVar(&dispatchers, "dispatchers", []int{3, 30, 300}, "numbers of dispatchers")
+	flags.DurationVar(&length, "length", 20*time.Second, "of each day")
 	return cmd
 }
 
 // useCaptured reads capture files and says what was fitted from them.
-func useCaptured(f *plan.Fleet, files []string) (said []string, err error) {
-	var all []capture.Record
-	var head capture.Header
+func fitCapturedLoad(fleet *plan.Fleet, files []string) (notes []string, err error) {
+	var records []capture.Record
+	var header capture.Header
 	dropped := int64(0)
 	for i, path := range files {
-		r, err := readCapture(path, func(_ *capture.Reader, rec capture.Record) error {
-			all = append(all, rec)
+		reader, err := readCapture(path, func(_ *capture.Reader, record capture.Record) error {
+			records = append(records, record)
 			return nil
 		})
 		if err != nil {
 			return nil, err
 		}
-		if i > 0 && !(slices.Equal(head.Classes, r.Header.Classes) && slices.Equal(head.Zones, r.Header.Zones) && slices.Equal(head.Kinds, r.Header.Kinds)) {
+		if i > 0 && !(slices.Equal(header.Classes, reader.Header.Classes) && slices.Equal(header.Zones, reader.Header.Zones) && slices.Equal(header.Kinds, reader.Header.Kinds)) {
 			return nil, fmt.Errorf("%s: its classes, stations or kinds are not those of %s", path, files[0])
 		}
-		head = r.Header
-		dropped += r.Dropped
-		if text := faults(path, r); text != "" {
-			said = append(said, text)
+		header = reader.Header
+		dropped += reader.Dropped
+		if text := readProblems(path, reader); text != "" {
+			notes = append(notes, text)
 		}
 	}
-	fitted, speeds, err := f.UseCaptured(head, all, dropped)
+	fitted, speeds, err := fleet.UseCaptured(header, records, dropped)
 	if err != nil {
 		return nil, err
 	}
 	for _, x := range speeds {
-		said = append(said, fmt.Sprintf("%s, from %d warm runs: %s", x.Kind, x.Runs, x))
+		notes = append(notes, fmt.Sprintf("%s, from %d warm runs: %s", x.Kind, x.Runs, x))
 	}
 	for _, x := range fitted {
-		said = append(said, fmt.Sprintf("%s, from %d of %d records: work %.4f ± %.4f s; %d left out", x.Class, x.Runs, x.Records, x.Work.Mean, x.Work.Half, x.Skipped))
+		notes = append(notes, fmt.Sprintf("%s, from %d of %d records: work %.4f ± %.4f s; %d left out", x.Class, x.Runs, x.Records, x.Work.Mean, x.Work.Half, x.Skipped))
 	}
-	return said, nil
+	return notes, nil
 }
--- a/cmd/liftlab/system.go
+++ b/cmd/liftlab/system.go
@@ -41,10 +41,10 @@
 }
 
 func playSystem(cmd *cobra.Command, seed uint64, days int) error {
-	const patiencePerDay = time.Minute
-	begin := time.Now()
+	const timeoutPerDay = time.Minute
+	started := time.Now()
 	test := exec.CommandContext(cmd.Context(), "go", "test", "./sim/system", "-run", "^TestDays$", "-count", "1", "-v",
-		"-timeout", (time.Duration(days) * patiencePerDay).String(), "-args", fmt.Sprintf("-system.seed=%d", seed), fmt.Sprintf("-system.days=%d", days))
+		"-timeout", (time.Duration(days) * timeoutPerDay).String(), "-args", fmt.Sprintf("-system.seed=%d", seed), fmt.Sprintf("-system.days=%d", days))
 	output, err := test.StdoutPipe()
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 	readErr := figures.read(output, cmd.ErrOrStderr())
 	testErr := test.Wait()
 	figures.Passed = testErr == nil && readErr == nil && figures.Days == days
-	figures.Seconds = time.Since(begin).Seconds()
+	figures.Seconds = time.Since(started).Seconds()
 	if err := json.NewEncoder(cmd.OutOrStdout()).Encode(figures); err != nil {
 		return err
 	}
@@ -79,22 +79,22 @@
 			}
 			continue
 		}
-		var one struct {
+		var entry struct {
 			Seed                                               uint64
 			Sent, Accepted, Refused, Unanswered, Open, Repeats int
 			Breaches                                           []struct{ Rule string }
 		}
-		if err := json.Unmarshal([]byte(day), &one); err != nil {
+		if err := json.Unmarshal([]byte(day), &entry); err != nil {
 			return errors.Wrap(err, "a line of a day cannot be read")
 		}
 		f.Days++
-		f.Sent, f.Accepted, f.Refused = f.Sent+one.Sent, f.Accepted+one.Accepted, f.Refused+one.Refused
-		f.Unanswered, f.Open, f.Repeats = f.Unanswered+one.Unanswered, f.Open+one.Open, f.Repeats+one.Repeats
-		for _, b := range one.Breaches {
+		f.Sent, f.Accepted, f.Refused = f.Sent+entry.Sent, f.Accepted+entry.Accepted, f.Refused+entry.Refused
+		f.Unanswered, f.Open, f.Repeats = f.Unanswered+entry.Unanswered, f.Open+entry.Open, f.Repeats+entry.Repeats
+		for _, b := range entry.Breaches {
 			f.Broken[b.Rule]++
 		}
-		if len(one.Breaches) > 0 {
-			f.BrokenSeeds = append(f.BrokenSeeds, one.Seed)
+		if len(entry.Breaches) > 0 {
+			f.BrokenSeeds = append(f.BrokenSeeds, entry.Seed)
 		}
 	}
 	return lines.Err()
--- a/cmd/liftlab/systemdemo.go
+++ b/cmd/liftlab/systemdemo.go
@@ -11,7 +11,7 @@
 )
 
 func systemDemoCommand() *cobra.Command {
-	o := systemdemo.Options{}
+	options := systemdemo.Options{}
 	cmd := &cobra.Command{
 		Use:   "system-demo",
 		Short: "Start the whole system on loopback with stand-ins and traffic, kill processes, and watch; a line of JSON last",
@@ -20,25 +20,25 @@
 			"It fails if a message that was accepted has not run in the end.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.PerSecond < 1 {
-				return fmt.Errorf("--rate is %d: want 1 or more messages a second", o.PerSecond)
+			if options.PerSecond < 1 {
+				return fmt.Errorf("--rate is %d: want 1 or more messages a second", options.PerSecond)
 			}
-			o.Out, o.Live = cmd.OutOrStdout(), lab.Terminal(os.Stdout)
-			summary, err := systemdemo.Run(cmd.Context(), o)
+			options.Out, options.Live = cmd.OutOrStdout(), lab.Terminal(os.Stdout)
+			summary, err := systemdemo.Run(cmd.Context(), options)
 			if summary == nil {
 				return err
 			}
-			if printErr := lastLine(cmd, summary); printErr != nil {
+			if printErr := printReport(cmd, summary); printErr != nil {
 				return printErr
 			}
 			return err
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&o.Binary, "binary", beside(), "the liftgauge program")
-	f.IntVar(&o.PerSecond, "rate", 100, "messages a second")
-	f.DurationVar(&o.For, "for", 0, "how long; 0 until Ctrl-C")
-	f.BoolVar(&o.Faults, "faults", true, "kill processes")
-	f.StringVar(&o.Folder, "folder", "", "keep settings, data and logs in this folder")
+	flags := cmd.Flags()
+	flags.StringVar(&options.Binary, "binary", defaultDaemonPath(), "the liftgauge program")
+	flags.IntVar(&options.PerSecond, "rate", 100, "messages a second")
+	flags.DurationVar(&options.For, "for", 0, "how long; 0 until Ctrl-C")
+	flags.BoolVar(&options.Faults, "faults", true, "kill processes")
+	flags.StringVar(&options.Folder, "folder", "", "keep settings, data and logs in this folder")
 	return cmd
 }
--- a/cmd/liftlab/trialday.go
+++ b/cmd/liftlab/trialday.go
@@ -11,29 +11,29 @@
 )
 
 func trialDayCommand() *cobra.Command {
-	var o trialday.Options
+	var options trialday.Options
 	var seed uint64
 	var count int
 	var folder string
-	var known []string
+	var knownKinds []string
 	cmd := &cobra.Command{
 		Use:   "trial-day",
 		Short: "Draw days of trouble for the bench of the system: of all kinds, or of those named",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if count < 1 || o.Troubles < 1 {
-				return fmt.Errorf("--count %d, --troubles %d: want one at least", count, o.Troubles)
+			if count < 1 || options.Troubles < 1 {
+				return fmt.Errorf("--count %d, --troubles %d: want one at least", count, options.Troubles)
 			}
-			site := map[string]bool{}
-			for _, kind := range known {
-				site[kind] = true
+			known := map[string]bool{}
+			for _, kind := range knownKinds {
+				known[kind] = true
 			}
-			o.Known = func(kind string) bool { return site[kind] }
+			options.Known = func(kind string) bool { return known[kind] }
 			if err := os.MkdirAll(folder, 0o755); err != nil {
 				return err
 			}
 			for n := range uint64(count) {
-				day := trialday.Draw(seed+n, o)
+				day := trialday.Draw(seed+n, options)
 				path := filepath.Join(folder, day.Name+".toml")
 				if err := os.WriteFile(path, []byte(day.TOML()), 0o644); err != nil {
 					return err
@@ -43,14 +43,14 @@
 			return nil
 		},
 	}
-	f := cmd.Flags()
-	f.StringSliceVar(&o.Only, "kinds", nil, "kinds of trouble, each of which comes at least once; all where it is not given")
-	f.StringSliceVar(&known, "known", nil, "kinds that only some sites know: retire, add_nodes, srv_grey, srv_lying_health, srv_flap, burst")
-	f.IntVar(&o.Troubles, "troubles", 5, "troubles a day")
-	f.Float64Var(&o.LengthS, "length", 34, "seconds of traffic")
-	f.BoolVar(&o.Closing, "closing", true, "half of the days end with a final fault")
-	f.Uint64Var(&seed, "seed", 1, "of the first day")
-	f.IntVar(&count, "count", 10, "days")
-	f.StringVar(&folder, "out", "found/days", "folder to write to")
+	flags := cmd.Flags()
+	flags.StringSliceVar(&options.Only, "kinds", nil, "kinds of trouble, each of which comes at least once; all where it is not given")
+	flags.StringSliceVar(&knownKinds, "known", nil, "kinds that only some sites know: retire, add_nodes, srv_grey, srv_lying_health, srv_flap, burst")
+	flags.IntVar(&options.Troubles, "troubles", 5, "troubles a day")
+	flags.Float64Var(&options.LengthS, "length", 34, "seconds of traffic")
+	flags.BoolVar(&options.Closing, "closing", true, "half of the days end with a final fault")
+	flags.Uint64Var(&seed, "seed", 1, "of the first day")
+	flags.IntVar(&count, "count", 10, "days")
+	flags.StringVar(&folder, "out", "found/days", "folder to write to")
 	return cmd
 }
--- a/cmd/liftlab/upgradetrial.go
+++ b/cmd/liftlab/upgradetrial.go
@@ -13,10 +13,10 @@
 )
 
 // upgradeTraffic is how long traffic goes on: nine processes are rolled in it, and a disk is replaced.
-const upgradeTraffic = 45 * time.Second
+const upgradeTrafficDuration = 45 * time.Second
 
 func upgradeTrialCommand() *cobra.Command {
-	o, u := systemdemo.Options{}, systemdemo.Upgrade{}
+	options, upgrade := systemdemo.Options{}, systemdemo.Upgrade{}
 	var order string
 	cmd := &cobra.Command{
 		Use:   "upgrade-trial --from OLD [options]",
@@ -25,28 +25,28 @@
 			"then the next, or by role in the order that is given. It fails if a message that was accepted has not run in the end, or a process does not end as planned.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Binary == "" {
+			if options.Binary == "" {
 				return fmt.Errorf("--from names no program: build the version to begin with, and give its liftgauge")
 			}
-			u.Order = strings.FieldsFunc(order, func(r rune) bool { return r == ',' })
-			o.Upgrade, o.Out, o.Live = &u, cmd.OutOrStdout(), lab.Terminal(os.Stdout)
-			summary, err := systemdemo.Run(cmd.Context(), o)
+			upgrade.Order = strings.FieldsFunc(order, func(r rune) bool { return r == ',' })
+			options.Upgrade, options.Out, options.Live = &upgrade, cmd.OutOrStdout(), lab.Terminal(os.Stdout)
+			summary, err := systemdemo.Run(cmd.Context(), options)
 			if summary == nil {
 				return err
 			}
-			if printErr := lastLine(cmd, summary); printErr != nil {
+			if printErr := printReport(cmd, summary); printErr != nil {
 				return printErr
 			}
 			return err
 		},
 	}
-	f := cmd.Flags()
-	f.StringVar(&o.Binary, "from", "", "the liftgauge program to begin with")
-	f.StringVar(&u.Binary, "to", beside(), "the liftgauge program to roll to")
-	f.StringVar(&order, "order", "", "roles in the order in which they are rolled, as control,store,dispatcher; zone by zone where it is not given")
-	f.BoolVar(&u.LoseDisk, "lose-disk", false, "have a store lose its disk half way")
-	f.IntVar(&o.PerSecond, "rate", 100, "messages a second")
-	f.DurationVar(&o.For, "for", upgradeTraffic, "how long traffic goes on")
-	f.StringVar(&o.Folder, "folder", "", "keep settings, data and logs in this folder")
+	flags := cmd.Flags()
+	flags.StringVar(&options.Binary, "from", "", "the liftgauge program to begin with")
+	flags.StringVar(&upgrade.Binary, "to", defaultDaemonPath(), "the liftgauge program to roll to")
+	flags.StringVar(&order, "order", "", "roles in the order in which they are rolled, as control,store,dispatcher; zone by zone where it is not given")
+	flags.BoolVar(&upgrade.LoseDisk, "lose-disk", false, "have a store lose its disk half way")
+	flags.IntVar(&options.PerSecond, "rate", 100, "messages a second")
+	flags.DurationVar(&options.For, "for", upgradeTrafficDuration, "how long traffic goes on")
+	flags.StringVar(&options.Folder, "folder", "", "keep settings, data and logs in this folder")
 	return cmd
 }
