--- a/cmd/liftlab/ablate.go
+++ b/cmd/liftlab/ablate.go
@@ -48,7 +48,7 @@
 		return errors.New("--to is missing: name a folder for the copy")
 	}
 	if err := os.Mkdir(folder, 0o755); err != nil {
-		return errors.Wrap(err, "making the folder for the copy: name one that does not exist yet, in one that does")
+		return errors.Wrap(err, "create the folder for the copy: it must not exist yet, and its parent must exist")
 	}
 	return mechanism.Write(root, folder)
 }
