--- a/cmd/liftlab/capture.go
+++ b/cmd/liftlab/capture.go
@@ -24,7 +24,8 @@
 	return cmd
 }
 
-// readCapture hands every record of a file that can be read to a function.
+// readCapture calls handle for each readable record of a capture file. The returned reader holds the file's header and its counts of dropped and
+// damaged data.
 func readCapture(path string, handle func(*capture.Reader, capture.Record) error) (*capture.Reader, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -50,7 +51,7 @@
 	}
 }
 
-// faults says what of a file could not be read, or was never written.
+// readProblems describes the records of a file that could not be read or were never written; it is empty if there are none.
 func readProblems(path string, reader *capture.Reader) string {
 	var problems []string
 	if reader.Dropped > 0 {
@@ -68,6 +69,7 @@
 	return path + ": " + strings.Join(problems, "; ")
 }
 
+// outcomeNames are the values of "end" in the output of "liftlab capture show".
 var outcomeNames = [...]string{capture.Failed: "failed", capture.Served: "served", capture.BackOff: "back-off", capture.ClientLeft: "left"}
 
 func outcomeName(outcome uint8) string {
@@ -84,7 +86,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := bufio.NewWriter(cmd.OutOrStdout())
 			defer out.Flush()
-			errLimitReached, printed := errors.New("enough"), 0
+			errLimitReached, printed := errors.New("record limit reached"), 0
 			reader, err := readCapture(args[0], func(reader *capture.Reader, record capture.Record) error {
 				class := fmt.Sprint(record.Class)
 				if record.Class >= 0 && record.Class < len(reader.Header.Classes) {
@@ -115,17 +117,17 @@
 	return cmd
 }
 
-// classStats is a line of liftlab capture stats.
+// classStats is a line of the output of "liftlab capture stats".
 type classStats struct {
 	Class    string  `json:"class"`
 	Records  int64   `json:"records"`
 	Served   int64   `json:"served"`
 	Rate     float64 `json:"per_s"`
-	P50      float64 `json:"p50_ms"` // of the answer
+	P50      float64 `json:"p50_ms"` // time to answer, of served messages
 	P99      float64 `json:"p99_ms"`
-	RunP50   float64 `json:"run_p50_ms"` // of served attempts, from start to end
+	RunP50   float64 `json:"run_p50_ms"` // run time of successful attempts, from start to end
 	RunP99   float64 `json:"run_p99_ms"`
-	Attempts float64 `json:"attempts"` // for each message
+	Attempts float64 `json:"attempts"` // mean number per message
 }
 
 func captureStatsCommand() *cobra.Command {
@@ -232,7 +234,8 @@
 	return cmd
 }
 
-// rewrite reads files and writes what arrived within a time to a new one.
+// copyRecords writes the records of all inputs that arrived within [from, to) after the first one to a new file, in order of arrival.
+// shiftByDispatcher is added to the arrival times of each dispatcher, to correct for differing clocks.
 func copyRecords(cmd *cobra.Command, inputs []string, output string, shiftByDispatcher map[string]time.Duration, from, to time.Duration) error {
 	var records []capture.Record
 	var header capture.Header
@@ -267,7 +270,7 @@
 			return offset < from || offset >= to
 		})
 	}
-	file, err := os.OpenFile(output, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640) // never over a file that is there
+	file, err := os.OpenFile(output, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640) // O_EXCL: never overwrites an existing file
 	if err != nil {
 		return err
 	}
--- a/cmd/liftlab/fleet.go
+++ b/cmd/liftlab/fleet.go
@@ -16,7 +16,7 @@
 	"liftgauge/sim/site"
 )
 
-// fleetReport is a day of a fleet in counts.
+// fleetReport holds the results of one simulated day of a fleet.
 type fleetReport struct {
 	Site        string  `json:"site"`
 	Day         string  `json:"day"`
@@ -25,10 +25,10 @@
 	Dispatchers int     `json:"dispatchers"`
 	Workers     int     `json:"workers"`
 	Jobs        int     `json:"jobs"`
-	Service     float64 `json:"service"`      // worth answered over worth asked for, late answers at their late worth
-	Worst       float64 `json:"worst_window"` // 5 s on days of many dispatchers, else 10 s
-	G           float64 `json:"g"`            // the site's figure of a day: its parts, less prices
-	Wasted      float64 `json:"wasted"`       // work nobody got an answer of, over that asked for
+	Service     float64 `json:"service"`      // value earned over value offered; late answers earn their late value
+	Worst       float64 `json:"worst_window"` // service of the worst window; a window is 5 s on days of many dispatchers, else 10 s
+	G           float64 `json:"g"`            // the site's score of a day: its weighted parts less the costs
+	Wasted      float64 `json:"wasted"`       // work whose result nobody received, over offered work
 
 	Classes []fleetClass `json:"classes"`
 
@@ -43,8 +43,8 @@
 	MostLists   int     `json:"most_discovery_calls_a_second"`
 	Unlisted    float64 `json:"longest_without_list_s"`
 	Falls       int     `json:"cold_workers_pushed_over"`
-	Breaches    int     `json:"of_these_breaches"` // two thirds of the work came from dispatchers that knew of the start
-	Margin      float64 `json:"cold_rule_margin"`  // what was left of the rule's budget where it was nearest; 1: all of it
+	Breaches    int     `json:"of_these_breaches"` // crashes where two thirds of the work came from dispatchers that had been notified of the start
+	Margin      float64 `json:"cold_rule_margin"`  // smallest remaining share of the rule's budget; 1: none was used
 	Duplicates  int64   `json:"unsafe_jobs_run_twice"`
 
 	zones   [][]sim.ZoneSecond
@@ -62,10 +62,11 @@
 	Lost    int64  `json:"lost"`
 }
 
-// membersTake is how long membership takes from a death to a view: seven in ten of 300 killed at once, by "liftlab members".
+// membershipDelay is the time from a crash until the surviving dispatchers have a view without the crashed ones, according to "liftlab members"
+// with seven in ten of 300 dispatchers killed at once.
 const membershipDelay = 7 * time.Second
 
-// fleetTotal is what days of one kind and policy have in common.
+// fleetTotal summarizes the runs of one kind of day and one policy over all seeds.
 type fleetTotal struct {
 	Day      string  `json:"day"`
 	Policy   string  `json:"policy"`
@@ -76,12 +77,12 @@
 	Crossed  float64 `json:"crossings_per_job"`
 	Breaches int     `json:"breaches"`
 	Falls    int     `json:"cold_workers_pushed_over"`
-	Margin   float64 `json:"cold_rule_margin"` // the least
-	// BelowRandom are the seeds on which the same draw is served worse than by random choice, where that was played.
+	Margin   float64 `json:"cold_rule_margin"` // smallest of all seeds
+	// BelowRandom lists the seeds on which service was lower than under the "random" policy, if that policy was run too.
 	BelowRandom []uint64 `json:"seeds_below_random,omitempty"`
 }
 
-// fleetSet is what is to be played.
+// fleetRuns is the set of simulations to run: each combination of day, policy and seed.
 type fleetRuns struct {
 	site                 *site.Site
 	days, policies       []string
@@ -121,7 +122,7 @@
 			case "own":
 				set.days = site.SiteDays
 			}
-			for _, d := range set.days { // a fleet's days have no size of their own
+			for _, d := range set.days { // fleet days, unlike a site's days, define no size
 				if slices.Contains(site.FleetDays, d) {
 					set.dispatchers, set.workers = cmp.Or(set.dispatchers, 80), cmp.Or(set.workers, 60)
 				}
@@ -170,7 +171,7 @@
 	return cmd
 }
 
-// play plays all days, as many side by side as there are cores. Each is a run of its own: the order has no part in it.
+// playAll simulates all combinations, as many in parallel as there are cores. The runs are independent, so their order does not affect the results.
 func (set *fleetRuns) playAll() ([]fleetReport, error) {
 	reports := make([]fleetReport, len(set.days)*len(set.policies)*len(set.seeds))
 	var group errgroup.Group
@@ -204,7 +205,8 @@
 	}
 	started := time.Now()
 	result := sim.Run(world, seed)
-	report := fleetReport{Site: deployment.Name, Day: day, Policy: policy, Seed: seed, Dispatchers: len(world.Dispatchers), Workers: len(result.Boxes), G: result.G, Wasted: result.Wasted, Jobs: len(world.Arrivals), Service: result.Service,
+	report := fleetReport{Site: deployment.Name, Day: day, Policy: policy, Seed: seed, Dispatchers: len(world.Dispatchers),
+		Workers: len(result.Boxes), G: result.G, Wasted: result.Wasted, Jobs: len(world.Arrivals), Service: result.Service,
 		Worst: result.Worst, Attempts: result.Attempts * 100 / int64(max(len(world.Arrivals), 1)), Crossings: result.Crossings, Connections: result.Connections,
 		MostConns: result.MostConnects, Probes: result.Probes, MostProbes: result.MostProbes, Lists: result.Lists, ListsLate: result.ListsLate,
 		MostLists: result.MostLists, Unlisted: result.Unlisted.Seconds(), Falls: result.Falls, Breaches: result.Breaches, Margin: result.Margin, Duplicates: result.Duplicates,
@@ -215,7 +217,7 @@
 	return report, nil
 }
 
-// print tells of one day.
+// print writes the results of one day as text.
 func (f *fleetReport) print(out io.Writer) {
 	fmt.Fprintf(out, "%s, %s, %d dispatchers, %d workers, seed %d: %d jobs in %v\n", f.Day, f.Policy, f.Dispatchers, f.Workers, f.Seed, f.Jobs,
 		f.elapsed.Round(time.Millisecond))
@@ -229,8 +231,8 @@
 	fmt.Fprintf(out, "rules: %d cold workers pushed over, %d of them a breach, margin %.2f, %d unsafe jobs run twice\n", f.Falls, f.Breaches, f.Margin, f.Duplicates)
 }
 
-// printZones tells by second and zone what came to its workers, the share of that that waited, what ran at each in the mean, and what its
-// dispatchers sent to others.
+// printZones writes a table by second and zone: attempts sent to the zone's workers, the share of them that waited, the mean number running on
+// each worker, and attempts that the zone's dispatchers sent to other zones.
 func (f *fleetReport) printZones(out io.Writer) {
 	if len(f.zones) == 0 {
 		return
@@ -249,7 +251,7 @@
 	}
 }
 
-// table tells of each day and policy over all seeds.
+// table prints and returns the totals of each day and policy over all seeds.
 func (set *fleetRuns) table(out io.Writer, reports []fleetReport) []fleetTotal {
 	randomService := map[string]float64{}
 	key := func(f *fleetReport) string { return fmt.Sprint(f.Day, " ", f.Seed) }
--- a/cmd/liftlab/fleetlog.go
+++ b/cmd/liftlab/fleetlog.go
@@ -28,10 +28,10 @@
 			if info, err := os.Stat(dir); err != nil {
 				return err
 			} else if !info.IsDir() {
-				return fmt.Errorf("%s is no folder", dir)
+				return fmt.Errorf("%s is not a folder", dir)
 			}
 			if warmWithin < 0 || step < 100*time.Millisecond {
-				return fmt.Errorf("--warm-within %v, --step %v: want no less than 0 and 100ms", warmWithin, step)
+				return fmt.Errorf("--warm-within %v, --step %v: want at least 0 and 100ms", warmWithin, step)
 			}
 			if message != "" {
 				return follow(out, dir, message)
--- a/cmd/liftlab/main.go
+++ b/cmd/liftlab/main.go
@@ -1,5 +1,5 @@
-// Command liftlab is the workbench beside the dispatcher: it starts daemons among stand-ins on loopback, loads them and
-// measures. It needs nothing but the two binaries.
+// Command liftlab is the test and measurement tool for liftgauge: it starts daemons on loopback with simulated hosts and clients,
+// generates load and measures. Most commands need only the two binaries.
 package main
 
 import (
@@ -34,11 +34,13 @@
 		SilenceErrors:     true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
-	cmd.AddCommand(demoCommand(), overheadCommand(), gearmanCommand(), captureCommand(), checkCommand(), planCommand(), fleetCommand(), fleetLogCommand(), membersCommand(), clusterCommand(), memberCostCommand(), proxyCommand(), siteVariantCommand(), trialDayCommand(), systemCommand(), systemDemoCommand(), upgradeTrialCommand(), mutantsCommand(), ablateCommand())
+	cmd.AddCommand(demoCommand(), overheadCommand(), gearmanCommand(), captureCommand(), checkCommand(), planCommand(), fleetCommand(), fleetLogCommand(),
+		membersCommand(), clusterCommand(), memberCostCommand(), proxyCommand(),
+		siteVariantCommand(), trialDayCommand(), systemCommand(), systemDemoCommand(), upgradeTrialCommand(), mutantsCommand(), ablateCommand())
 	return cmd
 }
 
-// beside is the daemon's binary where it is built together with this one.
+// defaultDaemonPath returns the path of the liftgauge binary in the folder of this binary.
 func defaultDaemonPath() string {
 	executable, err := os.Executable()
 	if err != nil {
@@ -47,7 +49,7 @@
 	return filepath.Join(filepath.Dir(executable), "liftgauge")
 }
 
-// lastLine prints a report as the last line.
+// printReport prints a report as a line of JSON; commands print it as their last line.
 func printReport(cmd *cobra.Command, report any) error {
 	text, err := json.Marshal(report)
 	if err != nil {
@@ -65,7 +67,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if config.Hosts < 1 || config.Workers < 0 || config.Clients < 1 {
-				return fmt.Errorf("want a host and a client at least")
+				return fmt.Errorf("want at least one host and one client")
 			}
 			config.Out, config.Stderr, config.Live = cmd.OutOrStdout(), cmd.ErrOrStderr(), lab.Terminal(os.Stdout)
 			return lab.Demo(cmd.Context(), config)
@@ -93,7 +95,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			config.Stderr = cmd.ErrOrStderr()
 			if len(config.Memory) == 0 || len(config.Bodies) == 0 || config.Hosts < 1 || config.Clients < 1 || config.Rounds < 1 {
-				return fmt.Errorf("want at least one of each of limits, body sizes, hosts, clients and rounds")
+				return fmt.Errorf("want at least one memory limit, body size, host, client and round")
 			}
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%-14s %6s %7s %8s %8s %7s %8s %8s %8s %8s %8s\n", "program", "MB", "body", "jobs/s", "us/job", "p50 ms", "p99 ms",
@@ -137,7 +139,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			config.Stderr = cmd.ErrOrStderr()
 			if config.Jobs < 0 || config.Each < 1 || config.Clients < 2 || config.Workers < 1 || config.Hosts < 1 {
-				return fmt.Errorf("want two clients, a worker, a host and a job at least")
+				return fmt.Errorf("want at least two clients, one worker, one host and one job")
 			}
 			report, err := lab.Gearman(cmd.Context(), config)
 			if err != nil {
--- a/cmd/liftlab/main_test.go
+++ b/cmd/liftlab/main_test.go
@@ -11,7 +11,7 @@
 	"liftgauge/internal/capture"
 )
 
-// run runs a command and returns what it prints.
+// runCommand runs a command and returns its output.
 func runCommand(args ...string) (out, errOut string, err error) {
 	cmd := rootCommand()
 	var stdout, stderr bytes.Buffer
@@ -22,7 +22,7 @@
 	return stdout.String(), stderr.String(), err
 }
 
-// file writes a capture of a dispatcher whose clock is off by so many nanoseconds.
+// writeCapture writes a capture file of a dispatcher whose clock differs by clockOffset nanoseconds.
 func writeCapture(t *testing.T, dir, name string, records int, clockOffset int64, header capture.Header) string {
 	t.Helper()
 	var content []capture.Record
@@ -42,9 +42,9 @@
 	return path
 }
 
-// TestCapture: two dispatchers' files, one with a clock that is 300 ms off, are put together, cut and counted, and are not
-// changed by it; a file that is cut off says so.
-func TestCapture(t *testing.T) {
+// Merges, cuts and counts the files of two dispatchers whose clocks differ by 300 ms. The input files must stay unchanged, an
+// existing output file must not be overwritten, and a truncated input file must be reported.
+func TestCaptureCommandsKeepInputFiles(t *testing.T) {
 	dir := t.TempDir()
 	h := capture.Header{Classes: []string{"reading", "warning"}}
 	a, b := writeCapture(t, dir, "n0", 50, 0, h), writeCapture(t, dir, "n1", 50, 3e8+5e7, h)
@@ -61,10 +61,10 @@
 		t.Error(out, err)
 	}
 	if after, _ := os.ReadFile(b); !bytes.Equal(before, after) {
-		t.Error("reading changed a file")
+		t.Error("a capture command changed an input file")
 	}
 	if _, _, err := runCommand("capture", "merge", all, a, b); err == nil {
-		t.Error("written over a file that was there")
+		t.Error("merging overwrote an existing file")
 	}
 	if err := os.Truncate(a, int64(len(before)-7)); err != nil {
 		t.Fatal(err)
@@ -80,15 +80,15 @@
 	}
 	other := writeCapture(t, dir, "n2", 5, 0, capture.Header{Classes: []string{"another"}})
 	if _, _, err := runCommand("capture", "merge", filepath.Join(dir, "x"), b, other); err == nil || !strings.Contains(err.Error(), "are not those of") {
-		t.Errorf("files of other classes were put together: %v", err)
+		t.Errorf("files with different classes were merged: %v", err)
 	}
 	if _, _, err := runCommand("capture", "stats", os.DevNull); err == nil {
-		t.Error("no capture file was taken for one")
+		t.Error("a file that is no capture was accepted")
 	}
 }
 
-// TestPlan: a fleet file with a mistake is one line and an error; one without is planned.
-func TestPlan(t *testing.T) {
+// A mistake in a fleet file gives an error of one line with its position; a valid file gives a plan.
+func TestFleetFileIsCheckedAndPlanned(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.cue")
 	text, err := os.ReadFile("../../docs/fleet.cue")
 	if err != nil {
@@ -107,15 +107,15 @@
 			if c.want == "" && command[0] == "plan" {
 				lines := strings.Split(strings.TrimSpace(out), "\n")
 				if !json.Valid([]byte(lines[len(lines)-1])) {
-					t.Error("the last line is no JSON")
+					t.Error("the last line is not JSON")
 				}
 			}
 		}
 	}
 }
 
-// TestFleet: a day of a fleet ends with its counts in JSON, the same each time; bad values are refused in one line.
-func TestFleet(t *testing.T) {
+// The last line is JSON and the same for the same seed; invalid flags give an error of one line.
+func TestFleetDayIsReproducible(t *testing.T) {
 	lastLine := func() string {
 		out, _, err := runCommand("fleet", "--day", "join", "--dispatchers", "10", "--workers", "10", "--seed", "3")
 		if err != nil {
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestFleetTable: days, policies and seeds played side by side make a table; the last line has every run.
-func TestFleetTable(t *testing.T) {
+// Runs of several days, policies and seeds give totals that are the means of the runs; the last line holds every run.
+func TestFleetTotalsAreMeansOfRuns(t *testing.T) {
 	out, _, err := runCommand("fleet", "--day", "calm,split", "--policy", "module,random", "--dispatchers", "10", "--workers", "10", "--seeds", "2", "--zones")
 	if err != nil {
 		t.Fatal(err)
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestFleetLog: logs are counted, one message is followed, and what can't be is one line.
-func TestFleetLog(t *testing.T) {
+// Logs are counted and one message is followed through them; invalid arguments give an error of one line.
+func TestFleetLogCountsAndFollowsMessages(t *testing.T) {
 	dir := t.TempDir()
 	text := `time=2026-01-02T03:04:05.000Z level=DEBUG msg=attempt message=a1 host=s-1 kind=0 zone=2 cell=5 waited=1ms
 time=2026-01-02T03:04:05.500Z level=DEBUG msg="attempt started" message=a1 host=s-1 took=500ms
--- a/cmd/liftlab/members.go
+++ b/cmd/liftlab/members.go
@@ -16,7 +16,7 @@
 	"liftgauge/sim/members"
 )
 
-// membersReport is what liftlab members prints last.
+// membersReport is the last line of the output of "liftlab members".
 type membersReport struct {
 	Runs []members.Result `json:"runs"`
 }
--- a/cmd/liftlab/mutants.go
+++ b/cmd/liftlab/mutants.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if missed > 0 {
-		return errors.Newf("%d of %d promises can be broken without a test that fails: see the lines with Caught false", missed, len(chosen))
+		return errors.Newf("%d of %d mutants were not caught by any test: see the lines with Caught false", missed, len(chosen))
 	}
 	return nil
 }
--- a/cmd/liftlab/plan.go
+++ b/cmd/liftlab/plan.go
@@ -51,7 +51,7 @@
 				return err
 			}
 			if planner.MinDays < 2 || planner.MaxDays < planner.MinDays {
-				return errors.New("want two days at least, and no fewer at most")
+				return errors.New("want --least of at least 2 and --most no lower than --least")
 			}
 			out := cmd.OutOrStdout()
 			var notes []string
@@ -111,7 +111,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			config.Stderr = cmd.ErrOrStderr()
 			if config.Cases < 1 || config.Length < time.Second {
-				return errors.New("want at least one case and a second")
+				return errors.New("want at least one case and a length of at least one second")
 			}
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%4s %5s %8s %6s %17s %17s %19s %19s %15s %7s  %s\n", "case", "boxes", "jobs/s", "load", "reading in time", "warning in time", "p50 ms", "p99 ms",
@@ -169,7 +169,7 @@
 	return cmd
 }
 
-// useCaptured reads capture files and says what was fitted from them.
+// fitCapturedLoad replaces the fleet's load by that of capture files, and returns notes on what was fitted and what could not be read.
 func fitCapturedLoad(fleet *plan.Fleet, files []string) (notes []string, err error) {
 	var records []capture.Record
 	var header capture.Header
--- a/cmd/liftlab/system.go
+++ b/cmd/liftlab/system.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-// systemFigures sum up the days that were played.
+// systemFigures summarize the simulated days.
 type systemFigures struct {
 	Seed                                                     uint64
 	Days, Sent, Accepted, Refused, Unanswered, Open, Repeats int
@@ -62,12 +62,12 @@
 		return err
 	}
 	if !figures.Passed {
-		return errors.Newf("%d of %d days were played, or rules were broken: see above", figures.Days, days)
+		return errors.Newf("not passed: %d of %d days were completed; failures and broken rules are listed above", figures.Days, days)
 	}
 	return readErr
 }
 
-// read adds up the days that a test logs; the lines of breaches are passed on.
+// read sums up the days in a test's output, and copies the test's other log lines and panics to log.
 func (f *systemFigures) read(output io.Reader, log io.Writer) error {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, 1<<20)
@@ -85,7 +85,7 @@
 			Breaches                                           []struct{ Rule string }
 		}
 		if err := json.Unmarshal([]byte(day), &entry); err != nil {
-			return errors.Wrap(err, "a line of a day cannot be read")
+			return errors.Wrap(err, "decode the result of a day")
 		}
 		f.Days++
 		f.Sent, f.Accepted, f.Refused = f.Sent+entry.Sent, f.Accepted+entry.Accepted, f.Refused+entry.Refused
--- a/cmd/liftlab/trialday.go
+++ b/cmd/liftlab/trialday.go
@@ -22,7 +22,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if count < 1 || options.Troubles < 1 {
-				return fmt.Errorf("--count %d, --troubles %d: want one at least", count, options.Troubles)
+				return fmt.Errorf("--count %d, --troubles %d: want at least 1", count, options.Troubles)
 			}
 			known := map[string]bool{}
 			for _, kind := range knownKinds {
--- a/cmd/liftlab/upgradetrial.go
+++ b/cmd/liftlab/upgradetrial.go
@@ -12,7 +12,7 @@
 	"liftgauge/lab/systemdemo"
 )
 
-// upgradeTraffic is how long traffic goes on: nine processes are rolled in it, and a disk is replaced.
+// upgradeTrafficDuration is the default duration of the traffic. It is long enough to upgrade nine processes and to replace a disk.
 const upgradeTrafficDuration = 45 * time.Second
 
 func upgradeTrialCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.Binary == "" {
-				return fmt.Errorf("--from names no program: build the version to begin with, and give its liftgauge")
+				return fmt.Errorf("--from is missing: name the liftgauge program of the version to upgrade from")
 			}
 			upgrade.Order = strings.FieldsFunc(order, func(r rune) bool { return r == ',' })
 			options.Upgrade, options.Out, options.Live = &upgrade, cmd.OutOrStdout(), lab.Terminal(os.Stdout)
