--- a/cmd/liftgauge/abandon.go
+++ b/cmd/liftgauge/abandon.go
@@ -11,6 +11,7 @@
 	"liftgauge/internal/operator"
 )
 
+// abandonCommand gives up the disks of a storage machine that will not return.
 func abandonCommand() *cobra.Command {
 	var o operatorOptions
 	var confirmed bool
@@ -21,7 +22,7 @@
 			o.register(f)
 			f.BoolVar(&confirmed, "confirm", false, "do it: partitions go on without these disks")
 		},
-		least: 1, most: 1,
+		minArgs: 1, maxArgs: 1,
 		run: func(cmd *cobra.Command, args []string) error {
 			client, ctx, cancel, err := o.client(cmd)
 			if err != nil {
--- a/cmd/liftgauge/capture.go
+++ b/cmd/liftgauge/capture.go
@@ -15,16 +15,16 @@
 	"liftgauge/internal/serve/engine"
 )
 
-// records writes what was seen of messages. It is nil where settings leave it off.
-type records struct {
+// captureRecorder writes a record of each closed message to the capture files. It is nil if capture is not configured.
+type captureRecorder struct {
 	*capture.Writer
 	zone   int
 	secret []byte
 }
 
-// openCapture makes a writer if the settings ask for one. It begins no file before there is something to write.
-func openCapture(c *config.Config, own *own, boot string, log *slog.Logger) (*records, error) {
-	s := own.Capture
+// openCapture returns a recorder if the settings enable capture. No file is created before there is something to write.
+func openCapture(c *config.Config, loaded *serveSettings, boot string, log *slog.Logger) (*captureRecorder, error) {
+	s := loaded.Capture
 	if s == nil {
 		return nil, nil
 	}
@@ -33,17 +33,17 @@
 	}
 	var classes []string
 	classes = append(classes, c.Classes...)
-	for _, f := range own.table.Functions() { // the module's numbers, in their order
+	for _, f := range loaded.table.Functions() { // in the order in which the engine numbers its classes
 		classes = append(classes, f.Name, f.Name+" (background)")
 	}
-	return &records{zone: c.Settings.Zone, secret: []byte(s.Secret), Writer: capture.NewWriter(capture.Config{Folder: s.Folder, MaxFileSize: s.File,
+	return &captureRecorder{zone: c.Settings.Zone, secret: []byte(s.Secret), Writer: capture.NewWriter(capture.Config{Folder: s.Folder, MaxFileSize: s.File,
 		MaxFiles: s.Files, QueueSize: s.Queue, Interval: time.Duration(s.Interval), Log: log,
 		Header: capture.Header{Name: c.Name, Boot: boot, Zone: c.Settings.Zone, Classes: classes, Zones: c.Zones, Kinds: c.Kinds,
 			Started: time.Now().UnixNano()}})}, nil
 }
 
-// subject hashes what a message is about, so that a file shows what is repeated and not what it is.
-func (r *records) subject() func(key string) uint64 {
+// subjectHasher returns a keyed hash of a message's subject, so that a capture file shows which subjects repeat but not what they are.
+func (r *captureRecorder) subjectHasher() func(key string) uint64 {
 	if r == nil {
 		return nil
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-// seen makes a record of a message that has settled.
-func (r *records) seen() func(*engine.Message, engine.AnswerKind, bool, time.Duration, []*engine.Attempt) {
+// onMessageClosed returns the callback that records a closed message with its attempts.
+func (r *captureRecorder) onMessageClosed() func(*engine.Message, engine.AnswerKind, bool, time.Duration, []*engine.Attempt) {
 	if r == nil {
 		return nil
 	}
@@ -77,21 +77,21 @@
 		}
 		for _, a := range attempts {
 			rec.Attempts = append(rec.Attempts, capture.Attempt{Host: a.Host.Name, Kind: a.Host.Worker.Kind, Zone: a.Host.Worker.Zone,
-				Sent: since(a.SentAt()), Began: since(a.StartedAt()), Ended: since(a.EndedAt()), Status: uint8(a.Status()), Age: age(a)})
+				Sent: since(a.SentAt()), Began: since(a.StartedAt()), Ended: since(a.EndedAt()), Status: uint8(a.Status()), Age: hostUptime(a)})
 		}
 		r.Put(rec)
 	}
 }
 
-// age is how long a host's process had been there when it was sent something.
-func age(a *engine.Attempt) int64 {
+// hostUptime returns how long a host's process had been up when the attempt was sent to it, or -1 if that is unknown.
+func hostUptime(a *engine.Attempt) int64 {
 	if up := a.Host.Worker.Up; up > 0 && a.SentAt() >= up {
 		return int64(a.SentAt() - up)
 	}
 	return -1
 }
 
-func (r *records) figures() []control.Metric {
+func (r *captureRecorder) metrics() []control.Metric {
 	if r == nil {
 		return nil
 	}
--- a/cmd/liftgauge/check.go
+++ b/cmd/liftgauge/check.go
@@ -15,14 +15,14 @@
 	"liftgauge/internal/nodeconfig"
 )
 
-// nodeSuffix ends the names of the settings files of the system's processes.
+// nodeSuffix is the file name extension of the settings files of dispatchers, control processes and stores.
 const nodeSuffix = ".toml"
 
-// checkOptions are what the command line of check says.
+// checkOptions are the command-line options of check.
 type checkOptions struct {
 	options
-	node          string // settings file of a process of the system
-	configuration string // a configuration as the operator sends it
+	node          string // settings file of a dispatcher, control process or store
+	configuration string // configuration file in the form that operators send
 }
 
 func checkCommand() *cobra.Command {
@@ -60,10 +60,10 @@
 	return o.checkServe(cmd, args)
 }
 
-// checkServe validates a configuration of serve, and its settings where they are named.
+// checkServe validates a configuration of serve, and its settings file if one is given.
 func (o *checkOptions) checkServe(cmd *cobra.Command, args []string) error {
 	getenv := os.Getenv
-	if len(args) == 1 { // the file alone, whatever this shell's environment says
+	if len(args) == 1 { // only the file counts: variables of this shell do not override it
 		getenv = func(key string) string {
 			if key == "LB_CONFIG" {
 				return args[0]
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	known, err := knownList(c)
+	known, err := initialInventory(c)
 	if err != nil {
 		return err
 	}
@@ -84,19 +84,19 @@
 	if o.settings == "" {
 		return nil
 	}
-	own, err := o.load(cmd.Context(), c)
+	loaded, err := o.load(cmd.Context(), c)
 	if err != nil {
 		return err
 	}
-	if g := own.Gearman; g == nil {
+	if g := loaded.Gearman; g == nil {
 		fmt.Fprintf(cmd.OutOrStdout(), "%s: gearman off\n", o.settings)
 	} else {
-		fmt.Fprintf(cmd.OutOrStdout(), "%s: gearman on %s, %d functions\n", o.settings, g.Listen, len(own.table.Functions()))
+		fmt.Fprintf(cmd.OutOrStdout(), "%s: gearman on %s, %d functions\n", o.settings, g.Listen, len(loaded.table.Functions()))
 	}
 	return nil
 }
 
-// checkNode validates the settings file of a process of the system.
+// checkNode validates the settings file of a dispatcher, control process or store.
 func checkNode(out io.Writer, path string) error {
 	s, err := nodeconfig.Load(path)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// checkConfiguration validates a whole configuration of the operator.
+// checkConfiguration validates a complete configuration as operators send it.
 func checkConfiguration(out io.Writer, path string) error {
 	body, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/liftgauge/flags.go
+++ b/cmd/liftgauge/flags.go
@@ -9,14 +9,14 @@
 	"github.com/spf13/cobra"
 )
 
-// flagCommand is a subcommand whose options are read by package flag. The cobra command around it only lists it with the others.
+// flagCommand is a subcommand whose options are parsed by package flag. Its cobra command only lists it with the others.
 type flagCommand struct {
-	use   string // name and arguments
-	short string
-	flags func(f *flag.FlagSet)
-	most  int // arguments beside the options, at most
-	least int
-	run   func(cmd *cobra.Command, args []string) error
+	use     string // name and arguments
+	short   string
+	flags   func(f *flag.FlagSet)
+	maxArgs int // number of arguments that are not options
+	minArgs int
+	run     func(cmd *cobra.Command, args []string) error
 }
 
 func (c flagCommand) command() *cobra.Command {
@@ -32,7 +32,7 @@
 			return nil
 		case err != nil:
 			return fmt.Errorf("%s: %w; see liftgauge %[1]s --help", cmd.Name(), err)
-		case len(positional) < c.least || len(positional) > c.most:
+		case len(positional) < c.minArgs || len(positional) > c.maxArgs:
 			return fmt.Errorf("%s: %d arguments: want liftgauge %s", cmd.Name(), len(positional), c.use)
 		}
 		return c.run(cmd, positional)
@@ -40,7 +40,7 @@
 	return cmd
 }
 
-// parseMixed parses options before and behind the other arguments, which it returns.
+// parseMixed parses options before, between and after the positional arguments, which it returns.
 func parseMixed(f *flag.FlagSet, args []string) (positional []string, err error) {
 	for {
 		if err := f.Parse(args); err != nil {
--- a/cmd/liftgauge/gearman.go
+++ b/cmd/liftgauge/gearman.go
@@ -22,32 +22,32 @@
 	"liftgauge/internal/work"
 )
 
-// pulls is the Gearman side as the program starts, reloads and ends it. It is nil where settings leave it off.
-type pulls struct {
+// gearmanServer is the Gearman server with the settings that it was started with. It is nil if Gearman is not configured.
+type gearmanServer struct {
 	*gearman.Server
-	own *own
+	settings *serveSettings
 }
 
-// openGearman opens the listeners that the settings ask for.
-func openGearman(ctx context.Context, own *own) (*pulls, []net.Listener, error) {
-	if own.Gearman == nil {
+// openGearman opens the listeners that the settings configure.
+func openGearman(ctx context.Context, loaded *serveSettings) (*gearmanServer, []net.Listener, error) {
+	if loaded.Gearman == nil {
 		return nil, nil, nil
 	}
-	// Old and new process of an upgrade listen side by side: new connections go to either until the old one closes.
-	open := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	// During an upgrade the old and the new process listen on the same port: new connections go to either until the old one closes its listener.
+	listenConfig := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if cerr := c.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1) }); cerr != nil {
 			return cerr
 		}
 		return err
 	}}
-	open.SetMultipathTCP(false)
+	listenConfig.SetMultipathTCP(false)
 	var all []net.Listener
-	for _, address := range []string{own.Gearman.Listen, own.Gearman.Workers} {
+	for _, address := range []string{loaded.Gearman.Listen, loaded.Gearman.Workers} {
 		if address == "" {
 			continue
 		}
-		l, err := open.Listen(ctx, "tcp", address)
+		l, err := listenConfig.Listen(ctx, "tcp", address)
 		if err != nil {
 			for _, l := range all {
 				l.Close()
@@ -56,60 +56,60 @@
 		}
 		all = append(all, l)
 	}
-	return &pulls{own: own}, all, nil
+	return &gearmanServer{settings: loaded}, all, nil
 }
 
-const soReusePort = 15 // SO_REUSEPORT, which package syscall does not name on every machine
+const soReusePort = 15 // SO_REUSEPORT, which package syscall does not define on every platform
 
-func (p *pulls) start(c gearman.Config) { p.Server = gearman.New(c) }
+func (p *gearmanServer) start(c gearman.Config) { p.Server = gearman.New(c) }
 
-// wrap makes of a client's call what workers understand as well.
-func (p *pulls) wrap(classes []string) func(class int, call *http1.Call) any {
+// wrap returns a function that converts a client's HTTP call to a payload that Gearman workers understand as well.
+func (p *gearmanServer) wrap(classes []string) func(class int, call *http1.Call) any {
 	return func(class int, call *http1.Call) any {
 		return work.FromHTTP(call, classes[class], p.Table().FunctionOf(class))
 	}
 }
 
-// boot tells this process's handles from those of all others.
-func boot() string {
+// newBootID returns an identifier that distinguishes the job handles of this process from those of all others.
+func newBootID() string {
 	var b [4]byte
 	rand.Read(b[:])
 	return strconv.FormatInt(time.Now().Unix(), 36) + hex.EncodeToString(b[:])
 }
 
-// reload reads the settings file anew. Nothing of a file that cannot be used counts.
-func (p *pulls) reload(ctx context.Context, o options, c *config.Config, owner *engine.Engine, log *slog.Logger) error {
+// reload reads the settings file again. A file that is invalid or needs a restart is ignored as a whole.
+func (p *gearmanServer) reload(ctx context.Context, o options, c *config.Config, jobEngine *engine.Engine, log *slog.Logger) error {
 	next, err := o.load(ctx, c)
 	if err != nil {
 		return err
 	}
 	if (next.Gearman != nil) != (p != nil) {
-		log.Warn("settings reloaded: these take a restart", "fields", []string{"gearman"})
+		log.Warn("settings reloaded: changed fields require a restart", "fields", []string{"gearman"})
 		return nil
 	}
 	if p == nil {
 		return nil
 	}
-	fields := p.own.table.RestartRequired(next.table)
-	if p.own.Gearman.Listen != next.Gearman.Listen || p.own.Gearman.Workers != next.Gearman.Workers {
+	fields := p.settings.table.RestartRequired(next.table)
+	if p.settings.Gearman.Listen != next.Gearman.Listen || p.settings.Gearman.Workers != next.Gearman.Workers {
 		fields = append(fields, "gearman.listen")
 	}
-	if len(fields) > 0 { // the table would not fit the module's classes: none of the new one counts
-		log.Warn("settings not reloaded: these take a restart", "fields", fields)
+	if len(fields) > 0 { // the new table would not match the engine's classes, so none of it is used
+		log.Warn("settings not reloaded: changed fields require a restart", "fields", fields)
 		return nil
 	}
-	if reflect.DeepEqual(p.own.Gearman, next.Gearman) {
+	if reflect.DeepEqual(p.settings.Gearman, next.Gearman) {
 		return nil
 	}
 	p.Reload(next.table, next.Gearman)
-	owner.SetHostClasses(next.table.HostClasses)
+	jobEngine.SetHostClasses(next.table.HostClasses)
 	log.Info("settings reloaded")
 	return nil
 }
 
-// figures are the Gearman side's, and how the bytes held stand.
-func (p *pulls) figures(bytes *budget.Budget) []control.Metric {
-	if p == nil { // the platform's figures stay what they are
+// metrics returns the metrics of the Gearman server and of the message memory budget.
+func (p *gearmanServer) metrics(bytes *budget.Budget) []control.Metric {
+	if p == nil { // without Gearman the set of metrics is unchanged
 		return nil
 	}
 	all := []control.Metric{{Name: "held_bytes", Value: bytes.Held()}, {Name: "held_bytes_peak", Value: bytes.Peak()}, {Name: "held_turned_total", Value: bytes.Rejected()}}
@@ -127,48 +127,48 @@
 	return all
 }
 
-// room shares out so many descriptors and the memory for connections between the clients' side, the hosts' and Gearman's.
-func (n *node) room(sockets int, memory int64) (northConns, southConns, pullConns int) {
-	northConns, southConns = room(n.c, sockets, memory)
-	if n.pulls == nil {
-		return northConns, southConns, 0
+// connectionLimits divides the descriptors and the memory for connections among clients, hosts and Gearman.
+func (n *node) connectionLimits(sockets int, memory int64) (clientConns, hostConns, gearmanConns int) {
+	clientConns, hostConns = connectionLimits(n.c, sockets, memory)
+	if n.gearman == nil {
+		return clientConns, hostConns, 0
 	}
-	want := n.pulls.own.Gearman.Limits.Connections
+	want := n.gearman.settings.Gearman.Limits.Connections
 	if want == 0 {
-		pullConns = northConns / 2
-		return max(northConns-pullConns, 1), southConns, pullConns
+		gearmanConns = clientConns / 2
+		return max(clientConns-gearmanConns, 1), hostConns, gearmanConns
 	}
-	// What was asked for, as far as a few are left for clients and for call-backs. It is the operators' word, so the share of
-	// memory that is for connections does not bound it: one that waits costs about half of a client's under way.
-	all := sockets - ownRoom(n.c)
-	pullConns = min(want, max(all-8, 2))
-	southConns = max(min(southConns, (all-pullConns)/2), 1)
-	northConns = min(all-pullConns-southConns, max(budget.SplitMemory(memory).Connections-pullConns/2, 16))
-	return max(northConns, 1), southConns, pullConns
+	// The configured number, as long as a few descriptors remain for clients and call-backs. Since operators chose it, it is not limited by
+	// the share of memory for connections: a waiting Gearman connection costs about half as much as a client's active one.
+	available := sockets - reservedDescriptors(n.c)
+	gearmanConns = min(want, max(available-8, 2))
+	hostConns = max(min(hostConns, (available-gearmanConns)/2), 1)
+	clientConns = min(available-gearmanConns-hostConns, max(budget.SplitMemory(memory).Connections-gearmanConns/2, 16))
+	return max(clientConns, 1), hostConns, gearmanConns
 }
 
-// sides are all that clients and workers connect to, as a planned end meets them.
-func (n *node) sides() leaver {
-	if n.pulls == nil {
+// shutdownListeners returns the servers that a planned shutdown drains.
+func (n *node) shutdownListeners() drainableListeners {
+	if n.gearman == nil {
 		return n.clients
 	}
-	return both{n.clients, n.pulls}
+	return clientAndGearmanListeners{n.clients, n.gearman}
 }
 
-// both ends two sides together.
-type both struct {
+// clientAndGearmanListeners drains the client listener and the Gearman server together.
+type clientAndGearmanListeners struct {
 	clients *clientlistener.Server
-	pulls   *pulls
+	gearman *gearmanServer
 }
 
-func (b both) SetPhase(p clientlistener.Phase) {
+func (b clientAndGearmanListeners) SetPhase(p clientlistener.Phase) {
 	b.clients.SetPhase(p)
-	b.pulls.Enter(gearman.Phase(p)) // they go alike
+	b.gearman.Enter(gearman.Phase(p)) // the phases have the same values in both packages
 }
-func (b both) Open() int64 { return b.clients.Open() + b.pulls.Open() }
-func (b both) ReleaseListener() {
+func (b clientAndGearmanListeners) Open() int64 { return b.clients.Open() + b.gearman.Open() }
+func (b clientAndGearmanListeners) ReleaseListener() {
 	b.clients.ReleaseListener()
-	b.pulls.HandOver()
+	b.gearman.HandOver()
 }
-func (b both) HandOverConnections() { b.clients.HandOverConnections() } // a Gearman client knows its job by a handle of this process
-func (b both) CloseIdle() int       { return b.clients.CloseIdle() + b.pulls.Rest() }
+func (b clientAndGearmanListeners) HandOverConnections() { b.clients.HandOverConnections() } // Gearman connections stay: a job handle is valid only in this process
+func (b clientAndGearmanListeners) CloseIdle() int       { return b.clients.CloseIdle() + b.gearman.Rest() }
--- a/cmd/liftgauge/logger.go
+++ b/cmd/liftgauge/logger.go
@@ -9,22 +9,22 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Of lines with the same text, so many are written in each period; then only each so-many-th.
+// Log sampling: in each samplePeriod the first sampleFirst lines with the same message are written, then every sampleThereafter-th.
 const (
 	samplePeriod     = time.Second
 	sampleFirst      = 20
 	sampleThereafter = 100
 )
 
-// newLogger returns a logger that writes JSON, a line each.
+// newLogger returns a logger that writes one JSON object per line.
 func newLogger(to io.Writer, level string) (*zap.Logger, error) {
-	least, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log-level: found %q, wanted debug, info, warn or error", level)
 	}
-	how := zap.NewProductionEncoderConfig()
-	how.EncodeTime = zapcore.ISO8601TimeEncoder
-	how.EncodeDuration = zapcore.StringDurationEncoder
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(how), zapcore.Lock(zapcore.AddSync(to)), least)
+	encoderConfig := zap.NewProductionEncoderConfig()
+	encoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	encoderConfig.EncodeDuration = zapcore.StringDurationEncoder
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig), zapcore.Lock(zapcore.AddSync(to)), minLevel)
 	return zap.New(zapcore.NewSamplerWithOptions(core, samplePeriod, sampleFirst, sampleThereafter)), nil
 }
--- a/cmd/liftgauge/main.go
+++ b/cmd/liftgauge/main.go
@@ -59,11 +59,11 @@
 			if err != nil {
 				return err
 			}
-			own, err := o.load(cmd.Context(), c)
+			loaded, err := o.load(cmd.Context(), c)
 			if err != nil {
 				return err
 			}
-			return serve(cmd.Context(), c, own, o, log)
+			return serve(cmd.Context(), c, loaded, o, log)
 		},
 	}
 	cmd.Flags().StringVar(&o.level, "log-level", "info", "debug, info, warn or error")
@@ -72,32 +72,32 @@
 	return cmd
 }
 
-// options are what the command line says beside the configuration.
+// options are the command-line options of serve.
 type options struct{ level, format, settings string }
 
 func (o options) logger(w io.Writer) (*slog.Logger, error) {
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(o.level)); err != nil {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(o.level)); err != nil {
 		return nil, fmt.Errorf("log-level: %w", err)
 	}
-	how := &slog.HandlerOptions{Level: least}
+	handlerOptions := &slog.HandlerOptions{Level: minLevel}
 	switch o.format {
 	case "text":
-		return slog.New(slog.NewTextHandler(w, how)), nil
+		return slog.New(slog.NewTextHandler(w, handlerOptions)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(w, how)), nil
+		return slog.New(slog.NewJSONHandler(w, handlerOptions)), nil
 	}
 	return nil, fmt.Errorf("log-format: want text or json, have %q", o.format)
 }
 
-// own is what the settings file says, checked against the configuration.
-type own struct {
+// serveSettings is the settings file, with its routes checked against the classes of the configuration.
+type serveSettings struct {
 	*settings.Settings
 	table *route.Table
 }
 
-// load reads the settings file, if there is one.
-func (o options) load(ctx context.Context, c *config.Config) (*own, error) {
+// load reads the settings file named on the command line or in LB_SETTINGS and checks it against the configuration.
+func (o options) load(ctx context.Context, c *config.Config) (*serveSettings, error) {
 	folder, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", filepath.Base(cmp.Or(o.settings, os.Getenv("LB_SETTINGS"))), err)
 	}
-	return &own{s, table}, nil
+	return &serveSettings{s, table}, nil
 }
 
 func versionCommand() *cobra.Command {
@@ -124,7 +124,7 @@
 	}
 }
 
-// version returns the version of the module, as the build noted it.
+// version returns the version of the module as recorded in the build information.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
--- a/cmd/liftgauge/main_test.go
+++ b/cmd/liftgauge/main_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestSignals runs the program against two addresses of discovery that note who calls and never answer. SIGHUP moves
-// the watch, a file that cannot be used changes nothing, and no SIGHUP ends the program, not even past SIGTERM.
+// TestSignals runs the program against two discovery addresses that record calls and never reply. It checks that SIGHUP
+// moves the watch, that an invalid file changes nothing, and that SIGHUP never ends the process, not even after SIGTERM.
 func TestSignals(t *testing.T) {
 	calls := make(chan int)
 	var at [2]string
@@ -95,7 +95,7 @@
 	go func() { _, err := run("serve"); ended <- err }()
 	call := func(want int) {
 		for got := range calls {
-			if got == want { // the address before may still have a call on the way
+			if got == want { // a call to the previous address may still be on its way
 				return
 			}
 		}
@@ -123,7 +123,7 @@
 	}
 }
 
-// TestReload: signals while a file is bad leave the address that counts.
+// TestReload checks that a reload of an invalid file keeps the current discovery address.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	const first = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"classes":[{"name":"a","hardLimitNs":1}]}}`
@@ -156,44 +156,44 @@
 	}
 }
 
-// clients has one message open for as long as a test says.
-type clients struct {
-	until   time.Time
-	entered []string
-	start   time.Time
+// fakeListeners has one message open until a given time and records the phases of the shutdown.
+type fakeListeners struct {
+	until  time.Time
+	events []string
+	start  time.Time
 }
 
-func (c *clients) SetPhase(p clientlistener.Phase) {
-	if text := p.String() + " at " + time.Since(c.start).String(); len(c.entered) == 0 || !strings.HasPrefix(c.entered[len(c.entered)-1], p.String()) {
-		c.entered = append(c.entered, text)
+func (c *fakeListeners) SetPhase(p clientlistener.Phase) {
+	if text := p.String() + " at " + time.Since(c.start).String(); len(c.events) == 0 || !strings.HasPrefix(c.events[len(c.events)-1], p.String()) {
+		c.events = append(c.events, text)
 	}
 }
 
-func (c *clients) ReleaseListener() {
-	c.entered = append(c.entered, "handed over at "+time.Since(c.start).String())
+func (c *fakeListeners) ReleaseListener() {
+	c.events = append(c.events, "handed over at "+time.Since(c.start).String())
 }
 
-func (c *clients) HandOverConnections() {}
+func (c *fakeListeners) HandOverConnections() {}
 
-func (c *clients) CloseIdle() int { return int(c.Open()) }
+func (c *fakeListeners) CloseIdle() int { return int(c.Open()) }
 
-func (c *clients) Open() int64 {
+func (c *fakeListeners) Open() int64 {
 	if time.Now().Before(c.until) {
 		return 1
 	}
 	return 0
 }
 
-// TestHandOver follows a planned end with a successor: the listener is left at once, idle connections go late, and the
-// program ends as soon as the last one has.
-func TestHandOver(t *testing.T) {
-	for open, want := range map[time.Duration]time.Duration{0: overlap, 3 * time.Second: 3 * time.Second, 20 * time.Second: lastAnswer} {
+// TestShutdownWithSuccessor checks a planned shutdown with a successor: the listener is released at once, idle connections
+// are closed after the overlap, and the process ends when the last one is closed.
+func TestShutdownWithSuccessor(t *testing.T) {
+	for open, want := range map[time.Duration]time.Duration{0: overlap, 3 * time.Second: 3 * time.Second, 20 * time.Second: answerDeadline} {
 		synctest.Test(t, func(t *testing.T) {
-			c := &clients{start: time.Now(), until: time.Now().Add(open)}
+			c := &fakeListeners{start: time.Now(), until: time.Now().Add(open)}
 			ctx, signal := context.WithCancel(t.Context())
 			signal()
-			leave(ctx, t.Context(), c, func() bool { return true }, func() { c.until = time.Now() }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-			if got := strings.Join(c.entered, ", "); got != "leaving at 0s, handed over at 0s, closing at 0s" {
+			shutDown(ctx, t.Context(), c, func() bool { return true }, func() { c.until = time.Now() }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			if got := strings.Join(c.events, ", "); got != "leaving at 0s, handed over at 0s, closing at 0s" {
 				t.Error(got)
 			}
 			if took := time.Since(c.start); took != want {
@@ -203,19 +203,19 @@
 	}
 }
 
-// TestLeave follows a planned end: serve on through the overlap, take no new messages at the last call, and end when
-// all is answered, at once or after seconds.
-func TestLeave(t *testing.T) {
-	for _, open := range []time.Duration{0, 3 * time.Second, 20 * time.Second} { // the last are concluded before the program may be killed
+// TestShutdownWithoutSuccessor checks a planned shutdown: messages are accepted during the overlap, rejected after
+// rejectAfter, and the process ends when all are answered, at once or after seconds.
+func TestShutdownWithoutSuccessor(t *testing.T) {
+	for _, open := range []time.Duration{0, 3 * time.Second, 20 * time.Second} { // the last are answered before the process may be killed
 		synctest.Test(t, func(t *testing.T) {
-			c := &clients{start: time.Now(), until: time.Now().Add(open)}
+			c := &fakeListeners{start: time.Now(), until: time.Now().Add(open)}
 			ctx, signal := context.WithCancel(t.Context())
 			signal()
-			leave(ctx, t.Context(), c, func() bool { return false }, func() { c.until = time.Now() }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-			if got := strings.Join(c.entered, ", "); got != "leaving at 0s, closing at 1.7s, ending at 2s" {
+			shutDown(ctx, t.Context(), c, func() bool { return false }, func() { c.until = time.Now() }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			if got := strings.Join(c.events, ", "); got != "leaving at 0s, closing at 1.7s, ending at 2s" {
 				t.Error(got)
 			}
-			if took := time.Since(c.start); took != min(max(open, leastEnd), lastAnswer) {
+			if took := time.Since(c.start); took != min(max(open, minShutdownTime), answerDeadline) {
 				t.Errorf("ended after %v with messages open for %v", took, open)
 			}
 		})
--- a/cmd/liftgauge/members.go
+++ b/cmd/liftgauge/members.go
@@ -22,13 +22,13 @@
 	"liftgauge/member"
 )
 
-// fellows is membership as the program starts and asks it; nil where settings leave it off.
-type fellows struct{ *gossip.Node }
+// membership is this dispatcher's member of the gossip fleet. It is nil if membership is not configured.
+type membership struct{ *gossip.Node }
 
-// openMembership opens the socket that the settings ask for. What membership finds out reaches the module as this dispatcher's number, how
-// many there are, and how many in its zone; where it is not in touch with most of the fleet the settings' figures hold.
-func openMembership(ctx context.Context, c *config.Config, own *own, o *engine.Engine, now func() time.Duration, log *slog.Logger) (*fellows, error) {
-	s := own.Membership
+// openMembership opens the gossip socket if the settings enable membership. The engine is notified of this dispatcher's rank, the number of
+// dispatchers and the number in its zone. Without contact to a majority of the fleet the values of the settings apply.
+func openMembership(ctx context.Context, c *config.Config, loaded *serveSettings, o *engine.Engine, now func() time.Duration, log *slog.Logger) (*membership, error) {
+	s := loaded.Membership
 	if s == nil {
 		return nil, nil
 	}
@@ -41,15 +41,15 @@
 		return nil, err
 	}
 	conf := member.Config{Seeds: s.Seeds, FleetSize: c.Settings.Dispatchers, SuspicionTimeout: time.Duration(s.Silent), IgnoreRefusals: !s.Refusals, BytesPerSecond: s.Bytes,
-		// The start's time: a process that comes back has a higher one.
+		// The incarnation is the start time, so a restarted process has a higher one.
 		Self: member.Peer{ID: member.ID{Name: c.Name, Incarnation: uint64(now() / time.Millisecond)}, Address: cmp.Or(s.Advertise, udp.Address()), Zone: c.Settings.Zone, Number: c.Settings.Number}}
 	log.Info("membership", "listen", udp.Address(), "cluster", s.Cluster, "seeds", len(s.Seeds))
-	return &fellows{gossip.New(gossip.Config{Member: conf.WithDefaults(time.Duration(s.RoundTrip)), Codec: codec, Transport: udp, Seed: c.Seed, Now: now, Log: log,
+	return &membership{gossip.New(gossip.Config{Member: conf.WithDefaults(time.Duration(s.RoundTrip)), Codec: codec, Transport: udp, Seed: c.Seed, Now: now, Log: log,
 		OnPositionChange: func(p gossip.FleetPosition) { o.SetDispatchers(p.Rank, p.Members, p.InZone) }})}, nil
 }
 
-// figures are its counts; none where membership is off.
-func (f *fellows) figures() []control.Metric {
+// metrics returns the membership metrics, or none if membership is off.
+func (f *membership) metrics() []control.Metric {
 	if f == nil {
 		return nil
 	}
@@ -63,8 +63,8 @@
 		{Name: "membership_dropped_total", Value: c.Foreign + c.Newer + c.Malformed}}
 }
 
-// status is what operators are told; nil where membership is off.
-func (f *fellows) status() func(ctx context.Context) ([]byte, error) {
+// statusFunc returns the source of the member list that the control listener serves, or nil if membership is off.
+func (f *membership) statusFunc() func(ctx context.Context) ([]byte, error) {
 	if f == nil {
 		return nil
 	}
@@ -78,7 +78,7 @@
 }
 
 func membersCommand() *cobra.Command {
-	var at string
+	var controlAddress string
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "members",
@@ -86,16 +86,16 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			client := &http.Client{Timeout: 3 * time.Second}
-			answer, err := client.Get("http://" + at + "/control/members")
+			response, err := client.Get("http://" + controlAddress + "/control/members")
 			if err != nil {
 				return err
 			}
-			defer answer.Body.Close()
-			text, err := io.ReadAll(io.LimitReader(answer.Body, 4<<20))
+			defer response.Body.Close()
+			text, err := io.ReadAll(io.LimitReader(response.Body, 4<<20))
 			if err != nil {
 				return err
 			}
-			if answer.StatusCode != http.StatusOK {
+			if response.StatusCode != http.StatusOK {
 				return errors.New(strings.TrimSpace(string(text)))
 			}
 			if asJSON {
@@ -106,15 +106,15 @@
 			if err := json.Unmarshal(text, &s); err != nil {
 				return err
 			}
-			return table(cmd.OutOrStdout(), &s)
+			return printMembers(cmd.OutOrStdout(), &s)
 		},
 	}
-	cmd.Flags().StringVar(&at, "control", "127.0.0.1:9443", "control address of a running dispatcher")
+	cmd.Flags().StringVar(&controlAddress, "control", "127.0.0.1:9443", "control address of a running dispatcher")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return cmd
 }
 
-func table(out io.Writer, s *gossip.Status) error {
+func printMembers(out io.Writer, s *gossip.Status) error {
 	fmt.Fprintf(out, "%s (incarnation %d): %s, view %d of lineage %x, number %d of %d, in touch with most: %v\n", s.Name, s.Incarnation, s.State, s.View, s.Lineage, s.Number, len(s.Members), s.InTouch)
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tincarnation\taddress\tzone\tstate\theard\tsuspected by")
--- a/cmd/liftgauge/memory.go
+++ b/cmd/liftgauge/memory.go
@@ -2,15 +2,15 @@
 
 import "runtime/debug"
 
-// How the garbage collector of a role is set: it lets the heap grow by so many percent of what lives, and works harder once the whole
-// process is near that share of the memory which the machine allows it. The rest is for sockets' buffers and bytes not read yet.
+// Garbage collector settings of a role. The heap may grow by collectorPercent of the live heap between collections; collections become more
+// frequent as the process approaches memorySharePercent of its memory limit. The rest is for socket buffers and unread data.
 const (
 	collectorPercent   = 75
 	memorySharePercent = 60
 	bytesInMegabyte    = 1 << 20
 )
 
-// limitMemory sets the collector for a process that is killed above so many MB; 0 for no bound.
+// limitMemory configures the garbage collector for a process that is killed above the given number of megabytes; 0 means no limit.
 func limitMemory(megabytes int) {
 	debug.SetGCPercent(collectorPercent)
 	if megabytes > 0 {
--- a/cmd/liftgauge/operator.go
+++ b/cmd/liftgauge/operator.go
@@ -13,13 +13,13 @@
 	"liftgauge/internal/operator"
 )
 
-// What the operator's commands do where the command line does not say.
+// Defaults of the operator commands' options.
 const (
 	defaultOperatorTimeout = 10 * time.Second
 	defaultRetireWithin    = 10 * time.Second
 )
 
-// operatorOptions say whom an operator's command asks, and for how long.
+// operatorOptions select the control processes that an operator command calls, and its timeout.
 type operatorOptions struct {
 	control, config string
 	timeout         time.Duration
@@ -49,7 +49,7 @@
 	return context.WithTimeout(cmd.Context(), timeout)
 }
 
-// operatorCommands are the subcommands that ask a running system.
+// operatorCommands returns the subcommands that call a running system.
 func operatorCommands() []*cobra.Command {
 	return []*cobra.Command{statusCommand(), describeCommand(), retireCommand(), abandonCommand(), snapshotCommand(), recoverCommand()}
 }
@@ -107,17 +107,17 @@
 func retireCommand() *cobra.Command {
 	var o operatorOptions
 	var within time.Duration
-	var onlyAsk, wait bool
+	var describeOnly, wait bool
 	return flagCommand{
 		use:   "retire [options] NODE",
 		short: "Empty a storage machine, so that it can be removed; print how far that is",
 		flags: func(f *flag.FlagSet) {
 			o.register(f)
 			f.DurationVar(&within, "within", defaultRetireWithin, "how long the emptying should take")
-			f.BoolVar(&onlyAsk, "describe", false, "do not begin, only print how far it is")
+			f.BoolVar(&describeOnly, "describe", false, "do not begin, only print how far it is")
 			f.BoolVar(&wait, "wait", false, "wait until the machine is empty, or --timeout is over")
 		},
-		least: 1, most: 1,
+		minArgs: 1, maxArgs: 1,
 		run: func(cmd *cobra.Command, args []string) error {
 			client, ctx, cancel, err := o.client(cmd)
 			if err != nil {
@@ -125,7 +125,7 @@
 			}
 			defer cancel()
 			node := args[0]
-			if !onlyAsk {
+			if !describeOnly {
 				if err := client.StartRetirement(ctx, node, within); err != nil {
 					return err
 				}
--- a/cmd/liftgauge/operator_test.go
+++ b/cmd/liftgauge/operator_test.go
@@ -11,8 +11,8 @@
 	"liftgauge/internal/nodeconfig"
 )
 
-// controlStandIn answers the operator's calls like a primary that is one of two control processes.
-func controlStandIn(t *testing.T) (address string) {
+// startFakeControl answers the operator's calls like two control processes, one of which redirects to the primary.
+func startFakeControl(t *testing.T) (address string) {
 	mux := http.NewServeMux()
 	answer := func(pattern, body string) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(body)) })
@@ -34,11 +34,11 @@
 
 func TestOperatorCommands(t *testing.T) {
 	is := is.New(t)
-	at := controlStandIn(t)
+	at := startFakeControl(t)
 	out, err := run("describe", "--control", at)
 	is.NoErr(err)
 	is.Equal(out, `{"Revision":7,"Routes":[],"Services":[]}`+"\n")
-	out, err = run("retire", "s1", "--wait", "--control", at) // options behind the argument
+	out, err = run("retire", "s1", "--wait", "--control", at) // options after the argument
 	is.NoErr(err)
 	is.Equal(out, "s1: succeeded\n")
 	out, err = run("status", "--control", at)
@@ -57,7 +57,7 @@
 
 func TestAbandonCommand(t *testing.T) {
 	is := is.New(t)
-	at := controlStandIn(t)
+	at := startFakeControl(t)
 	out, err := run("abandon", "s1", "--control", at)
 	is.NoErr(err)
 	is.Equal(out, "disks: s1/a\n"+
@@ -76,9 +76,9 @@
 	is.True(err != nil)
 }
 
-func TestOperatorCommandsAskTheSeeds(t *testing.T) {
+func TestOperatorCommandsUseSeedNodes(t *testing.T) {
 	is := is.New(t)
-	at := controlStandIn(t)
+	at := startFakeControl(t)
 	t.Setenv(nodeconfig.EnvironmentVariable, "")
 	_, err := run("describe")
 	is.Equal(err.Error(), "no --control address: no settings file named: set LIFTGAUGE_CONFIG or give --config FILE")
--- a/cmd/liftgauge/recover.go
+++ b/cmd/liftgauge/recover.go
@@ -15,7 +15,7 @@
 	"liftgauge/internal/snapshot"
 )
 
-// recoverTimeout is how long a recovery may take: the state is written and a process is started again.
+// recoverTimeout bounds a recovery, in which the state is written and a process is restarted.
 const recoverTimeout = time.Minute
 
 func snapshotCommand() *cobra.Command {
@@ -40,7 +40,7 @@
 	}.command()
 }
 
-// recoverOptions are what the command line of recover says.
+// recoverOptions are the command-line options of recover.
 type recoverOptions struct {
 	operatorOptions
 	lost, at, from string
@@ -104,7 +104,7 @@
 	return o.awaitFounded(cmd, client, plan)
 }
 
-// awaitFounded waits until control is there again.
+// awaitFounded waits until the new generation of control has a primary.
 func (o *recoverOptions) awaitFounded(cmd *cobra.Command, client *operator.Client, plan *recovery.Plan) error {
 	out := cmd.OutOrStdout()
 	fmt.Fprintf(out, "%s has written the state and ends, to be started again\n", plan.Founder.Node)
--- a/cmd/liftgauge/recover_test.go
+++ b/cmd/liftgauge/recover_test.go
@@ -21,42 +21,42 @@
 	"liftgauge/internal/nodeconfig"
 )
 
-// asProgram has the test binary be the program: tests start it again for processes of their own.
-const asProgram = "LIFTGAUGE_TEST_AS_PROGRAM"
+// runMainVariable is the environment variable that makes the test binary run main, so that tests can start it as a process.
+const runMainVariable = "LIFTGAUGE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// patience bounds every wait of these tests; it says nothing about how long things should take.
-const patience = time.Minute
+// testTimeout bounds every wait of these tests. It is not an expectation of how long they take.
+const testTimeout = time.Minute
 
-// realProcess is a role as a process of the operating system, on a loopback address of its own. It is started again when it ends.
-type realProcess struct {
+// osProcess is a role that runs as a process of the operating system, on its own loopback address. It is restarted when it exits.
+type osProcess struct {
 	role, name, ip, data, file string
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	over    bool
+	stopped bool
 }
 
-// realSystem is a small system of processes.
-type realSystem struct {
+// osSystem is a small system of such processes.
+type osSystem struct {
 	t         *testing.T
 	ctx       context.Context
 	ports     [4]int // internal, ControlPlane, Frontend, Readiness
-	processes []*realProcess
+	processes []*osProcess
 	seeds     []string
 }
 
-func startRealSystem(t *testing.T) *realSystem {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+func startSystem(t *testing.T) *osSystem {
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
-	s := &realSystem{t: t, ctx: ctx}
+	s := &osSystem{t: t, ctx: ctx}
 	for i := range s.ports {
 		l, err := net.Listen("tcp", "127.19.1.1:0")
 		if err != nil {
@@ -66,7 +66,7 @@
 		s.ports[i] = l.Addr().(*net.TCPAddr).Port
 	}
 	for i, role := range []string{"control", "control", "control", "store", "store", "dispatcher"} {
-		p := &realProcess{role: role, name: fmt.Sprintf("%s-%d", role, i), ip: fmt.Sprintf("127.19.1.%d", 10+i)}
+		p := &osProcess{role: role, name: fmt.Sprintf("%s-%d", role, i), ip: fmt.Sprintf("127.19.1.%d", 10+i)}
 		p.file = filepath.Join(t.TempDir(), p.name+".toml")
 		if role != "dispatcher" {
 			p.data = t.TempDir()
@@ -82,18 +82,18 @@
 	}
 	t.Cleanup(func() {
 		for _, p := range s.processes {
-			p.end(true)
+			p.kill(true)
 		}
 	})
 	return s
 }
 
-func (s *realSystem) at(p *realProcess, port int) string {
+func (s *osSystem) at(p *osProcess, port int) string {
 	return net.JoinHostPort(p.ip, strconv.Itoa(s.ports[port]))
 }
 
-// write writes the settings of a process.
-func (s *realSystem) write(p *realProcess, bootstrap bool) {
+// write writes the settings file of a process.
+func (s *osSystem) write(p *osProcess, bootstrap bool) {
 	serves := map[string]string{"control": nodeconfig.ServesControl, "store": nodeconfig.ServesStorage, "dispatcher": nodeconfig.ServesEdge}[p.role]
 	addresses := map[string]string{
 		"control":    fmt.Sprintf("ControlPlane = %q\n", s.at(p, 1)),
@@ -112,39 +112,39 @@
 	}
 }
 
-// start runs the process, and starts it again each time that it ends by itself.
-func (s *realSystem) start(p *realProcess) {
+// start starts the process, and restarts it each time that it exits by itself.
+func (s *osSystem) start(p *osProcess) {
 	command := exec.Command(os.Args[0], p.role)
-	command.Env = append(os.Environ(), asProgram+"=1", nodeconfig.EnvironmentVariable+"="+p.file)
+	command.Env = append(os.Environ(), runMainVariable+"=1", nodeconfig.EnvironmentVariable+"="+p.file)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if err := command.Start(); err != nil {
 		s.t.Fatal(err)
 	}
-	p.command, p.over = command, false
+	p.command, p.stopped = command, false
 	go func() {
 		_ = command.Wait()
 		p.mutex.Lock()
-		again := !p.over && p.command == command
+		restart := !p.stopped && p.command == command
 		p.mutex.Unlock()
-		if again {
+		if restart {
 			s.start(p)
 		}
 	}()
 }
 
-// end kills the process; it stays down.
-func (p *realProcess) end(over bool) {
+// kill kills the process. If stopped is set, it is not restarted.
+func (p *osProcess) kill(stopped bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.over = over
+	p.stopped = stopped
 	if p.command != nil {
 		_ = p.command.Process.Kill()
 	}
 }
 
-// eventually asks again and again until a condition holds.
-func (s *realSystem) eventually(what string, holds func() bool) {
+// eventually polls until a condition holds.
+func (s *osSystem) eventually(what string, holds func() bool) {
 	s.t.Helper()
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
@@ -152,12 +152,12 @@
 		select {
 		case <-ticker.C:
 		case <-s.ctx.Done():
-			s.t.Fatalf("waited for %s in vain", what)
+			s.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-func (s *realSystem) status(method, url string, header http.Header, body string) int {
+func (s *osSystem) status(method, url string, header http.Header, body string) int {
 	request, err := http.NewRequestWithContext(s.ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
@@ -177,8 +177,8 @@
 	return response.StatusCode
 }
 
-// replace gives a configuration until it is taken.
-func (s *realSystem) replace(base int) {
+// replace sends a configuration until it is accepted.
+func (s *osSystem) replace(base int) {
 	s.t.Helper()
 	body := fmt.Sprintf(`{"Revision":%d,"Routes":[{"Name":"r","Hostname":"h.example","PathPrefix":"/r/","Type":"async","TimeoutMs":500,"TargetLatencyMs":80,`+
 		`"Priority":1,"Backend":"svc","MaxAttempts":6,"Fifo":true,"RetentionS":90.0,"TargetStartMs":500}],"Services":[{"Name":"svc",`+
@@ -195,8 +195,8 @@
 	})
 }
 
-// accept hands messages in until each was accepted.
-func (s *realSystem) accept(edge *realProcess, ids ...string) {
+// accept sends each message until it is accepted.
+func (s *osSystem) accept(edge *osProcess, ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
 		header := http.Header{"Host": {"h.example"}, "X-Request-Id": {id}, "X-Ordering-Key": {"k"}}
@@ -206,11 +206,12 @@
 	}
 }
 
-// TestRecoverCommand takes the disks of two of three real control processes. The command shows what it would do and does nothing, then founds
-// control anew: the configuration is in force, orders are taken and messages accepted. A snapshot of before is read beside it.
+// TestRecoverCommand removes the disks of two of three control processes. The command first shows its plan without acting on it, then founds a
+// new generation of control, in which the configuration is in force and configurations and messages are accepted. A snapshot taken before is
+// read as well.
 func TestRecoverCommand(t *testing.T) {
 	is := is.New(t)
-	s := startRealSystem(t)
+	s := startSystem(t)
 	control := strings.Join(s.seeds, ",")
 	s.replace(0)
 	edge := s.processes[len(s.processes)-1]
@@ -224,7 +225,7 @@
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "it needs no recovery"))
 	for _, p := range s.processes[:2] {
-		p.end(true)
+		p.kill(true)
 		p.data = t.TempDir()
 		s.write(p, false)
 		s.start(p)
@@ -253,7 +254,7 @@
 	is.NoErr(err)
 	is.True(strings.Contains(out, `"Revision":1`))
 	s.replace(1)
-	s.accept(edge, "after-1", "before-1") // a repeat is known
+	s.accept(edge, "after-1", "before-1") // the repeated message is recognized
 }
 
 func TestRecoverWithoutAControlProcess(t *testing.T) {
--- a/cmd/liftgauge/roles.go
+++ b/cmd/liftgauge/roles.go
@@ -23,7 +23,7 @@
 	run   func(ctx context.Context, settings *nodeconfig.Settings, logger *zap.Logger) error
 }
 
-// roleOptions are what the command line of a role says.
+// roleOptions are the command-line options of a role.
 type roleOptions struct{ config, level string }
 
 func (r roleCommand) command() *cobra.Command {
@@ -41,9 +41,10 @@
 
 const configUsage = "settings `file` of the process; " + nodeconfig.EnvironmentVariable + " where it is not given"
 
-// start runs the role until SIGTERM or SIGINT and its planned end. A settings file with a mistake is reported before anything else begins.
+// start runs the role until SIGTERM or SIGINT and the planned shutdown that follows. An invalid settings file is reported before anything
+// else starts.
 func (r roleCommand) start(ctx context.Context, o roleOptions, errorOutput io.Writer) error {
-	// SIGHUP would end the process before the role listens for it, and again after it no longer does.
+	// Without this handler SIGHUP would kill the process before the role starts listening for it, and after it stops.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -64,14 +65,14 @@
 		zap.String("internal", settings.InternalAddress(r.role)), zap.Bool("bootstrap", settings.Bootstrap),
 		zap.Int("copies", settings.Copies()), zap.String("version", version()))
 	if err := r.run(ctx, settings, logger); err != nil {
-		logger.Error("process ends by an error", zap.String("error", err.Error()))
+		logger.Error("process failed", zap.String("error", err.Error()))
 		return err
 	}
 	logger.Info("process ends as planned")
 	return nil
 }
 
-// loadSettings reads the settings file that the command line names, or the environment.
+// loadSettings reads the settings file at the path, or the one named by the environment if the path is empty.
 func loadSettings(path string) (*nodeconfig.Settings, error) {
 	return nodeconfig.Load(cmp.Or(path, os.Getenv(nodeconfig.EnvironmentVariable)))
 }
--- a/cmd/liftgauge/roles_test.go
+++ b/cmd/liftgauge/roles_test.go
@@ -22,8 +22,9 @@
 	"liftgauge/replication"
 )
 
-// TestDeployedControlBearsTwoLossesInThreeZones reads the deploy file: in three zones with two disks each, as many machines run control as bear F = 2.
-func TestDeployedControlBearsTwoLossesInThreeZones(t *testing.T) {
+// TestDeployedControlToleratesTwoLossesInThreeZones checks that the deployment file runs control on enough machines in three zones to tolerate
+// F = 2 losses.
+func TestDeployedControlToleratesTwoLossesInThreeZones(t *testing.T) {
 	is := is.New(t)
 	content, err := os.ReadFile(filepath.Join("..", "..", "deploy", "system.toml"))
 	is.NoErr(err)
@@ -60,8 +61,8 @@
 	return path
 }
 
-// keepMemorySettings has the collector set as before once the test is over.
-func keepMemorySettings(t *testing.T) {
+// restoreMemorySettings restores the garbage collector's settings when the test ends.
+func restoreMemorySettings(t *testing.T) {
 	limit, percent := debug.SetMemoryLimit(-1), debug.SetGCPercent(100)
 	debug.SetGCPercent(percent)
 	t.Cleanup(func() { debug.SetMemoryLimit(limit); debug.SetGCPercent(percent) })
@@ -84,12 +85,12 @@
 
 func TestRoleRunsUntilSIGTERM(t *testing.T) {
 	is := is.New(t)
-	keepMemorySettings(t)
+	restoreMemorySettings(t)
 	t.Setenv(nodeconfig.EnvironmentVariable, writeSettings(t, nodeSettings))
 	_, logs, err := execute(storeRole(func(ctx context.Context, s *nodeconfig.Settings, logger *zap.Logger) error {
 		is.Equal(s.NodeName, "s1")
 		is.Equal(debug.SetMemoryLimit(-1), int64(120<<20))  // 60% of MemoryMb
-		is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // nobody listens for it: it must not end the process
+		is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // the role does not listen for it: it must not end the process
 		is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGTERM))
 		<-ctx.Done()
 		logger.Debug("not shown")
@@ -109,7 +110,7 @@
 
 func TestRoleReportsItsError(t *testing.T) {
 	is := is.New(t)
-	keepMemorySettings(t)
+	restoreMemorySettings(t)
 	broken := errors.New("the disk is gone")
 	_, logs, err := execute(storeRole(func(context.Context, *nodeconfig.Settings, *zap.Logger) error { return broken }),
 		"--config", writeSettings(t, nodeSettings), "--log-level=error")
@@ -118,7 +119,7 @@
 	is.Equal(strings.Count(logs, "\n"), 1) // only the error, and without a stack
 }
 
-func TestRoleMistakes(t *testing.T) {
+func TestRoleRejectsInvalidArguments(t *testing.T) {
 	t.Setenv(nodeconfig.EnvironmentVariable, "")
 	path := writeSettings(t, nodeSettings)
 	edge := writeSettings(t, strings.Replace(nodeSettings, `"storage"`, `"control"`, 1))
--- a/cmd/liftgauge/start_test.go
+++ b/cmd/liftgauge/start_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// TestNewProcessWaitsForTheList starts the program with an old list: its one host drains by now, and another has come. What
-// discovery has counts as told to a new process, so until that has come it is not ready and a job waits.
+// TestNewProcessWaitsForTheList starts the program with an outdated host list: its only host is draining, and another has been added.
+// A new process is expected to know what discovery has, so until it has received that list it is not ready and jobs wait.
 func TestNewProcessWaitsForTheList(t *testing.T) {
 	type sent struct{ host, id string }
 	sends := make(chan sent, 16)
@@ -30,9 +30,9 @@
 		return s.Listener.Addr().String()
 	}
 	old, fresh := host("old"), host("fresh")
-	asked, answer := make(chan struct{}, 16), make(chan struct{})
+	discoveryCalled, answer := make(chan struct{}, 16), make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+		discoveryCalled <- struct{}{}
 		select {
 		case <-answer:
 		case <-r.Context().Done():
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fd, err := syscall.Dup(int(file.Fd())) // the program's own: it closes it
+	fd, err := syscall.Dup(int(file.Fd())) // owned by the program, which closes it
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,9 +83,9 @@
 		r.Body.Close()
 		return r.StatusCode
 	}
-	<-asked
+	<-discoveryCalled
 	if got := ready(); got != 503 {
-		t.Errorf("ready before it has heard of discovery: %d", got)
+		t.Errorf("ready before it received the list of discovery: %d", got)
 	}
 	done := make(chan string, 1)
 	go func() {
@@ -102,12 +102,12 @@
 		r.Body.Close()
 		done <- r.Status
 	}()
-	select { // the first job of an old list goes at once; this one has a bad list to go by
+	select { // with the outdated list the job would be sent at once, to the wrong host
 	case s := <-sends:
 		t.Errorf("sent to the %s host before the list came", s.host)
-	case <-asked:
-		t.Error("asked twice")
-	case <-func() chan struct{} { // three more calls that are answered in between are proof enough that it waits
+	case <-discoveryCalled:
+		t.Error("discovery was called twice")
+	case <-func() chan struct{} { // three more calls answered in the meantime show that the job waits
 		c := make(chan struct{})
 		go func() {
 			for range 3 {
--- a/cmd/liftgauge/wiring.go
+++ b/cmd/liftgauge/wiring.go
@@ -9,7 +9,7 @@
 	"liftgauge/internal/roles/store"
 )
 
-// roleCommands are the subcommands that run the roles of the system.
+// roleCommands returns the subcommands that run the roles of the system.
 func roleCommands() []*cobra.Command {
 	roles := []roleCommand{
 		{protocol.RoleDispatcher, "Run a dispatcher: take clients' messages and deliver kept ones to workers, until SIGTERM", dispatcher.Run},
