--- a/cmd/liftgauge/operator_test.go
+++ b/cmd/liftgauge/operator_test.go
@@ -34,14 +34,14 @@
 
 func TestOperatorCommands(t *testing.T) {
 	is := is.New(t)
-	at := startFakeControl(t)
-	out, err := run("describe", "--control", at)
+	address := startFakeControl(t)
+	out, err := run("describe", "--control", address)
 	is.NoErr(err)
 	is.Equal(out, `{"Revision":7,"Routes":[],"Services":[]}`+"\n")
-	out, err = run("retire", "s1", "--wait", "--control", at) // options after the argument
+	out, err = run("retire", "s1", "--wait", "--control", address) // options after the argument
 	is.NoErr(err)
 	is.Equal(out, "s1: succeeded\n")
-	out, err = run("status", "--control", at)
+	out, err = run("status", "--control", address)
 	is.NoErr(err)
 	is.Equal(out, "as seen by edge-1/control (primary)\n"+
 		"control: epoch 3, primary unknown at unknown\n"+
@@ -49,16 +49,16 @@
 		"orders under way: 0; workers on the list: 0\n"+
 		"partitions: 64, of these 0 with learners, 0 short of copies\n\n"+
 		"process  zone  address  member  state\n")
-	_, err = run("retire", "s2", "--control", at)
+	_, err = run("retire", "s2", "--control", address)
 	is.Equal(err.Error(), "refused with 404: 404 page not found")
-	_, err = run("retire", "--control", at)
+	_, err = run("retire", "--control", address)
 	is.Equal(err.Error(), "retire: 0 arguments: want liftgauge retire [options] NODE")
 }
 
 func TestAbandonCommand(t *testing.T) {
 	is := is.New(t)
-	at := startFakeControl(t)
-	out, err := run("abandon", "s1", "--control", at)
+	address := startFakeControl(t)
+	out, err := run("abandon", "s1", "--control", address)
 	is.NoErr(err)
 	is.Equal(out, "disks: s1/a\n"+
 		"40 partitions go on from a member that has everything\n"+
@@ -67,22 +67,22 @@
 		"1 partitions have no disk left: all of their messages are gone, and they begin anew\n"+
 		"4 partitions wait for yet another disk: see liftgauge status\n"+
 		"nothing was done; to give these disks up, give --confirm as well\n")
-	out, err = run("abandon", "s1", "--confirm", "--control", at)
+	out, err = run("abandon", "s1", "--confirm", "--control", address)
 	is.NoErr(err)
 	is.Equal(out, "disks: s1/a\n40 partitions go on from a member that has everything\ngiven up\n")
-	_, err = run("abandon", "s2", "--control", at)
+	_, err = run("abandon", "s2", "--control", address)
 	is.Equal(err.Error(), "refused with 404: 404 page not found")
-	_, err = run("abandon", "--control", at)
+	_, err = run("abandon", "--control", address)
 	is.True(err != nil)
 }
 
 func TestOperatorCommandsUseSeedNodes(t *testing.T) {
 	is := is.New(t)
-	at := startFakeControl(t)
+	address := startFakeControl(t)
 	t.Setenv(nodeconfig.EnvironmentVariable, "")
 	_, err := run("describe")
 	is.Equal(err.Error(), "no --control address: no settings file named: set LIFTGAUGE_CONFIG or give --config FILE")
-	path := writeSettings(t, strings.Replace(nodeSettings, "127.0.0.1:8046", at, 1))
+	path := writeSettings(t, strings.Replace(nodeSettings, "127.0.0.1:8046", address, 1))
 	out, err := run("describe", "--config", path)
 	is.NoErr(err)
 	is.Equal(out, `{"Revision":7,"Routes":[],"Services":[]}`+"\n")
--- a/cmd/liftgauge/recover_test.go
+++ b/cmd/liftgauge/recover_test.go
@@ -72,7 +72,7 @@
 			p.data = t.TempDir()
 		}
 		if role == "control" {
-			s.seeds = append(s.seeds, s.at(p, 1))
+			s.seeds = append(s.seeds, s.address(p, 1))
 		}
 		s.processes = append(s.processes, p)
 	}
@@ -88,7 +88,7 @@
 	return s
 }
 
-func (s *osSystem) at(p *osProcess, port int) string {
+func (s *osSystem) address(p *osProcess, port int) string {
 	return net.JoinHostPort(p.ip, strconv.Itoa(s.ports[port]))
 }
 
@@ -96,8 +96,8 @@
 func (s *osSystem) write(p *osProcess, bootstrap bool) {
 	serves := map[string]string{"control": nodeconfig.ServesControl, "store": nodeconfig.ServesStorage, "dispatcher": nodeconfig.ServesEdge}[p.role]
 	addresses := map[string]string{
-		"control":    fmt.Sprintf("ControlPlane = %q\n", s.at(p, 1)),
-		"dispatcher": fmt.Sprintf("Frontend = %q\nReadiness = %q\n", s.at(p, 2), s.at(p, 3)),
+		"control":    fmt.Sprintf("ControlPlane = %q\n", s.address(p, 1)),
+		"dispatcher": fmt.Sprintf("Frontend = %q\nReadiness = %q\n", s.address(p, 2), s.address(p, 3)),
 	}[p.role]
 	disk := ""
 	if p.data != "" {
@@ -196,12 +196,12 @@
 }
 
 // accept sends each message until it is accepted.
-func (s *osSystem) accept(edge *osProcess, ids ...string) {
+func (s *osSystem) accept(dispatcher *osProcess, ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
 		header := http.Header{"Host": {"h.example"}, "X-Request-Id": {id}, "X-Ordering-Key": {"k"}}
 		s.eventually("message "+id+" to be accepted", func() bool {
-			return s.status(http.MethodPost, "http://"+s.at(edge, 2)+"/r/x", header, "level 3") == http.StatusAccepted
+			return s.status(http.MethodPost, "http://"+s.address(dispatcher, 2)+"/r/x", header, "level 3") == http.StatusAccepted
 		})
 	}
 }
@@ -214,8 +214,8 @@
 	s := startSystem(t)
 	control := strings.Join(s.seeds, ",")
 	s.replace(0)
-	edge := s.processes[len(s.processes)-1]
-	s.accept(edge, "before-1", "before-2")
+	dispatcher := s.processes[len(s.processes)-1]
+	s.accept(dispatcher, "before-1", "before-2")
 	file := filepath.Join(t.TempDir(), "snapshot")
 	content, err := run("snapshot", "--control", control)
 	is.NoErr(err)
@@ -254,7 +254,7 @@
 	is.NoErr(err)
 	is.True(strings.Contains(out, `"Revision":1`))
 	s.replace(1)
-	s.accept(edge, "after-1", "before-1") // the repeated message is recognized
+	s.accept(dispatcher, "after-1", "before-1") // the repeated message is recognized
 }
 
 func TestRecoverWithoutAControlProcess(t *testing.T) {
--- a/cmd/liftgauge/roles_test.go
+++ b/cmd/liftgauge/roles_test.go
@@ -122,10 +122,10 @@
 func TestRoleRejectsInvalidArguments(t *testing.T) {
 	t.Setenv(nodeconfig.EnvironmentVariable, "")
 	path := writeSettings(t, nodeSettings)
-	edge := writeSettings(t, strings.Replace(nodeSettings, `"storage"`, `"control"`, 1))
+	controlSettings := writeSettings(t, strings.Replace(nodeSettings, `"storage"`, `"control"`, 1))
 	for _, c := range []struct{ args, want string }{
 		{"", "no settings file named: set LIFTGAUGE_CONFIG or give --config FILE"},
-		{"--config " + edge, "field BindAddresses.ControlPlane: found nothing, wanted an address as IP:PORT, since Serves holds control"},
+		{"--config " + controlSettings, "field BindAddresses.ControlPlane: found nothing, wanted an address as IP:PORT, since Serves holds control"},
 		{"--config " + path + " --log-level loud", `log-level: found "loud", wanted debug, info, warn or error`},
 		{"--conf x", "store: flag provided but not defined: -conf; see liftgauge store --help"},
 		{"x", "store: 1 arguments: want liftgauge store [options]"},
