--- a/cmd/liftlab/cluster.go
+++ b/cmd/liftlab/cluster.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			c.Scenario, c.Say = s, cmd.OutOrStdout()
+			c.Scenario, c.Output = s, cmd.OutOrStdout()
 			r, err := lab.RunCluster(cmd.Context(), c)
 			if err != nil {
 				return err
@@ -66,7 +66,7 @@
 			"datagrams come that are none of the protocol's. The last line is JSON. Compare within one run.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c.Say = cmd.OutOrStdout()
+			c.Output = cmd.OutOrStdout()
 			r, err := lab.RunMemberCost(cmd.Context(), c)
 			if err != nil {
 				return err
--- a/cmd/liftlab/main.go
+++ b/cmd/liftlab/main.go
@@ -77,7 +77,7 @@
 	f.IntVar(&c.Workers, "workers", 8, "Gearman workers")
 	f.IntVar(&c.Clients, "clients", 8, "clients of each kind")
 	f.StringVar(&c.Capture, "capture", "", "a folder into which the daemon captures the load")
-	f.DurationVar(&c.For, "for", 0, "how long; 0 until Ctrl-C")
+	f.DurationVar(&c.Duration, "for", 0, "how long; 0 until Ctrl-C")
 	return cmd
 }
 
@@ -117,7 +117,7 @@
 	f.DurationVar(&c.Job, "job", 2*time.Millisecond, "how long a job runs")
 	f.IntVar(&c.Clients, "clients", 64, "clients that always have the next job ready")
 	f.IntVar(&c.Sockets, "sockets", 1024, "the daemon's limit of descriptors")
-	f.DurationVar(&c.Patience, "patience", 5*time.Second, "how long a client waits")
+	f.DurationVar(&c.Timeout, "patience", 5*time.Second, "how long a client waits")
 	f.DurationVar(&c.Warm, "warm", time.Second, "load before each measurement")
 	f.DurationVar(&c.Length, "length", 5*time.Second, "length of each measurement")
 	f.BoolVar(&c.Capture, "capture", false, "measure the daemon with capture on as well")
@@ -136,7 +136,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c.Stderr = cmd.ErrOrStderr()
-			if c.Jobs < 0 || c.Each < 1 || c.Clients < 2 || c.Workers < 1 || c.Hosts < 1 {
+			if c.Jobs < 0 || c.JobsPerPair < 1 || c.Clients < 2 || c.Workers < 1 || c.Hosts < 1 {
 				return fmt.Errorf("want two clients, a worker, a host and a job at least")
 			}
 			report, err := lab.Gearman(cmd.Context(), c)
@@ -161,12 +161,12 @@
 	f.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
 	f.Uint64Var(&c.Seed, "seed", 1, "of clients, drops and leaves")
 	f.IntVar(&c.Jobs, "jobs", 20000, "jobs of the mixed part")
-	f.IntVar(&c.Each, "each", 20000, "jobs of each way in the measured part")
+	f.IntVar(&c.JobsPerPair, "each", 20000, "jobs of each way in the measured part")
 	f.IntVar(&c.Clients, "clients", 32, "clients; in the mixed part half of them speak Gearman")
 	f.IntVar(&c.Workers, "workers", 32, "Gearman workers")
 	f.IntVar(&c.Hosts, "hosts", 16, "HTTP hosts")
 	f.Float64Var(&c.Drops, "drops", 0.01, "share of runs at which a worker drops its connection")
-	f.Float64Var(&c.Leaves, "leaves", 0.02, "share of Gearman clients' jobs whose client leaves early")
+	f.Float64Var(&c.DisconnectShare, "leaves", 0.02, "share of Gearman clients' jobs whose client leaves early")
 	f.IntVar(&c.Memory, "memory", 64, "the daemon's limit of memory, in MB")
 	f.IntVar(&c.Idle, "idle", 1000, "workers of the large part; 0 leaves it out")
 	f.IntVar(&c.Queued, "queued", 10000, "queued jobs of 1 KiB of the large part")
--- a/cmd/liftlab/plan.go
+++ b/cmd/liftlab/plan.go
@@ -136,7 +136,7 @@
 	fl.StringVar(&c.Daemon, "daemon", beside(), "the daemon's binary")
 	fl.Uint64Var(&c.Seed, "seed", 1, "of what is drawn")
 	fl.IntVar(&c.Cases, "cases", 20, "fleets and loads to draw")
-	fl.IntVar(&c.Beside, "beside", 4, "cases to play at a time")
+	fl.IntVar(&c.Parallel, "beside", 4, "cases to play at a time")
 	fl.DurationVar(&c.Length, "length", 20*time.Second, "of each case's load")
 	fl.BoolVar(&c.Ramp, "ramp", false, "raise the load of each case until it gives way, too")
 	fl.IntVar(&c.Days, "days", 5, "emulated runs of each forecast")
--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -94,7 +94,7 @@
 	Processes int // 0: as the scenario says
 	Seed      uint64
 	Logs      string // a folder for the dispatchers' logs; empty: none
-	Say       io.Writer
+	Output    io.Writer
 }
 
 // ClusterReport is what came of it.
@@ -164,8 +164,8 @@
 	if k.n < 2 || k.n > 60 {
 		return nil, fmt.Errorf("processes: want 2 to 60, have %d", k.n)
 	}
-	if k.Say == nil {
-		k.Say = io.Discard
+	if k.Output == nil {
+		k.Output = io.Discard
 	}
 	k.report = ClusterReport{Scenario: c.Scenario.Name, Processes: k.n, Seed: c.Seed}
 	k.draw()
@@ -290,7 +290,7 @@
 		return errors.Join(ctx.Err(), errors.New("the fleet did not form within 90 s: "+k.standing()))
 	}
 	k.report.FormedMS = time.Since(k.began).Milliseconds()
-	fmt.Fprintf(k.Say, "%d dispatchers in one view %.1f s after the start\n", k.n, time.Since(formed).Seconds())
+	fmt.Fprintf(k.Output, "%d dispatchers in one view %.1f s after the start\n", k.n, time.Since(formed).Seconds())
 	return nil
 }
 
@@ -332,7 +332,7 @@
 func (k *cluster) do(ctx context.Context, s Step) error {
 	who := k.who(s.Who, k.who(s.To, nil))
 	to := k.who(s.To, who)
-	fmt.Fprintf(k.Say, "%6.1f s  %s %s %v\n", time.Since(k.began).Seconds(), s.Do, s.Who, who)
+	fmt.Fprintf(k.Output, "%6.1f s  %s %s %v\n", time.Since(k.began).Seconds(), s.Do, s.Who, who)
 	switch s.Do {
 	case "link", "heal":
 		var f Fault
@@ -556,7 +556,7 @@
 		if have, ok := k.views[key]; !ok {
 			k.views[key] = list.String()
 			if k.report.FormedMS > 0 {
-				fmt.Fprintf(k.Say, "%6.1f s  view %d: %d members\n", time.Since(k.began).Seconds(), s.View, len(s.Members))
+				fmt.Fprintf(k.Output, "%6.1f s  view %d: %d members\n", time.Since(k.began).Seconds(), s.View, len(s.Members))
 				for _, i := range sound {
 					if !in[fmt.Sprintf("n%02d", i)] {
 						k.report.Removed++
@@ -594,7 +594,7 @@
 	if len(k.report.Breaches) < 20 {
 		k.report.Breaches = append(k.report.Breaches, text)
 	}
-	fmt.Fprintln(k.Say, "BREACH", text)
+	fmt.Fprintln(k.Output, "BREACH", text)
 }
 
 // together: all that live hold one view of just those that live, and are in touch.
--- a/lab/cluster_test.go
+++ b/lab/cluster_test.go
@@ -46,7 +46,7 @@
 	}
 	s.Processes = 2
 	ctx, stop := context.WithCancel(t.Context())
-	k := &cluster{ClusterConfig: ClusterConfig{Daemon: build(t), Scenario: s, Say: writer(func(string) { stop() })}, n: 2, sets: map[string][]int{}, views: map[[2]uint64]string{}}
+	k := &cluster{ClusterConfig: ClusterConfig{Daemon: build(t), Scenario: s, Output: writer(func(string) { stop() })}, n: 2, sets: map[string][]int{}, views: map[[2]uint64]string{}}
 	k.draw()
 	err = k.open(ctx) // is stopped as it says that all are together
 	if err == nil {
@@ -256,7 +256,7 @@
 
 // TestMemberCost: a daemon in a small fleet serves on while datagrams come that are none of the protocol's.
 func TestMemberCost(t *testing.T) {
-	r, err := RunMemberCost(t.Context(), MemberCostConfig{Daemon: build(t), Members: 3, Length: 200 * time.Millisecond, Flood: 2000, Seed: 1, Say: io.Discard})
+	r, err := RunMemberCost(t.Context(), MemberCostConfig{Daemon: build(t), Members: 3, Length: 200 * time.Millisecond, Flood: 2000, Seed: 1, Output: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -17,23 +17,23 @@
 
 // DemoConfig is what liftlab demo shows.
 type DemoConfig struct {
-	Daemon  string
-	Hosts   int
-	Workers int
-	Clients int
-	For     time.Duration // 0: until the context ends
-	Capture string        // a folder for captured load; empty for none
-	Out     io.Writer
-	Stderr  io.Writer
-	Live    bool // the line is written over itself
+	Daemon   string
+	Hosts    int
+	Workers  int
+	Clients  int
+	Duration time.Duration // 0: until the context ends
+	Capture  string        // a folder for captured load; empty for none
+	Out      io.Writer
+	Stderr   io.Writer
+	Live     bool // the line is written over itself
 }
 
 // Demo starts hosts, workers, discovery, some load and the daemon on loopback and tells each second what happens. Now and
 // then a host drains, one vanishes and comes back, or a worker drops at its job.
 func Demo(ctx context.Context, c DemoConfig) error {
-	if c.For > 0 {
+	if c.Duration > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, c.For)
+		ctx, stop = context.WithTimeout(ctx, c.Duration)
 		defer stop()
 	}
 	g := GearmanConfig{Daemon: c.Daemon, Workers: c.Workers, Hosts: c.Hosts, Memory: 64, Stderr: c.Stderr}
--- a/lab/gearman.go
+++ b/lab/gearman.go
@@ -20,19 +20,19 @@
 
 // GearmanConfig is what liftlab gearman plays.
 type GearmanConfig struct {
-	Daemon  string
-	Seed    uint64
-	Jobs    int // of the mixed part
-	Each    int // jobs of each pair in the measured part
-	Clients int
-	Workers int
-	Hosts   int
-	Drops   float64 // share of runs at which a worker drops its connection
-	Leaves  float64 // share of Gearman clients' jobs whose connection is closed early
-	Memory  int
-	Idle    int // workers of the large part; 0 leaves it out
-	Queued  int // jobs of it
-	Stderr  io.Writer
+	Daemon          string
+	Seed            uint64
+	Jobs            int // of the mixed part
+	JobsPerPair     int // jobs of each pair in the measured part
+	Clients         int
+	Workers         int
+	Hosts           int
+	Drops           float64 // share of runs at which a worker drops its connection
+	DisconnectShare float64 // share of Gearman clients' jobs whose connection is closed early
+	Memory          int
+	Idle            int // workers of the large part; 0 leaves it out
+	Queued          int // jobs of it
+	Stderr          io.Writer
 }
 
 // Pair is one of the four ways from a client to where its job runs.
@@ -253,7 +253,7 @@
 						return
 					}
 				}
-				if results[n].left = rng.Float64() < c.Leaves; results[n].left {
+				if results[n].left = rng.Float64() < c.DisconnectShare; results[n].left {
 					g := g
 					time.AfterFunc(time.Duration(rng.IntN(8))*time.Millisecond, g.Close)
 				}
@@ -357,20 +357,20 @@
 			clients.Wait()
 			return done.Load()
 		}
-		run(c.Each / 4) // until it knows the hosts
+		run(c.JobsPerPair / 4) // until it knows the hosts
 		latency.Reset()
 		before, err := w.p.Usage()
 		if err != nil {
 			return err
 		}
 		start := time.Now()
-		m.Served = run(c.Each)
+		m.Served = run(c.JobsPerPair)
 		took := time.Since(start)
 		after, err := w.p.Usage()
 		if err != nil {
 			return err
 		}
-		m.Jobs = int64(c.Each)
+		m.Jobs = int64(c.JobsPerPair)
 		m.Rate = math.Round(float64(m.Served) / took.Seconds())
 		m.CPUMicros = math.Round(float64((after.CPU-before.CPU).Microseconds())/float64(max(m.Jobs, 1))*10) / 10
 		m.P50, m.P99 = float64(latency.ValueAtPercentile(50))/1000, float64(latency.ValueAtPercentile(99))/1000
--- a/lab/gearman_test.go
+++ b/lab/gearman_test.go
@@ -21,7 +21,7 @@
 // TestMixed: Gearman and HTTP on both sides of one daemon, with workers that drop at their jobs and clients that leave. No
 // warning runs twice, no reading outside its cell, nothing is lost, nothing is answered twice. It counts and never measures.
 func TestMixed(t *testing.T) {
-	c := GearmanConfig{Daemon: build(t), Seed: 7, Jobs: 1500, Clients: 16, Workers: 12, Hosts: 6, Drops: 0.03, Leaves: 0.05, Memory: 64, Stderr: io.Discard}
+	c := GearmanConfig{Daemon: build(t), Seed: 7, Jobs: 1500, Clients: 16, Workers: 12, Hosts: 6, Drops: 0.03, DisconnectShare: 0.05, Memory: 64, Stderr: io.Discard}
 	var report GearmanReport
 	if err := c.mixed(context.Background(), &report); err != nil {
 		t.Fatal(err)
--- a/lab/membercost.go
+++ b/lab/membercost.go
@@ -27,7 +27,7 @@
 	Length  time.Duration
 	Flood   int // spoilt datagrams a second, in the last part
 	Seed    uint64
-	Say     io.Writer
+	Output  io.Writer
 }
 
 // MemberCost is what came of it.
@@ -183,7 +183,7 @@
 		}
 		m.Resident, m.CPU = float64(after.Resident)/(1<<20), 100*(after.CPU-before.CPU).Seconds()/took.Seconds()
 		out.Parts = append(out.Parts, m)
-		fmt.Fprintf(c.Say, "%-36s %6.1f MB %5.1f%% of a core  %6d jobs, %d not served, p50 %.1f ms, p99 %.1f ms\n", m.What, m.Resident, m.CPU, m.Jobs, m.Unserved, m.P50, m.P99)
+		fmt.Fprintf(c.Output, "%-36s %6.1f MB %5.1f%% of a core  %6d jobs, %d not served, p50 %.1f ms, p99 %.1f ms\n", m.What, m.Resident, m.CPU, m.Jobs, m.Unserved, m.P50, m.P99)
 	}
 	return nil
 }
--- a/lab/overhead.go
+++ b/lab/overhead.go
@@ -19,20 +19,20 @@
 
 // OverheadConfig is what liftlab overhead measures: the daemon beside a plain reverse proxy, before the same hosts.
 type OverheadConfig struct {
-	Daemon   string // the binary
-	Memory   []int  // limits to try, in MB
-	Bodies   []int  // bytes
-	Result   int    // bytes; -1 sends the body back
-	Hosts    int
-	Job      time.Duration
-	Clients  int
-	Sockets  int
-	Patience time.Duration
-	Warm     time.Duration
-	Length   time.Duration // of each measurement
-	Rounds   int
-	Capture  bool // measure with capture on as well
-	Stderr   io.Writer
+	Daemon  string // the binary
+	Memory  []int  // limits to try, in MB
+	Bodies  []int  // bytes
+	Result  int    // bytes; -1 sends the body back
+	Hosts   int
+	Job     time.Duration
+	Clients int
+	Sockets int
+	Timeout time.Duration
+	Warm    time.Duration
+	Length  time.Duration // of each measurement
+	Rounds  int
+	Capture bool // measure with capture on as well
+	Stderr  io.Writer
 }
 
 // Measured is one measurement of one program.
@@ -131,7 +131,7 @@
 		if err != nil {
 			return m, err
 		}
-	} else if p, err = world.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: mb, Sockets: c.Sockets, Patience: c.Patience,
+	} else if p, err = world.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: mb, Sockets: c.Sockets, Patience: c.Timeout,
 		Procs: 1, Stderr: c.Stderr, Settings: settings}); err != nil {
 		return m, err
 	}
@@ -141,7 +141,7 @@
 		return m, err
 	}
 	load := StartLoad(ctx, LoadConfig{Address: world.Listen, Path: path, Clients: c.Clients, Body: standin.FixedResult(body)(nil),
-		Patience: c.Patience, Seed: 1, Done: func(id, _ string, _ int) { world.Ledger.Forget(id) }})
+		Patience: c.Timeout, Seed: 1, Done: func(id, _ string, _ int) { world.Ledger.Forget(id) }})
 	defer load.Stop()
 	wait := func(d time.Duration) error {
 		select {
--- a/lab/verify.go
+++ b/lab/verify.go
@@ -24,14 +24,14 @@
 
 // VerifyConfig is what liftlab verify plays.
 type VerifyConfig struct {
-	Daemon string
-	Seed   uint64
-	Cases  int
-	Beside int // cases that are played at a time
-	Length time.Duration
-	Days   int // of each forecast
-	Ramp   bool
-	Stderr io.Writer
+	Daemon   string
+	Seed     uint64
+	Cases    int
+	Parallel int // cases that are played at a time
+	Length   time.Duration
+	Days     int // of each forecast
+	Ramp     bool
+	Stderr   io.Writer
 }
 
 // Figures are what is forecast and then seen.
@@ -73,7 +73,7 @@
 func Verify(ctx context.Context, c VerifyConfig, say func(Case)) (*VerifyReport, error) {
 	report := &VerifyReport{Seed: c.Seed, Count: c.Cases, Cases: make([]Case, c.Cases)}
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(max(c.Beside, 1))
+	group.SetLimit(max(c.Parallel, 1))
 	var mu sync.Mutex
 	for i := range c.Cases {
 		group.Go(func() error {
