--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -30,7 +30,7 @@
 //go:embed scenarios/*.cue
 var scenarioFiles embed.FS
 
-// Scenario is what a scenario file says; lab/scenario.cue tells what each field means.
+// Scenario is the content of a scenario file; lab/scenario.cue describes its fields.
 type Scenario struct {
 	Name      string
 	Means     string `json:"means"`
@@ -40,7 +40,7 @@
 	MayLose   string `json:"mayLose"`
 }
 
-// Step is one fault, or its end.
+// Step starts or ends one fault.
 type Step struct {
 	At        string  `json:"at"`
 	Do        string  `json:"do"`
@@ -54,7 +54,7 @@
 	Hosts     int     `json:"hosts"`
 }
 
-// Scenarios lists the names of those that come with the program.
+// Scenarios returns the names of the embedded scenarios.
 func Scenarios() (names []string) {
 	files, _ := scenarioFiles.ReadDir("scenarios")
 	for _, f := range files {
@@ -63,7 +63,7 @@
 	return names
 }
 
-// LoadScenario reads one of those, or a file.
+// LoadScenario reads an embedded scenario by name, or else a scenario file by path.
 func LoadScenario(name string) (*Scenario, error) {
 	text, err := scenarioFiles.ReadFile("scenarios/" + name + ".cue")
 	if err != nil {
@@ -87,17 +87,17 @@
 	return d
 }
 
-// ClusterConfig is a run of a scenario.
+// ClusterConfig configures the run of a scenario.
 type ClusterConfig struct {
 	Daemon    string
 	Scenario  *Scenario
-	Processes int // 0: as the scenario says
+	Processes int // 0: the scenario's number
 	Seed      uint64
 	Logs      string // a folder for the dispatchers' logs; empty: none
 	Output    io.Writer
 }
 
-// ClusterReport is what came of it.
+// ClusterReport is the result of a scenario's run.
 type ClusterReport struct {
 	Scenario  string   `json:"scenario"`
 	Processes int      `json:"processes"`
@@ -106,58 +106,59 @@
 	Breaches  []string `json:"breaches"`
 	Views     int      `json:"views"`
 	Removed   int      `json:"removed_though_sound"`
-	SettledMS int64    `json:"settled_ms"` // from the last step until all that live agree
+	SettledMS int64    `json:"settled_ms"` // from the last step until all live members agree
 	FormedMS  int64    `json:"formed_ms"`
 	Served    int64    `json:"served"`
 	Refused   int64    `json:"refused"`
 	Failed    int64    `json:"failed"`
-	Broken    int64    `json:"broken"` // no whole answer, of dispatchers that lived
+	Broken    int64    `json:"broken"` // without a complete response, from dispatchers that were not interrupted
 	Killed    int64    `json:"broken_of_killed"`
-	Twice     int      `json:"run_twice"`             // of those that must not
-	LateMS    float64  `json:"latest_after_drain_ms"` // of all jobs, from when the dispatcher counts as told
-	Fullest   float64  `json:"fullest_cold_host"`     // work within the fall time over what pushes a cold host over: 1 does
+	Twice     int      `json:"run_twice"`             // of the messages that must run at most once
+	LateMS    float64  `json:"latest_after_drain_ms"` // maximum over all jobs, since the dispatcher counts as notified of the drain
+	Fullest   float64  `json:"fullest_cold_host"`     // highest ratio of work within the overload window to the amount that overloads a cold host; above 1 it is overloaded
 	Carried   int64    `json:"datagrams"`
 	Lost      int64    `json:"datagrams_lost"`
 }
 
-// clusterMember is one dispatcher of the run, with its own hosts, discovery and clients.
+// clusterMember is one dispatcher of the run with its separate hosts, discovery and clients.
 type clusterMember struct {
-	i        int
-	world    *World
-	load     *Load
-	process  *Process
-	control  string
-	settings string
-	log      *os.File
-	hosts    []*hostJudge
-	unheard  bool // discovery is not open to it
-
-	mu     sync.Mutex
-	alive  bool
-	paused bool
-	ever   bool // was killed or ended in this run: its clients may have been cut off
-	seen   *gossip.Status
+	i                int
+	testbed          *Testbed
+	load             *Load
+	process          *Process
+	control          string
+	settings         string
+	log              *os.File
+	hosts            []*hostChecker
+	discoveryBlocked bool // a step has broken its connections to discovery
+
+	mu         sync.Mutex
+	alive      bool
+	paused     bool
+	wasStopped bool // was killed or stopped in this run: its clients may have lost their connections
+	status     *gossip.Status
 	lineage,
 	view uint64
 }
 
 type cluster struct {
 	ClusterConfig
-	n       int
-	dir     string
-	links   *Links
-	members []*clusterMember
-	began   time.Time
-	sets    map[string][]int
-	mu      sync.Mutex
-	views   map[[2]uint64]string // by lineage and number: the list
-	report  ClusterReport
-	ids     [][]string
+	n            int
+	dir          string
+	links        *UDPLinks
+	members      []*clusterMember
+	started      time.Time
+	memberSets   map[string][]int
+	mu           sync.Mutex
+	views        map[[2]uint64]string // member list by lineage and view number
+	report       ClusterReport
+	singleRunIDs [][]string
 }
 
-// RunCluster plays a scenario with real processes, and judges from outside what each believed when. It ends only processes that it started.
+// RunCluster runs a scenario with real processes and checks the views that they report over their control addresses. It ends only processes
+// that it started.
 func RunCluster(ctx context.Context, c ClusterConfig) (*ClusterReport, error) {
-	k := &cluster{ClusterConfig: c, n: c.Processes, sets: map[string][]int{}, views: map[[2]uint64]string{}}
+	k := &cluster{ClusterConfig: c, n: c.Processes, memberSets: map[string][]int{}, views: map[[2]uint64]string{}}
 	if k.n == 0 {
 		k.n = c.Scenario.Processes
 	}
@@ -168,11 +169,11 @@
 		k.Output = io.Discard
 	}
 	k.report = ClusterReport{Scenario: c.Scenario.Name, Processes: k.n, Seed: c.Seed}
-	k.draw()
-	err := k.open(ctx)
+	k.chooseMembers()
+	err := k.startAll(ctx)
 	defer k.close()
 	if err == nil {
-		err = k.play(ctx)
+		err = k.run(ctx)
 	}
 	if err != nil {
 		return nil, err
@@ -181,27 +182,27 @@
 	return &k.report, nil
 }
 
-// draw says who is meant by each word.
-func (k *cluster) draw() {
+// chooseMembers chooses the members that each word of a scenario stands for, from the seed.
+func (k *cluster) chooseMembers() {
 	rng := rand.New(rand.NewPCG(k.Seed, 31))
 	order := rng.Perm(k.n)
 	share := func(x float64) []int { return order[:min(k.n, max(1, int(x*float64(k.n)+0.5)))] }
-	k.sets["one"], k.sets["tenth"], k.sets["third"], k.sets["most"] = order[:1], share(0.1), share(0.3), share(0.7)
+	k.memberSets["one"], k.memberSets["tenth"], k.memberSets["third"], k.memberSets["most"] = order[:1], share(0.1), share(0.3), share(0.7)
 	for i := range k.n {
-		k.sets["all"] = append(k.sets["all"], i)
-		if 2*i < k.n-1 { // the smaller one
-			k.sets["half"] = append(k.sets["half"], i)
+		k.memberSets["all"] = append(k.memberSets["all"], i)
+		if 2*i < k.n-1 { // the smaller half
+			k.memberSets["half"] = append(k.memberSets["half"], i)
 		}
 	}
 }
 
-func (k *cluster) who(name string, but []int) (set []int) {
+func (k *cluster) membersOf(name string, except []int) (set []int) {
 	if name == "rest" {
-		if len(but) == k.n { // of nobody in particular: those that "half" leaves
-			but = k.sets["half"]
+		if len(except) == k.n { // the complement of all members is empty: "rest" means those outside "half"
+			except = k.memberSets["half"]
 		}
 		for i := range k.n {
-			if !slices.Contains(but, i) {
+			if !slices.Contains(except, i) {
 				set = append(set, i)
 			}
 		}
@@ -210,47 +211,47 @@
 	if i, err := strconv.Atoi(name); err == nil {
 		return []int{i % k.n}
 	}
-	return k.sets[name]
+	return k.memberSets[name]
 }
 
-// at is an address of a dispatcher's own: each has a host of loopback for itself, as on addresses that others take their ports from one that
-// has just been found free may be gone. Two runs on one machine have different networks.
-func (k *cluster) at(i, port int) string {
+// address returns an address for one dispatcher. Each dispatcher has a loopback IP address to itself, since on a shared one a port that was
+// just found free may be taken before the dispatcher listens there. Two runs on one machine use different networks.
+func (k *cluster) address(i, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+os.Getpid()>>8&127, os.Getpid()&255, 1+i, port)
 }
 
-// open starts all and waits until they are together.
-func (k *cluster) open(ctx context.Context) (err error) {
+// startAll starts all members with their hosts, discovery and load, and waits until they agree on one view.
+func (k *cluster) startAll(ctx context.Context) (err error) {
 	if k.dir, err = os.MkdirTemp("", "liftlab-cluster-"); err != nil {
 		return err
 	}
-	var real []string
+	var listenAddresses []string
 	for i := range k.n {
-		real = append(real, k.at(i, 7946))
+		listenAddresses = append(listenAddresses, k.address(i, 7946))
 	}
-	if k.links, err = NewLinks(real, k.Seed); err != nil {
+	if k.links, err = NewUDPLinks(listenAddresses, k.Seed); err != nil {
 		return err
 	}
-	k.ids = make([][]string, k.n)
+	k.singleRunIDs = make([][]string, k.n)
 	var seeds []string
 	for i := range min(5, k.n) {
-		seeds = append(seeds, strconv.Quote(k.links.Known(i)))
+		seeds = append(seeds, strconv.Quote(k.links.AdvertisedAddress(i)))
 	}
-	k.began = time.Now()
+	k.started = time.Now()
 	for i := range k.n {
 		m := &clusterMember{i: i}
 		k.members = append(k.members, m)
 		const slots, job = 4, 20 * time.Millisecond
-		if m.world, err = StartWorld(WorldConfig{Hosts: 3, Slots: slots, Queue: 8, Job: job, Links: true, Listen: k.at(i, 8443), Each: func(_ int, h *standin.HostConfig) {
-			judge := &hostJudge{rules: rulesOfClusters(slots)}
-			m.hosts = append(m.hosts, judge)
-			h.Accepted = func() { judge.took(time.Since(k.began), job) }
+		if m.testbed, err = StartTestbed(TestbedConfig{Hosts: 3, Slots: slots, Queue: 8, Job: job, Links: true, Listen: k.address(i, 8443), Each: func(_ int, h *standin.HostConfig) {
+			checker := &hostChecker{limits: clusterHostLimits(slots)}
+			m.hosts = append(m.hosts, checker)
+			h.Accepted = func() { checker.accepted(time.Since(k.started), job) }
 		}}); err != nil {
 			return err
 		}
-		m.control = k.at(i, 9443)
+		m.control = k.address(i, 9443)
 		m.settings = filepath.Join(k.dir, fmt.Sprintf("n%d.cue", i))
-		text := fmt.Sprintf("membership: {listen: %q, advertise: %q, cluster: \"lab\", seeds: [%s]}\n", real[i], k.links.Known(i), strings.Join(seeds, ", "))
+		text := fmt.Sprintf("membership: {listen: %q, advertise: %q, cluster: \"lab\", seeds: [%s]}\n", listenAddresses[i], k.links.AdvertisedAddress(i), strings.Join(seeds, ", "))
 		if err := os.WriteFile(m.settings, []byte(text), 0o600); err != nil {
 			return err
 		}
@@ -266,73 +267,73 @@
 	var starts sync.WaitGroup
 	errs := make([]error, k.n)
 	for i := range k.n {
-		starts.Go(func() { errs[i] = k.start(ctx, i) })
+		starts.Go(func() { errs[i] = k.startMember(ctx, i) })
 	}
 	starts.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	for i, m := range k.members {
-		m.load = StartLoad(ctx, LoadConfig{Address: m.world.Listen, Clients: 2, Body: []byte("level 3"), Patience: 5 * time.Second, Pause: 60 * time.Millisecond, Seed: k.Seed<<8 + uint64(i),
+		m.load = StartLoad(ctx, LoadConfig{Address: m.testbed.Listen, Clients: 2, Body: []byte("level 3"), Timeout: 5 * time.Second, Pause: 60 * time.Millisecond, Seed: k.Seed<<8 + uint64(i),
 			Done: func(id, class string, status int) {
 				k.mu.Lock()
 				defer k.mu.Unlock()
-				if class == classNames[1] { // must never run twice; the other class may, within its cell, which all of these hosts are
-					k.ids[i] = append(k.ids[i], id)
+				if class == classNames[1] { // must never run twice; the other class may within its cell, and all of these hosts are in one cell
+					k.singleRunIDs[i] = append(k.singleRunIDs[i], id)
 				}
-				if status == 0 && m.wasCut() {
+				if status == 0 && m.wasInterrupted() {
 					k.report.Killed++
 				}
 			}})
 	}
 	formed := time.Now()
-	if !k.wait(ctx, 90*time.Second, k.together) {
-		return errors.Join(ctx.Err(), errors.New("the fleet did not form within 90 s: "+k.standing()))
+	if !k.waitUntil(ctx, 90*time.Second, k.converged) {
+		return errors.Join(ctx.Err(), errors.New("the fleet did not form within 90 s: "+k.describeMembers()))
 	}
-	k.report.FormedMS = time.Since(k.began).Milliseconds()
+	k.report.FormedMS = time.Since(k.started).Milliseconds()
 	fmt.Fprintf(k.Output, "%d dispatchers in one view %.1f s after the start\n", k.n, time.Since(formed).Seconds())
 	return nil
 }
 
-// runs says whether its process is there and goes on.
-func (m *clusterMember) runs() bool {
+// running reports whether the member's process is alive and not paused.
+func (m *clusterMember) running() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.alive && !m.paused
 }
 
-func (m *clusterMember) wasCut() bool {
+func (m *clusterMember) wasInterrupted() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ever || m.paused
+	return m.wasStopped || m.paused
 }
 
-// start starts a dispatcher's process.
-func (k *cluster) start(ctx context.Context, i int) error {
+// startMember starts a dispatcher's process.
+func (k *cluster) startMember(ctx context.Context, i int) error {
 	m := k.members[i]
-	if err := k.links.Alive(i, true); err != nil {
+	if err := k.links.SetAlive(i, true); err != nil {
 		return err
 	}
 	var log io.Writer = io.Discard
 	if m.log != nil {
 		log = m.log
 	}
-	p, err := m.world.Daemon(ctx, DaemonConfig{Binary: k.Daemon, MemoryMB: 64, Sockets: 256, Patience: 5 * time.Second, Settings: m.settings, Control: true, ControlAt: m.control,
+	p, err := m.testbed.Daemon(ctx, DaemonConfig{Binary: k.Daemon, MemoryMB: 64, Sockets: 256, Timeout: 5 * time.Second, Settings: m.settings, Control: true, ControlAt: m.control,
 		Stderr: log, Name: fmt.Sprintf("n%02d", i), Number: i, Fleet: k.n, Procs: 1})
 	if err != nil {
 		return fmt.Errorf("n%02d: %w", i, err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.process, m.alive, m.paused, m.seen = p, true, false, nil
+	m.process, m.alive, m.paused, m.status = p, true, false, nil
 	return nil
 }
 
-// do carries out a step.
-func (k *cluster) do(ctx context.Context, s Step) error {
-	who := k.who(s.Who, k.who(s.To, nil))
-	to := k.who(s.To, who)
-	fmt.Fprintf(k.Output, "%6.1f s  %s %s %v\n", time.Since(k.began).Seconds(), s.Do, s.Who, who)
+// apply carries out a step.
+func (k *cluster) apply(ctx context.Context, s Step) error {
+	who := k.membersOf(s.Who, k.membersOf(s.To, nil))
+	to := k.membersOf(s.To, who)
+	fmt.Fprintf(k.Output, "%6.1f s  %s %s %v\n", time.Since(k.started).Seconds(), s.Do, s.Who, who)
 	switch s.Do {
 	case "link", "heal":
 		var f Fault
@@ -344,7 +345,7 @@
 		for _, a := range who {
 			for _, b := range to {
 				if a != b {
-					k.links.Set(a, b, f)
+					k.links.SetFault(a, b, f)
 				}
 			}
 		}
@@ -356,24 +357,24 @@
 			m := k.members[i]
 			for h := range min(s.Hosts, len(m.hosts)) {
 				if s.Do == "drain" {
-					m.world.Say(h, "DRAINING", time.Time{})
-					m.hosts[h].drains(time.Since(k.began), !m.unheard && m.runs())
+					m.testbed.SetHostState(h, "DRAINING", time.Time{})
+					m.hosts[h].drain(time.Since(k.started), !m.discoveryBlocked && m.running())
 					continue
 				}
-				m.hosts[h].returns(time.Since(k.began))
-				m.world.Say(h, "SERVING", time.Now())
+				m.hosts[h].restart(time.Since(k.started))
+				m.testbed.SetHostState(h, "SERVING", time.Now())
 			}
 		}
 		return nil
 	case "hosts", "discovery":
 		delay, _ := time.ParseDuration(s.Delay)
 		for _, i := range who {
-			w := k.members[i].world
-			links := []*TCPLink{w.ListLink}
+			w := k.members[i].testbed
+			links := []*TCPLink{w.DiscoveryLink}
 			if s.Do == "hosts" {
 				links = w.HostLinks[:min(s.Hosts, len(w.HostLinks))]
 			} else {
-				k.members[i].unheard = s.Mode != Open
+				k.members[i].discoveryBlocked = s.Mode != Open
 			}
 			for _, l := range links {
 				if err := l.Set(s.Mode, delay); err != nil {
@@ -401,21 +402,21 @@
 			m.paused = s.Do == "pause"
 			m.mu.Unlock()
 		case "kill":
-			m.down()
+			m.markStopped()
 			p.Kill()
-			if err := k.links.Alive(i, false); err != nil {
+			if err := k.links.SetAlive(i, false); err != nil {
 				return err
 			}
 		case "stop":
-			m.down()
+			m.markStopped()
 			if err := p.Stop(); err != nil {
 				return fmt.Errorf("n%02d: %w", i, err)
 			}
-			if err := k.links.Alive(i, false); err != nil {
+			if err := k.links.SetAlive(i, false); err != nil {
 				return err
 			}
 		case "start":
-			if err := k.start(ctx, i); err != nil {
+			if err := k.startMember(ctx, i); err != nil {
 				return err
 			}
 		}
@@ -423,34 +424,34 @@
 	return nil
 }
 
-func (m *clusterMember) down() {
+func (m *clusterMember) markStopped() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.alive, m.ever, m.seen = false, true, nil
+	m.alive, m.wasStopped, m.status = false, true, nil
 }
 
-// play carries out the steps and judges.
-func (k *cluster) play(ctx context.Context) error {
+// run applies the steps at their times, waits for agreement and checks the results.
+func (k *cluster) run(ctx context.Context) error {
 	start := time.Now()
 	steps := slices.Clone(k.Scenario.Steps)
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.at() - b.at()) })
 	for _, s := range steps {
-		k.wait(ctx, s.at()-time.Since(start), func() bool { return false })
+		k.waitUntil(ctx, s.at()-time.Since(start), func() bool { return false })
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err := k.do(ctx, s); err != nil {
+		if err := k.apply(ctx, s); err != nil {
 			return err
 		}
 	}
 	settle, _ := time.ParseDuration(k.Scenario.Settle)
 	last := time.Now()
-	if k.wait(ctx, settle, k.together) {
+	if k.waitUntil(ctx, settle, k.converged) {
 		k.report.SettledMS = time.Since(last).Milliseconds()
 	} else if ctx.Err() != nil {
 		return ctx.Err()
 	} else {
-		k.breach("%v after the last step those that live do not agree: %s", settle, k.standing())
+		k.addViolation("%v after the last step those that live do not agree: %s", settle, k.describeMembers())
 	}
 	for _, m := range k.members {
 		m.load.Stop()
@@ -459,36 +460,36 @@
 		k.report.Refused += t.Refused
 		k.report.Failed += t.Failed
 		k.report.Broken += t.Broken
-		for _, id := range k.ids[m.i] {
-			if len(m.world.Ledger.Runs(id)) > 1 {
+		for _, id := range k.singleRunIDs[m.i] {
+			if len(m.testbed.Ledger.Runs(id)) > 1 {
 				k.report.Twice++
 			}
 		}
 	}
 	for _, m := range k.members {
 		for i, h := range m.hosts {
-			broken, late, fullest := h.verdict()
-			k.report.LateMS, k.report.Fullest = max(k.report.LateMS, float64(late)/1e6), max(k.report.Fullest, fullest)
-			for _, b := range broken[:min(1, len(broken))] {
-				k.breach("host %d of n%02d, %d times: %s", i, m.i, len(broken), b)
+			violations, late, highestLoad := h.results()
+			k.report.LateMS, k.report.Fullest = max(k.report.LateMS, float64(late)/1e6), max(k.report.Fullest, highestLoad)
+			for _, b := range violations[:min(1, len(violations))] {
+				k.addViolation("host %d of n%02d, %d times: %s", i, m.i, len(violations), b)
 			}
 		}
 	}
 	if k.report.Broken -= k.report.Killed; k.report.Broken > 0 {
-		k.breach("%d messages of dispatchers that lived got no whole answer", k.report.Broken)
+		k.addViolation("%d messages of dispatchers that lived got no whole answer", k.report.Broken)
 	}
 	if k.report.Twice > 0 {
-		k.breach("%d messages that must never run twice did", k.report.Twice)
+		k.addViolation("%d messages that must never run twice did", k.report.Twice)
 	}
 	k.report.Views = len(k.views)
 	k.report.Carried, k.report.Lost = k.links.Carried.Load(), k.links.Lost.Load()
 	return nil
 }
 
-// wait looks at all members again and again until something holds, or the time is over.
-func (k *cluster) wait(ctx context.Context, d time.Duration, holds func() bool) bool {
+// waitUntil polls all members until the condition holds, the time is over or the context ends, and reports whether the condition held.
+func (k *cluster) waitUntil(ctx context.Context, d time.Duration, holds func() bool) bool {
 	for end := time.Now().Add(d); ; {
-		k.look(ctx)
+		k.poll(ctx)
 		if holds() {
 			return true
 		}
@@ -502,46 +503,46 @@
 	}
 }
 
-// look asks every member what it believes, and checks it against all that was believed before.
-func (k *cluster) look(ctx context.Context) {
-	var asks sync.WaitGroup
+// poll requests the status of each running member and checks its view against those reported before.
+func (k *cluster) poll(ctx context.Context) {
+	var requests sync.WaitGroup
 	for _, m := range k.members {
 		m.mu.Lock()
-		ask := m.alive && !m.paused
+		reachable := m.alive && !m.paused
 		m.mu.Unlock()
-		if !ask {
+		if !reachable {
 			continue
 		}
-		asks.Go(func() {
-			within, stop := context.WithTimeout(ctx, time.Second)
-			defer stop()
-			r, err := http.NewRequestWithContext(within, "GET", "http://"+m.control+"/control/members", nil)
+		requests.Go(func() {
+			requestCtx, cancel := context.WithTimeout(ctx, time.Second)
+			defer cancel()
+			r, err := http.NewRequestWithContext(requestCtx, "GET", "http://"+m.control+"/control/members", nil)
 			if err != nil {
 				return
 			}
 			r.Close = true
-			answer, err := http.DefaultClient.Do(r)
+			response, err := http.DefaultClient.Do(r)
 			if err != nil {
 				return
 			}
-			defer answer.Body.Close()
-			text, err := io.ReadAll(answer.Body)
+			defer response.Body.Close()
+			text, err := io.ReadAll(response.Body)
 			var s gossip.Status
-			if err != nil || answer.StatusCode != 200 || json.Unmarshal(text, &s) != nil {
+			if err != nil || response.StatusCode != 200 || json.Unmarshal(text, &s) != nil {
 				return
 			}
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			if m.alive {
-				m.seen = &s
+				m.status = &s
 			}
 		})
 	}
-	asks.Wait()
-	sound := k.sound()
+	requests.Wait()
+	healthy := k.healthy()
 	for _, m := range k.members {
 		m.mu.Lock()
-		s := m.seen
+		s := m.status
 		m.mu.Unlock()
 		if s == nil || s.View == 0 {
 			continue
@@ -556,32 +557,32 @@
 		if have, ok := k.views[key]; !ok {
 			k.views[key] = list.String()
 			if k.report.FormedMS > 0 {
-				fmt.Fprintf(k.Output, "%6.1f s  view %d: %d members\n", time.Since(k.began).Seconds(), s.View, len(s.Members))
-				for _, i := range sound {
+				fmt.Fprintf(k.Output, "%6.1f s  view %d: %d members\n", time.Since(k.started).Seconds(), s.View, len(s.Members))
+				for _, i := range healthy {
 					if !in[fmt.Sprintf("n%02d", i)] {
 						k.report.Removed++
-						k.breach("view %d is without n%02d, which nothing is wrong with", s.View, i)
+						k.addViolation("view %d is without n%02d, which nothing is wrong with", s.View, i)
 					}
 				}
 			}
 		} else if have != list.String() {
-			k.breach("n%02d has another view %d than others: %s and %s", m.i, s.View, list.String(), have)
+			k.addViolation("n%02d has another view %d than others: %s and %s", m.i, s.View, list.String(), have)
 		}
 		m.mu.Lock()
 		if m.lineage == s.Lineage && s.View < m.view {
-			k.breach("n%02d went back from view %d to %d", m.i, m.view, s.View)
+			k.addViolation("n%02d went back from view %d to %d", m.i, m.view, s.View)
 		}
 		m.lineage, m.view = s.Lineage, s.View
 		m.mu.Unlock()
 	}
 }
 
-// sound are the members that no step takes for dead.
-func (k *cluster) sound() (set []int) {
-	lost := k.who(k.Scenario.MayLose, nil)
+// healthy returns the live members that were never stopped and that the scenario does not allow to be removed.
+func (k *cluster) healthy() (set []int) {
+	lost := k.membersOf(k.Scenario.MayLose, nil)
 	for _, m := range k.members {
 		m.mu.Lock()
-		if m.alive && !m.ever && !slices.Contains(lost, m.i) {
+		if m.alive && !m.wasStopped && !slices.Contains(lost, m.i) {
 			set = append(set, m.i)
 		}
 		m.mu.Unlock()
@@ -589,21 +590,21 @@
 	return set
 }
 
-func (k *cluster) breach(format string, a ...any) {
-	text := fmt.Sprintf("%.1f s: ", time.Since(k.began).Seconds()) + fmt.Sprintf(format, a...)
+func (k *cluster) addViolation(format string, a ...any) {
+	text := fmt.Sprintf("%.1f s: ", time.Since(k.started).Seconds()) + fmt.Sprintf(format, a...)
 	if len(k.report.Breaches) < 20 {
 		k.report.Breaches = append(k.report.Breaches, text)
 	}
 	fmt.Fprintln(k.Output, "BREACH", text)
 }
 
-// together: all that live hold one view of just those that live, and are in touch.
-func (k *cluster) together() bool {
+// converged reports whether all live members are in touch and share one view that has as many members as are alive.
+func (k *cluster) converged() bool {
 	alive := 0
 	var first *gossip.Status
 	for _, m := range k.members {
 		m.mu.Lock()
-		s, up := m.seen, m.alive
+		s, up := m.status, m.alive
 		m.mu.Unlock()
 		if !up {
 			continue
@@ -617,29 +618,29 @@
 	return first != nil && len(first.Members) == alive
 }
 
-// standing says where everybody is.
-func (k *cluster) standing() string {
+// describeMembers returns the state of every member for messages.
+func (k *cluster) describeMembers() string {
 	var b strings.Builder
 	for _, m := range k.members {
 		m.mu.Lock()
 		switch {
 		case !m.alive:
 			fmt.Fprintf(&b, "n%02d dead; ", m.i)
-		case m.seen == nil:
+		case m.status == nil:
 			fmt.Fprintf(&b, "n%02d silent; ", m.i)
 		default:
-			fmt.Fprintf(&b, "n%02d %s view %d of %d, in touch %v; ", m.i, m.seen.State, m.seen.View, len(m.seen.Members), m.seen.InTouch)
+			fmt.Fprintf(&b, "n%02d %s view %d of %d, in touch %v; ", m.i, m.status.State, m.status.View, len(m.status.Members), m.status.InTouch)
 		}
 		m.mu.Unlock()
 	}
 	return b.String()
 }
 
-// close ends all that was started.
+// close ends all processes, loads and stand-ins that were started, and removes the temporary folder.
 func (k *cluster) close() {
-	var ends sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, m := range k.members {
-		ends.Go(func() {
+		stops.Go(func() {
 			if m.load != nil {
 				m.load.stop()
 			}
@@ -650,15 +651,15 @@
 			if m.load != nil {
 				m.load.Stop()
 			}
-			if m.world != nil {
-				m.world.Close()
+			if m.testbed != nil {
+				m.testbed.Close()
 			}
 			if m.log != nil {
 				m.log.Close()
 			}
 		})
 	}
-	ends.Wait()
+	stops.Wait()
 	if k.links != nil {
 		k.links.Close()
 	}
--- a/lab/cluster_test.go
+++ b/lab/cluster_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestCluster plays two scenarios with real processes, briefly: most are killed at once, and one is killed and comes back. What must hold is
-// waited for, however long it takes.
-func TestCluster(t *testing.T) {
+// TestClusterScenariosHold runs two short scenarios with real processes: most members are killed at once, and one is killed and restarted.
+// The long settle time keeps the result independent of the machine's speed.
+func TestClusterScenariosHold(t *testing.T) {
 	daemon := build(t)
 	for name, text := range map[string]string{
 		"mass-kill":     `means: "as a test", processes: 4, settle: "3m", steps: [{at: "0s", do: "kill", who: "most"}], mayLose: "most"`,
@@ -38,19 +38,19 @@
 	}
 }
 
-// TestClusterStops: Ctrl-C at any point leaves no process.
-func TestClusterStops(t *testing.T) {
+// TestCancelledClusterLeavesNoProcess checks that a cancelled run leaves no process and no folder behind.
+func TestCancelledClusterLeavesNoProcess(t *testing.T) {
 	s, err := LoadScenario("loss")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Processes = 2
 	ctx, stop := context.WithCancel(t.Context())
-	k := &cluster{ClusterConfig: ClusterConfig{Daemon: build(t), Scenario: s, Output: writer(func(string) { stop() })}, n: 2, sets: map[string][]int{}, views: map[[2]uint64]string{}}
-	k.draw()
-	err = k.open(ctx) // is stopped as it says that all are together
+	k := &cluster{ClusterConfig: ClusterConfig{Daemon: build(t), Scenario: s, Output: writer(func(string) { stop() })}, n: 2, memberSets: map[string][]int{}, views: map[[2]uint64]string{}}
+	k.chooseMembers()
+	err = k.startAll(ctx) // the context is cancelled as soon as the run prints that the fleet has formed
 	if err == nil {
-		err = k.play(ctx)
+		err = k.run(ctx)
 	}
 	k.close()
 	if err == nil {
@@ -59,7 +59,7 @@
 	for _, m := range k.members {
 		if p := m.process; p != nil {
 			select {
-			case <-p.Ended():
+			case <-p.Exited():
 			default:
 				t.Errorf("process %d is left", m.i)
 			}
@@ -77,55 +77,55 @@
 	return len(b), nil
 }
 
-// TestLinks: what a link's fault says is done to datagrams in that direction only, and a dead member's address refuses.
-func TestLinks(t *testing.T) {
-	var real []string
+// TestUDPLinkFaultsAreDirected checks that a fault applies to datagrams in one direction only, and that a dead member's address is closed.
+func TestUDPLinkFaultsAreDirected(t *testing.T) {
+	var listenAddresses []string
 	for range 2 {
-		at, err := freeUDP()
+		at, err := freeUDPAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
-		real = append(real, at)
+		listenAddresses = append(listenAddresses, at)
 	}
-	l, err := NewLinks(real, 1)
+	l, err := NewUDPLinks(listenAddresses, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	a, b := listenUDP(t, real[0]), listenUDP(t, real[1])
+	a, b := listenUDP(t, listenAddresses[0]), listenUDP(t, listenAddresses[1])
 	defer a.Close()
 	defer b.Close()
-	l.Set(0, 1, Fault{Loss: 1})
-	send(t, a, l.Known(1), "lost")
-	await(t, "a loss", func() bool { return l.Lost.Load() == 1 }) // the link takes it when it comes to it
-	send(t, b, l.Known(0), "one way")
-	if got, from := receive(t, a); got != "one way" || from != l.Known(1) {
+	l.SetFault(0, 1, Fault{Loss: 1})
+	send(t, a, l.AdvertisedAddress(1), "lost")
+	waitFor(t, "a loss", func() bool { return l.Lost.Load() == 1 }) // the datagram is counted asynchronously
+	send(t, b, l.AdvertisedAddress(0), "one way")
+	if got, from := receive(t, a); got != "one way" || from != l.AdvertisedAddress(1) {
 		t.Errorf("%q from %s", got, from)
 	}
-	l.Set(0, 1, Fault{Duplicate: 1, Delay: time.Millisecond})
-	send(t, a, l.Known(1), "twice")
+	l.SetFault(0, 1, Fault{Duplicate: 1, Delay: time.Millisecond})
+	send(t, a, l.AdvertisedAddress(1), "twice")
 	for range 2 {
-		if got, from := receive(t, b); got != "twice" || from != l.Known(0) {
+		if got, from := receive(t, b); got != "twice" || from != l.AdvertisedAddress(0) {
 			t.Errorf("%q from %s", got, from)
 		}
 	}
-	if err := l.Alive(1, false); err != nil {
+	if err := l.SetAlive(1, false); err != nil {
 		t.Fatal(err)
 	}
 	if l.Lost.Load() != 1 || l.Carried.Load() != 2 {
 		t.Errorf("%d lost, %d carried", l.Lost.Load(), l.Carried.Load())
 	}
-	if err := l.Alive(1, true); err != nil {
+	if err := l.SetAlive(1, true); err != nil {
 		t.Fatal(err)
 	}
-	l.Set(0, 1, Fault{})
-	send(t, a, l.Known(1), "back")
+	l.SetFault(0, 1, Fault{})
+	send(t, a, l.AdvertisedAddress(1), "back")
 	if got, _ := receive(t, b); got != "back" {
 		t.Errorf("%q", got)
 	}
 }
 
-func TestScenarios(t *testing.T) {
+func TestScenariosLoad(t *testing.T) {
 	for _, name := range Scenarios() {
 		if s, err := LoadScenario(name); err != nil || len(s.Steps) == 0 || s.Means == "" {
 			t.Errorf("%s: %v, %+v", name, err, s)
@@ -164,14 +164,14 @@
 	return string(b[:n]), at.String()
 }
 
-// TestTCPLink: each mode does what it says to connections that are open and to new ones, and is undone.
-func TestTCPLink(t *testing.T) {
+// TestTCPLinkModes checks the effect of each mode on open and new connections, and that the link works again after it.
+func TestTCPLinkModes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go func() { // an echo
+	go func() { // echo server
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -217,7 +217,7 @@
 	if err := echo(old, "open"); err != nil {
 		t.Fatal(err)
 	}
-	for _, mode := range []Mode{Silent, NoBack} { // what is kept back comes when the link opens
+	for _, mode := range []Mode{Unresponsive, NoResponses} { // held data are forwarded when the link opens
 		link.Set(mode, 0)
 		old.Write([]byte("kept"))
 		link.Set(Open, 0)
@@ -254,8 +254,9 @@
 	}
 }
 
-// TestMemberCost: a daemon in a small fleet serves on while datagrams come that are none of the protocol's.
-func TestMemberCost(t *testing.T) {
+// TestDaemonServesDuringInvalidDatagrams checks that a daemon in a small fleet keeps serving while it receives datagrams that do not belong to
+// the protocol.
+func TestDaemonServesDuringInvalidDatagrams(t *testing.T) {
 	r, err := RunMemberCost(t.Context(), MemberCostConfig{Daemon: build(t), Members: 3, Length: 200 * time.Millisecond, Flood: 2000, Seed: 1, Output: io.Discard})
 	if err != nil {
 		t.Fatal(err)
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -15,7 +15,7 @@
 	"liftgauge/internal/standin"
 )
 
-// DemoConfig is what liftlab demo shows.
+// DemoConfig configures liftlab demo.
 type DemoConfig struct {
 	Daemon   string
 	Hosts    int
@@ -25,11 +25,11 @@
 	Capture  string        // a folder for captured load; empty for none
 	Out      io.Writer
 	Stderr   io.Writer
-	Live     bool // the line is written over itself
+	Live     bool // overwrite the status line in place
 }
 
-// Demo starts hosts, workers, discovery, some load and the daemon on loopback and tells each second what happens. Now and
-// then a host drains, one vanishes and comes back, or a worker drops at its job.
+// Demo starts hosts, workers, discovery, some load and the daemon on loopback and prints a status line each second. From
+// time to time a host drains, a host dies and restarts, or a worker closes its connection during a job.
 func Demo(ctx context.Context, c DemoConfig) error {
 	if c.Duration > 0 {
 		var stop context.CancelFunc
@@ -42,17 +42,17 @@
 	if c.Capture != "" {
 		routes += "}\ncapture: {\n\tfolder: " + strconv.Quote(c.Capture) + "\n"
 	}
-	w, err := g.world(ctx, routes, 20*time.Millisecond, func(string) bool { return drop.Swap(false) })
+	w, err := g.startTestbed(ctx, routes, 20*time.Millisecond, func(string) bool { return drop.Swap(false) })
 	if err != nil {
 		return err
 	}
 	defer w.close()
-	fmt.Fprintf(c.Out, "%d hosts, %d Gearman workers, discovery and liftgauge (process %d) run on loopback. Try:\n", c.Hosts, c.Workers, w.p.cmd.Process.Pid)
+	fmt.Fprintf(c.Out, "%d hosts, %d Gearman workers, discovery and liftgauge (process %d) run on loopback. Try:\n", c.Hosts, c.Workers, w.process.cmd.Process.Pid)
 	fmt.Fprintf(c.Out, "  curl -i http://%s/gauge-reading -H 'Req-Id: mine-1' -H 'Idempotency-Key: k1' -d 'level 3'\n", w.Listen)
 	fmt.Fprintf(c.Out, "  bash -c 'exec 3<>/dev/tcp/%s; echo status >&3; sed /^[.]/q <&3'\n", strings.Replace(w.address, ":", "/", 1))
 	fmt.Fprintln(c.Out, "Ctrl-C ends it.")
 
-	load := StartLoad(ctx, LoadConfig{Address: w.Listen, Clients: c.Clients, Body: standin.FixedResult(200)(nil), Patience: 5 * time.Second,
+	load := StartLoad(ctx, LoadConfig{Address: w.Listen, Clients: c.Clients, Body: standin.FixedResult(200)(nil), Timeout: 5 * time.Second,
 		Pause: 30 * time.Millisecond, Seed: 1, Done: func(id, _ string, _ int) { w.Ledger.Forget(id) }})
 	defer load.Stop()
 	var served, other atomic.Int64
@@ -83,20 +83,20 @@
 	}
 	ticks := time.NewTicker(time.Second)
 	defer ticks.Stop()
-	happens, gone := "", -1
+	event, lost := "", -1
 	for second := 1; ; second++ {
 		select {
 		case <-ticks.C:
-		case <-w.p.Ended():
-			return fmt.Errorf("the daemon ended: %v", w.p.err)
+		case <-w.process.Exited():
+			return fmt.Errorf("the daemon ended: %v", w.process.err)
 		case <-ctx.Done():
 			fmt.Fprintln(c.Out, "\nending")
 			load.Stop()
 			clients.Wait()
-			return w.p.Stop()
+			return w.process.Stop()
 		}
 		t := load.Take()
-		u, err := w.p.Usage()
+		u, err := w.process.Usage()
 		if err != nil {
 			return err
 		}
@@ -107,33 +107,33 @@
 			m.Phase = "DRAINING"
 			w.Discovery.Set(m)
 			h.Drain(true)
-			happens = h.Name + " drains"
+			event = h.Name + " drains"
 		case second%12 == 6:
 			h := w.Hosts[(second-3)%n]
 			h.Drain(false)
 			w.Discovery.Set(h.Member())
-			happens = h.Name + " serves again"
+			event = h.Name + " serves again"
 		case second%12 == 8:
 			drop.Store(true)
-			happens = "a worker drops at its job"
+			event = "a worker drops at its job"
 		case second%12 == 10 && n > 1:
-			gone = second % n
-			w.Hosts[gone].Close()
-			happens = w.Hosts[gone].Name + " dies"
-		case second%12 == 0 && gone >= 0:
-			old := w.Hosts[gone]
+			lost = second % n
+			w.Hosts[lost].Close()
+			event = w.Hosts[lost].Name + " dies"
+		case second%12 == 0 && lost >= 0:
+			old := w.Hosts[lost]
 			h, err := standin.StartHost(old.HostConfig)
 			if err != nil {
 				return err
 			}
-			w.Hosts[gone] = h
+			w.Hosts[lost] = h
 			m := h.Member()
 			m.UpSince = time.Now().UnixMilli()
 			w.Discovery.Set(m)
-			happens, gone = h.Name+" is back, cold", -1
+			event, lost = h.Name+" is back, cold", -1
 		}
 		line := fmt.Sprintf("%4d s  HTTP %4d served %2d not, p99 %5.1f ms   Gearman %4d served %2d not   %4.1f MB  %s", second, t.Served,
-			t.Refused+t.Failed+t.Broken, t.Millis(99), served.Swap(0), other.Swap(0), float64(u.Resident)/(1<<20), happens)
+			t.Refused+t.Failed+t.Broken, t.LatencyMillis(99), served.Swap(0), other.Swap(0), float64(u.Resident)/(1<<20), event)
 		if c.Live {
 			fmt.Fprintf(c.Out, "\r\x1b[K%s", line)
 		} else {
@@ -142,7 +142,7 @@
 	}
 }
 
-// Terminal says whether a file is one.
+// Terminal reports whether a file is a terminal.
 func Terminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/lab/gearman.go
+++ b/lab/gearman.go
@@ -18,7 +18,7 @@
 	"liftgauge/internal/standin"
 )
 
-// GearmanConfig is what liftlab gearman plays.
+// GearmanConfig configures liftlab gearman.
 type GearmanConfig struct {
 	Daemon          string
 	Seed            uint64
@@ -35,7 +35,7 @@
 	Stderr          io.Writer
 }
 
-// Pair is one of the four ways from a client to where its job runs.
+// Pair is the measurement of one of the four combinations of a client's protocol and the protocol of the host or worker that runs its job.
 type Pair struct {
 	Name      string  `json:"pair"`
 	Jobs      int64   `json:"jobs"`
@@ -53,17 +53,17 @@
 	Answers    int64  `json:"answers"`
 	Served     int64  `json:"served"`
 	Failed     int64  `json:"failed"`
-	Left       int64  `json:"left"`       // by their client before an answer
-	Drops      int64  `json:"drops"`      // workers that dropped at a job
+	Left       int64  `json:"left"`       // their client disconnected before a response
+	Drops      int64  `json:"drops"`      // jobs during which a worker closed its connection
 	Duplicates int64  `json:"duplicates"` // runs of a warning beyond one, or of a reading outside its cell
-	Lost       int64  `json:"lost"`       // jobs without an answer whose client waited
+	Lost       int64  `json:"lost"`       // jobs without a response although their client waited
 	Twice      int64  `json:"two_answers"`
 	Pairs      []Pair `json:"pairs"`
 	Large      *Large `json:"large,omitempty"`
 	Memory     int    `json:"memory_mb"`
 }
 
-// Large is many workers and many queued jobs at once.
+// Large is the measurement with many workers and many queued jobs at once.
 type Large struct {
 	Workers  int     `json:"workers"`
 	Queued   int     `json:"queued"`
@@ -73,13 +73,13 @@
 	Accepted int     `json:"accepted"`
 }
 
-// settingsFile writes a settings file for a run; it is removed with the folder.
-func settingsFile(dir, listen, more string) (string, error) {
+// writeSettings writes a settings file for a run into a folder and returns its path.
+func writeSettings(dir, listen, more string) (string, error) {
 	path := filepath.Join(dir, "liftgauge.cue")
 	return path, os.WriteFile(path, []byte("gearman: {\n\tlisten: \""+listen+"\"\n"+more+"}\n"), 0o600)
 }
 
-// the routes that keep the four pairs apart: classes and functions whose names say where they run.
+// pairRoutes separate the four pairs: each class and each function runs in one pool only.
 const pairRoutes = `	functions: {
 		"gauge-reading": pools: ["workers"]
 		"send-warning": pools: ["hosts"]
@@ -99,47 +99,47 @@
 
 var classNames = [...]string{"gauge-reading", "send-warning"}
 
-// gearmanWorld is a daemon with both kinds of hosts and clients.
-type gearmanWorld struct {
-	*World
-	p       *Process
+// gearmanTestbed is a daemon with HTTP hosts and Gearman workers.
+type gearmanTestbed struct {
+	*Testbed
+	process *Process
 	address string
 	workers []*standin.GearmanWorker
 	dir     string
 }
 
-func (w *gearmanWorld) close() {
+func (w *gearmanTestbed) close() {
 	for _, x := range w.workers {
 		x.Close()
 	}
-	if w.p != nil {
-		w.p.Kill()
+	if w.process != nil {
+		w.process.Kill()
 	}
-	w.World.Close()
+	w.Testbed.Close()
 	os.RemoveAll(w.dir)
 }
 
-// head is how a job's data begin: by what name the ledger knows it.
-func head(data []byte) string {
+// jobID returns the id with which a job's data begin and under which the ledger lists the job.
+func jobID(data []byte) string {
 	id, _, _ := bytes.Cut(data, []byte{' '})
 	return string(id)
 }
 
-func (c GearmanConfig) world(ctx context.Context, routes string, job time.Duration, drop func(string) bool) (*gearmanWorld, error) {
-	world, err := StartWorld(WorldConfig{Hosts: c.Hosts, Slots: 4, Queue: 8, Job: job, Result: standin.FixedResult(16), ID: head})
+func (c GearmanConfig) startTestbed(ctx context.Context, routes string, job time.Duration, drop func(string) bool) (*gearmanTestbed, error) {
+	testbed, err := StartTestbed(TestbedConfig{Hosts: c.Hosts, Slots: 4, Queue: 8, Job: job, Result: standin.FixedResult(16), ID: jobID})
 	if err != nil {
 		return nil, err
 	}
-	w := &gearmanWorld{World: world}
+	w := &gearmanTestbed{Testbed: testbed}
 	if w.dir, err = os.MkdirTemp("", "liftlab-"); err == nil {
 		w.address, err = freeAddress()
 	}
 	var file string
 	if err == nil {
-		file, err = settingsFile(w.dir, w.address, routes)
+		file, err = writeSettings(w.dir, w.address, routes)
 	}
 	if err == nil {
-		w.p, err = world.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: c.Memory, Sockets: 1024, Patience: 5 * time.Second, Settings: file,
+		w.process, err = testbed.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: c.Memory, Sockets: 1024, Timeout: 5 * time.Second, Settings: file,
 			Procs: 1, Stderr: c.Stderr, Args: []string{"--log-level", "error"}})
 	}
 	if err != nil {
@@ -148,58 +148,59 @@
 	}
 	for i := range c.Workers {
 		w.workers = append(w.workers, standin.StartGearmanWorker(standin.GearmanWorkerConfig{Address: w.address, Client: fmt.Sprint("station-", i/2),
-			Functions: classNames[:], JobDuration: job, Result: standin.FixedResult(16), Ledger: &world.Ledger, ID: head, DropConnection: drop}))
+			Functions: classNames[:], JobDuration: job, Result: standin.FixedResult(16), Ledger: &testbed.Ledger, ID: jobID, DropConnection: drop}))
 	}
-	time.Sleep(300 * time.Millisecond) // until they are listed; nothing is measured yet
+	time.Sleep(300 * time.Millisecond) // until the workers are registered; nothing is measured yet
 	return w, nil
 }
 
-// post hands in a job over HTTP.
-func post(client *http.Client, address, class, id string, body []byte, patience time.Duration) int {
+// postJob submits a job over HTTP and returns the status of the response, 0 if there is no complete one.
+func postJob(client *http.Client, address, class, id string, body []byte, timeout time.Duration) int {
 	r, err := http.NewRequest("POST", "http://"+address+"/"+class, bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
 	r.Header.Set("Req-Id", id)
 	r.Header.Set("Req-Kind", class)
-	r.Header.Set("Req-Deadline-Ms", strconv.Itoa(int(patience/time.Millisecond)))
+	r.Header.Set("Req-Deadline-Ms", strconv.Itoa(int(timeout/time.Millisecond)))
 	if class == classNames[0] {
 		r.Header.Set("Idempotency-Key", id+id)
 	}
-	answer, err := client.Do(r)
+	response, err := client.Do(r)
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return 0
 	}
-	return answer.StatusCode
+	return response.StatusCode
 }
 
-// Gearman plays the mixed part, counts runs and answers of each job, and then measures the four pairs and the large part.
+// Gearman runs the mixed part, in which it counts runs and responses of each job, and then measures the four pairs and the large part.
 func Gearman(ctx context.Context, c GearmanConfig) (*GearmanReport, error) {
 	report := &GearmanReport{Seed: c.Seed, Memory: c.Memory}
-	if err := c.mixed(ctx, report); err != nil {
+	if err := c.runMixed(ctx, report); err != nil {
 		return nil, err
 	}
-	if err := c.pairs(ctx, report); err != nil {
+	if err := c.measurePairs(ctx, report); err != nil {
 		return nil, err
 	}
 	if c.Idle > 0 {
-		if err := c.large(ctx, report); err != nil {
+		if err := c.measureLarge(ctx, report); err != nil {
 			return nil, err
 		}
 	}
 	return report, nil
 }
 
-// mixed has clients of both kinds, some of whom leave, and hosts and workers, some of whom drop, all at once.
-func (c GearmanConfig) mixed(ctx context.Context, report *GearmanReport) error {
+// runMixed runs clients of both protocols, some of which disconnect early, together with hosts and with workers some of which close their
+// connection during a job.
+func (c GearmanConfig) runMixed(ctx context.Context, report *GearmanReport) error {
 	var dropping sync.Mutex
 	rng := rand.New(rand.NewPCG(c.Seed, 99))
 	var drops atomic.Int64
-	w, err := c.world(ctx, mixedRoutes, 5*time.Millisecond, func(string) bool {
+	w, err := c.startTestbed(ctx, mixedRoutes, 5*time.Millisecond, func(string) bool {
 		dropping.Lock()
 		defer dropping.Unlock()
 		if rng.Float64() < c.Drops {
@@ -213,10 +214,10 @@
 	}
 	defer w.close()
 	type result struct {
-		id, class string
-		answers   int
-		status    int
-		left      bool
+		id, class    string
+		answers      int
+		status       int
+		disconnected bool
 	}
 	results := make([]result, c.Jobs)
 	var next atomic.Int64
@@ -242,7 +243,7 @@
 				data := append([]byte(id+" "), make([]byte, rng.IntN(2000))...)
 				results[n].id, results[n].class = id, class
 				if i%2 == 0 {
-					if results[n].status = post(&http.Client{Transport: transport}, w.Listen, class, id, data, 5*time.Second); results[n].status != 0 {
+					if results[n].status = postJob(&http.Client{Transport: transport}, w.Listen, class, id, data, 5*time.Second); results[n].status != 0 {
 						results[n].answers++
 					}
 					continue
@@ -253,7 +254,7 @@
 						return
 					}
 				}
-				if results[n].left = rng.Float64() < c.DisconnectShare; results[n].left {
+				if results[n].disconnected = rng.Float64() < c.DisconnectShare; results[n].disconnected {
 					g := g
 					time.AfterFunc(time.Duration(rng.IntN(8))*time.Millisecond, g.Close)
 				}
@@ -261,14 +262,14 @@
 				if results[n].status = out.Status; out.Status != 0 {
 					results[n].answers++
 				}
-				if results[n].left {
+				if results[n].disconnected {
 					g = nil
 				}
 			}
 		})
 	}
 	clients.Wait()
-	time.Sleep(500 * time.Millisecond) // what still runs for nobody
+	time.Sleep(500 * time.Millisecond) // for jobs that still run after their client disconnected
 	report.Drops = drops.Load()
 	for _, r := range results {
 		report.Jobs++
@@ -278,7 +279,7 @@
 			report.Served++
 		case r.status != 0:
 			report.Failed++
-		case r.left:
+		case r.disconnected:
 			report.Left++
 		default:
 			report.Lost++
@@ -300,9 +301,9 @@
 	return ctx.Err()
 }
 
-// pairs measures each way by itself in one daemon, with as many clients each.
-func (c GearmanConfig) pairs(ctx context.Context, report *GearmanReport) error {
-	w, err := c.world(ctx, pairRoutes, time.Millisecond, nil)
+// measurePairs measures the pairs one after another in one daemon, each with the same number of clients.
+func (c GearmanConfig) measurePairs(ctx context.Context, report *GearmanReport) error {
+	w, err := c.startTestbed(ctx, pairRoutes, time.Millisecond, nil)
 	if err != nil {
 		return err
 	}
@@ -342,7 +343,7 @@
 						if g != nil {
 							status = g.Do(pair.class, "", body).Status
 						} else {
-							status = post(client, w.Listen, pair.class, id, body, 5*time.Second)
+							status = postJob(client, w.Listen, pair.class, id, body, 5*time.Second)
 						}
 						if status == 200 {
 							done.Add(1)
@@ -357,16 +358,16 @@
 			clients.Wait()
 			return done.Load()
 		}
-		run(c.JobsPerPair / 4) // until it knows the hosts
+		run(c.JobsPerPair / 4) // warm-up, in which the daemon gets to know the hosts' speeds
 		latency.Reset()
-		before, err := w.p.Usage()
+		before, err := w.process.Usage()
 		if err != nil {
 			return err
 		}
 		start := time.Now()
 		m.Served = run(c.JobsPerPair)
 		took := time.Since(start)
-		after, err := w.p.Usage()
+		after, err := w.process.Usage()
 		if err != nil {
 			return err
 		}
@@ -379,15 +380,15 @@
 	return ctx.Err()
 }
 
-// large connects many workers that sleep and queues many background jobs that none of them runs.
-func (c GearmanConfig) large(ctx context.Context, report *GearmanReport) error {
+// measureLarge connects many sleeping workers and queues many background jobs that none of them can run.
+func (c GearmanConfig) measureLarge(ctx context.Context, report *GearmanReport) error {
 	big := c
 	big.Workers, big.Hosts = 0, 1
-	world, err := StartWorld(WorldConfig{Hosts: 1, Slots: 1, Job: time.Millisecond})
+	testbed, err := StartTestbed(TestbedConfig{Hosts: 1, Slots: 1, Job: time.Millisecond})
 	if err != nil {
 		return err
 	}
-	w := &gearmanWorld{World: world}
+	w := &gearmanTestbed{Testbed: testbed}
 	defer w.close()
 	if w.dir, err = os.MkdirTemp("", "liftlab-"); err != nil {
 		return err
@@ -397,7 +398,7 @@
 	}
 	routes := "\tfunctions: {\n\t\t\"gauge-reading\": pools: [\"workers\"]\n\t\t\"send-warning\": pools: [\"workers\"]\n\t}\n" +
 		fmt.Sprintf("\tlimits: {connections: %d, openJobs: %d, jobsPerConnection: %d}\n", c.Idle+8, c.Queued, c.Queued)
-	file, err := settingsFile(w.dir, w.address, routes)
+	file, err := writeSettings(w.dir, w.address, routes)
 	if err != nil {
 		return err
 	}
@@ -407,7 +408,7 @@
 	}
 	fmt.Fprintf(f, "sockets: %d\n", c.Idle+128)
 	f.Close()
-	if w.p, err = world.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: c.Memory, Sockets: c.Idle + 128, Patience: 5 * time.Second,
+	if w.process, err = testbed.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: c.Memory, Sockets: c.Idle + 128, Timeout: 5 * time.Second,
 		Settings: file, Procs: 1, Stderr: c.Stderr, Args: []string{"--log-level", "info"}}); err != nil {
 		return err
 	}
@@ -416,7 +417,7 @@
 			Client: fmt.Sprint("station-", i), Functions: classNames[:1]}))
 	}
 	time.Sleep(2 * time.Second)
-	idle, err := w.p.Usage()
+	idle, err := w.process.Usage()
 	if err != nil {
 		return err
 	}
@@ -426,7 +427,7 @@
 	}
 	defer client.Close()
 	accepted := make(chan int)
-	go func() { // every submission has one answer
+	go func() { // every submission has one response
 		n := 0
 		for range c.Queued {
 			f, err := client.Next()
@@ -440,14 +441,14 @@
 		accepted <- n
 	}()
 	data := string(standin.FixedResult(1024)(nil))
-	for range c.Queued { // nobody runs warnings here: all wait
+	for range c.Queued { // no worker is registered for send-warning: all jobs stay queued
 		if err := client.Send(18, "send-warning", "", data); err != nil {
 			return fmt.Errorf("submission: %w", err)
 		}
 	}
 	large := &Large{Workers: c.Idle, Queued: c.Queued, Accepted: <-accepted, IdleMB: math.Round(float64(idle.Resident)/(1<<20)*10) / 10}
 	time.Sleep(2 * time.Second)
-	after, err := w.p.Usage()
+	after, err := w.process.Usage()
 	if err != nil {
 		return err
 	}
--- a/lab/hostchecker.go
+++ b/lab/hostchecker.go
@@ -6,99 +6,101 @@
 	"time"
 )
 
-// hostRules is what the protocol asks of all dispatchers towards a host, with what the host can do.
-type hostRules struct {
-	Told     time.Duration // after its drain is listed a dispatcher counts as told
-	Grace    time.Duration // from then on, for what is on its way
-	Start    float64       // share of its capacity that a cold host has
-	Warm     time.Duration // until it has all of it
-	Overload float64       // times what it can do at that moment, for Fall, push it over
-	Fall     time.Duration
-	Slots    int
+// hostLimits holds the limits that the protocol sets for what all dispatchers together send to a host, and the host's capacity.
+type hostLimits struct {
+	NotifiedAfter  time.Duration // after discovery lists the drain, a dispatcher counts as notified
+	Grace          time.Duration // from then on, for jobs that are in transit
+	StartCapacity  float64       // share of its full capacity that a cold host has
+	WarmUp         time.Duration // until a host has its full capacity
+	OverloadFactor float64       // multiple of its current capacity that, within OverloadWindow, overloads the host
+	OverloadWindow time.Duration
+	Slots          int
 }
 
-// rulesOfClusters are those of the settings that the laboratory's daemons have.
-func rulesOfClusters(slots int) hostRules {
-	return hostRules{Told: 6 * time.Second, Grace: 500 * time.Millisecond, Start: 0.3, Warm: 8 * time.Second, Overload: 2.5, Fall: 2 * time.Second, Slots: slots}
+// clusterHostLimits returns the limits that follow from the settings of this package's daemons.
+func clusterHostLimits(slots int) hostLimits {
+	return hostLimits{NotifiedAfter: 6 * time.Second, Grace: 500 * time.Millisecond, StartCapacity: 0.3, WarmUp: 8 * time.Second, OverloadFactor: 2.5, OverloadWindow: 2 * time.Second, Slots: slots}
 }
 
-// hostJudge follows one host: what was said of it, and what came. It is safe for concurrent use.
-type hostJudge struct {
-	rules hostRules
+// hostChecker tracks the listed state of one host and the jobs that it accepts, and records violations of the limits. It is safe for
+// concurrent use.
+type hostChecker struct {
+	limits hostLimits
 
-	mu      sync.Mutex
-	drained time.Duration // since when its drain counts as told; 0: it does not drain
-	cold    time.Duration // when it came back; 0: never
-	came    []work        // since then
-	late    time.Duration // the most that a job came after it counted as told
-	fullest float64       // the most work in a window, over what pushes it over then
-	broken  []string
+	mu          sync.Mutex
+	drainKnown  time.Duration // when dispatchers count as notified of its drain; 0: not draining
+	restarted   time.Duration // when it was listed again after a drain; 0: never
+	accepts     []acceptedJob // since the restart
+	late        time.Duration // the longest time from the notification to an accepted job
+	highestLoad float64       // the highest ratio of work in a window to the amount that overloads the host
+	violations  []string
 }
 
-type work struct {
-	at    time.Duration
-	takes time.Duration
+type acceptedJob struct {
+	at       time.Duration
+	duration time.Duration
 }
 
-// drains says that its drain is listed. Where nothing keeps that from the dispatchers they are told now.
-func (j *hostJudge) drains(now time.Duration, open bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.drained = now; !open {
-		j.drained += j.rules.Told
+// drain records that discovery lists the host as draining. If discovery is reachable, the dispatchers count as notified at once.
+func (c *hostChecker) drain(now time.Duration, reachable bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.drainKnown = now; !reachable {
+		c.drainKnown += c.limits.NotifiedAfter
 	}
 }
 
-// returns says that it is listed again, as a process that has just started.
-func (j *hostJudge) returns(now time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.drained, j.cold, j.came = 0, now, nil
+// restart records that the host is listed again, as a process that has just started.
+func (c *hostChecker) restart(now time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.drainKnown, c.restarted, c.accepts = 0, now, nil
 }
 
-// took says that a job has come, and how long it takes at full speed.
-func (j *hostJudge) took(now time.Duration, takes time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.drained > 0 && now > j.drained {
-		if j.late = max(j.late, now-j.drained); now > j.drained+j.rules.Grace {
-			j.broken = append(j.broken, fmt.Sprintf("drain: a job came %v after the dispatcher was told", (now-j.drained).Round(time.Millisecond)))
+// took says that a job has come, and how long it duration at full speed.
+func (c *hostChecker) accepted(now time.Duration, duration time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.drainKnown > 0 && now > c.drainKnown {
+		if c.late = max(c.late, now-c.drainKnown); now > c.drainKnown+c.limits.Grace {
+			c.violations = append(c.violations, fmt.Sprintf("drain: a job came %v after the dispatcher was told", (now-c.drainKnown).Round(time.Millisecond)))
 		}
 	}
-	if j.cold == 0 || now-j.cold > j.rules.Warm+j.rules.Fall {
+	if c.restarted == 0 || now-c.restarted > c.limits.WarmUp+c.limits.OverloadWindow {
 		return
 	}
-	j.came = append(j.came, work{now, takes})
-	from := max(j.cold, now-j.rules.Fall)
+	c.accepts = append(c.accepts, acceptedJob{now, duration})
+	from := max(c.restarted, now-c.limits.OverloadWindow)
 	var sum time.Duration
-	for _, w := range j.came {
+	for _, w := range c.accepts {
 		if w.at >= from {
-			sum += w.takes
+			sum += w.duration
 		}
 	}
-	// What it can do between the beginning of the window and its end, which may not have come: more can only come to it.
-	bear := j.rules.Overload * float64(j.rules.Slots) * j.capacity(from-j.cold, from-j.cold+j.rules.Fall)
-	share := sum.Seconds() / bear
-	if j.fullest = max(j.fullest, share); share > 1 {
-		j.broken = append(j.broken, fmt.Sprintf("cold: %v of work within %v of a host that can bear %.3gs, %v after its start", sum, j.rules.Fall, bear, (now-j.cold).Round(time.Millisecond)))
+	// The window may end in the future; its whole capacity counts, since more work can still arrive within it.
+	capacity := c.limits.OverloadFactor * float64(c.limits.Slots) * c.capacity(from-c.restarted, from-c.restarted+c.limits.OverloadWindow)
+	share := sum.Seconds() / capacity
+	if c.highestLoad = max(c.highestLoad, share); share > 1 {
+		c.violations = append(c.violations, fmt.Sprintf("cold: %v of work within %v of a host that can bear %.3gs, %v after its start", sum, c.limits.OverloadWindow, capacity, (now-c.restarted).Round(time.Millisecond)))
 	}
 }
 
-// capacity is what one slot can do between two ages, in seconds: it warms evenly.
-func (j *hostJudge) capacity(from, to time.Duration) float64 {
+// capacity returns the work in seconds that one slot can do between two ages of the host; its speed rises linearly while it warms up.
+func (c *hostChecker) capacity(from, to time.Duration) float64 {
 	done := func(age time.Duration) float64 {
-		x, warm := age.Seconds(), j.rules.Warm.Seconds()
+		x, warm := age.Seconds(), c.limits.WarmUp.Seconds()
 		if x >= warm {
-			return warm*(1+j.rules.Start)/2 + x - warm
+			return warm*(1+c.limits.StartCapacity)/2 + x - warm
 		}
-		return j.rules.Start*x + (1-j.rules.Start)*x*x/(2*warm)
+		return c.limits.StartCapacity*x + (1-c.limits.StartCapacity)*x*x/(2*warm)
 	}
 	return done(to) - done(from)
 }
 
-// verdict is what was broken, how late the latest job after a drain was, and how near a cold host came to falling over (1: it did).
-func (j *hostJudge) verdict() (broken []string, late time.Duration, fullest float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.broken, j.late, j.fullest
+// results returns the violations, the longest time from the notification of a drain to an accepted job, and the highest ratio of work to the
+// amount that overloads a cold host.
+func (c *hostChecker) results() (violations []string, late time.Duration, highestLoad float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.violations, c.late, c.highestLoad
 }
--- a/lab/load.go
+++ b/lab/load.go
@@ -15,33 +15,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LoadConfig is a closed loop of clients: each has its next job ready when the one before is answered.
+// LoadConfig configures a closed loop of clients: each sends its next job after the response to the one before.
 type LoadConfig struct {
-	Address  string
-	Path     string // before the class's name
-	Clients  int
-	Body     []byte
-	Patience time.Duration // told to the dispatcher
-	Pause    time.Duration // of a client after each answer
-	Seed     uint64
-	Done     func(id, class string, status int) // may be nil
+	Address string
+	Path    string // prefix of the class's name in the URL path
+	Clients int
+	Body    []byte
+	Timeout time.Duration // deadline sent with each job
+	Pause   time.Duration // of a client after each response
+	Seed    uint64
+	Done    func(id, class string, status int) // may be nil
 }
 
-// Tally is how jobs ended.
+// Tally counts jobs by outcome.
 type Tally struct {
-	Served, Refused, Failed, Broken int64 // broken: no whole answer
+	Served, Refused, Failed, Broken int64 // broken: no complete response
 	Latency                         *hdrhistogram.Histogram
 }
 
-// All is the number of jobs.
-func (t *Tally) All() int64 { return t.Served + t.Refused + t.Failed + t.Broken }
+// Total is the number of jobs.
+func (t *Tally) Total() int64 { return t.Served + t.Refused + t.Failed + t.Broken }
 
-// Millis is a percentile of the served jobs' latency in milliseconds.
-func (t *Tally) Millis(percentile float64) float64 {
+// LatencyMillis is a percentile of the served jobs' latency in milliseconds.
+func (t *Tally) LatencyMillis(percentile float64) float64 {
 	return float64(t.Latency.ValueAtPercentile(percentile)) / 1000
 }
 
-// Load is a closed loop under way. What ended before Reset is not counted.
+// Load is a running closed loop.
 type Load struct {
 	LoadConfig
 	served, refused, failed, broken atomic.Int64
@@ -72,23 +72,23 @@
 	for ctx.Err() == nil {
 		id := fmt.Sprintf("%016x", rng.Uint64())
 		class := names[rng.IntN(len(names))]
-		// Not the loop's context: its end must not look like a client that leaves.
+		// Without the loop's context: its end must not look like a client that disconnects.
 		r, err := http.NewRequest("POST", "http://"+l.Address+l.Path+"/"+class, bytes.NewReader(l.Body))
 		if err != nil {
 			return
 		}
 		r.Header.Set("Req-Id", id)
 		r.Header.Set("Req-Kind", class)
-		r.Header.Set("Req-Deadline-Ms", strconv.Itoa(int(l.Patience/time.Millisecond)))
+		r.Header.Set("Req-Deadline-Ms", strconv.Itoa(int(l.Timeout/time.Millisecond)))
 		if class == names[0] {
 			r.Header.Set("Idempotency-Key", fmt.Sprintf("%032x", rng.Uint64()))
 		}
 		status, start := 0, time.Now()
-		answer, err := client.Do(r)
+		response, err := client.Do(r)
 		if err == nil {
-			status = answer.StatusCode
-			_, err = io.Copy(io.Discard, answer.Body)
-			answer.Body.Close()
+			status = response.StatusCode
+			_, err = io.Copy(io.Discard, response.Body)
+			response.Body.Close()
 		}
 		switch {
 		case err != nil:
@@ -108,7 +108,7 @@
 			l.Done(id, class, status)
 		}
 		pause := l.Pause
-		if status != 200 { // as a client would: it stays away for a little
+		if status != 200 { // clients back off after an error
 			pause = max(pause, 5*time.Millisecond)
 		}
 		if pause > 0 {
@@ -120,7 +120,7 @@
 	}
 }
 
-// Take returns what has ended since the last Take.
+// Take returns the outcomes since the last Take.
 func (l *Load) Take() Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +129,7 @@
 	return t
 }
 
-// Stop lets every client finish the job it has.
+// Stop ends the loop after each client has finished its current job.
 func (l *Load) Stop() {
 	l.stop()
 	l.clients.Wait()
--- a/lab/membercost.go
+++ b/lab/membercost.go
@@ -20,24 +20,24 @@
 	"liftgauge/member"
 )
 
-// MemberCostConfig is a measurement of what membership costs one daemon.
+// MemberCostConfig configures a measurement of the memory and CPU that membership costs one daemon.
 type MemberCostConfig struct {
 	Daemon  string
-	Members int // of the fleet, the daemon among them; the others run in this process
+	Members int // of the fleet including the daemon; the others run in this process
 	Length  time.Duration
-	Flood   int // spoilt datagrams a second, in the last part
+	Flood   int // invalid datagrams per second in the last part
 	Seed    uint64
 	Output  io.Writer
 }
 
-// MemberCost is what came of it.
+// MemberCost is the result of the measurement.
 type MemberCost struct {
-	Members int            `json:"members"`
-	Parts   []MemberCostOf `json:"parts"`
+	Members int              `json:"members"`
+	Parts   []MemberCostPart `json:"parts"`
 }
 
-// MemberCostOf is one part of the measurement. A share of CPU is one of a core.
-type MemberCostOf struct {
+// MemberCostPart is one part of the measurement. CPU is in percent of one core.
+type MemberCostPart struct {
 	What       string  `json:"what"`
 	Resident   float64 `json:"resident_mb"`
 	CPU        float64 `json:"cpu_percent"`
@@ -50,7 +50,8 @@
 	AfterStart float64 `json:"in_touch_after_s,omitempty"`
 }
 
-// RunMemberCost measures a daemon without membership, with it in a fleet, and the same while spoilt datagrams come; idle and under load.
+// RunMemberCost measures a daemon without membership and as a member of a fleet, each idle and under load, and last under load while it
+// receives invalid datagrams.
 func RunMemberCost(ctx context.Context, c MemberCostConfig) (*MemberCost, error) {
 	if c.Members < 2 || c.Members > 1000 {
 		return nil, fmt.Errorf("members: want 2 to 1000, have %d", c.Members)
@@ -77,9 +78,9 @@
 	if err != nil {
 		return nil, err
 	}
-	own := free.Address()
+	listen := free.Address()
 	free.Close()
-	text, err := json.Marshal(map[string]any{"membership": map[string]any{"listen": own, "cluster": "lab", "seeds": seeds}})
+	text, err := json.Marshal(map[string]any{"membership": map[string]any{"listen": listen, "cluster": "lab", "seeds": seeds}})
 	if err != nil {
 		return nil, err
 	}
@@ -89,16 +90,16 @@
 	}
 	out := &MemberCost{Members: c.Members}
 	for _, part := range []string{"off", "on"} {
-		if err := c.part(ctx, out, part, settings, own, seeds, sockets); err != nil {
+		if err := c.measurePart(ctx, out, part, settings, listen, seeds, sockets); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-// part measures one daemon, without or with a fleet round it.
-func (c MemberCostConfig) part(ctx context.Context, out *MemberCost, part, settings, own string, seeds []string, sockets []*gossip.UDP) error {
-	w, err := StartWorld(WorldConfig{Hosts: 6, Slots: 4, Queue: 8, Job: 10 * time.Millisecond})
+// measurePart measures one daemon, without membership ("off") or in a fleet ("on").
+func (c MemberCostConfig) measurePart(ctx context.Context, out *MemberCost, part, settings, listen string, seeds []string, sockets []*gossip.UDP) error {
+	w, err := StartTestbed(TestbedConfig{Hosts: 6, Slots: 4, Queue: 8, Job: 10 * time.Millisecond})
 	if err != nil {
 		return err
 	}
@@ -107,14 +108,14 @@
 	if err != nil {
 		return err
 	}
-	d := DaemonConfig{Binary: c.Daemon, MemoryMB: 64, Sockets: 384, Patience: 5 * time.Second, Control: true, ControlAt: control, Stderr: io.Discard, Name: "m0000", Fleet: c.Members, Procs: 1}
+	d := DaemonConfig{Binary: c.Daemon, MemoryMB: 64, Sockets: 384, Timeout: 5 * time.Second, Control: true, ControlAt: control, Stderr: io.Discard, Name: "m0000", Fleet: c.Members, Procs: 1}
 	var fleet errgroup.Group
 	fleetCtx, stop := context.WithCancel(ctx)
 	defer fleet.Wait()
 	defer stop()
 	if part == "on" {
 		d.Settings = settings
-		c.others(fleetCtx, &fleet, seeds, sockets)
+		c.runPeers(fleetCtx, &fleet, seeds, sockets)
 	}
 	began := time.Now()
 	p, err := w.Daemon(ctx, d)
@@ -122,37 +123,37 @@
 		return err
 	}
 	defer p.Kill()
-	first := MemberCostOf{What: part + ", idle"}
+	first := MemberCostPart{What: part + ", idle"}
 	if part == "on" {
 		for first.InView < c.Members {
-			if first.InView, err = inTouch(ctx, control); err != nil {
+			if first.InView, err = membersInView(ctx, control); err != nil {
 				return err
 			}
 			if time.Since(began) > 5*time.Minute {
 				return fmt.Errorf("the fleet did not form within 5 minutes: %d in the daemon's view", first.InView)
 			}
-			if err := pause(ctx, 500*time.Millisecond); err != nil {
+			if err := sleep(ctx, 500*time.Millisecond); err != nil {
 				return err
 			}
 		}
 		first.AfterStart = time.Since(began).Seconds()
-		if err := pause(ctx, 10*time.Second); err != nil { // what its forming left behind
+		if err := sleep(ctx, 10*time.Second); err != nil { // until the load of forming the fleet has passed
 			return err
 		}
 	}
-	whats := []string{part + ", idle", part + ", under load"}
+	names := []string{part + ", idle", part + ", under load"}
 	if part == "on" && c.Flood > 0 {
-		whats = append(whats, "on, under load and spoilt datagrams")
+		names = append(names, "on, under load and spoilt datagrams")
 	}
-	for i, what := range whats {
-		m := MemberCostOf{What: what, InView: first.InView}
+	for i, name := range names {
+		m := MemberCostPart{What: name, InView: first.InView}
 		if i == 0 {
 			m.AfterStart = first.AfterStart
 		}
 		var load *Load
 		if i > 0 {
-			load = StartLoad(ctx, LoadConfig{Address: w.Listen, Clients: 8, Body: []byte("level 3"), Patience: 5 * time.Second, Pause: 10 * time.Millisecond, Seed: c.Seed})
-			if err := pause(ctx, time.Second); err != nil {
+			load = StartLoad(ctx, LoadConfig{Address: w.Listen, Clients: 8, Body: []byte("level 3"), Timeout: 5 * time.Second, Pause: 10 * time.Millisecond, Seed: c.Seed})
+			if err := sleep(ctx, time.Second); err != nil {
 				load.Stop()
 				return err
 			}
@@ -162,21 +163,21 @@
 		flooding, end := context.WithCancel(ctx)
 		if i == 2 {
 			flood.Go(func() (err error) {
-				m.Spoilt, err = spoil(flooding, own, c.Flood, c.Seed)
+				m.Spoilt, err = sendInvalid(flooding, listen, c.Flood, c.Seed)
 				return err
 			})
 		}
 		before, err := p.Usage()
 		start := time.Now()
-		slept := pause(ctx, c.Length)
+		interrupted := sleep(ctx, c.Length)
 		after, err2 := p.Usage()
 		took := time.Since(start)
 		end()
-		err = errors.Join(err, slept, err2, flood.Wait())
+		err = errors.Join(err, interrupted, err2, flood.Wait())
 		if load != nil {
 			load.Stop()
 			t := load.Take()
-			m.Jobs, m.Unserved, m.P50, m.P99 = t.All(), t.All()-t.Served, t.Millis(50), t.Millis(99)
+			m.Jobs, m.Unserved, m.P50, m.P99 = t.Total(), t.Total()-t.Served, t.LatencyMillis(50), t.LatencyMillis(99)
 		}
 		if err != nil {
 			return err
@@ -188,8 +189,8 @@
 	return nil
 }
 
-// others runs the rest of the fleet in this process, each member on a socket of its own.
-func (c MemberCostConfig) others(ctx context.Context, fleet *errgroup.Group, seeds []string, sockets []*gossip.UDP) {
+// runPeers runs the other members of the fleet in this process, each on a separate socket.
+func (c MemberCostConfig) runPeers(ctx context.Context, fleet *errgroup.Group, seeds []string, sockets []*gossip.UDP) {
 	start := time.Now()
 	for i, u := range sockets {
 		fleet.Go(func() error {
@@ -204,27 +205,27 @@
 	}
 }
 
-// inTouch is how many members the daemon's view has, 0 while it is not in touch with most of them.
-func inTouch(ctx context.Context, control string) (int, error) {
+// membersInView returns the number of members in the daemon's view, 0 while the daemon is not in touch with most of them.
+func membersInView(ctx context.Context, control string) (int, error) {
 	r, err := http.NewRequestWithContext(ctx, "GET", "http://"+control+"/control/members", nil)
 	if err != nil {
 		return 0, err
 	}
 	r.Close = true
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var s gossip.Status
-	if err := json.NewDecoder(answer.Body).Decode(&s); err != nil || !s.InTouch {
+	if err := json.NewDecoder(response.Body).Decode(&s); err != nil || !s.InTouch {
 		return 0, err
 	}
 	return len(s.Members), nil
 }
 
-// spoil sends so many datagrams a second that are none of the protocol's: noise, and heads with noise after them.
-func spoil(ctx context.Context, to string, rate int, seed uint64) (sent int64, err error) {
+// sendInvalid sends datagrams of random length at the given rate that do not belong to the protocol: up to 64 random bytes, followed by zeros.
+func sendInvalid(ctx context.Context, to string, rate int, seed uint64) (sent int64, err error) {
 	c, err := net.Dial("udp4", to)
 	if err != nil {
 		return 0, err
@@ -242,13 +243,13 @@
 				return sent, err
 			}
 		}
-		pause(ctx, time.Millisecond)
+		sleep(ctx, time.Millisecond)
 	}
 	return sent, nil
 }
 
-// pause lets time pass, or says that the context has ended.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration, or returns the context's error when that ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
--- a/lab/overhead.go
+++ b/lab/overhead.go
@@ -17,7 +17,7 @@
 	"liftgauge/internal/standin"
 )
 
-// OverheadConfig is what liftlab overhead measures: the daemon beside a plain reverse proxy, before the same hosts.
+// OverheadConfig configures liftlab overhead, which compares the daemon with a plain reverse proxy in front of the same hosts.
 type OverheadConfig struct {
 	Daemon  string // the binary
 	Memory  []int  // limits to try, in MB
@@ -66,8 +66,8 @@
 }
 
 // Overhead runs the measurements one after another: in each round the proxy and then the daemon at each limit, so that
-// all of a round meet the same machine. Both programs have one thread of Go code.
-func Overhead(ctx context.Context, c OverheadConfig, say func(Measured)) (*OverheadReport, error) {
+// all of a round run under similar conditions of the machine. Both programs run with GOMAXPROCS=1.
+func Overhead(ctx context.Context, c OverheadConfig, onResult func(Measured)) (*OverheadReport, error) {
 	report := &OverheadReport{Hosts: c.Hosts, JobMs: float64(c.Job) / 1e6, Clients: c.Clients, Result: c.Result,
 		Sockets: c.Sockets, Seconds: c.Length.Seconds(), AllUnder: true}
 	for range c.Rounds {
@@ -83,7 +83,7 @@
 					}
 					report.Runs = append(report.Runs, m)
 					report.AllUnder = report.AllUnder && m.Within
-					say(m)
+					onResult(m)
 				}
 			}
 		}
@@ -91,18 +91,18 @@
 	return report, nil
 }
 
-// measure is one run; without a limit of memory it is the proxy's.
+// measure makes one measurement: of the daemon with a memory limit of mb, or of the proxy if mb is 0.
 func (c OverheadConfig) measure(ctx context.Context, mb, body int, capture bool) (m Measured, err error) {
 	m = Measured{Program: "liftgauge", MemoryMB: mb, Body: body}
 	result := func(b []byte) []byte { return b }
 	if c.Result >= 0 {
 		result = standin.FixedResult(c.Result)
 	}
-	world, err := StartWorld(WorldConfig{Hosts: c.Hosts, Slots: 64, Queue: 64, Job: c.Job, Result: result})
+	testbed, err := StartTestbed(TestbedConfig{Hosts: c.Hosts, Slots: 64, Queue: 64, Job: c.Job, Result: result})
 	if err != nil {
 		return m, err
 	}
-	defer world.Close()
+	defer testbed.Close()
 	path, settings := "", ""
 	if capture {
 		m.Program = "with capture"
@@ -120,18 +120,18 @@
 	if mb == 0 {
 		m.Program, path = "reverse-proxy", "/sync"
 		var hosts []string
-		for _, h := range world.Hosts {
+		for _, h := range testbed.Hosts {
 			hosts = append(hosts, h.Address)
 		}
 		self, err := os.Executable()
 		if err != nil {
 			return m, err
 		}
-		p, err = start(ctx, self, []string{"proxy", "--listen", world.Listen, "--hosts", strings.Join(hosts, ",")}, nil, nil, 1, "http://"+world.Listen+"/-/ready", "", c.Stderr)
+		p, err = startProcess(ctx, self, []string{"proxy", "--listen", testbed.Listen, "--hosts", strings.Join(hosts, ",")}, nil, nil, 1, "http://"+testbed.Listen+"/-/ready", "", c.Stderr)
 		if err != nil {
 			return m, err
 		}
-	} else if p, err = world.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: mb, Sockets: c.Sockets, Patience: c.Timeout,
+	} else if p, err = testbed.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: mb, Sockets: c.Sockets, Timeout: c.Timeout,
 		Procs: 1, Stderr: c.Stderr, Settings: settings}); err != nil {
 		return m, err
 	}
@@ -140,14 +140,14 @@
 	if err != nil {
 		return m, err
 	}
-	load := StartLoad(ctx, LoadConfig{Address: world.Listen, Path: path, Clients: c.Clients, Body: standin.FixedResult(body)(nil),
-		Patience: c.Timeout, Seed: 1, Done: func(id, _ string, _ int) { world.Ledger.Forget(id) }})
+	load := StartLoad(ctx, LoadConfig{Address: testbed.Listen, Path: path, Clients: c.Clients, Body: standin.FixedResult(body)(nil),
+		Timeout: c.Timeout, Seed: 1, Done: func(id, _ string, _ int) { testbed.Ledger.Forget(id) }})
 	defer load.Stop()
 	wait := func(d time.Duration) error {
 		select {
 		case <-time.After(d):
 			return nil
-		case <-p.ended:
+		case <-p.exited:
 			return fmt.Errorf("%s ended under load: %v", m.Program, p.err)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -172,15 +172,15 @@
 	}
 	round := func(x float64, unit float64) float64 { return math.Round(x/unit) * unit }
 	m.Rate = round(float64(t.Served)/took.Seconds(), 1)
-	m.CPUMicros = math.Round(float64((after.CPU-before.CPU).Microseconds())/float64(max(t.All(), 1))*10) / 10
-	m.P50, m.P99 = t.Millis(50), t.Millis(99)
+	m.CPUMicros = math.Round(float64((after.CPU-before.CPU).Microseconds())/float64(max(t.Total(), 1))*10) / 10
+	m.P50, m.P99 = t.LatencyMillis(50), t.LatencyMillis(99)
 	m.PeakMB, m.IdleMB = math.Round(float64(after.Peak)/(1<<20)*10)/10, math.Round(float64(idle.Resident)/(1<<20)*10)/10
 	m.Served, m.Refused, m.Failed, m.Broken = t.Served, t.Refused, t.Failed, t.Broken
 	m.Within = mb == 0 || after.Peak <= int64(mb)<<20
 	return m, nil
 }
 
-// Proxy serves as a plain reverse proxy that goes round its hosts, to measure against, until the context ends.
+// Proxy serves a plain round-robin reverse proxy, the baseline of the measurements, until the context ends.
 func Proxy(ctx context.Context, listen string, hosts []string) error {
 	var turn atomic.Uint64
 	var targets []*url.URL
--- a/lab/process.go
+++ b/lab/process.go
@@ -1,4 +1,4 @@
-// Package lab starts daemons and worlds of stand-ins on loopback and measures them.
+// Package lab starts daemons with stand-in hosts, workers and clients on loopback, injects faults and measures the daemons.
 package lab
 
 import (
@@ -29,59 +29,59 @@
 type Process struct {
 	Address string
 	cmd     *exec.Cmd
-	dir     string // its own, removed at its end
-	ended   chan struct{}
+	dir     string // private to the process, removed when it ends
+	exited  chan struct{}
 	err     error
 }
 
-// Usage is what a process has used so far.
+// Usage is the CPU time and memory of a process.
 type Usage struct {
 	CPU      time.Duration
 	Resident int64 // bytes, now
 	Peak     int64 // bytes, the most since the start or since ResetPeak
 }
 
-// DaemonConfig is what a daemon is told, as far as experiments vary it.
+// DaemonConfig holds the part of a daemon's configuration that differs between experiments.
 type DaemonConfig struct {
 	Binary   string
 	MemoryMB int
 	Sockets  int
-	Patience time.Duration // the hard limit of every class
+	Timeout  time.Duration // the hard limit of every class
 	Known    standin.List
 	Settings string // a settings file, or empty
 	Control  bool
 	Stderr   io.Writer
-	Procs    int // GOMAXPROCS; 0 leaves it
+	Procs    int // GOMAXPROCS; 0 keeps the default
 	Args     []string
 	Env      []string
-	// Listener is the clients' socket and Dir the folder that all processes of one dispatcher share; nil and empty: the process has its own.
+	// Listener is the clients' socket and Dir the folder that all processes of one dispatcher share; nil and empty: not shared.
 	Listener  *os.File
 	Dir       string
 	Name      string // empty: lab
-	Number    int    // of all Fleet dispatchers, where there are several
+	Number    int    // among the Fleet dispatchers
 	Fleet     int
-	ControlAt string // where operators call; empty: any free address, if there is Control
+	ControlAt string // control address; empty: any free address if Control is set
 }
 
-// Classes are the classes of every experiment: one keyed, one that must never run twice.
-func classes(patience time.Duration) []map[string]any {
+// classes returns the classes of every experiment: one with idempotency keys, one that must never run twice.
+func classes(timeout time.Duration) []map[string]any {
 	return []map[string]any{
-		{"name": "gauge-reading", "aimNs": 200 * time.Millisecond, "hardLimitNs": patience, "credit": 2.0, "lateValue": 0.25,
+		{"name": "gauge-reading", "aimNs": 200 * time.Millisecond, "hardLimitNs": timeout, "credit": 2.0, "lateValue": 0.25,
 			"effect": "guarded", "dedupScope": "cell", "windowNs": 7500 * time.Millisecond},
-		{"name": "send-warning", "aimNs": 200 * time.Millisecond, "hardLimitNs": patience, "credit": 10.0, "lateValue": 0.2,
+		{"name": "send-warning", "aimNs": 200 * time.Millisecond, "hardLimitNs": timeout, "credit": 10.0, "lateValue": 0.2,
 			"effect": "single_shot"},
 	}
 }
 
-// Zones and Kinds are the names that stand-in hosts may have.
+// Zones and Kinds are the zones and host kinds that stand-in hosts may have.
 var (
 	Zones = []string{"caroni", "couva", "penal"}
 	Kinds = []string{"full-box", "slow-box"}
 )
 
-// freeAddress finds a loopback address that nobody listens on right now, for a program that is to listen there.
+// freeAddress finds a loopback address that is not in use, for a program that is to listen there.
 func freeAddress() (string, error) {
-	l, err := listenBelow()
+	l, err := listenBelowEphemeralPorts()
 	if err != nil {
 		return "", err
 	}
@@ -89,16 +89,16 @@
 	return l.Addr().String(), nil
 }
 
-// listenBelow listens on a port of loopback that the kernel gives to nobody who asks for any port or connects to somewhere: where it is
-// closed for a while, or until a program listens there, another would have it.
-func listenBelow() (net.Listener, error) {
+// listenBelowEphemeralPorts listens on a loopback port below the kernel's ephemeral range. The kernel could assign a port of that range to
+// another program while it is closed, or before the program that it is meant for listens there.
+func listenBelowEphemeralPorts() (net.Listener, error) {
 	lowest := 32768
 	if text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range"); err == nil {
 		fmt.Sscan(string(text), &lowest)
 	}
-	const least = 10000 // below are ports of well-known services
+	const least = 10000 // lower ports belong to well-known services
 	var l net.Listener
-	err := errors.New("no ports below the kernel's own")
+	err := errors.New("no free port below the ephemeral port range")
 	for try := 0; lowest > least && try < 100; try++ {
 		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", least+rand.IntN(lowest-least))); err == nil {
 			return l, nil
@@ -107,14 +107,14 @@
 	return nil, err
 }
 
-// configuration is the daemon's JSON.
+// configuration returns the daemon's configuration as JSON.
 func configuration(c DaemonConfig, listen, discovery, control string) ([]byte, error) {
 	config := map[string]any{
 		"name": cmp.Or(c.Name, "lab"), "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": c.MemoryMB, "sockets": c.Sockets},
 		"known":  c.Known,
 		"settings": map[string]any{
-			"classes": classes(c.Patience), "dcs": Zones, "kinds": Kinds,
+			"classes": classes(c.Timeout), "dcs": Zones, "kinds": Kinds,
 			"familyInfo": map[string]any{"classKind": []int{-1, -1}, "classStretch": []float64{2.5, 2.5}, "tellsStart": true},
 			"fees":       map[string]any{"crossZone": 0.019, "lateFail": 0.026, "probe": 0.0059, "waste": 0.08},
 			"limits": map[string]any{"cancel": true, "connectTimeoutNs": 250 * time.Millisecond, "keepaliveNs": time.Minute,
@@ -131,7 +131,7 @@
 	return json.MarshalIndent(config, "", "  ")
 }
 
-// StartDaemon starts a daemon on an address of loopback and returns once it says that it is ready.
+// StartDaemon starts a daemon on a loopback address and returns once its readiness probe succeeds.
 func StartDaemon(ctx context.Context, c DaemonConfig, listen, discovery string) (*Process, error) {
 	dir, err := os.MkdirTemp("", "liftlab-")
 	if err != nil {
@@ -164,10 +164,10 @@
 	if c.Listener != nil {
 		files, env = []*os.File{c.Listener}, append(env, "LB_INHERITED_FD=3")
 	}
-	if c.Listener != nil && c.Control { // at the clients' address another process may answer
+	if c.Listener != nil && c.Control { // another process may answer at the shared client address
 		probe = "http://" + control + "/control/ready"
 	}
-	p, err := start(ctx, c.Binary, args, env, files, c.Procs, probe, dir, c.Stderr)
+	p, err := startProcess(ctx, c.Binary, args, env, files, c.Procs, probe, dir, c.Stderr)
 	if err != nil {
 		return nil, err
 	}
@@ -175,9 +175,9 @@
 	return p, nil
 }
 
-// start starts a program and waits until it answers a probe.
-func start(ctx context.Context, binary string, args, env []string, files []*os.File, procs int, probe, dir string, stderr io.Writer) (*Process, error) {
-	p := &Process{dir: dir, ended: make(chan struct{})}
+// startProcess starts a program and waits until it responds to an HTTP probe with a status other than 503.
+func startProcess(ctx context.Context, binary string, args, env []string, files []*os.File, procs int, probe, dir string, stderr io.Writer) (*Process, error) {
+	p := &Process{dir: dir, exited: make(chan struct{})}
 	p.cmd = exec.Command(binary, args...)
 	p.cmd.ExtraFiles = files
 	p.cmd.Stderr = stderr
@@ -191,20 +191,20 @@
 	}
 	go func() {
 		p.err = p.cmd.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
 	for wait := time.Now(); time.Since(wait) < 10*time.Second; {
-		answer, err := http.Get(probe)
+		response, err := http.Get(probe)
 		if err == nil {
-			answer.Body.Close()
-			if answer.StatusCode != http.StatusServiceUnavailable {
+			response.Body.Close()
+			if response.StatusCode != http.StatusServiceUnavailable {
 				return p, nil
 			}
 		}
 		select {
-		case <-p.ended:
+		case <-p.exited:
 			os.RemoveAll(dir)
-			return nil, fmt.Errorf("%s ended at its start: %w", binary, p.err)
+			return nil, fmt.Errorf("%s exited during its start: %w", binary, p.err)
 		case <-ctx.Done():
 			p.Kill()
 			return nil, ctx.Err()
@@ -212,20 +212,19 @@
 		}
 	}
 	p.Kill()
-	return nil, fmt.Errorf("%s does not get ready", binary)
+	return nil, fmt.Errorf("%s did not become ready within 10 s", binary)
 }
 
-// Signal sends a signal.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Ended is closed when the process has ended.
-func (p *Process) Ended() <-chan struct{} { return p.ended }
+// Exited returns a channel that is closed when the process has exited.
+func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// Stop asks the process to end and waits for it, up to 10 s.
+// Stop sends SIGTERM and waits up to 10 s for the process to exit; then it kills the process and returns an error.
 func (p *Process) Stop() error {
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(10 * time.Second):
 		p.Kill()
 		return errors.New("did not end within 10 s of SIGTERM")
@@ -234,17 +233,17 @@
 	return p.err
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 	os.RemoveAll(p.dir)
 }
 
-// Usage reads what the process has used, from /proc.
+// Usage reads the process's CPU time and memory from /proc.
 func (p *Process) Usage() (Usage, error) { return UsageOf(p.cmd.Process.Pid) }
 
-// UsageOf reads what a process has used, from /proc.
+// UsageOf reads a process's CPU time and memory from /proc.
 func UsageOf(processID int) (u Usage, err error) {
 	dir := "/proc/" + strconv.Itoa(processID)
 	stat, err := os.ReadFile(dir + "/stat")
--- a/lab/speed.go
+++ b/lab/speed.go
@@ -10,7 +10,7 @@
 	"liftgauge/sim"
 )
 
-// Speed is how fast the emulator plays a world of a size, on one core.
+// Speed is the measured speed of the simulator for a fleet of one size, on one core.
 type Speed struct {
 	Boxes       int     `json:"boxes"`
 	Dispatchers int     `json:"dispatchers"`
@@ -19,12 +19,12 @@
 	Took        float64 `json:"took_s"`
 	Ratio       float64 `json:"simulated_per_s"`
 	Events      int64   `json:"events"`
-	HeapMB      float64 `json:"allocated_mb"` // in all, over the run
+	HeapMB      float64 `json:"allocated_mb"` // total over the run
 	Service     float64 `json:"service"`
 }
 
-// Speeds measures worlds of several sizes, at 60% load, each by one run.
-func Speeds(ctx context.Context, boxes, dispatchers []int, length time.Duration, say func(Speed)) (all []Speed, err error) {
+// Speeds measures fleets of several sizes at 60% load, each in one run.
+func Speeds(ctx context.Context, boxes, dispatchers []int, length time.Duration, report func(Speed)) (all []Speed, err error) {
 	const stations = 5
 	for _, n := range boxes {
 		for _, d := range dispatchers {
@@ -58,7 +58,7 @@
 			s := Speed{Boxes: len(w.Boxes), Dispatchers: len(w.Dispatchers), Rate: rate, Simulated: length.Seconds(), Took: took, Ratio: length.Seconds() / took,
 				Events: r.Events, HeapMB: float64(after.TotalAlloc-before.TotalAlloc) / (1 << 20), Service: r.Service}
 			all = append(all, s)
-			say(s)
+			report(s)
 		}
 	}
 	return all, nil
--- a/lab/tcplinks.go
+++ b/lab/tcplinks.go
@@ -8,48 +8,48 @@
 	"time"
 )
 
-// Mode is what a TCP link does.
+// Mode is the behaviour of a TCP link.
 type Mode string
 
-// The modes.
+// The modes of a TCP link.
 const (
-	Open    Mode = "open"
-	Slow    Mode = "slow"    // each piece comes late
-	Reset   Mode = "reset"   // connections are reset, new ones too
-	Silent  Mode = "silent"  // connections stay open and nothing passes, as of a machine that has vanished
-	Refused Mode = "refused" // nothing listens, as of a process that has died
-	NoBack  Mode = "no-back" // requests pass, answers do not
+	Open         Mode = "open"
+	Slow         Mode = "slow"    // each read is forwarded after a delay
+	Reset        Mode = "reset"   // open and new connections are reset
+	Unresponsive Mode = "silent"  // connections stay open and nothing is forwarded, as with a machine that lost power
+	Refused      Mode = "refused" // nothing listens, as with a process that has died
+	NoResponses  Mode = "no-back" // requests are forwarded, responses are not
 )
 
-// TCPLink leads connections from one dispatcher to a host or to discovery.
+// TCPLink is a fault-injecting TCP proxy between one dispatcher and a host or discovery.
 type TCPLink struct {
 	Address string
 	target  string
 
-	mu    sync.Mutex
-	mode  Mode
-	delay time.Duration
-	l     net.Listener
-	conns map[net.Conn]struct{}
-	turn  chan struct{} // closed when the mode changes
-	ended bool
-	tasks sync.WaitGroup
+	mu          sync.Mutex
+	mode        Mode
+	delay       time.Duration
+	l           net.Listener
+	conns       map[net.Conn]struct{}
+	modeChanged chan struct{} // closed when the mode changes
+	ended       bool
+	tasks       sync.WaitGroup
 
 	Bytes atomic.Int64
 }
 
 // NewTCPLink opens a link to a target.
 func NewTCPLink(target string) (*TCPLink, error) {
-	l, err := listenBelow() // it is closed and opened again
+	l, err := listenBelowEphemeralPorts() // the port is closed and opened again by Set
 	if err != nil {
 		return nil, err
 	}
-	t := &TCPLink{Address: l.Addr().String(), target: target, mode: Open, l: l, conns: map[net.Conn]struct{}{}, turn: make(chan struct{})}
+	t := &TCPLink{Address: l.Addr().String(), target: target, mode: Open, l: l, conns: map[net.Conn]struct{}{}, modeChanged: make(chan struct{})}
 	t.tasks.Go(func() { t.accept(l) })
 	return t, nil
 }
 
-// Set changes what the link does, for the connections that are open as well.
+// Set changes the mode of the link, also for open connections.
 func (t *TCPLink) Set(m Mode, delay time.Duration) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,8 +57,8 @@
 		return net.ErrClosed
 	}
 	t.mode, t.delay = m, delay
-	close(t.turn)
-	t.turn = make(chan struct{})
+	close(t.modeChanged)
+	t.modeChanged = make(chan struct{})
 	if m == Reset || m == Refused {
 		for c := range t.conns {
 			reset(c)
@@ -105,33 +105,33 @@
 	}
 }
 
-// serve carries one connection.
+// serve forwards one connection in both directions.
 func (t *TCPLink) serve(c net.Conn) {
-	defer t.drop(c)
-	if !t.pass(false, 0) {
+	defer t.closeConnection(c)
+	if !t.waitToForward(false, 0) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", t.target, 2*time.Second)
+	upstream, err := net.DialTimeout("tcp", t.target, 2*time.Second)
 	if err != nil {
 		reset(c)
 		return
 	}
 	t.mu.Lock()
-	t.conns[far] = struct{}{}
+	t.conns[upstream] = struct{}{}
 	ended := t.ended
 	t.mu.Unlock()
-	defer t.drop(far)
+	defer t.closeConnection(upstream)
 	if ended {
 		return
 	}
-	var back sync.WaitGroup
-	back.Go(func() {
-		t.copy(c, far, true)
+	var responses sync.WaitGroup
+	responses.Go(func() {
+		t.forward(c, upstream, true)
 		closeWrite(c)
 	})
-	t.copy(far, c, false)
-	closeWrite(far)
-	back.Wait()
+	t.forward(upstream, c, false)
+	closeWrite(upstream)
+	responses.Wait()
 }
 
 func closeWrite(c net.Conn) {
@@ -140,13 +140,13 @@
 	}
 }
 
-// copy carries one direction, piece by piece.
-func (t *TCPLink) copy(to io.Writer, from io.Reader, back bool) {
+// forward copies one direction until it ends.
+func (t *TCPLink) forward(to io.Writer, from io.Reader, toClient bool) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
 		if n > 0 {
-			if !t.pass(back, n) {
+			if !t.waitToForward(toClient, n) {
 				return
 			}
 			if _, err := to.Write(b[:n]); err != nil {
@@ -160,41 +160,41 @@
 	}
 }
 
-// pass waits until what goes in a direction may go on. False: the link has ended, or resets.
-func (t *TCPLink) pass(back bool, n int) bool {
+// waitToForward waits until data of one direction may be forwarded. It returns false if the link has ended, resets or refuses.
+func (t *TCPLink) waitToForward(toClient bool, n int) bool {
 	for {
 		t.mu.Lock()
-		mode, turn, ended, delay := t.mode, t.turn, t.ended, t.delay
+		mode, modeChanged, ended, delay := t.mode, t.modeChanged, t.ended, t.delay
 		t.mu.Unlock()
 		switch {
 		case ended || mode == Reset || mode == Refused:
 			return false
-		case mode == Silent || mode == NoBack && back:
-			<-turn
+		case mode == Unresponsive || mode == NoResponses && toClient:
+			<-modeChanged
 			continue
 		case mode == Slow && n > 0:
 			select {
 			case <-time.After(delay):
-			case <-turn:
+			case <-modeChanged:
 			}
 		}
 		return true
 	}
 }
 
-func (t *TCPLink) drop(c net.Conn) {
+func (t *TCPLink) closeConnection(c net.Conn) {
 	c.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.conns, c)
 }
 
-// Close ends the link with all connections.
+// Close ends the link and closes all its connections.
 func (t *TCPLink) Close() {
 	t.mu.Lock()
 	if !t.ended {
 		t.ended = true
-		close(t.turn)
+		close(t.modeChanged)
 		if t.l != nil {
 			t.l.Close()
 		}
--- a/lab/udplinks.go
+++ b/lab/udplinks.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// Fault is what is wrong with a directed link.
+// Fault describes the faults of a directed link.
 type Fault struct {
-	Loss      float64       `json:"loss"`      // share that gets lost; 1: cut
-	Delay     time.Duration `json:"-"`         // of all,
-	Spread    time.Duration `json:"-"`         // and up to so much more, by which datagrams overtake each other
-	Duplicate float64       `json:"duplicate"` // share that comes twice
+	Loss      float64       `json:"loss"`      // share that is lost; 1: all
+	Delay     time.Duration `json:"-"`         // of every datagram
+	Spread    time.Duration `json:"-"`         // maximum random delay on top, which reorders datagrams
+	Duplicate float64       `json:"duplicate"` // share that arrives twice
 }
 
-// Links carry datagrams between the members of a fleet, each over a directed link of its own. A member listens at one address and is known at
-// another, which is the links': what it sends to another's known address comes out of its own. Where its process is dead the known address
-// is closed, so that its machine says "port unreachable" as it would.
-type Links struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	known  []netip.AddrPort
-	real   []netip.AddrPort
-	conns  []*net.UDPConn
-	faults map[[2]int]Fault
-	ended  context.Context
-	end    context.CancelFunc
-	tasks  sync.WaitGroup
+// UDPLinks forward datagrams between the members of a fleet, with a separate directed link for each pair. A member listens at one address and
+// advertises another, on which UDPLinks listens: what it sends to a peer's advertised address is forwarded from its advertised address. While
+// its process is dead the advertised address is closed, so that senders get "port unreachable" as from a real machine.
+type UDPLinks struct {
+	mu         sync.Mutex
+	rng        *rand.Rand
+	advertised []netip.AddrPort
+	listening  []netip.AddrPort
+	conns      []*net.UDPConn
+	faults     map[[2]int]Fault
+	ended      context.Context
+	end        context.CancelFunc
+	tasks      sync.WaitGroup
 
 	Carried, Lost atomic.Int64
 }
 
-// NewLinks opens the known addresses of members that listen at the real ones.
-func NewLinks(real []string, seed uint64) (*Links, error) {
-	l := &Links{rng: rand.New(rand.NewPCG(seed, 21)), faults: map[[2]int]Fault{}}
+// NewUDPLinks opens an advertised address for each of the members' listen addresses.
+func NewUDPLinks(listenAddresses []string, seed uint64) (*UDPLinks, error) {
+	l := &UDPLinks{rng: rand.New(rand.NewPCG(seed, 21)), faults: map[[2]int]Fault{}}
 	l.ended, l.end = context.WithCancel(context.Background())
-	for _, r := range real {
+	for _, r := range listenAddresses {
 		at, err := netip.ParseAddrPort(r)
 		if err != nil {
 			return nil, fmt.Errorf("links: %w", err)
@@ -50,18 +50,18 @@
 			l.Close()
 			return nil, fmt.Errorf("links: %w", err)
 		}
-		l.real, l.known, l.conns = append(l.real, at), append(l.known, c.LocalAddr().(*net.UDPAddr).AddrPort()), append(l.conns, c)
+		l.listening, l.advertised, l.conns = append(l.listening, at), append(l.advertised, c.LocalAddr().(*net.UDPAddr).AddrPort()), append(l.conns, c)
 		i := len(l.conns) - 1
-		l.tasks.Go(func() { l.carry(i, c) })
+		l.tasks.Go(func() { l.forward(i, c) })
 	}
 	return l, nil
 }
 
-// Known is where a member is known.
-func (l *Links) Known(i int) string { return l.known[i].String() }
+// AdvertisedAddress returns the address at which peers reach a member.
+func (l *UDPLinks) AdvertisedAddress(i int) string { return l.advertised[i].String() }
 
-// Set says what is wrong with the link from one member to another.
-func (l *Links) Set(from, to int, f Fault) {
+// SetFault sets the faults of the link from one member to another; the zero value removes them.
+func (l *UDPLinks) SetFault(from, to int, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if f == (Fault{}) {
@@ -71,8 +71,8 @@
 	l.faults[[2]int{from, to}] = f
 }
 
-// Alive opens or closes a member's known address.
-func (l *Links) Alive(i int, alive bool) error {
+// SetAlive opens or closes a member's advertised address.
+func (l *UDPLinks) SetAlive(i int, alive bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if old := l.conns[i]; old != nil {
@@ -85,17 +85,17 @@
 	if !alive {
 		return nil
 	}
-	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(l.known[i]))
+	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(l.advertised[i]))
 	if err != nil {
 		return fmt.Errorf("links: %w", err)
 	}
 	l.conns[i] = c
-	l.tasks.Go(func() { l.carry(i, c) })
+	l.tasks.Go(func() { l.forward(i, c) })
 	return nil
 }
 
-// carry takes what comes to a member's known address until that is closed.
-func (l *Links) carry(to int, c *net.UDPConn) {
+// forward forwards the datagrams that arrive at a member's advertised address until that is closed.
+func (l *UDPLinks) forward(to int, c *net.UDPConn) {
 	b := make([]byte, 2048)
 	for {
 		n, from, err := c.ReadFromUDPAddrPort(b)
@@ -103,17 +103,17 @@
 			if l.ended.Err() != nil || isClosed(err) {
 				return
 			}
-			continue // of something sent before
+			continue // an ICMP error for an earlier datagram
 		}
 		l.mu.Lock()
 		i := -1
-		for k, r := range l.real {
+		for k, r := range l.listening {
 			if r == from {
 				i = k
 			}
 		}
 		f := l.faults[[2]int{i, to}]
-		lost, twice := l.rng.Float64() < f.Loss, l.rng.Float64() < f.Duplicate
+		lost, duplicated := l.rng.Float64() < f.Loss, l.rng.Float64() < f.Duplicate
 		wait := f.Delay + time.Duration(l.rng.Float64()*float64(f.Spread))
 		l.mu.Unlock()
 		if i < 0 {
@@ -130,9 +130,9 @@
 			out := l.conns[i]
 			l.mu.Unlock()
 			if out != nil {
-				out.WriteToUDPAddrPort(data, l.real[to])
-				if twice {
-					out.WriteToUDPAddrPort(data, l.real[to])
+				out.WriteToUDPAddrPort(data, l.listening[to])
+				if duplicated {
+					out.WriteToUDPAddrPort(data, l.listening[to])
 				}
 			}
 		}
@@ -149,8 +149,8 @@
 	return ok && op.Err == net.ErrClosed
 }
 
-// Close ends all links.
-func (l *Links) Close() {
+// Close closes all advertised addresses and waits for the forwarding to end.
+func (l *UDPLinks) Close() {
 	l.end()
 	l.mu.Lock()
 	for _, c := range l.conns {
@@ -162,8 +162,8 @@
 	l.tasks.Wait()
 }
 
-// freeUDP finds a loopback address that nobody has right now.
-func freeUDP() (string, error) {
+// freeUDPAddress finds a loopback address that is not in use.
+func freeUDPAddress() (string, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return "", err
--- a/lab/upgrade_test.go
+++ b/lab/upgrade_test.go
@@ -13,13 +13,13 @@
 	"liftgauge/internal/standin"
 )
 
-// TestUpgrade: 200 jobs are open in a process, most of them still waiting for room, as a new one takes its place. The old one ends
-// while all of them are open; not one is lost, none runs twice, and every client has its answer on the connection that it had.
-func TestUpgrade(t *testing.T) {
+// TestUpgradeLosesNoOpenJob replaces a process that has 200 open jobs, most of them still queued. The old process exits while all of them are
+// open; no job is lost, none runs twice, and every client receives its response on its existing connection.
+func TestUpgradeLosesNoOpenJob(t *testing.T) {
 	const jobs, hosts = 200, 16
 	release := make(chan struct{})
-	// Their queues turn nobody away: how many attempts a job has had would hang on how fast the machine is.
-	w, err := StartWorld(WorldConfig{Hosts: hosts, Slots: 3, Queue: jobs, Each: func(_ int, h *standin.HostConfig) { h.BlockUntil = release }})
+	// The hosts' queues refuse no job: otherwise the number of attempts would depend on the speed of the machine.
+	w, err := StartTestbed(TestbedConfig{Hosts: hosts, Slots: 3, Queue: jobs, Each: func(_ int, h *standin.HostConfig) { h.BlockUntil = release }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	}
 	defer socket.Close()
 	l.Close() // the socket stays open
-	c := DaemonConfig{Binary: build(t), MemoryMB: 64, Sockets: 1024, Patience: 2 * time.Minute, Control: true, Listener: socket, Dir: t.TempDir(), Stderr: io.Discard}
+	c := DaemonConfig{Binary: build(t), MemoryMB: 64, Sockets: 1024, Timeout: 2 * time.Minute, Control: true, Listener: socket, Dir: t.TempDir(), Stderr: io.Discard}
 	old, err := w.Daemon(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	status := make([]int, jobs)
 	for i := range jobs {
 		all.Go(func() {
-			status[i] = post(clients, w.Listen, []string{"gauge-reading", "send-warning"}[i%2], fmt.Sprintf("%016x", i), []byte("level 3"), 100*time.Second)
+			status[i] = postJob(clients, w.Listen, []string{"gauge-reading", "send-warning"}[i%2], fmt.Sprintf("%016x", i), []byte("level 3"), 100*time.Second)
 		})
 	}
 	held := func() (n int) {
@@ -55,8 +55,8 @@
 		}
 		return n
 	}
-	// Two each: where starts come late, as on a busy machine, it takes a host to run no more.
-	await(t, "jobs at the hosts", func() bool { return held() >= 2*hosts })
+	// Two per host: where reports of starts arrive late, as on a busy machine, the daemon assumes that a host cannot run more.
+	waitFor(t, "jobs at the hosts", func() bool { return held() >= 2*hosts })
 	next, err := w.Daemon(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	if err := old.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	<-old.Ended()
+	<-old.Exited()
 	if old.err != nil || held() < 2*hosts || held() >= jobs {
 		t.Errorf("the old process ended with %v; %d jobs at the hosts", old.err, held())
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// await waits for a condition, generously: how fast the machine is decides nothing.
-func await(t *testing.T, what string, is func() bool) {
+// waitFor waits up to a minute for a condition, so that the speed of the machine does not decide the result.
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for start := time.Now(); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(start) > time.Minute {
--- a/lab/verify.go
+++ b/lab/verify.go
@@ -22,19 +22,19 @@
 	"liftgauge/sim"
 )
 
-// VerifyConfig is what liftlab verify plays.
+// VerifyConfig configures liftlab verify.
 type VerifyConfig struct {
 	Daemon   string
 	Seed     uint64
 	Cases    int
-	Parallel int // cases that are played at a time
+	Parallel int // cases that run at the same time
 	Length   time.Duration
-	Days     int // of each forecast
+	Days     int // simulations per forecast
 	Ramp     bool
 	Stderr   io.Writer
 }
 
-// Figures are what is forecast and then seen.
+// Figures are the quantities that are forecast and then measured.
 type Figures struct {
 	InTime      map[string]float64 `json:"in_time"` // by class
 	P50         float64            `json:"p50_ms"`
@@ -42,20 +42,20 @@
 	Utilisation float64            `json:"utilisation"`
 }
 
-// Case is one drawn fleet with its load.
+// Case is one randomly generated fleet with its load.
 type Case struct {
 	Number   int     `json:"case"`
 	Boxes    int     `json:"boxes"`
 	Rate     float64 `json:"jobs_per_s"`
-	Load     float64 `json:"load"` // work asked for over what the boxes can do
+	Load     float64 `json:"load"` // offered work relative to the capacity of the boxes
 	Jobs     int     `json:"jobs"`
 	Forecast Figures `json:"forecast"`
 	Seen     Figures `json:"seen"`
-	Error    float64 `json:"error"`        // the largest of the relative errors,
-	Of       string  `json:"largest_of"`   // and of what
-	P99Error float64 `json:"p99_error"`    // by itself: a few jobs decide it
-	Late     float64 `json:"sent_late_ms"` // the load's own lateness, at its 99th percentile
-	// With Ramp: the part of the boxes' cores that is asked for when jobs in time fall under nine tenths.
+	Error    float64 `json:"error"`        // the largest relative error
+	Of       string  `json:"largest_of"`   // the quantity with the largest error
+	P99Error float64 `json:"p99_error"`    // separate, since a few jobs determine it
+	Late     float64 `json:"sent_late_ms"` // 99th percentile of the load generator's delay in sending
+	// With Ramp: the load relative to the boxes' cores at which the share of jobs in time falls below 0.9.
 	Tip, TipSeen float64 `json:",omitempty"`
 }
 
@@ -69,22 +69,22 @@
 	Cases    []Case `json:"all"`
 }
 
-// Verify draws fleets and loads, forecasts each, plays it on loopback with stand-in boxes and the real daemon, and compares.
-func Verify(ctx context.Context, c VerifyConfig, say func(Case)) (*VerifyReport, error) {
+// Verify generates random fleets and loads, forecasts each, runs it on loopback with stand-in boxes and the real daemon, and compares the results.
+func Verify(ctx context.Context, c VerifyConfig, onResult func(Case)) (*VerifyReport, error) {
 	report := &VerifyReport{Seed: c.Seed, Count: c.Cases, Cases: make([]Case, c.Cases)}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(c.Parallel, 1))
 	var mu sync.Mutex
 	for i := range c.Cases {
 		group.Go(func() error {
-			one, err := c.play(ctx, i)
+			one, err := c.runCase(ctx, i)
 			if err != nil {
 				return fmt.Errorf("case %d: %w", i, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			report.Cases[i] = one
-			say(one)
+			onResult(one)
 			return nil
 		})
 	}
@@ -105,7 +105,7 @@
 	return report, nil
 }
 
-// draw makes a fleet and a load. Boxes are small and jobs slow, so that the machine's own noise is not what is measured.
+// draw generates a random fleet and its load. Boxes are small and jobs slow, so that the noise of the machine does not dominate.
 func (c VerifyConfig) draw(i int) (*plan.Fleet, float64, error) {
 	rng := rand.New(rand.NewChaCha8([32]byte{byte(c.Seed), byte(c.Seed >> 8), byte(i), byte(i >> 8)}))
 	full, slow := 1+rng.IntN(4), rng.IntN(4)
@@ -130,7 +130,7 @@
 	return f, load, err
 }
 
-func (c VerifyConfig) play(ctx context.Context, i int) (Case, error) {
+func (c VerifyConfig) runCase(ctx context.Context, i int) (Case, error) {
 	f, load, err := c.draw(i)
 	if err != nil {
 		return Case{}, err
@@ -138,37 +138,38 @@
 	w := f.World(c.Seed<<8+uint64(i), 1)
 	one := Case{Number: i, Boxes: len(w.Boxes), Rate: f.Load.Rate, Load: load, Jobs: len(w.Arrivals)}
 	one.Forecast = c.forecast(w)
-	if one.Seen, one.Late, err = c.loopback(ctx, w); err != nil {
+	if one.Seen, one.Late, err = c.runOnLoopback(ctx, w); err != nil {
 		return one, err
 	}
-	worse := func(what string, forecast, seen, least float64) {
+	compare := func(what string, forecast, seen, least float64) {
 		if e := math.Abs(forecast-seen) / max(seen, least); e > one.Error {
 			one.Error, one.Of = e, what
 		}
 	}
 	for _, name := range classNames {
-		worse(name+" in time", one.Forecast.InTime[name], one.Seen.InTime[name], 0.2)
+		compare(name+" in time", one.Forecast.InTime[name], one.Seen.InTime[name], 0.2)
 	}
-	worse("p50", one.Forecast.P50, one.Seen.P50, 1)
-	worse("utilisation", one.Forecast.Utilisation, one.Seen.Utilisation, 0.1)
+	compare("p50", one.Forecast.P50, one.Seen.P50, 1)
+	compare("utilisation", one.Forecast.Utilisation, one.Seen.Utilisation, 0.1)
 	if c.Ramp {
-		if one.Tip, one.TipSeen, err = c.ramp(ctx, f, i, load); err != nil {
+		if one.Tip, one.TipSeen, err = c.findTippingLoad(ctx, f, i, load); err != nil {
 			return one, err
 		}
-		worse("the load at which it gives way", one.Tip, one.TipSeen, 0.1)
+		compare("the load at which it gives way", one.Tip, one.TipSeen, 0.1)
 	}
 	one.P99Error = math.Abs(one.Forecast.P99-one.Seen.P99) / max(one.Seen.P99, 1)
 	return one, nil
 }
 
-// ramp finds at which load jobs in time fall under nine tenths, forecast and seen, between steps of a tenth.
-func (c VerifyConfig) ramp(ctx context.Context, f *plan.Fleet, i int, load float64) (forecast, seen float64, err error) {
+// findTippingLoad finds the forecast and the measured load at which the share of jobs in time falls below 0.9, interpolated between steps
+// of 0.1.
+func (c VerifyConfig) findTippingLoad(ctx context.Context, f *plan.Fleet, i int, load float64) (forecast, seen float64, err error) {
 	share := func(x Figures) float64 { return (x.InTime[classNames[0]] + x.InTime[classNames[1]]) / 2 }
 	type step struct{ load, forecast, seen float64 }
 	var steps []step
 	for x := 0.6; x <= 1.41; x += 0.1 {
 		w := f.World(c.Seed<<8+uint64(i), x/load)
-		s, _, err := c.loopback(ctx, w)
+		s, _, err := c.runOnLoopback(ctx, w)
 		if err != nil {
 			return 0, 0, err
 		}
@@ -193,7 +194,7 @@
 	return at(func(s step) float64 { return s.forecast }), at(func(s step) float64 { return s.seen }), nil
 }
 
-// forecast plays the very jobs in the emulator, several times, as the dispatchers' own chance differs.
+// forecast runs the same jobs in the simulator several times, with different seeds of the dispatchers' random choices, and averages the results.
 func (c VerifyConfig) forecast(w *sim.World) Figures {
 	f := Figures{InTime: map[string]float64{}}
 	for day := range max(c.Days, 1) {
@@ -216,9 +217,9 @@
 	return f
 }
 
-// loopback plays the jobs with stand-in boxes and the real daemon. Times count from when a job was to be sent.
-func (c VerifyConfig) loopback(ctx context.Context, w *sim.World) (f Figures, late float64, err error) {
-	world, err := StartWorld(WorldConfig{Hosts: len(w.Boxes), Result: standin.FixedResult(16), ID: head, Each: func(i int, h *standin.HostConfig) {
+// runOnLoopback runs the jobs with stand-in boxes and the real daemon. Latencies count from the time at which a job was due to be sent.
+func (c VerifyConfig) runOnLoopback(ctx context.Context, w *sim.World) (f Figures, late float64, err error) {
+	testbed, err := StartTestbed(TestbedConfig{Hosts: len(w.Boxes), Result: standin.FixedResult(16), ID: jobID, Each: func(i int, h *standin.HostConfig) {
 		k := w.Kinds[w.Boxes[i].Kind]
 		h.Kind, h.Slots, h.Queue, h.Size, h.Cell = k.Name, k.Slots, k.Queue, k.Speed*float64(k.Cores), w.Boxes[i].Cell
 		h.JobDurationOf = func(body []byte) time.Duration {
@@ -230,8 +231,8 @@
 	if err != nil {
 		return f, 0, err
 	}
-	defer world.Close()
-	p, err := world.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: 64, Sockets: 1024, Patience: 5 * time.Second, Procs: 1, Stderr: c.Stderr,
+	defer testbed.Close()
+	p, err := testbed.Daemon(ctx, DaemonConfig{Binary: c.Daemon, MemoryMB: 64, Sockets: 1024, Timeout: 5 * time.Second, Procs: 1, Stderr: c.Stderr,
 		Args: []string{"--log-level", "error"}})
 	if err != nil {
 		return f, 0, err
@@ -255,7 +256,7 @@
 		sent := time.Since(start.Add(a.At))
 		jobs.Go(func() {
 			class := w.Classes[a.Class]
-			status := postHinted(client, world.Listen, class.Name, fmt.Sprintf("%016x", n+1), a)
+			status := postHintedJob(client, testbed.Listen, class.Name, fmt.Sprintf("%016x", n+1), a)
 			t := time.Since(start.Add(a.At))
 			mu.Lock()
 			defer mu.Unlock()
@@ -277,7 +278,7 @@
 	}
 	f.P50, f.P99 = float64(took.ValueAtPercentile(50))/1000, float64(took.ValueAtPercentile(99))/1000
 	busy, cores := 0.0, 0
-	for i, h := range world.Hosts {
+	for i, h := range testbed.Hosts {
 		busy += h.Busy().Seconds()
 		cores += w.Kinds[w.Boxes[i].Kind].Cores
 	}
@@ -286,8 +287,8 @@
 	return f, stat.Quantile(0.99, stat.Empirical, lates, nil), nil
 }
 
-// postHinted hands in a job of a forecast: its data say how much work it is, and its hint what is thought of that.
-func postHinted(client *http.Client, address, class, id string, a sim.Arrival) int {
+// postHintedJob submits a job of a forecast: its data hold the amount of work, its hint the expected cost.
+func postHintedJob(client *http.Client, address, class, id string, a sim.Arrival) int {
 	body := id + " " + strconv.FormatFloat(a.Work*1e6, 'f', 0, 64)
 	r, err := http.NewRequest("POST", "http://"+address+"/"+class, strings.NewReader(body))
 	if err != nil {
@@ -302,13 +303,13 @@
 	if a.Hint > 0 {
 		r.Header.Set("Req-Cost", strconv.FormatInt(max(a.Hint.Microseconds(), 1), 10))
 	}
-	answer, err := client.Do(r)
+	response, err := client.Do(r)
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return 0
 	}
-	return answer.StatusCode
+	return response.StatusCode
 }
