--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -122,7 +122,7 @@
 
 // clusterMember is one dispatcher of the run with its separate hosts, discovery and clients.
 type clusterMember struct {
-	i                int
+	index            int
 	testbed          *Testbed
 	load             *Load
 	process          *Process
@@ -239,7 +239,7 @@
 	}
 	k.started = time.Now()
 	for i := range k.n {
-		m := &clusterMember{i: i}
+		m := &clusterMember{index: i}
 		k.members = append(k.members, m)
 		const slots, job = 4, 20 * time.Millisecond
 		if m.testbed, err = StartTestbed(TestbedConfig{Hosts: 3, Slots: slots, Queue: 8, Job: job, Links: true, Listen: k.address(i, 8443), Each: func(_ int, h *standin.HostConfig) {
@@ -460,7 +460,7 @@
 		k.report.Refused += t.Refused
 		k.report.Failed += t.Failed
 		k.report.Broken += t.Broken
-		for _, id := range k.singleRunIDs[m.i] {
+		for _, id := range k.singleRunIDs[m.index] {
 			if len(m.testbed.Ledger.Runs(id)) > 1 {
 				k.report.Twice++
 			}
@@ -471,7 +471,7 @@
 			violations, late, highestLoad := h.results()
 			k.report.LateMS, k.report.Fullest = max(k.report.LateMS, float64(late)/1e6), max(k.report.Fullest, highestLoad)
 			for _, b := range violations[:min(1, len(violations))] {
-				k.addViolation("host %d of n%02d, %d times: %s", i, m.i, len(violations), b)
+				k.addViolation("host %d of n%02d, %d times: %s", i, m.index, len(violations), b)
 			}
 		}
 	}
@@ -566,11 +566,11 @@
 				}
 			}
 		} else if have != list.String() {
-			k.addViolation("n%02d has another view %d than others: %s and %s", m.i, s.View, list.String(), have)
+			k.addViolation("n%02d has another view %d than others: %s and %s", m.index, s.View, list.String(), have)
 		}
 		m.mu.Lock()
 		if m.lineage == s.Lineage && s.View < m.view {
-			k.addViolation("n%02d went back from view %d to %d", m.i, m.view, s.View)
+			k.addViolation("n%02d went back from view %d to %d", m.index, m.view, s.View)
 		}
 		m.lineage, m.view = s.Lineage, s.View
 		m.mu.Unlock()
@@ -582,8 +582,8 @@
 	lost := k.membersOf(k.Scenario.MayLose, nil)
 	for _, m := range k.members {
 		m.mu.Lock()
-		if m.alive && !m.wasStopped && !slices.Contains(lost, m.i) {
-			set = append(set, m.i)
+		if m.alive && !m.wasStopped && !slices.Contains(lost, m.index) {
+			set = append(set, m.index)
 		}
 		m.mu.Unlock()
 	}
@@ -625,11 +625,11 @@
 		m.mu.Lock()
 		switch {
 		case !m.alive:
-			fmt.Fprintf(&b, "n%02d dead; ", m.i)
+			fmt.Fprintf(&b, "n%02d dead; ", m.index)
 		case m.status == nil:
-			fmt.Fprintf(&b, "n%02d silent; ", m.i)
+			fmt.Fprintf(&b, "n%02d silent; ", m.index)
 		default:
-			fmt.Fprintf(&b, "n%02d %s view %d of %d, in touch %v; ", m.i, m.status.State, m.status.View, len(m.status.Members), m.status.InTouch)
+			fmt.Fprintf(&b, "n%02d %s view %d of %d, in touch %v; ", m.index, m.status.State, m.status.View, len(m.status.Members), m.status.InTouch)
 		}
 		m.mu.Unlock()
 	}
--- a/lab/cluster_test.go
+++ b/lab/cluster_test.go
@@ -54,19 +54,19 @@
 	}
 	k.close()
 	if err == nil {
-		t.Error("it went on")
+		t.Error("the cancelled run returned no error")
 	}
 	for _, m := range k.members {
 		if p := m.process; p != nil {
 			select {
 			case <-p.Exited():
 			default:
-				t.Errorf("process %d is left", m.i)
+				t.Errorf("process %d still runs", m.index)
 			}
 		}
 	}
 	if _, err := os.Stat(k.dir); err == nil {
-		t.Error("its folder is left")
+		t.Error("the temporary folder still exists")
 	}
 }
 
@@ -134,7 +134,7 @@
 	bad := filepath.Join(t.TempDir(), "bad.cue")
 	os.WriteFile(bad, []byte("means: \"x\"\nsteps: [{at: \"soon\", do: \"kill\"}]\n"), 0o600)
 	if _, err := LoadScenario(bad); err == nil || !strings.Contains(err.Error(), "bad.cue:2") {
-		t.Errorf("a bad one: %v", err)
+		t.Errorf("invalid scenario: %v", err)
 	}
 }
 func listenUDP(t *testing.T, at string) *net.UDPConn {
@@ -232,19 +232,19 @@
 	}
 	link.Set(Reset, 0)
 	if err := echo(old, "reset"); err == nil {
-		t.Error("an open connection outlives a reset")
+		t.Error("an open connection survived a reset")
 	}
 	if c, err := net.Dial("tcp", link.Address); err == nil { // it may be reset before the call returns
 		c.SetDeadline(time.Now().Add(time.Minute))
 		if err := echo(c, "reset"); err == nil {
-			t.Error("a new connection outlives a reset")
+			t.Error("a new connection survived a reset")
 		}
 		c.Close()
 	}
 	link.Set(Refused, 0)
 	if c, err := net.Dial("tcp", link.Address); err == nil {
 		c.Close()
-		t.Error("not refused")
+		t.Error("the connection was not refused")
 	}
 	if err := link.Set(Open, 0); err != nil {
 		t.Fatal(err)
@@ -266,6 +266,6 @@
 		t.Errorf("%+v", r)
 	}
 	if _, err := RunMemberCost(t.Context(), MemberCostConfig{Members: 1}); err == nil {
-		t.Error("a fleet of one was taken")
+		t.Error("a fleet of one member was accepted")
 	}
 }
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -55,7 +55,7 @@
 	load := StartLoad(ctx, LoadConfig{Address: w.Listen, Clients: c.Clients, Body: standin.FixedResult(200)(nil), Timeout: 5 * time.Second,
 		Pause: 30 * time.Millisecond, Seed: 1, Done: func(id, _ string, _ int) { w.Ledger.Forget(id) }})
 	defer load.Stop()
-	var served, other atomic.Int64
+	var served, unserved atomic.Int64
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	for i := range c.Clients {
@@ -71,7 +71,7 @@
 				if client.Do(classNames[rng.IntN(2)], id, []byte(id+" level")).Status == 200 {
 					served.Add(1)
 				} else {
-					other.Add(1)
+					unserved.Add(1)
 				}
 				w.Ledger.Forget(id)
 				select {
@@ -133,7 +133,7 @@
 			event, lost = h.Name+" is back, cold", -1
 		}
 		line := fmt.Sprintf("%4d s  HTTP %4d served %2d not, p99 %5.1f ms   Gearman %4d served %2d not   %4.1f MB  %s", second, t.Served,
-			t.Refused+t.Failed+t.Broken, t.LatencyMillis(99), served.Swap(0), other.Swap(0), float64(u.Resident)/(1<<20), event)
+			t.Refused+t.Failed+t.Broken, t.LatencyMillis(99), served.Swap(0), unserved.Swap(0), float64(u.Resident)/(1<<20), event)
 		if c.Live {
 			fmt.Fprintf(c.Out, "\r\x1b[K%s", line)
 		} else {
--- a/lab/gearman.go
+++ b/lab/gearman.go
@@ -27,11 +27,11 @@
 	Clients         int
 	Workers         int
 	Hosts           int
-	Drops           float64 // share of runs at which a worker drops its connection
+	Drops           float64 // share of runs during which a worker closes its connection
 	DisconnectShare float64 // share of Gearman clients' jobs whose connection is closed early
 	Memory          int
 	Idle            int // workers of the large part; 0 leaves it out
-	Queued          int // jobs of it
+	Queued          int // jobs of the large part
 	Stderr          io.Writer
 }
 
@@ -215,7 +215,7 @@
 	defer w.close()
 	type result struct {
 		id, class    string
-		answers      int
+		responses    int
 		status       int
 		disconnected bool
 	}
@@ -244,7 +244,7 @@
 				results[n].id, results[n].class = id, class
 				if i%2 == 0 {
 					if results[n].status = postJob(&http.Client{Transport: transport}, w.Listen, class, id, data, 5*time.Second); results[n].status != 0 {
-						results[n].answers++
+						results[n].responses++
 					}
 					continue
 				}
@@ -260,7 +260,7 @@
 				}
 				out := g.Do(class, id, data)
 				if results[n].status = out.Status; out.Status != 0 {
-					results[n].answers++
+					results[n].responses++
 				}
 				if results[n].disconnected {
 					g = nil
@@ -273,7 +273,7 @@
 	report.Drops = drops.Load()
 	for _, r := range results {
 		report.Jobs++
-		report.Answers += int64(r.answers)
+		report.Answers += int64(r.responses)
 		switch {
 		case r.status == 200:
 			report.Served++
@@ -284,7 +284,7 @@
 		default:
 			report.Lost++
 		}
-		if r.answers > 1 {
+		if r.responses > 1 {
 			report.Twice++
 		}
 		runs := w.Ledger.Runs(r.id)
@@ -366,13 +366,13 @@
 		}
 		start := time.Now()
 		m.Served = run(c.JobsPerPair)
-		took := time.Since(start)
+		elapsed := time.Since(start)
 		after, err := w.process.Usage()
 		if err != nil {
 			return err
 		}
 		m.Jobs = int64(c.JobsPerPair)
-		m.Rate = math.Round(float64(m.Served) / took.Seconds())
+		m.Rate = math.Round(float64(m.Served) / elapsed.Seconds())
 		m.CPUMicros = math.Round(float64((after.CPU-before.CPU).Microseconds())/float64(max(m.Jobs, 1))*10) / 10
 		m.P50, m.P99 = float64(latency.ValueAtPercentile(50))/1000, float64(latency.ValueAtPercentile(99))/1000
 		report.Pairs = append(report.Pairs, m)
@@ -427,7 +427,7 @@
 	}
 	defer client.Close()
 	accepted := make(chan int)
-	go func() { // every submission has one response
+	go func() { // each submission gets one response packet
 		n := 0
 		for range c.Queued {
 			f, err := client.Next()
--- a/lab/hostchecker.go
+++ b/lab/hostchecker.go
@@ -57,7 +57,7 @@
 	c.drainKnown, c.restarted, c.accepts = 0, now, nil
 }
 
-// took says that a job has come, and how long it duration at full speed.
+// accepted records that the host has accepted a job, with the duration of the job at full speed.
 func (c *hostChecker) accepted(now time.Duration, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/membercost.go
+++ b/lab/membercost.go
@@ -171,7 +171,7 @@
 		start := time.Now()
 		interrupted := sleep(ctx, c.Length)
 		after, err2 := p.Usage()
-		took := time.Since(start)
+		elapsed := time.Since(start)
 		end()
 		err = errors.Join(err, interrupted, err2, flood.Wait())
 		if load != nil {
@@ -182,7 +182,7 @@
 		if err != nil {
 			return err
 		}
-		m.Resident, m.CPU = float64(after.Resident)/(1<<20), 100*(after.CPU-before.CPU).Seconds()/took.Seconds()
+		m.Resident, m.CPU = float64(after.Resident)/(1<<20), 100*(after.CPU-before.CPU).Seconds()/elapsed.Seconds()
 		out.Parts = append(out.Parts, m)
 		fmt.Fprintf(c.Output, "%-36s %6.1f MB %5.1f%% of a core  %6d jobs, %d not served, p50 %.1f ms, p99 %.1f ms\n", m.What, m.Resident, m.CPU, m.Jobs, m.Unserved, m.P50, m.P99)
 	}
--- a/lab/overhead.go
+++ b/lab/overhead.go
@@ -165,13 +165,13 @@
 	if err := wait(c.Length); err != nil {
 		return m, err
 	}
-	t, took := load.Take(), time.Since(start)
+	t, elapsed := load.Take(), time.Since(start)
 	after, err := p.Usage()
 	if err != nil {
 		return m, err
 	}
 	round := func(x float64, unit float64) float64 { return math.Round(x/unit) * unit }
-	m.Rate = round(float64(t.Served)/took.Seconds(), 1)
+	m.Rate = round(float64(t.Served)/elapsed.Seconds(), 1)
 	m.CPUMicros = math.Round(float64((after.CPU-before.CPU).Microseconds())/float64(max(t.Total(), 1))*10) / 10
 	m.P50, m.P99 = t.LatencyMillis(50), t.LatencyMillis(99)
 	m.PeakMB, m.IdleMB = math.Round(float64(after.Peak)/(1<<20)*10)/10, math.Round(float64(idle.Resident)/(1<<20)*10)/10
--- a/lab/process.go
+++ b/lab/process.go
@@ -38,7 +38,7 @@
 type Usage struct {
 	CPU      time.Duration
 	Resident int64 // bytes, now
-	Peak     int64 // bytes, the most since the start or since ResetPeak
+	Peak     int64 // bytes, the maximum since the start
 }
 
 // DaemonConfig holds the part of a daemon's configuration that differs between experiments.
@@ -92,15 +92,15 @@
 // listenBelowEphemeralPorts listens on a loopback port below the kernel's ephemeral range. The kernel could assign a port of that range to
 // another program while it is closed, or before the program that it is meant for listens there.
 func listenBelowEphemeralPorts() (net.Listener, error) {
-	lowest := 32768
+	ephemeralStart := 32768
 	if text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range"); err == nil {
-		fmt.Sscan(string(text), &lowest)
+		fmt.Sscan(string(text), &ephemeralStart)
 	}
-	const least = 10000 // lower ports belong to well-known services
+	const lowestPort = 10000 // lower ports belong to well-known services
 	var l net.Listener
 	err := errors.New("no free port below the ephemeral port range")
-	for try := 0; lowest > least && try < 100; try++ {
-		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", least+rand.IntN(lowest-least))); err == nil {
+	for attempt := 0; ephemeralStart > lowestPort && attempt < 100; attempt++ {
+		if l, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", lowestPort+rand.IntN(ephemeralStart-lowestPort))); err == nil {
 			return l, nil
 		}
 	}
--- a/lab/tcplinks.go
+++ b/lab/tcplinks.go
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	mode        Mode
 	delay       time.Duration
-	l           net.Listener
+	listener    net.Listener
 	conns       map[net.Conn]struct{}
 	modeChanged chan struct{} // closed when the mode changes
 	ended       bool
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &TCPLink{Address: l.Addr().String(), target: target, mode: Open, l: l, conns: map[net.Conn]struct{}{}, modeChanged: make(chan struct{})}
+	t := &TCPLink{Address: l.Addr().String(), target: target, mode: Open, listener: l, conns: map[net.Conn]struct{}{}, modeChanged: make(chan struct{})}
 	t.tasks.Go(func() { t.accept(l) })
 	return t, nil
 }
@@ -65,15 +65,15 @@
 		}
 	}
 	switch {
-	case m == Refused && t.l != nil:
-		t.l.Close()
-		t.l = nil
-	case m != Refused && t.l == nil:
+	case m == Refused && t.listener != nil:
+		t.listener.Close()
+		t.listener = nil
+	case m != Refused && t.listener == nil:
 		l, err := net.Listen("tcp", t.Address)
 		if err != nil {
 			return err
 		}
-		t.l = l
+		t.listener = l
 		t.tasks.Go(func() { t.accept(l) })
 	}
 	return nil
@@ -195,8 +195,8 @@
 	if !t.ended {
 		t.ended = true
 		close(t.modeChanged)
-		if t.l != nil {
-			t.l.Close()
+		if t.listener != nil {
+			t.listener.Close()
 		}
 		for c := range t.conns {
 			c.Close()
--- a/lab/upgrade_test.go
+++ b/lab/upgrade_test.go
@@ -89,7 +89,7 @@
 	t.Helper()
 	for start := time.Now(); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(start) > time.Minute {
-			t.Fatalf("%s: not within a minute", what)
+			t.Fatalf("timeout after a minute: %s", what)
 		}
 	}
 }
--- a/lab/verify.go
+++ b/lab/verify.go
@@ -77,28 +77,28 @@
 	var mu sync.Mutex
 	for i := range c.Cases {
 		group.Go(func() error {
-			one, err := c.runCase(ctx, i)
+			result, err := c.runCase(ctx, i)
 			if err != nil {
 				return fmt.Errorf("case %d: %w", i, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			report.Cases[i] = one
-			onResult(one)
+			report.Cases[i] = result
+			onResult(result)
 			return nil
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	for _, one := range report.Cases {
-		if one.Error <= 0.1 {
+	for _, result := range report.Cases {
+		if result.Error <= 0.1 {
 			report.Within10++
 		}
-		if one.Error <= 0.2 {
+		if result.Error <= 0.2 {
 			report.Within20++
 		}
-		if one.P99Error <= 0.2 {
+		if result.P99Error <= 0.2 {
 			report.P99In20++
 		}
 	}
@@ -136,29 +136,29 @@
 		return Case{}, err
 	}
 	w := f.World(c.Seed<<8+uint64(i), 1)
-	one := Case{Number: i, Boxes: len(w.Boxes), Rate: f.Load.Rate, Load: load, Jobs: len(w.Arrivals)}
-	one.Forecast = c.forecast(w)
-	if one.Seen, one.Late, err = c.runOnLoopback(ctx, w); err != nil {
-		return one, err
+	result := Case{Number: i, Boxes: len(w.Boxes), Rate: f.Load.Rate, Load: load, Jobs: len(w.Arrivals)}
+	result.Forecast = c.forecast(w)
+	if result.Seen, result.Late, err = c.runOnLoopback(ctx, w); err != nil {
+		return result, err
 	}
-	compare := func(what string, forecast, seen, least float64) {
-		if e := math.Abs(forecast-seen) / max(seen, least); e > one.Error {
-			one.Error, one.Of = e, what
+	compare := func(what string, forecast, seen, floor float64) {
+		if e := math.Abs(forecast-seen) / max(seen, floor); e > result.Error {
+			result.Error, result.Of = e, what
 		}
 	}
 	for _, name := range classNames {
-		compare(name+" in time", one.Forecast.InTime[name], one.Seen.InTime[name], 0.2)
+		compare(name+" in time", result.Forecast.InTime[name], result.Seen.InTime[name], 0.2)
 	}
-	compare("p50", one.Forecast.P50, one.Seen.P50, 1)
-	compare("utilisation", one.Forecast.Utilisation, one.Seen.Utilisation, 0.1)
+	compare("p50", result.Forecast.P50, result.Seen.P50, 1)
+	compare("utilisation", result.Forecast.Utilisation, result.Seen.Utilisation, 0.1)
 	if c.Ramp {
-		if one.Tip, one.TipSeen, err = c.findTippingLoad(ctx, f, i, load); err != nil {
-			return one, err
+		if result.Tip, result.TipSeen, err = c.findTippingLoad(ctx, f, i, load); err != nil {
+			return result, err
 		}
-		compare("the load at which it gives way", one.Tip, one.TipSeen, 0.1)
+		compare("the load at which it gives way", result.Tip, result.TipSeen, 0.1)
 	}
-	one.P99Error = math.Abs(one.Forecast.P99-one.Seen.P99) / max(one.Seen.P99, 1)
-	return one, nil
+	result.P99Error = math.Abs(result.Forecast.P99-result.Seen.P99) / max(result.Seen.P99, 1)
+	return result, nil
 }
 
 // findTippingLoad finds the forecast and the measured load at which the share of jobs in time falls below 0.9, interpolated between steps
@@ -178,20 +178,20 @@
 			break
 		}
 	}
-	at := func(of func(step) float64) float64 {
+	crossing := func(value func(step) float64) float64 {
 		for k, s := range steps {
-			if of(s) >= 0.9 {
+			if value(s) >= 0.9 {
 				continue
 			}
 			if k == 0 {
 				return s.load
 			}
 			before := steps[k-1]
-			return before.load + (s.load-before.load)*(of(before)-0.9)/(of(before)-of(s))
+			return before.load + (s.load-before.load)*(value(before)-0.9)/(value(before)-value(s))
 		}
 		return steps[len(steps)-1].load
 	}
-	return at(func(s step) float64 { return s.forecast }), at(func(s step) float64 { return s.seen }), nil
+	return crossing(func(s step) float64 { return s.forecast }), crossing(func(s step) float64 { return s.seen }), nil
 }
 
 // forecast runs the same jobs in the simulator several times, with different seeds of the dispatchers' random choices, and averages the results.
@@ -241,9 +241,9 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 600}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	took, inTime, offered := newHistogram(), map[string]int{}, map[string]int{}
+	latency, inTime, offered := newHistogram(), map[string]int{}, map[string]int{}
 	var mu sync.Mutex
-	var lates []float64
+	var sendDelays []float64
 	var jobs sync.WaitGroup
 	start := time.Now().Add(50 * time.Millisecond)
 	for n, a := range w.Arrivals {
@@ -253,17 +253,17 @@
 			jobs.Wait()
 			return f, 0, ctx.Err()
 		}
-		sent := time.Since(start.Add(a.At))
+		sendDelay := time.Since(start.Add(a.At))
 		jobs.Go(func() {
 			class := w.Classes[a.Class]
 			status := postHintedJob(client, testbed.Listen, class.Name, fmt.Sprintf("%016x", n+1), a)
 			t := time.Since(start.Add(a.At))
 			mu.Lock()
 			defer mu.Unlock()
-			lates = append(lates, float64(sent)/1e6)
+			sendDelays = append(sendDelays, float64(sendDelay)/1e6)
 			offered[class.Name]++
 			if status == 200 {
-				took.RecordValue(max(1, t.Microseconds()))
+				latency.RecordValue(max(1, t.Microseconds()))
 				if t <= class.TargetLatency+time.Duration(class.RuntimeFactor*a.Work*float64(time.Second)) {
 					inTime[class.Name]++
 				}
@@ -271,20 +271,20 @@
 		})
 	}
 	jobs.Wait()
-	span := max(time.Since(start), w.Arrivals[len(w.Arrivals)-1].At)
+	elapsed := max(time.Since(start), w.Arrivals[len(w.Arrivals)-1].At)
 	f.InTime = map[string]float64{}
 	for name, n := range offered {
 		f.InTime[name] = float64(inTime[name]) / float64(n)
 	}
-	f.P50, f.P99 = float64(took.ValueAtPercentile(50))/1000, float64(took.ValueAtPercentile(99))/1000
+	f.P50, f.P99 = float64(latency.ValueAtPercentile(50))/1000, float64(latency.ValueAtPercentile(99))/1000
 	busy, cores := 0.0, 0
 	for i, h := range testbed.Hosts {
 		busy += h.Busy().Seconds()
 		cores += w.Kinds[w.Boxes[i].Kind].Cores
 	}
-	f.Utilisation = busy / float64(cores) / span.Seconds()
-	slices.Sort(lates)
-	return f, stat.Quantile(0.99, stat.Empirical, lates, nil), nil
+	f.Utilisation = busy / float64(cores) / elapsed.Seconds()
+	slices.Sort(sendDelays)
+	return f, stat.Quantile(0.99, stat.Empirical, sendDelays, nil), nil
 }
 
 // postHintedJob submits a job of a forecast: its data hold the amount of work, its hint the expected cost.
