--- a/lab/hostchecker.go
+++ b/lab/hostchecker.go
@@ -27,13 +27,13 @@
 type hostChecker struct {
 	limits hostLimits
 
-	mu          sync.Mutex
-	drainKnown  time.Duration // when dispatchers count as notified of its drain; 0: not draining
-	restarted   time.Duration // when it was listed again after a drain; 0: never
-	accepts     []acceptedJob // since the restart
-	late        time.Duration // the longest time from the notification to an accepted job
-	highestLoad float64       // the highest ratio of work in a window to the amount that overloads the host
-	violations  []string
+	mu            sync.Mutex
+	drainNotified time.Duration // when dispatchers count as notified of its drain; 0: not draining
+	restarted     time.Duration // when it was listed again after a drain; 0: never
+	accepts       []acceptedJob // since the restart
+	late          time.Duration // the longest time from the notification to an accepted job
+	highestLoad   float64       // the highest ratio of work in a window to the amount that overloads the host
+	violations    []string
 }
 
 type acceptedJob struct {
@@ -45,8 +45,8 @@
 func (c *hostChecker) drain(now time.Duration, reachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.drainKnown = now; !reachable {
-		c.drainKnown += c.limits.NotifiedAfter
+	if c.drainNotified = now; !reachable {
+		c.drainNotified += c.limits.NotifiedAfter
 	}
 }
 
@@ -54,16 +54,16 @@
 func (c *hostChecker) restart(now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drainKnown, c.restarted, c.accepts = 0, now, nil
+	c.drainNotified, c.restarted, c.accepts = 0, now, nil
 }
 
 // accepted records that the host has accepted a job, with the duration of the job at full speed.
 func (c *hostChecker) accepted(now time.Duration, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.drainKnown > 0 && now > c.drainKnown {
-		if c.late = max(c.late, now-c.drainKnown); now > c.drainKnown+c.limits.Grace {
-			c.violations = append(c.violations, fmt.Sprintf("drain: a job came %v after the dispatcher was told", (now-c.drainKnown).Round(time.Millisecond)))
+	if c.drainNotified > 0 && now > c.drainNotified {
+		if c.late = max(c.late, now-c.drainNotified); now > c.drainNotified+c.limits.Grace {
+			c.violations = append(c.violations, fmt.Sprintf("drain: a job came %v after the dispatcher was told", (now-c.drainNotified).Round(time.Millisecond)))
 		}
 	}
 	if c.restarted == 0 || now-c.restarted > c.limits.WarmUp+c.limits.OverloadWindow {
@@ -98,7 +98,7 @@
 }
 
 // results returns the violations, the longest time from the notification of a drain to an accepted job, and the highest ratio of work to the
-// amount that overloads a cold host.
+// amount that overloads a cold host (above 1: it was overloaded).
 func (c *hostChecker) results() (violations []string, late time.Duration, highestLoad float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
