--- a/cmd/liftlab/cluster.go
+++ b/cmd/liftlab/cluster.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			config.Scenario, config.Say = scenario, cmd.OutOrStdout()
+			config.Scenario, config.Output = scenario, cmd.OutOrStdout()
 			report, err := lab.RunCluster(cmd.Context(), config)
 			if err != nil {
 				return err
@@ -66,7 +66,7 @@
 			"datagrams come that are none of the protocol's. The last line is JSON. Compare within one run.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			config.Say = cmd.OutOrStdout()
+			config.Output = cmd.OutOrStdout()
 			report, err := lab.RunMemberCost(cmd.Context(), config)
 			if err != nil {
 				return err
--- a/cmd/liftlab/main.go
+++ b/cmd/liftlab/main.go
@@ -79,7 +79,7 @@
 	flags.IntVar(&config.Workers, "workers", 8, "Gearman workers")
 	flags.IntVar(&config.Clients, "clients", 8, "clients of each kind")
 	flags.StringVar(&config.Capture, "capture", "", "a folder into which the daemon captures the load")
-	flags.DurationVar(&config.For, "for", 0, "how long; 0 until Ctrl-C")
+	flags.DurationVar(&config.Duration, "for", 0, "how long; 0 until Ctrl-C")
 	return cmd
 }
 
@@ -119,7 +119,7 @@
 	flags.DurationVar(&config.Job, "job", 2*time.Millisecond, "how long a job runs")
 	flags.IntVar(&config.Clients, "clients", 64, "clients that always have the next job ready")
 	flags.IntVar(&config.Sockets, "sockets", 1024, "the daemon's limit of descriptors")
-	flags.DurationVar(&config.Patience, "patience", 5*time.Second, "how long a client waits")
+	flags.DurationVar(&config.Timeout, "patience", 5*time.Second, "how long a client waits")
 	flags.DurationVar(&config.Warm, "warm", time.Second, "load before each measurement")
 	flags.DurationVar(&config.Length, "length", 5*time.Second, "length of each measurement")
 	flags.BoolVar(&config.Capture, "capture", false, "measure the daemon with capture on as well")
@@ -138,7 +138,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			config.Stderr = cmd.ErrOrStderr()
-			if config.Jobs < 0 || config.Each < 1 || config.Clients < 2 || config.Workers < 1 || config.Hosts < 1 {
+			if config.Jobs < 0 || config.JobsPerPair < 1 || config.Clients < 2 || config.Workers < 1 || config.Hosts < 1 {
 				return fmt.Errorf("want at least two clients, one worker, one host and one job")
 			}
 			report, err := lab.Gearman(cmd.Context(), config)
@@ -163,12 +163,12 @@
 	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
 	flags.Uint64Var(&config.Seed, "seed", 1, "of clients, drops and leaves")
 	flags.IntVar(&config.Jobs, "jobs", 20000, "jobs of the mixed part")
-	flags.IntVar(&config.Each, "each", 20000, "jobs of each way in the measured part")
+	flags.IntVar(&config.JobsPerPair, "each", 20000, "jobs of each way in the measured part")
 	flags.IntVar(&config.Clients, "clients", 32, "clients; in the mixed part half of them speak Gearman")
 	flags.IntVar(&config.Workers, "workers", 32, "Gearman workers")
 	flags.IntVar(&config.Hosts, "hosts", 16, "HTTP hosts")
 	flags.Float64Var(&config.Drops, "drops", 0.01, "share of runs at which a worker drops its connection")
-	flags.Float64Var(&config.Leaves, "leaves", 0.02, "share of Gearman clients' jobs whose client leaves early")
+	flags.Float64Var(&config.DisconnectShare, "leaves", 0.02, "share of Gearman clients' jobs whose client leaves early")
 	flags.IntVar(&config.Memory, "memory", 64, "the daemon's limit of memory, in MB")
 	flags.IntVar(&config.Idle, "idle", 1000, "workers of the large part; 0 leaves it out")
 	flags.IntVar(&config.Queued, "queued", 10000, "queued jobs of 1 KiB of the large part")
--- a/cmd/liftlab/plan.go
+++ b/cmd/liftlab/plan.go
@@ -136,7 +136,7 @@
 	flags.StringVar(&config.Daemon, "daemon", defaultDaemonPath(), "the daemon's binary")
 	flags.Uint64Var(&config.Seed, "seed", 1, "of what is drawn")
 	flags.IntVar(&config.Cases, "cases", 20, "fleets and loads to draw")
-	flags.IntVar(&config.Beside, "beside", 4, "cases to play at a time")
+	flags.IntVar(&config.Parallel, "beside", 4, "cases to play at a time")
 	flags.DurationVar(&config.Length, "length", 20*time.Second, "of each case's load")
 	flags.BoolVar(&config.Ramp, "ramp", false, "raise the load of each case until it gives way, too")
 	flags.IntVar(&config.Days, "days", 5, "emulated runs of each forecast")
